--- a/benches/module.rs
+++ b/benches/module.rs
@@ -2,7 +2,7 @@
 //! second over synthetic lists, each event timed as it is handled. `cargo bench --bench module -- 100 25000` plays
 //! only those numbers of backends; the tables are once small and once the plan's.
 
-use shaletide::*;
+use meadowproxy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Instant;
--- a/benches/scale/balance.rs
+++ b/benches/scale/balance.rs
@@ -2,7 +2,7 @@
 //! 5 ms, dead ones that refuse the connection. So verdicts come at the rate at which the module itself tells them.
 
 use super::protocol::Load;
-use shaletide::*;
+use meadowproxy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -2,11 +2,11 @@
 //! compares digests and repairs, as every proxy does.
 
 use super::message::{self, Duties, Duty, Said};
-use shaletide::fleet::config::{Event, Replica, Rules, Surroundings};
-use shaletide::fleet::lease;
-use shaletide::fleet::membership::{Membership, Now};
-use shaletide::fleet::relay::{Header, Relay};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::config::{Event, Replica, Rules, Surroundings};
+use meadowproxy::fleet::lease;
+use meadowproxy::fleet::membership::{Membership, Now};
+use meadowproxy::fleet::relay::{Header, Relay};
+use meadowproxy::{Micros, Time};
 use std::net::SocketAddr;
 
 /// How often time passes for the copy, and how often it sees the members, as in service.
@@ -81,7 +81,11 @@
 
     fn act(
         &mut self, now: Now,
-        step: impl FnOnce(&mut Replica, &Surroundings, &mut Vec<(SocketAddr, shaletide::fleet::config::Message)>),
+        step: impl FnOnce(
+            &mut Replica,
+            &Surroundings,
+            &mut Vec<(SocketAddr, meadowproxy::fleet::config::Message)>,
+        ),
     ) -> Mail {
         let around = Surroundings {
             wall_ms: now.wall_us / 1000,
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -25,7 +25,7 @@
 /// What that takes from the program is the library's there as well.
 mod net {
     pub mod peers {
-        pub use shaletide::fleet::membership::wire;
+        pub use meadowproxy::fleet::membership::wire;
     }
 }
 mod phases;
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -9,9 +9,9 @@
 mod rig;
 
 use generated::{request, settings, Size};
+use meadowproxy::settings::{Amendment, Change, InForce, Reading, Settings};
+use meadowproxy::{Balancer, Event, Time};
 use rig::*;
-use shaletide::settings::{Amendment, Change, InForce, Reading, Settings};
-use shaletide::{Balancer, Event, Time};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/bin/shaletide-adapter/main.rs
+++ b/src/bin/meadowproxy-adapter/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output: one [`shaletide::Balancer`] per instance.
+//! Speaks the bench's wire on standard input and output: one [`meadowproxy::Balancer`] per instance.
 //! Translation only; every decision is the library's.
 #![forbid(unsafe_code)]
 
@@ -11,7 +11,7 @@
     match run(stdin, stdout) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("shaletide-adapter: {text}");
+            eprintln!("meadowproxy-adapter: {text}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/src/bin/shaletide-adapter/wire.rs
+++ b/src/bin/meadowproxy-adapter/wire.rs
@@ -1,8 +1,8 @@
 //! Lines to events, actions to lines.
 
+use meadowproxy::settings::{Names, Row};
+use meadowproxy::*;
 use serde_json::Value;
-use shaletide::settings::{Names, Row};
-use shaletide::*;
 use std::collections::HashMap;
 use std::io::Write;
 
@@ -149,7 +149,7 @@
             return Err(f.bad(0, "an instance such as proxy-3"));
         }
         let seed = f.whole(1, "a seed")?;
-        let made = shaletide::settings::read(&f.values[2]).and_then(|(config, names)| {
+        let made = meadowproxy::settings::read(&f.values[2]).and_then(|(config, names)| {
             Balancer::new(config, seed).map(|b| (b, names)).map_err(|e| e.to_string())
         });
         let instance = match made {
@@ -157,7 +157,7 @@
                 Some(Instance { balancer, names, numbers: HashMap::new(), addresses: Vec::new() })
             }
             Err(text) => {
-                eprintln!("shaletide-adapter: settings of {who}: {text}");
+                eprintln!("meadowproxy-adapter: settings of {who}: {text}");
                 put(reply, &serde_json::json!(["BROKEN", who, format!("settings: {text}")]));
                 None
             }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,7 +6,7 @@
 
 /// A proxy for fleets of HTTP servers. Without a command it runs, with the configuration that NODE_CONFIG names.
 #[derive(Debug, Parser)]
-#[command(name = "shaletide", version)]
+#[command(name = "meadowproxy", version)]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,6 +6,8 @@
 
 use clap::Parser;
 use cli::{Cli, Command, LogFormat, Run};
+use meadowproxy::settings::InForce;
+use meadowproxy::{Balancer, ListUpdate};
 use net::config::{self, Node, Source};
 use net::control::{DutiesDoor, Keepers};
 use net::discovery::Pace;
@@ -23,8 +25,6 @@
 use net::snapshot::Owner;
 use net::upstream::Pool;
 use net::{discovery, server, Clock};
-use shaletide::settings::InForce;
-use shaletide::{Balancer, ListUpdate};
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -44,6 +44,9 @@
 const CLAIM: Duration = Duration::from_secs(8);
 const CLAIM_EVERY: Duration = Duration::from_millis(50);
 const REPORT_EVERY: Duration = Duration::from_secs(5);
+/// Folder under `$TMPDIR` that the processes of a proxy share. It keeps the program's former name, as an old and a new
+/// version use it together during a handover.
+const SHARED_FOLDER: &str = "shaletide";
 /// How often the holds are told at debug level: several times in the second or two that they take to settle.
 const HOLDS_EVERY: Duration = Duration::from_millis(250);
 
@@ -52,7 +55,7 @@
     log_to_stderr(cli.log_format);
     let fail = |text: &str| {
         match cli.log_format {
-            LogFormat::Text => eprintln!("shaletide: {text}"),
+            LogFormat::Text => eprintln!("meadowproxy: {text}"),
             LogFormat::Json => tracing::error!(event = "start_failed", "{text}"),
         }
         ExitCode::FAILURE
@@ -305,7 +308,7 @@
 fn folder(owner: &Owner) -> Option<PathBuf> {
     let made = match std::env::var_os("TMPDIR") {
         Some(dir) => {
-            let dir = Path::new(&dir).join("shaletide").join(owner.folder());
+            let dir = Path::new(&dir).join(SHARED_FOLDER).join(owner.folder());
             std::fs::create_dir_all(&dir).map(|()| dir)
         }
         None => Err(std::io::Error::other("not set")),
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,12 +2,12 @@
 
 use super::list::{Lines, List, Pieces};
 use super::snapshot;
+use meadowproxy::fleet::config::MOST_NUMBER;
+use meadowproxy::fleet::lease;
+use meadowproxy::settings::{sift, Change, InForce, Lists, Reading, Settings, Sink};
+use meadowproxy::Micros;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use shaletide::fleet::config::MOST_NUMBER;
-use shaletide::fleet::lease;
-use shaletide::settings::{sift, Change, InForce, Lists, Reading, Settings, Sink};
-use shaletide::Micros;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::fs;
--- a/src/net/control/tests.rs
+++ b/src/net/control/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::net::server::Rules;
-use shaletide::settings::Network;
-use shaletide::{Config, Micros};
+use meadowproxy::settings::Network;
+use meadowproxy::{Config, Micros};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -2,7 +2,7 @@
 
 use super::super::list::{Line, List};
 use super::*;
-use shaletide::{Action, Balancer, Config, Event, Micros, Time};
+use meadowproxy::{Action, Balancer, Config, Event, Micros, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
@@ -59,7 +59,7 @@
         while self.timers.peek().is_some_and(|t| t.0 .0 <= end) && until != Some(self.calls.len()) {
             let Some(Reverse((at, token))) = self.timers.pop() else { return };
             self.now = at;
-            self.tell(Event::Timer { token: shaletide::TimerToken(token) });
+            self.tell(Event::Timer { token: meadowproxy::TimerToken(token) });
         }
         if until != Some(self.calls.len()) {
             self.now = end;
@@ -194,14 +194,14 @@
 
 fn asking(discovery: Discovery) -> Rc<Host> {
     let second = Micros(SECOND);
-    let network = shaletide::settings::Network {
+    let network = meadowproxy::settings::Network {
         connect_timeout: second,
         conn_idle: second,
         max_retry_after: second,
         deadlines: vec![second].into(),
     };
     let balancer = Balancer::new(Config { discovery, ..Config::example() }, 1).unwrap();
-    let (names, clock) = (shaletide::settings::Names::default(), crate::net::Clock::new());
+    let (names, clock) = (meadowproxy::settings::Names::default(), crate::net::Clock::new());
     Host::new(balancer, names, clock, Rc::new(crate::net::upstream::Pool::new(&network, 4)))
 }
 
--- a/src/net/duties/clock/tests.rs
+++ b/src/net/duties/clock/tests.rs
@@ -4,8 +4,8 @@
 use super::super::{Effect, Rows};
 use super::*;
 use crate::net::host::RosterRow;
-use shaletide::fleet::calendar::{Mark, Spec, Stamp, Step, Wall};
-use shaletide::fleet::lease::Ballot;
+use meadowproxy::fleet::calendar::{Mark, Spec, Stamp, Step, Wall};
+use meadowproxy::fleet::lease::Ballot;
 
 const S: u64 = 1_000_000;
 
@@ -73,7 +73,7 @@
         let mut windows = self.tables().calendar.lock();
         let mut entry = windows.calendar.get("w").unwrap().clone();
         let occurrence = match entry.spec.value.when {
-            shaletide::fleet::calendar::When::Once(span) => span.begin,
+            meadowproxy::fleet::calendar::When::Once(span) => span.begin,
             _ => unreachable!("it comes once"),
         };
         entry.mark = Some(Mark { occurrence, token, step, at: wall(), why: String::new() });
--- a/src/net/duties/config.rs
+++ b/src/net/duties/config.rs
@@ -8,14 +8,14 @@
 use super::{mono, wall, Effect};
 use crate::net::overlay::{Newest, Overlay};
 use hyper::{Method, StatusCode};
-use serde::Deserialize;
-use serde_json::json;
-use shaletide::fleet::config::{
+use meadowproxy::fleet::config::{
     Edit, Entry, Event, Key, Kind, Message, Refused, Rejected, Replica, Rules, Submission, Surroundings,
     Table, Value,
 };
-use shaletide::fleet::lease;
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::lease;
+use meadowproxy::{Micros, Time};
+use serde::Deserialize;
+use serde_json::json;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
@@ -296,14 +296,14 @@
 
 fn figures(config: &Configuring) {
     let digest = config.replica.table().digest();
-    metrics::gauge!("shaletide_config_version").set(digest.version as f64);
-    metrics::gauge!("shaletide_config_newest_version").set(config.replica.newest() as f64);
+    metrics::gauge!("meadowproxy_config_version").set(digest.version as f64);
+    metrics::gauge!("meadowproxy_config_newest_version").set(config.replica.newest() as f64);
     // As many bits as a figure has: equal versions have equal ones.
-    metrics::gauge!("shaletide_config_digest").set((digest.root >> 12) as f64);
-    metrics::gauge!("shaletide_config_entries").set(config.replica.table().len() as f64);
+    metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
+    metrics::gauge!("meadowproxy_config_entries").set(config.replica.table().len() as f64);
     let heard = config.leases.heard();
     if heard.0 < u64::MAX {
-        metrics::gauge!("shaletide_config_heard_seconds").set(heard.secs());
+        metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.secs());
     }
 }
 
@@ -453,7 +453,7 @@
     if !errors.is_empty() {
         return Err(wrong(errors));
     }
-    match shaletide::fleet::config::check(&edits) {
+    match meadowproxy::fleet::config::check(&edits) {
         Ok(()) => Ok((version, edits)),
         Err(why) => Err(wrong(vec![(why.key, why.why)])),
     }
--- a/src/net/duties/copy.rs
+++ b/src/net/duties/copy.rs
@@ -8,8 +8,8 @@
 
 use super::tables::Tables;
 use crate::net::snapshot::replace;
+use meadowproxy::fleet::config::{Digest, Entry, Refused as Unsound, Table};
 use serde::{Deserialize, Serialize};
-use shaletide::fleet::config::{Digest, Entry, Refused as Unsound, Table};
 use std::fmt;
 use std::fs::{self, File};
 use std::io::{self, Read};
--- a/src/net/duties/copy/tests.rs
+++ b/src/net/duties/copy/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
+use meadowproxy::fleet::config::{Change, Edit, Key, Kind, Value};
 use proptest::prelude::*;
-use shaletide::fleet::config::{Change, Edit, Key, Kind, Value};
 
 fn table(count: u64) -> Table {
     let mut table = Table::default();
@@ -60,7 +60,7 @@
 
 #[test]
 fn files_are_refused_by_what_they_are() {
-    let dir = std::env::temp_dir().join(format!("shaletide-copy-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("meadowproxy-copy-{}", std::process::id()));
     let kept = Kept { dir: dir.clone(), cluster: "fleet".into() };
     let file = dir.join("x");
     let cause = || kept.read(&file).map_or_else(|why| why.cause(), |_| "taken");
--- a/src/net/duties/door.rs
+++ b/src/net/duties/door.rs
@@ -5,9 +5,9 @@
 use super::wire::spread_edits;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
+use meadowproxy::fleet::calendar::{parse_instant, Invalid, Put, Rejected, Spec, Stamp, Wall};
 use serde::Deserialize;
 use serde_json::json;
-use shaletide::fleet::calendar::{parse_instant, Invalid, Put, Rejected, Spec, Stamp, Wall};
 
 /// A call as it came.
 pub struct Call {
--- a/src/net/duties/leases.rs
+++ b/src/net/duties/leases.rs
@@ -3,9 +3,9 @@
 
 use super::message::{Duties, Duty, Refused, Word};
 use super::mono;
-use shaletide::fleet::fence::Fence;
-use shaletide::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::fence::Fence;
+use meadowproxy::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
+use meadowproxy::{Micros, Time};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tracing::{info, warn};
--- a/src/net/duties/message.rs
+++ b/src/net/duties/message.rs
@@ -2,11 +2,11 @@
 //! [`Body::Duty`](crate::net::peers::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
 
 use crate::net::peers::wire::MOST_BODY;
+use meadowproxy::fleet::calendar::Digest;
+use meadowproxy::fleet::config;
+use meadowproxy::fleet::lease::{Message, Token};
+use meadowproxy::fleet::relay::{self, Header};
 use serde::{Deserialize, Serialize};
-use shaletide::fleet::calendar::Digest;
-use shaletide::fleet::config;
-use shaletide::fleet::lease::{Message, Token};
-use shaletide::fleet::relay::{self, Header};
 use std::fmt;
 
 /// Raised whenever a message's shape changes.
@@ -200,8 +200,8 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
+    use meadowproxy::fleet::lease::Ballot;
     use proptest::prelude::*;
-    use shaletide::fleet::lease::Ballot;
 
     /// Messages about the configuration; the machine's own tests have all kinds.
     fn config() -> impl Strategy<Value = Duties> {
--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -1,5 +1,5 @@
 //! Duties that one proxy of the fleet holds at a time, and the maintenance windows that the holder of the calendar's duty
-//! keeps: the socket side of [`shaletide::fleet`].
+//! keeps: the socket side of [`meadowproxy::fleet`].
 //!
 //! Two threads work beside the request loop: `wire` takes the other proxies' messages, `clock` lets time pass; a third,
 //! `copy`, writes a snapshot of the configuration where one is kept. They share six tables. **Lock order**, checked at every
@@ -29,13 +29,13 @@
 use copy::Kept;
 use hyper::{Method, StatusCode};
 use leases::Leases;
+use meadowproxy::fleet::calendar::{Budget, Calendar, Rules, Wall};
+use meadowproxy::fleet::config::Entry;
+use meadowproxy::fleet::relay::Relay;
+use meadowproxy::{Micros, Time};
 use message::Duty;
 use ranked::Ranked;
 use rustix::time::{clock_gettime, ClockId};
-use shaletide::fleet::calendar::{Budget, Calendar, Rules, Wall};
-use shaletide::fleet::config::Entry;
-use shaletide::fleet::relay::Relay;
-use shaletide::{Micros, Time};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, Hasher, RandomState};
--- a/src/net/duties/tables.rs
+++ b/src/net/duties/tables.rs
@@ -8,9 +8,9 @@
 use crate::net::host::RosterRow;
 use crate::net::peers::post::Post;
 use crate::net::peers::wire::Body;
-use shaletide::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
-use shaletide::fleet::relay::{Header, Relay};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
+use meadowproxy::fleet::relay::{Header, Relay};
+use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -270,8 +270,8 @@
     /// The tables of a voter that serves, and what the request loop is asked.
     pub fn example() -> (Tables, mpsc::Receiver<Effect>) {
         use super::message::Duty;
-        use shaletide::fleet::calendar::{Budget, Rules};
-        use shaletide::fleet::lease;
+        use meadowproxy::fleet::calendar::{Budget, Rules};
+        use meadowproxy::fleet::lease;
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
         let voters = [9, 10, 11].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
         let rules = lease::Rules::new(voters.len(), Micros(1_000_000), 0.01).unwrap();
--- a/src/net/duties/wire.rs
+++ b/src/net/duties/wire.rs
@@ -6,9 +6,9 @@
 use super::tables::Tables;
 use super::wall;
 use crate::net::peers::Passed;
-use shaletide::fleet::calendar::{Digest, Entry, Garbled};
-use shaletide::fleet::lease::Token;
-use shaletide::fleet::relay::Header;
+use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
+use meadowproxy::fleet::lease::Token;
+use meadowproxy::fleet::relay::Header;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::sync::Arc;
@@ -185,10 +185,10 @@
     use super::*;
     use bytes::Bytes;
     use hyper::{Method, StatusCode};
+    use meadowproxy::fleet::calendar::{Put, Spec, Stamp};
+    use meadowproxy::fleet::lease::Ballot;
+    use meadowproxy::fleet::relay::Part;
     use proptest::prelude::*;
-    use shaletide::fleet::calendar::{Put, Spec, Stamp};
-    use shaletide::fleet::lease::Ballot;
-    use shaletide::fleet::relay::Part;
     use std::collections::BTreeSet;
 
     proptest! {
@@ -261,7 +261,7 @@
         assert_eq!(say(10, 5, now - 1), (Ok(()), Vec::new()), "its content counts");
         assert_eq!(say(10, 5, now).0, Err("repeated"));
         assert!(
-            tables.leases.lock().heard() >= shaletide::Micros(20_000),
+            tables.leases.lock().heard() >= meadowproxy::Micros(20_000),
             "an overtaken word counted as heard"
         );
         let (refused, told) = say(11, 4, now);
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -5,7 +5,7 @@
 /// Age decides who is whose successor; one that has not published or is gone counts for nothing.
 #[test]
 fn processes_see_each_other_while_they_live() {
-    let dir = std::env::temp_dir().join(format!("shaletide-presence-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("meadowproxy-presence-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let old = Presence::new(&dir).unwrap();
     old.publish().unwrap();
--- a/src/net/host/backends.rs
+++ b/src/net/host/backends.rs
@@ -5,7 +5,7 @@
 use super::known::{Known, Why};
 use super::state::State;
 use super::Host;
-use shaletide::*;
+use meadowproxy::*;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/host/known.rs
+++ b/src/net/host/known.rs
@@ -1,7 +1,7 @@
 //! Every backend that a list, operators or another process named, by number: held close together, as there may be tens
 //! of thousands.
 
-use shaletide::{Backend, BackendId, BackendState};
+use meadowproxy::{Backend, BackendId, BackendState};
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -14,8 +14,8 @@
 
 use super::upstream::{Call, Payload, Pool};
 use super::Clock;
-use shaletide::settings::{Change, Names};
-use shaletide::*;
+use meadowproxy::settings::{Change, Names};
+use meadowproxy::*;
 use state::{Live, State, UNKNOWN};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -54,7 +54,7 @@
     #[cfg(test)]
     pub fn example() -> Rc<Host> {
         let second = Micros(1_000_000);
-        let network = shaletide::settings::Network {
+        let network = meadowproxy::settings::Network {
             connect_timeout: second,
             conn_idle: second,
             max_retry_after: second,
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -1,7 +1,7 @@
 //! Lines and figures on what goes on.
 
 use super::Host;
-use shaletide::Micros;
+use meadowproxy::Micros;
 use tracing::{debug, info};
 
 impl Host {
@@ -47,10 +47,10 @@
         for (told, (name, new)) in s.told.iter().zip(s.counts.named()) {
             metrics::counter!(name).absolute(told + new);
         }
-        metrics::gauge!("shaletide_requests_open").set(s.requests.len() as f64);
-        metrics::gauge!("shaletide_clients").set(clients as f64);
-        metrics::gauge!("shaletide_upstreams").set(self.pool.open() as f64);
-        metrics::gauge!("shaletide_timer_lag_seconds").set(Micros(self.lag.get()).secs());
+        metrics::gauge!("meadowproxy_requests_open").set(s.requests.len() as f64);
+        metrics::gauge!("meadowproxy_clients").set(clients as f64);
+        metrics::gauge!("meadowproxy_upstreams").set(self.pool.open() as f64);
+        metrics::gauge!("meadowproxy_timer_lag_seconds").set(Micros(self.lag.get()).secs());
     }
 }
 
@@ -69,7 +69,7 @@
             for _ in 0..2 {
                 metrics::with_local_recorder(&figures, || host.figures(n));
                 let text = figures.render();
-                for line in [format!("shaletide_requests_total {n}"), format!("shaletide_clients {n}")] {
+                for line in [format!("meadowproxy_requests_total {n}"), format!("meadowproxy_clients {n}")] {
                     assert!(text.lines().any(|l| l == line), "{line} not in {text}");
                 }
                 host.report(n);
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -3,8 +3,8 @@
 use super::super::upstream::{Call, Served};
 use super::known::Directory;
 use imbl::Vector;
-use shaletide::settings::Names;
-use shaletide::*;
+use meadowproxy::settings::Names;
+use meadowproxy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -66,18 +66,18 @@
     /// Each under its name at the door.
     pub fn named(&self) -> [(&'static str, u64); COUNTED] {
         [
-            ("shaletide_requests_total", self.requests),
-            ("shaletide_requests_served_total", self.served),
-            ("shaletide_requests_refused_total", self.refused),
-            ("shaletide_requests_failed_total", self.failed),
-            ("shaletide_requests_overdue_total", self.timed_out),
-            ("shaletide_requests_gone_total", self.gone),
-            ("shaletide_attempts_total", self.attempts),
-            ("shaletide_attempts_full_total", self.full),
-            ("shaletide_attempts_errors_total", self.errors),
-            ("shaletide_attempts_reset_total", self.resets),
-            ("shaletide_attempts_unconnected_total", self.unconnected),
-            ("shaletide_attempts_unsent_total", self.unsent),
+            ("meadowproxy_requests_total", self.requests),
+            ("meadowproxy_requests_served_total", self.served),
+            ("meadowproxy_requests_refused_total", self.refused),
+            ("meadowproxy_requests_failed_total", self.failed),
+            ("meadowproxy_requests_overdue_total", self.timed_out),
+            ("meadowproxy_requests_gone_total", self.gone),
+            ("meadowproxy_attempts_total", self.attempts),
+            ("meadowproxy_attempts_full_total", self.full),
+            ("meadowproxy_attempts_errors_total", self.errors),
+            ("meadowproxy_attempts_reset_total", self.resets),
+            ("meadowproxy_attempts_unconnected_total", self.unconnected),
+            ("meadowproxy_attempts_unsent_total", self.unsent),
         ]
     }
 }
--- a/src/net/keeper.rs
+++ b/src/net/keeper.rs
@@ -4,7 +4,7 @@
 use super::host::Host;
 use super::snapshot::writer::Writer;
 use super::snapshot::{self, Header, Owner, Refused, Snapshot, Stands};
-use shaletide::Micros;
+use meadowproxy::Micros;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/list.rs
+++ b/src/net/list.rs
@@ -2,11 +2,11 @@
 
 use bytes::Buf;
 use compact_str::CompactString;
+use meadowproxy::settings::Row;
+use meadowproxy::{Backend, BackendState, CellId, Time};
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
-use shaletide::settings::Row;
-use shaletide::{Backend, BackendState, CellId, Time};
 use std::io;
 use std::net::SocketAddr;
 use tracing::warn;
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -3,7 +3,7 @@
 
 use super::host::{Host, Why};
 use super::keeper::Keeper;
-use shaletide::Time;
+use meadowproxy::Time;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fs::File;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,7 +20,7 @@
 pub mod stream;
 pub mod upstream;
 
-use shaletide::Time;
+use meadowproxy::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What is longer, on either side, is not held but streams.
@@ -47,7 +47,7 @@
     }
 }
 
-pub fn span(of: shaletide::Micros) -> Duration {
+pub fn span(of: meadowproxy::Micros) -> Duration {
     Duration::from_micros(of.0)
 }
 
--- a/src/net/overlay.rs
+++ b/src/net/overlay.rs
@@ -1,8 +1,8 @@
 //! What the fleet's configuration changes in this proxy's settings: the entries that operators set since the file, over
 //! what the file says.
 
-use shaletide::fleet::config::{Edit, Entry, FileRefused, Key, Kind, Overrides, Value};
-use shaletide::settings::{Amendment, Change, InForce};
+use meadowproxy::fleet::config::{Edit, Entry, FileRefused, Key, Kind, Overrides, Value};
+use meadowproxy::settings::{Amendment, Change, InForce};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -1,16 +1,16 @@
-//! State shared between the proxies of a fleet over UDP: the socket side of [`shaletide::fleet::membership`]. Verdicts go
+//! State shared between the proxies of a fleet over UDP: the socket side of [`meadowproxy::fleet::membership`]. Verdicts go
 //! between it and the module, snapshots between it and the host's memory.
 
 pub mod post;
 
-pub use shaletide::fleet::membership::wire;
+pub use meadowproxy::fleet::membership::wire;
 
 use super::config::Sharing;
 use super::host::Host;
 use super::snapshot::{self, wall_us, Header, Snapshot, Stands};
+use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
+use meadowproxy::{Micros, Time, Verdict};
 use post::Post;
-use shaletide::fleet::membership::{Membership, News, Now, Output, Rules};
-use shaletide::{Micros, Time, Verdict};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -9,7 +9,7 @@
 use super::room::room;
 use super::server::{self, Rules, Server};
 use super::snapshot::Owner;
-use shaletide::settings::{Change, InForce};
+use meadowproxy::settings::{Change, InForce};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::RETRY_AFTER;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use shaletide::*;
+use meadowproxy::*;
 use std::pin::pin;
 use std::rc::Rc;
 use tokio::time::Instant;
--- a/src/net/snapshot.rs
+++ b/src/net/snapshot.rs
@@ -6,8 +6,8 @@
 
 pub mod writer;
 
+use meadowproxy::{BackendMemory, KindMemory, Micros, Sampled};
 use serde::{Deserialize, Serialize};
-use shaletide::{BackendMemory, KindMemory, Micros, Sampled};
 use std::fmt;
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
--- a/src/net/upstream/answer.rs
+++ b/src/net/upstream/answer.rs
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
 use hyper::{HeaderMap, Response, StatusCode};
-use shaletide::Outcome;
+use meadowproxy::Outcome;
 use std::pin::pin;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -24,7 +24,7 @@
 
 /// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
 fn run(input: &str) -> (String, String, bool) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_shaletide-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_meadowproxy-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -1,9 +1,9 @@
 //! The calendar of maintenance windows: bodies, local time, phases, budget, merging, cut-off proxies.
 
+use meadowproxy::fleet::calendar::*;
+use meadowproxy::fleet::lease::Token;
+use meadowproxy::Micros;
 use proptest::prelude::*;
-use shaletide::fleet::calendar::*;
-use shaletide::fleet::lease::Token;
-use shaletide::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// 2026-12-02, noon.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -10,7 +10,7 @@
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml");
 
 fn program(arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_meadowproxy"));
     for name in ["NODE_CONFIG", "NODE_CONTROL", "NODE_SOCKET_FD", "NODE_SNAPSHOT", "NODE_LOG_FORMAT"] {
         command.env_remove(name);
     }
@@ -193,7 +193,7 @@
     assert!(include_str!("../README.md").lines().any(|line| line == command), "{command}");
     let manifest: toml::Table = include_str!("../Cargo.toml").parse().unwrap();
     let program = manifest["package"].get("default-run").and_then(|name| name.as_str());
-    assert_eq!(program, Some("shaletide"), "of two programs cargo has to know which");
+    assert_eq!(program, Some("meadowproxy"), "of two programs cargo has to know which");
 }
 
 /// Every key of the example, those in its commented parts too, has its place in the page on the configuration.
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -132,8 +132,8 @@
     let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send(&read(3.0)));
-    let out = || figure(&proxy, "shaletide_attempts_total");
-    until(|| figure(&proxy, "shaletide_requests_total") == 20 && out() == backend.count(), "never all out");
+    let out = || figure(&proxy, "meadowproxy_attempts_total");
+    until(|| figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.count(), "never all out");
     assert!(backend.count() < 20, "none waits");
     let late = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
     in_hand(&proxy);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for one balancer that carries out its actions and checks every rule as it goes.
 #![allow(dead_code)]
 
-use shaletide::*;
+use meadowproxy::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,15 +1,15 @@
 //! The fleet's configuration in a simulated network: lost, doubled and late messages, cuts, holders that die or do not
 //! know that they are none any more, voters that forget, proxies that start anew. Real machines, a random host.
 
-use proptest::prelude::*;
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
-use shaletide::fleet::config::{
+use meadowproxy::fleet::config::{
     Acceptor, Change, Digest, Edit, Entry, Event, Key, Kind, Memory, Message, Node, Paxos, Replica, Rules,
     Submission, Surroundings, Table, Value,
 };
-use shaletide::fleet::lease::{self, Ballot, Token};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::lease::{self, Ballot, Token};
+use meadowproxy::{Micros, Time};
+use proptest::prelude::*;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/tests/config_files.rs
+++ b/tests/config_files.rs
@@ -2,7 +2,7 @@
 //! and back in any order, while changes are decided, spread, fetched and dropped from the table as the files contain them. The
 //! machines are the real ones.
 
-use shaletide::fleet::config::{Change, Edit, Entry, Key, Kind, Overrides, Table, Value};
+use meadowproxy::fleet::config::{Change, Edit, Entry, Key, Kind, Overrides, Table, Value};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -1,9 +1,9 @@
 //! How changes of the configuration are numbered and decided, under a model checker: every order of events of a small
 //! fleet, within bounds. The machines are the real ones; `config.rs` beside this has random storms of a larger fleet.
 
-use shaletide::fleet::config::{Acceptor, Change, Edit, Key, Kind, Paxos, Proposer, Step, Value};
-use shaletide::fleet::lease::{Ballot, Rules, Token};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::config::{Acceptor, Change, Edit, Key, Kind, Paxos, Proposer, Step, Value};
+use meadowproxy::fleet::lease::{Ballot, Rules, Token};
+use meadowproxy::{Micros, Time};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/config_scale.rs
+++ b/tests/config_scale.rs
@@ -1,13 +1,13 @@
 //! The fleet's configuration at the plan's size, 1,800 proxies in simulated time: how long until a change is in force at the
 //! last of them, and what it costs. Seeded, and the same on any machine.
 
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
-use shaletide::fleet::config::{
+use meadowproxy::fleet::config::{
     Edit, Event, Key, Kind, Message, Replica, Rules, Submission, Surroundings, Value,
 };
-use shaletide::fleet::lease::{self, Ballot};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::lease::{self, Ballot};
+use meadowproxy::{Micros, Time};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -98,7 +98,7 @@
         let line = text.lines().find(|l| l.split(' ').next() == Some(name));
         line.and_then(|l| l.split(' ').nth(1)?.parse().ok()).unwrap_or_else(|| panic!("{name} in {text}"))
     };
-    all.saturating_sub(figure("shaletide_clients") + figure("shaletide_upstreams"))
+    all.saturating_sub(figure("meadowproxy_clients") + figure("meadowproxy_upstreams"))
 }
 
 /// The most descriptors seen, looked at again and again until this is dropped.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{backend, class, Host};
-use shaletide::*;
+use meadowproxy::*;
 
 fn fleet(count: u32) -> Vec<Backend> {
     (0..count).map(|i| backend(i, 0, 0)).collect()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! What many proxies do together that none of them does alone: all of a fleet's balancers on one clock that
 //! the test drives by hand. Backends answer after a fixed time; sends are counted, nothing else is played.
 
-use shaletide::*;
+use meadowproxy::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -102,7 +102,7 @@
     // The figures say the same.
     fleet.wait("the figures", |fleet| {
         let text = String::from_utf8(fleet.proxies[3].call("GET /metrics").body).unwrap();
-        text.contains(&format!("shaletide_config_version {now}\n")).then_some(())
+        text.contains(&format!("meadowproxy_config_version {now}\n")).then_some(())
     });
     consistent(&fleet);
 }
--- a/tests/golden/encoding.rs
+++ b/tests/golden/encoding.rs
@@ -1,7 +1,7 @@
 //! A written encoding of actions and of learned state as 64-bit words: independent of the names that the module gives
 //! to its types, fields and log texts, and complete in the values that they carry.
 
-use shaletide::*;
+use meadowproxy::*;
 
 /// One word for each kind of action, then the words of its values. Of a log line only that there is one.
 pub fn encode_action(action: &Action) -> Vec<u64> {
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -2,9 +2,9 @@
 //! from one seed, in whole numbers, and answers to what the module does.
 
 use crate::encoding::{encode_action, encode_memory};
+use meadowproxy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletide::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/tests/halb.rs
+++ b/tests/halb.rs
@@ -1,6 +1,6 @@
 //! Shares against values worked by hand from the paper's formula.
 
-use shaletide::halb_shares;
+use meadowproxy::halb_shares;
 
 fn close(got: Vec<f64>, want: &[f64]) {
     assert_eq!(got.len(), want.len());
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::{backend, class, Host};
+use meadowproxy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
-use shaletide::*;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,12 +1,12 @@
 //! Leases: random schedules of a fleet of five voters and three candidates, and single rules.
 
+use meadowproxy::fleet::fence::Fence;
+use meadowproxy::fleet::lease::{Ballot, Candidate, Change, Loss, Message, Rules, RulesError, Token, Voter};
+use meadowproxy::{Micros, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletide::fleet::fence::Fence;
-use shaletide::fleet::lease::{Ballot, Candidate, Change, Loss, Message, Rules, RulesError, Token, Voter};
-use shaletide::{Micros, Time};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -1,8 +1,8 @@
 //! Leases under a model checker: every order of events of a small fleet, within bounds. `lease.rs` beside this has
 //! random orders of a larger one.
 
-use shaletide::fleet::lease::{Ballot, Candidate, Change, Message, Rules, Token, Voter};
-use shaletide::{Micros, Time};
+use meadowproxy::fleet::lease::{Ballot, Candidate, Change, Message, Rules, Token, Voter};
+use meadowproxy::{Micros, Time};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,8 +1,8 @@
 //! A list told whole and the same list told by what changed lead to the same state: the same actions from then on.
 
+use meadowproxy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
-use shaletide::*;
 use std::collections::BTreeMap;
 
 mod common;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,10 +1,10 @@
 //! Membership on clocks that the test drives by hand, with every datagram the same time on its way.
 
+use meadowproxy::fleet::membership::wire::{self, Seal};
+use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
+use meadowproxy::{Micros, Time, Verdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletide::fleet::membership::wire::{self, Seal};
-use shaletide::fleet::membership::{Membership, News, Now, Output, Rules};
-use shaletide::{Micros, Time, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -47,7 +47,9 @@
     assert_eq!(figures.header("content-type"), Some("text/plain; version=0.0.4"));
     let text = String::from_utf8(figures.body).unwrap();
     assert!(
-        text.contains("# TYPE shaletide_requests_served_total counter\nshaletide_requests_served_total 1\n"),
+        text.contains(
+            "# TYPE meadowproxy_requests_served_total counter\nmeadowproxy_requests_served_total 1\n"
+        ),
         "{text}"
     );
     assert_eq!(proxy.call("PUT /metrics").status(), 405);
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -2,8 +2,8 @@
 //! found by name, kept as what they are held against.
 #![allow(dead_code)]
 
+use meadowproxy::*;
 use serde_json::Value;
-use shaletide::*;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletide::*;
+use meadowproxy::*;
 
 fn fleet() -> Host {
     let mut host = Host::new(Config { proxies: 1, ..Config::example() }, 5);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,11 +1,11 @@
 //! Broadcasts that all proxies pass on: how long each goes without the holder's word, and how long a window's step takes to
 //! reach the last one, at 30, 300 and 1,800 proxies in simulated time with datagrams lost; and what is refused. Seeded.
 
+use meadowproxy::fleet::relay::{Header, Part, Refused, Relay, FAN_OUT, MOST_HOPS};
+use meadowproxy::Micros;
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletide::fleet::relay::{Header, Part, Refused, Relay, FAN_OUT, MOST_HOPS};
-use shaletide::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletide::*;
+use meadowproxy::*;
 
 fn config() -> Config {
     let classes = vec![class(Effect::Free), class(Effect::Unsafe)].into();
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -471,7 +471,7 @@
 /// A folder of its own, as `TMPDIR` for the processes of one proxy.
 pub fn folder() -> PathBuf {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("shaletide-tmp-{}-{number}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("meadowproxy-tmp-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
@@ -484,14 +484,14 @@
 fn limited(config: Option<&str>, descriptors: u32) -> Command {
     let mut command = Command::new("sh");
     let line = format!("ulimit -n {descriptors}; exec \"$0\"");
-    command.args(["-c", &line, env!("CARGO_BIN_EXE_shaletide")]);
+    command.args(["-c", &line, env!("CARGO_BIN_EXE_meadowproxy")]);
     for name in ["NODE_CONFIG", "NODE_CONTROL", "NODE_SOCKET_FD", "NODE_SNAPSHOT"] {
         command.env_remove(name);
     }
     command.stderr(Stdio::piped()).stdout(Stdio::null());
     if let Some(config) = config {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("shaletide-{}-{number}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!("meadowproxy-{}-{number}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
         command.env("NODE_CONFIG", path);
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -28,7 +28,7 @@
 mod message;
 mod net {
     pub mod peers {
-        pub use shaletide::fleet::membership::wire;
+        pub use meadowproxy::fleet::membership::wire;
     }
 }
 #[allow(dead_code)]
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What all proxies together send to a backend that has just started, on one clock: cores that serve in turn and get
 //! faster with the ramp, traffic that chance spreads unevenly, lists that reach each proxy at a time of its own.
 
-use shaletide::*;
+use meadowproxy::*;
 use std::collections::{BTreeMap, VecDeque};
 
 const SECOND: u64 = 1_000_000;
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -2,11 +2,11 @@
 
 mod plain;
 
+use meadowproxy::settings::{Amendment, Change, InForce, Names, Reading, Row, Settings};
+use meadowproxy::{Backend, BackendId, ClassId, Config, TenantId};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use serde_json::{json, Value};
-use shaletide::settings::{Amendment, Change, InForce, Names, Reading, Row, Settings};
-use shaletide::{Backend, BackendId, ClassId, Config, TenantId};
 use std::collections::BTreeSet;
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
@@ -176,10 +176,10 @@
             let number = ClassId(number);
             assert_eq!(self.names.class_name(number), tables.names.class_name(number));
         }
-        for number in (0..9).map(shaletide::ZoneId) {
+        for number in (0..9).map(meadowproxy::ZoneId) {
             assert_eq!(self.names.zone_name(number), tables.names.zone_name(number));
         }
-        for number in (0..9).map(shaletide::KindId) {
+        for number in (0..9).map(meadowproxy::KindId) {
             assert_eq!(self.names.kind_name(number), tables.names.kind_name(number));
         }
     }
--- a/tests/withdraw.rs
+++ b/tests/withdraw.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletide::*;
+use meadowproxy::*;
 
 fn fleet() -> Vec<Backend> {
     (0..4).map(|n| backend(n, 0, 0)).collect()
--- a/tests/words.rs
+++ b/tests/words.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletide::*;
+use meadowproxy::*;
 
 const BOUND: Micros = Micros(5_000_000);
 
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletide::*;
+use meadowproxy::*;
 
 /// One proxy, three zones of four backends each, zones left at half of a zone out.
 fn fleet() -> Host {
