--- a/src/backends.rs
+++ b/src/balancer/endpoints.rs
@@ -2,9 +2,9 @@
 //! of their numbers and close together. What is added up is added in that order, as rounding tells on decisions.
 //! No decisions.
 
+use super as rules;
+use super::state::{Dice, Record};
 use crate::interface::*;
-use crate::rules;
-use crate::state::{Dice, Record};
 use std::collections::BTreeSet;
 
 /// What each look over all backends reads of one: what its record says, and what was last solved for it.
--- a/src/rules.rs
+++ b/src/balancer/mod.rs
@@ -1,13 +1,17 @@
 //! Every decision of the proxy. Its whole interface (events, actions, settings) is `src/interface.rs`;
-//! what it remembers of backends, kinds, classes and requests is in `src/state.rs` and `src/backends.rs`.
+//! what it remembers of backends, kinds, classes and requests is in `state.rs` and `endpoints.rs` beside it.
 //!
 //! Ordinary path: `solve` turns the arrival rate and the learned speeds into a share per kind (HALB),
 //! `draw` picks a kind by share and a backend inside it at random. All else is a departure for trouble.
 
-use crate::ask::Ask;
-use crate::backends::{Backends, Group, Load};
+pub mod discovery_polling;
+mod endpoints;
+mod state;
+
 use crate::interface::*;
-use crate::state::*;
+use discovery_polling::Ask;
+use endpoints::{Backends, Group, Load};
+use state::*;
 use std::collections::BTreeMap;
 
 /// The shares are solved this often, s: far faster than the rate's memory.
--- a/src/state.rs
+++ b/src/balancer/state.rs
@@ -203,7 +203,7 @@
     pub served: Rate,
 }
 
-/// What is known of a backend, but for what is solved over all of them (`src/backends.rs`). What only one in trouble has
+/// What is known of a backend, but for what is solved over all of them (`endpoints.rs`). What only one in trouble has
 /// is reached through it as its own, and takes no room before.
 #[derive(Default)]
 pub(crate) struct Record {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,18 +5,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ask;
-mod backends;
+mod balancer;
 mod checked;
 pub mod fleet;
 mod interface;
-mod rules;
 pub mod settings;
-mod state;
 
-pub use ask::{in_line, CALL_PATIENCE};
+pub use balancer::discovery_polling::{in_line, CALL_PATIENCE};
+pub use balancer::{halb_shares, Balancer};
 pub use interface::*;
-pub use rules::{halb_shares, Balancer};
 
 /// The README's example, kept true by the documentation tests.
 #[cfg(doctest)]
