--- a/benches/common/generated.rs
+++ b/benches/common/generated.rs
@@ -17,13 +17,30 @@
             r#"{{"name":"route-{n:05}","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}}"#
         )
     };
-    let quota = |n: usize| if n == 0 { first_quota } else { 0.5 + (n % 7) as f64 };
+    let quota = |n: usize| {
+        if n == 0 {
+            first_quota
+        } else {
+            0.5 + (n % 7) as f64
+        }
+    };
     let tenant = |n: usize| format!(r#"{{"name":"tenant-{n:06}","quota_rps":{}}}"#, quota(n));
     let routes: Vec<String> = (0..size.routes).map(route).collect();
     let tenants: Vec<String> = (0..size.tenants).map(tenant).collect();
-    let (from, to) = (SETTINGS.find("\"profiles\":[").unwrap(), SETTINGS.find("\"rules\"").unwrap());
-    let text = format!("{}\"profiles\":[{}],\n{}", &SETTINGS[..from], routes.join(","), &SETTINGS[to..]);
-    text.replace(r#"[{"name":"north","quota_rps":500.0}]"#, &format!("[{}]", tenants.join(",")))
+    let (from, to) = (
+        SETTINGS.find("\"profiles\":[").unwrap(),
+        SETTINGS.find("\"rules\"").unwrap(),
+    );
+    let text = format!(
+        "{}\"profiles\":[{}],\n{}",
+        &SETTINGS[..from],
+        routes.join(","),
+        &SETTINGS[to..]
+    );
+    text.replace(
+        r#"[{"name":"north","quota_rps":500.0}]"#,
+        &format!("[{}]", tenants.join(",")),
+    )
 }
 
 /// The n-th request: routes and tenants in turns, with strides that meet all of them.
@@ -34,7 +51,10 @@
         0 => text,
         tenants => {
             let tenant = (n * 104_729) % tenants;
-            text.replace("\r\n\r\n", &format!("\r\nX-Account: tenant-{tenant:06}\r\n\r\n"))
+            text.replace(
+                "\r\n\r\n",
+                &format!("\r\nX-Account: tenant-{tenant:06}\r\n\r\n"),
+            )
         }
     }
 }
--- a/benches/duties.rs
+++ b/benches/duties.rs
@@ -14,7 +14,16 @@
 
 fn shape(size: usize, lease_ms: u64) -> Shape {
     let (_, known) = Recorder::several(BACKENDS);
-    Shape { size, seed: 1, known, voters: 3, lease_ms, floor: 0.1, max_age_s: 5.0, ..Shape::default() }
+    Shape {
+        size,
+        seed: 1,
+        known,
+        voters: 3,
+        lease_ms,
+        floor: 0.1,
+        max_age_s: 5.0,
+        ..Shape::default()
+    }
 }
 
 /// A fleet whose members all know each other, and how long that took from the first one's start.
@@ -32,8 +41,16 @@
 /// Least, median and worst, in milliseconds.
 fn spread(mut us: Vec<u64>) -> String {
     us.sort();
-    let ms = |n: usize| us.get(n).map_or("-".into(), |us| format!("{:.0}", *us as f64 / 1e3));
-    format!("{} | {} | {}", ms(0), ms(us.len() / 2), ms(us.len().saturating_sub(1)))
+    let ms = |n: usize| {
+        us.get(n)
+            .map_or("-".into(), |us| format!("{:.0}", *us as f64 / 1e3))
+    };
+    format!(
+        "{} | {} | {}",
+        ms(0),
+        ms(us.len() / 2),
+        ms(us.len().saturating_sub(1))
+    )
 }
 
 /// From the holder's SIGKILL to the first step of its successor, which a window gives it that is put after the death.
@@ -53,7 +70,9 @@
         fleet.put(at, &id, &[&format!("b{}", n % BACKENDS)], 1.0, 30.0, 1);
         let all = |f: &Fleet| holdings::holdings(&f.lives());
         held.push(
-            fleet.wait("a successor", |f| all(f).iter().find(|h| h.token > token).map(|h| h.from)) - died,
+            fleet.wait("a successor", |f| {
+                all(f).iter().find(|h| h.token > token).map(|h| h.from)
+            }) - died,
         );
         acted.push(fleet.stepped(&id, "draining").at - died);
         fleet.call(at, &format!("DELETE /windows/{id}"), "");
@@ -90,8 +109,15 @@
     };
     let (begun, before) = (Instant::now(), sum());
     std::thread::sleep(span);
-    let (after, share) = (sum(), begun.elapsed().as_secs_f64() * fleet.proxies.len() as f64);
-    format!("{:.1} | {:.0}", (after[0] - before[0]) / share, (after[1] - before[1]) / share)
+    let (after, share) = (
+        sum(),
+        begun.elapsed().as_secs_f64() * fleet.proxies.len() as f64,
+    );
+    format!(
+        "{:.1} | {:.0}",
+        (after[0] - before[0]) / share,
+        (after[1] - before[1]) / share
+    )
 }
 
 /// So many windows, each of one backend, that begin one after the other within the span, and last a second.
@@ -99,13 +125,24 @@
     for n in 0..windows {
         let begin = 2.0 + n as f64 * span / windows as f64;
         let backend = format!("b{}", n % BACKENDS);
-        fleet.put(n % fleet.proxies.len(), &format!("{prefix}{n}"), &[&backend], begin, 1.0, 1);
+        fleet.put(
+            n % fleet.proxies.len(),
+            &format!("{prefix}{n}"),
+            &[&backend],
+            begin,
+            1.0,
+            1,
+        );
     }
 }
 
 fn cost(size: usize) {
     let span = Duration::from_secs(10);
-    let off = joined(Shape { voters: 0, ..shape(size, 0) }).0;
+    let off = joined(Shape {
+        voters: 0,
+        ..shape(size, 0)
+    })
+    .0;
     std::thread::sleep(Duration::from_secs(5));
     println!("| {size} | off | {} |", sent(&off, span));
     drop(off);
@@ -119,10 +156,16 @@
 
 /// Seconds of processor time that all threads of a proxy have had.
 fn used(proxy: &rig::Proxy) -> f64 {
-    let tasks = std::fs::read_dir(format!("/proc/{}/task", proxy.child.id())).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{}/task", proxy.child.id()))
+        .into_iter()
+        .flatten()
+        .flatten();
     let of = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).unwrap_or_default();
-        text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(0.0)
+        text.split(' ')
+            .next()
+            .and_then(|ns| ns.parse::<f64>().ok())
+            .unwrap_or(0.0)
     };
     tasks.map(of).sum::<f64>() / 1e9
 }
@@ -134,7 +177,12 @@
     let entry = |n: usize| rig::entry(&format!("b{n}"), address, "SERVING");
     let mut known: Vec<String> = (0..count).map(entry).collect();
     known[1] = known[1].replace("big", "odd");
-    let fleet = joined(Shape { known, floor: 0.0, ..shape(4, 1500) }).0;
+    let fleet = joined(Shape {
+        known,
+        floor: 0.0,
+        ..shape(4, 1500)
+    })
+    .0;
     let share = |what: &str| {
         std::thread::sleep(Duration::from_secs(3));
         let (holder, _) = fleet.holder(&[]);
@@ -144,8 +192,16 @@
         let (after, span) = (sum(), begun.elapsed().as_secs_f64());
         let of = |n: usize| (after[n] - before[n]) / span * 100.0;
         let others: f64 = (0..4).filter(|n| *n != holder).map(of).sum();
-        let kept = if fleet.holder(&[]).0 == holder { "" } else { ", handed on meanwhile" };
-        println!("| {count} | {what}{kept} | {:.2} | {:.2} |", of(holder), others / 3.0);
+        let kept = if fleet.holder(&[]).0 == holder {
+            ""
+        } else {
+            ", handed on meanwhile"
+        };
+        println!(
+            "| {count} | {what}{kept} | {:.2} | {:.2} |",
+            of(holder),
+            others / 3.0
+        );
     };
     share("quiet");
     fleet.put(1, "w0", &["b0"], 2.0, 40.0, 1);
@@ -165,10 +221,22 @@
 fn times() {
     let (_a, known_off) = Recorder::several(BACKENDS);
     let (_b, known_on) = Recorder::several(BACKENDS);
-    let off = joined(Shape { voters: 0, known: known_off, ..shape(5, 0) }).0;
-    let on = joined(Shape { known: known_on, ..shape(5, 1500) }).0;
+    let off = joined(Shape {
+        voters: 0,
+        known: known_off,
+        ..shape(5, 0)
+    })
+    .0;
+    let on = joined(Shape {
+        known: known_on,
+        ..shape(5, 1500)
+    })
+    .0;
     on.holder(&[]);
-    let loads = [Load::start(&off, Duration::from_millis(1)), Load::start(&on, Duration::from_millis(1))];
+    let loads = [
+        Load::start(&off, Duration::from_millis(1)),
+        Load::start(&on, Duration::from_millis(1)),
+    ];
     let begun = mono_us() + 2_000_000;
     busy(&on, "t", 250, 125.0);
     let end = Instant::now() + Duration::from_secs(30);
@@ -178,7 +246,10 @@
     }
     let stepped = |l: &holdings::Life| holdings::events(&l.log, "window").count();
     let steps: usize = on.lives().iter().map(stepped).sum();
-    println!("{steps} steps of windows in {:.0} s", (mono_us() - begun) as f64 / 1e6 + 2.0);
+    println!(
+        "{steps} steps of windows in {:.0} s",
+        (mono_us() - begun) as f64 / 1e6 + 2.0
+    );
     for (name, load) in ["off", "busy"].into_iter().zip(loads) {
         let asked: Vec<Asked> = load.end().into_iter().filter(|a| a.begun > begun).collect();
         let failed = asked.iter().filter(|a| a.status != 200).count();
@@ -186,7 +257,10 @@
         took.sort();
         let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize] as f64 / 1e3;
         let (median, p99, p999) = (at(0.5), at(0.99), at(0.999));
-        println!("| {name} | {} | {failed} | {median:.2} | {p99:.2} | {p999:.2} |", took.len());
+        println!(
+            "| {name} | {} | {failed} | {median:.2} | {p99:.2} | {p999:.2} |",
+            took.len()
+        );
     }
 }
 
@@ -194,7 +268,14 @@
 /// every window ends, what lived through it took its backend out and back once and not early, and all of `check` holds.
 fn soak(seed: u64) {
     let (backends, known) = Recorder::several(BACKENDS);
-    let mut fleet = joined(Shape { seed, known, floor: 0.4, max_age_s: 3.0, ..shape(5, 800) }).0;
+    let mut fleet = joined(Shape {
+        seed,
+        known,
+        floor: 0.4,
+        max_age_s: 3.0,
+        ..shape(5, 800)
+    })
+    .0;
     let load = Load::start(&fleet, Duration::from_millis(20));
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |below: u64| {
@@ -215,7 +296,14 @@
         let mut put = |k: u64| {
             let (begin, lasts) = (8.0 + draw(10) as f64 / 5.0, 4.0 + draw(10) as f64 / 4.0);
             let backend = format!("b{}", round * 2 + k);
-            fleet.put(draw(5) as usize, &format!("s{round}-{k}"), &[&backend], begin, lasts, 4)
+            fleet.put(
+                draw(5) as usize,
+                &format!("s{round}-{k}"),
+                &[&backend],
+                begin,
+                lasts,
+                4,
+            )
         };
         let windows = [put(0), put(1)];
         fleet.know(&[0, 1, 2, 3, 4], &[&windows[0], &windows[1]]);
@@ -232,7 +320,14 @@
             3 => fleet.faults.split(&[&[holder], &others]),
             4 => fleet.faults.split(&[&[3, 4]]),
             5 => fleet.faults.split(&[&[holder, others[0]], &others[1..]]),
-            _ => fleet.faults.rules.lock().expect("no panic in the relays").drop = 0.6,
+            _ => {
+                fleet
+                    .faults
+                    .rules
+                    .lock()
+                    .expect("no panic in the relays")
+                    .drop = 0.6
+            }
         }
         pause(1000 + draw(6000));
         match fate {
@@ -247,28 +342,47 @@
         }
         for window in &windows {
             let over = |to: &str| ["done", "refused"].contains(&to);
-            let ended = |f: &Fleet| f.steps(&window.id).iter().any(|d| over(&d.to)).then_some(());
+            let ended = |f: &Fleet| {
+                f.steps(&window.id)
+                    .iter()
+                    .any(|d| over(&d.to))
+                    .then_some(())
+            };
             fleet.wait("a window's end", ended);
             fleet.out_and_back_once(if fate < 3 { &others } else { &[0, 1, 2, 3, 4] }, window);
             shut.extend(window.shut(window.begin));
         }
     }
-    check(&format!("soak {seed}"), &fleet, &backends, &load.end(), &shut);
+    check(
+        &format!("soak {seed}"),
+        &fleet,
+        &backends,
+        &load.end(),
+        &shut,
+    );
 }
 
 fn main() {
-    let wanted: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
+    let wanted: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| !a.starts_with('-'))
+        .collect();
     let want = |name: &str| wanted.is_empty() || wanted.iter().any(|w| w == name);
     if want("deaths") {
-        println!("| lease ms | held: least | median | worst | first act: least | median | worst (ms) |");
+        println!(
+            "| lease ms | held: least | median | worst | first act: least | median | worst (ms) |"
+        );
         println!("| --- | --- | --- | --- | --- | --- | --- |");
         let runs = [500, 1500, 3000].map(|lease| std::thread::spawn(move || deaths(lease)));
-        runs.into_iter().for_each(|run| println!("{}", run.join().expect("a whole run")));
+        runs.into_iter()
+            .for_each(|run| println!("{}", run.join().expect("a whole run")));
     }
     if want("stop") {
         println!("| proxies | joined in s | last stop: least | median | worst (ms) |");
         println!("| --- | --- | --- | --- | --- |");
-        [3, 10, 30, 100].into_iter().for_each(|size| println!("{}", stop(size)));
+        [3, 10, 30, 100]
+            .into_iter()
+            .for_each(|size| println!("{}", stop(size)));
     }
     if want("cost") {
         println!("| proxies | calendar | datagrams | bytes, by proxy and second |");
@@ -277,7 +391,8 @@
     }
     if wanted.iter().any(|w| w == "soak") {
         let runs = [1, 2, 3, 4].map(|seed| std::thread::spawn(move || soak(seed)));
-        runs.into_iter().for_each(|run| run.join().expect("a whole run"));
+        runs.into_iter()
+            .for_each(|run| run.join().expect("a whole run"));
     }
     if want("backends") {
         println!("| backends | state | holder | another (% of a core) |");
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -21,7 +21,9 @@
 
 impl Times {
     fn row(&mut self, size: &str, what: &str) {
-        let Some(all) = self.0.get_mut(what) else { return };
+        let Some(all) = self.0.get_mut(what) else {
+            return;
+        };
         all.sort_by(f64::total_cmp);
         let at = |part: f64| all[((all.len() - 1) as f64 * part) as usize];
         let mean = all.iter().sum::<f64>() / all.len() as f64;
@@ -50,9 +52,24 @@
 fn config(classes: usize, tenants: usize) -> Config {
     let mut cfg = Config::example();
     let class = cfg.classes[0].clone();
-    let effect = |n| if n % 3 == 1 { Effect::Unsafe } else { Effect::Free };
-    cfg.classes = (0..classes).map(|n| Class { effect: effect(n), ..class.clone() }).collect();
-    cfg.tenants = (0..tenants).map(|_| Tenant { quota_per_s: 250_000.0 / tenants as f64 }).collect();
+    let effect = |n| {
+        if n % 3 == 1 {
+            Effect::Unsafe
+        } else {
+            Effect::Free
+        }
+    };
+    cfg.classes = (0..classes)
+        .map(|n| Class {
+            effect: effect(n),
+            ..class.clone()
+        })
+        .collect();
+    cfg.tenants = (0..tenants)
+        .map(|_| Tenant {
+            quota_per_s: 250_000.0 / tenants as f64,
+        })
+        .collect();
     (cfg.proxies, cfg.position, cfg.cross_zone_cost) = (PROXIES, 700, 0.02);
     cfg
 }
@@ -70,7 +87,10 @@
 
 impl Bench {
     fn draw(&mut self) -> u64 {
-        self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.seed = self
+            .seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         self.seed >> 33
     }
 
@@ -85,7 +105,8 @@
                 Action::Dispatch { request, backend } => {
                     let work = WORK_US + self.draw() % WORK_US;
                     self.sent.insert(request.0, self.now);
-                    self.queue.push(Reverse((self.now + work, request.0, backend.0)));
+                    self.queue
+                        .push(Reverse((self.now + work, request.0, backend.0)));
                 }
                 Action::SetTimer { token, after } => {
                     self.timers.push(Reverse((self.now + after.0, token.0)));
@@ -106,21 +127,42 @@
             }
             self.now = ends.min(timer);
             if ends <= timer {
-                let Some(Reverse((_, request, _))) = self.queue.pop() else { return };
+                let Some(Reverse((_, request, _))) = self.queue.pop() else {
+                    return;
+                };
                 let sent = self.sent.remove(&request).unwrap_or(self.now);
-                let (request, attempt, latency) = (RequestId(request), AttemptNo(0), Micros(self.now - sent));
+                let (request, attempt, latency) =
+                    (RequestId(request), AttemptNo(0), Micros(self.now - sent));
                 let (outcome, settled) = (Outcome::Ok, true);
                 self.tell(
                     "end",
-                    Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled }),
+                    Event::AttemptEnded(AttemptEnd {
+                        request,
+                        attempt,
+                        outcome,
+                        latency,
+                        settled,
+                    }),
                 );
             } else if let Some(Reverse((_, token))) = self.timers.pop() {
-                self.tell("timer", Event::Timer { token: TimerToken(token) });
+                self.tell(
+                    "timer",
+                    Event::Timer {
+                        token: TimerToken(token),
+                    },
+                );
             }
         }
     }
 
-    fn requests(&mut self, what: &'static str, first: u64, count: u64, classes: usize, tenants: usize) {
+    fn requests(
+        &mut self,
+        what: &'static str,
+        first: u64,
+        count: u64,
+        classes: usize,
+        tenants: usize,
+    ) {
         for n in 0..count {
             let gap = GAP_US / 2 + self.draw() % GAP_US;
             let next = self.now + gap;
@@ -154,7 +196,10 @@
         times: Times::default(),
     };
     let mut list: Vec<Backend> = (0..backends).map(|id| entry(id, None)).collect();
-    let members = |update, backends: &[Backend]| Event::Members { update, backends: backends.to_vec() };
+    let members = |update, backends: &[Backend]| Event::Members {
+        update,
+        backends: backends.to_vec(),
+    };
     bench.tell("first list", members(ListUpdate::Full, &list));
     bench.requests("warm up", 0, 117 * 5, classes, tenants);
     bench.times.0.clear();
@@ -177,8 +222,10 @@
     }
     // A zone comes back cold.
     let (now, zone) = (bench.now, ZoneId(3));
-    let cold =
-        list.iter().filter(|b| b.zone == zone).map(|b| Backend { booted: Some(Time(now)), ..b.clone() });
+    let cold = list.iter().filter(|b| b.zone == zone).map(|b| Backend {
+        booted: Some(Time(now)),
+        ..b.clone()
+    });
     let cold: Vec<Backend> = cold.collect();
     bench.tell("a zone starts", members(ListUpdate::Changes, &cold));
     bench.requests("request, zone cold", 40_000, 117 * 5, classes, tenants);
@@ -193,13 +240,22 @@
         "a zone starts",
         "request, zone cold",
     ];
-    order.into_iter().for_each(|what| bench.times.row(&size, what));
-    println!("| {size} | **all of a request** | {requests} | {:.1} | | | |", spent / requests as f64);
+    order
+        .into_iter()
+        .for_each(|what| bench.times.row(&size, what));
+    println!(
+        "| {size} | **all of a request** | {requests} | {:.1} | | | |",
+        spent / requests as f64
+    );
 }
 
 fn main() {
     let sizes: Vec<u32> = std::env::args().filter_map(|a| a.parse().ok()).collect();
-    let sizes = if sizes.is_empty() { vec![100, 1_000, 5_000, 25_000] } else { sizes };
+    let sizes = if sizes.is_empty() {
+        vec![100, 1_000, 5_000, 25_000]
+    } else {
+        sizes
+    };
     println!("| backends / routes / tenants | event | n | mean, us | p50 | p99 | most |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     sizes.iter().for_each(|backends| play(*backends, 2, 0));
--- a/benches/peers.rs
+++ b/benches/peers.rs
@@ -16,10 +16,24 @@
     let body = proxy.call("GET /peers").body;
     let status: serde_json::Value = serde_json::from_slice(&body).expect("JSON at the door");
     let of = |name: &str| status[name].as_f64().expect("a count");
-    let resident = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap_or_default();
-    let kb = resident.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok());
+    let resident =
+        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap_or_default();
+    let kb = resident.lines().find_map(|l| {
+        l.strip_prefix("VmRSS:")?
+            .split_whitespace()
+            .next()?
+            .parse()
+            .ok()
+    });
     let members = status["members"].as_array().map_or(0, Vec::len) as f64;
-    [of("sent"), of("sent_bytes"), of("facts_told"), of("facts_heard"), members, kb.unwrap_or(0.0)]
+    [
+        of("sent"),
+        of("sent_bytes"),
+        of("facts_told"),
+        of("facts_heard"),
+        members,
+        kb.unwrap_or(0.0),
+    ]
 }
 
 /// The mean growth of each count per proxy and second over a span.
@@ -41,20 +55,34 @@
 fn main() {
     let live: Vec<BackendServer> = (0..6).map(|_| BackendServer::start(|_| ok("x"))).collect();
     let dead: Vec<Refusing> = (0..3).map(|_| Refusing::new()).collect();
-    let at = live.iter().map(|b| b.address).chain(dead.iter().map(Refusing::address));
-    let known: Vec<String> = at.enumerate().map(|(n, at)| entry(&format!("b{n}"), at, "SERVING")).collect();
+    let at = live
+        .iter()
+        .map(|b| b.address)
+        .chain(dead.iter().map(Refusing::address));
+    let known: Vec<String> = at
+        .enumerate()
+        .map(|(n, at)| entry(&format!("b{n}"), at, "SERVING"))
+        .collect();
     println!(
         "| proxies | load | datagrams | bytes | facts told | facts heard | members | kB each | joined in s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let asked: Vec<usize> = std::env::args().filter_map(|size| size.parse().ok()).collect();
-    for size in if asked.is_empty() { vec![3, 10, 30, 100] } else { asked } {
+    let asked: Vec<usize> = std::env::args()
+        .filter_map(|size| size.parse().ok())
+        .collect();
+    for size in if asked.is_empty() {
+        vec![3, 10, 30, 100]
+    } else {
+        asked
+    } {
         let mut seed = String::new();
         let begun = Instant::now();
         let start = |n: usize, seed: &str| {
             let group = format!(r#""position":{n},"group_size":{size},"#);
             let settings = SETTINGS.replace(r#""position":0,"group_size":1,"#, &group);
-            let peers = format!(r#","peers":{{"listen":"127.0.0.1:0","cluster":"bench","seeds":[{seed}]}}"#);
+            let peers = format!(
+                r#","peers":{{"listen":"127.0.0.1:0","cluster":"bench","seeds":[{seed}]}}"#
+            );
             let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
             Proxy::seeded(n as u64 + 1, &known, &settings, &peers, &[tmp])
         };
@@ -62,13 +90,23 @@
         for n in 0..size {
             let proxy = start(n, &seed);
             if n == 0 {
-                let line = proxy.said.lines().find(|l| l.contains("peers_start")).expect("it shares state");
-                let at = line.split("advertise=").nth(1).and_then(|a| a.split(' ').next()).unwrap();
+                let line = proxy
+                    .said
+                    .lines()
+                    .find(|l| l.contains("peers_start"))
+                    .expect("it shares state");
+                let at = line
+                    .split("advertise=")
+                    .nth(1)
+                    .and_then(|a| a.split(' ').next())
+                    .unwrap();
                 seed = format!("\"{at}\"");
             }
             proxies.push(proxy);
         }
-        while proxies.iter().any(|p| counts(p)[4] < (size - 1) as f64) && begun.elapsed() < 6 * PATIENCE {
+        while proxies.iter().any(|p| counts(p)[4] < (size - 1) as f64)
+            && begun.elapsed() < 6 * PATIENCE
+        {
             std::thread::sleep(Duration::from_millis(200));
         }
         let joined = begun.elapsed().as_secs_f64();
@@ -91,7 +129,9 @@
                 .collect();
             asking.into_iter().for_each(|a| drop(a.join()));
         });
-        for (name, [sent, bytes, told, heard, members, kb]) in [("quiet", quiet), ("3 of 9 dead", trouble)] {
+        for (name, [sent, bytes, told, heard, members, kb]) in
+            [("quiet", quiet), ("3 of 9 dead", trouble)]
+        {
             println!(
                 "| {size} | {name} | {sent:.1} | {bytes:.0} | {told:.2} | {heard:.2} | {members:.1} | {kb:.0} | {joined:.1} |"
             );
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -23,7 +23,10 @@
 
 /// Asks at a steady rate for as long as it is busy; counts answers and those that are not 200.
 fn load(
-    at: SocketAddr, asked: &Arc<AtomicU32>, refused: &Arc<AtomicU32>, busy: &Arc<AtomicBool>,
+    at: SocketAddr,
+    asked: &Arc<AtomicU32>,
+    refused: &Arc<AtomicU32>,
+    busy: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
     let client = |n: u64| {
         let (asked, refused, busy) = (asked.clone(), refused.clone(), busy.clone());
@@ -34,7 +37,9 @@
                 std::thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += EVERY;
                 client.send(&read(0.2));
-                let Some(answer) = client.answer() else { return };
+                let Some(answer) = client.answer() else {
+                    return;
+                };
                 asked.fetch_add(1, Ordering::SeqCst);
                 refused.fetch_add(u32::from(answer.status() != 200), Ordering::SeqCst);
             }
@@ -45,8 +50,19 @@
 
 /// The holds that the proxy told, one each quarter of a second.
 fn holds(proxy: &Proxy) -> Vec<f64> {
-    let of = |line: String| line.split("big=").nth(1)?.split(['"', ' ']).next()?.parse().ok();
-    proxy.lines("event=\"holds\"").into_iter().filter_map(of).collect()
+    let of = |line: String| {
+        line.split("big=")
+            .nth(1)?
+            .split(['"', ' '])
+            .next()?
+            .parse()
+            .ok()
+    };
+    proxy
+        .lines("event=\"holds\"")
+        .into_iter()
+        .filter_map(of)
+        .collect()
 }
 
 /// One process under load for a while, then killed outright: requests, refused, and the holds it told.
@@ -54,10 +70,19 @@
     let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
     // One deployment over all lives, as a snapshot is kept for one; of two keys the last counts.
     let discovery = r#","discovery":"127.0.0.1:9""#;
-    let kept = dir.map(|d| format!(r#"{discovery},"snapshot":{{"dir":"{}","every_ms":500}}"#, d.display()));
+    let kept = dir.map(|d| {
+        format!(
+            r#"{discovery},"snapshot":{{"dir":"{}","every_ms":500}}"#,
+            d.display()
+        )
+    });
     let variables = [tmp, ("NODE_LOG", "debug".to_string())];
     let proxy = Proxy::seeded(seed, known, SETTINGS, &kept.unwrap_or_default(), &variables);
-    let (asked, refused, busy) = (Arc::default(), Arc::default(), Arc::new(AtomicBool::new(true)));
+    let (asked, refused, busy) = (
+        Arc::default(),
+        Arc::default(),
+        Arc::new(AtomicBool::new(true)),
+    );
     let clients = load(proxy.address, &asked, &refused, &busy);
     std::thread::sleep(span);
     let counts = (asked.load(Ordering::SeqCst), refused.load(Ordering::SeqCst));
@@ -81,8 +106,11 @@
             })
         })
         .collect();
-    let known: Vec<String> =
-        backends.iter().enumerate().map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING")).collect();
+    let known: Vec<String> = backends
+        .iter()
+        .enumerate()
+        .map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING"))
+        .collect();
     println!(
         "| round | start | requests in 5 s | refused | first hold told | hold at the end | settled after s |"
     );
@@ -93,7 +121,10 @@
         let end = learned.last().copied().unwrap_or(0.0);
         for (name, dir) in [("cold", None), ("warm", Some(dir.as_path()))] {
             let (asked, refused, told) = life(&known, dir, round + 100, SPAN);
-            let (first, last) = (told.first().copied().unwrap_or(0.0), told.last().copied().unwrap_or(0.0));
+            let (first, last) = (
+                told.first().copied().unwrap_or(0.0),
+                told.last().copied().unwrap_or(0.0),
+            );
             let after = settled(&told, last);
             println!("| {round} | {name} | {asked} | {refused} | {first:.1} | {last:.1} ({end:.1} before) | {after:.2} |");
         }
--- a/benches/scale/balance.rs
+++ b/benches/scale/balance.rs
@@ -34,9 +34,15 @@
 
 impl Balance {
     pub fn new(load: Load, position: u32, proxies: u32, seed: u64, now: Time) -> Balance {
-        let config = Config { proxies, position, max_attempts: 4, ..Config::example() };
+        let config = Config {
+            proxies,
+            position,
+            max_attempts: 4,
+            ..Config::example()
+        };
         let mut balance = Balance {
-            balancer: Balancer::new(config, seed ^ u64::from(position)).expect("a sound configuration"),
+            balancer: Balancer::new(config, seed ^ u64::from(position))
+                .expect("a sound configuration"),
             load,
             due: BinaryHeap::new(),
             next: 0,
@@ -51,7 +57,13 @@
             ..Backend::default()
         };
         let backends = (0..load.backends).map(one).collect();
-        balance.event(now, Event::Members { update: ListUpdate::Full, backends });
+        balance.event(
+            now,
+            Event::Members {
+                update: ListUpdate::Full,
+                backends,
+            },
+        );
         let first = now.0 + balance.gap() * u64::from(position) / u64::from(proxies);
         balance.due.push(Reverse((first, Due::Arrival)));
         balance
@@ -69,13 +81,17 @@
     pub fn pass(&mut self, now: Time) -> Vec<(String, Verdict)> {
         let begun = Instant::now();
         while self.due.peek().is_some_and(|d| d.0 .0 <= now.0) {
-            let Some(Reverse((at, due))) = self.due.pop() else { break };
+            let Some(Reverse((at, due))) = self.due.pop() else {
+                break;
+            };
             let event = match due {
                 Due::Arrival => {
                     self.due.push(Reverse((at + self.gap(), Due::Arrival)));
                     self.arrival()
                 }
-                Due::Timer(token) => Event::Timer { token: TimerToken(token) },
+                Due::Timer(token) => Event::Timer {
+                    token: TimerToken(token),
+                },
                 Due::End(request, attempt, backend, sent) => {
                     self.end(request, attempt, backend, now.0 - sent)
                 }
@@ -87,9 +103,17 @@
     }
 
     pub fn heard(&mut self, backend: &str, heard: Heard, now: Time) {
-        let Some(id) = backend.strip_prefix('b').and_then(|n| n.parse().ok()) else { return };
+        let Some(id) = backend.strip_prefix('b').and_then(|n| n.parse().ok()) else {
+            return;
+        };
         let begun = Instant::now();
-        self.event(now, Event::Heard(Heard { backend: BackendId(id), ..heard }));
+        self.event(
+            now,
+            Event::Heard(Heard {
+                backend: BackendId(id),
+                ..heard
+            }),
+        );
         self.spent += begun.elapsed();
     }
 
@@ -113,7 +137,11 @@
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt: AttemptNo(attempt),
-            outcome: if ok { Outcome::Ok } else { Outcome::ConnectFailed },
+            outcome: if ok {
+                Outcome::Ok
+            } else {
+                Outcome::ConnectFailed
+            },
             latency: Micros(took),
             settled: ok,
         })
@@ -126,13 +154,18 @@
             match action {
                 Action::Dispatch { request, backend } => {
                     let attempt = self.tries.entry(request).or_default();
-                    let takes = if backend.0 < self.load.dead { REFUSAL } else { ANSWER };
+                    let takes = if backend.0 < self.load.dead {
+                        REFUSAL
+                    } else {
+                        ANSWER
+                    };
                     let end = Due::End(request, *attempt, backend.0, now.0);
                     self.due.push(Reverse((now.0 + takes, end)));
                     *attempt += 1;
                 }
                 Action::SetTimer { token, after } => {
-                    self.due.push(Reverse((now.0 + after.0, Due::Timer(token.0))));
+                    self.due
+                        .push(Reverse((now.0 + after.0, Due::Timer(token.0))));
                 }
                 Action::Tell { backend, verdict } => self.told.push((name(backend), verdict)),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -36,7 +36,14 @@
         let lease = lease::Rules::new(voters.len(), TERM, DRIFT).ok()?;
         let replica = Replica::new(Rules { lease, voters, own }, seed, now);
         let relay = Relay::new(own, seed, MAX_AGE);
-        Some(Carry { replica, relay, holder: None, members: Vec::new(), turn_at: now, show_at: now })
+        Some(Carry {
+            replica,
+            relay,
+            holder: None,
+            members: Vec::new(),
+            turn_at: now,
+            show_at: now,
+        })
     }
 
     pub fn due(&self) -> Time {
@@ -53,7 +60,9 @@
             self.show_at = now.time + SHOW;
             self.members = membership.members();
         }
-        self.act(now, |replica, around, out| replica.tick(now.time, around, out))
+        self.act(now, |replica, around, out| {
+            replica.tick(now.time, around, out)
+        })
     }
 
     /// Takes another proxy's message; nothing where it is not about the configuration, or not used.
@@ -76,11 +85,14 @@
             self.holder = Some(header.origin);
         }
         let next = self.relay.pass_on(header, &self.members);
-        next.into_iter().map(|(to, h)| (to, message::encode(&Duties::Broadcast(h, said.clone())))).collect()
+        next.into_iter()
+            .map(|(to, h)| (to, message::encode(&Duties::Broadcast(h, said.clone()))))
+            .collect()
     }
 
     fn act(
-        &mut self, now: Now,
+        &mut self,
+        now: Now,
         step: impl FnOnce(
             &mut Replica,
             &Surroundings,
@@ -96,13 +108,17 @@
         };
         let mut out = Vec::new();
         step(&mut self.replica, &around, &mut out);
-        out.into_iter().map(|(to, message)| (to, message::encode(&Duties::Config(message)))).collect()
+        out.into_iter()
+            .map(|(to, message)| (to, message::encode(&Duties::Config(message))))
+            .collect()
     }
 
     /// Names of the entries that came into force.
     pub fn in_force(&mut self) -> Vec<String> {
         let names = |event| match event {
-            Event::InForce { entries, .. } => entries.into_iter().map(|e| e.edit.key.name).collect(),
+            Event::InForce { entries, .. } => {
+                entries.into_iter().map(|e| e.edit.key.name).collect()
+            }
             _ => Vec::new(),
         };
         self.replica.events().into_iter().flat_map(names).collect()
--- a/benches/scale/changes.rs
+++ b/benches/scale/changes.rs
@@ -41,8 +41,18 @@
         self.watch(name, span + LAST, |play| {
             let from = mono_us();
             play.fleet.stop(&who, false);
-            let absences = who.iter().map(|n| Absence { proxy: *n, from, to: None }).collect();
-            let mut done = Done { absences, ..Done::default() };
+            let absences = who
+                .iter()
+                .map(|n| Absence {
+                    proxy: *n,
+                    from,
+                    to: None,
+                })
+                .collect();
+            let mut done = Done {
+                absences,
+                ..Done::default()
+            };
             play.changing(name, span, 0, &mut done);
             done.wrong = false; // here the distribution is asked for, as it is
             done
@@ -55,7 +65,10 @@
         self.fleet.calm();
         self.fleet.faults(Faults::default());
         let versions = self.fleet.hollow_versions();
-        eprintln!("{name}: versions at the end {versions:?}, at the doors {}", self.fleet.version());
+        eprintln!(
+            "{name}: versions at the end {versions:?}, at the doors {}",
+            self.fleet.version()
+        );
         self.settle();
     }
 
@@ -69,7 +82,11 @@
             self.back_until(at, &mut returns, &mut done.absences);
             if restarts > 0 && n % (count / restarts).max(1) == 0 {
                 let proxy = self.drawn(&done.absences);
-                done.absences.push(Absence { proxy, from: mono_us(), to: None });
+                done.absences.push(Absence {
+                    proxy,
+                    from: mono_us(),
+                    to: None,
+                });
                 self.fleet.stop(&[proxy], true);
                 returns.push((Instant::now() + RESTARTED, done.absences.len() - 1));
             }
@@ -83,9 +100,16 @@
         }
         self.back_until(begun + span, &mut returns, &mut done.absences);
         done.events = done.changes.len() as u32;
-        let last = done.changes.iter().map(|c| c.answered.saturating_sub(c.asked) / 1000).max().unwrap_or(0);
-        done.outcome =
-            Some(format!("{} of {count} taken, answered after {last} ms at the last", done.events));
+        let last = done
+            .changes
+            .iter()
+            .map(|c| c.answered.saturating_sub(c.asked) / 1000)
+            .max()
+            .unwrap_or(0);
+        done.outcome = Some(format!(
+            "{} of {count} taken, answered after {last} ms at the last",
+            done.events
+        ));
         done.wrong = done.events < count;
     }
 
@@ -99,15 +123,27 @@
         let inside = |number: u32| plan.region(number) == region;
         let doors = |within: bool| {
             let all = self.fleet.real.iter().enumerate();
-            all.filter(|(_, r)| inside(r.number) == within).map(|(n, _)| n).collect::<Vec<_>>()
+            all.filter(|(_, r)| inside(r.number) == within)
+                .map(|(n, _)| n)
+                .collect::<Vec<_>>()
         };
         let (shut, open) = (doors(true), doors(false));
         let begun = Instant::now();
-        let from = self.fleet.faults(Faults { cut: Some(region), ..Faults::default() });
+        let from = self.fleet.faults(Faults {
+            cut: Some(region),
+            ..Faults::default()
+        });
         let mut newest = 0;
         self.watch("changes, region cut", self.spans.cut, |play| {
-            let cut = Some(Cut { region, from, to: u64::MAX / 2 });
-            let mut done = Done { cut, ..Done::default() };
+            let cut = Some(Cut {
+                region,
+                from,
+                to: u64::MAX / 2,
+            });
+            let mut done = Done {
+                cut,
+                ..Done::default()
+            };
             let (mut refused, mut taken, mut tries) = (0, 0, 0);
             let (mut reason, mut base) = (String::new(), play.fleet.version());
             let mut last_taken = Duration::ZERO;
@@ -141,7 +177,10 @@
         });
         self.watch("changes, region healed", self.spans.back, |play| {
             let (to, begun) = (play.fleet.faults(Faults::default()), Instant::now());
-            let mut done = Done { cut: Some(Cut { region, from, to }), ..Done::default() };
+            let mut done = Done {
+                cut: Some(Cut { region, from, to }),
+                ..Done::default()
+            };
             let equal = loop {
                 if play.fleet.reached(newest, |_| true) {
                     break Some(begun.elapsed());
@@ -157,7 +196,9 @@
                 format!("equal after {:.1} s", after.as_secs_f64())
             });
             done.outcome = Some(format!("{equal}, contradictions: {}", wrong.len()));
-            wrong.iter().for_each(|wrong| eprintln!("changes, region: {wrong}"));
+            wrong
+                .iter()
+                .for_each(|wrong| eprintln!("changes, region: {wrong}"));
             done
         });
         self.settle();
--- a/benches/scale/clockwork.rs
+++ b/benches/scale/clockwork.rs
@@ -84,13 +84,23 @@
     }
 
     fn clock(&self) -> Now {
-        Now { time: Time(self.now), wall_us: WALL + self.now }
+        Now {
+            time: Time(self.now),
+            wall_us: WALL + self.now,
+        }
     }
 
     fn start(&mut self, n: u32) {
-        let seeds: Vec<SocketAddr> = (0..5.min(self.plan.size)).map(|n| self.plan.address(n)).collect();
+        let seeds: Vec<SocketAddr> = (0..5.min(self.plan.size))
+            .map(|n| self.plan.address(n))
+            .collect();
         let (cluster, max_age) = (wire::cluster("scale"), Micros(5 * SECOND));
-        let rules = Rules { cluster, seeds, max_age, fleet: self.plan.size };
+        let rules = Rules {
+            cluster,
+            seeds,
+            max_age,
+            fleet: self.plan.size,
+        };
         let seed = self.plan.seed ^ (u64::from(n) << 32);
         let membership = Membership::new(rules, self.plan.address(n), seed, true, self.clock());
         self.ones[n as usize].membership = Some(membership);
@@ -105,7 +115,9 @@
 
     fn schedule(&mut self, n: u32) {
         let one = &mut self.ones[n as usize];
-        let Some(at) = one.membership.as_ref().map(|m| m.due().0) else { return };
+        let Some(at) = one.membership.as_ref().map(|m| m.due().0) else {
+            return;
+        };
         if at < one.due {
             one.due = at;
             self.push(at.max(self.now), Due::Pass(n));
@@ -118,7 +130,9 @@
 
     fn turn(&mut self, n: u32, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
         let (now, mut out) = (self.clock(), Vec::new());
-        let Some(membership) = self.ones[n as usize].membership.as_mut() else { return };
+        let Some(membership) = self.ones[n as usize].membership.as_mut() else {
+            return;
+        };
         step(membership, now, &mut out);
         for output in out {
             match output {
@@ -131,14 +145,17 @@
 
     /// The module's turn: the verdicts that it tells go out.
     fn serve(&mut self, n: u32) {
-        let Some(balance) = self.ones[n as usize].balance.as_mut() else { return };
+        let Some(balance) = self.ones[n as usize].balance.as_mut() else {
+            return;
+        };
         let told = balance.pass(Time(self.now));
         let next = balance.due();
         for (backend, verdict) in told {
             self.ones[n as usize].told += 1;
             self.turn(n, |m, now, out| m.tell(backend, verdict, now, out));
         }
-        next.into_iter().for_each(|at| self.push(at.0.max(self.now), Due::Serve(n)));
+        next.into_iter()
+            .for_each(|at| self.push(at.0.max(self.now), Due::Serve(n)));
     }
 
     fn load(&mut self, load: Option<Load>) {
@@ -153,7 +170,9 @@
         if let News::Heard(backend, heard) = news {
             let (one, now) = (&mut self.ones[n as usize], Time(self.now));
             one.heard += u64::from(heard.origin.is_some());
-            one.balance.iter_mut().for_each(|balance| balance.heard(&backend, heard.clone(), now));
+            one.balance
+                .iter_mut()
+                .for_each(|balance| balance.heard(&backend, heard.clone(), now));
             return;
         }
         let (peer, change) = match news {
@@ -170,20 +189,29 @@
 
     fn send(&mut self, n: u32, to: SocketAddr, body: Body) {
         let one = &mut self.ones[n as usize];
-        let (Ok(bytes), Some(to)) = (one.seal.seal(body, WALL + self.now), self.plan.proxy(to)) else {
+        let (Ok(bytes), Some(to)) = (one.seal.seal(body, WALL + self.now), self.plan.proxy(to))
+        else {
             return;
         };
         one.sent += 1;
         one.bytes += bytes.len() as u64;
         let region = |n: u32| Some(self.plan.region(n));
-        let cut =
-            self.faults.cut.is_some() && (region(n) == self.faults.cut) != (region(to) == self.faults.cut);
+        let cut = self.faults.cut.is_some()
+            && (region(n) == self.faults.cut) != (region(to) == self.faults.cut);
         if cut || self.drawn() < self.faults.lost {
             return;
         }
-        let copies = if self.drawn() < self.faults.doubled { 2 } else { 1 };
+        let copies = if self.drawn() < self.faults.doubled {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let late = if self.drawn() < self.faults.late { LATE_US as f64 } else { WAY.1 as f64 };
+            let late = if self.drawn() < self.faults.late {
+                LATE_US as f64
+            } else {
+                WAY.1 as f64
+            };
             let way = WAY.0 + (self.drawn() * late) as u64;
             self.push(self.now + way, Due::Comes(to, bytes.clone()));
         }
@@ -192,7 +220,9 @@
     fn play(&mut self, span: u64) {
         let end = self.now + span;
         while self.due.peek().is_some_and(|d| d.0 .0 < end) {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { break };
+            let Some(Reverse((at, _, due))) = self.due.pop() else {
+                break;
+            };
             self.now = at;
             match due {
                 Due::Comes(to, bytes) => self.turn(to, |m, now, out| m.datagram(&bytes, now, out)),
@@ -209,14 +239,25 @@
 
     fn lacking(&self) -> Vec<u32> {
         let live = self.ones.iter().filter_map(|one| one.membership.as_ref());
-        live.map(|m| self.plan.size - 1 - (m.known() as u32).min(self.plan.size - 1)).collect()
+        live.map(|m| self.plan.size - 1 - (m.known() as u32).min(self.plan.size - 1))
+            .collect()
     }
 
     /// Plays so long, and counts; with `whole` it looks each tenth of a second whether all know all.
-    fn watch(&mut self, phase: &str, span: u64, whole: bool, absences: &[Absence], cut: Option<Cut>) -> Row {
+    fn watch(
+        &mut self,
+        phase: &str,
+        span: u64,
+        whole: bool,
+        absences: &[Absence],
+        cut: Option<Cut>,
+    ) -> Row {
         let (since, begun) = (self.now, std::time::Instant::now());
         let counts = |c: &Clockwork| {
-            c.ones.iter().map(|o| [o.sent, o.bytes, o.rejoined, o.told, o.heard]).collect::<Vec<_>>()
+            c.ones
+                .iter()
+                .map(|o| [o.sent, o.bytes, o.rejoined, o.told, o.heard])
+                .collect::<Vec<_>>()
         };
         let before = counts(self);
         let (mut nearly_s, mut whole_s) = (None, None);
@@ -231,9 +272,17 @@
                 whole_s = whole_s.or(Some(seconds));
             }
         }
-        let grown: Vec<[u64; 5]> =
-            counts(self).iter().zip(&before).map(|(a, b)| std::array::from_fn(|n| a[n] - b[n])).collect();
-        let there = || self.ones.iter().enumerate().filter(|(_, one)| one.membership.is_some());
+        let grown: Vec<[u64; 5]> = counts(self)
+            .iter()
+            .zip(&before)
+            .map(|(a, b)| std::array::from_fn(|n| a[n] - b[n]))
+            .collect();
+        let there = || {
+            self.ones
+                .iter()
+                .enumerate()
+                .filter(|(_, one)| one.membership.is_some())
+        };
         let asked = there().map(|(n, one)| (n as u32, one.news.as_slice()));
         let learned: Learned = learned(&self.plan, asked, since, absences, &[], cut);
         let (proxies, seconds) = (there().count() as f64, span as f64 / SECOND as f64);
@@ -263,20 +312,47 @@
             ..Row::default()
         };
         println!("{}", serde_json::to_string(&row).expect("plain data"));
-        eprintln!("{} {phase}: {seconds} s in {:.1?}", self.plan.size, begun.elapsed());
+        eprintln!(
+            "{} {phase}: {seconds} s in {:.1?}",
+            self.plan.size,
+            begun.elapsed()
+        );
         row
     }
 
     fn group(&mut self, name: &str, count: u32, rows: &mut Vec<Row>) {
         let from = self.plan.in_zone(ZONES / 2).start;
-        let who: Vec<u32> = (from..self.plan.size).take(count.min(self.plan.size / 3) as usize).collect();
+        let who: Vec<u32> = (from..self.plan.size)
+            .take(count.min(self.plan.size / 3) as usize)
+            .collect();
         let gone_at = self.now;
-        who.iter().for_each(|n| self.ones[*n as usize].membership = None);
-        let gone = |to| who.iter().map(|n| Absence { proxy: *n, from: gone_at, to }).collect::<Vec<_>>();
-        rows.push(self.watch(&format!("{name} gone"), 30 * SECOND, false, &gone(None), None));
+        who.iter()
+            .for_each(|n| self.ones[*n as usize].membership = None);
+        let gone = |to| {
+            who.iter()
+                .map(|n| Absence {
+                    proxy: *n,
+                    from: gone_at,
+                    to,
+                })
+                .collect::<Vec<_>>()
+        };
+        rows.push(self.watch(
+            &format!("{name} gone"),
+            30 * SECOND,
+            false,
+            &gone(None),
+            None,
+        ));
         let back_at = self.now;
         who.iter().for_each(|n| self.start(*n));
-        rows.push(self.watch(&format!("{name} back"), 15 * SECOND, true, &gone(Some(back_at)), None));
+        rows.push(self.watch(
+            &format!("{name} back"),
+            15 * SECOND,
+            true,
+            &gone(Some(back_at)),
+            None,
+        ));
         self.play(10 * SECOND);
     }
 
@@ -305,8 +381,16 @@
         if asked("storm") {
             self.facts("3 of 43 dead at 117/s", STORM, &mut rows);
         }
-        for (name, part) in [("1% lost", 0.01), ("10% lost", 0.1)].into_iter().filter(|_| asked("loss")) {
-            self.faults = Faults { lost: part, doubled: part, late: part, cut: None };
+        for (name, part) in [("1% lost", 0.01), ("10% lost", 0.1)]
+            .into_iter()
+            .filter(|_| asked("loss"))
+        {
+            self.faults = Faults {
+                lost: part,
+                doubled: part,
+                late: part,
+                cut: None,
+            };
             rows.push(self.watch(name, 20 * SECOND, true, &[], None));
             self.faults = Faults::default();
             self.play(10 * SECOND);
--- a/benches/scale/figures.rs
+++ b/benches/scale/figures.rs
@@ -14,10 +14,18 @@
     pub fn now() -> Machine {
         let text = std::fs::read_to_string("/proc/stat").unwrap_or_default();
         let first = text.lines().next().unwrap_or_default();
-        let ticks: Vec<u64> = first.split_whitespace().skip(1).take(8).flat_map(str::parse).collect();
+        let ticks: Vec<u64> = first
+            .split_whitespace()
+            .skip(1)
+            .take(8)
+            .flat_map(str::parse)
+            .collect();
         let all = ticks.iter().sum();
         let idle: u64 = ticks.iter().skip(3).take(2).sum(); // and waiting for a disk
-        Machine { busy: all - idle, all }
+        Machine {
+            busy: all - idle,
+            all,
+        }
     }
 
     /// The part of the machine that was busy since then, in percent.
@@ -30,7 +38,8 @@
 pub fn available_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("MemAvailable:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Milliseconds until half, 99 in 100 and the last of the pairs knew, of pairs counted by milliseconds.
@@ -73,7 +82,13 @@
         let within = |bound: u32| came.iter().filter(|ms| **ms <= bound).count() as u32;
         let (within_2s, within_5s) = (within(2000), within(5000));
         let (changes, never) = (all.len() as u32, (all.len() - came.len()) as u32);
-        (changes > 0).then(|| Spread { changes, ms: quantiles(&hist), within_2s, within_5s, never })
+        (changes > 0).then(|| Spread {
+            changes,
+            ms: quantiles(&hist),
+            within_2s,
+            within_5s,
+            never,
+        })
     }
 }
 
@@ -163,8 +178,15 @@
         }
         let slope = xy / xx;
         let at_zero = y - slope * x;
-        let left: f64 = points.iter().map(|p| (p.1 - at_zero - slope * p.0).powi(2)).sum();
-        Some(Line { at_zero, slope, residual: (left / (n - 2.0)).sqrt() })
+        let left: f64 = points
+            .iter()
+            .map(|p| (p.1 - at_zero - slope * p.0).powi(2))
+            .sum();
+        Some(Line {
+            at_zero,
+            slope,
+            residual: (left / (n - 2.0)).sqrt(),
+        })
     }
 
     pub fn at(&self, x: f64) -> f64 {
@@ -173,7 +195,11 @@
 }
 
 fn head(columns: &[&str]) {
-    println!("| {} |\n|{}", columns.join(" | "), " --- |".repeat(columns.len()));
+    println!(
+        "| {} |\n|{}",
+        columns.join(" | "),
+        " --- |".repeat(columns.len())
+    );
 }
 
 /// Prints as Markdown tables what the rows cost, and when the last one knew.
@@ -228,7 +254,9 @@
     ]);
     for r in rows.iter().filter(|r| r.role == HOLLOW) {
         let ms = |q: Option<[u32; 3]>, never: u32| {
-            q.map_or("-".into(), |[half, most, last]| format!("{half} / {most} / {last} ({never})"))
+            q.map_or("-".into(), |[half, most, last]| {
+                format!("{half} / {most} / {last} ({never})")
+            })
         };
         let s = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.1}"));
         let [gone, back, heard] = r.missing;
@@ -266,7 +294,9 @@
         "machine busy % (own)",
     ]);
     for (r, s) in rows.iter().filter_map(|r| Some((r, r.in_force.as_ref()?))) {
-        let ms = s.ms.map_or("-".into(), |[half, most, last]| format!("{half} / {most} / {last}"));
+        let ms = s.ms.map_or("-".into(), |[half, most, last]| {
+            format!("{half} / {most} / {last}")
+        });
         println!(
             "| {} | {} | {} | {} | {ms} | {} | {} | {} | {} |",
             r.size,
@@ -292,15 +322,25 @@
         "machine busy % (own)",
     ]);
     for r in rows.iter().filter(|r| r.smallest_kb > 0.0) {
-        let (mean_kb, most_kb) = (r.resident_kb - r.smallest_kb, r.most_resident_kb - r.smallest_kb);
-        let threads: Vec<String> = r.threads.iter().map(|(name, part)| format!("{name} {part:.2}")).collect();
-        let over = [r.cpu_percent, mean_kb, r.bytes].into_iter().zip(BUDGET).map(|(used, allowed)| {
-            if used > allowed {
-                format!("+{:.0}%", (used / allowed - 1.0) * 100.0)
-            } else {
-                "no".into()
-            }
-        });
+        let (mean_kb, most_kb) = (
+            r.resident_kb - r.smallest_kb,
+            r.most_resident_kb - r.smallest_kb,
+        );
+        let threads: Vec<String> = r
+            .threads
+            .iter()
+            .map(|(name, part)| format!("{name} {part:.2}"))
+            .collect();
+        let over = [r.cpu_percent, mean_kb, r.bytes]
+            .into_iter()
+            .zip(BUDGET)
+            .map(|(used, allowed)| {
+                if used > allowed {
+                    format!("+{:.0}%", (used / allowed - 1.0) * 100.0)
+                } else {
+                    "no".into()
+                }
+            });
         println!(
             "| {} | {} | {} ({}) | {:.3}, {:.3} ({}) | {} | {mean_kb:.0}, {most_kb:.0} | {:.0}, {:.0} | {} | {} |",
             r.size,
@@ -318,7 +358,13 @@
         );
     }
     println!();
-    head(&["proxies", "phase", "outcome", "as it must be", "machine busy % (own)"]);
+    head(&[
+        "proxies",
+        "phase",
+        "outcome",
+        "as it must be",
+        "machine busy % (own)",
+    ]);
     for (r, outcome) in rows.iter().filter_map(|r| Some((r, r.outcome.as_ref()?))) {
         println!(
             "| {} | {} | {outcome} | {} | {} |",
@@ -332,7 +378,12 @@
 
 /// How busy the machine was, and whether that makes the row void.
 fn load(r: &Row) -> String {
-    format!("{:.0} ({:.1}){}", r.busy_percent, r.own_percent, if r.void { " void" } else { "" })
+    format!(
+        "{:.0} ({:.1}){}",
+        r.busy_percent,
+        r.own_percent,
+        if r.void { " void" } else { "" }
+    )
 }
 
 type Figure = (&'static str, fn(&Row) -> Option<f64>);
@@ -363,15 +414,28 @@
         "from the sizes below",
         &measured_at,
     ]);
-    let kinds: BTreeSet<(&str, &str)> = rows.iter().map(|r| (r.phase.as_str(), r.role.as_str())).collect();
+    let kinds: BTreeSet<(&str, &str)> = rows
+        .iter()
+        .map(|r| (r.phase.as_str(), r.role.as_str()))
+        .collect();
     for (phase, role) in kinds {
-        let of: Vec<&Row> =
-            rows.iter().filter(|r| (r.phase.as_str(), r.role.as_str()) == (phase, role)).collect();
+        let of: Vec<&Row> = rows
+            .iter()
+            .filter(|r| (r.phase.as_str(), r.role.as_str()) == (phase, role))
+            .collect();
         for (name, figure) in FIGURES {
-            let points: Vec<(f64, f64)> =
-                of.iter().filter_map(|r| Some((f64::from(r.size), figure(r)?))).collect();
-            let below: Vec<(f64, f64)> = points.iter().copied().filter(|p| p.0 < f64::from(plan)).collect();
-            let Some(line) = Line::through(&points) else { continue };
+            let points: Vec<(f64, f64)> = of
+                .iter()
+                .filter_map(|r| Some((f64::from(r.size), figure(r)?)))
+                .collect();
+            let below: Vec<(f64, f64)> = points
+                .iter()
+                .copied()
+                .filter(|p| p.0 < f64::from(plan))
+                .collect();
+            let Some(line) = Line::through(&points) else {
+                continue;
+            };
             let show = |x: Option<f64>| x.map_or("-".into(), |x| format!("{x:.3}"));
             let measured = points.iter().find(|p| p.0 == f64::from(plan)).map(|p| p.1);
             let sizes: Vec<String> = points.iter().map(|p| p.0.to_string()).collect();
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -2,7 +2,9 @@
 
 use super::hollow::mono_us;
 use super::plan::Plan;
-use super::protocol::{Absence, Command, Conditions, Cut, Faults, Isolation, Learned, Load, Reply, Sample};
+use super::protocol::{
+    Absence, Command, Conditions, Cut, Faults, Isolation, Learned, Load, Reply, Sample,
+};
 use super::real::{self, wait, Real, RealProxy, Recipe, CLUSTER, MAX_AGE_S};
 use super::relay::Shared;
 use super::rig::{holdings, Client};
@@ -20,9 +22,17 @@
 /// No answer of a worker takes as long, however busy the machine is.
 const PATIENCE: Duration = Duration::from_secs(60);
 /// Backends that proxies know, of which the first so many are dead, and requests a second at each under trouble.
-pub const TROUBLE: Load = Load { backends: 9, dead: 3, per_second: 4.0 };
+pub const TROUBLE: Load = Load {
+    backends: 9,
+    dead: 3,
+    per_second: 4.0,
+};
 /// The same in a service of the plan's mean size, at the plan's peak.
-pub const STORM: Load = Load { backends: 43, dead: 3, per_second: 117.0 };
+pub const STORM: Load = Load {
+    backends: 43,
+    dead: 3,
+    per_second: 117.0,
+};
 
 /// Where a worker is.
 enum Seat {
@@ -42,19 +52,30 @@
     fn process(of: Vec<u32>) -> Link {
         let own = std::env::current_exe().expect("this executable");
         let mut command = std::process::Command::new(own);
-        let piped = command.arg(super::HIDDEN).stdin(Stdio::piped()).stdout(Stdio::piped());
+        let piped = command
+            .arg(super::HIDDEN)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped());
         let mut child = piped.spawn().expect("a worker");
-        let (input, output) = (child.stdin.take().expect("piped"), child.stdout.take().expect("piped"));
+        let (input, output) = (
+            child.stdin.take().expect("piped"),
+            child.stdout.take().expect("piped"),
+        );
         let (tell, replies) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let reply = serde_json::from_str(&line).unwrap_or_else(|e| Reply::Failed(e.to_string()));
+                let reply =
+                    serde_json::from_str(&line).unwrap_or_else(|e| Reply::Failed(e.to_string()));
                 if tell.send(reply).is_err() {
                     return;
                 }
             }
         });
-        Link { seat: Seat::Process(child, input), replies, of }
+        Link {
+            seat: Seat::Process(child, input),
+            replies,
+            of,
+        }
     }
 
     fn thread(of: Vec<u32>) -> Link {
@@ -65,7 +86,11 @@
                 let _ = tell.send(reply); // who asked may be gone
             });
         });
-        Link { seat: Seat::Thread(say), replies, of }
+        Link {
+            seat: Seat::Thread(say),
+            replies,
+            of,
+        }
     }
 
     fn say(&mut self, command: &Command) {
@@ -155,11 +180,25 @@
 impl Fleet {
     /// Starts the real ones, one after the other, and the workers; hollow proxies start with [`Fleet::join`].
     pub fn new(shape: Shape) -> Fleet {
-        let Shape { size, seed, real, full, each, threads } = shape;
-        let plan = Plan { size, port: free_port(), seed };
+        let Shape {
+            size,
+            seed,
+            real,
+            full,
+            each,
+            threads,
+        } = shape;
+        let plan = Plan {
+            size,
+            port: free_port(),
+            seed,
+        };
         let numbers = plan.real(real);
         let votes = real::voting(real);
-        let voters: Vec<SocketAddr> = votes.iter().map(|n| plan.address(numbers[*n as usize])).collect();
+        let voters: Vec<SocketAddr> = votes
+            .iter()
+            .map(|n| plan.address(numbers[*n as usize]))
+            .collect();
         let seeds: Vec<SocketAddr> = match numbers.as_slice() {
             [] => (0..size.min(3)).map(|n| plan.address(n)).collect(),
             numbers => numbers.iter().map(|n| plan.address(*n)).collect(),
@@ -173,14 +212,36 @@
         let started: Vec<RealProxy> = (0..).zip(&numbers).map(start).collect();
         let hollow: Vec<u32> = (0..size).filter(|n| !numbers.contains(n)).collect();
         let parts = hollow.chunks(each as usize).map(<[u32]>::to_vec);
-        let mut links: Vec<Link> =
-            parts.map(|of| if threads { Link::thread(of) } else { Link::process(of) }).collect();
-        let said = Command::Plan { plan, seeds, voters, cluster: CLUSTER.into(), max_age_s: MAX_AGE_S };
+        let mut links: Vec<Link> = parts
+            .map(|of| {
+                if threads {
+                    Link::thread(of)
+                } else {
+                    Link::process(of)
+                }
+            })
+            .collect();
+        let said = Command::Plan {
+            plan,
+            seeds,
+            voters,
+            cluster: CLUSTER.into(),
+            max_age_s: MAX_AGE_S,
+        };
         links.iter_mut().for_each(|link| link.say(&said));
         links.iter().for_each(|link| drop(link.reply()));
         let (conditions, asking) = (Conditions::default(), Arc::default());
-        let fleet =
-            Fleet { plan, real: started, recipe, smallest_kb, links, conditions, shared, asking, probes: 0 };
+        let fleet = Fleet {
+            plan,
+            real: started,
+            recipe,
+            smallest_kb,
+            links,
+            conditions,
+            shared,
+            asking,
+            probes: 0,
+        };
         let met = |r: &RealProxy| r.json("/peers")["members"].as_array().map_or(0, Vec::len) + 1;
         let all = || fleet.real.iter().all(|r| met(r) >= fleet.real.len());
         if !wait(PATIENCE, all) {
@@ -192,7 +253,12 @@
     /// Starts all hollow proxies, so many of each worker at a time, and waits until all know all.
     pub fn join(&mut self, wave: u32, pause: Duration, patience: Duration) -> Whole {
         let begun = Instant::now();
-        let longest = self.links.iter().map(|l| l.of.len() as u32).max().unwrap_or(0);
+        let longest = self
+            .links
+            .iter()
+            .map(|l| l.of.len() as u32)
+            .max()
+            .unwrap_or(0);
         for from in (0..longest).step_by(wave as usize) {
             let part = |link: &Link| {
                 let part = link.of.iter().skip(from as usize).take(wave as usize);
@@ -241,16 +307,29 @@
 
     /// Tells the workers of these; when that was done at the last one.
     fn of(&mut self, who: &[u32], command: impl Fn(Vec<u32>) -> Command) -> u64 {
-        self.each(|link| command(who.iter().copied().filter(|n| link.of.contains(n)).collect()));
+        self.each(|link| {
+            command(
+                who.iter()
+                    .copied()
+                    .filter(|n| link.of.contains(n))
+                    .collect(),
+            )
+        });
         mono_us()
     }
 
     pub fn faults(&mut self, faults: Faults) -> u64 {
-        self.conditions(Conditions { faults, ..self.conditions })
+        self.conditions(Conditions {
+            faults,
+            ..self.conditions
+        })
     }
 
     pub fn isolate(&mut self, isolation: Isolation) -> u64 {
-        self.conditions(Conditions { isolation, ..self.conditions })
+        self.conditions(Conditions {
+            isolation,
+            ..self.conditions
+        })
     }
 
     fn conditions(&mut self, conditions: Conditions) -> u64 {
@@ -279,7 +358,8 @@
     pub fn next_change(&mut self, from: u64) -> (u32, String, String) {
         self.probes += 1;
         let (number, name) = (self.probes, hollow::change(self.probes));
-        let body = format!(r#"{{"version":{from},"value":{{"name":"{name}","quota_rps":{number}.5}}}}"#);
+        let body =
+            format!(r#"{{"version":{from},"value":{{"name":"{name}","quota_rps":{number}.5}}}}"#);
         (number, format!("PUT /config/tenants/{name}"), body)
     }
 
@@ -287,13 +367,26 @@
     pub fn change(&mut self, at: usize, from: &mut u64) -> Result<Changed, String> {
         let (number, line, body) = self.next_change(*from);
         let asked = mono_us();
-        let answer = self.real[at % self.real.len()].call(&line, &body).ok_or("no answer")?;
+        let answer = self.real[at % self.real.len()]
+            .call(&line, &body)
+            .ok_or("no answer")?;
         let said: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let refused = || format!("{}: {}", answer.status(), String::from_utf8_lossy(&answer.body).trim());
+        let refused = || {
+            format!(
+                "{}: {}",
+                answer.status(),
+                String::from_utf8_lossy(&answer.body).trim()
+            )
+        };
         let taken = said["version"].as_u64().filter(|_| answer.status() == 200);
         let version = taken.ok_or_else(refused)?;
         *from = version;
-        Ok(Changed { number, version, asked, answered: mono_us() })
+        Ok(Changed {
+            number,
+            version,
+            asked,
+            answered: mono_us(),
+        })
     }
 
     /// The newest version at a real proxy's door.
@@ -304,7 +397,9 @@
 
     /// Milliseconds until each change was in force at the last of these real ones, `None` where it is not at some.
     pub fn real_slowest(
-        &self, changes: &[Changed], of: impl Fn(&RealProxy) -> bool,
+        &self,
+        changes: &[Changed],
+        of: impl Fn(&RealProxy) -> bool,
     ) -> BTreeMap<u32, Option<u32>> {
         let mut slowest = BTreeMap::new();
         for came in self.real.iter().filter(|r| of(r)).map(RealProxy::came) {
@@ -321,8 +416,13 @@
     pub fn holder(&self, above: Option<&holdings::Token>) -> Option<(usize, holdings::Token)> {
         let lives: Vec<_> = self.real.iter().flat_map(RealProxy::lives).collect();
         let all = holdings::holdings_of("config", &lives);
-        let now = all.iter().rfind(|h| h.to == u64::MAX && above.is_none_or(|above| h.token > *above))?;
-        let at = self.real.iter().position(|r| r.number as usize == now.proxy)?;
+        let now = all
+            .iter()
+            .rfind(|h| h.to == u64::MAX && above.is_none_or(|above| h.token > *above))?;
+        let at = self
+            .real
+            .iter()
+            .position(|r| r.number as usize == now.proxy)?;
         Some((at, now.token.clone()))
     }
 
@@ -334,10 +434,15 @@
         for life in &lives {
             let mut last = 0;
             for line in holdings::events(&life.log, "config_copy") {
-                let Some(version) = holdings::number(line, "version") else { continue };
+                let Some(version) = holdings::number(line, "version") else {
+                    continue;
+                };
                 let digest = holdings::field(line, "digest").unwrap_or_default();
                 if version <= last {
-                    wrong.push(format!("proxy {} went from {last} to {version}", life.proxy));
+                    wrong.push(format!(
+                        "proxy {} went from {last} to {version}",
+                        life.proxy
+                    ));
                 }
                 last = version;
                 if digests.entry(version).or_insert(digest.into()) != digest {
@@ -351,32 +456,58 @@
 
     pub fn hollow_versions(&mut self) -> (u64, u64) {
         let all = self.samples();
-        all.iter().fold((u64::MAX, 0), |(low, high), s| (low.min(s.versions.0), high.max(s.versions.1)))
+        all.iter().fold((u64::MAX, 0), |(low, high), s| {
+            (low.min(s.versions.0), high.max(s.versions.1))
+        })
     }
 
     /// Whether every copy, of hollow proxies and of these real ones, is at that version or above.
     pub fn reached(&mut self, version: u64, of: impl Fn(&RealProxy) -> bool) -> bool {
-        self.real.iter().filter(|r| of(r)).all(|r| r.in_force() >= version)
+        self.real
+            .iter()
+            .filter(|r| of(r))
+            .all(|r| r.in_force() >= version)
             && self.hollow_versions().0 >= version
     }
 
     pub fn samples(&mut self) -> Vec<Sample> {
         let replies = self.each(|_| Command::Sample);
-        replies.into_iter().filter_map(|r| if let Reply::Sample(s) = r { Some(s) } else { None }).collect()
+        replies
+            .into_iter()
+            .filter_map(|r| {
+                if let Reply::Sample(s) = r {
+                    Some(s)
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 
     pub fn learned(
-        &mut self, since: u64, absences: &[Absence], probes: &[(u32, u64)], cut: Option<Cut>,
+        &mut self,
+        since: u64,
+        absences: &[Absence],
+        probes: &[(u32, u64)],
+        cut: Option<Cut>,
     ) -> Learned {
         let (absences, probes) = (absences.to_vec(), probes.to_vec());
-        let said = Command::Learned { since, absences, probes, cut };
+        let said = Command::Learned {
+            since,
+            absences,
+            probes,
+            cut,
+        };
         let mut all = Learned::default();
         let mut hists = [(); 3].map(|()| BTreeMap::<u32, u32>::new());
         for reply in self.each(|_| said.clone()) {
             let Reply::Learned(one) = reply else { continue };
-            one.slowest.iter().for_each(|(n, ms)| in_force::merge(&mut all.slowest, *n, *ms));
+            one.slowest
+                .iter()
+                .for_each(|(n, ms)| in_force::merge(&mut all.slowest, *n, *ms));
             for (hist, part) in hists.iter_mut().zip([one.gone, one.back, one.heard]) {
-                part.into_iter().for_each(|(ms, n)| *hist.entry(ms).or_default() += n);
+                part.into_iter()
+                    .for_each(|(ms, n)| *hist.entry(ms).or_default() += n);
             }
             all.gone_missing += one.gone_missing;
             all.back_missing += one.back_missing;
@@ -384,13 +515,23 @@
             all.false_downs += one.false_downs;
         }
         let [gone, back, heard] = hists.map(|hist| hist.into_iter().collect());
-        Learned { gone, back, heard, ..all }
+        Learned {
+            gone,
+            back,
+            heard,
+            ..all
+        }
     }
 
     pub fn moment(&mut self) -> Moment {
         let real = self.real.iter().map(RealProxy::counts).collect();
         let hollow = self.samples();
-        Moment { at: Instant::now(), hollow, real, machine: figures::Machine::now() }
+        Moment {
+            at: Instant::now(),
+            hollow,
+            real,
+            machine: figures::Machine::now(),
+        }
     }
 
     /// Asks the real ones as often as the load says, but no more than ten times a second, until that time.
@@ -413,8 +554,11 @@
         for real in self.real.iter_mut().rev().filter(|r| !r.votes).take(count) {
             real.asked = true;
             let requests: Vec<String> = (0..1000).map(|n| self.recipe.request(n)).collect();
-            let (at, asking, pause) =
-                (real.proxy.address, self.asking.clone(), Duration::from_secs_f64(1.0 / per_second));
+            let (at, asking, pause) = (
+                real.proxy.address,
+                self.asking.clone(),
+                Duration::from_secs_f64(1.0 / per_second),
+            );
             std::thread::spawn(move || {
                 let mut client = Client::connect(at);
                 for request in requests.iter().cycle() {
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -37,7 +37,10 @@
             if heard == Heard::All { "all" } else { "nobody" }
         );
         self.watch(&name, Duration::ZERO, |play| {
-            let mut done = Done { events: 1, ..Done::default() };
+            let mut done = Done {
+                events: 1,
+                ..Done::default()
+            };
             let outcome = play.lose_holder(heard, fate, &mut done);
             done.wrong = outcome.is_err();
             done.outcome = Some(outcome.unwrap_or_else(|why| why));
@@ -53,8 +56,14 @@
         self.reach(base, "a change before")?;
         let holder = self.fleet.real[at].number;
         self.fleet.isolate(match heard {
-            Heard::Nobody => Isolation { mute: Some(holder), deaf: None },
-            Heard::All => Isolation { mute: None, deaf: Some(holder) },
+            Heard::Nobody => Isolation {
+                mute: Some(holder),
+                deaf: None,
+            },
+            Heard::All => Isolation {
+                mute: None,
+                deaf: Some(holder),
+            },
         });
         let (number, line, body) = self.fleet.next_change(base);
         let from = mono_us();
@@ -69,7 +78,11 @@
             ));
         }
         self.befall(at, fate, &token)?;
-        done.absences.push(Absence { proxy: holder, from, to: None });
+        done.absences.push(Absence {
+            proxy: holder,
+            from,
+            to: None,
+        });
         self.fleet.isolate(Isolation::default());
         let after = self.change_surely(at + 1)?;
         self.reach(after.version, "a change after")?;
@@ -85,7 +98,10 @@
             Fate::CutOff => {}
         }
         // What is on its way stays there.
-        self.fleet.isolate(Isolation { mute: Some(holder), deaf: Some(holder) });
+        self.fleet.isolate(Isolation {
+            mute: Some(holder),
+            deaf: Some(holder),
+        });
         let other = wait(PATIENCE, || self.fleet.holder(Some(token)).is_some());
         match fate {
             Fate::Killed => {
@@ -95,15 +111,23 @@
             Fate::Stopped => self.fleet.real[at].proxy.go_on(),
             Fate::CutOff => {}
         }
-        other.then_some(()).ok_or("nobody else came to hold the duty".into())
+        other
+            .then_some(())
+            .ok_or("nobody else came to hold the duty".into())
     }
 
     /// Whether all other voters keep the change, or have it in force already.
     fn kept(&self, holder: usize, line: &str) -> bool {
-        let others = self.fleet.real.iter().enumerate().filter(|(n, r)| *n != holder && r.votes);
+        let others = self
+            .fleet
+            .real
+            .iter()
+            .enumerate()
+            .filter(|(n, r)| *n != holder && r.votes);
         others.into_iter().all(|(_, r)| {
             let get = line.replace("PUT", "GET");
-            !r.json("/config")["keeps"].is_null() || r.call(&get, "").is_some_and(|a| a.status() == 200)
+            !r.json("/config")["keeps"].is_null()
+                || r.call(&get, "").is_some_and(|a| a.status() == 200)
         })
     }
 
@@ -124,17 +148,27 @@
     fn reach(&mut self, version: u64, what: &str) -> Result<(), String> {
         let reached = wait(PATIENCE, || self.fleet.reached(version, |_| true));
         let all: Vec<u64> = self.fleet.real.iter().map(|r| r.in_force()).collect();
-        reached.then_some(()).ok_or_else(|| format!("{what}: {version} is not in force everywhere: {all:?}"))
+        reached
+            .then_some(())
+            .ok_or_else(|| format!("{what}: {version} is not in force everywhere: {all:?}"))
     }
 
     /// Everywhere or nowhere, and no two states of one version.
     fn judge(
-        &mut self, number: u32, from: u64, line: &str, heard: Heard, fate: Fate,
+        &mut self,
+        number: u32,
+        from: u64,
+        line: &str,
+        heard: Heard,
+        fate: Fate,
     ) -> Result<String, String> {
         let get = line.replace("PUT", "GET");
         let has = |status| {
-            let at =
-                self.fleet.real.iter().filter(|r| r.call(&get, "").is_some_and(|a| a.status() == status));
+            let at = self
+                .fleet
+                .real
+                .iter()
+                .filter(|r| r.call(&get, "").is_some_and(|a| a.status() == status));
             at.count()
         };
         let (real_with, real_without) = (has(200), has(404));
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -28,8 +28,13 @@
 }
 
 fn now() -> Now {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Now { time: Time(mono_us()), wall_us: wall.as_micros() as u64 }
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    Now {
+        time: Time(mono_us()),
+        wall_us: wall.as_micros() as u64,
+    }
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -89,7 +94,11 @@
 impl Hollow {
     /// Takes its socket and works until it is stopped.
     pub fn start(
-        plan: Plan, number: u32, rules: Rules, voters: Vec<SocketAddr>, conditions: Rc<Cell<Conditions>>,
+        plan: Plan,
+        number: u32,
+        rules: Rules,
+        voters: Vec<SocketAddr>,
+        conditions: Rc<Cell<Conditions>>,
         tally: Rc<Tally>,
     ) -> io::Result<Rc<Hollow>> {
         let address = plan.address(number);
@@ -104,7 +113,12 @@
             seal: Seal::new(rules.cluster, address),
             membership: RefCell::new(Membership::new(rules, address, seed, true, now())),
             balance: RefCell::default(),
-            carry: RefCell::new(Carry::new(voters, address, seed ^ now().wall_us, now().time)),
+            carry: RefCell::new(Carry::new(
+                voters,
+                address,
+                seed ^ now().wall_us,
+                now().time,
+            )),
             conditions,
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
             tally,
@@ -120,7 +134,10 @@
         while !self.stopped.get() {
             let balance = self.balance.borrow().as_ref().and_then(Balance::due);
             let carry = self.carry.borrow().as_ref().map(Carry::due);
-            let due = balance.into_iter().chain(carry).fold(self.membership.borrow().due(), Time::min);
+            let due = balance
+                .into_iter()
+                .chain(carry)
+                .fold(self.membership.borrow().due(), Time::min);
             let wait = Duration::from_micros((due - Time(mono_us())).0);
             tokio::select! {
                 got = self.socket.recv_from(&mut buffer) => if let Ok((length, from)) = got {
@@ -143,17 +160,31 @@
         if leave {
             self.turn(Membership::leave);
         }
-        let (mut past, counts) = (self.tally.past.borrow_mut(), self.membership.borrow().counts());
+        let (mut past, counts) = (
+            self.tally.past.borrow_mut(),
+            self.membership.borrow().counts(),
+        );
         past.received += counts.received;
         past.told += counts.told;
         past.heard += counts.heard;
-        counts.refused.into_iter().for_each(|(cause, n)| *past.refused.entry(cause).or_default() += n);
+        counts
+            .refused
+            .into_iter()
+            .for_each(|(cause, n)| *past.refused.entry(cause).or_default() += n);
         self.stopped.set(true);
         self.wake.notify_one();
     }
 
     pub fn load(&self, load: Option<Load>) {
-        let new = |load| Balance::new(load, self.number, self.plan.size, self.plan.seed, now().time);
+        let new = |load| {
+            Balance::new(
+                load,
+                self.number,
+                self.plan.size,
+                self.plan.seed,
+                now().time,
+            )
+        };
         *self.balance.borrow_mut() = load.map(new);
         self.wake.notify_one();
     }
@@ -181,15 +212,26 @@
             told
         });
         self.tally.balancer.set(self.tally.balancer.get() + spent);
-        told.into_iter().flatten().for_each(|(backend, verdict)| self.tell(backend, verdict));
+        told.into_iter()
+            .flatten()
+            .for_each(|(backend, verdict)| self.tell(backend, verdict));
     }
 
     /// One turn of the copy of the configuration, and what comes of it; whether there is one.
     fn carry(&self, step: impl FnOnce(&mut Carry, Now) -> Mail) -> bool {
-        let done = self.carry.borrow_mut().as_mut().map(|carry| (step(carry, now()), carry.in_force()));
-        let Some((mail, names)) = done else { return false };
-        mail.into_iter().for_each(|(to, bytes)| self.send(to, wire::Body::Duty(bytes)));
-        let numbers = names.iter().filter_map(|name| name.strip_prefix("change-")?.parse().ok());
+        let done = self
+            .carry
+            .borrow_mut()
+            .as_mut()
+            .map(|carry| (step(carry, now()), carry.in_force()));
+        let Some((mail, names)) = done else {
+            return false;
+        };
+        mail.into_iter()
+            .for_each(|(to, bytes)| self.send(to, wire::Body::Duty(bytes)));
+        let numbers = names
+            .iter()
+            .filter_map(|name| name.strip_prefix("change-")?.parse().ok());
         numbers.for_each(|number| self.keep(number, Change::InForce));
         true
     }
@@ -224,13 +266,19 @@
                 }
             }
             // It learned nothing that a snapshot could hold, and logs nothing.
-            News::Wanted { .. } | News::Snapshot(_) | News::NoSnapshot { .. } | News::Refused(_) => {}
+            News::Wanted { .. }
+            | News::Snapshot(_)
+            | News::NoSnapshot { .. }
+            | News::Refused(_) => {}
             News::TimerFailed(_) | News::AnnounceFailed(..) => {}
         }
     }
 
     fn change(&self, peer: SocketAddr, change: Change) {
-        self.plan.proxy(peer).into_iter().for_each(|peer| self.keep(peer, change));
+        self.plan
+            .proxy(peer)
+            .into_iter()
+            .for_each(|peer| self.keep(peer, change));
     }
 
     fn keep(&self, number: u32, change: Change) {
@@ -244,19 +292,28 @@
     /// sending side of ours; those of hollow ones are lost where they are sent.
     fn hears(&self, from: SocketAddr) -> bool {
         let conditions = self.conditions.get();
-        let passes =
-            self.plan.proxy(from).is_none_or(|from| conditions.passes(&self.plan, from, self.number));
+        let passes = self
+            .plan
+            .proxy(from)
+            .is_none_or(|from| conditions.passes(&self.plan, from, self.number));
         passes && (from.port() == self.plan.port || self.drawn() >= conditions.faults.lost)
     }
 
     /// Seals and sends, as far as the faults let it.
     fn send(&self, to: SocketAddr, body: wire::Body) {
-        let Ok(bytes) = self.seal.seal(body, now().wall_us) else { return };
+        let Ok(bytes) = self.seal.seal(body, now().wall_us) else {
+            return;
+        };
         self.tally.sent.set(self.tally.sent.get() + 1);
-        self.tally.bytes.set(self.tally.bytes.get() + bytes.len() as u64);
+        self.tally
+            .bytes
+            .set(self.tally.bytes.get() + bytes.len() as u64);
         let conditions = self.conditions.get();
         let faults = conditions.faults;
-        let passes = self.plan.proxy(to).is_none_or(|to| conditions.passes(&self.plan, self.number, to));
+        let passes = self
+            .plan
+            .proxy(to)
+            .is_none_or(|to| conditions.passes(&self.plan, self.number, to));
         if !passes || self.drawn() < faults.lost {
             return;
         }
--- a/benches/scale/in_force.rs
+++ b/benches/scale/in_force.rs
@@ -7,19 +7,28 @@
 /// Milliseconds until each change, by its number and when it was asked for, was in force at the last of these proxies;
 /// `None` where it is not at some. Those that were absent meanwhile are not asked.
 pub fn slowest<'a>(
-    asked: impl Iterator<Item = (u32, &'a [Heard])>, absences: &[Absence], changes: &[(u32, u64)],
+    asked: impl Iterator<Item = (u32, &'a [Heard])>,
+    absences: &[Absence],
+    changes: &[(u32, u64)],
 ) -> BTreeMap<u32, Option<u32>> {
     let absent: HashSet<u32> = absences.iter().map(|a| a.proxy).collect();
-    let mut slowest: BTreeMap<u32, Option<u32>> =
-        changes.iter().map(|(number, _)| (*number, Some(0))).collect();
+    let mut slowest: BTreeMap<u32, Option<u32>> = changes
+        .iter()
+        .map(|(number, _)| (*number, Some(0)))
+        .collect();
     for (_, news) in asked.filter(|(proxy, _)| !absent.contains(proxy)) {
-        let in_force = news.iter().rev().filter(|(.., change)| *change == Change::InForce);
+        let in_force = news
+            .iter()
+            .rev()
+            .filter(|(.., change)| *change == Change::InForce);
         let first: HashMap<u32, u64> = in_force.map(|(at, number, _)| (*number, *at)).collect();
         for (number, from) in changes {
             merge(
                 &mut slowest,
                 *number,
-                first.get(number).map(|at| (at.saturating_sub(*from) / 1000) as u32),
+                first
+                    .get(number)
+                    .map(|at| (at.saturating_sub(*from) / 1000) as u32),
             );
         }
     }
--- a/benches/scale/learned.rs
+++ b/benches/scale/learned.rs
@@ -11,13 +11,21 @@
 
 /// What these proxies learned since then; those that were absent themselves are not asked.
 pub fn learned<'a>(
-    plan: &Plan, asked: impl Iterator<Item = (u32, &'a [Heard])>, since: u64, absences: &[Absence],
-    probes: &[(u32, u64)], cut: Option<Cut>,
+    plan: &Plan,
+    asked: impl Iterator<Item = (u32, &'a [Heard])>,
+    since: u64,
+    absences: &[Absence],
+    probes: &[(u32, u64)],
+    cut: Option<Cut>,
 ) -> Learned {
     let absent: HashSet<u32> = absences.iter().map(|a| a.proxy).collect();
     let (mut learned, mut hists) = (Learned::default(), [(); 3].map(|()| BTreeMap::new()));
     let mut count = |which: usize, from: u64, at: Option<u64>| {
-        let missing = [&mut learned.gone_missing, &mut learned.back_missing, &mut learned.heard_missing];
+        let missing = [
+            &mut learned.gone_missing,
+            &mut learned.back_missing,
+            &mut learned.heard_missing,
+        ];
         match at {
             Some(at) => *hists[which].entry(((at - from) / 1000) as u32).or_default() += 1,
             None => *missing[which] += 1,
@@ -28,7 +36,9 @@
         let inside = |proxy: u32, cut: Cut| plan.region(proxy) == cut.region;
         let expected = |at: u64, peer: u32| {
             let gone = absences.iter().any(|a| {
-                a.proxy == peer && a.from <= at && a.to.is_none_or(|to| at < to.saturating_add(LATE))
+                a.proxy == peer
+                    && a.from <= at
+                    && a.to.is_none_or(|to| at < to.saturating_add(LATE))
             });
             let cut = cut.filter(|c| inside(peer, *c) != inside(number, *c));
             gone || cut.is_some_and(|c| at >= c.from && at < c.to + LATE_OF_CUT)
@@ -39,9 +49,13 @@
             continue;
         }
         let mut of: HashMap<u32, Vec<(u64, Change)>> = HashMap::new();
-        news.iter().for_each(|(at, peer, change)| of.entry(*peer).or_default().push((*at, *change)));
+        news.iter()
+            .for_each(|(at, peer, change)| of.entry(*peer).or_default().push((*at, *change)));
         let first = |number: u32, from: u64, which: &[Change]| {
-            of.get(&number)?.iter().find(|(at, change)| *at >= from && which.contains(change)).map(|n| n.0)
+            of.get(&number)?
+                .iter()
+                .find(|(at, change)| *at >= from && which.contains(change))
+                .map(|n| n.0)
         };
         for a in absences {
             count(0, a.from, first(a.proxy, a.from, &[Change::Down]));
@@ -50,9 +64,19 @@
             }
         }
         for (probe, told) in probes {
-            count(2, *told, first(*probe, *told, &[Change::Heard, Change::InForce]));
+            count(
+                2,
+                *told,
+                first(*probe, *told, &[Change::Heard, Change::InForce]),
+            );
         }
     }
     let [gone, back, heard] = hists.map(|hist| hist.into_iter().collect());
-    Learned { gone, back, heard, false_downs, ..learned }
+    Learned {
+        gone,
+        back,
+        heard,
+        false_downs,
+        ..learned
+    }
 }
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -134,7 +134,9 @@
         + u64::from(asked.real) * if asked.full { FULL_KB } else { REAL_KB };
     let available = figures::available_kb();
     if needed > available / 2 {
-        return Err(format!("{needed} kB needed, over half of the {available} kB that can be had"));
+        return Err(format!(
+            "{needed} kB needed, over half of the {available} kB that can be had"
+        ));
     }
     Ok(())
 }
@@ -142,10 +144,24 @@
 /// Plays all phases, or those before one that fails; whether all were played.
 fn play(size: u32, asked: &Asked, rows: &mut Vec<Row>) -> Result<bool, String> {
     fits(size, asked)?;
-    let open = |path| std::fs::OpenOptions::new().create(true).append(true).open(path);
-    let mut kept = asked.json.as_ref().map(open).transpose().map_err(|e| e.to_string())?;
+    let open = |path| {
+        std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path)
+    };
+    let mut kept = asked
+        .json
+        .as_ref()
+        .map(open)
+        .transpose()
+        .map_err(|e| e.to_string())?;
     if asked.clockwork {
-        let plan = plan::Plan { size, port: 1, seed: asked.seed };
+        let plan = plan::Plan {
+            size,
+            port: 1,
+            seed: asked.seed,
+        };
         for row in clockwork::Clockwork::new(plan).rows(&asked.phases) {
             if let Some(file) = &mut kept {
                 writeln!(file, "{}", serde_json::to_string(&row).expect("plain data"))
@@ -156,11 +172,26 @@
         return Ok(true);
     }
     let (real, full) = (asked.real.min(size / 3), asked.full);
-    let shape = Shape { size, seed: asked.seed, real, full, each: asked.each, threads: false };
+    let shape = Shape {
+        size,
+        seed: asked.seed,
+        real,
+        full,
+        each: asked.each,
+        threads: false,
+    };
     let begun = Instant::now();
     let mut fleet = Fleet::new(shape);
-    eprintln!("{} real ones started: {:.1?}", fleet.real.len(), begun.elapsed());
-    let joined = fleet.join(asked.wave, Duration::from_millis(500), Duration::from_secs(asked.patience));
+    eprintln!(
+        "{} real ones started: {:.1?}",
+        fleet.real.len(),
+        begun.elapsed()
+    );
+    let joined = fleet.join(
+        asked.wave,
+        Duration::from_millis(500),
+        Duration::from_secs(asked.patience),
+    );
     eprintln!("{size} started: {:.1?}, {joined:?}", begun.elapsed());
     let seconds = Duration::from_secs;
     let spans = Spans {
@@ -179,7 +210,11 @@
     std::thread::sleep(spans.settle);
     let whole = asked.phases.iter().all(|phase| {
         let played = catch_unwind(AssertUnwindSafe(|| play.phase(phase)));
-        eprintln!("{phase}: {} at {:.0?}", if played.is_ok() { "played" } else { "FAILED" }, begun.elapsed());
+        eprintln!(
+            "{phase}: {} at {:.0?}",
+            if played.is_ok() { "played" } else { "FAILED" },
+            begun.elapsed()
+        );
         played.is_ok()
     });
     rows.extend(play.rows());
@@ -192,7 +227,9 @@
         std::thread::sleep(deadline);
         eprintln!("scale: over its {deadline:?}");
         for process in real::LIVE.lock().expect("no panic under it").iter() {
-            let _ = std::process::Command::new("kill").args(["-KILL", &process.to_string()]).status();
+            let _ = std::process::Command::new("kill")
+                .args(["-KILL", &process.to_string()])
+                .status();
         }
         std::process::exit(3);
     });
@@ -219,7 +256,11 @@
 
 fn run(args: &[String]) -> Result<(), String> {
     if let Some(at) = args.iter().position(|arg| arg == "--table") {
-        let files: Vec<String> = args[at + 1..].iter().filter(|a| *a != "--bench").cloned().collect();
+        let files: Vec<String> = args[at + 1..]
+            .iter()
+            .filter(|a| *a != "--bench")
+            .cloned()
+            .collect();
         tables(&read(&files)?);
         return Ok(());
     }
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -25,7 +25,12 @@
 const REPLACED: Duration = Duration::from_secs(20);
 
 /// A tenth of the datagrams lost, as many doubled, as many late.
-pub const WORST: Faults = Faults { lost: 0.1, doubled: 0.1, late: 0.1, cut: None };
+pub const WORST: Faults = Faults {
+    lost: 0.1,
+    doubled: 0.1,
+    late: 0.1,
+    cut: None,
+};
 
 pub const ALL: [&str; 16] = [
     "quiet",
@@ -93,7 +98,14 @@
 impl Play {
     pub fn new(fleet: Fleet, spans: Spans, kept: Option<File>) -> Play {
         let random = Pcg32::seed_from_u64(fleet.plan.seed);
-        Play { fleet, spans, random, rows: Vec::new(), kept, quiet: BTreeMap::new() }
+        Play {
+            fleet,
+            spans,
+            random,
+            rows: Vec::new(),
+            kept,
+            quiet: BTreeMap::new(),
+        }
     }
 
     pub fn rows(self) -> Vec<Row> {
@@ -112,9 +124,14 @@
             "storm" => self.facts("3 of 43 dead at 117/s", STORM),
             "changes" => self.changes("changes", Faults::default(), 0.0),
             "changes-churn" => self.changes("changes, churn x10", Faults::default(), 10.0),
-            "changes-lost" => {
-                self.changes("changes, 1% lost", Faults { lost: 0.01, ..Faults::default() }, 0.0)
-            }
+            "changes-lost" => self.changes(
+                "changes, 1% lost",
+                Faults {
+                    lost: 0.01,
+                    ..Faults::default()
+                },
+                0.0,
+            ),
             "changes-worst" => {
                 self.changes("changes, 10% lost", WORST, 0.0);
             }
@@ -143,11 +160,15 @@
         let done = during(self);
         std::thread::sleep(span.saturating_sub(before.at.elapsed()));
         let after = self.fleet.moment();
-        let learned = self.fleet.learned(since, &done.absences, &done.probes, done.cut);
+        let learned = self
+            .fleet
+            .learned(since, &done.absences, &done.probes, done.cut);
         let mut rows = rows::rows(&self.fleet, phase, &before, &after, &done, &learned);
         let plan = self.fleet.plan;
         let connected = |number: u32| done.cut.is_none_or(|cut| plan.region(number) != cut.region);
-        let real = self.fleet.real_slowest(&done.changes, |r| connected(r.number));
+        let real = self
+            .fleet
+            .real_slowest(&done.changes, |r| connected(r.number));
         for row in &mut rows {
             row.in_force = match row.role.as_str() {
                 HOLLOW if done.cut.is_none() && !done.changes.is_empty() => {
@@ -195,15 +216,25 @@
         let events = self.events_in(span, times);
         self.watch(name, span, |play| {
             let begun = Instant::now();
-            let mut done = Done { events, ..Done::default() };
+            let mut done = Done {
+                events,
+                ..Done::default()
+            };
             let mut returns: Vec<(Instant, usize)> = Vec::new();
             for n in 0..events {
                 let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(events));
                 play.back_until(at, &mut returns, &mut done.absences);
-                let (proxy, fails) = (play.drawn(&done.absences), n % ONE_FAILS_OF == ONE_FAILS_OF / 2);
+                let (proxy, fails) = (
+                    play.drawn(&done.absences),
+                    n % ONE_FAILS_OF == ONE_FAILS_OF / 2,
+                );
                 let from = mono_us();
                 play.fleet.stop(&[proxy], !fails);
-                done.absences.push(Absence { proxy, from, to: None });
+                done.absences.push(Absence {
+                    proxy,
+                    from,
+                    to: None,
+                });
                 let away = if fails { REPLACED } else { RESTARTED };
                 returns.push((Instant::now() + away, done.absences.len() - 1));
             }
@@ -215,7 +246,10 @@
 
     /// Waits until then, and meanwhile brings back whoever is due.
     pub fn back_until(
-        &mut self, end: Instant, returns: &mut Vec<(Instant, usize)>, absences: &mut [Absence],
+        &mut self,
+        end: Instant,
+        returns: &mut Vec<(Instant, usize)>,
+        absences: &mut [Absence],
     ) {
         loop {
             returns.sort();
@@ -234,12 +268,20 @@
         let (begun, count) = (Instant::now(), 20);
         let mut probes = Vec::new();
         for n in 0..count {
-            let at = begun + self.spans.quiet.mul_f64(0.7 * f64::from(n) / f64::from(count));
+            let at = begun
+                + self
+                    .spans
+                    .quiet
+                    .mul_f64(0.7 * f64::from(n) / f64::from(count));
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let proxy = self.drawn(&[]);
             probes.push(self.fleet.probe(proxy));
         }
-        Done { events: count, probes, ..Done::default() }
+        Done {
+            events: count,
+            probes,
+            ..Done::default()
+        }
     }
 
     /// Backends are dead of a sudden: first every proxy finds out by itself or hears of it, then some try again at times.
@@ -248,9 +290,15 @@
         self.watch(&format!("{name}, first"), span, |play| {
             play.fleet.ask_real(load, Instant::now() + 2 * span);
             play.fleet.load(Some(load));
-            Done { events: load.dead, ..Done::default() }
+            Done {
+                events: load.dead,
+                ..Done::default()
+            }
+        });
+        self.watch(&format!("{name}, then"), span, |_| Done {
+            events: load.dead,
+            ..Done::default()
         });
-        self.watch(&format!("{name}, then"), span, |_| Done { events: load.dead, ..Done::default() });
         self.fleet.load(None);
         self.settle();
     }
@@ -262,7 +310,12 @@
     }
 
     fn loss(&mut self, name: &str, part: f64) {
-        self.fleet.faults(Faults { lost: part, doubled: part, late: part, cut: None });
+        self.fleet.faults(Faults {
+            lost: part,
+            doubled: part,
+            late: part,
+            cut: None,
+        });
         self.watch(name, self.spans.loss, |_| Done::default());
         self.fleet.faults(Faults::default());
         self.settle();
@@ -275,16 +328,36 @@
         self.watch(&format!("{name} gone"), self.spans.gone, |play| {
             gone_at = mono_us();
             play.fleet.stop(&who, false);
-            let absences = who.iter().map(|n| Absence { proxy: *n, from: gone_at, to: None }).collect();
-            Done { absences, events: who.len() as u32, ..Done::default() }
+            let absences = who
+                .iter()
+                .map(|n| Absence {
+                    proxy: *n,
+                    from: gone_at,
+                    to: None,
+                })
+                .collect();
+            Done {
+                absences,
+                events: who.len() as u32,
+                ..Done::default()
+            }
         });
         self.watch(&format!("{name} back"), self.spans.back, |play| {
             let (at, begun) = (mono_us(), Instant::now());
             play.fleet.start(&who);
             let whole = play.fleet.whole(begun, play.spans.heal);
-            let back = |n: &u32| Absence { proxy: *n, from: gone_at, to: Some(at) };
+            let back = |n: &u32| Absence {
+                proxy: *n,
+                from: gone_at,
+                to: Some(at),
+            };
             let absences = who.iter().map(back).collect();
-            Done { absences, whole, events: who.len() as u32, ..Done::default() }
+            Done {
+                absences,
+                whole,
+                events: who.len() as u32,
+                ..Done::default()
+            }
         });
         self.settle();
     }
@@ -293,22 +366,42 @@
     pub fn neighbours(&self, count: u32) -> Vec<u32> {
         let size = self.fleet.plan.size;
         let from = self.fleet.plan.in_zone(super::plan::ZONES / 2).start;
-        (from..size).filter(|n| !self.is_real(*n)).take(count.min(size / 3) as usize).collect()
+        (from..size)
+            .filter(|n| !self.is_real(*n))
+            .take(count.min(size / 3) as usize)
+            .collect()
     }
 
     /// The last region hears nobody else, and nobody hears it, until it heals.
     fn region(&mut self) {
         let region = super::plan::REGIONS - 1;
-        let events =
-            (0..self.fleet.plan.size).filter(|n| self.fleet.plan.region(*n) == region).count() as u32;
+        let events = (0..self.fleet.plan.size)
+            .filter(|n| self.fleet.plan.region(*n) == region)
+            .count() as u32;
         let from = mono_us();
-        self.fleet.faults(Faults { cut: Some(region), ..Faults::default() });
-        let cut = Some(Cut { region, from, to: u64::MAX / 2 });
-        self.watch("region cut", self.spans.cut, |_| Done { cut, events, ..Done::default() });
+        self.fleet.faults(Faults {
+            cut: Some(region),
+            ..Faults::default()
+        });
+        let cut = Some(Cut {
+            region,
+            from,
+            to: u64::MAX / 2,
+        });
+        self.watch("region cut", self.spans.cut, |_| Done {
+            cut,
+            events,
+            ..Done::default()
+        });
         self.watch("region healed", self.spans.back, |play| {
             let (to, begun) = (play.fleet.faults(Faults::default()), Instant::now());
             let whole = play.fleet.whole(begun, play.spans.heal);
-            Done { cut: Some(Cut { region, from, to }), whole, events, ..Done::default() }
+            Done {
+                cut: Some(Cut { region, from, to }),
+                whole,
+                events,
+                ..Done::default()
+            }
         });
         self.settle();
     }
--- a/benches/scale/plan.rs
+++ b/benches/scale/plan.rs
@@ -39,14 +39,25 @@
         let zone = self.zone(proxy);
         let place = proxy - self.in_zone(zone).start;
         let byte = |n: u32| u8::try_from(n).expect("fewer than 254 in a zone");
-        SocketAddr::from(([127, byte(10 + self.region(proxy)), byte(1 + zone), byte(1 + place)], self.port))
+        SocketAddr::from((
+            [
+                127,
+                byte(10 + self.region(proxy)),
+                byte(1 + zone),
+                byte(1 + place),
+            ],
+            self.port,
+        ))
     }
 
     /// Whose address that is.
     pub fn proxy(&self, address: SocketAddr) -> Option<u32> {
-        let IpAddr::V4(ip) = address.ip() else { return None };
+        let IpAddr::V4(ip) = address.ip() else {
+            return None;
+        };
         let [_, _, zone, place] = ip.octets().map(u32::from);
         let members = self.in_zone(zone.checked_sub(1)?);
-        Some(members.start + place.checked_sub(1)?).filter(|n| members.contains(n) && *n < self.size)
+        Some(members.start + place.checked_sub(1)?)
+            .filter(|n| members.contains(n) && *n < self.size)
     }
 }
--- a/benches/scale/protocol.rs
+++ b/benches/scale/protocol.rs
@@ -38,7 +38,9 @@
     /// Whether anything passes that way at all.
     pub fn passes(&self, plan: &Plan, from: u32, to: u32) -> bool {
         let Conditions { faults, isolation } = self;
-        let cut = faults.cut.is_some_and(|r| (plan.region(from) == r) != (plan.region(to) == r));
+        let cut = faults
+            .cut
+            .is_some_and(|r| (plan.region(from) == r) != (plan.region(to) == r));
         !cut && isolation.mute != Some(from) && isolation.deaf != Some(to)
     }
 }
--- a/benches/scale/quiet.rs
+++ b/benches/scale/quiet.rs
@@ -33,7 +33,8 @@
                     match parameter(&target, "after") {
                         None => drop(answer.send((200, list(INDEX, true, &known)))),
                         Some(after) => {
-                            let wait = Duration::from_millis(parameter(&target, "wait_ms").unwrap_or(0));
+                            let wait =
+                                Duration::from_millis(parameter(&target, "wait_ms").unwrap_or(0));
                             waiting.push((Instant::now() + wait, after, answer));
                         }
                     }
@@ -52,5 +53,7 @@
 /// A number in a call's target.
 fn parameter(target: &str, name: &str) -> Option<u64> {
     let query = target.split(' ').nth(1)?.split_once('?')?.1;
-    query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+    query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -5,7 +5,8 @@
 use super::quiet::Quiet;
 use super::relay::{Relay, Shared};
 use super::rig::{
-    entry, folder, holdings, BackendServer, Client, DiscoveryServer, Message, Proxy, Refusing, SETTINGS,
+    entry, folder, holdings, BackendServer, Client, DiscoveryServer, Message, Proxy, Refusing,
+    SETTINGS,
 };
 use super::{rig, worker};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +17,11 @@
 pub const CLUSTER: &str = "scale";
 pub const MAX_AGE_S: f64 = 5.0;
 /// The plan's file, and the smallest.
-pub const FULL: Size = Size { routes: 21_000, tenants: 130_000, backends: 25_000 };
+pub const FULL: Size = Size {
+    routes: 21_000,
+    tenants: 130_000,
+    backends: 25_000,
+};
 const SERVERS: usize = 8;
 /// A process has loaded its file by then, and what it was read with is given back.
 const LOADED: Duration = Duration::from_millis(500);
@@ -25,7 +30,9 @@
 pub static LIVE: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn noted(proxy: Proxy) -> Proxy {
-    LIVE.lock().expect("no panic under it").insert(proxy.child.id());
+    LIVE.lock()
+        .expect("no panic under it")
+        .insert(proxy.child.id());
     proxy
 }
 
@@ -43,7 +50,11 @@
 
 /// Of so many real ones, which vote: five at most, an odd number, even over the others.
 pub fn voting(count: u32) -> Vec<u32> {
-    let voters = if count < 5 { count.saturating_sub(1) / 2 * 2 + count.min(1) } else { 5 };
+    let voters = if count < 5 {
+        count.saturating_sub(1) / 2 * 2 + count.min(1)
+    } else {
+        5
+    };
     (0..voters).map(|n| n * count / voters).collect()
 }
 
@@ -56,23 +67,60 @@
 impl Recipe {
     /// With the plan's whole file, or a small one with `backends` of which the first `dead` refuse.
     pub fn new(
-        plan: Plan, seeds: &[SocketAddr], voters: &[SocketAddr], full: bool, backends: u32, dead: u32,
+        plan: Plan,
+        seeds: &[SocketAddr],
+        voters: &[SocketAddr],
+        full: bool,
+        backends: u32,
+        dead: u32,
     ) -> Recipe {
-        let dead: Vec<Refusing> = (0..if full { 0 } else { dead }).map(|_| Refusing::new()).collect();
-        let count = if full { SERVERS } else { backends as usize - dead.len() };
-        let live: Vec<BackendServer> = (0..count).map(|_| BackendServer::start(|_| rig::ok("x"))).collect();
-        let total = if full { FULL.backends } else { backends as usize };
-        let at = dead.iter().map(Refusing::address).chain(live.iter().map(|b| b.address).cycle());
-        let known: Vec<String> =
-            at.take(total).enumerate().map(|(n, at)| entry(&format!("b{n}"), at, "SERVING")).collect();
-        let settings = if full { generated::settings(FULL, 1.0) } else { SETTINGS.into() };
+        let dead: Vec<Refusing> = (0..if full { 0 } else { dead })
+            .map(|_| Refusing::new())
+            .collect();
+        let count = if full {
+            SERVERS
+        } else {
+            backends as usize - dead.len()
+        };
+        let live: Vec<BackendServer> = (0..count)
+            .map(|_| BackendServer::start(|_| rig::ok("x")))
+            .collect();
+        let total = if full {
+            FULL.backends
+        } else {
+            backends as usize
+        };
+        let at = dead
+            .iter()
+            .map(Refusing::address)
+            .chain(live.iter().map(|b| b.address).cycle());
+        let known: Vec<String> = at
+            .take(total)
+            .enumerate()
+            .map(|(n, at)| entry(&format!("b{n}"), at, "SERVING"))
+            .collect();
+        let settings = if full {
+            generated::settings(FULL, 1.0)
+        } else {
+            SETTINGS.into()
+        };
         let (seeds, voters, known) = (listed(seeds), listed(voters), Arc::new(known));
-        Recipe { plan, seeds, voters, known, settings, full, _backends: (live, dead) }
+        Recipe {
+            plan,
+            seeds,
+            voters,
+            known,
+            settings,
+            full,
+            _backends: (live, dead),
+        }
     }
 
     fn start(&self, position: u32, number: u32) -> (Proxy, Quiet) {
         let group = format!(r#""position":{position},"group_size":{},"#, self.plan.size);
-        let settings = self.settings.replacen(r#""position":0,"group_size":1,"#, &group, 1);
+        let settings = self
+            .settings
+            .replacen(r#""position":0,"group_size":1,"#, &group, 1);
         let own = self.plan.address(number);
         let duties = match self.voters.as_str() {
             "" => String::new(),
@@ -111,7 +159,9 @@
 }
 
 fn forget(proxy: &Proxy) {
-    LIVE.lock().expect("no panic under it").remove(&proxy.child.id());
+    LIVE.lock()
+        .expect("no panic under it")
+        .remove(&proxy.child.id());
     let _ = std::fs::remove_file(&proxy.config); // may be gone
 }
 
@@ -137,19 +187,42 @@
 }
 
 impl RealProxy {
-    pub fn start(recipe: &Recipe, position: u32, number: u32, votes: bool, shared: Shared) -> RealProxy {
+    pub fn start(
+        recipe: &Recipe,
+        position: u32,
+        number: u32,
+        votes: bool,
+        shared: Shared,
+    ) -> RealProxy {
         let relay = Relay::start(recipe.plan, number, shared).expect("an address of the plan");
         let (proxy, discovery) = recipe.start(position, number);
         let (asked, killed, past) = Default::default();
-        let real = RealProxy { position, number, votes, asked, proxy, discovery, relay, killed, past };
+        let real = RealProxy {
+            position,
+            number,
+            votes,
+            asked,
+            proxy,
+            discovery,
+            relay,
+            killed,
+            past,
+        };
         real.place();
         real
     }
 
     /// Lets the relay know where the process listens.
     fn place(&self) {
-        let line = self.proxy.said.lines().find(|l| l.contains("peers_start")).expect("it shares state");
-        let at = holdings::field(line, "listen").and_then(|at| at.parse().ok()).expect("an address");
+        let line = self
+            .proxy
+            .said
+            .lines()
+            .find(|l| l.contains("peers_start"))
+            .expect("it shares state");
+        let at = holdings::field(line, "listen")
+            .and_then(|at| at.parse().ok())
+            .expect("an address");
         self.relay.target(at);
     }
 
@@ -170,7 +243,11 @@
 
     fn life(&self) -> holdings::Life {
         let log = self.proxy.lines("event=").join("\n");
-        holdings::Life { proxy: self.number as usize, log, killed: self.killed }
+        holdings::Life {
+            proxy: self.number as usize,
+            log,
+            killed: self.killed,
+        }
     }
 
     /// Every process that ever was in its place.
@@ -182,15 +259,23 @@
     /// One call at its door, which may fail as the process may be gone or stand still.
     pub fn call(&self, line: &str, body: &str) -> Option<Message> {
         let door = self.proxy.control?;
-        let mut client = Client(std::io::BufReader::new(std::net::TcpStream::connect(door).ok()?));
-        client.0.get_ref().set_read_timeout(Some(rig::PATIENCE)).ok()?;
+        let mut client = Client(std::io::BufReader::new(
+            std::net::TcpStream::connect(door).ok()?,
+        ));
+        client
+            .0
+            .get_ref()
+            .set_read_timeout(Some(rig::PATIENCE))
+            .ok()?;
         client.send(&call(line, body));
         client.answer()
     }
 
     pub fn json(&self, path: &str) -> serde_json::Value {
         let answer = self.call(&format!("GET {path}"), "");
-        answer.and_then(|answer| serde_json::from_slice(&answer.body).ok()).unwrap_or_default()
+        answer
+            .and_then(|answer| serde_json::from_slice(&answer.body).ok())
+            .unwrap_or_default()
     }
 
     /// The version of the configuration that its requests go by.
@@ -201,8 +286,12 @@
     /// When each version came into force, as its log says, in its order; a version that was passed over came with the next.
     pub fn came(&self) -> Vec<(u64, u64)> {
         let lines = self.proxy.lines("event=\"config_in_force\"");
-        let of =
-            |line: &String| Some((holdings::number(line, "version")?, holdings::number(line, "mono_us")?));
+        let of = |line: &String| {
+            Some((
+                holdings::number(line, "version")?,
+                holdings::number(line, "mono_us")?,
+            ))
+        };
         lines.iter().filter_map(of).collect()
     }
 
@@ -239,7 +328,10 @@
 
 /// A call as it is written.
 pub fn call(line: &str, body: &str) -> String {
-    format!("{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Roles of real ones: who holds the configuration's duty, the other voters, the others, and of those the ones with clients.
--- a/benches/scale/relay.rs
+++ b/benches/scale/relay.rs
@@ -35,7 +35,14 @@
         let socket = UdpSocket::bind(plan.address(number))?;
         socket.set_read_timeout(Some(LOOK))?;
         let (target, ended) = Default::default();
-        let relaying = Arc::new(Relaying { plan, number, socket, conditions, target, ended });
+        let relaying = Arc::new(Relaying {
+            plan,
+            number,
+            socket,
+            conditions,
+            target,
+            ended,
+        });
         let of = relaying.clone();
         std::thread::spawn(move || of.run());
         Ok(Relay(relaying))
@@ -59,15 +66,23 @@
         let mut chance = move || f64::from(random.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let mut bytes = [0; 2048];
         while !self.ended.load(Relaxed) {
-            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { continue };
-            let Some(target) = *self.target.lock().expect("no panic under it") else { continue };
+            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else {
+                continue;
+            };
+            let Some(target) = *self.target.lock().expect("no panic under it") else {
+                continue;
+            };
             let conditions = *self.conditions.lock().expect("no panic under it");
             let passes = |from| conditions.passes(&self.plan, from, self.number);
             if !self.plan.proxy(from).is_none_or(passes) {
                 continue;
             }
             // What comes from the plan's own port is a hollow one's, which lost its part already.
-            let faults = if from.port() == self.plan.port { Default::default() } else { conditions.faults };
+            let faults = if from.port() == self.plan.port {
+                Default::default()
+            } else {
+                conditions.faults
+            };
             if chance() < faults.lost {
                 continue;
             }
--- a/benches/scale/rows.rs
+++ b/benches/scale/rows.rs
@@ -15,13 +15,24 @@
 }
 
 pub fn rows(
-    fleet: &Fleet, phase: &str, before: &Moment, after: &Moment, done: &Done, learned: &Learned,
+    fleet: &Fleet,
+    phase: &str,
+    before: &Moment,
+    after: &Moment,
+    done: &Done,
+    learned: &Learned,
 ) -> Vec<Row> {
     let seconds = (after.at - before.at).as_secs_f64();
     let hollow: Vec<_> = after.hollow.iter().zip(&before.hollow).collect();
-    let hollow_ns: u64 = hollow.iter().map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns)).sum();
+    let hollow_ns: u64 = hollow
+        .iter()
+        .map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns))
+        .sum();
     let real: Vec<(&Real, &Real)> = after.real.iter().zip(&before.real).collect();
-    let real_ns: u64 = real.iter().map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns)).sum();
+    let real_ns: u64 = real
+        .iter()
+        .map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns))
+        .sum();
     let cores = std::thread::available_parallelism().map_or(1, usize::from) as f64;
     let busy_percent = after.machine.busy_since(before.machine);
     let common = Row {
@@ -36,7 +47,11 @@
         void: busy_percent > MOST_BUSY,
         ..Row::default()
     };
-    let outcome = Row { outcome: done.outcome.clone(), wrong: done.wrong, ..common.clone() };
+    let outcome = Row {
+        outcome: done.outcome.clone(),
+        wrong: done.wrong,
+        ..common.clone()
+    };
     let mut rows = vec![hollow_row(outcome, &hollow, hollow_ns, learned)];
     let roles = [
         (ALL_REAL, &[HOLDER, VOTER, OTHER][..]),
@@ -46,9 +61,16 @@
         (ASKED, &[ASKED]),
     ];
     for (role, of) in roles {
-        let of: Vec<_> = real.iter().copied().filter(|(a, _)| of.contains(&a.role)).collect();
+        let of: Vec<_> = real
+            .iter()
+            .copied()
+            .filter(|(a, _)| of.contains(&a.role))
+            .collect();
         if !of.is_empty() {
-            let common = Row { smallest_kb: fleet.smallest_kb as f64, ..common.clone() };
+            let common = Row {
+                smallest_kb: fleet.smallest_kb as f64,
+                ..common.clone()
+            };
             rows.push(real_row(common, role, &of));
         }
     }
@@ -59,14 +81,21 @@
     let seconds = common.seconds;
     let proxies: u32 = samples.iter().map(|(a, _)| a.proxies).sum();
     let each = f64::from(proxies.max(1));
-    let grown =
-        |of: fn(&Sample) -> u64| samples.iter().map(|(a, b)| of(a).saturating_sub(of(b))).sum::<u64>() as f64;
+    let grown = |of: fn(&Sample) -> u64| {
+        samples
+            .iter()
+            .map(|(a, b)| of(a).saturating_sub(of(b)))
+            .sum::<u64>() as f64
+    };
     let mut bytes: BTreeMap<u32, u64> = BTreeMap::new();
     samples.iter().for_each(|(a, _)| bytes.extend(&a.bytes));
     for (proxy, earlier) in samples.iter().flat_map(|(_, b)| &b.bytes) {
         bytes.entry(*proxy).and_modify(|b| *b -= earlier);
     }
-    let resident: u64 = samples.iter().map(|(a, _)| a.resident_kb.saturating_sub(a.base_kb)).sum();
+    let resident: u64 = samples
+        .iter()
+        .map(|(a, _)| a.resident_kb.saturating_sub(a.base_kb))
+        .sum();
     let sum = |of: fn(&Sample) -> u64| samples.iter().map(|(a, _)| of(a)).sum::<u64>();
     Row {
         role: HOLLOW.into(),
@@ -84,7 +113,11 @@
         gone_ms: quantiles(&learned.gone),
         back_ms: quantiles(&learned.back),
         heard_ms: quantiles(&learned.heard),
-        missing: [learned.gone_missing, learned.back_missing, learned.heard_missing],
+        missing: [
+            learned.gone_missing,
+            learned.back_missing,
+            learned.heard_missing,
+        ],
         lacking: sum(|s| s.lacking),
         lack: sum(|s| u64::from(s.lack)) as u32,
         least_known: samples.iter().map(|(a, _)| a.least).min().unwrap_or(0),
@@ -96,14 +129,17 @@
     let seconds = common.seconds;
     // Of one that was restarted meanwhile only what the new process did counts.
     let grown = |figure: fn(&Real) -> u64| {
-        of.iter().map(move |(a, b)| figure(a).checked_sub(figure(b)).unwrap_or(figure(a)) as f64)
+        of.iter()
+            .map(move |(a, b)| figure(a).checked_sub(figure(b)).unwrap_or(figure(a)) as f64)
     };
     let mean = |figure: fn(&Real) -> u64| grown(figure).sum::<f64>() / of.len() as f64;
     let most = |figure: fn(&Real) -> u64| grown(figure).fold(0.0, f64::max);
     let mut threads: BTreeMap<String, f64> = BTreeMap::new();
     for (a, b) in of {
         for (name, ns) in &a.threads {
-            let grown = ns.checked_sub(b.threads.get(name).copied().unwrap_or(0)).unwrap_or(*ns);
+            let grown = ns
+                .checked_sub(b.threads.get(name).copied().unwrap_or(0))
+                .unwrap_or(*ns);
             *threads.entry(name.clone()).or_default() += percent(grown, seconds) / of.len() as f64;
         }
     }
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -30,12 +30,21 @@
 
 /// Works on this thread until nobody commands any more.
 pub fn run(mut commands: UnboundedReceiver<Command>, reply: impl Fn(Reply)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
         let base_kb = resident_kb();
         let (conditions, places) = (Rc::default(), BTreeMap::new());
-        let mut worker = Worker { plan: None, places, conditions, load: None, base_kb };
+        let mut worker = Worker {
+            plan: None,
+            places,
+            conditions,
+            load: None,
+            base_kb,
+        };
         while let Some(command) = commands.recv().await {
             reply(worker.command(command).unwrap_or_else(Reply::Failed));
         }
@@ -45,15 +54,32 @@
 impl Worker {
     fn command(&mut self, command: Command) -> Result<Reply, String> {
         match command {
-            Command::Plan { plan, seeds, voters, cluster, max_age_s } => {
+            Command::Plan {
+                plan,
+                seeds,
+                voters,
+                cluster,
+                max_age_s,
+            } => {
                 let (cluster, max_age) = (wire::cluster(&cluster), Micros::from_secs(max_age_s));
-                self.plan = Some((plan, Rules { cluster, seeds, max_age, fleet: plan.size }, voters));
+                self.plan = Some((
+                    plan,
+                    Rules {
+                        cluster,
+                        seeds,
+                        max_age,
+                        fleet: plan.size,
+                    },
+                    voters,
+                ));
             }
             Command::Start(who) => who.into_iter().try_for_each(|number| self.start(number))?,
             Command::Stop { who, leave } => {
                 for number in who {
                     let hollow = self.places.get_mut(&number).and_then(|p| p.hollow.take());
-                    hollow.ok_or(format!("proxy {number} is not there"))?.stop(leave);
+                    hollow
+                        .ok_or(format!("proxy {number} is not there"))?
+                        .stop(leave);
                 }
             }
             Command::Conditions(conditions) => self.conditions.set(conditions),
@@ -63,10 +89,17 @@
             }
             Command::Probe { proxy, number } => {
                 let hollow = self.places.get(&proxy).and_then(|p| p.hollow.as_ref());
-                hollow.ok_or(format!("proxy {proxy} is not there"))?.tell(probe(number), Verdict::Back);
+                hollow
+                    .ok_or(format!("proxy {proxy} is not there"))?
+                    .tell(probe(number), Verdict::Back);
             }
             Command::Sample => return Ok(Reply::Sample(self.sample())),
-            Command::Learned { since, absences, probes, cut } => {
+            Command::Learned {
+                since,
+                absences,
+                probes,
+                cut,
+            } => {
                 return Ok(Reply::Learned(self.learned(since, &absences, &probes, cut)));
             }
         }
@@ -76,8 +109,15 @@
     fn start(&mut self, number: u32) -> Result<(), String> {
         let (plan, rules, voters) = self.plan.clone().ok_or("no plan yet")?;
         let place = self.places.entry(number).or_default();
-        let hollow = Hollow::start(plan, number, rules, voters, self.conditions.clone(), place.tally.clone())
-            .map_err(|e| format!("proxy {number} at {}: {e}", plan.address(number)))?;
+        let hollow = Hollow::start(
+            plan,
+            number,
+            rules,
+            voters,
+            self.conditions.clone(),
+            place.tally.clone(),
+        )
+        .map_err(|e| format!("proxy {number} at {}: {e}", plan.address(number)))?;
         if self.load.is_some() {
             hollow.load(self.load);
         }
@@ -108,7 +148,11 @@
             let mut of = vec![tally.past.borrow().clone()];
             if let Some((live, waiting, counts)) = place.hollow.as_ref().map(|h| h.seen()) {
                 (s.least, s.most) = (s.least.min(live), s.most.max(live));
-                let lacking = self.plan.as_ref().map_or(0, |(plan, ..)| plan.size - 1).saturating_sub(live);
+                let lacking = self
+                    .plan
+                    .as_ref()
+                    .map_or(0, |(plan, ..)| plan.size - 1)
+                    .saturating_sub(live);
                 s.lacking += u64::from(lacking);
                 s.lack += u32::from(lacking > 0);
                 let version = place.hollow.as_ref().map_or(0, |h| h.version());
@@ -128,13 +172,29 @@
         s
     }
 
-    fn learned(&self, since: u64, absences: &[Absence], probes: &[(u32, u64)], cut: Option<Cut>) -> Learned {
-        let Some((plan, ..)) = &self.plan else { return Learned::default() };
-        let there = self.places.iter().filter(|(_, place)| place.hollow.is_some());
-        let news: Vec<_> = there.map(|(number, place)| (*number, place.tally.news.borrow())).collect();
+    fn learned(
+        &self,
+        since: u64,
+        absences: &[Absence],
+        probes: &[(u32, u64)],
+        cut: Option<Cut>,
+    ) -> Learned {
+        let Some((plan, ..)) = &self.plan else {
+            return Learned::default();
+        };
+        let there = self
+            .places
+            .iter()
+            .filter(|(_, place)| place.hollow.is_some());
+        let news: Vec<_> = there
+            .map(|(number, place)| (*number, place.tally.news.borrow()))
+            .collect();
         let asked = news.iter().map(|(number, news)| (*number, news.as_slice()));
         let slowest = slowest(asked.clone(), absences, probes);
-        Learned { slowest, ..learned(plan, asked, since, absences, probes, cut) }
+        Learned {
+            slowest,
+            ..learned(plan, asked, since, absences, probes, cut)
+        }
     }
 }
 
@@ -146,7 +206,10 @@
 /// The first number in a file, or 0.
 pub fn first_number(path: &str) -> u64 {
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    text.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
+    text.split_whitespace()
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 fn resident_kb() -> u64 {
@@ -157,7 +220,8 @@
 pub fn resident_of(process: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The hidden half of the bench: commands come in over standard input, a JSON line each. Ends with its input, so
@@ -166,7 +230,9 @@
     let (tell, commands) = tokio::sync::mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lines().map_while(Result::ok) {
-            let Ok(command) = serde_json::from_str(&line) else { return };
+            let Ok(command) = serde_json::from_str(&line) else {
+                return;
+            };
             if tell.send(command).is_err() {
                 return;
             }
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -28,36 +28,88 @@
 const SERVERS: usize = 4;
 const AMENDMENTS: usize = 1000;
 
-const LEAST: Size = Size { routes: 2, tenants: 0, backends: 100 };
+const LEAST: Size = Size {
+    routes: 2,
+    tenants: 0,
+    backends: 100,
+};
 
 /// The states that the arguments name, or all.
 fn states(named: &[String]) -> Vec<(String, Size)> {
-    let routes = [2, 210, 2_100, 21_000].map(|n| (format!("routes={n}"), Size { routes: n, ..LEAST }));
-    let tenants = [1_300, 13_000, 130_000].map(|n| (format!("tenants={n}"), Size { tenants: n, ..LEAST }));
-    let backends = [25_000].map(|n| (format!("backends={n}"), Size { backends: n, ..LEAST }));
-    let lists = [("lists".to_string(), Size { routes: 21_000, tenants: 130_000, backends: 100 })];
-    let all = [("all".to_string(), Size { routes: 21_000, tenants: 130_000, backends: 25_000 })];
-    let states = routes.into_iter().chain(tenants).chain(backends).chain(lists).chain(all);
-    states.filter(|(name, _)| named.is_empty() || named.contains(name)).collect()
+    let routes =
+        [2, 210, 2_100, 21_000].map(|n| (format!("routes={n}"), Size { routes: n, ..LEAST }));
+    let tenants = [1_300, 13_000, 130_000].map(|n| {
+        (
+            format!("tenants={n}"),
+            Size {
+                tenants: n,
+                ..LEAST
+            },
+        )
+    });
+    let backends = [25_000].map(|n| {
+        (
+            format!("backends={n}"),
+            Size {
+                backends: n,
+                ..LEAST
+            },
+        )
+    });
+    let lists = [(
+        "lists".to_string(),
+        Size {
+            routes: 21_000,
+            tenants: 130_000,
+            backends: 100,
+        },
+    )];
+    let all = [(
+        "all".to_string(),
+        Size {
+            routes: 21_000,
+            tenants: 130_000,
+            backends: 25_000,
+        },
+    )];
+    let states = routes
+        .into_iter()
+        .chain(tenants)
+        .chain(backends)
+        .chain(lists)
+        .chain(all);
+    states
+        .filter(|(name, _)| named.is_empty() || named.contains(name))
+        .collect()
 }
 
 /// MB that the process holds.
 fn resident(proxy: &Proxy) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap_or_default();
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().nth(1)?.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1024.0
+    line.and_then(|l| l.split_whitespace().nth(1)?.parse::<f64>().ok())
+        .unwrap_or(f64::NAN)
+        / 1024.0
 }
 
 /// Milliseconds of processor time that the request loop has had.
 fn used(proxy: &Proxy) -> f64 {
     let path = format!("/proc/{}/schedstat", proxy.child.id());
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1e6
+    text.split(' ')
+        .next()
+        .and_then(|ns| ns.parse::<f64>().ok())
+        .unwrap_or(f64::NAN)
+        / 1e6
 }
 
 /// Asks one request after another, `every` apart, until told to end; how long each took, in ms.
 fn asked(
-    proxy: &Proxy, size: Size, every: Duration, busy: &Arc<AtomicBool>,
+    proxy: &Proxy,
+    size: Size,
+    every: Duration,
+    busy: &Arc<AtomicBool>,
 ) -> std::thread::JoinHandle<Vec<f64>> {
     let (mut client, busy) = (proxy.client(), busy.clone());
     client.0.get_ref().set_read_timeout(Some(MOST)).unwrap();
@@ -68,7 +120,11 @@
             let begun = Instant::now();
             next = begun + every;
             let answer = client.ask(&request(size, took.len()));
-            assert!([200, 503, 504].contains(&answer.status()), "{}", answer.first); // late after a long standstill
+            assert!(
+                [200, 503, 504].contains(&answer.status()),
+                "{}",
+                answer.first
+            ); // late after a long standstill
             took.push(begun.elapsed().as_secs_f64() * 1e3);
         }
         took
@@ -76,7 +132,10 @@
 }
 
 fn percentile(sorted: &[f64], part: f64) -> f64 {
-    sorted.get((sorted.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN)
+    sorted
+        .get((sorted.len() as f64 * part) as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Milliseconds that the slowest request took around a reload of this file, until the file was taken, and of the step in
@@ -98,8 +157,15 @@
     busy.store(false, SeqCst);
     let slowest = watch.join().unwrap().into_iter().fold(0.0, f64::max);
     let line = proxy.lines("configuration taken").pop().unwrap_or_default();
-    let step = line.split("step_us=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<f64>().ok());
-    Reloaded { slowest, took, step: step.unwrap_or(f64::NAN) / 1e3 }
+    let step = line
+        .split("step_us=")
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next()?.parse::<f64>().ok());
+    Reloaded {
+        slowest,
+        took,
+        step: step.unwrap_or(f64::NAN) / 1e3,
+    }
 }
 
 struct Reloaded {
@@ -110,7 +176,11 @@
 
 impl std::fmt::Display for Reloaded {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{:.1} ({:.0}, {:.2})", self.slowest, self.took, self.step)
+        write!(
+            f,
+            "{:.1} ({:.0}, {:.2})",
+            self.slowest, self.took, self.step
+        )
     }
 }
 
@@ -129,19 +199,39 @@
             }
             tenants => {
                 let entry = &text["customers"][(n * 104_729) % tenants];
-                Amendment::SetCustomer(serde_json::json!({"name": entry["name"], "quota_rps": 3 + n}))
+                Amendment::SetCustomer(
+                    serde_json::json!({"name": entry["name"], "quota_rps": 3 + n}),
+                )
             }
         };
         let begun = Instant::now();
-        let Change { to, retired, revived, heirs, .. } = tables.amend(&[one]).unwrap();
+        let Change {
+            to,
+            retired,
+            revived,
+            heirs,
+            ..
+        } = tables.amend(&[one]).unwrap();
         let config = Box::new(to.config.clone());
-        balancer.handle(Time(1), Event::Settings { config, retired, revived, heirs }, &mut Vec::new());
+        balancer.handle(
+            Time(1),
+            Event::Settings {
+                config,
+                retired,
+                revived,
+                heirs,
+            },
+            &mut Vec::new(),
+        );
         tables = to;
         took.push(begun.elapsed().as_secs_f64() * 1e3);
     }
     took.sort_by(f64::total_cmp);
     let (half, most) = (percentile(&took, 0.5), percentile(&took, 0.99));
-    println!("| {name} | {half:.4} | {most:.4} | {:.4} |", percentile(&took, 1.0 - 0.5 / AMENDMENTS as f64));
+    println!(
+        "| {name} | {half:.4} | {most:.4} | {:.4} |",
+        percentile(&took, 1.0 - 0.5 / AMENDMENTS as f64)
+    );
 }
 
 /// The slowest request of as long a watch without a reload: what the machine itself does to it.
@@ -155,7 +245,13 @@
 
 fn run(name: &str, size: Size, servers: &[BackendServer]) {
     let known: Vec<String> = (0..size.backends)
-        .map(|n| entry(&format!("b{n}"), servers[n % servers.len()].address, "SERVING"))
+        .map(|n| {
+            entry(
+                &format!("b{n}"),
+                servers[n % servers.len()].address,
+                "SERVING",
+            )
+        })
         .collect();
     let begun = Instant::now();
     let started = std::panic::catch_unwind(|| Proxy::with(&known, 1024, &settings(size, 1.0)));
@@ -196,16 +292,25 @@
 }
 
 fn main() {
-    let named: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
-    let servers: Vec<BackendServer> = (0..SERVERS).map(|_| BackendServer::start(|_| ok("x"))).collect();
+    let named: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| !a.starts_with("--"))
+        .collect();
+    let servers: Vec<BackendServer> = (0..SERVERS)
+        .map(|_| BackendServer::start(|_| ok("x")))
+        .collect();
     println!(
         "| state | ready, s | resident, MB | after the load | after two reloads | slowest request: no reload, ms | same file (taken after, step) | \
          one entry changed (the same) | requests a second | p50 / p99, ms | processor a request, ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let states = states(&named);
-    states.iter().for_each(|(name, size)| run(name, *size, &servers));
+    states
+        .iter()
+        .for_each(|(name, size)| run(name, *size, &servers));
     println!("\n| state | one amended entry, ms: p50 | p99 | most of {AMENDMENTS} |");
     println!("| --- | --- | --- | --- |");
-    states.iter().for_each(|(name, size)| amendments(name, *size));
+    states
+        .iter()
+        .for_each(|(name, size)| amendments(name, *size));
 }
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -33,7 +33,11 @@
 pub fn in_line(proxies: u32, within: Micros) -> Micros {
     let half = within.secs() / 2.0;
     let gap = longest(proxies).min(half);
-    let behind = if half < LINE { gap } else { (FIRST + gap) / 2.0 };
+    let behind = if half < LINE {
+        gap
+    } else {
+        (FIRST + gap) / 2.0
+    };
     Micros::from_secs((MOST - behind).clamp(CALL_PATIENCE.secs(), LINE))
 }
 
@@ -52,7 +56,11 @@
 impl Ask {
     /// Due at once, or never where lists come unasked.
     pub fn new(asked: bool) -> Ask {
-        Ask { at: asked.then_some(Time(0)), begun: Time(0), gap: 0.0 }
+        Ask {
+            at: asked.then_some(Time(0)),
+            begun: Time(0),
+            gap: 0.0,
+        }
     }
 
     /// A call failed, at one of so many proxies of which each has to ask `within` so long; `drawn` is even in 0..1.
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -137,8 +137,17 @@
     pub fn renew(&mut self, id: BackendId, back: Option<Time>) {
         let Some(at) = self.find(id) else { return };
         let p = self.record_mut(at);
-        let (entry, spent, out) = (std::mem::take(&mut p.entry), std::mem::take(&mut p.spent), p.out);
-        *p = Record { entry, spent, out, ..Record::default() };
+        let (entry, spent, out) = (
+            std::mem::take(&mut p.entry),
+            std::mem::take(&mut p.spent),
+            p.out,
+        );
+        *p = Record {
+            entry,
+            spent,
+            out,
+            ..Record::default()
+        };
         back.into_iter().for_each(|back| p.back = Some(back));
         let l = &mut self.loads[at];
         (l.ready, l.room, l.due, l.coin) = (0.0, 0.0, 0.0, 0.0);
@@ -204,7 +213,12 @@
     pub fn seat(&mut self, position: u32, proxies: u32) {
         let anew = self.seated != (position, proxies);
         self.seated = (position, proxies);
-        for (l, mark) in self.loads.iter_mut().zip(&self.marks).filter(|(l, _)| anew || l.coin == 0.0) {
+        for (l, mark) in self
+            .loads
+            .iter_mut()
+            .zip(&self.marks)
+            .filter(|(l, _)| anew || l.coin == 0.0)
+        {
             l.coin = rules::coin(*mark, position, proxies);
         }
     }
@@ -240,7 +254,11 @@
         let odd = now < l.plain_at;
         member(&mut self.odd, at as u32, l.odd, odd);
         l.odd = odd;
-        let weight = if !odd && self.fits(at, false) { self.weight(at) } else { 0.0 };
+        let weight = if !odd && self.fits(at, false) {
+            self.weight(at)
+        } else {
+            0.0
+        };
         self.weigh(at, weight);
     }
 
@@ -279,13 +297,26 @@
                 && (p.entry.kind, p.entry.zone, p.entry.mark) == (l.kind, l.zone, self.marks[at])
                 && (g.kind, self.zones[l.place as usize]) == (l.kind, l.zone)
                 && g.members[l.weigh_at as usize] == n;
-            let read = (p.out, p.silent, p.ejected.is_some(), self.offered(p), 1.0 - p.errors)
-                == (l.out, l.silent, l.ejected, l.offered, l.health)
+            let read = (
+                p.out,
+                p.silent,
+                p.ejected.is_some(),
+                self.offered(p),
+                1.0 - p.errors,
+            ) == (l.out, l.silent, l.ejected, l.offered, l.health)
                 && l.counted == rules::crowding(l)
                 && g.weights[l.weigh_at as usize]
-                    == if !l.odd && self.fits(at, false) { self.weight(at) } else { 0.0 };
+                    == if !l.odd && self.fits(at, false) {
+                        self.weight(at)
+                    } else {
+                        0.0
+                    };
             let sets = (l.out > 0, l.ejected, l.odd)
-                == (self.busy.contains(&n), self.ejected.contains(&n), self.odd.contains(&n));
+                == (
+                    self.busy.contains(&n),
+                    self.ejected.contains(&n),
+                    self.odd.contains(&n),
+                );
             placed && sets && (read || stale.contains(&n))
         });
         let counted: u64 = self.loads.iter().map(|l| u64::from(l.counted)).sum();
@@ -296,7 +327,11 @@
 
     /// Which kinds have one to draw.
     pub fn open_kinds(&self) -> impl Iterator<Item = (usize, KindId)> + '_ {
-        self.groups.iter().enumerate().filter(|(_, g)| g.open > 0).map(|(n, g)| (n, g.kind))
+        self.groups
+            .iter()
+            .enumerate()
+            .filter(|(_, g)| g.open > 0)
+            .map(|(n, g)| (n, g.kind))
     }
 
     /// One of the group's, each with its weight.
@@ -397,7 +432,9 @@
         let mut stay = vec![true; self.len()];
         out.iter().for_each(|at| stay[*at] = false);
         // By old place: the new one.
-        let before = stay.iter().scan(0, |to, stay| Some(std::mem::replace(to, *to + u32::from(*stay))));
+        let before = stay.iter().scan(0, |to, stay| {
+            Some(std::mem::replace(to, *to + u32::from(*stay)))
+        });
         let moved: Vec<u32> = before.collect();
         fn sift<T>(all: &mut Vec<T>, stay: &[bool]) {
             let mut stay = stay.iter();
@@ -410,7 +447,9 @@
         sift(&mut self.slice, &stay);
         sift(&mut self.marks, &stay);
         self.order.retain(|at| stay[*at as usize]);
-        self.order.iter_mut().for_each(|at| *at = moved[*at as usize]);
+        self.order
+            .iter_mut()
+            .for_each(|at| *at = moved[*at as usize]);
     }
 
     fn add(&mut self, fresh: Vec<Backend>) {
@@ -430,10 +469,17 @@
             self.order.push(self.ids.len() as u32);
             self.ids.push(id);
             self.marks.push(entry.mark);
-            self.loads.push(Load { kind, zone, ..Load::default() });
+            self.loads.push(Load {
+                kind,
+                zone,
+                ..Load::default()
+            });
             self.pull.push(0.0);
             self.slice.push(0.0);
-            self.records.push(Record { entry, ..Record::default() });
+            self.records.push(Record {
+                entry,
+                ..Record::default()
+            });
         }
         if !behind {
             self.sort();
@@ -444,8 +490,10 @@
     fn sort(&mut self) {
         let mut from: Vec<usize> = (0..self.len()).collect();
         from.sort_by_key(|at| self.ids[*at]);
-        let mut records: Vec<Option<Record>> =
-            std::mem::take(&mut self.records).into_iter().map(Some).collect();
+        let mut records: Vec<Option<Record>> = std::mem::take(&mut self.records)
+            .into_iter()
+            .map(Some)
+            .collect();
         self.records = from.iter().filter_map(|at| records[*at].take()).collect();
         fn sorted<T: Copy>(all: &mut Vec<T>, from: &[usize]) {
             *all = from.iter().map(|at| all[*at]).collect();
@@ -461,9 +509,18 @@
     /// Finds the groups, zones and order anew, after places changed.
     fn regroup(&mut self) {
         let (marks, ids) = (&self.marks, &self.ids);
-        self.order.sort_by_key(|at| (marks[*at as usize], ids[*at as usize]));
-        let group = |kind| Group { kind, members: Vec::new(), weights: Vec::new(), open: 0 };
-        self.groups = distinct(self.loads.iter().map(|l| l.kind)).into_iter().map(group).collect();
+        self.order
+            .sort_by_key(|at| (marks[*at as usize], ids[*at as usize]));
+        let group = |kind| Group {
+            kind,
+            members: Vec::new(),
+            weights: Vec::new(),
+            open: 0,
+        };
+        self.groups = distinct(self.loads.iter().map(|l| l.kind))
+            .into_iter()
+            .map(group)
+            .collect();
         self.zones = distinct(self.loads.iter().map(|l| l.zone));
         let (mut group, mut zone) = (0, 0);
         for (at, l) in self.loads.iter_mut().enumerate() {
