--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -86,14 +86,31 @@
 pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
     let split = |on: &dyn Fn(&(f64, f64)) -> bool| -> Vec<f64> {
         let total: f64 = kinds.iter().filter(|k| on(k)).map(|k| k.0).sum();
-        kinds.iter().map(|k| if on(k) && total > 0.0 { k.0 / total } else { 0.0 }).collect()
+        kinds
+            .iter()
+            .map(|k| {
+                if on(k) && total > 0.0 {
+                    k.0 / total
+                } else {
+                    0.0
+                }
+            })
+            .collect()
     };
-    let Some(rate) = rate else { return split(&|_| true) }; // no rate yet: by ready counts
+    let Some(rate) = rate else {
+        return split(&|_| true);
+    }; // no rate yet: by ready counts
     let mut live = kinds.to_vec();
     loop {
-        let (roots, speeds) = live.iter().fold((0.0, 0.0), |s, k| (s.0 + k.0 * k.1.sqrt(), s.1 + k.0 * k.1));
+        let (roots, speeds) = live
+            .iter()
+            .fold((0.0, 0.0), |s, k| (s.0 + k.0 * k.1.sqrt(), s.1 + k.0 * k.1));
         if rate <= speeds * 1e-6 || speeds <= 0.0 {
-            let best = live.iter().filter(|k| k.0 > 0.0).map(|k| k.1).fold(0.0, f64::max);
+            let best = live
+                .iter()
+                .filter(|k| k.0 > 0.0)
+                .map(|k| k.1)
+                .fold(0.0, f64::max);
             return split(&|k| k.1 == best); // the limit: the fastest kind takes all
         }
         let flow = |k: &(f64, f64)| k.0 * k.1 - k.0 * k.1.sqrt() * (speeds - rate) / roots;
@@ -101,7 +118,10 @@
         if flows.iter().all(|f| *f >= 0.0) {
             return flows.iter().map(|f| f / rate).collect();
         }
-        live.iter_mut().zip(&flows).filter(|(_, f)| **f <= 0.0).for_each(|(k, _)| k.0 = 0.0);
+        live.iter_mut()
+            .zip(&flows)
+            .filter(|(_, f)| **f <= 0.0)
+            .for_each(|(k, _)| k.0 = 0.0);
     }
 }
 
@@ -109,7 +129,9 @@
 /// much and keeps what it is due; its surplus goes to those due more, by their room, first inside its region,
 /// then to the room that other regions have left over. So all rooms are used exactly, and none beyond.
 fn spill(
-    due: &BTreeMap<ZoneId, f64>, own: ZoneId, regions: &BTreeMap<ZoneId, RegionId>,
+    due: &BTreeMap<ZoneId, f64>,
+    own: ZoneId,
+    regions: &BTreeMap<ZoneId, RegionId>,
 ) -> BTreeMap<ZoneId, f64> {
     let zones = due.len() as f64;
     let region = |zone: &ZoneId| regions.get(zone).copied().unwrap_or_default();
@@ -122,15 +144,29 @@
     }
     let part = |of: f64, all: f64| if all > 0.0 { (of / all).min(1.0) } else { 0.0 };
     let home = region(&own);
-    let kept = sums.get(&home).map_or(0.0, |(surplus, room)| part(*room, *surplus));
-    let outside: f64 = sums.iter().filter(|s| *s.0 != home).map(|(_, (s, r))| (r - s).max(0.0)).sum();
+    let kept = sums
+        .get(&home)
+        .map_or(0.0, |(surplus, room)| part(*room, *surplus));
+    let outside: f64 = sums
+        .iter()
+        .filter(|s| *s.0 != home)
+        .map(|(_, (s, r))| (r - s).max(0.0))
+        .sum();
     let surplus = (1.0 - due.get(&own).copied().unwrap_or(0.0) * zones).max(0.0);
     let pull = |(zone, d): (&ZoneId, &f64)| {
-        let (to, (short, room)) = (region(zone), sums.get(&region(zone)).copied().unwrap_or_default());
+        let (to, (short, room)) = (
+            region(zone),
+            sums.get(&region(zone)).copied().unwrap_or_default(),
+        );
         let share = match (*zone == own, to == home) {
             (true, _) => (d * zones).min(1.0),
             (_, true) => surplus * kept * part(over(*d), room),
-            _ => surplus * (1.0 - kept) * part((room - short).max(0.0), outside) * part(over(*d), room),
+            _ => {
+                surplus
+                    * (1.0 - kept)
+                    * part((room - short).max(0.0), outside)
+                    * part(over(*d), room)
+            }
         };
         (*zone, share)
     };
@@ -139,8 +175,9 @@
 
 /// The part of its capacity that a backend has at least.
 fn warmth(cfg: &Config, now: Time, p: &Record) -> f64 {
-    let age =
-        p.entry.booted.max(p.back).map_or(f64::MAX, |boot| (now - boot).secs() / cfg.ramp.secs().max(1e-6));
+    let age = p.entry.booted.max(p.back).map_or(f64::MAX, |boot| {
+        (now - boot).secs() / cfg.ramp.secs().max(1e-6)
+    });
     from_cold(cfg, age)
 }
 
@@ -229,7 +266,14 @@
             backends: Backends::default(),
             kinds: BTreeMap::new(),
             zones: BTreeMap::new(),
-            classes: cfg.classes.iter().map(|_| ClassState { live: true, ..Default::default() }).collect(),
+            classes: cfg
+                .classes
+                .iter()
+                .map(|_| ClassState {
+                    live: true,
+                    ..Default::default()
+                })
+                .collect(),
             free: 0,
             tight: 0,
             overall: Mean::default(),
@@ -278,13 +322,24 @@
                     (r.uploading, r.most) = (true, r.sent.len());
                 }
                 // Until it is whole the backend owes nothing, however long that takes.
-                self.attempts.get_mut(&(request, attempt)).into_iter().for_each(|a| a.2 = Time(u64::MAX));
+                self.attempts
+                    .get_mut(&(request, attempt))
+                    .into_iter()
+                    .for_each(|a| a.2 = Time(u64::MAX));
             }
-            Event::Uploaded { request, attempt, time_left } => {
-                self.attempts.get_mut(&(request, attempt)).into_iter().for_each(|a| a.2 = now);
+            Event::Uploaded {
+                request,
+                attempt,
+                time_left,
+            } => {
+                self.attempts
+                    .get_mut(&(request, attempt))
+                    .into_iter()
+                    .for_each(|a| a.2 = now);
                 if let Some(r) = self.requests.get_mut(&request) {
                     let aim = self.cfg.classes[r.class].aim.min(time_left);
-                    (r.uploading, r.came, r.aim, r.deadline) = (false, now, now + aim, now + time_left);
+                    (r.uploading, r.came, r.aim, r.deadline) =
+                        (false, now, now + aim, now + time_left);
                 }
                 self.look_at = now;
             }
@@ -301,7 +356,12 @@
             Event::Beside { processes } => {
                 self.beside = (processes.max(1), self.beside.0, now + self.cfg.fall_window);
             }
-            Event::Settings { config, retired, revived, heirs } => {
+            Event::Settings {
+                config,
+                retired,
+                revived,
+                heirs,
+            } => {
                 self.settings(now, *config, [(&retired, false), (&revived, true)], &heirs);
             }
             Event::Recall { memory, age } => self.recall(now, *memory, age),
@@ -319,23 +379,36 @@
         if self.look_at < self.timer.1 {
             self.timer = (self.timer.0 + 1, self.look_at);
             let after = (self.look_at - now).max(self.cfg.tick);
-            self.actions.push(Action::SetTimer { token: TimerToken(self.timer.0), after });
+            self.actions.push(Action::SetTimer {
+                token: TimerToken(self.timer.0),
+                after,
+            });
         }
         actions.append(&mut self.actions);
         debug_assert!(
             self.backends.len() > 200 || self.backends.sound(),
             "what is kept of the backends went astray"
         );
-        debug_assert_eq!((self.free, self.tight), self.sums(&self.numbers()), "sums of classes went astray");
+        debug_assert_eq!(
+            (self.free, self.tight),
+            self.sums(&self.numbers()),
+            "sums of classes went astray"
+        );
     }
 
     /// What was learned and outlives a second, for a later process of this proxy (see [`Memory`]).
     pub fn recollect(&self, now: Time) -> Memory {
-        let live = self.classes.iter().enumerate().filter(|(_, c)| c.live && c.latency.count > 0.0);
+        let live = self
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(_, c)| c.live && c.latency.count > 0.0);
         let backends = self.backends.records().map(|(id, p)| (id, p.memory(now)));
         Memory {
             kinds: self.kinds.iter().map(|(id, k)| (*id, k.memory())).collect(),
-            classes: live.map(|(n, c)| (ClassId(n), c.latency.sampled())).collect(),
+            classes: live
+                .map(|(n, c)| (ClassId(n), c.latency.sampled()))
+                .collect(),
             overall: self.overall.sampled(),
             backends: backends.filter(|(_, m)| *m != Default::default()).collect(),
         }
@@ -354,7 +427,13 @@
     /// The part of its capacity that each backend is good for: 0 where it drains, is out by hand or ejected.
     pub fn readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let usable = |p: &Record| self.backends.offered(p) && p.ejected.is_none();
-        let part = move |p: &Record| if usable(p) { warmth(&self.cfg, now, p) } else { 0.0 };
+        let part = move |p: &Record| {
+            if usable(p) {
+                warmth(&self.cfg, now, p)
+            } else {
+                0.0
+            }
+        };
         self.backends.records().map(move |(id, p)| (id, part(p)))
     }
 
@@ -362,24 +441,43 @@
     /// it; what the list no longer names is dropped.
     fn recall(&mut self, now: Time, memory: Memory, age: Micros) {
         let weight = 0.5f64.powf(age.secs() / RECALL_HALF_LIFE);
-        for (id, m) in memory.kinds.into_iter().filter(|(id, _)| self.backends.group(*id).is_some()) {
+        for (id, m) in memory
+            .kinds
+            .into_iter()
+            .filter(|(id, _)| self.backends.group(*id).is_some())
+        {
             // Beside the process that learned it, which goes on holding as much, a hold would count twice.
-            self.kinds.entry(id).or_default().recall(&m, weight, self.beside.0 == 1);
+            self.kinds
+                .entry(id)
+                .or_default()
+                .recall(&m, weight, self.beside.0 == 1);
         }
         // A class's work is its latency over the overall one: the two come together or not at all.
         let overall = Mean::recalled(memory.overall, weight);
         if overall.count > 0.0 {
             self.overall = overall;
             for (id, s) in memory.classes {
-                self.classes.get_mut(id.0).into_iter().for_each(|c| c.latency = Mean::recalled(s, weight));
+                self.classes
+                    .get_mut(id.0)
+                    .into_iter()
+                    .for_each(|c| c.latency = Mean::recalled(s, weight));
             }
         }
         for (id, m) in memory.backends {
-            self.backends.get_mut(id).into_iter().for_each(|p| p.recall(&m, now, age));
+            self.backends
+                .get_mut(id)
+                .into_iter()
+                .for_each(|p| p.recall(&m, now, age));
         }
         self.sum_up();
         (self.solve_at, self.look_at) = (now, now);
-        self.log(now, format!("recalled a memory {:.1} s old at weight {weight:.2}", age.secs()));
+        self.log(
+            now,
+            format!(
+                "recalled a memory {:.1} s old at weight {weight:.2}",
+                age.secs()
+            ),
+        );
     }
 
     fn members(&mut self, now: Time, update: ListUpdate, list: Vec<Backend>) {
@@ -387,7 +485,8 @@
             // Asked for again, later each time and not in step with others: discovery serves all in turn, and
             // calls that come faster than it can answer make each other fail.
             (ListUpdate::Lost, Discovery::Subscribe(within)) => {
-                self.ask.failed(now, self.cfg.proxies, within, self.dice.unit());
+                self.ask
+                    .failed(now, self.cfg.proxies, within, self.dice.unit());
                 self.log(now, "discovery lost, asking again".into());
             }
             (ListUpdate::Changes | ListUpdate::Full, _) => self.ask.answered(),
@@ -397,14 +496,22 @@
         let (cfg, window) = (&self.cfg, self.cfg.fall_window);
         let recent = |p: &Record| p.spent.last().is_some_and(|s| now - s.0 < window);
         let kept = |p: &Record| p.out > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
-        self.backends.take(matches!(update, ListUpdate::Full | ListUpdate::Cached), list, kept);
+        self.backends.take(
+            matches!(update, ListUpdate::Full | ListUpdate::Cached),
+            list,
+            kept,
+        );
         (self.solve_at, self.look_at) = (now, now);
     }
 
     /// Classes and tenants keep their numbers, so that all that is open and learned goes on. The host sees to
     /// that; a configuration that forgets a number all the same changes nothing.
     fn settings(
-        &mut self, now: Time, cfg: Checked, turned: [(&Vec<ClassId>, bool); 2], heirs: &[(ClassId, ClassId)],
+        &mut self,
+        now: Time,
+        cfg: Checked,
+        turned: [(&Vec<ClassId>, bool); 2],
+        heirs: &[(ClassId, ClassId)],
     ) {
         let (classes, tenants) = (cfg.classes.len(), cfg.tenants.len());
         if classes < self.classes.len() || tenants < self.cfg.tenants.len() {
@@ -418,13 +525,26 @@
         touched.dedup();
         let (free, tight) = self.sums(&touched);
         (self.free, self.tight) = (self.free - free, self.tight - tight);
-        self.classes.resize_with(classes, || ClassState { live: true, ..Default::default() });
+        self.classes.resize_with(classes, || ClassState {
+            live: true,
+            ..Default::default()
+        });
         for (new, old) in heirs {
             let latency = self.classes.get(old.0).map(|s| s.latency);
-            self.classes.get_mut(new.0).zip(latency).into_iter().for_each(|(s, latency)| s.latency = latency);
+            self.classes
+                .get_mut(new.0)
+                .zip(latency)
+                .into_iter()
+                .for_each(|(s, latency)| s.latency = latency);
         }
-        for (id, live) in turned.into_iter().flat_map(|(ids, live)| ids.iter().map(move |id| (id, live))) {
-            self.classes.get_mut(id.0).into_iter().for_each(|s| s.live = live);
+        for (id, live) in turned
+            .into_iter()
+            .flat_map(|(ids, live)| ids.iter().map(move |id| (id, live)))
+        {
+            self.classes
+                .get_mut(id.0)
+                .into_iter()
+                .for_each(|s| s.live = live);
         }
         if (cfg.ramp, cfg.fall_window) != (self.cfg.ramp, self.cfg.fall_window) {
             self.backends.retune();
@@ -437,7 +557,9 @@
     /// How many of these classes, as far as in use, may be repeated at will, and how many are tight: kept of
     /// all together, so that no request has to go through them.
     fn sums<'a>(&self, classes: impl IntoIterator<Item = &'a usize>) -> (usize, usize) {
-        let live = classes.into_iter().filter(|n| self.classes.get(**n).is_some_and(|s| s.live));
+        let live = classes
+            .into_iter()
+            .filter(|n| self.classes.get(**n).is_some_and(|s| s.live));
         live.fold((0, 0), |(free, tight), n| {
             let repeats = self.cfg.classes[*n].effect == Effect::Free;
             // One that never had an answer is taken for quick.
@@ -456,7 +578,9 @@
     }
 
     fn request(&mut self, now: Time, new: Arrival) {
-        let Some(c) = self.cfg.classes.get(new.class.0) else { return };
+        let Some(c) = self.cfg.classes.get(new.class.0) else {
+            return;
+        };
         if self.requests.contains_key(&new.request) {
             return;
         }
@@ -466,17 +590,24 @@
             self.firsts.add(now, 1.0);
         }
         let busy = self.busy();
-        let tenant = new.tenant.and_then(|t| Some((t, self.cfg.tenants.get(t.0)?)));
+        let tenant = new
+            .tenant
+            .and_then(|t| Some((t, self.cfg.tenants.get(t.0)?)));
         // More traffic than others get is more of each quota; a repeat belongs to its first try, which took
         // its part.
         let part = |t: &Tenant| t.quota_per_s / f64::from(self.cfg.proxies) * busy;
-        let over_quota = !new.repeat && tenant.is_some_and(|(id, t)| !self.buckets.take(id, now, part(t)));
+        let over_quota =
+            !new.repeat && tenant.is_some_and(|(id, t)| !self.buckets.take(id, now, part(t)));
         let aim = c.aim.0 + new.work_hint.unwrap_or_default().times(c.aim_stretch).0;
         let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
         // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
         // and serving it before a new request would make both late, all through a storm of repeats.
         let again = if new.repeat { c.late_worth } else { 1.0 };
-        let quota = if over_quota { self.cfg.over_quota_worth } else { 1.0 };
+        let quota = if over_quota {
+            self.cfg.over_quota_worth
+        } else {
+            1.0
+        };
         let value = again * quota;
         if !new.repeat {
             self.classes[new.class.0].asked += c.worth * quota;
@@ -486,7 +617,17 @@
         let most = self.cfg.max_attempts as usize;
         self.requests.insert(
             new.request,
-            Request { class, came, aim, deadline, value, streaming, uploading, most, sent },
+            Request {
+                class,
+                came,
+                aim,
+                deadline,
+                value,
+                streaming,
+                uploading,
+                most,
+                sent,
+            },
         );
         self.held.push(new.request);
     }
@@ -494,37 +635,68 @@
     /// The first bytes of a long answer: from here on the client's pace holds it up, so what there is to
     /// learn is learned now, and its backend has room again.
     fn stream_started(&mut self, now: Time, request: RequestId, attempt: AttemptNo) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
-        let Some(s) = r.sent.get_mut(attempt.0 as usize).filter(|s| s.out && !s.begun) else { return };
+        let Some(r) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let Some(s) = r
+            .sent
+            .get_mut(attempt.0 as usize)
+            .filter(|s| s.out && !s.begun)
+        else {
+            return;
+        };
         (s.begun, r.streaming, r.uploading) = (true, true, false);
-        let part = if now <= r.aim { 1.0 } else { self.cfg.classes[r.class].late_worth };
+        let part = if now <= r.aim {
+            1.0
+        } else {
+            self.cfg.classes[r.class].late_worth
+        };
         self.classes[r.class].earned += self.cfg.classes[r.class].worth * r.value * part;
-        let Some(&(backend, class, sent)) = self.attempts.get(&(request, attempt)) else { return };
+        let Some(&(backend, class, sent)) = self.attempts.get(&(request, attempt)) else {
+            return;
+        };
         let (outcome, latency) = (Outcome::Ok, now - sent);
         self.learn(
             now,
             backend,
             class,
             sent,
-            &AttemptEnd { request, attempt, outcome, latency, settled: true },
+            &AttemptEnd {
+                request,
+                attempt,
+                outcome,
+                latency,
+                settled: true,
+            },
         );
     }
 
     fn ended(&mut self, now: Time, end: AttemptEnd) {
         let id = end.request;
-        let Some((backend, class, sent)) = self.attempts.remove(&(id, end.attempt)) else { return };
-        let sent_as = self.requests.get(&id).and_then(|r| r.sent.get(end.attempt.0 as usize));
+        let Some((backend, class, sent)) = self.attempts.remove(&(id, end.attempt)) else {
+            return;
+        };
+        let sent_as = self
+            .requests
+            .get(&id)
+            .and_then(|r| r.sent.get(end.attempt.0 as usize));
         let begun = sent_as.is_some_and(|s| s.begun);
         if begun && matches!(end.outcome, Outcome::Error | Outcome::Reset) {
             // It was counted as served with its first bytes, and gave more until now: the break comes on top.
             let peer = self.backends.get_mut(backend);
-            peer.into_iter().for_each(|p| (p.out, p.answered) = (p.out + 1, now));
+            peer.into_iter()
+                .for_each(|p| (p.out, p.answered) = (p.out + 1, now));
         }
         if !begun || matches!(end.outcome, Outcome::Error | Outcome::Reset) {
             self.learn(now, backend, class, sent, &end);
         }
-        let gone = self.backends.get(backend).is_none_or(|p| !self.backends.offered(p));
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let gone = self
+            .backends
+            .get(backend)
+            .is_none_or(|p| !self.backends.offered(p));
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
             (s.out, s.never_ran) = (false, end.outcome.never_ran());
             s.withheld = gone && end.outcome == Outcome::NeverSent;
@@ -546,13 +718,22 @@
 
     /// What an outcome says of the backend, its kind and its class.
     fn learn(&mut self, now: Time, id: BackendId, class: usize, sent: Time, end: &AttemptEnd) {
-        if matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed) {
-            self.errors.add(f64::from(end.outcome != Outcome::Ok), KIND_SAMPLES);
+        if matches!(
+            end.outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
+        ) {
+            self.errors
+                .add(f64::from(end.outcome != Outcome::Ok), KIND_SAMPLES);
         }
-        let (limit, alive) = (ERROR_LIMIT + STAND_OUT * self.errors.value, self.usual(class).times(ALIVE));
+        let (limit, alive) = (
+            ERROR_LIMIT + STAND_OUT * self.errors.value,
+            self.usual(class).times(ALIVE),
+        );
         let long = end.latency > self.usual(class).times(SILENT_AFTER);
         let was_tight = !self.quick(class);
-        let Some(p) = self.backends.get_mut(id) else { return };
+        let Some(p) = self.backends.get_mut(id) else {
+            return;
+        };
         // A zone that is cut off may answer some: what it leaves unanswered counts for the zone as a whole.
         let unanswered = match end.outcome {
             Outcome::Ok => Some(0.0),
@@ -561,8 +742,13 @@
             _ => None,
         };
         let zone = unanswered.filter(|_| self.cfg.locality.is_some());
-        zone.into_iter()
-            .for_each(|f| self.zones.entry(p.entry.zone).or_default().fails.add(f, QUICK_SAMPLES));
+        zone.into_iter().for_each(|f| {
+            self.zones
+                .entry(p.entry.zone)
+                .or_default()
+                .fails
+                .add(f, QUICK_SAMPLES)
+        });
         p.out = p.out.saturating_sub(1);
         match end.outcome {
             Outcome::Ok => {
@@ -582,7 +768,10 @@
                     p.strikes = 0;
                 } else if p.trials >= TRIALS {
                     (p.ejected, p.hearsay, p.errors) = (None, None, 0.0);
-                    self.actions.push(Action::Tell { backend: id, verdict: Verdict::Back });
+                    self.actions.push(Action::Tell {
+                        backend: id,
+                        verdict: Verdict::Back,
+                    });
                     self.log(now, format!("backend {} is back", id.0));
                 } else if p.hearsay.is_some_and(|since| sent <= since) {
                     // It answers what it was sent before the others' word came: they are cut off from it.
@@ -616,7 +805,9 @@
 
     fn eject(&mut self, now: Time, id: BackendId, why: Outcome) {
         let term = EJECT_TERM * (0.75 + 0.5 * self.dice.unit());
-        let Some(p) = self.backends.get_mut(id) else { return };
+        let Some(p) = self.backends.get_mut(id) else {
+            return;
+        };
         p.failed = now;
         if p.ejected.is_none_or(|until| now >= until) {
             let term = Micros::from_secs(term * f64::from(p.strikes.min(2)).exp2());
@@ -624,7 +815,10 @@
             (p.strikes, p.trials) = (p.strikes + 1, 0);
             let strikes = p.strikes.clamp(0, 255) as u8;
             self.backends.rest(id);
-            self.actions.push(Action::Tell { backend: id, verdict: Verdict::Out { term, strikes } });
+            self.actions.push(Action::Tell {
+                backend: id,
+                verdict: Verdict::Out { term, strikes },
+            });
             self.look_at = now;
             self.log(now, format!("backend {} ejected: {why:?}", id.0));
         }
@@ -635,8 +829,11 @@
     /// first term later, so that one's word reaches the others first, and no broken link holds it for long.
     fn heard(&mut self, now: Time, word: &Heard) {
         let (born, id) = (now - word.age, word.backend);
-        let Some(p) = self.backends.get_mut(id).filter(|_| word.age <= word.bound) else { return };
-        p.heard.retain(|h| Some(h.0) != word.origin && now - h.1 <= word.bound);
+        let Some(p) = self.backends.get_mut(id).filter(|_| word.age <= word.bound) else {
+            return;
+        };
+        p.heard
+            .retain(|h| Some(h.0) != word.origin && now - h.1 <= word.bound);
         let Verdict::Out { term, strikes } = word.verdict else {
             if p.ejected.is_some() && born > p.failed {
                 (p.ejected, p.hearsay, p.errors, p.strikes) = (None, None, 0.0, 0);
@@ -661,7 +858,10 @@
             (p.trials, self.look_at) = (0, now);
             let words = p.heard.len();
             self.backends.rest(id);
-            self.log(now, format!("backend {} ejected on the word of {words} peers", id.0));
+            self.log(
+                now,
+                format!("backend {} ejected on the word of {words} peers", id.0),
+            );
         }
     }
 
@@ -678,22 +878,45 @@
         for &(backend, class, sent) in self.attempts.values() {
             let quiet = sent + self.usual(class).times(SILENT_AFTER); // far off for what is still uploaded
             next = if quiet > now { next.min(quiet) } else { next };
-            if now >= quiet && self.backends.get(backend).is_some_and(|p| p.answered <= sent) {
+            if now >= quiet
+                && self
+                    .backends
+                    .get(backend)
+                    .is_some_and(|p| p.answered <= sent)
+            {
                 silent.push(backend);
             }
         }
         self.backends.set_silent(silent);
         let mut over = Vec::new();
-        for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming && !r.uploading) {
+        for (&id, r) in self
+            .requests
+            .iter()
+            .filter(|(_, r)| !r.streaming && !r.uploading)
+        {
             let usual = self.usual(r.class);
             let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !r.sent.is_empty();
             let last_start = if late_pays { r.deadline } else { r.aim };
-            let lost = |s: &Sent| s.out && self.backends.get(s.to.id).is_none_or(|p| p.ejected.is_some());
+            let lost = |s: &Sent| {
+                s.out
+                    && self
+                        .backends
+                        .get(s.to.id)
+                        .is_none_or(|p| p.ejected.is_some())
+            };
             let lost = matches!(&r.sent[..], [only] if lost(only));
             // The deadline's own tick would be too late to answer; a request that was held so long
             // that it cannot make it is refused while that is still harmless.
-            let last_start = if r.out() { r.deadline } else { last_start.min(r.deadline) };
-            let margin = if r.out() { self.cfg.tick } else { usual.max(self.cfg.tick) };
+            let last_start = if r.out() {
+                r.deadline
+            } else {
+                last_start.min(r.deadline)
+            };
+            let margin = if r.out() {
+                self.cfg.tick
+            } else {
+                usual.max(self.cfg.tick)
+            };
             if now + margin >= last_start {
                 over.push(id);
             } else if lost && now + usual < r.aim && self.extra >= 1.0 {
@@ -704,7 +927,10 @@
                     }
                 } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
                     // Where no copy may run beside it, the first is called back to make way for the next.
-                    self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(0) });
+                    self.actions.push(Action::Cancel {
+                        request: id,
+                        attempt: AttemptNo(0),
+                    });
                 }
             }
             next = next.min(last_start - margin);
@@ -726,12 +952,19 @@
 
     /// The classes that the settings hold, with their numbers.
     fn live(&self) -> impl Iterator<Item = (usize, &Class)> {
-        self.cfg.classes.iter().enumerate().filter(|(n, _)| self.classes[*n].live)
+        self.cfg
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| self.classes[*n].live)
     }
 
     /// A class's work beside the mean, so far as latency tells it.
     fn work(&self, class: usize) -> f64 {
-        self.classes[class].latency.get().map_or(1.0, |own| own / self.overall.value)
+        self.classes[class]
+            .latency
+            .get()
+            .map_or(1.0, |own| own / self.overall.value)
     }
 
     /// Readiness of every backend, speed and share of every kind.
@@ -750,7 +983,11 @@
             k.served.add(now, 0.0);
         });
         let zones = self.zones(now);
-        let zones = self.backends.zones.iter().map(|z| zones.get(z).copied().unwrap_or(1.0));
+        let zones = self
+            .backends
+            .zones
+            .iter()
+            .map(|z| zones.get(z).copied().unwrap_or(1.0));
         let (zones, warm): (Vec<f64>, f64) = (zones.collect(), from_cold(&self.cfg, 1.0));
         let ill = f64::from(f64::from(out) > f64::from(all) * PANIC);
         let mut ready = vec![0.0; self.backends.groups.len()];
@@ -760,7 +997,11 @@
                 true => ill,
                 false => l.health,
             };
-            let warmth = if now >= l.warm_at { warm } else { warmth(&self.cfg, now, p) };
+            let warmth = if now >= l.warm_at {
+                warm
+            } else {
+                warmth(&self.cfg, now, p)
+            };
             l.ready = zones[l.place as usize] * health * warmth;
             ready[l.group as usize] += l.ready;
         }
@@ -770,16 +1011,30 @@
         self.rate.add(now, 0.0);
         let rate = self.rate.per_s().map(|r| r * proxies);
         for k in self.kinds.values_mut() {
-            let flow = if k.ready > 0.0 { rate.unwrap_or(0.0) * k.share / k.ready } else { 0.0 };
+            let flow = if k.ready > 0.0 {
+                rate.unwrap_or(0.0) * k.share / k.ready
+            } else {
+                0.0
+            };
             k.speed = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
         }
-        let speeds = self.kinds.values().filter(|k| k.speed > 0.0).map(|k| k.speed);
+        let speeds = self
+            .kinds
+            .values()
+            .filter(|k| k.speed > 0.0)
+            .map(|k| k.speed);
         let (sum, count) = speeds.fold((0.0, 0.0), |n, s| (n.0 + s, n.1 + 1.0));
         let mean = if count > 0.0 { sum / count } else { 1.0 }; // kinds without data: as fast as the others
-        self.kinds.values_mut().filter(|k| k.speed == 0.0).for_each(|k| k.speed = mean);
+        self.kinds
+            .values_mut()
+            .filter(|k| k.speed == 0.0)
+            .for_each(|k| k.speed = mean);
         let table: Vec<(f64, f64)> = self.kinds.values().map(|k| (k.ready, k.speed)).collect();
         let shares = halb_shares(&table, rate.filter(|_| count > 0.0));
-        self.kinds.values_mut().zip(shares).for_each(|(k, share)| k.share = share);
+        self.kinds
+            .values_mut()
+            .zip(shares)
+            .for_each(|(k, share)| k.share = share);
         self.allot();
         self.backends.reckon_all(now);
     }
@@ -795,9 +1050,15 @@
         }
         for (kind, k) in &mut self.kinds {
             k.hold = k.hold.max(HOLD);
-            let Some(quick) = k.quick.get().filter(|_| k.quick.count >= QUICK_SAMPLES) else { continue };
+            let Some(quick) = k.quick.get().filter(|_| k.quick.count >= QUICK_SAMPLES) else {
+                continue;
+            };
             let (out, room) = self.backends.group(*kind).map_or((0.0, 0.0), |g| crowds[g]);
-            k.alone = if k.alone > 0.0 { quick.min(k.alone * (1.0 + FORGET * gap)) } else { quick };
+            k.alone = if k.alone > 0.0 {
+                quick.min(k.alone * (1.0 + FORGET * gap))
+            } else {
+                quick
+            };
             if out < room * 0.8 {
                 continue; // not the hold's doing
             }
@@ -816,7 +1077,9 @@
     fn allot(&mut self) {
         let (proxies, backends) = (f64::from(self.cfg.proxies), &mut self.backends);
         let kind = |g: &Group| {
-            self.kinds.get(&g.kind).map_or((0.0, 1e-9, HOLD), |k| (k.share, k.ready.max(1e-9), k.hold))
+            self.kinds
+                .get(&g.kind)
+                .map_or((0.0, 1e-9, HOLD), |k| (k.share, k.ready.max(1e-9), k.hold))
         };
         let kinds: Vec<(f64, f64, f64)> = backends.groups.iter().map(kind).collect();
         let part = |l: &Load| kinds[l.group as usize].0 * l.ready / kinds[l.group as usize].1;
@@ -825,7 +1088,11 @@
         for l in backends.loads.iter().filter(|l| l.ready > 0.0) {
             *sums[l.place as usize].get_or_insert(0.0) += part(l);
         }
-        let due = backends.zones.iter().zip(&sums).filter_map(|(z, due)| Some((*z, (*due)?)));
+        let due = backends
+            .zones
+            .iter()
+            .zip(&sums)
+            .filter_map(|(z, due)| Some((*z, (*due)?)));
         let due: BTreeMap<ZoneId, f64> = due.collect();
         let zones = due.len() as f64;
         // With fewer proxies than zones some zone has none, and nobody is told which: whatever stays near
@@ -863,7 +1130,8 @@
         }
         // This proxy's slice of each kind: the same width for all, begun at evenly spread places, so that all
         // slices together cover every backend by its pull.
-        let width = (SHARED_BY / proxies * backends.len() as f64 / f64::from(reached.max(1))).min(1.0);
+        let width =
+            (SHARED_BY / proxies * backends.len() as f64 / f64::from(reached.max(1))).min(1.0);
         let start = (f64::from(self.cfg.position) * 0.618_033_988_749_895).fract();
         let mut walked = vec![(0.0, 0.0); kinds.len()];
         for &at in &backends.order {
@@ -875,14 +1143,20 @@
             let inside = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
             let slice = inside(start) + inside(start - 1.0);
             backends.slice[at] = slice;
-            l.due = if slice > 0.0 { slice / ((to - from) * width * proxies).max(1e-9) } else { 0.0 };
+            l.due = if slice > 0.0 {
+                slice / ((to - from) * width * proxies).max(1e-9)
+            } else {
+                0.0
+            };
         }
     }
 
     /// Each zone's factor on its backends' readiness: none while it is left, a ramp while it returns. Where
     /// every zone would be left, none is: some backends may still serve.
     fn zones(&mut self, now: Time) -> BTreeMap<ZoneId, f64> {
-        let (Some(rules), mut factors) = (self.cfg.locality, BTreeMap::new()) else { return BTreeMap::new() };
+        let (Some(rules), mut factors) = (self.cfg.locality, BTreeMap::new()) else {
+            return BTreeMap::new();
+        };
         let mut counts = vec![(0.0, 0.0); self.backends.zones.len()];
         for l in self.backends.loads.iter().filter(|l| l.offered) {
             let c = &mut counts[l.place as usize];
@@ -894,10 +1168,13 @@
             z.lefts.retain(|at| now - *at < Micros::from_secs(60.0));
             let again = f64::from(1u32 << z.lefts.len().clamp(1, 6)) / 2.0; // doubles with each time
             let ramp = rules.ramp.times(again);
-            let failing = z.fails.count >= QUICK_SAMPLES / 2.0 && z.fails.value >= rules.leave_share;
+            let failing =
+                z.fails.count >= QUICK_SAMPLES / 2.0 && z.fails.value >= rules.leave_share;
             let bad = failing || out / all >= rules.leave_share;
             z.bad = z.bad.filter(|_| bad).or(bad.then_some(now));
-            let lasted = z.bad.is_some_and(|since| (now - since).secs() >= LEAVE_AFTER);
+            let lasted = z
+                .bad
+                .is_some_and(|since| (now - since).secs() >= LEAVE_AFTER);
             let term = Micros::from_secs(EJECT_TERM * again);
             let rested = z.lefts.last().is_none_or(|at| now - *at >= term);
             let said = match (z.left, out / all) {
@@ -905,7 +1182,10 @@
                     let lost = z.fails.value * 100.0;
                     (z.left, z.since, z.fails) = (true, None, Mean::default());
                     z.lefts.push(now);
-                    Some(format!("zone {} left: {out} of {all} out, {lost:.0}% unanswered", id.0))
+                    Some(format!(
+                        "zone {} left: {out} of {all} out, {lost:.0}% unanswered",
+                        id.0
+                    ))
                 }
                 (true, part) if part < rules.leave_share / 2.0 && rested => {
                     (z.left, z.since) = (false, Some(now));
@@ -918,8 +1198,17 @@
                 _ => None,
             };
             self.actions.extend(said.map(Action::Log));
-            let age = z.since.map_or(1.0, |since| (now - since).secs() / ramp.secs().max(1e-6));
-            factors.insert(id, if z.left { 0.0 } else { from_cold(&self.cfg, age) });
+            let age = z
+                .since
+                .map_or(1.0, |since| (now - since).secs() / ramp.secs().max(1e-6));
+            factors.insert(
+                id,
+                if z.left {
+                    0.0
+                } else {
+                    from_cold(&self.cfg, age)
+                },
+            );
         }
         if factors.values().all(|f| *f == 0.0) {
             factors.values_mut().for_each(|f| *f = 1.0);
@@ -935,12 +1224,25 @@
         if warmth >= 1.0 {
             return f64::MAX;
         }
-        let speed = *sure.entry(p.entry.kind).or_insert_with(|| self.sure(p.entry.kind));
-        let spent: f64 = p.spent.iter().filter(|s| now - s.0 < self.cfg.fall_window).map(|s| s.1).sum();
+        let speed = *sure
+            .entry(p.entry.kind)
+            .or_insert_with(|| self.sure(p.entry.kind));
+        let spent: f64 = p
+            .spent
+            .iter()
+            .filter(|s| now - s.0 < self.cfg.fall_window)
+            .map(|s| s.1)
+            .sum();
         let all = self.cfg.fall_multiple * warmth * speed * self.cfg.fall_window.secs();
-        let before = if now < self.beside.2 { self.beside.1 } else { 1 };
+        let before = if now < self.beside.2 {
+            self.beside.1
+        } else {
+            1
+        };
         // What a process before this one had sent weighs still, and falls out of the window evenly.
-        let own = self.born.map_or(0.0, |born| (now - born).secs() / self.cfg.fall_window.secs().max(1e-6));
+        let own = self.born.map_or(0.0, |born| {
+            (now - born).secs() / self.cfg.fall_window.secs().max(1e-6)
+        });
         // One request of all proxies together is chance, however little that is. Else a process that begins
         // among cold backends alone would refuse its first ones.
         let all = (all * FALL_MARGIN * own.min(1.0)).max(1.0);
@@ -961,7 +1263,11 @@
         self.kinds.get(&kind).and_then(known).unwrap_or_else(|| {
             // Nothing answered: as the slowest that did, or else one core at what is taken for usual.
             let slowest = self.kinds.values().filter_map(known).reduce(f64::min);
-            let least = self.live().map(|(n, _)| self.usual(n)).min().unwrap_or_default();
+            let least = self
+                .live()
+                .map(|(n, _)| self.usual(n))
+                .min()
+                .unwrap_or_default();
             let fair = self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
             fair.min(slowest.unwrap_or(1.0 / least.secs()))
         })
@@ -983,13 +1289,15 @@
         let (work, low) = (self.work(r.class), r.value < LOW);
         self.backends.settle(now, &self.cfg);
         let mut sure = BTreeMap::new();
-        let mut cold =
-            |at: usize| self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].coin);
+        let mut cold = |at: usize| {
+            self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].coin)
+        };
         if r.sent.is_empty() && (effect == Effect::Free || self.free == 0) {
             // Its term is over: one request at a time that may fail without harm tries it.
             let mut tries = |at: usize| {
                 let (p, l) = (self.backends.record(at), &self.backends.loads[at]);
-                let over = p.ejected.is_some_and(|until| now >= until) && l.ready == 0.0 && p.out == 0;
+                let over =
+                    p.ejected.is_some_and(|until| now >= until) && l.ready == 0.0 && p.out == 0;
                 over && l.offered && !p.silent && now >= p.full_until && !cold(at)
             };
             if let Some(at) = self.backends.ejected.iter().find(|at| tries(**at as usize)) {
@@ -1000,25 +1308,43 @@
         // more of any request has its weight; the rest is as time, its worth and its past attempts say.
         let mut weights: Vec<(usize, f64)> = Vec::new();
         for at in self.backends.odd.iter().map(|at| *at as usize) {
-            let may = now >= self.backends.record(at).full_until && self.backends.fits(at, low) && !cold(at);
+            let may = now >= self.backends.record(at).full_until
+                && self.backends.fits(at, low)
+                && !cold(at);
             weights.push((at, if may { self.backends.weight(at) } else { 0.0 }));
         }
         if low {
             let busy = self.backends.busy.iter().map(|at| *at as usize);
-            weights.extend(busy.filter(|at| !self.backends.fits(*at, true)).map(|at| (at, 0.0)));
+            weights.extend(
+                busy.filter(|at| !self.backends.fits(*at, true))
+                    .map(|at| (at, 0.0)),
+            );
         }
-        weights.extend(r.sent.iter().filter_map(|s| Some((self.backends.find(s.to.id)?, 0.0))));
+        weights.extend(
+            r.sent
+                .iter()
+                .filter_map(|s| Some((self.backends.find(s.to.id)?, 0.0))),
+        );
         // A repeat outside the scope that knows the key would run twice.
         let knows = |s: &Sent, p: &Record| match effect {
             Effect::Keyed(KeyScope::Zone, _) => s.to.zone == p.entry.zone,
             Effect::Keyed(KeyScope::Cell, _) => s.to.cell == p.entry.cell,
             _ => true,
         };
-        for s in r.sent.iter().filter(|s| !s.never_ran && matches!(effect, Effect::Keyed(..))) {
+        for s in r
+            .sent
+            .iter()
+            .filter(|s| !s.never_ran && matches!(effect, Effect::Keyed(..)))
+        {
             let all = self.backends.records().enumerate();
-            weights.extend(all.filter(|(_, (_, p))| !knows(s, p)).map(|(at, _)| (at, 0.0)));
+            weights.extend(
+                all.filter(|(_, (_, p))| !knows(s, p))
+                    .map(|(at, _)| (at, 0.0)),
+            );
         }
-        weights.into_iter().for_each(|(at, weight)| self.backends.weigh_once(at, weight));
+        weights
+            .into_iter()
+            .for_each(|(at, weight)| self.backends.weigh_once(at, weight));
         let pull = |(group, kind)| Some((group, self.kinds.get(&kind)?.pull));
         let kinds: Vec<(usize, f64)> = self.backends.open_kinds().filter_map(pull).collect();
         let kind = self.dice.pick(&kinds)?;
@@ -1029,7 +1355,10 @@
     /// What the fleet is meant to carry, the quotas' sum, is the one figure on all of it that it is told.
     fn busy(&self) -> f64 {
         let even = self.cfg.quota_sum() / f64::from(self.cfg.proxies);
-        self.firsts.per_s().filter(|_| even > 0.0).map_or(1.0, |here| (here / even).max(1.0))
+        self.firsts
+            .per_s()
+            .filter(|_| even > 0.0)
+            .map_or(1.0, |here| (here / even).max(1.0))
     }
 
     /// Whether all proxies together hold too much for one more: with load / (1 - load) held, twice the hold
@@ -1063,15 +1392,21 @@
     /// What is asked of all classes, and how well the worst-served one fares.
     fn fared(&self) -> (f64, f64) {
         let live = || self.classes.iter().filter(|c| c.live);
-        (live().map(|c| c.asked).sum(), live().map(ClassState::served).fold(f64::MAX, f64::min))
+        (
+            live().map(|c| c.asked).sum(),
+            live().map(ClassState::served).fold(f64::MAX, f64::min),
+        )
     }
 
     /// What one more served request of the class adds to the operator's goal: its worth to the whole and, for
     /// the class that was served worst so far, its worth to that class's own part.
     fn gain(&self, class: usize, (all, worst): (f64, f64)) -> f64 {
         let (c, s) = (&self.cfg.classes[class], &self.classes[class]);
-        let own =
-            if s.live && s.served() <= worst { self.cfg.goal_worst_class / s.asked.max(1e-9) } else { 0.0 };
+        let own = if s.live && s.served() <= worst {
+            self.cfg.goal_worst_class / s.asked.max(1e-9)
+        } else {
+            0.0
+        };
         c.worth * (self.cfg.goal_whole / all.max(1e-9) + own)
     }
 
@@ -1081,7 +1416,11 @@
             return;
         }
         // One alone stands first, whatever its worth.
-        let fared = if self.held.len() > 1 { self.fared() } else { (1.0, 1.0) };
+        let fared = if self.held.len() > 1 {
+            self.fared()
+        } else {
+            (1.0, 1.0)
+        };
         let mut line: Vec<(f64, Time, RequestId, f64)> = Vec::new();
         for id in std::mem::take(&mut self.held) {
             if let Some(r) = self.requests.get(&id) {
@@ -1096,7 +1435,9 @@
                 self.held.push(id); // nothing less urgent finds room either, and trying each costs CPU
                 continue;
             }
-            let Some(mut r) = self.requests.remove(&id) else { continue };
+            let Some(mut r) = self.requests.remove(&id) else {
+                continue;
+            };
             let (again, work) = (!r.sent.is_empty(), self.work(r.class));
             let extra = r.sent.last().is_some_and(|s| !s.withheld);
             let refused = !again && (self.crowded(r.value) || self.hopeless(now, &r));
@@ -1110,7 +1451,10 @@
                 p.spent.retain(|s| now - s.0 < self.cfg.fall_window);
                 p.spent.push((now, work));
                 self.attempts.insert((id, no), (backend, r.class, now));
-                self.actions.push(Action::Dispatch { request: id, backend });
+                self.actions.push(Action::Dispatch {
+                    request: id,
+                    backend,
+                });
                 let quiet = now + self.usual(r.class).times(SILENT_AFTER);
                 self.look_at = self.look_at.min(quiet).min(r.deadline - self.cfg.tick);
             } else if sendable {
@@ -1127,22 +1471,47 @@
 
     /// Final answer for a request that will not be served.
     fn give_up(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
-        let free = matches!(self.cfg.classes[r.class].effect, Effect::Free | Effect::Keyed(KeyScope::All, _));
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
+        let free = matches!(
+            self.cfg.classes[r.class].effect,
+            Effect::Free | Effect::Keyed(KeyScope::All, _)
+        );
         let harmless = free || r.sent.iter().all(|s| s.never_ran);
         // By then what is out now has made room, or an ejected backend is tried again.
         let ready = self.kinds.values().any(|k| k.ready > 0.0);
-        let retry_after = if ready { self.usual(r.class).times(2.0) } else { Micros::from_secs(EJECT_TERM) };
-        let (refused, failed) = (Action::Refuse { request: id, retry_after }, Action::Fail { request: id });
+        let retry_after = if ready {
+            self.usual(r.class).times(2.0)
+        } else {
+            Micros::from_secs(EJECT_TERM)
+        };
+        let (refused, failed) = (
+            Action::Refuse {
+                request: id,
+                retry_after,
+            },
+            Action::Fail { request: id },
+        );
         self.actions.push(if harmless { refused } else { failed });
         self.close(id);
     }
 
     fn close(&mut self, id: RequestId) {
-        let Some(r) = self.requests.remove(&id) else { return };
+        let Some(r) = self.requests.remove(&id) else {
+            return;
+        };
         self.held.retain(|h| *h != id);
-        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.cancel) {
-            self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(no as u32) });
+        for (no, _) in r
+            .sent
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| s.out && self.cfg.cancel)
+        {
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt: AttemptNo(no as u32),
+            });
         }
     }
 
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -26,7 +26,11 @@
             left -= w.1;
             left < 0.0
         };
-        weighted.iter().find(&mut hit).or(weighted.last()).map(|w| w.0)
+        weighted
+            .iter()
+            .find(&mut hit)
+            .or(weighted.last())
+            .map(|w| w.0)
     }
 
     /// The same over places with a weight each: what weighs nothing is none of the items, and adds nothing.
@@ -36,7 +40,10 @@
             left -= w;
             left < 0.0
         };
-        weights.iter().position(&mut hit).or_else(|| weights.iter().rposition(|w| *w > 0.0))
+        weights
+            .iter()
+            .position(&mut hit)
+            .or_else(|| weights.iter().rposition(|w| *w > 0.0))
     }
 }
 
@@ -58,7 +65,10 @@
     }
 
     pub fn sampled(&self) -> Sampled {
-        Sampled { value: self.value, count: self.count }
+        Sampled {
+            value: self.value,
+            count: self.count,
+        }
     }
 
     /// A kept mean whose samples count `weight` each; none where the numbers make no sense, as they come from outside.
@@ -66,7 +76,10 @@
         let count = kept.count * weight;
         let sound = kept.value > 0.0 && kept.value.is_finite() && count > 0.0 && count.is_finite();
         if sound {
-            Mean { value: kept.value, count }
+            Mean {
+                value: kept.value,
+                count,
+            }
         } else {
             Mean::default()
         }
@@ -76,12 +89,20 @@
 impl Kind {
     pub fn memory(&self) -> KindMemory {
         let (latency, quick) = (self.latency.sampled(), self.quick.sampled());
-        KindMemory { latency, quick, alone: self.alone, hold: self.hold }
+        KindMemory {
+            latency,
+            quick,
+            alone: self.alone,
+            hold: self.hold,
+        }
     }
 
     /// Takes a memory whose samples count `weight` each, with the hold or without it.
     pub fn recall(&mut self, m: &KindMemory, weight: f64, hold: bool) {
-        (self.latency, self.quick) = (Mean::recalled(m.latency, weight), Mean::recalled(m.quick, weight));
+        (self.latency, self.quick) = (
+            Mean::recalled(m.latency, weight),
+            Mean::recalled(m.quick, weight),
+        );
         if hold && m.alone > 0.0 && m.alone.is_finite() && m.hold > 0.0 && m.hold.is_finite() {
             (self.alone, self.hold) = (m.alone, m.hold);
         }
@@ -92,14 +113,22 @@
     /// What outlives a second, with spans counted back from `now`.
     pub fn memory(&self, now: Time) -> BackendMemory {
         let ejected_for = self.ejected.map(|until| until - now);
-        BackendMemory { ejected_for, strikes: self.strikes, back_ago: self.back.map(|back| now - back) }
+        BackendMemory {
+            ejected_for,
+            strikes: self.strikes,
+            back_ago: self.back.map(|back| now - back),
+        }
     }
 
     /// Takes a memory `age` old. A term that ran out meanwhile leaves it to its trials, as at the end of any term.
     pub fn recall(&mut self, m: &BackendMemory, now: Time, age: Micros) {
-        self.ejected = m.ejected_for.map(|left| now + Micros(left.0.saturating_sub(age.0)));
+        self.ejected = m
+            .ejected_for
+            .map(|left| now + Micros(left.0.saturating_sub(age.0)));
         self.strikes = m.strikes;
-        self.back = m.back_ago.map(|ago| now - Micros(ago.0.saturating_add(age.0)));
+        self.back = m
+            .back_ago
+            .map(|ago| now - Micros(ago.0.saturating_add(age.0)));
     }
 }
 
@@ -121,13 +150,21 @@
 
 impl Rate {
     pub fn new(memory: f64) -> Rate {
-        Rate { memory, events: 0.0, seen: 0.0, at: None }
+        Rate {
+            memory,
+            events: 0.0,
+            seen: 0.0,
+            at: None,
+        }
     }
 
     /// Counts `level` for each second since the last call.
     pub fn pass(&mut self, now: Time, level: f64) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        self.add(now, level * (1.0 - (-gap / self.memory).exp()) * self.memory);
+        self.add(
+            now,
+            level * (1.0 - (-gap / self.memory).exp()) * self.memory,
+        );
     }
 
     /// Counts `events` at `now`; none just lets time pass.
@@ -162,7 +199,11 @@
 
 impl Buckets {
     pub fn new(memory: f64, least: f64) -> Buckets {
-        Buckets { memory, least, used: HashMap::new() }
+        Buckets {
+            memory,
+            least,
+            used: HashMap::new(),
+        }
     }
 
     /// Takes a tenant's token if there is one, at so many a second.
@@ -311,7 +352,14 @@
 impl Sent {
     /// One that goes out now.
     pub fn new(to: Backend, at: Time) -> Sent {
-        Sent { to, at, out: true, never_ran: false, withheld: false, begun: false }
+        Sent {
+            to,
+            at,
+            out: true,
+            never_ran: false,
+            withheld: false,
+            begun: false,
+        }
     }
 }
 
--- a/src/bin/meadowproxy-adapter/main.rs
+++ b/src/bin/meadowproxy-adapter/main.rs
@@ -24,11 +24,15 @@
     loop {
         line.clear();
         number += 1;
-        let read = input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))?;
+        let read = input
+            .read_line(&mut line)
+            .map_err(|e| format!("line {number}: {e}"))?;
         if read == 0 {
             return Ok(());
         }
-        let done = host.line(line.trim_end(), &mut reply).map_err(|e| format!("line {number}: {e}"))?;
+        let done = host
+            .line(line.trim_end(), &mut reply)
+            .map_err(|e| format!("line {number}: {e}"))?;
         if done {
             let sent = output.write_all(&reply).and_then(|()| output.flush());
             sent.map_err(|e| format!("reply after line {number}: {e}"))?;
--- a/src/bin/meadowproxy-adapter/wire.rs
+++ b/src/bin/meadowproxy-adapter/wire.rs
@@ -51,19 +51,30 @@
         format!("{}: value {at}: expected {expected}, got {got}", self.name)
     }
     fn text(&self, at: usize, what: &str) -> Result<&'a str, String> {
-        self.values.get(at).and_then(Value::as_str).ok_or_else(|| self.bad(at, what))
+        self.values
+            .get(at)
+            .and_then(Value::as_str)
+            .ok_or_else(|| self.bad(at, what))
     }
     fn whole(&self, at: usize, what: &str) -> Result<u64, String> {
-        self.values.get(at).and_then(Value::as_u64).ok_or_else(|| self.bad(at, what))
+        self.values
+            .get(at)
+            .and_then(Value::as_u64)
+            .ok_or_else(|| self.bad(at, what))
     }
     fn flag(&self, at: usize, what: &str) -> Result<bool, String> {
-        self.values.get(at).and_then(Value::as_bool).ok_or_else(|| self.bad(at, what))
+        self.values
+            .get(at)
+            .and_then(Value::as_bool)
+            .ok_or_else(|| self.bad(at, what))
     }
     fn request(&self, at: usize) -> Result<RequestId, String> {
         let text = self.text(at, "a request id of 16 hex digits")?;
-        let plain = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+        let plain =
+            text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let id = plain.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        id.map(RequestId).ok_or_else(|| self.bad(at, "a request id of 16 lower-case hex digits"))
+        id.map(RequestId)
+            .ok_or_else(|| self.bad(at, "a request id of 16 lower-case hex digits"))
     }
     fn outcome(&self, at: usize) -> Result<Outcome, String> {
         Ok(match self.whole(at, "an outcome code from 0 to 7")? {
@@ -83,10 +94,17 @@
 impl Host {
     /// Takes one line; true when a reply is complete and wants flushing.
     pub fn line(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<bool, String> {
-        let value: Value = serde_json::from_str(line).map_err(|e| format!("expected a JSON array: {e}"))?;
+        let value: Value =
+            serde_json::from_str(line).map_err(|e| format!("expected a JSON array: {e}"))?;
         let values = value.as_array().ok_or("expected a JSON array")?;
-        let name = values.first().and_then(Value::as_str).ok_or("expected a message name first")?;
-        let f = Fields { name, values: &values[1..] };
+        let name = values
+            .first()
+            .and_then(Value::as_str)
+            .ok_or("expected a message name first")?;
+        let f = Fields {
+            name,
+            values: &values[1..],
+        };
         let arity = match name {
             "TICK" | "KILLED" => 1,
             "END" => 0,
@@ -98,13 +116,18 @@
             _ => return Err(format!("unknown message {name}")),
         };
         if f.values.len() != arity {
-            return Err(format!("{name}: expected {arity} values, got {}", f.values.len()));
+            return Err(format!(
+                "{name}: expected {arity} values, got {}",
+                f.values.len()
+            ));
         }
         if name == "TICK" {
             self.now = Some(Time(f.whole(0, "the clock in microseconds")?));
             return Ok(false);
         }
-        let now = self.now.ok_or_else(|| format!("{name}: expected TICK first"))?;
+        let now = self
+            .now
+            .ok_or_else(|| format!("{name}: expected TICK first"))?;
         match name {
             "END" => {
                 self.now = None;
@@ -116,7 +139,9 @@
                 if id > 15 {
                     return Err(f.bad(0, "a roster number from 0 to 15"));
                 }
-                let rows = f.values[1].as_array().ok_or_else(|| f.bad(1, "an array of entries"))?;
+                let rows = f.values[1]
+                    .as_array()
+                    .ok_or_else(|| f.bad(1, "an array of entries"))?;
                 let rows: Result<Vec<Listed>, String> = rows.iter().map(row).collect();
                 self.rosters.insert(id, rows?);
                 return Ok(false);
@@ -129,12 +154,21 @@
         }
         let who = f.text(0, "an instance")?;
         if name == "KILLED" {
-            self.instances.remove(who).ok_or_else(|| f.bad(0, "a known instance"))?;
+            self.instances
+                .remove(who)
+                .ok_or_else(|| f.bad(0, "a known instance"))?;
             return Ok(false);
         }
-        let slot = self.instances.get_mut(who).ok_or_else(|| f.bad(0, "a known instance"))?;
-        let Some(instance) = slot else { return Ok(false) };
-        let Some(event) = event(&f, instance, &self.rosters)? else { return Ok(false) };
+        let slot = self
+            .instances
+            .get_mut(who)
+            .ok_or_else(|| f.bad(0, "a known instance"))?;
+        let Some(instance) = slot else {
+            return Ok(false);
+        };
+        let Some(event) = event(&f, instance, &self.rosters)? else {
+            return Ok(false);
+        };
         instance.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             write_action(who, instance, &action, reply);
@@ -144,21 +178,31 @@
 
     fn create(&mut self, f: &Fields, reply: &mut Vec<u8>) -> Result<(), String> {
         let who = f.text(0, "an instance")?;
-        let plain = who.strip_prefix("proxy-").is_some_and(|n| n.parse::<u64>().is_ok());
+        let plain = who
+            .strip_prefix("proxy-")
+            .is_some_and(|n| n.parse::<u64>().is_ok());
         if !plain {
             return Err(f.bad(0, "an instance such as proxy-3"));
         }
         let seed = f.whole(1, "a seed")?;
         let made = meadowproxy::settings::read(&f.values[2]).and_then(|(config, names)| {
-            Balancer::new(config, seed).map(|b| (b, names)).map_err(|e| e.to_string())
+            Balancer::new(config, seed)
+                .map(|b| (b, names))
+                .map_err(|e| e.to_string())
         });
         let instance = match made {
-            Ok((balancer, names)) => {
-                Some(Instance { balancer, names, numbers: HashMap::new(), addresses: Vec::new() })
-            }
+            Ok((balancer, names)) => Some(Instance {
+                balancer,
+                names,
+                numbers: HashMap::new(),
+                addresses: Vec::new(),
+            }),
             Err(text) => {
                 eprintln!("meadowproxy-adapter: settings of {who}: {text}");
-                put(reply, &serde_json::json!(["BROKEN", who, format!("settings: {text}")]));
+                put(
+                    reply,
+                    &serde_json::json!(["BROKEN", who, format!("settings: {text}")]),
+                );
                 None
             }
         };
@@ -168,7 +212,9 @@
 }
 
 fn event(
-    f: &Fields, to: &mut Instance, rosters: &HashMap<u64, Vec<Listed>>,
+    f: &Fields,
+    to: &mut Instance,
+    rosters: &HashMap<u64, Vec<Listed>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match f.name {
         "VIEW" => {
@@ -182,7 +228,10 @@
             let mut backends = Vec::new();
             if update != ListUpdate::Lost {
                 let id = f.whole(1, "a roster number")?;
-                for (address, row) in rosters.get(&id).ok_or_else(|| f.bad(1, "a known roster number"))? {
+                for (address, row) in rosters
+                    .get(&id)
+                    .ok_or_else(|| f.bad(1, "a known roster number"))?
+                {
                     let id = to.backend(address);
                     backends.push(to.names.entry(row, id));
                 }
@@ -197,12 +246,17 @@
                 repeat: flags & 2 == 2,
                 time_left: Micros(f.whole(3, "the time left in microseconds")?),
                 tenant: match &f.values[5] {
-                    Value::String(name) => {
-                        Some(to.names.tenant(name).ok_or_else(|| f.bad(5, "a known tenant"))?)
-                    }
+                    Value::String(name) => Some(
+                        to.names
+                            .tenant(name)
+                            .ok_or_else(|| f.bad(5, "a known tenant"))?,
+                    ),
                     _ => None,
                 },
-                class: to.names.class(f.text(7, "a class")?).ok_or_else(|| f.bad(7, "a known class"))?,
+                class: to
+                    .names
+                    .class(f.text(7, "a class")?)
+                    .ok_or_else(|| f.bad(7, "a known class"))?,
             })
         }
         "ESTABLISHED" => Event::StreamStarted {
@@ -219,8 +273,12 @@
                 settled: f.flag(6, "true or false")?,
             })
         }
-        "VANISHED" => Event::ClientGone { request: f.request(1)? },
-        "TIMEOUT_FIRED" => Event::Timer { token: TimerToken(f.whole(1, "a token")?) },
+        "VANISHED" => Event::ClientGone {
+            request: f.request(1)?,
+        },
+        "TIMEOUT_FIRED" => Event::Timer {
+            token: TimerToken(f.whole(1, "a token")?),
+        },
         // MEMO, STATUS_BACK: peers are told nothing and no backend is probed, so neither is ever heard.
         _ => return Ok(None),
     }))
@@ -229,7 +287,10 @@
 /// One entry of a list: an array in the order of the wire's page.
 fn row(row: &Value) -> Result<Listed, String> {
     let bad = |what: &str| format!("list entry {row}: expected {what}");
-    let row = row.as_array().filter(|r| r.len() == 7).ok_or_else(|| bad("an array of 7 values"))?;
+    let row = row
+        .as_array()
+        .filter(|r| r.len() == 7)
+        .ok_or_else(|| bad("an array of 7 values"))?;
     let text = |at: usize, what| row[at].as_str().ok_or_else(|| bad(what));
     let address = text(3, "an address")?;
     let plain = |b: u8| b.is_ascii_graphic() && b != b'"' && b != b'\\';
@@ -266,16 +327,33 @@
     let _ = match action {
         Action::Dispatch { request, backend } => {
             let to = address(backend);
-            writeln!(reply, "[\"HAND_OFF\",\"{who}\",\"{:016x}\",\"{to}\",0]", request.0)
+            writeln!(
+                reply,
+                "[\"HAND_OFF\",\"{who}\",\"{:016x}\",\"{to}\",0]",
+                request.0
+            )
         }
-        Action::Refuse { request, retry_after } => {
-            writeln!(reply, "[\"BOUNCE\",\"{who}\",\"{:016x}\",{}]", request.0, retry_after.0)
+        Action::Refuse {
+            request,
+            retry_after,
+        } => {
+            writeln!(
+                reply,
+                "[\"BOUNCE\",\"{who}\",\"{:016x}\",{}]",
+                request.0, retry_after.0
+            )
         }
         Action::Fail { request } => writeln!(reply, "[\"LOSE\",\"{who}\",\"{:016x}\"]", request.0),
         Action::Cancel { request, attempt } => {
-            writeln!(reply, "[\"RECALL\",\"{who}\",\"{:016x}\",{}]", request.0, attempt.0)
+            writeln!(
+                reply,
+                "[\"RECALL\",\"{who}\",\"{:016x}\",{}]",
+                request.0, attempt.0
+            )
+        }
+        Action::SetTimer { token, after } => {
+            writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0)
         }
-        Action::SetTimer { token, after } => writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0),
         Action::Follow => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
         Action::Tell { .. } => Ok(()), // no state is shared there
         Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", who, text])),
--- a/src/checked.rs
+++ b/src/checked.rs
@@ -18,7 +18,10 @@
     pub fn checked(self) -> Result<Checked, ConfigError> {
         match self.errors().into_iter().next() {
             Some(error) => Err(error),
-            None => Ok(Checked { quotas: Quotas::of(&self.tenants), config: self }),
+            None => Ok(Checked {
+                quotas: Quotas::of(&self.tenants),
+                config: self,
+            }),
         }
     }
 }
@@ -44,7 +47,8 @@
 
     /// Puts tenants in the places of others, or behind the last under the next numbers: all of them or none.
     pub fn put_tenants(
-        &mut self, tenants: impl IntoIterator<Item = (TenantId, Tenant)>,
+        &mut self,
+        tenants: impl IntoIterator<Item = (TenantId, Tenant)>,
     ) -> Result<(), ConfigError> {
         let (mut table, mut parts) = (self.config.tenants.clone(), BTreeSet::new());
         for (id, tenant) in tenants {
@@ -53,7 +57,9 @@
             parts.insert(id.0 / Quotas::PART);
         }
         self.config.tenants = table;
-        parts.into_iter().for_each(|part| self.quotas.renew(&self.config.tenants, part));
+        parts
+            .into_iter()
+            .for_each(|part| self.quotas.renew(&self.config.tenants, part));
         Ok(())
     }
 
@@ -64,11 +70,21 @@
 }
 
 /// Sets the item there, or adds it behind the last.
-fn put<T: Clone>(table: &mut Vector<T>, at: usize, item: T, field: &'static str) -> Result<(), ConfigError> {
+fn put<T: Clone>(
+    table: &mut Vector<T>,
+    at: usize,
+    item: T,
+    field: &'static str,
+) -> Result<(), ConfigError> {
     match table.len() {
         length if at < length => drop(table.set(at, item)),
         length if at == length => table.push_back(item),
-        _ => return Err(ConfigError { field, expected: "a number in use, or the next" }),
+        _ => {
+            return Err(ConfigError {
+                field,
+                expected: "a number in use, or the next",
+            })
+        }
     }
     Ok(())
 }
@@ -87,15 +103,26 @@
     const PART: usize = 4096;
 
     fn of(tenants: &Vector<Tenant>) -> Quotas {
-        let mut quotas = Quotas { parts: Vec::new(), sum: 0.0 };
+        let mut quotas = Quotas {
+            parts: Vec::new(),
+            sum: 0.0,
+        };
         (0..tenants.len().div_ceil(Quotas::PART)).for_each(|part| quotas.renew(tenants, part));
         quotas
     }
 
     /// Adds up one part.
     fn renew(&mut self, tenants: &Vector<Tenant>, part: usize) {
-        let (from, to) = (part * Quotas::PART, tenants.len().min((part + 1) * Quotas::PART));
-        let sum = tenants.focus().narrow(from..to).into_iter().map(|t| t.quota_per_s).sum();
+        let (from, to) = (
+            part * Quotas::PART,
+            tenants.len().min((part + 1) * Quotas::PART),
+        );
+        let sum = tenants
+            .focus()
+            .narrow(from..to)
+            .into_iter()
+            .map(|t| t.quota_per_s)
+            .sum();
         match self.parts.get_mut(part) {
             Some(old) => *old = sum,
             None => self.parts.push(sum),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -60,17 +60,28 @@
 impl Run {
     /// Without any command: as the platform starts the program.
     pub fn from_environment() -> Run {
-        let config = std::env::var_os("NODE_CONFIG").filter(|path| !path.is_empty()).map(PathBuf::from);
-        Run { config, sets: Sets::default() }
+        let config = std::env::var_os("NODE_CONFIG")
+            .filter(|path| !path.is_empty())
+            .map(PathBuf::from);
+        Run {
+            config,
+            sets: Sets::default(),
+        }
     }
 
     pub fn source(self) -> Source {
-        Source { file: self.config, sets: self.sets.set }
+        Source {
+            file: self.config,
+            sets: self.sets.set,
+        }
     }
 }
 
 impl Read {
     pub fn source(self) -> Source {
-        Source { file: Some(self.file), sets: self.sets.set }
+        Source {
+            file: Some(self.file),
+            sets: self.sets.set,
+        }
     }
 }
--- a/src/fleet/calendar/alone.rs
+++ b/src/fleet/calendar/alone.rs
@@ -24,7 +24,10 @@
 type Word = (Wall, Token, Step, Wall);
 
 fn word(entry: &Entry) -> Option<Word> {
-    entry.mark.as_ref().map(|m| (m.occurrence, m.token, m.step, m.at))
+    entry
+        .mark
+        .as_ref()
+        .map(|m| (m.occurrence, m.token, m.step, m.at))
 }
 
 impl Calendar {
@@ -32,12 +35,18 @@
     /// came, a huge value where none ever did.
     pub fn out(&mut self, now: Wall, heard: Micros, fleet: &Fleet) -> BTreeSet<String> {
         let entries = &self.entries;
-        self.alone.retain(|id, alone| entries.get(id).is_some_and(|e| word(e) == alone.word));
+        self.alone
+            .retain(|id, alone| entries.get(id).is_some_and(|e| word(e) == alone.word));
         if heard > self.rules.max_age {
             self.decide_alone(now, fleet);
         }
-        let kept = self.entries.values().filter(|entry| self.keeps_out(entry, now));
-        kept.flat_map(|e| e.spec.value.targets.names(fleet)).map(String::from).collect()
+        let kept = self
+            .entries
+            .values()
+            .filter(|entry| self.keeps_out(entry, now));
+        kept.flat_map(|e| e.spec.value.targets.names(fleet))
+            .map(String::from)
+            .collect()
     }
 
     /// The windows that are out only because this proxy decided so, each with its occurrence.
@@ -54,7 +63,8 @@
         match self.alone.get(&entry.id) {
             Some(alone) => {
                 let planned = entry.planned(alone.occurrence);
-                entry.cancelled.is_none() && planned.is_some_and(|planned| now < entry.span(planned).end)
+                entry.cancelled.is_none()
+                    && planned.is_some_and(|planned| now < entry.span(planned).end)
             }
             None => entry.mark.as_ref().is_some_and(|m| m.step.is_out()),
         }
@@ -64,18 +74,34 @@
         // What the copy says is out comes back at its end, or once a cancel has reached the copy.
         for entry in self.entries.values() {
             let mark = entry.mark.as_ref().filter(|m| m.step.is_out());
-            let Some(mark) = mark.filter(|_| !self.alone.contains_key(&entry.id)) else { continue };
-            let over = entry.planned(mark.occurrence).is_none_or(|planned| now >= entry.span(planned).end);
+            let Some(mark) = mark.filter(|_| !self.alone.contains_key(&entry.id)) else {
+                continue;
+            };
+            let over = entry
+                .planned(mark.occurrence)
+                .is_none_or(|planned| now >= entry.span(planned).end);
             if over || entry.cancelled.is_some() {
-                let alone = Alone { occurrence: mark.occurrence, word: word(entry) };
+                let alone = Alone {
+                    occurrence: mark.occurrence,
+                    word: word(entry),
+                };
                 self.alone.insert(entry.id.clone(), alone);
             }
         }
         let mut due = Vec::new();
-        for entry in self.entries.values().filter(|e| e.cancelled.is_none() && !self.keeps_out(e, now)) {
-            let Some(planned) = entry.next(now) else { continue };
+        for entry in self
+            .entries
+            .values()
+            .filter(|e| e.cancelled.is_none() && !self.keeps_out(e, now))
+        {
+            let Some(planned) = entry.next(now) else {
+                continue;
+            };
             let span = entry.span(planned);
-            let mark = entry.mark.as_ref().filter(|m| m.occurrence == planned.begin);
+            let mark = entry
+                .mark
+                .as_ref()
+                .filter(|m| m.occurrence == planned.begin);
             let begun = mark.is_some_and(|m| m.step != Step::Planned);
             if !begun && span.begin - entry.lead() <= now && now + entry.lead() < span.end {
                 due.push((span.begin, planned.begin, entry));
@@ -86,12 +112,23 @@
         }
         due.sort_by_key(|(begin, _, entry)| (*begin, entry.id.as_str()));
         let held = self.entries.values().filter(|e| self.keeps_out(e, now));
-        let held = held.flat_map(|e| e.spec.value.targets.names(fleet)).collect();
+        let held = held
+            .flat_map(|e| e.spec.value.targets.names(fleet))
+            .collect();
         let mut tally = Tally::new(fleet, self.rules.budget, held);
         let mut begun = Vec::new();
         for (_, occurrence, entry) in due {
-            if tally.take(&entry.id, entry.spec.value.targets.names(fleet)).is_ok() {
-                begun.push((entry.id.clone(), Alone { occurrence, word: word(entry) }));
+            if tally
+                .take(&entry.id, entry.spec.value.targets.names(fleet))
+                .is_ok()
+            {
+                begun.push((
+                    entry.id.clone(),
+                    Alone {
+                        occurrence,
+                        word: word(entry),
+                    },
+                ));
             }
         }
         self.alone.extend(begun);
--- a/src/fleet/calendar/budget.rs
+++ b/src/fleet/calendar/budget.rs
@@ -57,7 +57,11 @@
     /// The names that it stands for; names may be among them that are not listed.
     pub(super) fn names<'a>(&'a self, fleet: &'a Fleet) -> BTreeSet<&'a str> {
         let of = |meant: &dyn Fn(&Backend) -> bool| {
-            fleet.iter().filter(|(_, b)| meant(b)).map(|(name, _)| name.as_str()).collect()
+            fleet
+                .iter()
+                .filter(|(_, b)| meant(b))
+                .map(|(name, _)| name.as_str())
+                .collect()
         };
         match self {
             Targets::Ids(ids) => ids.iter().map(String::as_str).collect(),
@@ -104,14 +108,24 @@
     pub(super) fn new(fleet: &'a Fleet, budget: Budget, out: BTreeSet<&'a str>) -> Tally<'a> {
         let mut sums: BTreeMap<_, Sum> = BTreeMap::new();
         for (name, backend) in fleet {
-            let free = if out.contains(name.as_str()) { 0.0 } else { backend.free() };
+            let free = if out.contains(name.as_str()) {
+                0.0
+            } else {
+                backend.free()
+            };
             for group in groups(backend) {
                 let sum = sums.entry(group).or_default();
                 sum.listed += backend.listed();
                 sum.free += free;
             }
         }
-        Tally { fleet, budget, out, sums, awaited: BTreeMap::new() }
+        Tally {
+            fleet,
+            budget,
+            out,
+            sums,
+            awaited: BTreeMap::new(),
+        }
     }
 
     /// Lets a window through, or says what it waits for. Windows come in their order.
@@ -120,8 +134,14 @@
         // could come back while it has them.
         let mut takes: BTreeMap<Group, f64> = BTreeMap::new();
         for name in &names {
-            let Some(backend) = self.fleet.get(*name) else { continue };
-            let free = if self.out.contains(name) { 0.0 } else { backend.free() };
+            let Some(backend) = self.fleet.get(*name) else {
+                continue;
+            };
+            let free = if self.out.contains(name) {
+                0.0
+            } else {
+                backend.free()
+            };
             for group in groups(backend) {
                 *takes.entry(group).or_default() += free;
             }
@@ -136,7 +156,9 @@
             // Sums of shares are not exact.
             if left < floor - 1e-9 * listed {
                 self.awaited.insert(*group, window);
-                return Err(format!("{group}: {left:.2} of {listed:.2} left, floor {floor:.2}"));
+                return Err(format!(
+                    "{group}: {left:.2} of {listed:.2} left, floor {floor:.2}"
+                ));
             }
         }
         for (group, taken) in takes {
--- a/src/fleet/calendar/calls.rs
+++ b/src/fleet/calendar/calls.rs
@@ -45,9 +45,10 @@
         match self {
             Rejected::Invalid(why) | Rejected::Conflict(why) => why.clone(),
             Rejected::Unknown => Invalid::new("id", "no such window"),
-            Rejected::Full => {
-                Invalid::new("id", format!("{MOST_WINDOWS} windows are kept, ended ones for an hour"))
-            }
+            Rejected::Full => Invalid::new(
+                "id",
+                format!("{MOST_WINDOWS} windows are kept, ended ones for an hour"),
+            ),
         }
     }
 }
@@ -94,11 +95,17 @@
         self.purge(now);
         if let Some(entry) = self.entries.get(id) {
             if entry.cancelled.is_some() {
-                return Err(conflict("id", "was cancelled, and is free again an hour later"));
+                return Err(conflict(
+                    "id",
+                    "was cancelled, and is free again an hour later",
+                ));
             }
             return match entry.spec.value.differs(&spec) {
                 None => Ok(Put::Same),
-                Some(field) => Err(conflict(field, "the id is taken by a window that differs in this")),
+                Some(field) => Err(conflict(
+                    field,
+                    "the id is taken by a window that differs in this",
+                )),
             };
         }
         possible(&spec, now)?;
@@ -106,7 +113,14 @@
             return Err(Rejected::Full);
         }
         let spec = Stamped { stamp, value: spec };
-        let entry = Entry { id: id.into(), spec, extended: None, begun: None, cancelled: None, mark: None };
+        let entry = Entry {
+            id: id.into(),
+            spec,
+            extended: None,
+            begun: None,
+            cancelled: None,
+            mark: None,
+        };
         self.entries.insert(id.into(), entry);
         self.changed.insert(id.into());
         Ok(Put::New)
@@ -133,7 +147,13 @@
     ///
     /// # Errors
     /// No such window, it is over or about to be restored; an end that is not later or too late.
-    pub fn extend(&mut self, id: &str, until: Wall, stamp: Stamp, now: Wall) -> Result<Put, Rejected> {
+    pub fn extend(
+        &mut self,
+        id: &str,
+        until: Wall,
+        stamp: Stamp,
+        now: Wall,
+    ) -> Result<Put, Rejected> {
         let entry = self.entries.get_mut(id).ok_or(Rejected::Unknown)?;
         let (planned, _) = live(entry, now)?;
         let span = entry.span(planned);
@@ -154,7 +174,10 @@
                 return invalid(format!("the next occurrence drains at {drains}"));
             }
         }
-        let value = Change { occurrence: planned.begin, at: until };
+        let value = Change {
+            occurrence: planned.begin,
+            at: until,
+        };
         entry.extended = Some(later(&entry.extended, stamp, value));
         self.changed.insert(id.into());
         Ok(Put::New)
@@ -171,7 +194,10 @@
         if step == Step::Open || entry.begun(planned.begin) {
             return Ok(Put::Same);
         }
-        let value = Change { occurrence: planned.begin, at: now };
+        let value = Change {
+            occurrence: planned.begin,
+            at: now,
+        };
         entry.begun = Some(later(&entry.begun, stamp, value));
         self.changed.insert(id.into());
         Ok(Put::New)
@@ -179,7 +205,10 @@
 
     /// Every window, by id.
     pub fn list(&self, now: Wall) -> Vec<View> {
-        let kept = self.entries.values().filter(|e| e.expires().is_none_or(|at| at > now));
+        let kept = self
+            .entries
+            .values()
+            .filter(|e| e.expires().is_none_or(|at| at > now));
         kept.map(|entry| view(entry, now)).collect()
     }
 }
@@ -189,10 +218,14 @@
     if entry.cancelled.is_some() {
         return Err(conflict("id", "the window is cancelled"));
     }
-    let under_way = entry.current(now).filter(|(_, step)| *step != Step::Planned);
+    let under_way = entry
+        .current(now)
+        .filter(|(_, step)| *step != Step::Planned);
     match under_way.or_else(|| Some((entry.next(now)?, Step::Planned))) {
         Some((_, Step::Restoring)) => Err(conflict("id", "the window is being restored")),
-        Some((planned, step)) if step.is_out() || entry.span(planned).end > now => Ok((planned, step)),
+        Some((planned, step)) if step.is_out() || entry.span(planned).end > now => {
+            Ok((planned, step))
+        }
         _ => Err(conflict("id", "the window is over")),
     }
 }
@@ -201,16 +234,23 @@
 /// its clock was set back.
 fn later(was: &Option<Stamped<Change>>, stamp: Stamp, value: Change) -> Stamped<Change> {
     let least = was.as_ref().map_or(Wall(0), |was| was.stamp.at + Micros(1));
-    Stamped { stamp: Stamp { at: stamp.at.max(least), ..stamp }, value }
+    Stamped {
+        stamp: Stamp {
+            at: stamp.at.max(least),
+            ..stamp
+        },
+        value,
+    }
 }
 
 /// Whether a new window can still be carried out.
 fn possible(spec: &Spec, now: Wall) -> Result<(), Invalid> {
     match &spec.when {
         When::Once(span) if span.end <= now => Err(Invalid::new("end", "is over already")),
-        When::Once(span) if now + secs(spec.lead_s) >= span.end => {
-            Err(Invalid::new("lead_s", "the end comes before the lead is over"))
-        }
+        When::Once(span) if now + secs(spec.lead_s) >= span.end => Err(Invalid::new(
+            "lead_s",
+            "the end comes before the lead is over",
+        )),
         When::Recurring { .. } if spec.occurrence(now).is_none() => {
             Err(Invalid::new("recurring", "never comes"))
         }
@@ -227,18 +267,27 @@
     let last = || mark.and_then(|m| Some((entry.planned(m.occurrence)?, m.step)));
     let current = match entry.cancelled {
         // The holder restores first what it had taken out.
-        Some(_) => mark.filter(|m| !m.step.is_final() && m.step != Step::Planned).and_then(|_| last()),
+        Some(_) => mark
+            .filter(|m| !m.step.is_final() && m.step != Step::Planned)
+            .and_then(|_| last()),
         None => entry.current(now).or_else(last),
     };
     let phase = match (entry.cancelled, current) {
         (Some(_), None) => Step::Cancelled,
         (_, current) => current.map_or(Step::Done, |(_, step)| step),
     };
-    let shown = current.or_else(last).map(|(planned, _)| planned).or_else(|| entry.next(now));
+    let shown = current
+        .or_else(last)
+        .map(|(planned, _)| planned)
+        .or_else(|| entry.next(now));
     let mark = mark.filter(|m| m.step == phase && shown.is_none_or(|s| s.begin == m.occurrence));
     let span = shown.map(|planned| entry.span(planned));
     let why = mark.map(|m| m.why.clone()).filter(|why| !why.is_empty());
-    let (waiting, reason) = if phase == Step::Planned { (why, None) } else { (None, why) };
+    let (waiting, reason) = if phase == Step::Planned {
+        (why, None)
+    } else {
+        (None, why)
+    };
     View {
         id: entry.id.clone(),
         targets: entry.spec.value.targets.clone(),
--- a/src/fleet/calendar/entry.rs
+++ b/src/fleet/calendar/entry.rs
@@ -79,8 +79,17 @@
     }
     /// The name in lists and logs.
     pub fn name(self) -> &'static str {
-        ["planned", "draining", "drained", "open", "restoring", "done", "cancelled", "overrun", "refused"]
-            [self as usize]
+        [
+            "planned",
+            "draining",
+            "drained",
+            "open",
+            "restoring",
+            "done",
+            "cancelled",
+            "overrun",
+            "refused",
+        ][self as usize]
     }
 }
 
@@ -140,7 +149,8 @@
         if bytes.len() > MOST_ENTRY {
             return Err(Garbled::Bytes);
         }
-        let (entry, rest) = postcard::take_from_bytes::<Entry>(bytes).map_err(|_| Garbled::Bytes)?;
+        let (entry, rest) =
+            postcard::take_from_bytes::<Entry>(bytes).map_err(|_| Garbled::Bytes)?;
         if !rest.is_empty() {
             return Err(Garbled::Bytes);
         }
@@ -168,7 +178,9 @@
         if let Some(stamp) = self.cancelled {
             soon("cancelled", stamp.at)?;
         }
-        let Some(mark) = &self.mark else { return Ok(()) };
+        let Some(mark) = &self.mark else {
+            return Ok(());
+        };
         soon("mark", mark.at)?;
         if mark.occurrence.timestamp().is_none() {
             return Err(Invalid::new("mark", "no time that a calendar names"));
@@ -209,16 +221,24 @@
     /// the window, its lead first and its length kept, where that makes it earlier.
     pub(super) fn span(&self, planned: Span) -> Span {
         let of = |change: &Option<Stamped<Change>>| {
-            change.as_ref().filter(|c| c.value.occurrence == planned.begin).map(|c| c.value.at)
+            change
+                .as_ref()
+                .filter(|c| c.value.occurrence == planned.begin)
+                .map(|c| c.value.at)
         };
         let begin = of(&self.begun).map_or(planned.begin, |at| planned.begin.min(at + self.lead()));
         let end = of(&self.extended).unwrap_or(begin + (planned.end - planned.begin));
-        Span { begin, end: end.max(begin) }
+        Span {
+            begin,
+            end: end.max(begin),
+        }
     }
 
     /// Whether an operator began that occurrence by hand.
     pub(super) fn begun(&self, occurrence: Wall) -> bool {
-        self.begun.as_ref().is_some_and(|c| c.value.occurrence == occurrence)
+        self.begun
+            .as_ref()
+            .is_some_and(|c| c.value.occurrence == occurrence)
     }
 
     pub(super) fn lead(&self) -> Micros {
@@ -231,7 +251,10 @@
 
     /// The planned span of the occurrence with that begin, if the content still has it.
     pub(super) fn planned(&self, occurrence: Wall) -> Option<Span> {
-        self.spec.value.occurrence(occurrence).filter(|span| span.begin == occurrence)
+        self.spec
+            .value
+            .occurrence(occurrence)
+            .filter(|span| span.begin == occurrence)
     }
 
     /// The occurrence to look at and its step: the one under way, else the next one; none after the last.
@@ -242,7 +265,15 @@
                 Some(planned) => return Some((planned, mark.step)),
                 None if mark.step == Step::Planned => {}
                 // The content was replaced meanwhile: what is under way has come to its end.
-                None => return Some((Span { begin: mark.occurrence, end: mark.occurrence }, mark.step)),
+                None => {
+                    return Some((
+                        Span {
+                            begin: mark.occurrence,
+                            end: mark.occurrence,
+                        },
+                        mark.step,
+                    ))
+                }
             }
         }
         self.next(now - MISSED).map(|span| (span, Step::Planned))
@@ -251,8 +282,16 @@
     /// The first occurrence, as planned, that no mark has finished and that ends after that; a window that
     /// comes once whenever it ends.
     pub(super) fn next(&self, after: Wall) -> Option<Span> {
-        let finished = self.mark.as_ref().filter(|m| m.step.is_final()).map(|m| m.occurrence);
-        let under_way = self.mark.as_ref().filter(|m| !m.step.is_final()).map(|m| m.occurrence);
+        let finished = self
+            .mark
+            .as_ref()
+            .filter(|m| m.step.is_final())
+            .map(|m| m.occurrence);
+        let under_way = self
+            .mark
+            .as_ref()
+            .filter(|m| !m.step.is_final())
+            .map(|m| m.occurrence);
         let first = match (finished, under_way, &self.spec.value.when) {
             (Some(over), ..) => over + Micros(1),
             (None, Some(on), _) => on,
@@ -264,12 +303,19 @@
         }
         // An extension or a begin now may have moved an end away from where the plan has it.
         let alive = |planned: &Span| self.span(*planned).end > after;
-        let moved = [&self.extended, &self.begun].into_iter().flatten().map(|c| c.value.occurrence);
-        let moved = moved.filter(|o| *o >= first).filter_map(|o| self.planned(o)).filter(alive);
+        let moved = [&self.extended, &self.begun]
+            .into_iter()
+            .flatten()
+            .map(|c| c.value.occurrence);
+        let moved = moved
+            .filter(|o| *o >= first)
+            .filter_map(|o| self.planned(o))
+            .filter(alive);
         let spec = &self.spec.value;
-        let planned = std::iter::successors(spec.occurrence(first.max(after - spec.lasts())), |planned| {
-            spec.occurrence(planned.begin + Micros(1))
-        });
+        let planned = std::iter::successors(
+            spec.occurrence(first.max(after - spec.lasts())),
+            |planned| spec.occurrence(planned.begin + Micros(1)),
+        );
         // One that ends right then and one that was begun early and is over may stand in front.
         moved.chain(planned.take(4).find(alive)).min()
     }
@@ -289,7 +335,15 @@
 impl Mark {
     /// A word, its reason cut to its bound.
     pub(super) fn new(occurrence: Wall, token: Token, step: Step, at: Wall, why: &str) -> Mark {
-        let cut = (0..=MOST_WHY.min(why.len())).rev().find(|cut| why.is_char_boundary(*cut));
-        Mark { occurrence, token, step, at, why: why[..cut.unwrap_or(0)].into() }
+        let cut = (0..=MOST_WHY.min(why.len()))
+            .rev()
+            .find(|cut| why.is_char_boundary(*cut));
+        Mark {
+            occurrence,
+            token,
+            step,
+            at,
+            why: why[..cut.unwrap_or(0)].into(),
+        }
     }
 }
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -35,7 +35,9 @@
 pub const TOMBSTONE: Micros = Micros(3600 * 1_000_000);
 
 /// A wall-clock time, in microseconds since 1970.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
 pub struct Wall(pub u64);
 
 impl Wall {
@@ -103,7 +105,12 @@
     /// An empty one.
     pub fn new(rules: Rules) -> Calendar {
         let (entries, changed, alone) = Default::default();
-        Calendar { rules, entries, changed, alone }
+        Calendar {
+            rules,
+            entries,
+            changed,
+            alone,
+        }
     }
 
     /// The window with that id.
@@ -113,12 +120,18 @@
 
     /// The highest token in any window, for the candidate that has to go above it.
     pub fn highest(&self) -> Token {
-        self.entries.values().filter_map(|e| e.mark.as_ref()).map(|m| m.token).max().unwrap_or_default()
+        self.entries
+            .values()
+            .filter_map(|e| e.mark.as_ref())
+            .map(|m| m.token)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Forgets the windows whose tombstones' life is over.
     pub fn purge(&mut self, now: Wall) {
-        self.entries.retain(|_, entry| entry.expires().is_none_or(|at| at > now));
+        self.entries
+            .retain(|_, entry| entry.expires().is_none_or(|at| at > now));
         let entries = &self.entries;
         self.changed.retain(|id| entries.contains_key(id));
         self.alone.retain(|id, _| entries.contains_key(id));
--- a/src/fleet/calendar/need.rs
+++ b/src/fleet/calendar/need.rs
@@ -14,7 +14,8 @@
             || self.entries.values().any(|entry| match entry.current(now) {
                 None => false,
                 Some((planned, Step::Planned)) => {
-                    entry.cancelled.is_none() && entry.span(planned).begin - entry.lead() <= now + SOON
+                    entry.cancelled.is_none()
+                        && entry.span(planned).begin - entry.lead() <= now + SOON
                 }
                 Some(_) => true,
             })
@@ -40,6 +41,8 @@
     /// The windows that are out by the holder's word.
     fn told_out(&self) -> impl Iterator<Item = &Entry> {
         let out = |mark: &Mark| mark.step.is_out();
-        self.entries.values().filter(move |entry| entry.mark.as_ref().is_some_and(out))
+        self.entries
+            .values()
+            .filter(move |entry| entry.mark.as_ref().is_some_and(out))
     }
 }
--- a/src/fleet/calendar/replicate.rs
+++ b/src/fleet/calendar/replicate.rs
@@ -54,24 +54,39 @@
     /// The entries that calls or steps here changed since the last time, to go to all live members.
     pub fn changed(&mut self) -> Vec<Entry> {
         let changed = std::mem::take(&mut self.changed);
-        changed.iter().filter_map(|id| self.entries.get(id)).cloned().collect()
+        changed
+            .iter()
+            .filter_map(|id| self.entries.get(id))
+            .cloned()
+            .collect()
     }
 
     /// The digests that together cover the whole calendar; at least one.
     pub fn digests(&self, now: Wall) -> Vec<Digest> {
-        let rows: Vec<(u64, u64)> = self.hashed(now).map(|(id, e)| (id, hash(&e.encode()))).collect();
+        let rows: Vec<(u64, u64)> = self
+            .hashed(now)
+            .map(|(id, e)| (id, hash(&e.encode())))
+            .collect();
         let rows: BTreeMap<u64, u64> = rows.into_iter().collect();
         let rows: Vec<(u64, u64)> = rows.into_iter().collect();
         let mut from = 0;
         let mut digests: Vec<Digest> = Vec::new();
         for chunk in rows.chunks(MOST_ROWS) {
             let to = chunk.last().map_or(u64::MAX, |(id, _)| *id);
-            digests.push(Digest { from, to, rows: chunk.to_vec() });
+            digests.push(Digest {
+                from,
+                to,
+                rows: chunk.to_vec(),
+            });
             from = to.saturating_add(1);
         }
         match digests.last_mut() {
             Some(last) => last.to = u64::MAX,
-            None => digests.push(Digest { from: 0, to: u64::MAX, rows: Vec::new() }),
+            None => digests.push(Digest {
+                from: 0,
+                to: u64::MAX,
+                rows: Vec::new(),
+            }),
         }
         digests
     }
@@ -80,8 +95,10 @@
     /// and [`MOST_ROWS`] questions; what is left shows in the next digest.
     pub fn lacking(&self, digest: &Digest, now: Wall) -> Lacking {
         let theirs: BTreeMap<u64, u64> = digest.rows.iter().copied().take(MOST_ROWS).collect();
-        let mine: BTreeMap<u64, &Entry> =
-            self.hashed(now).filter(|(id, _)| (digest.from..=digest.to).contains(id)).collect();
+        let mine: BTreeMap<u64, &Entry> = self
+            .hashed(now)
+            .filter(|(id, _)| (digest.from..=digest.to).contains(id))
+            .collect();
         let mut lacking = Lacking::default();
         for (id, entry) in &mine {
             match theirs.get(id) {
@@ -93,17 +110,26 @@
             }
         }
         lacking.send.truncate(MOST_SENT);
-        lacking.ask.extend(theirs.keys().filter(|id| !mine.contains_key(id)));
+        lacking
+            .ask
+            .extend(theirs.keys().filter(|id| !mine.contains_key(id)));
         lacking
     }
 
     /// The entries that another proxy asked for by their ids' hashes.
     pub fn asked(&self, ids: &[u64], now: Wall) -> Vec<Entry> {
-        self.hashed(now).filter(|(id, _)| ids.contains(id)).map(|(_, e)| e.clone()).take(MOST_SENT).collect()
+        self.hashed(now)
+            .filter(|(id, _)| ids.contains(id))
+            .map(|(_, e)| e.clone())
+            .take(MOST_SENT)
+            .collect()
     }
 
     fn hashed(&self, now: Wall) -> impl Iterator<Item = (u64, &Entry)> {
-        let kept = self.entries.values().filter(move |e| e.expires().is_none_or(|at| at > now));
+        let kept = self
+            .entries
+            .values()
+            .filter(move |e| e.expires().is_none_or(|at| at > now));
         kept.map(|e| (hash(e.id.as_bytes()), e))
     }
 }
--- a/src/fleet/calendar/spec.rs
+++ b/src/fleet/calendar/spec.rs
@@ -35,7 +35,10 @@
 
 impl Invalid {
     pub(super) fn new(field: &str, why: impl Into<String>) -> Invalid {
-        Invalid { field: field.into(), why: why.into() }
+        Invalid {
+            field: field.into(),
+            why: why.into(),
+        }
     }
 }
 
@@ -147,12 +150,20 @@
         let read: Body = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let path = e.path().to_string();
             Invalid::new(
-                if matches!(path.as_str(), "." | "?") { "body" } else { &path },
+                if matches!(path.as_str(), "." | "?") {
+                    "body"
+                } else {
+                    &path
+                },
                 e.inner().to_string(),
             )
         })?;
-        reader.end().map_err(|e| Invalid::new("body", e.to_string()))?;
-        let by = read.by.ok_or_else(|| Invalid::new("by", "missing: who asks for the window"))?;
+        reader
+            .end()
+            .map_err(|e| Invalid::new("body", e.to_string()))?;
+        let by = read
+            .by
+            .ok_or_else(|| Invalid::new("by", "missing: who asks for the window"))?;
         let spec = Spec {
             targets: targets(read.ids, read.zone, read.kind, read.cell, read.label)?,
             when: when(read.begin, read.end, read.recurring)?,
@@ -176,7 +187,12 @@
         name("by", &self.by)?;
         match &self.when {
             When::Once(span) => span.check(),
-            When::Recurring { days, minute, zone, lasts_s } => {
+            When::Recurring {
+                days,
+                minute,
+                zone,
+                lasts_s,
+            } => {
                 if *days == 0 || *days > 0x7f {
                     return Err(Invalid::new("recurring.days", "no day of the week"));
                 }
@@ -187,9 +203,13 @@
                 if *lasts_s == 0 {
                     return Err(Invalid::new("recurring.lasts_s", "has to be over 0"));
                 }
-                let whole = lasts_s.saturating_add(self.lead_s).saturating_add(self.overrun_s);
-                most("recurring.lasts_s", whole, MOST_RECURRING_S)
-                    .map_err(|e| Invalid { why: format!("with lead and overrun {}", e.why), ..e })
+                let whole = lasts_s
+                    .saturating_add(self.lead_s)
+                    .saturating_add(self.overrun_s);
+                most("recurring.lasts_s", whole, MOST_RECURRING_S).map_err(|e| Invalid {
+                    why: format!("with lead and overrun {}", e.why),
+                    ..e
+                })
             }
         }
     }
@@ -198,18 +218,30 @@
     pub fn occurrence(&self, at_or_after: Wall) -> Option<Span> {
         match &self.when {
             When::Once(span) => (span.begin >= at_or_after).then_some(*span),
-            When::Recurring { days, minute, zone, lasts_s } => {
+            When::Recurring {
+                days,
+                minute,
+                zone,
+                lasts_s,
+            } => {
                 let zone = TimeZone::get(zone).ok()?;
                 let time = Time::new((minute / 60) as i8, (minute % 60) as i8, 0, 0).ok()?;
                 // From a day early, as a skipped time moves on; two weeks hold every day of the week
                 // even where a zone skipped a whole day.
-                let mut date =
-                    at_or_after.timestamp()?.to_zoned_datetime(zone.clone()).date().yesterday().ok()?;
+                let mut date = at_or_after
+                    .timestamp()?
+                    .to_zoned_datetime(zone.clone())
+                    .date()
+                    .yesterday()
+                    .ok()?;
                 for _ in 0..16 {
                     let listed = days & 1 << date.weekday().to_monday_zero_offset() != 0;
                     let begin = listed.then(|| instant(date, time, &zone)).flatten();
                     if let Some(begin) = begin.filter(|b| *b >= at_or_after) {
-                        return Some(Span { begin, end: begin + secs(*lasts_s) });
+                        return Some(Span {
+                            begin,
+                            end: begin + secs(*lasts_s),
+                        });
                     }
                     date = date.checked_add(1.day()).ok()?;
                 }
@@ -227,7 +259,10 @@
             ("overrun_s", self.overrun_s == other.overrun_s),
             ("by", self.by == other.by),
         ];
-        fields.iter().find(|(_, same)| !same).map(|(field, _)| *field)
+        fields
+            .iter()
+            .find(|(_, same)| !same)
+            .map(|(field, _)| *field)
     }
 
     /// How long an occurrence lasts as planned.
@@ -290,9 +325,15 @@
 /// Whether a window may have that id: letters, digits, `-`, `_` and `.`, as it stands in a path.
 pub fn check_id(id: &str) -> Result<(), Invalid> {
     name("id", id)?;
-    match id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b)) {
+    match id
+        .bytes()
+        .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+    {
         true => Ok(()),
-        false => Err(Invalid::new("id", "may hold letters, digits, '-', '_' and '.' only")),
+        false => Err(Invalid::new(
+            "id",
+            "may hold letters, digits, '-', '_' and '.' only",
+        )),
     }
 }
 
@@ -306,7 +347,10 @@
         return Err(Invalid::new(field, "is empty"));
     }
     if text.len() > MOST_NAME {
-        return Err(Invalid::new(field, format!("{} bytes, over {MOST_NAME}", text.len())));
+        return Err(Invalid::new(
+            field,
+            format!("{} bytes, over {MOST_NAME}", text.len()),
+        ));
     }
     match text.chars().any(char::is_control) {
         true => Err(Invalid::new(field, "holds control characters")),
@@ -321,12 +365,19 @@
 
 fn instant(date: Date, time: Time, zone: &TimeZone) -> Option<Wall> {
     // `to_zoned_datetime` is RFC 5545's rule: after a gap, the first of a fold.
-    let at = date.to_datetime(time).to_zoned_datetime(zone.clone()).ok()?.timestamp();
+    let at = date
+        .to_datetime(time)
+        .to_zoned_datetime(zone.clone())
+        .ok()?
+        .timestamp();
     u64::try_from(at.as_microsecond()).ok().map(Wall)
 }
 
 fn targets(
-    ids: Option<Vec<String>>, zone: Option<String>, kind: Option<String>, cell: Option<u64>,
+    ids: Option<Vec<String>>,
+    zone: Option<String>,
+    kind: Option<String>,
+    cell: Option<u64>,
     label: Option<serde_json::Value>,
 ) -> Result<Targets, Invalid> {
     if label.is_some() {
@@ -336,11 +387,18 @@
         ));
     }
     let ids = ids.map(|ids| Targets::Ids(ids.into_iter().collect()));
-    let others = [zone.map(Targets::Zone), kind.map(Targets::Kind), cell.map(Targets::Cell)];
+    let others = [
+        zone.map(Targets::Zone),
+        kind.map(Targets::Kind),
+        cell.map(Targets::Cell),
+    ];
     let mut named = std::iter::once(ids).chain(others).flatten();
     match (named.next(), named.next()) {
         (Some(targets), None) => Ok(targets),
-        (None, _) => Err(Invalid::new("ids", "missing: one of ids, zone, kind and cell")),
+        (None, _) => Err(Invalid::new(
+            "ids",
+            "missing: one of ids, zone, kind and cell",
+        )),
         (Some(_), Some(second)) => {
             let field = match second {
                 Targets::Ids(_) => "ids",
@@ -348,37 +406,71 @@
                 Targets::Kind(_) => "kind",
                 Targets::Cell(_) => "cell",
             };
-            Err(Invalid::new(field, "one too many: exactly one of ids, zone, kind and cell"))
+            Err(Invalid::new(
+                field,
+                "one too many: exactly one of ids, zone, kind and cell",
+            ))
         }
     }
 }
 
-fn when(begin: Option<String>, end: Option<String>, recurring: Option<Recurring>) -> Result<When, Invalid> {
+fn when(
+    begin: Option<String>,
+    end: Option<String>,
+    recurring: Option<Recurring>,
+) -> Result<When, Invalid> {
     let Some(recurring) = recurring else {
-        let begin = begin.ok_or_else(|| Invalid::new("begin", "missing, and there is no recurring"))?;
+        let begin =
+            begin.ok_or_else(|| Invalid::new("begin", "missing, and there is no recurring"))?;
         let end = end.ok_or_else(|| Invalid::new("end", "missing"))?;
-        let span = Span { begin: parse_instant("begin", &begin)?, end: parse_instant("end", &end)? };
+        let span = Span {
+            begin: parse_instant("begin", &begin)?,
+            end: parse_instant("end", &end)?,
+        };
         return Ok(When::Once(span));
     };
     if begin.is_some() || end.is_some() {
         let field = if begin.is_some() { "begin" } else { "end" };
-        return Err(Invalid::new(field, "a recurring window has none: use recurring.at and lasts_s"));
+        return Err(Invalid::new(
+            field,
+            "a recurring window has none: use recurring.at and lasts_s",
+        ));
     }
     let days = match recurring.days {
         Days::Word(word) if word == "daily" => 0x7f,
-        Days::Word(_) => return Err(Invalid::new("recurring.days", "\"daily\" or a list of days")),
+        Days::Word(_) => {
+            return Err(Invalid::new(
+                "recurring.days",
+                "\"daily\" or a list of days",
+            ))
+        }
         Days::List(list) => {
             let day = |d: &String| DAYS.iter().position(|name| name == d);
-            let wrong = || Invalid::new("recurring.days", format!("each is one of {}", DAYS.join(", ")));
-            list.iter().try_fold(0, |days, d| Ok(days | 1 << day(d).ok_or_else(wrong)?))?
+            let wrong = || {
+                Invalid::new(
+                    "recurring.days",
+                    format!("each is one of {}", DAYS.join(", ")),
+                )
+            };
+            list.iter()
+                .try_fold(0, |days, d| Ok(days | 1 << day(d).ok_or_else(wrong)?))?
         }
     };
     let minute = minute(&recurring.at).ok_or_else(|| Invalid::new("recurring.at", "not HH:MM"))?;
-    Ok(When::Recurring { days, minute, zone: recurring.zone, lasts_s: recurring.lasts_s })
+    Ok(When::Recurring {
+        days,
+        minute,
+        zone: recurring.zone,
+        lasts_s: recurring.lasts_s,
+    })
 }
 
 fn minute(text: &str) -> Option<u16> {
-    let digits = |at: usize| text.get(at..at + 2).filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
+    let digits = |at: usize| {
+        text.get(at..at + 2)
+            .filter(|d| d.bytes().all(|b| b.is_ascii_digit()))
+    };
     let (hour, minute): (u16, u16) = (digits(0)?.parse().ok()?, digits(3)?.parse().ok()?);
-    (text.len() == 5 && text.as_bytes()[2] == b':' && hour < 24 && minute < 60).then_some(hour * 60 + minute)
+    (text.len() == 5 && text.as_bytes()[2] == b':' && hour < 24 && minute < 60)
+        .then_some(hour * 60 + minute)
 }
--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -20,7 +20,10 @@
     /// It says nothing until then.
     Silent { until: Time },
     /// It asks the others since then; from each place whether it remembers, and what.
-    Asking { since: Time, known: BTreeMap<usize, (bool, Memory)> },
+    Asking {
+        since: Time,
+        known: BTreeMap<usize, (bool, Memory)>,
+    },
     /// It knows what it has to, and its copy is on the way to that version, since then.
     Reaching { version: u64, since: Time },
     /// It takes part.
@@ -45,9 +48,19 @@
     /// A voter that has just started and remembers nothing. `place`: its own among the voters, from 0; `nonce` is drawn at random
     /// at each start, so that no answer to a former life is taken for one to this.
     pub fn new(rules: Rules, place: usize, nonce: u64, now: Time) -> Acceptor {
-        let state = State::Silent { until: now + rules.grant_life() };
+        let state = State::Silent {
+            until: now + rules.grant_life(),
+        };
         let (promised, accepted, floor) = Default::default();
-        Acceptor { rules, place, nonce, state, promised, accepted, floor }
+        Acceptor {
+            rules,
+            place,
+            nonce,
+            state,
+            promised,
+            accepted,
+            floor,
+        }
     }
 
     /// Whether it takes part; else it is silent or recovers.
@@ -70,8 +83,12 @@
 
     /// The places of the voters that have not answered it, while it asks.
     pub fn unanswered(&self) -> Vec<usize> {
-        let State::Asking { known, .. } = &self.state else { return Vec::new() };
-        (0..self.rules.voters()).filter(|place| *place != self.place && !known.contains_key(place)).collect()
+        let State::Asking { known, .. } = &self.state else {
+            return Vec::new();
+        };
+        (0..self.rules.voters())
+            .filter(|place| *place != self.place && !known.contains_key(place))
+            .collect()
     }
 
     /// Lets time pass. `wall_ms`: the wall clock in milliseconds since 1970; `version`: of this proxy's copy. What is put into
@@ -88,7 +105,10 @@
         };
         if ask {
             self.nonce = self.nonce.wrapping_add(1);
-            self.state = State::Asking { since: now, known: BTreeMap::new() };
+            self.state = State::Asking {
+                since: now,
+                known: BTreeMap::new(),
+            };
             out.push(Paxos::Recover { nonce: self.nonce });
         }
         self.recover(now, wall_ms, version);
@@ -99,22 +119,37 @@
         self.settle(version);
         match message {
             Paxos::Recover { nonce } if !matches!(self.state, State::Silent { .. }) => {
-                Some(Paxos::Known { nonce, memory: self.memory(version), remembers: self.votes() })
+                Some(Paxos::Known {
+                    nonce,
+                    memory: self.memory(version),
+                    remembers: self.votes(),
+                })
             }
-            Paxos::Prepare { token, round } if self.votes() => Some(self.prepare(token, round, version)),
-            Paxos::Accept { token, round, change } if self.votes() => {
-                self.accept(token, round, change, version)
+            Paxos::Prepare { token, round } if self.votes() => {
+                Some(self.prepare(token, round, version))
             }
+            Paxos::Accept {
+                token,
+                round,
+                change,
+            } if self.votes() => self.accept(token, round, change, version),
             _ => None,
         }
     }
 
     /// Takes another voter's answer to its own question.
     pub fn known(
-        &mut self, now: Time, wall_ms: u64, version: u64, from: usize, nonce: u64,
+        &mut self,
+        now: Time,
+        wall_ms: u64,
+        version: u64,
+        from: usize,
+        nonce: u64,
         (remembers, memory): (bool, Memory),
     ) {
-        let State::Asking { since, known } = &mut self.state else { return };
+        let State::Asking { since, known } = &mut self.state else {
+            return;
+        };
         let other = from < self.rules.voters() && from != self.place;
         if other && nonce == self.nonce && now - *since < self.rules.patience() {
             known.insert(from, (remembers, memory));
@@ -124,25 +159,48 @@
 
     fn memory(&self, version: u64) -> Memory {
         let (promised, accepted, floor) = (self.promised, self.accepted.clone(), self.floor);
-        Memory { promised, version, accepted, floor }
+        Memory {
+            promised,
+            version,
+            accepted,
+            floor,
+        }
     }
 
     fn prepare(&mut self, token: Token, round: u32, version: u64) -> Paxos {
         if token < self.promised {
-            return Paxos::Refused { token, highest: self.promised };
+            return Paxos::Refused {
+                token,
+                highest: self.promised,
+            };
         }
         self.promised = token;
-        let Memory { accepted, floor, .. } = self.memory(version);
-        Paxos::Promise { token, round, version, accepted, floor }
+        let Memory {
+            accepted, floor, ..
+        } = self.memory(version);
+        Paxos::Promise {
+            token,
+            round,
+            version,
+            accepted,
+            floor,
+        }
     }
 
     fn accept(&mut self, token: Token, round: u32, change: Change, version: u64) -> Option<Paxos> {
         if token < self.promised {
-            return Some(Paxos::Refused { token, highest: self.promised });
+            return Some(Paxos::Refused {
+                token,
+                highest: self.promised,
+            });
         }
         self.promised = token;
         if change.after > version {
-            return Some(Paxos::Behind { token, round, version });
+            return Some(Paxos::Behind {
+                token,
+                round,
+                version,
+            });
         }
         if change.after < version {
             return None; // what follows that version is decided, and was heard of here
@@ -151,7 +209,10 @@
             // A holder that learned what there is before a majority forgot may give a number again. Under another token it
             // learns anew.
             self.promised = token.above();
-            return Some(Paxos::Refused { token, highest: self.promised });
+            return Some(Paxos::Refused {
+                token,
+                highest: self.promised,
+            });
         }
         self.accepted = Some((token, change));
         Some(Paxos::Accepted { token, round })
@@ -159,7 +220,11 @@
 
     /// What is decided need not be kept.
     fn settle(&mut self, version: u64) {
-        if self.accepted.as_ref().is_some_and(|(_, change)| change.after < version) {
+        if self
+            .accepted
+            .as_ref()
+            .is_some_and(|(_, change)| change.after < version)
+        {
             self.accepted = None;
         }
     }
@@ -173,15 +238,40 @@
                 return;
             }
             let memories = || known.values().map(|(_, memory)| memory);
-            let highest = memories().map(|m| m.version).max().unwrap_or_default().max(version);
+            let highest = memories()
+                .map(|m| m.version)
+                .max()
+                .unwrap_or_default()
+                .max(version);
             // What it was told when it asked before counts as well.
-            let accepted = memories().map(|m| &m.accepted).chain([&self.accepted]).flatten();
-            let accepted = accepted.filter(|(_, change)| change.after == highest).max().cloned();
-            self.promised = memories().map(|m| m.promised).chain([self.promised]).max().unwrap_or_default();
-            let floor = memories().map(|m| m.floor).chain([self.floor]).max().unwrap_or_default();
+            let accepted = memories()
+                .map(|m| &m.accepted)
+                .chain([&self.accepted])
+                .flatten();
+            let accepted = accepted
+                .filter(|(_, change)| change.after == highest)
+                .max()
+                .cloned();
+            self.promised = memories()
+                .map(|m| m.promised)
+                .chain([self.promised])
+                .max()
+                .unwrap_or_default();
+            let floor = memories()
+                .map(|m| m.floor)
+                .chain([self.floor])
+                .max()
+                .unwrap_or_default();
             self.accepted = accepted;
-            self.floor = if majority { floor } else { floor.max(wall_ms.min(MOST_NUMBER / 2)) };
-            self.state = State::Reaching { version: highest, since: now };
+            self.floor = if majority {
+                floor
+            } else {
+                floor.max(wall_ms.min(MOST_NUMBER / 2))
+            };
+            self.state = State::Reaching {
+                version: highest,
+                since: now,
+            };
         }
         if matches!(self.state, State::Reaching { version: needed, .. } if needed <= version) {
             self.state = State::Voting;
--- a/src/fleet/config/file.rs
+++ b/src/fleet/config/file.rs
@@ -37,7 +37,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FileRefused::Ahead { version, newest } => {
-                write!(f, "version: {version} is above {newest}, the newest that was heard of here")
+                write!(
+                    f,
+                    "version: {version} is above {newest}, the newest that was heard of here"
+                )
             }
             FileRefused::Old { version, contained } => {
                 write!(f, "version: expected at least {contained}, as older changes are only in files here, got {version}")
@@ -77,7 +80,15 @@
     /// None yet, over a file that says that it contains the changes up to `version`, 0 for none.
     pub fn new(version: u64) -> Overrides {
         let (entries, copy, contained, gone, swept, sweep) = Default::default();
-        Overrides { entries, version: copy, contained, gone, file: Claim::Unchecked(version), swept, sweep }
+        Overrides {
+            entries,
+            version: copy,
+            contained,
+            gone,
+            file: Claim::Unchecked(version),
+            swept,
+            sweep,
+        }
     }
 
     /// Up to which number the file contains all changes.
@@ -95,17 +106,24 @@
 
     /// Whether this entry was changed for the fleet and not taken back, as far as that is known here.
     pub fn is_changed(&self, key: &Key) -> bool {
-        self.entries.get(key).is_some_and(|(value, _)| *value != Value::AsFile)
+        self.entries
+            .get(key)
+            .is_some_and(|(value, _)| *value != Value::AsFile)
     }
 
     /// Whether this entry goes over the file in force.
     pub fn is_over(&self, key: &Key) -> bool {
-        self.entries.get(key).is_some_and(|(_, number)| *number > self.file())
+        self.entries
+            .get(key)
+            .is_some_and(|(_, number)| *number > self.file())
     }
 
     /// What is in force over a file that contains the changes up to `version`.
     pub fn over(&self, version: u64) -> impl Iterator<Item = (&Key, &Value)> {
-        let over = self.entries.iter().filter(move |(_, (_, number))| *number > version);
+        let over = self
+            .entries
+            .iter()
+            .filter(move |(_, (_, number))| *number > version);
         over.map(|(key, (value, _))| (key, value))
     }
 
@@ -139,7 +157,10 @@
     pub fn check(&self, version: u64, newest: Option<u64>) -> Result<(), FileRefused> {
         match newest {
             Some(newest) if version > newest => Err(FileRefused::Ahead { version, newest }),
-            _ if version < self.least() => Err(FileRefused::Old { version, contained: self.least() }),
+            _ if version < self.least() => Err(FileRefused::Old {
+                version,
+                contained: self.least(),
+            }),
             _ => Ok(()),
         }
     }
@@ -167,20 +188,27 @@
     /// # Errors
     /// The file is ahead; what is to be put in force over it goes with that.
     pub fn heard(&mut self, newest: u64) -> Result<(), (FileRefused, Vec<(Key, Value)>)> {
-        let Claim::Unchecked(version) = self.file else { return Ok(()) };
+        let Claim::Unchecked(version) = self.file else {
+            return Ok(());
+        };
         if version <= newest {
             self.file = Claim::Contains(version);
             self.forget();
             return Ok(());
         }
         self.file = Claim::Contains(0);
-        let all = self.over(0).map(|(key, value)| (key.clone(), value.clone())).collect();
+        let all = self
+            .over(0)
+            .map(|(key, value)| (key.clone(), value.clone()))
+            .collect();
         Err((FileRefused::Ahead { version, newest }, all))
     }
 
     /// Drops what the table does not keep and the file contains, some of it at a time: until then it is only not in force.
     fn forget(&mut self) {
-        let Claim::Contains(file) = self.file else { return };
+        let Claim::Contains(file) = self.file else {
+            return;
+        };
         let upto = self.contained.min(file);
         self.gone = self.gone.max(upto);
         if self.swept >= upto {
@@ -189,7 +217,8 @@
         let from = self.sweep.take().map_or(Bound::Unbounded, Bound::Excluded);
         let next: Vec<(Key, u64)> = {
             let next = self.entries.range((from, Bound::Unbounded)).take(SWEEP);
-            next.map(|(key, (_, number))| (key.clone(), *number)).collect()
+            next.map(|(key, (_, number))| (key.clone(), *number))
+                .collect()
         };
         match next.last() {
             Some((last, _)) if next.len() == SWEEP => self.sweep = Some(last.clone()),
--- a/src/fleet/config/message.rs
+++ b/src/fleet/config/message.rs
@@ -165,20 +165,25 @@
 impl Message {
     /// The tokens in it.
     pub fn tokens(&self) -> Vec<Token> {
-        let Message::Paxos(message) = self else { return Vec::new() };
+        let Message::Paxos(message) = self else {
+            return Vec::new();
+        };
         match message {
             Paxos::Prepare { token, .. }
             | Paxos::Accept { token, .. }
             | Paxos::Accepted { token, .. }
             | Paxos::Behind { token, .. } => vec![*token],
-            Paxos::Promise { token, accepted, .. } => {
-                accepted.iter().map(|(by, _)| *by).chain([*token]).collect()
-            }
+            Paxos::Promise {
+                token, accepted, ..
+            } => accepted.iter().map(|(by, _)| *by).chain([*token]).collect(),
             Paxos::Refused { token, highest } => vec![*token, *highest],
             Paxos::Recover { .. } => Vec::new(),
-            Paxos::Known { memory, .. } => {
-                memory.accepted.iter().map(|(by, _)| *by).chain([memory.promised]).collect()
-            }
+            Paxos::Known { memory, .. } => memory
+                .accepted
+                .iter()
+                .map(|(by, _)| *by)
+                .chain([memory.promised])
+                .collect(),
         }
     }
 
--- a/src/fleet/config/mod.rs
+++ b/src/fleet/config/mod.rs
@@ -84,13 +84,18 @@
     /// The entry that says up to which number all changes are in the platform's files: the change that sets it drops the entries up to
     /// there, at every copy alike.
     pub fn contained() -> Key {
-        Key { kind: Kind::File, name: "version".into() }
+        Key {
+            kind: Kind::File,
+            name: "version".into(),
+        }
     }
 
     /// Where it stands among all keys: the first bytes of its BLAKE3.
     pub fn position(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&[self.kind as u8]).update(self.name.as_bytes());
+        hasher
+            .update(&[self.kind as u8])
+            .update(self.name.as_bytes());
         first(&hasher.finalize())
     }
 }
@@ -105,7 +110,10 @@
             1..=MOST_NAME => Ok(()),
             length => {
                 let why = format!("a name has 1 to {MOST_NAME} bytes, not {length}");
-                Err(Invalid { key: self.to_string(), why })
+                Err(Invalid {
+                    key: self.to_string(),
+                    why,
+                })
             }
         }
     }
@@ -140,13 +148,20 @@
 impl Edit {
     /// About how many bytes it takes, in memory for its content and in a datagram.
     pub fn size(&self) -> usize {
-        let value = if let Value::Set(bytes) = &self.value { bytes.len() } else { 0 };
+        let value = if let Value::Set(bytes) = &self.value {
+            bytes.len()
+        } else {
+            0
+        };
         self.key.name.len() + value + 6
     }
 
     /// That the platform's files contain the changes up to that number.
     pub fn contains(number: u64) -> Edit {
-        Edit { key: Key::contained(), value: Value::Set(number.to_string().into_bytes()) }
+        Edit {
+            key: Key::contained(),
+            value: Value::Set(number.to_string().into_bytes()),
+        }
     }
 
     /// Up to which number it says that they do, where it says so.
@@ -165,14 +180,22 @@
     /// Its name or value out of its bounds.
     pub fn check(&self) -> Result<(), Invalid> {
         self.key.check()?;
-        let why = |why: String| Err(Invalid { key: self.key.to_string(), why });
-        if self.key.kind == Kind::File && self.contained().is_none_or(|number| number >= MOST_NUMBER) {
+        let why = |why: String| {
+            Err(Invalid {
+                key: self.key.to_string(),
+                why,
+            })
+        };
+        if self.key.kind == Kind::File
+            && self.contained().is_none_or(|number| number >= MOST_NUMBER)
+        {
             return why("expected a version".into());
         }
         match &self.value {
-            Value::Set(bytes) if bytes.len() > MOST_VALUE => {
-                why(format!("a value has up to {MOST_VALUE} bytes, not {}", bytes.len()))
-            }
+            Value::Set(bytes) if bytes.len() > MOST_VALUE => why(format!(
+                "a value has up to {MOST_VALUE} bytes, not {}",
+                bytes.len()
+            )),
             _ => Ok(()),
         }
     }
@@ -200,18 +223,31 @@
 /// # Errors
 /// The first that is out of its bounds, named twice, or too much.
 pub fn check(edits: &[Edit]) -> Result<(), Invalid> {
-    let all = |why: String| Err(Invalid { key: "entries".into(), why });
+    let all = |why: String| {
+        Err(Invalid {
+            key: "entries".into(),
+            why,
+        })
+    };
     if edits.is_empty() || edits.len() > MOST_EDITS {
-        return all(format!("a change names 1 to {MOST_EDITS}, not {}", edits.len()));
+        return all(format!(
+            "a change names 1 to {MOST_EDITS}, not {}",
+            edits.len()
+        ));
     }
     edits.iter().try_for_each(Edit::check)?;
     let size: usize = edits.iter().map(Edit::size).sum();
     if size > MOST_CHANGE {
-        return all(format!("{size} bytes, over the {MOST_CHANGE} of one change"));
+        return all(format!(
+            "{size} bytes, over the {MOST_CHANGE} of one change"
+        ));
     }
     for (n, edit) in edits.iter().enumerate() {
         if edits[..n].iter().any(|other| other.key == edit.key) {
-            return Err(Invalid { key: edit.key.to_string(), why: "it is named twice".into() });
+            return Err(Invalid {
+                key: edit.key.to_string(),
+                why: "it is named twice".into(),
+            });
         }
     }
     Ok(())
@@ -238,7 +274,13 @@
 
     /// The entries that it makes.
     pub fn entries(&self) -> Vec<Entry> {
-        self.edits.iter().map(|edit| Entry { edit: edit.clone(), number: self.number }).collect()
+        self.edits
+            .iter()
+            .map(|edit| Entry {
+                edit: edit.clone(),
+                number: self.number,
+            })
+            .collect()
     }
 
     /// Checks a change that another proxy told.
@@ -249,7 +291,11 @@
         if self.number <= self.after || self.number >= MOST_NUMBER {
             return Err(Refused::Number(self.number));
         }
-        if let Some(ahead) = self.edits.iter().filter_map(Edit::contained).find(|number| *number > self.after)
+        if let Some(ahead) = self
+            .edits
+            .iter()
+            .filter_map(Edit::contained)
+            .find(|number| *number > self.after)
         {
             return Err(Refused::Number(ahead));
         }
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -50,7 +50,14 @@
     /// One that has just come to hold the duty under that token. Its first tick asks the voters.
     pub fn new(rules: Rules, token: Token) -> Proposer {
         let phase = Phase::Preparing(BTreeMap::new());
-        Proposer { rules, token, round: 0, sent: Time(0), floor: 0, phase }
+        Proposer {
+            rules,
+            token,
+            round: 0,
+            sent: Time(0),
+            floor: 0,
+            phase,
+        }
     }
 
     /// The token that it proposes under.
@@ -92,23 +99,45 @@
     /// Proposes a change after this copy's version; its number, or none while it is not [ready](Proposer::is_ready).
     /// `wall_ms`: the wall clock in milliseconds since 1970.
     pub fn propose(
-        &mut self, now: Time, wall_ms: u64, version: u64, (id, edits): (u64, Vec<Edit>), out: &mut Vec<Paxos>,
+        &mut self,
+        now: Time,
+        wall_ms: u64,
+        version: u64,
+        (id, edits): (u64, Vec<Edit>),
+        out: &mut Vec<Paxos>,
     ) -> Option<u64> {
         if !self.is_ready() {
             return None;
         }
         // Voters that recovered later than those that promised have higher floors, and these are not above the clock.
         let recovering = self.floor > version && wall_ms < MOST_NUMBER / 2;
-        let floor = if recovering { self.floor.max(wall_ms) } else { self.floor };
+        let floor = if recovering {
+            self.floor.max(wall_ms)
+        } else {
+            self.floor
+        };
         let number = version.max(floor).saturating_add(1);
-        self.phase = Phase::Proposed(Change { number, after: version, id, edits }, 0);
+        self.phase = Phase::Proposed(
+            Change {
+                number,
+                after: version,
+                id,
+                edits,
+            },
+            0,
+        );
         self.ask(now, out);
         Some(number)
     }
 
     /// Takes a voter's answer; `voter` is its place, from 0. An answer counts for the round that is open, and while it is.
     pub fn heard(
-        &mut self, now: Time, version: u64, voter: usize, message: Paxos, out: &mut Vec<Paxos>,
+        &mut self,
+        now: Time,
+        version: u64,
+        voter: usize,
+        message: Paxos,
+        out: &mut Vec<Paxos>,
     ) -> Step {
         self.reach(now, version, out);
         let open = voter < self.rules.voters() && now - self.sent < self.rules.patience();
@@ -116,18 +145,32 @@
             Paxos::Refused { token, highest } if token == self.token && highest > token => {
                 return Step::Superseded(highest);
             }
-            Paxos::Promise { token, round, version: theirs, accepted, floor }
-                if open && (token, round) == (self.token, self.round) =>
-            {
+            Paxos::Promise {
+                token,
+                round,
+                version: theirs,
+                accepted,
+                floor,
+            } if open && (token, round) == (self.token, self.round) => {
                 self.promised(now, version, voter, (theirs, accepted, floor), out);
             }
-            Paxos::Accepted { token, round } if open && (token, round) == (self.token, self.round) => {
+            Paxos::Accepted { token, round }
+                if open && (token, round) == (self.token, self.round) =>
+            {
                 return self.accepted(voter);
             }
-            Paxos::Behind { token, round, version: theirs } => {
+            Paxos::Behind {
+                token,
+                round,
+                version: theirs,
+            } => {
                 if let Phase::Proposed(change, _) = &self.phase {
                     if open && (token, round) == (self.token, self.round) && theirs < change.after {
-                        let again = Paxos::Accept { token, round, change: change.clone() };
+                        let again = Paxos::Accept {
+                            token,
+                            round,
+                            change: change.clone(),
+                        };
                         return Step::Lacks(theirs, again);
                     }
                 }
@@ -153,28 +196,53 @@
             }
             Phase::Proposed(change, votes) => {
                 *votes = 0;
-                out.push(Paxos::Accept { token, round, change: change.clone() });
+                out.push(Paxos::Accept {
+                    token,
+                    round,
+                    change: change.clone(),
+                });
             }
             Phase::Reaching(..) | Phase::Ready => {}
         }
     }
 
-    fn promised(&mut self, now: Time, version: u64, voter: usize, promise: Promise, out: &mut Vec<Paxos>) {
+    fn promised(
+        &mut self,
+        now: Time,
+        version: u64,
+        voter: usize,
+        promise: Promise,
+        out: &mut Vec<Paxos>,
+    ) {
         let majority = self.majority();
-        let Phase::Preparing(promises) = &mut self.phase else { return };
+        let Phase::Preparing(promises) = &mut self.phase else {
+            return;
+        };
         promises.insert(voter, promise);
         if promises.len() < majority {
             return;
         }
-        let highest = promises.values().map(|(version, ..)| *version).max().unwrap_or_default();
-        let accepted = promises.values().filter_map(|(_, accepted, _)| accepted.clone());
+        let highest = promises
+            .values()
+            .map(|(version, ..)| *version)
+            .max()
+            .unwrap_or_default();
+        let accepted = promises
+            .values()
+            .filter_map(|(_, accepted, _)| accepted.clone());
         // Of what is under way the newest holder's counts: had another been decided, that holder would have proposed it.
         let pending = accepted.filter(|(_, change)| change.after == highest).max();
-        self.floor = promises.values().map(|(.., floor)| *floor).max().unwrap_or_default();
+        self.floor = promises
+            .values()
+            .map(|(.., floor)| *floor)
+            .max()
+            .unwrap_or_default();
         // What a minority still remembers of a time that the others forgot is proposed under a new number.
         let floor = self.floor;
-        let renumbered =
-            |change: Change| Change { number: change.number.max(floor.saturating_add(1)), ..change };
+        let renumbered = |change: Change| Change {
+            number: change.number.max(floor.saturating_add(1)),
+            ..change
+        };
         self.phase = Phase::Reaching(highest, pending.map(|(_, change)| renumbered(change)));
         self.reach(now, version, out);
     }
@@ -185,7 +253,9 @@
         if matches!(&self.phase, Phase::Proposed(change, _) if change.after < version) {
             self.phase = Phase::Ready;
         }
-        let Phase::Reaching(needed, pending) = &mut self.phase else { return };
+        let Phase::Reaching(needed, pending) = &mut self.phase else {
+            return;
+        };
         if version < *needed {
             return;
         }
@@ -200,7 +270,9 @@
 
     fn accepted(&mut self, voter: usize) -> Step {
         let majority = self.majority() as u32;
-        let Phase::Proposed(change, votes) = &mut self.phase else { return Step::Wait };
+        let Phase::Proposed(change, votes) = &mut self.phase else {
+            return Step::Wait;
+        };
         *votes |= 1 << voter;
         if votes.count_ones() < majority {
             return Step::Wait;
--- a/src/fleet/config/repair.rs
+++ b/src/fleet/config/repair.rs
@@ -57,7 +57,11 @@
 
     /// Asks a proxy that has more for what came since, one at a time.
     pub(super) fn ask_since(
-        &mut self, now: Time, from: SocketAddr, theirs: u64, out: &mut Vec<(SocketAddr, Message)>,
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        theirs: u64,
+        out: &mut Vec<(SocketAddr, Message)>,
     ) {
         let version = self.table.version();
         let asking = self.repair.asked.is_some_and(|(_, at)| now - at < ANSWER);
@@ -69,7 +73,11 @@
 
     /// Answers what lies in a range, as much as fits.
     pub(super) fn part(
-        &mut self, now: Time, to: SocketAddr, (first, last): (u64, u64), out: &mut Vec<(SocketAddr, Message)>,
+        &mut self,
+        now: Time,
+        to: SocketAddr,
+        (first, last): (u64, u64),
+        out: &mut Vec<(SocketAddr, Message)>,
     ) {
         let (mut entries, mut bytes, mut upto) = (Vec::new(), 0, last);
         for (position, entry) in self.table.range(first, last) {
@@ -81,13 +89,23 @@
             entries.push(entry.clone());
         }
         let digest = self.table.digest();
-        let message = Message::Part { digest, from: first, to: upto, entries };
+        let message = Message::Part {
+            digest,
+            from: first,
+            to: upto,
+            entries,
+        };
         self.spend(now, to, message, bytes.min(LOAD) + 100, out);
     }
 
     /// The hashes of a range's children: the answer to a comparison, or the begin of one.
     pub(super) fn children(
-        &mut self, now: Time, from: SocketAddr, digest: Digest, node: Node, hashes: &[u64],
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        digest: Digest,
+        node: Node,
+        hashes: &[u64],
         out: &mut Vec<(SocketAddr, Message)>,
     ) -> Result<(), Refused> {
         let begins = self.repair.asked.is_some_and(|(of, _)| of == from) && node == Node::ROOT;
@@ -95,7 +113,14 @@
             self.repair.asked = None;
             let staged = Staged::new(&self.table, digest);
             let (task, todo, asked, tries) = (Task::Compare(node), Vec::new(), now, 0);
-            self.repair.fetching = Some(Fetching { from, staged, task, todo, asked, tries });
+            self.repair.fetching = Some(Fetching {
+                from,
+                staged,
+                task,
+                todo,
+                asked,
+                tries,
+            });
         }
         let fetching = self.expected(from, digest, Task::Compare(node))?;
         let differing = fetching.staged.differing(node, hashes);
@@ -120,24 +145,32 @@
 
     /// What lies in a range that was asked for.
     pub(super) fn fetched(
-        &mut self, now: Time, from: SocketAddr, digest: Digest, (first, to): (u64, u64), entries: Vec<Entry>,
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        digest: Digest,
+        (first, to): (u64, u64),
+        entries: Vec<Entry>,
         out: &mut Vec<(SocketAddr, Message)>,
     ) -> Result<(), Refused> {
         let asked = self.repair.fetching.as_ref().map(|fetching| fetching.task);
-        let Some(Task::Fetch(start, end)) = asked.filter(|task| matches!(task, Task::Fetch(..))) else {
+        let Some(Task::Fetch(start, end)) = asked.filter(|task| matches!(task, Task::Fetch(..)))
+        else {
             return Err(Refused::Unasked);
         };
         if first != start || to > end {
             return Err(Refused::Unasked);
         }
         let table = std::mem::take(&mut self.table);
-        let taken = self.expected(from, digest, Task::Fetch(start, end)).and_then(|fetching| {
-            fetching.staged.fetched(&table, (first, to), entries)?;
-            if to < end {
-                fetching.todo.push(Task::Fetch(to + 1, end));
-            }
-            Ok(())
-        });
+        let taken = self
+            .expected(from, digest, Task::Fetch(start, end))
+            .and_then(|fetching| {
+                fetching.staged.fetched(&table, (first, to), entries)?;
+                if to < end {
+                    fetching.todo.push(Task::Fetch(to + 1, end));
+                }
+                Ok(())
+            });
         self.table = table;
         taken?;
         self.go_on(now, out);
@@ -145,7 +178,12 @@
     }
 
     /// The fetching that this answers, with the answer's state as its target: it is never a lower one.
-    fn expected(&mut self, from: SocketAddr, digest: Digest, task: Task) -> Result<&mut Fetching, Refused> {
+    fn expected(
+        &mut self,
+        from: SocketAddr,
+        digest: Digest,
+        task: Task,
+    ) -> Result<&mut Fetching, Refused> {
         let fetching = self.repair.fetching.as_mut().ok_or(Refused::Unasked)?;
         let fits = fetching.from == from && fetching.task == task;
         if !fits || digest.version < fetching.staged.target.version {
@@ -157,9 +195,13 @@
 
     /// Asks for what comes next; where nothing is left it is whole, or the other copy went on and is compared anew.
     fn go_on(&mut self, now: Time, out: &mut Vec<(SocketAddr, Message)>) {
-        let Some(fetching) = &mut self.repair.fetching else { return };
+        let Some(fetching) = &mut self.repair.fetching else {
+            return;
+        };
         if fetching.todo.is_empty() && fetching.staged.is_whole() {
-            let Some(fetching) = self.repair.fetching.take() else { return };
+            let Some(fetching) = self.repair.fetching.take() else {
+                return;
+            };
             let (from, version) = (fetching.from, fetching.staged.target.version);
             if let Some(entries) = self.table.go_to(fetching.staged) {
                 self.new_in_force(version, entries);
@@ -175,13 +217,25 @@
 
     /// Asks another proxy where one did not answer: what is fetched stays, and is compared with what that one has.
     pub(super) fn repair_late(
-        &mut self, now: Time, around: &Surroundings, out: &mut Vec<(SocketAddr, Message)>,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        out: &mut Vec<(SocketAddr, Message)>,
     ) {
-        if self.repair.fetching.as_ref().is_none_or(|f| now - f.asked < ANSWER) {
+        if self
+            .repair
+            .fetching
+            .as_ref()
+            .is_none_or(|f| now - f.asked < ANSWER)
+        {
             return;
         }
-        let Some(other) = self.neighbour(around) else { return };
-        let Some(fetching) = &mut self.repair.fetching else { return };
+        let Some(other) = self.neighbour(around) else {
+            return;
+        };
+        let Some(fetching) = &mut self.repair.fetching else {
+            return;
+        };
         fetching.tries += 1;
         if fetching.tries > TRIES {
             self.repair.fetching = None;
--- a/src/fleet/config/replica.rs
+++ b/src/fleet/config/replica.rs
@@ -144,7 +144,10 @@
     /// promised as a voter it has forgotten all the same, as the copy may be older than that.
     pub fn restore(&mut self, table: Table) {
         if self.table.version() < table.version() {
-            let entries = table.range(0, u64::MAX).map(|(_, entry)| entry.clone()).collect();
+            let entries = table
+                .range(0, u64::MAX)
+                .map(|(_, entry)| entry.clone())
+                .collect();
             self.table = table;
             self.new_in_force(self.table.version(), entries);
         }
@@ -178,12 +181,17 @@
     /// The voters that a voter without memory waits for.
     pub fn unanswered(&self) -> Vec<SocketAddr> {
         let places = self.acceptor.iter().flat_map(Acceptor::unanswered);
-        places.filter_map(|place| self.rules.voters.get(place).copied()).collect()
+        places
+            .filter_map(|place| self.rules.voters.get(place).copied())
+            .collect()
     }
 
     /// The number of the change that this proxy, as the holder, waits for a majority with.
     pub fn proposed(&self) -> Option<u64> {
-        self.proposer.as_ref().and_then(Proposer::proposed).map(|change| change.number)
+        self.proposer
+            .as_ref()
+            .and_then(Proposer::proposed)
+            .map(|change| change.number)
     }
 
     /// The number of the change that this proxy, as a voter, keeps and does not know to be decided.
@@ -215,12 +223,21 @@
     /// # Errors
     /// Why it is not used; it changed nothing.
     pub fn handle(
-        &mut self, now: Time, around: &Surroundings, from: SocketAddr, message: Message, out: &mut Out,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        from: SocketAddr,
+        message: Message,
+        out: &mut Out,
     ) -> Result<(), Refused> {
         message.check()?;
         match message {
             Message::Paxos(message) => self.paxos(now, around, from, message, out),
-            Message::Changes { changes, version, push } => {
+            Message::Changes {
+                changes,
+                version,
+                push,
+            } => {
                 if version >= MOST_NUMBER {
                     return Err(Refused::Number(version));
                 }
@@ -243,19 +260,34 @@
             Message::Hashes { node } => {
                 let hashes = self.table.hashes(node);
                 let digest = self.table.digest();
-                self.spend(now, from, Message::Children { digest, node, hashes }, 180, out);
+                self.spend(
+                    now,
+                    from,
+                    Message::Children {
+                        digest,
+                        node,
+                        hashes,
+                    },
+                    180,
+                    out,
+                );
                 Ok(())
             }
             Message::Range { from: first, to } => {
                 self.part(now, from, (first, to), out);
                 Ok(())
             }
-            Message::Children { digest, node, hashes } => {
-                self.children(now, from, digest, node, &hashes, out)
-            }
-            Message::Part { digest, from: first, to, entries } => {
-                self.fetched(now, from, digest, (first, to), entries, out)
-            }
+            Message::Children {
+                digest,
+                node,
+                hashes,
+            } => self.children(now, from, digest, node, &hashes, out),
+            Message::Part {
+                digest,
+                from: first,
+                to,
+                entries,
+            } => self.fetched(now, from, digest, (first, to), entries, out),
             Message::Submit(submission) => {
                 if around.holding.is_some() {
                     self.queue(now, around, from, submission, out);
@@ -270,7 +302,12 @@
     }
 
     fn paxos(
-        &mut self, now: Time, around: &Surroundings, from: SocketAddr, message: Paxos, out: &mut Out,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        from: SocketAddr,
+        message: Paxos,
+        out: &mut Out,
     ) -> Result<(), Refused> {
         let place = self.rules.voters.iter().position(|voter| *voter == from);
         let version = self.table.version();
@@ -283,15 +320,33 @@
                 let answer = acceptor.handle(message, version);
                 out.extend(answer.map(|answer| (from, Message::Paxos(answer))));
             }
-            Paxos::Known { nonce, memory, remembers } => {
+            Paxos::Known {
+                nonce,
+                memory,
+                remembers,
+            } => {
                 let place = place.ok_or(Refused::Stranger)?;
                 check_memory(&memory)?;
                 let acceptor = self.acceptor.as_mut().ok_or(Refused::NoVoter)?;
-                acceptor.known(now, around.wall_ms, version, place, nonce, (remembers, memory));
+                acceptor.known(
+                    now,
+                    around.wall_ms,
+                    version,
+                    place,
+                    nonce,
+                    (remembers, memory),
+                );
             }
-            Paxos::Promise { .. } | Paxos::Accepted { .. } | Paxos::Behind { .. } | Paxos::Refused { .. } => {
+            Paxos::Promise { .. }
+            | Paxos::Accepted { .. }
+            | Paxos::Behind { .. }
+            | Paxos::Refused { .. } => {
                 let place = place.ok_or(Refused::Stranger)?;
-                if let Paxos::Promise { accepted: Some((_, change)), .. } = &message {
+                if let Paxos::Promise {
+                    accepted: Some((_, change)),
+                    ..
+                } = &message
+                {
                     change.check()?;
                 }
                 let mut said = Vec::new();
@@ -305,12 +360,21 @@
 
     /// What a voter's answer means for what is proposed here.
     fn answered(
-        &mut self, now: Time, around: &Surroundings, place: usize, message: Paxos, said: &mut Vec<Paxos>,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        place: usize,
+        message: Paxos,
+        said: &mut Vec<Paxos>,
         out: &mut Out,
     ) {
         let version = self.table.version();
         // A holder that was stopped looks at its lease before it counts anything.
-        let Some(proposer) = self.proposer.as_mut().filter(|p| around.holding == Some(p.token())) else {
+        let Some(proposer) = self
+            .proposer
+            .as_mut()
+            .filter(|p| around.holding == Some(p.token()))
+        else {
             return;
         };
         match proposer.heard(now, version, place, message, said) {
@@ -330,7 +394,13 @@
     }
 
     /// To every voter; this proxy's own is asked here.
-    pub(super) fn ask_voters(&mut self, now: Time, around: &Surroundings, said: Vec<Paxos>, out: &mut Out) {
+    pub(super) fn ask_voters(
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        said: Vec<Paxos>,
+        out: &mut Out,
+    ) {
         let mut said = VecDeque::from(said);
         while let Some(message) = said.pop_front() {
             for (place, voter) in self.rules.voters.clone().into_iter().enumerate() {
@@ -339,7 +409,10 @@
                     continue;
                 }
                 let version = self.table.version();
-                let answer = self.acceptor.as_mut().and_then(|a| a.handle(message.clone(), version));
+                let answer = self
+                    .acceptor
+                    .as_mut()
+                    .and_then(|a| a.handle(message.clone(), version));
                 let Some(answer) = answer else { continue };
                 let mut more = Vec::new();
                 self.answered(now, around, place, answer, &mut more, out);
@@ -352,11 +425,20 @@
     fn decided(&mut self, now: Time, around: &Surroundings, change: Change, out: &mut Out) {
         let (id, number) = (change.id, change.number);
         if self.advance(&change) == Ok(Applied::New) {
-            let all = Message::Changes { changes: vec![change.clone()], version: number, push: true };
-            let others = self.rules.voters.iter().filter(|voter| **voter != self.rules.own);
+            let all = Message::Changes {
+                changes: vec![change.clone()],
+                version: number,
+                push: true,
+            };
+            let others = self
+                .rules
+                .voters
+                .iter()
+                .filter(|voter| **voter != self.rules.own);
             out.extend(others.map(|voter| (*voter, all.clone())));
             self.push(vec![change.clone()], around, out);
-            self.again.extend(AGAIN.map(|pause| (now + pause, change.clone())));
+            self.again
+                .extend(AGAIN.map(|pause| (now + pause, change.clone())));
             self.again.make_contiguous().sort_by_key(|(at, _)| *at);
         }
         self.decided_for(id, number, out);
@@ -402,7 +484,11 @@
 
     /// Takes changes from another proxy, and passes on what is news here too.
     fn take(
-        &mut self, around: &Surroundings, changes: Vec<Change>, push: bool, out: &mut Out,
+        &mut self,
+        around: &Surroundings,
+        changes: Vec<Change>,
+        push: bool,
+        out: &mut Out,
     ) -> Result<(), Refused> {
         changes.iter().try_for_each(Change::check)?;
         let mut news = Vec::new();
@@ -426,14 +512,26 @@
             let other = drawn + self.draw(members.len() - drawn);
             members.swap(drawn, other);
             for part in parts(changes.clone(), Change::size) {
-                out.push((members[drawn], Message::Changes { changes: part, version, push: true }));
+                out.push((
+                    members[drawn],
+                    Message::Changes {
+                        changes: part,
+                        version,
+                        push: true,
+                    },
+                ));
             }
         }
     }
 
     /// Another proxy's digest: who is behind asks, who is ahead gives.
     fn compare(
-        &mut self, now: Time, from: SocketAddr, theirs: Digest, (new, ask): (bool, bool), out: &mut Out,
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        theirs: Digest,
+        (new, ask): (bool, bool),
+        out: &mut Out,
     ) {
         let mine = self.table.digest();
         self.newest = self.newest.max(theirs.version);
@@ -449,7 +547,14 @@
             self.give(now, from, theirs.version, out);
         }
         if ask {
-            out.push((from, Message::Digest { digest: mine, new: self.new, ask: false }));
+            out.push((
+                from,
+                Message::Digest {
+                    digest: mine,
+                    new: self.new,
+                    ask: false,
+                },
+            ));
         }
     }
 
@@ -462,7 +567,17 @@
         let Some(changes) = self.table.since(version) else {
             let node = super::Node::ROOT;
             let hashes = self.table.hashes(node);
-            return self.spend(now, to, Message::Children { digest: mine, node, hashes }, 180, out);
+            return self.spend(
+                now,
+                to,
+                Message::Children {
+                    digest: mine,
+                    node,
+                    hashes,
+                },
+                180,
+                out,
+            );
         };
         let changes: Vec<Change> = changes.take(MOST_GIVEN).cloned().collect();
         let parts = parts(changes, Change::size);
@@ -471,13 +586,24 @@
             let size = part.iter().map(Change::size).sum::<usize>() + 80;
             // Only the last one makes the other proxy ask on.
             let version = if n + 1 == last { mine.version } else { 0 };
-            let message = Message::Changes { changes: part, version, push: false };
+            let message = Message::Changes {
+                changes: part,
+                version,
+                push: false,
+            };
             self.spend(now, to, message, size, out);
         }
     }
 
     /// Sends what another proxy's repair needs, unless this one gave too much lately.
-    pub(super) fn spend(&mut self, now: Time, to: SocketAddr, message: Message, bytes: usize, out: &mut Out) {
+    pub(super) fn spend(
+        &mut self,
+        now: Time,
+        to: SocketAddr,
+        message: Message,
+        bytes: usize,
+        out: &mut Out,
+    ) {
         let begun = self.spent.max(now);
         if begun - now <= BURST {
             self.spent = begun + Micros(bytes as u64 * 1_000_000 / RATE);
@@ -487,26 +613,41 @@
 
     /// A voter's start: it asks the others what it may have forgotten.
     fn recover(&mut self, now: Time, around: &Surroundings, out: &mut Out) {
-        let Some(acceptor) = &mut self.acceptor else { return };
+        let Some(acceptor) = &mut self.acceptor else {
+            return;
+        };
         let mut said = Vec::new();
         acceptor.tick(now, around.wall_ms, self.table.version(), &mut said);
         for message in said {
-            let others = self.rules.voters.iter().filter(|voter| **voter != self.rules.own);
+            let others = self
+                .rules
+                .voters
+                .iter()
+                .filter(|voter| **voter != self.rules.own);
             out.extend(others.map(|voter| (*voter, Message::Paxos(message.clone()))));
         }
     }
 
     /// The holder's part begins and ends with the lease.
     fn hold(&mut self, now: Time, around: &Surroundings, out: &mut Out) {
-        if self.proposer.as_ref().is_some_and(|p| around.holding != Some(p.token())) {
+        if self
+            .proposer
+            .as_ref()
+            .is_some_and(|p| around.holding != Some(p.token()))
+        {
             self.proposer = None;
             self.submissions.forget_queue();
         }
-        if let Some(token) = around.holding.filter(|token| self.proposer.is_none() && *token > self.last) {
+        if let Some(token) = around
+            .holding
+            .filter(|token| self.proposer.is_none() && *token > self.last)
+        {
             self.last = token;
             self.proposer = Some(Proposer::new(self.rules.lease, token));
         }
-        let Some(proposer) = &mut self.proposer else { return };
+        let Some(proposer) = &mut self.proposer else {
+            return;
+        };
         let mut said = Vec::new();
         proposer.tick(now, self.table.version(), &mut said);
         self.ask_voters(now, around, said, out);
@@ -518,19 +659,40 @@
         if now < self.digest_at {
             return;
         }
-        let reaching = self.acceptor.as_ref().is_some_and(|a| a.reaching().is_some())
-            || self.proposer.as_ref().is_some_and(|p| p.reaching().is_some());
+        let reaching = self
+            .acceptor
+            .as_ref()
+            .is_some_and(|a| a.reaching().is_some())
+            || self
+                .proposer
+                .as_ref()
+                .is_some_and(|p| p.reaching().is_some());
         self.digest_at = now + if self.new || reaching { CATCH_UP } else { BEAT };
         self.digests = self.digests.wrapping_add(1);
-        let voters: Vec<SocketAddr> =
-            self.rules.voters.iter().copied().filter(|voter| *voter != self.rules.own).collect();
-        let to = match reaching || self.digests.is_multiple_of(TO_VOTER) || around.members.is_empty() {
-            true => self.one_of(&voters),
-            false if self.new => self.neighbour(around),
-            false => self.one_of(around.members),
-        };
+        let voters: Vec<SocketAddr> = self
+            .rules
+            .voters
+            .iter()
+            .copied()
+            .filter(|voter| *voter != self.rules.own)
+            .collect();
+        let to =
+            match reaching || self.digests.is_multiple_of(TO_VOTER) || around.members.is_empty() {
+                true => self.one_of(&voters),
+                false if self.new => self.neighbour(around),
+                false => self.one_of(around.members),
+            };
         let digest = self.table.digest();
-        out.extend(to.map(|to| (to, Message::Digest { digest, new: self.new, ask: self.new })));
+        out.extend(to.map(|to| {
+            (
+                to,
+                Message::Digest {
+                    digest,
+                    new: self.new,
+                    ask: self.new,
+                },
+            )
+        }));
     }
 
     /// Whom to ask for much: mostly one of the same zone.
@@ -552,7 +714,10 @@
 }
 
 fn check_memory(memory: &Memory) -> Result<(), Refused> {
-    memory.accepted.as_ref().map_or(Ok(()), |(_, change)| change.check())
+    memory
+        .accepted
+        .as_ref()
+        .map_or(Ok(()), |(_, change)| change.check())
 }
 
 /// Parts of a list that each fit into one message.
--- a/src/fleet/config/submit.rs
+++ b/src/fleet/config/submit.rs
@@ -63,12 +63,18 @@
 impl fmt::Display for Rejected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejected::Conflict { key, number } => write!(f, "{key}: change {number} came in between"),
+            Rejected::Conflict { key, number } => {
+                write!(f, "{key}: change {number} came in between")
+            }
             Rejected::Invalid(why) => write!(f, "{why}"),
             Rejected::Full => f.write_str("the configuration's table is full"),
             Rejected::Busy => write!(f, "{MOST_WAITING} changes wait already"),
-            Rejected::NoHolder => f.write_str("no proxy holds the duty: no majority of the voters answers"),
-            Rejected::Unknown => f.write_str("no answer in time: the change may come into force yet"),
+            Rejected::NoHolder => {
+                f.write_str("no proxy holds the duty: no majority of the voters answers")
+            }
+            Rejected::Unknown => {
+                f.write_str("no answer in time: the change may come into force yet")
+            }
         }
     }
 }
@@ -115,17 +121,29 @@
             continue;
         }
         changes = true;
-        if edit.contained().is_some_and(|number| number > table.version() || number < table.contained()) {
+        if edit
+            .contained()
+            .is_some_and(|number| number > table.version() || number < table.contained())
+        {
             let why = format!("expected {} to {}", table.contained(), table.version());
-            return Err(Rejected::Invalid(Invalid { key: edit.key.to_string(), why }));
+            return Err(Rejected::Invalid(Invalid {
+                key: edit.key.to_string(),
+                why,
+            }));
         }
         match entry {
             Some(entry) if entry.edit.key != edit.key => {
                 let why = format!("its name's hash is that of {}", entry.edit.key);
-                return Err(Rejected::Invalid(Invalid { key: edit.key.to_string(), why }));
+                return Err(Rejected::Invalid(Invalid {
+                    key: edit.key.to_string(),
+                    why,
+                }));
             }
             Some(entry) if entry.number > submission.base => {
-                return Err(Rejected::Conflict { key: edit.key.to_string(), number: entry.number });
+                return Err(Rejected::Conflict {
+                    key: edit.key.to_string(),
+                    number: entry.number,
+                });
             }
             _ => {}
         }
@@ -140,7 +158,10 @@
     /// # Errors
     /// What can be said at once.
     pub fn submit(
-        &mut self, now: Time, around: &Surroundings, submission: Submission,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        submission: Submission,
         out: &mut Vec<(SocketAddr, Message)>,
     ) -> Result<(), Rejected> {
         check(&submission.edits).map_err(Rejected::Invalid)?;
@@ -151,7 +172,14 @@
             return Err(Rejected::NoHolder);
         }
         let id = submission.id;
-        self.submissions.mine.insert(id, Mine { submission, since: now, sent: None });
+        self.submissions.mine.insert(
+            id,
+            Mine {
+                submission,
+                since: now,
+                sent: None,
+            },
+        );
         self.resend(now, around, out);
         Ok(())
     }
@@ -162,17 +190,27 @@
     }
 
     /// Sends what has no outcome yet to the holder.
-    pub(super) fn resend(&mut self, now: Time, around: &Surroundings, out: &mut Vec<(SocketAddr, Message)>) {
+    pub(super) fn resend(
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        out: &mut Vec<(SocketAddr, Message)>,
+    ) {
         let mut due = Vec::new();
         for (id, mine) in &mut self.submissions.mine {
             if now - mine.since >= PATIENCE {
-                self.events.push(Event::Outcome { id: *id, result: Err(Rejected::Unknown) });
+                self.events.push(Event::Outcome {
+                    id: *id,
+                    result: Err(Rejected::Unknown),
+                });
             } else if mine.sent.is_none_or(|sent| now - sent >= REPEAT) {
                 mine.sent = Some(now);
                 due.push(mine.submission.clone());
             }
         }
-        self.submissions.mine.retain(|_, mine| now - mine.since < PATIENCE);
+        self.submissions
+            .mine
+            .retain(|_, mine| now - mine.since < PATIENCE);
         for submission in due {
             if around.holding.is_some() {
                 self.queue(now, around, self.rules.own, submission, out);
@@ -184,7 +222,11 @@
 
     /// Lets a change wait for its turn, if this proxy is the holder; else who asked sends it to another.
     pub(super) fn queue(
-        &mut self, now: Time, around: &Surroundings, asker: SocketAddr, submission: Submission,
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        asker: SocketAddr,
+        submission: Submission,
         out: &mut Vec<(SocketAddr, Message)>,
     ) {
         if self.proposer.is_none() {
@@ -194,7 +236,11 @@
         if let Some(number) = self.table.numbered(id) {
             return self.outcome(asker, id, Ok(number), out);
         }
-        let proposed = self.proposer.as_ref().and_then(Proposer::proposed).is_some_and(|c| c.id == id);
+        let proposed = self
+            .proposer
+            .as_ref()
+            .and_then(Proposer::proposed)
+            .is_some_and(|c| c.id == id);
         let queue = &mut self.submissions.queue;
         if proposed || queue.iter().any(|(_, waiting)| waiting.id == id) {
             return;
@@ -207,16 +253,29 @@
     }
 
     /// Proposes the next change that can be, while none is open.
-    pub(super) fn propose(&mut self, now: Time, around: &Surroundings, out: &mut Vec<(SocketAddr, Message)>) {
+    pub(super) fn propose(
+        &mut self,
+        now: Time,
+        around: &Surroundings,
+        out: &mut Vec<(SocketAddr, Message)>,
+    ) {
         while self.proposer.as_ref().is_some_and(Proposer::is_ready) {
-            let Some((asker, submission)) = self.submissions.queue.pop_front() else { return };
+            let Some((asker, submission)) = self.submissions.queue.pop_front() else {
+                return;
+            };
             let id = submission.id;
             match fits(&self.table, &submission) {
                 Ok(true) => {
                     self.submissions.open = Some((asker, id));
                     let (mut said, version) = (Vec::<Paxos>::new(), self.table.version());
                     if let Some(proposer) = &mut self.proposer {
-                        proposer.propose(now, around.wall_ms, version, (id, submission.edits), &mut said);
+                        proposer.propose(
+                            now,
+                            around.wall_ms,
+                            version,
+                            (id, submission.edits),
+                            &mut said,
+                        );
                     }
                     self.ask_voters(now, around, said, out);
                 }
@@ -227,14 +286,22 @@
     }
 
     /// A change that was proposed here is decided: who asked for it is told.
-    pub(super) fn decided_for(&mut self, id: u64, number: u64, out: &mut Vec<(SocketAddr, Message)>) {
+    pub(super) fn decided_for(
+        &mut self,
+        id: u64,
+        number: u64,
+        out: &mut Vec<(SocketAddr, Message)>,
+    ) {
         if let Some((asker, _)) = self.submissions.open.take_if(|(_, open)| *open == id) {
             self.outcome(asker, id, Ok(number), out);
         }
     }
 
     fn outcome(
-        &mut self, asker: SocketAddr, id: u64, result: Result<u64, Rejected>,
+        &mut self,
+        asker: SocketAddr,
+        id: u64,
+        result: Result<u64, Rejected>,
         out: &mut Vec<(SocketAddr, Message)>,
     ) {
         if asker != self.rules.own {
--- a/src/fleet/config/table.rs
+++ b/src/fleet/config/table.rs
@@ -2,7 +2,8 @@
 
 use super::tree::{Node, Tree, CHILDREN};
 use super::{
-    first, Change, Edit, Key, Refused, MOST_BYTES, MOST_ENTRIES, MOST_LOG, MOST_LOG_BYTES, MOST_NUMBER,
+    first, Change, Edit, Key, Refused, MOST_BYTES, MOST_ENTRIES, MOST_LOG, MOST_LOG_BYTES,
+    MOST_NUMBER,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -66,11 +67,17 @@
         if digest.version >= MOST_NUMBER {
             return Err(Refused::Number(digest.version));
         }
-        let mut table = Table { version: digest.version, ..Table::default() };
+        let mut table = Table {
+            version: digest.version,
+            ..Table::default()
+        };
         for entry in entries {
             entry.edit.check().map_err(Refused::Entry)?;
             let position = entry.edit.key.position();
-            if entry.number == 0 || entry.number > digest.version || table.entries.contains_key(&position) {
+            if entry.number == 0
+                || entry.number > digest.version
+                || table.entries.contains_key(&position)
+            {
                 return Err(Refused::Number(entry.number));
             }
             table.room(std::slice::from_ref(&entry.edit))?;
@@ -84,7 +91,10 @@
 
     /// Version and root.
     pub fn digest(&self) -> Digest {
-        Digest { version: self.version, root: self.tree.root() }
+        Digest {
+            version: self.version,
+            root: self.tree.root(),
+        }
     }
 
     /// The number of the last change.
@@ -105,7 +115,9 @@
     /// Up to this number changes are only in the platform's files, 0 where all are here.
     pub fn contained(&self) -> u64 {
         let entry = self.get(Key::contained().position());
-        entry.and_then(|entry| entry.edit.contained()).unwrap_or_default()
+        entry
+            .and_then(|entry| entry.edit.contained())
+            .unwrap_or_default()
     }
 
     /// The entry at a position.
@@ -116,7 +128,10 @@
     /// The entries from one position to another, in order.
     pub fn range(&self, from: u64, to: u64) -> impl Iterator<Item = (u64, &Entry)> {
         let range = (from <= to).then(|| self.entries.range(from..=to));
-        range.into_iter().flatten().map(|(position, entry)| (*position, entry))
+        range
+            .into_iter()
+            .flatten()
+            .map(|(position, entry)| (*position, entry))
     }
 
     /// The changes after a version, in order; `None` where that is not kept any more, or never was.
@@ -124,14 +139,19 @@
         if version == self.version {
             return Some(self.log.range(self.log.len()..));
         }
-        let at = self.log.binary_search_by_key(&version, |change| change.after).ok()?;
+        let at = self
+            .log
+            .binary_search_by_key(&version, |change| change.after)
+            .ok()?;
         Some(self.log.range(at..))
     }
 
     /// The number that a change with this id has, if it is among the last ones.
     pub fn numbered(&self, id: u64) -> Option<u64> {
         let last = self.log.iter().rev().take(super::MOST_WAITING);
-        last.into_iter().find(|change| change.id == id).map(|change| change.number)
+        last.into_iter()
+            .find(|change| change.id == id)
+            .map(|change| change.number)
     }
 
     /// Whether these entries can be set without going over the bounds.
@@ -139,7 +159,10 @@
     /// # Errors
     /// [`Refused::Full`].
     pub fn room(&self, edits: &[Edit]) -> Result<(), Refused> {
-        let new = edits.iter().filter(|edit| !self.entries.contains_key(&edit.key.position())).count();
+        let new = edits
+            .iter()
+            .filter(|edit| !self.entries.contains_key(&edit.key.position()))
+            .count();
         let bytes: usize = edits.iter().map(Edit::size).sum();
         match self.entries.len() + new > MOST_ENTRIES || self.bytes + bytes > MOST_BYTES {
             true => Err(Refused::Full),
@@ -160,7 +183,10 @@
             return Ok(Applied::Gap);
         }
         for edit in &change.edits {
-            let entry = Entry { edit: edit.clone(), number: change.number };
+            let entry = Entry {
+                edit: edit.clone(),
+                number: change.number,
+            };
             self.put(edit.key.position(), Some(entry));
         }
         if let Some(contained) = change.edits.iter().find_map(Edit::contained) {
@@ -170,7 +196,9 @@
         self.log_bytes += change.size();
         self.log.push_back(change.clone());
         while self.log.len() > MOST_LOG || self.log_bytes > MOST_LOG_BYTES {
-            let Some(oldest) = self.log.pop_front() else { break };
+            let Some(oldest) = self.log.pop_front() else {
+                break;
+            };
             self.log_bytes -= oldest.size();
         }
         Ok(Applied::New)
@@ -183,9 +211,13 @@
 
     /// Drops what all files contain.
     fn forget(&mut self, contained: u64) {
-        let old = self.entries.iter().filter(|(_, entry)| entry.number <= contained);
+        let old = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.number <= contained);
         let old: Vec<u64> = old.map(|(position, _)| *position).collect();
-        old.into_iter().for_each(|position| self.put(position, None));
+        old.into_iter()
+            .for_each(|position| self.put(position, None));
     }
 
     fn put(&mut self, position: u64, entry: Option<Entry>) {
@@ -196,7 +228,8 @@
             None => self.entries.remove(&position),
         };
         self.bytes -= old.as_ref().map_or(0, |old| old.edit.size());
-        self.tree.replace(position, old.as_ref().map_or(0, Entry::hash), new);
+        self.tree
+            .replace(position, old.as_ref().map_or(0, Entry::hash), new);
     }
 }
 
@@ -213,7 +246,11 @@
 impl Staged {
     /// Begins with this copy as it is.
     pub fn new(table: &Table, target: Digest) -> Staged {
-        Staged { target, fetched: BTreeMap::new(), tree: table.tree.clone() }
+        Staged {
+            target,
+            fetched: BTreeMap::new(),
+            tree: table.tree.clone(),
+        }
     }
 
     /// The children of a node whose hashes are not these.
@@ -234,7 +271,10 @@
     /// # Errors
     /// An entry that is out of bounds or of that range, or too many; nothing of them is kept.
     pub fn fetched(
-        &mut self, table: &Table, (from, to): (u64, u64), theirs: Vec<Entry>,
+        &mut self,
+        table: &Table,
+        (from, to): (u64, u64),
+        theirs: Vec<Entry>,
     ) -> Result<(), Refused> {
         let mut new = BTreeMap::new();
         for entry in theirs {
@@ -293,8 +333,13 @@
         // What is not there any more is in the files; else it was of a chain that the fleet lost.
         let contained = self.contained();
         let lost = gone.into_iter().filter(|(old, _)| *old > contained);
-        differs
-            .extend(lost.map(|(_, key)| Entry { edit: Edit { key, value: super::Value::AsFile }, number }));
+        differs.extend(lost.map(|(_, key)| Entry {
+            edit: Edit {
+                key,
+                value: super::Value::AsFile,
+            },
+            number,
+        }));
         self.version = number;
         self.log.clear();
         self.log_bytes = 0;
--- a/src/fleet/config/tree.rs
+++ b/src/fleet/config/tree.rs
@@ -32,20 +32,36 @@
 
     /// Its children, none for a leaf.
     pub fn children(self) -> impl Iterator<Item = Node> {
-        let count = if self.level < LEVELS { CHILDREN as u16 } else { 0 };
-        (0..count).map(move |n| Node { level: self.level + 1, index: self.index * CHILDREN as u16 + n })
+        let count = if self.level < LEVELS {
+            CHILDREN as u16
+        } else {
+            0
+        };
+        (0..count).map(move |n| Node {
+            level: self.level + 1,
+            index: self.index * CHILDREN as u16 + n,
+        })
     }
 
     /// Its first and its last position.
     pub fn span(self) -> (u64, u64) {
         let bits = BITS * u32::from(self.level);
-        let from = if bits == 0 { 0 } else { u64::from(self.index) << (64 - bits) };
+        let from = if bits == 0 {
+            0
+        } else {
+            u64::from(self.index) << (64 - bits)
+        };
         (from, from | u64::MAX.checked_shr(bits).unwrap_or(0))
     }
 
     fn of(level: u8, position: u64) -> Node {
-        let index = position.checked_shr(64 - BITS * u32::from(level)).unwrap_or(0);
-        Node { level, index: index as u16 }
+        let index = position
+            .checked_shr(64 - BITS * u32::from(level))
+            .unwrap_or(0);
+        Node {
+            level,
+            index: index as u16,
+        }
     }
 
     /// Where it is kept.
@@ -63,7 +79,9 @@
 
 impl Default for Tree {
     fn default() -> Tree {
-        Tree { hashes: vec![0; NODES] }
+        Tree {
+            hashes: vec![0; NODES],
+        }
     }
 }
 
--- a/src/fleet/fence.rs
+++ b/src/fleet/fence.rs
@@ -12,7 +12,10 @@
 
 impl<K> Default for Fence<K> {
     fn default() -> Fence<K> {
-        Fence { highest: BTreeMap::new(), refused: 0 }
+        Fence {
+            highest: BTreeMap::new(),
+            refused: 0,
+        }
     }
 }
 
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -20,7 +20,9 @@
 use serde::{Deserialize, Serialize};
 
 /// A bid for a duty, ordered by number and then by candidate.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     /// Above every number that the candidate had seen, and at least its wall clock in milliseconds since 1970.
     pub number: u64,
@@ -33,7 +35,10 @@
     pub(crate) fn above(self) -> Ballot {
         match self.by.checked_add(1) {
             Some(by) => Ballot { by, ..self },
-            None => Ballot { number: self.number.saturating_add(1), by: 0 },
+            None => Ballot {
+                number: self.number.saturating_add(1),
+                by: 0,
+            },
         }
     }
 }
@@ -69,7 +74,11 @@
             return Err(RulesError::Drift);
         }
         let life = (term.0 as f64 * (1.0 + drift) / (1.0 - drift)).ceil();
-        Ok(Rules { voters: voters as u8, term, grant_life: Micros(life as u64) })
+        Ok(Rules {
+            voters: voters as u8,
+            term,
+            grant_life: Micros(life as u64),
+        })
     }
 
     /// How many voters there are.
@@ -118,7 +127,11 @@
         match self {
             RulesError::Voters(n) => write!(f, "voters: expected 1, 3, 5 or 7, not {n}"),
             RulesError::Term(term) => {
-                write!(f, "term: expected above 0 and up to a day, not {} s", term.secs())
+                write!(
+                    f,
+                    "term: expected above 0 and up to a day, not {} s",
+                    term.secs()
+                )
             }
             RulesError::Drift => f.write_str("drift: expected from 0 to below 0.5"),
         }
@@ -183,7 +196,12 @@
 impl Voter {
     /// A voter that has just started and remembers nothing: it is silent for one grant's life.
     pub fn new(rules: Rules, now: Time) -> Voter {
-        Voter { rules, silent_until: now + rules.grant_life, floor: Ballot::default(), grant: None }
+        Voter {
+            rules,
+            silent_until: now + rules.grant_life,
+            floor: Ballot::default(),
+            grant: None,
+        }
     }
 
     /// Whether it still keeps silent after its start.
@@ -197,7 +215,11 @@
         match message {
             Message::Ask { ballot } if !self.silent(now) => Some(match self.grants(now, ballot) {
                 true => Message::Free { ballot },
-                false => Message::Refused { ballot, round: 0, highest: self.floor },
+                false => Message::Refused {
+                    ballot,
+                    round: 0,
+                    highest: self.floor,
+                },
             }),
             Message::Propose { ballot, round } if !self.silent(now) => {
                 Some(self.proposed(now, ballot, round))
@@ -222,7 +244,9 @@
 
     /// The ballot that its grant is for, while one lives.
     pub fn granted(&self, now: Time) -> Option<Ballot> {
-        self.grant.filter(|(_, until)| now < *until).map(|(ballot, _)| ballot)
+        self.grant
+            .filter(|(_, until)| now < *until)
+            .map(|(ballot, _)| ballot)
     }
 
     fn grants(&self, now: Time, ballot: Ballot) -> bool {
@@ -231,7 +255,11 @@
 
     fn proposed(&mut self, now: Time, ballot: Ballot, round: u32) -> Message {
         if !self.grants(now, ballot) {
-            return Message::Refused { ballot, round, highest: self.floor };
+            return Message::Refused {
+                ballot,
+                round,
+                highest: self.floor,
+            };
         }
         self.learn(ballot);
         self.grant = Some((ballot, now + self.rules.grant_life));
@@ -302,7 +330,14 @@
     /// A candidate that holds nothing. `incarnation` is drawn at random by the host at each start, so that no two
     /// candidates and no two lives of one ever share a ballot.
     pub fn new(rules: Rules, incarnation: u64) -> Candidate {
-        Candidate { rules, incarnation, highest: 0, bid: None, rest: None, changes: Vec::new() }
+        Candidate {
+            rules,
+            incarnation,
+            highest: 0,
+            bid: None,
+            rest: None,
+            changes: Vec::new(),
+        }
     }
 
     /// The token under which it holds the duty at this instant. To be asked with the clock's time right before each
@@ -353,7 +388,11 @@
         match message {
             Message::Free { ballot } => self.agreed(now, ballot, 0, vote, out),
             Message::Accepted { ballot, round } => self.agreed(now, ballot, round, vote, out),
-            Message::Refused { ballot, round, highest } => {
+            Message::Refused {
+                ballot,
+                round,
+                highest,
+            } => {
                 self.highest = self.highest.max(highest.number);
                 self.denied(now, ballot, round, vote, highest, out);
             }
@@ -402,8 +441,19 @@
 
     fn ask(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Message>) {
         self.highest = self.highest.saturating_add(1).max(wall_ms);
-        let ballot = Ballot { number: self.highest, by: self.incarnation };
-        self.bid = Some(Bid { ballot, asked: now, round: 0, sent: now, yes: 0, no: 0, until: None });
+        let ballot = Ballot {
+            number: self.highest,
+            by: self.incarnation,
+        };
+        self.bid = Some(Bid {
+            ballot,
+            asked: now,
+            round: 0,
+            sent: now,
+            yes: 0,
+            no: 0,
+            until: None,
+        });
         out.push(Message::Ask { ballot });
     }
 
@@ -411,13 +461,27 @@
         if let Some(bid) = &mut self.bid {
             bid.round = bid.round.saturating_add(1);
             (bid.sent, bid.yes, bid.no) = (now, 0, 0);
-            out.push(Message::Propose { ballot: bid.ballot, round: bid.round });
+            out.push(Message::Propose {
+                ballot: bid.ballot,
+                round: bid.round,
+            });
         }
     }
 
     /// Only what is live is looked at here, as [`Candidate::expire`] came before.
-    fn agreed(&mut self, now: Time, ballot: Ballot, round: u32, vote: Votes, out: &mut Vec<Message>) {
-        let Some(bid) = self.bid.as_mut().filter(|bid| bid.ballot == ballot && bid.round == round) else {
+    fn agreed(
+        &mut self,
+        now: Time,
+        ballot: Ballot,
+        round: u32,
+        vote: Votes,
+        out: &mut Vec<Message>,
+    ) {
+        let Some(bid) = self
+            .bid
+            .as_mut()
+            .filter(|bid| bid.ballot == ballot && bid.round == round)
+        else {
             return;
         };
         bid.yes |= vote;
@@ -435,11 +499,19 @@
 
     /// A holder outlasts refusals by a minority; a bid that cannot be won any more, or is too low, ends at once.
     fn denied(
-        &mut self, now: Time, ballot: Ballot, round: u32, vote: Votes, highest: Ballot,
+        &mut self,
+        now: Time,
+        ballot: Ballot,
+        round: u32,
+        vote: Votes,
+        highest: Ballot,
         out: &mut Vec<Message>,
     ) {
-        let mine = |bid: &&mut Bid| bid.ballot == ballot && bid.round == round && bid.until.is_none();
-        let Some(bid) = self.bid.as_mut().filter(mine) else { return };
+        let mine =
+            |bid: &&mut Bid| bid.ballot == ballot && bid.round == round && bid.until.is_none();
+        let Some(bid) = self.bid.as_mut().filter(mine) else {
+            return;
+        };
         bid.no |= vote;
         if highest > ballot || bid.no.count_ones() >= self.rules.majority() {
             self.end(now, Loss::TermOver, out);
--- a/src/fleet/membership/facts.rs
+++ b/src/fleet/membership/facts.rs
@@ -31,7 +31,9 @@
 impl Fact {
     /// Its bytes as a broadcast; `None` where the name is longer than is passed on.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        (self.backend.len() <= MOST_NAME).then(|| postcard::to_stdvec(self).ok()).flatten()
+        (self.backend.len() <= MOST_NAME)
+            .then(|| postcard::to_stdvec(self).ok())
+            .flatten()
     }
 }
 
@@ -48,7 +50,9 @@
 impl Invalidates for Key {
     fn invalidates(&self, other: &Key) -> bool {
         let later = self.of == other.of && self.born_us >= other.born_us;
-        later || (self.of.0 == other.of.0 && other.born_us < self.floor_us) || other.born_us < self.stale_us
+        later
+            || (self.of.0 == other.of.0 && other.born_us < self.floor_us)
+            || other.born_us < self.stale_us
     }
 }
 
@@ -92,7 +96,11 @@
     type Key = Key;
     type Error = Refused;
 
-    fn receive_item(&mut self, data: &[u8], sender: Option<&Member>) -> Result<Option<Key>, Refused> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        sender: Option<&Member>,
+    ) -> Result<Option<Key>, Refused> {
         let fact: Fact = postcard::from_bytes(data).map_err(Refused::Garbled)?;
         if fact.backend.len() > MOST_NAME {
             return Err(Refused::Oversized(fact.backend.len()));
@@ -105,13 +113,22 @@
         }
         let echo = fact.origin == self.own && sender.is_some();
         let of = (fact.backend.clone(), fact.origin);
-        if echo || board.newest.get(&of).is_some_and(|born| *born >= fact.born_us) {
+        if echo
+            || board
+                .newest
+                .get(&of)
+                .is_some_and(|born| *born >= fact.born_us)
+        {
             return Ok(None);
         }
         if board.newest.len() >= MOST {
             let bound = self.bound.0;
-            board.newest.retain(|_, born| born.saturating_add(bound) >= now_us);
-            board.passed_on.retain(|_, newest| newest.iter().any(|n| n.0.saturating_add(bound) >= now_us));
+            board
+                .newest
+                .retain(|_, born| born.saturating_add(bound) >= now_us);
+            board
+                .passed_on
+                .retain(|_, newest| newest.iter().any(|n| n.0.saturating_add(bound) >= now_us));
             if board.newest.len() >= MOST {
                 return Ok(None); // a flood: what is known stays
             }
@@ -123,6 +140,11 @@
         if !own {
             board.news.push(fact);
         }
-        Ok((own || born_us >= floor_us).then_some(Key { of, born_us, floor_us, stale_us }))
+        Ok((own || born_us >= floor_us).then_some(Key {
+            of,
+            born_us,
+            floor_us,
+            stale_us,
+        }))
     }
 }
--- a/src/fleet/membership/lists.rs
+++ b/src/fleet/membership/lists.rs
@@ -64,10 +64,17 @@
         if known == 0 {
             return;
         }
-        let drawn = (u64::from(mark(self.swim.identity())) ^ self.timer ^ now.wall_us) as usize % known;
-        let Some(to) = self.swim.iter_members().nth(drawn).map(|m| m.id().addr) else { return };
+        let drawn =
+            (u64::from(mark(self.swim.identity())) ^ self.timer ^ now.wall_us) as usize % known;
+        let Some(to) = self.swim.iter_members().nth(drawn).map(|m| m.id().addr) else {
+            return;
+        };
         let parts = known.div_ceil(PART).min(MOST_PARTS);
-        let sums: Vec<u8> = self.sums(parts).into_iter().flat_map(u32::to_le_bytes).collect();
+        let sums: Vec<u8> = self
+            .sums(parts)
+            .into_iter()
+            .flat_map(u32::to_le_bytes)
+            .collect();
         if self.ration.borrow_mut().bucket.take(sums.len()) {
             out.push(Output::Send(to, Body::Compare(sums)));
         }
@@ -80,7 +87,11 @@
 
     /// Gives a member those of the parts in which it differs, as many as may go now; one that is equal gets nothing.
     pub(super) fn compared(
-        &mut self, to: SocketAddr, theirs: &[u8], now: Now, out: &mut Out,
+        &mut self,
+        to: SocketAddr,
+        theirs: &[u8],
+        now: Now,
+        out: &mut Out,
     ) -> Result<(), Refused> {
         let parts = theirs.len() / 4;
         if !theirs.len().is_multiple_of(4) || !(1..=MOST_PARTS).contains(&parts) {
@@ -90,8 +101,11 @@
             return Err(Refused::Unasked);
         }
         let own = self.sums(parts);
-        let differ: Vec<bool> =
-            own.iter().zip(theirs.chunks_exact(4)).map(|(own, theirs)| own.to_le_bytes() != theirs).collect();
+        let differ: Vec<bool> = own
+            .iter()
+            .zip(theirs.chunks_exact(4))
+            .map(|(own, theirs)| own.to_le_bytes() != theirs)
+            .collect();
         let own = foca::Member::alive(self.swim.identity().clone());
         let mut members: Vec<&Known> = self.swim.iter_members().chain([&own]).collect();
         members.retain(|m| m.id().addr != to && differ[part(m.id().addr, parts)]);
@@ -104,11 +118,19 @@
         let mut bucket = self.ration.borrow_mut();
         let mut lists = vec![Vec::new()];
         for member in members {
-            let Ok(bytes) = postcard::to_stdvec(member) else { continue };
-            if lists.last().is_some_and(|list| list.len() + bytes.len() > MOST_BODY) {
+            let Ok(bytes) = postcard::to_stdvec(member) else {
+                continue;
+            };
+            if lists
+                .last()
+                .is_some_and(|list| list.len() + bytes.len() > MOST_BODY)
+            {
                 lists.push(Vec::new());
             }
-            lists.last_mut().into_iter().for_each(|list| list.extend(&bytes));
+            lists
+                .last_mut()
+                .into_iter()
+                .for_each(|list| list.extend(&bytes));
         }
         for list in lists.into_iter().take(ANSWERS) {
             if !bucket.bucket.take(list.len()) {
@@ -120,7 +142,12 @@
     }
 
     /// Takes a list that a member gave.
-    pub(super) fn given(&mut self, from: SocketAddr, bytes: &[u8], now: Now) -> Result<(), Refused> {
+    pub(super) fn given(
+        &mut self,
+        from: SocketAddr,
+        bytes: &[u8],
+        now: Now,
+    ) -> Result<(), Refused> {
         if !self.swim.iter_members().any(|m| m.id().addr == from) {
             return Err(Refused::Unasked);
         }
@@ -136,7 +163,9 @@
         let before = self.swim.num_members();
         // What others say of this one's earlier starts foca would answer by telling all that they are down.
         let others = members.into_iter().filter(|m| m.id().addr != self.own);
-        self.swim.apply_many(others, false, &mut self.outbox).map_err(Refused::Swim)?;
+        self.swim
+            .apply_many(others, false, &mut self.outbox)
+            .map_err(Refused::Swim)?;
         if self.swim.num_members() > before {
             self.compare_soon(now);
         }
@@ -146,9 +175,14 @@
     /// foca's answer to an announce holds members as well: they are taken as any other list, and only the rest of the
     /// message is left to foca, which would pass each of them on to the whole fleet.
     pub(super) fn feed(
-        &mut self, header: &foca::Header<Member>, bytes: &[u8], now: Now,
+        &mut self,
+        header: &foca::Header<Member>,
+        bytes: &[u8],
+        now: Now,
     ) -> Result<(), Refused> {
-        let after = postcard::take_from_bytes::<foca::Header<Member>>(bytes).map_err(Refused::Garbled)?.1;
+        let after = postcard::take_from_bytes::<foca::Header<Member>>(bytes)
+            .map_err(Refused::Garbled)?
+            .1;
         let head = &bytes[..bytes.len() - after.len()];
         let (members, rest) = match after.split_at_checked(2) {
             Some((count, listed)) => {
@@ -158,9 +192,12 @@
             None => (Vec::new(), after),
         };
         let bare = [head, &[0, 0], rest].concat();
-        self.swim.handle_data(&bare, &mut self.outbox).map_err(Refused::Swim)?;
+        self.swim
+            .handle_data(&bare, &mut self.outbox)
+            .map_err(Refused::Swim)?;
         let active = |m: &Known| *m.id() == header.src && m.state() != State::Down;
-        let taken = header.dst == *self.swim.identity() && self.swim.iter_membership_state().any(active);
+        let taken =
+            header.dst == *self.swim.identity() && self.swim.iter_membership_state().any(active);
         if taken {
             self.list(members, now)
         } else {
--- a/src/fleet/membership/member.rs
+++ b/src/fleet/membership/member.rs
@@ -35,7 +35,10 @@
 
     /// The same proxy under a later start.
     pub fn renewed(&self, wall_us: u64) -> Member {
-        Member { start_us: wall_us.max(self.start_us + 1), ..self.clone() }
+        Member {
+            start_us: wall_us.max(self.start_us + 1),
+            ..self.clone()
+        }
     }
 }
 
