--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -252,7 +252,12 @@
                 }
                 out.push(Output::News(News::Wanted { to, nonce }));
             }
-            Body::Part { nonce, index, of, bytes } => self.part(nonce, index, of, bytes, out)?,
+            Body::Part {
+                nonce,
+                index,
+                of,
+                bytes,
+            } => self.part(nonce, index, of, bytes, out)?,
             Body::Duty(bytes) => out.push(Output::News(News::Duty(envelope.from, bytes))),
         }
         Ok(())
@@ -264,11 +269,17 @@
             postcard::take_from_bytes::<foca::Header<Member>>(bytes).map_err(Refused::Garbled)?;
         self.end_parted(&header.src, now, out);
         let header_only = &bytes[..bytes.len() - rest.len()];
-        let bytes = if self.behind(&header.src, now) { header_only } else { bytes };
+        let bytes = if self.behind(&header.src, now) {
+            header_only
+        } else {
+            bytes
+        };
         if matches!(header.message, Message::Feed) {
             return self.feed(&header, bytes, now);
         }
-        self.swim.handle_data(bytes, &mut self.outbox).map_err(Refused::Swim)
+        self.swim
+            .handle_data(bytes, &mut self.outbox)
+            .map_err(Refused::Swim)
     }
 
     /// A turn begins.
@@ -315,9 +326,15 @@
     fn timer(&mut self, timer: Timer<Member>, now: Now) -> Result<(), foca::Error> {
         match &timer {
             // foca tells whoever it is about that it is down, also where that was refuted meanwhile.
-            Timer::ChangeSuspectToDown { member_id, incarnation, .. } => {
+            Timer::ChangeSuspectToDown {
+                member_id,
+                incarnation,
+                ..
+            } => {
                 let still = |m: &foca::Member<Member>| {
-                    m.id() == member_id && m.incarnation() == *incarnation && m.state() == State::Suspect
+                    m.id() == member_id
+                        && m.incarnation() == *incarnation
+                        && m.state() == State::Suspect
                 };
                 if !self.swim.iter_membership_state().any(still) {
                     return Ok(());
@@ -335,14 +352,18 @@
     /// Makes ready for gossip by what may be sent: verdicts go alone, ahead of the news of members, where both do not
     /// fit into a datagram. Whether anything may go.
     fn gossip(&mut self) -> Result<bool, foca::Error> {
-        let (news, facts) = (self.swim.updates_backlog() * NEWS, self.swim.custom_broadcast_backlog() * FACT);
+        let (news, facts) = (
+            self.swim.updates_backlog() * NEWS,
+            self.swim.custom_broadcast_backlog() * FACT,
+        );
         let many = news + facts > wire::MOST_BODY;
         let ration = self.ration.clone();
         let targets = |bytes, kept| ration.borrow().bucket.targets(bytes, kept, GOSSIP_TO);
         if facts > 0 && many {
             let to = targets(facts, 0);
             if to > 0 {
-                self.swim.set_config(swim_rules(self.rules.fleet, to, many))?;
+                self.swim
+                    .set_config(swim_rules(self.rules.fleet, to, many))?;
                 self.swim.broadcast(&mut self.outbox)?;
             }
         }
@@ -350,7 +371,8 @@
         let kept = if many { 2 * wire::MOST } else { 0 };
         let to = targets(news + facts, kept);
         ration.borrow_mut().kept = kept;
-        self.swim.set_config(swim_rules(self.rules.fleet, to, many))?;
+        self.swim
+            .set_config(swim_rules(self.rules.fleet, to, many))?;
         Ok(to > 0)
     }
 
@@ -362,7 +384,12 @@
     /// What this proxy found by itself goes out, and back to the module, as others' turns follow its own verdict.
     pub fn tell(&mut self, backend: String, verdict: Verdict, now: Now, out: &mut Out) {
         self.begin(now);
-        let fact = Fact { origin: self.own, born_us: now.wall_us, backend, verdict };
+        let fact = Fact {
+            origin: self.own,
+            born_us: now.wall_us,
+            backend,
+            verdict,
+        };
         match fact.encode().map(|bytes| self.swim.add_broadcast(&bytes)) {
             Some(Ok(true)) => self.counts.told += 1,
             _ => self.counts.untold += 1,
@@ -388,11 +415,17 @@
                 OwnedNotification::MemberUp(m) => {
                     self.live = None;
                     self.compare_after_news(now);
-                    News::Up { peer: m.addr, members }
+                    News::Up {
+                        peer: m.addr,
+                        members,
+                    }
                 }
                 OwnedNotification::MemberDown(m) => {
                     self.live = None;
-                    News::Down { peer: m.addr, members }
+                    News::Down {
+                        peer: m.addr,
+                        members,
+                    }
                 }
                 OwnedNotification::Rename(_, m) => News::Replaced { peer: m.addr },
                 OwnedNotification::Active => {
@@ -425,21 +458,37 @@
         let first = (mark(&self.own.to_string()), self.own);
         let live = self.live();
         let others = live.len() as u32;
-        let before =
-            |(addr, text): &&(SocketAddr, String)| *addr != fact.origin && (mark(text), *addr) < first;
-        let turn = if own { others } else { live.iter().filter(before).count() as u32 };
+        let before = |(addr, text): &&(SocketAddr, String)| {
+            *addr != fact.origin && (mark(text), *addr) < first
+        };
+        let turn = if own {
+            others
+        } else {
+            live.iter().filter(before).count() as u32
+        };
         let next = OriginId(self.origins.len() as u32);
         let origin = (!own).then(|| *self.origins.entry(fact.origin).or_insert(next));
         let age = Micros(self.clock.wall_us().saturating_sub(fact.born_us));
         let (bound, verdict) = (self.rules.max_age, fact.verdict);
-        Heard { backend: BackendId::default(), origin, verdict, age, bound, others, turn }
+        Heard {
+            backend: BackendId::default(),
+            origin,
+            verdict,
+            age,
+            bound,
+            others,
+            turn,
+        }
     }
 
     /// Each fact is weighed against all members, on the request loop: writing their addresses anew each time took most
     /// of a millisecond at 1,800.
     fn live(&mut self) -> &[(SocketAddr, String)] {
         let swim = &self.swim;
-        let stale = self.live.as_ref().is_none_or(|live| live.len() != swim.num_members());
+        let stale = self
+            .live
+            .as_ref()
+            .is_none_or(|live| live.len() != swim.num_members());
         if stale {
             self.live = None;
         }
@@ -484,7 +533,10 @@
 
     /// What came and went since the start.
     pub fn counts(&self) -> Counts {
-        Counts { stale: self.board.borrow().stale, ..self.counts.clone() }
+        Counts {
+            stale: self.board.borrow().stale,
+            ..self.counts.clone()
+        }
     }
 
     /// Facts that wait to be passed on.
@@ -494,11 +546,20 @@
 }
 
 fn new_swim(
-    rules: &Rules, member: Member, seed: u64, ration: &ration::Shared, board: &Rc<RefCell<Board>>,
+    rules: &Rules,
+    member: Member,
+    seed: u64,
+    ration: &ration::Shared,
+    board: &Rc<RefCell<Board>>,
     clock: &Clock,
 ) -> Swim {
     let (own, bound) = (member.addr, rules.max_age);
-    let facts = Facts { board: board.clone(), own, bound, clock: clock.clone() };
+    let facts = Facts {
+        board: board.clone(),
+        own,
+        bound,
+        clock: clock.clone(),
+    };
     let random = StdRng::seed_from_u64(seed ^ member.start_us);
     let settings = swim_rules(rules.fleet, GOSSIP_TO, false);
     Foca::with_custom_broadcast(member, settings, random, Rationed(ration.clone()), facts)
@@ -509,13 +570,23 @@
 fn swim_rules(fleet: u32, gossip_to: usize, many: bool) -> foca::Config {
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let lan = foca::Config::new_lan(NonZeroU32::new(fleet).unwrap_or(NonZeroU32::MIN));
-    let max_transmissions = if many { lan.max_transmissions.min(FEWER) } else { lan.max_transmissions };
+    let max_transmissions = if many {
+        lan.max_transmissions.min(FEWER)
+    } else {
+        lan.max_transmissions
+    };
     foca::Config {
         max_packet_size: some(wire::MOST_BODY),
         max_transmissions,
-        periodic_gossip: Some(PeriodicParams { frequency: GOSSIP, num_members: some(gossip_to) }),
+        periodic_gossip: Some(PeriodicParams {
+            frequency: GOSSIP,
+            num_members: some(gossip_to),
+        }),
         periodic_announce: None,
-        periodic_announce_to_down_members: Some(PeriodicParams { frequency: REJOIN, num_members: some(1) }),
+        periodic_announce_to_down_members: Some(PeriodicParams {
+            frequency: REJOIN,
+            num_members: some(1),
+        }),
         ..lan
     }
 }
--- a/src/fleet/membership/parted.rs
+++ b/src/fleet/membership/parted.rs
@@ -22,21 +22,39 @@
         let mut known: Vec<_> = self.swim.iter_membership_state().cloned().collect();
         if self.parted() {
             known.retain(|m| m.state() != State::Down);
-            self.old = (now.time + BEHIND, known.iter().map(|m| m.id().clone()).collect());
+            self.old = (
+                now.time + BEHIND,
+                known.iter().map(|m| m.id().clone()).collect(),
+            );
         }
         self.timers.clear(); // those of the one before
-        self.swim = new_swim(&self.rules, renewed, self.seed, &self.ration, &self.board, &self.clock);
-        let listed = self.swim.apply_many(known.into_iter(), false, &mut self.outbox);
+        self.swim = new_swim(
+            &self.rules,
+            renewed,
+            self.seed,
+            &self.ration,
+            &self.board,
+            &self.clock,
+        );
+        let listed = self
+            .swim
+            .apply_many(known.into_iter(), false, &mut self.outbox);
         if let Err(e) = listed.and_then(|()| self.swim.gossip(&mut self.outbox)) {
             out.push(Output::News(News::TimerFailed(e)));
         }
-        out.push(Output::News(News::Rejoined { members: self.swim.num_members() }));
+        out.push(Output::News(News::Rejoined {
+            members: self.swim.num_members(),
+        }));
         self.compare_soon(now);
     }
 
     /// Whether this proxy is on the smaller side of a parting, or of two equal ones.
     fn parted(&self) -> bool {
-        let down = self.swim.iter_membership_state().filter(|m| m.state() == State::Down).count();
+        let down = self
+            .swim
+            .iter_membership_state()
+            .filter(|m| m.state() == State::Down)
+            .count();
         down * PARTED > self.swim.num_members() + 1
     }
 
--- a/src/fleet/membership/ration.rs
+++ b/src/fleet/membership/ration.rs
@@ -6,7 +6,9 @@
 use super::wire::MOST_BODY;
 use crate::interface::Time;
 use bytes::BufMut;
-use foca::{AccumulatingRuntime, Codec, Header, Message, Notification, PostcardCodec, Runtime, Timer};
+use foca::{
+    AccumulatingRuntime, Codec, Header, Message, Notification, PostcardCodec, Runtime, Timer,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +33,10 @@
 
 impl Bucket {
     pub fn new(now: Time) -> Bucket {
-        Bucket { tokens: BURST, at: now }
+        Bucket {
+            tokens: BURST,
+            at: now,
+        }
     }
 
     pub fn refill(&mut self, now: Time) {
@@ -73,7 +78,12 @@
 pub(super) type Shared = Rc<RefCell<Ration>>;
 
 pub(super) fn shared(now: Time) -> Shared {
-    Rc::new(RefCell::new(Ration { bucket: Bucket::new(now), kept: 0, free: false, blank: 0..0 }))
+    Rc::new(RefCell::new(Ration {
+        bucket: Bucket::new(now),
+        kept: 0,
+        free: false,
+        blank: 0..0,
+    }))
 }
 
 /// Postcard, with blank bytes after each header, so that foca puts in no more passengers than there are tokens: it
@@ -83,7 +93,11 @@
 impl Codec<Member> for Rationed {
     type Error = postcard::Error;
 
-    fn encode_header(&mut self, header: &Header<Member>, mut buf: impl BufMut) -> Result<(), Self::Error> {
+    fn encode_header(
+        &mut self,
+        header: &Header<Member>,
+        mut buf: impl BufMut,
+    ) -> Result<(), Self::Error> {
         let whole = buf.remaining_mut();
         PostcardCodec.encode_header(header, &mut buf)?;
         let after = whole - buf.remaining_mut();
@@ -105,7 +119,11 @@
         PostcardCodec.decode_header(buf)
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Self::Error> {
+    fn encode_member(
+        &mut self,
+        member: &foca::Member<Member>,
+        buf: impl BufMut,
+    ) -> Result<(), Self::Error> {
         PostcardCodec.encode_member(member, buf)
     }
 
@@ -124,7 +142,11 @@
 
 impl Outbox {
     pub fn new(ration: Shared) -> Outbox {
-        Outbox { ration, asked: AccumulatingRuntime::new(), defunct: false }
+        Outbox {
+            ration,
+            asked: AccumulatingRuntime::new(),
+            defunct: false,
+        }
     }
 }
 
@@ -138,7 +160,11 @@
         let mut ration = self.ration.borrow_mut();
         let blank = std::mem::take(&mut ration.blank);
         let message = [&data[..blank.start], &data[blank.end..]].concat();
-        let cost = if ration.free { message.len() - blank.start } else { message.len() + ENVELOPE };
+        let cost = if ration.free {
+            message.len() - blank.start
+        } else {
+            message.len() + ENVELOPE
+        };
         ration.bucket.spend(cost);
         self.asked.send_to(to, &message);
     }
--- a/src/fleet/membership/snapshots.rs
+++ b/src/fleet/membership/snapshots.rs
@@ -22,7 +22,11 @@
 
 impl Asking {
     pub fn new(nonce: u64) -> Asking {
-        Asking { nonce, left: ASKED, parts: Vec::new() }
+        Asking {
+            nonce,
+            left: ASKED,
+            parts: Vec::new(),
+        }
     }
 }
 
@@ -42,7 +46,9 @@
     /// Asks another live member for its snapshot, while one is wanted.
     pub(super) fn ask(&mut self, out: &mut Out) {
         let live: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().addr).collect();
-        let Some(asking) = &mut self.asking else { return };
+        let Some(asking) = &mut self.asking else {
+            return;
+        };
         if live.is_empty() {
             return;
         }
@@ -62,23 +68,46 @@
     ///
     /// # Errors
     /// Where it is too large for a peer; nothing is sent.
-    pub fn give(&self, to: SocketAddr, nonce: u64, bytes: &[u8], out: &mut Out) -> Result<(), TooLarge> {
+    pub fn give(
+        &self,
+        to: SocketAddr,
+        nonce: u64,
+        bytes: &[u8],
+        out: &mut Out,
+    ) -> Result<(), TooLarge> {
         let parts: Vec<&[u8]> = bytes.chunks(PART).collect();
         if parts.len() > PARTS {
             return Err(TooLarge(bytes.len()));
         }
         for (index, part) in parts.iter().enumerate() {
             let (index, of) = (index as u16, parts.len() as u16);
-            out.push(Output::Send(to, Body::Part { nonce, index, of, bytes: part.to_vec() }));
+            out.push(Output::Send(
+                to,
+                Body::Part {
+                    nonce,
+                    index,
+                    of,
+                    bytes: part.to_vec(),
+                },
+            ));
         }
         Ok(())
     }
 
     /// Puts a part of the snapshot that was asked for in its place, and tells of the whole once it is there.
     pub(super) fn part(
-        &mut self, nonce: u64, index: u16, of: u16, bytes: Vec<u8>, out: &mut Out,
+        &mut self,
+        nonce: u64,
+        index: u16,
+        of: u16,
+        bytes: Vec<u8>,
+        out: &mut Out,
     ) -> Result<(), Refused> {
-        let asking = self.asking.as_mut().filter(|a| a.nonce == nonce).ok_or(Refused::Unasked)?;
+        let asking = self
+            .asking
+            .as_mut()
+            .filter(|a| a.nonce == nonce)
+            .ok_or(Refused::Unasked)?;
         let (index, of) = (usize::from(index), usize::from(of));
         if asking.parts.is_empty() && of <= PARTS {
             asking.parts.resize(of, None);
@@ -87,7 +116,9 @@
             return Err(Refused::Unasked);
         }
         asking.parts[index] = Some(bytes);
-        let Some(parts) = asking.parts.iter().cloned().collect::<Option<Vec<_>>>() else { return Ok(()) };
+        let Some(parts) = asking.parts.iter().cloned().collect::<Option<Vec<_>>>() else {
+            return Ok(());
+        };
         self.asking = None;
         out.push(Output::News(News::Snapshot(parts.concat())));
         Ok(())
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -18,22 +18,44 @@
     let board = Rc::new(RefCell::new(Board::default()));
     let (clock, now) = (Clock::default(), 1_000_000_000_000);
     clock.set(now);
-    let mut facts = Facts { board: board.clone(), own: at(1), bound: Micros(5_000_000), clock };
+    let mut facts = Facts {
+        board: board.clone(),
+        own: at(1),
+        bound: Micros(5_000_000),
+        clock,
+    };
     let sender = Member::new(at(9), 1);
     let mut hear = |origin: u16, born_us: u64, verdict: Verdict| {
-        let fact = Fact { origin: at(origin), born_us, backend: "s-1".into(), verdict };
-        facts.receive_item(&fact.encode().unwrap(), Some(&sender)).unwrap().is_some()
+        let fact = Fact {
+            origin: at(origin),
+            born_us,
+            backend: "s-1".into(),
+            verdict,
+        };
+        facts
+            .receive_item(&fact.encode().unwrap(), Some(&sender))
+            .unwrap()
+            .is_some()
+    };
+    let out = Verdict::Out {
+        term: Micros(1_000_000),
+        strikes: 1,
     };
-    let out = Verdict::Out { term: Micros(1_000_000), strikes: 1 };
     assert!(hear(2, now - 100, out));
     assert!(hear(2, now - 50, Verdict::Back), "the later");
-    assert!(!hear(2, now - 100, out) && !hear(2, now - 50, out), "replayed, in any order");
+    assert!(
+        !hear(2, now - 100, out) && !hear(2, now - 50, out),
+        "replayed, in any order"
+    );
     assert!(hear(3, now - 100, out), "another origin's stands beside it");
     assert!(!hear(4, now - 6_000_000, out), "past the bound");
     assert!(!hear(1, now, out), "its own echo");
     assert!(facts.receive_item(&[0xff; 40], Some(&sender)).is_err());
     let board = board.borrow();
-    assert_eq!((board.news.len(), board.stale, board.newest.len()), (3, 1, 2));
+    assert_eq!(
+        (board.news.len(), board.stale, board.newest.len()),
+        (3, 1, 2)
+    );
 }
 
 fn envelope() -> impl Strategy<Value = Envelope> {
@@ -44,11 +66,27 @@
         bytes().prop_map(Body::Compare),
         bytes().prop_map(Body::Members),
         any::<u64>().prop_map(|nonce| Body::Ask { nonce }),
-        (any::<u64>(), any::<u16>(), any::<u16>(), bytes())
-            .prop_map(|(nonce, index, of, bytes)| Body::Part { nonce, index, of, bytes }),
+        (any::<u64>(), any::<u16>(), any::<u16>(), bytes()).prop_map(
+            |(nonce, index, of, bytes)| Body::Part {
+                nonce,
+                index,
+                of,
+                bytes
+            }
+        ),
     ];
-    (any::<[u8; 8]>(), any::<([u8; 4], u16)>(), any::<u64>(), body)
-        .prop_map(|(cluster, from, sent_us, body)| Envelope { cluster, from: from.into(), sent_us, body })
+    (
+        any::<[u8; 8]>(),
+        any::<([u8; 4], u16)>(),
+        any::<u64>(),
+        body,
+    )
+        .prop_map(|(cluster, from, sent_us, body)| Envelope {
+            cluster,
+            from: from.into(),
+            sent_us,
+            body,
+        })
 }
 
 proptest! {
@@ -81,12 +119,23 @@
         sent_us,
         body: Body::Ask { nonce: 1 },
     };
-    let mut cause =
-        |cluster, sent_us, at| gate.admit(&of(cluster, sent_us), at).err().map_or("", |e| e.cause());
+    let mut cause = |cluster, sent_us, at| {
+        gate.admit(&of(cluster, sent_us), at)
+            .err()
+            .map_or("", |e| e.cause())
+    };
     assert_eq!(cause(mine, now - 10, now), "");
     assert_eq!(cause(mine, now - 10, now + 1), "replayed");
-    assert_eq!(cause(mine, now - 10, now + 6_000_000), "stale", "forgotten only once too old anyway");
-    assert_eq!(cause(mine, now - 11, now), "", "late, out of order, and new");
+    assert_eq!(
+        cause(mine, now - 10, now + 6_000_000),
+        "stale",
+        "forgotten only once too old anyway"
+    );
+    assert_eq!(
+        cause(mine, now - 11, now),
+        "",
+        "late, out of order, and new"
+    );
     assert_eq!(cause(cluster("other"), now, now), "cluster");
     assert_eq!(cause(mine, now + 2_000_000, now), "ahead");
 }
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -159,7 +159,11 @@
 impl Seal {
     /// For datagrams from `own`, the sender's advertised address, within the cluster.
     pub fn new(cluster: Cluster, own: SocketAddr) -> Seal {
-        Seal { cluster, own, last_us: AtomicU64::new(0) }
+        Seal {
+            cluster,
+            own,
+            last_us: AtomicU64::new(0),
+        }
     }
 
     /// The bytes of a datagram sent at wall time `now_us`, or just after the last one.
@@ -168,9 +172,16 @@
     /// Where the body is too large for one datagram.
     pub fn seal(&self, body: Body, now_us: u64) -> Result<Vec<u8>, Refused> {
         let next = |last: u64| now_us.max(last.saturating_add(1));
-        let last = self.last_us.fetch_update(Relaxed, Relaxed, |last| Some(next(last)));
+        let last = self
+            .last_us
+            .fetch_update(Relaxed, Relaxed, |last| Some(next(last)));
         let sent_us = last.map_or(now_us, next);
-        encode(&Envelope { cluster: self.cluster, from: self.own, sent_us, body })
+        encode(&Envelope {
+            cluster: self.cluster,
+            from: self.own,
+            sent_us,
+            body,
+        })
     }
 }
 
@@ -200,7 +211,9 @@
     if bytes.len() > MOST {
         return Err(Refused::Oversized(bytes.len()));
     }
-    let (prefix, body) = bytes.split_at_checked(PREFIX).ok_or(Refused::Short(bytes.len()))?;
+    let (prefix, body) = bytes
+        .split_at_checked(PREFIX)
+        .ok_or(Refused::Short(bytes.len()))?;
     if prefix[..4] != MAGIC {
         return Err(Refused::Magic);
     }
@@ -230,7 +243,12 @@
 impl Gate {
     /// For that cluster; `bound`: how old a datagram may be.
     pub fn new(cluster: Cluster, bound: Micros) -> Gate {
-        Gate { cluster, bound, seen: HashSet::new(), order: VecDeque::new() }
+        Gate {
+            cluster,
+            bound,
+            seen: HashSet::new(),
+            order: VecDeque::new(),
+        }
     }
 
     /// Checks an envelope at wall time `now_us`.
@@ -244,8 +262,11 @@
         fresh(envelope.sent_us, now_us, self.bound)?;
         // What is past the bound is refused by its age: it need not be remembered.
         let past = |at: u64| at.saturating_add(self.bound.0) < now_us;
-        while self.order.front().is_some_and(|(_, at)| past(*at)) || self.order.len() >= REMEMBERED {
-            let Some(key) = self.order.pop_front() else { break };
+        while self.order.front().is_some_and(|(_, at)| past(*at)) || self.order.len() >= REMEMBERED
+        {
+            let Some(key) = self.order.pop_front() else {
+                break;
+            };
             self.seen.remove(&key);
         }
         let key = (envelope.from, envelope.sent_us);
@@ -262,7 +283,10 @@
 /// # Errors
 /// Where it is too old or too far in the future.
 pub fn fresh(then_us: u64, now_us: u64, bound: Micros) -> Result<Micros, Refused> {
-    let (ahead, age) = (Micros(then_us.saturating_sub(now_us)), Micros(now_us.saturating_sub(then_us)));
+    let (ahead, age) = (
+        Micros(then_us.saturating_sub(now_us)),
+        Micros(now_us.saturating_sub(then_us)),
+    );
     if ahead > AHEAD {
         return Err(Refused::Ahead(ahead));
     }
--- a/src/fleet/relay.rs
+++ b/src/fleet/relay.rs
@@ -76,7 +76,9 @@
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Hops(hops) => write!(f, "passed on {hops} times, over the {MOST_HOPS} allowed"),
+            Refused::Hops(hops) => {
+                write!(f, "passed on {hops} times, over the {MOST_HOPS} allowed")
+            }
             Refused::Astray => write!(f, "meant for others"),
             Refused::Origin(at) => write!(f, "from {at}, which is no proxy's address"),
             Refused::Repeated => write!(f, "it came before"),
@@ -111,14 +113,29 @@
 impl Relay {
     /// For the proxy that is known to others by that address. `incarnation` is drawn at random at each start.
     pub fn new(own: SocketAddr, incarnation: u64, bound: Micros) -> Relay {
-        Relay { own, incarnation, bound, last_us: 0, origins: BTreeMap::new() }
+        Relay {
+            own,
+            incarnation,
+            bound,
+            last_us: 0,
+            origins: BTreeMap::new(),
+        }
     }
 
     /// A broadcast of this proxy's own at wall time `now_us`, to be passed on to its part: all.
     pub fn begin(&mut self, now_us: u64) -> Header {
         self.last_us = now_us.max(self.last_us.saturating_add(1));
-        let part = Part { from: 0, to: u32::MAX, hops: 0 };
-        Header { origin: self.own, incarnation: self.incarnation, said_us: self.last_us, part }
+        let part = Part {
+            from: 0,
+            to: u32::MAX,
+            hops: 0,
+        };
+        Header {
+            origin: self.own,
+            incarnation: self.incarnation,
+            said_us: self.last_us,
+            part,
+        }
     }
 
     /// Takes a broadcast at wall time `now_us`; whether it is the newest of its origin, and not one that a later one overtook.
@@ -151,16 +168,25 @@
         let past = now_us.saturating_sub(self.bound.0);
         if !self.origins.contains_key(&header.incarnation) && self.origins.len() >= ORIGINS {
             self.origins.retain(|_, heard| heard.newest >= past);
-            let oldest = self.origins.iter().min_by_key(|(_, heard)| heard.newest).map(|(by, _)| *by);
-            oldest.filter(|_| self.origins.len() >= ORIGINS).map(|by| self.origins.remove(&by));
+            let oldest = self
+                .origins
+                .iter()
+                .min_by_key(|(_, heard)| heard.newest)
+                .map(|(by, _)| *by);
+            oldest
+                .filter(|_| self.origins.len() >= ORIGINS)
+                .map(|by| self.origins.remove(&by));
         }
         let heard = self.origins.entry(header.incarnation).or_default();
         let said = header.said_us;
         if said <= heard.floor || heard.recent.contains(&said) {
             return None;
         }
-        while heard.recent.front().is_some_and(|at| *at < past) || heard.recent.len() >= REMEMBERED {
-            heard.floor = heard.floor.max(heard.recent.pop_front().unwrap_or_default());
+        while heard.recent.front().is_some_and(|at| *at < past) || heard.recent.len() >= REMEMBERED
+        {
+            heard.floor = heard
+                .floor
+                .max(heard.recent.pop_front().unwrap_or_default());
         }
         heard.recent.push_back(said);
         let newest = said > heard.newest;
@@ -174,22 +200,35 @@
         if part.hops >= MOST_HOPS {
             return Vec::new();
         }
-        let others = members.iter().filter(|member| ![self.own, header.origin].contains(member));
+        let others = members
+            .iter()
+            .filter(|member| ![self.own, header.origin].contains(member));
         let salt = salt(header);
         let placed = others.map(|member| (position(salt, *member), *member));
-        let mut within: Vec<(u32, SocketAddr)> =
-            placed.filter(|(at, _)| (part.from..=part.to).contains(at)).collect();
+        let mut within: Vec<(u32, SocketAddr)> = placed
+            .filter(|(at, _)| (part.from..=part.to).contains(at))
+            .collect();
         within.sort_unstable();
         // Who is told is the first of its part as the sender sees it: those that it tells need not tell it.
         let own = position(salt, self.own);
-        let first = within.first().is_some_and(|(at, _)| part.hops > 0 && own < *at);
+        let first = within
+            .first()
+            .is_some_and(|(at, _)| part.hops > 0 && own < *at);
         let begin = if first { own + 1 } else { part.from };
-        let runs: Vec<_> = within.chunks(within.len().div_ceil(FAN_OUT).max(1)).collect();
+        let runs: Vec<_> = within
+            .chunks(within.len().div_ceil(FAN_OUT).max(1))
+            .collect();
         let cut = |n: usize| {
             // The parts leave no gap: somebody in it may be known to the one that is told and not here.
             let from = if n == 0 { begin } else { runs[n][0].0 };
-            let to = runs.get(n + 1).map_or(part.to, |next| next[0].0.saturating_sub(1).max(from));
-            let part = Part { from, to, hops: part.hops + 1 };
+            let to = runs
+                .get(n + 1)
+                .map_or(part.to, |next| next[0].0.saturating_sub(1).max(from));
+            let part = Part {
+                from,
+                to,
+                hops: part.hops + 1,
+            };
             (runs[n][0].1, Header { part, ..*header })
         };
         (0..runs.len()).map(cut).collect()
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -10,7 +10,17 @@
 
 /// A span of time in microseconds.
 #[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, serde::Serialize, serde::Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    Default,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 pub struct Micros(pub u64);
 
@@ -179,23 +189,52 @@
         let all = |sound: &dyn Fn(&Class) -> bool| classes.iter().all(sound);
         let tests = [
             (self.proxies > 0, "proxies", "at least 1"),
-            (self.position < self.proxies, "position", "less than proxies"),
+            (
+                self.position < self.proxies,
+                "position",
+                "less than proxies",
+            ),
             (!classes.is_empty(), "classes", "at least one class"),
             (all(&|c| c.aim_sound()), "aim", "a time above 0"),
             (all(&|c| c.aim_stretch_sound()), "aim_stretch", "at least 0"),
-            (all(&|c| c.worth_sound()), "worth", "a finite number above 0"),
-            (all(&|c| c.late_worth_sound()), "late_worth", "a part from 0 to 1"),
-            (self.tenants.iter().all(Tenant::sound), "quota_per_s", "a finite rate above 0"),
-            (part(self.over_quota_worth), "over_quota_worth", "a part from 0 to 1"),
+            (
+                all(&|c| c.worth_sound()),
+                "worth",
+                "a finite number above 0",
+            ),
+            (
+                all(&|c| c.late_worth_sound()),
+                "late_worth",
+                "a part from 0 to 1",
+            ),
+            (
+                self.tenants.iter().all(Tenant::sound),
+                "quota_per_s",
+                "a finite rate above 0",
+            ),
+            (
+                part(self.over_quota_worth),
+                "over_quota_worth",
+                "a part from 0 to 1",
+            ),
             (part(self.goal_whole), "goal_whole", "a part from 0 to 1"),
-            (part(self.goal_worst_class), "goal_worst_class", "a part from 0 to 1"),
+            (
+                part(self.goal_worst_class),
+                "goal_worst_class",
+                "a part from 0 to 1",
+            ),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
             (self.tick.0 > 0, "tick", "a time above 0"),
             (part(self.cold_from), "cold_from", "a part from 0 to 1"),
-            (above_zero(self.fall_multiple), "fall_multiple", "a finite number above 0"),
             (
-                self.locality.is_none_or(|l| l.leave_share > 0.0 && part(l.leave_share)),
+                above_zero(self.fall_multiple),
+                "fall_multiple",
+                "a finite number above 0",
+            ),
+            (
+                self.locality
+                    .is_none_or(|l| l.leave_share > 0.0 && part(l.leave_share)),
                 "leave_share",
                 "(0, 1]",
             ),
@@ -297,7 +336,9 @@
 
     /// The first field that is out of its range, if any.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        failed([(self.sound(), "quota_per_s", "a finite rate above 0")]).next().map_or(Ok(()), Err)
+        failed([(self.sound(), "quota_per_s", "a finite rate above 0")])
+            .next()
+            .map_or(Ok(()), Err)
     }
 }
 
@@ -395,7 +436,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent
+        )
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -60,7 +60,10 @@
         }
         ExitCode::FAILURE
     };
-    match cli.command.unwrap_or_else(|| Command::Run(Run::from_environment())) {
+    match cli
+        .command
+        .unwrap_or_else(|| Command::Run(Run::from_environment()))
+    {
         Command::Check(file) => check(&file.source()),
         Command::ShowConfig(file) => match config::show(&file.source()) {
             Ok(text) => {
@@ -74,8 +77,14 @@
 }
 
 fn log_to_stderr(format: LogFormat) {
-    let level = std::env::var("NODE_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::INFO);
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(level);
+    let level = std::env::var("NODE_LOG")
+        .ok()
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(tracing::Level::INFO);
+    let log = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_max_level(level);
     match format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
@@ -97,7 +106,9 @@
 
 fn serve(source: Source) -> Result<(), String> {
     let passed = handover::inherited()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("no event loop: {e}"))?;
     // Unheard, this one ends the program: it is heard before anything takes time, and answered once all runs.
     let hangup = runtime.block_on(async { signal(SignalKind::hangup()) });
@@ -105,7 +116,11 @@
     let (aside, from) = (Aside::start()?, source.clone());
     let read = runtime.block_on(aside.run(move || Node::read(&from)))?;
     let (node, in_force) = read.map_err(|e| e.to_string())?;
-    let reading = Reading { source, in_force, aside };
+    let reading = Reading {
+        source,
+        in_force,
+        aside,
+    };
     tokio::task::LocalSet::new().block_on(&runtime, run(node, reading, passed, hangup))
 }
 
@@ -117,13 +132,20 @@
 }
 
 async fn run(
-    mut node: Node, reading: Reading, passed: Option<std::net::TcpListener>, hangup: Signal,
+    mut node: Node,
+    reading: Reading,
+    passed: Option<std::net::TcpListener>,
+    hangup: Signal,
 ) -> Result<(), String> {
     let clock = Clock::new();
     let mut stop = Stop::new().map_err(|e| format!("no signals: {e}"))?;
     let sockets = Rc::new(Cell::new(node.sockets));
     let room = room(node.sockets);
-    let Reading { source, in_force, aside } = reading;
+    let Reading {
+        source,
+        in_force,
+        aside,
+    } = reading;
     let config = &in_force.config;
     let pool = Rc::new(Pool::new(&in_force.network, room / 2));
     let rules = Rules::new(config, &in_force.network);
@@ -137,8 +159,15 @@
     aside.discard(known);
     // Only where operators or the platform take part may there be a second process.
     let paired = passed.is_some() || node.control.is_some();
-    let at = passed.as_ref().and_then(|s| s.local_addr().ok()).unwrap_or(node.listen);
-    let owner = Owner { name: node.name.clone(), listen: at, discovery: node.discovery };
+    let at = passed
+        .as_ref()
+        .and_then(|s| s.local_addr().ok())
+        .unwrap_or(node.listen);
+    let owner = Owner {
+        name: node.name.clone(),
+        listen: at,
+        discovery: node.discovery,
+    };
     let folder = paired.then(|| folder(&owner)).flatten();
     let presence = folder.as_deref().and_then(presence);
     if presence.as_ref().is_some_and(|p| p.others().older) {
@@ -146,8 +175,13 @@
     }
     let shared = Rc::new(Cell::new(node.shared));
     let copies = node.snapshot.as_ref().zip(node.peers.as_ref());
-    let copies = copies.map(|(kept, peers)| Kept { dir: kept.dir.clone(), cluster: peers.cluster.clone() });
-    let keeper = node.snapshot.map(|kept| Keeper::new(kept, host.clone(), owner.clone(), node.settings));
+    let copies = copies.map(|(kept, peers)| Kept {
+        dir: kept.dir.clone(),
+        cluster: peers.cluster.clone(),
+    });
+    let keeper = node
+        .snapshot
+        .map(|kept| Keeper::new(kept, host.clone(), owner.clone(), node.settings));
     let keeper = keeper.transpose()?;
     let mut cold = true;
     if let Some(keeper) = keeper.clone() {
@@ -157,7 +191,9 @@
     let maintenance = Maintenance::new(host.clone(), folder, keeper.clone());
     tokio::task::spawn_local(maintenance.clone().follow());
     let listener = match passed {
-        Some(socket) => TcpListener::from_std(socket).map_err(|e| format!("the passed socket: {e}"))?,
+        Some(socket) => {
+            TcpListener::from_std(socket).map_err(|e| format!("the passed socket: {e}"))?
+        }
         None => tokio::select! {
             claimed = claimed("", node.listen, server::listen) => claimed?,
             () = stop.told() => return Ok(()),
@@ -177,7 +213,15 @@
         Some(rules) => {
             let socket = claimed("peers: ", rules.listen, UdpSocket::bind).await?;
             let fleet = config.proxies;
-            let peers = Peers::start(host.clone(), socket, rules, shared.clone(), fleet, node.seed, cold);
+            let peers = Peers::start(
+                host.clone(),
+                socket,
+                rules,
+                shared.clone(),
+                fleet,
+                node.seed,
+                cold,
+            );
             Some(peers.map_err(|e| format!("peers: {e}"))?)
         }
         None => None,
@@ -185,7 +229,14 @@
     let overlay = Rc::new(Overlay::new(in_force.clone(), node.version));
     let duties = match peers.as_ref().zip(node.duties.as_ref()) {
         Some((peers, rules)) => {
-            let duties = Duties::start(host.clone(), peers, rules, config.ramp, overlay.clone(), copies);
+            let duties = Duties::start(
+                host.clone(),
+                peers,
+                rules,
+                config.ramp,
+                overlay.clone(),
+                copies,
+            );
             Some(duties.map_err(|e| format!("duties: {e}"))?)
         }
         None => None,
@@ -273,7 +324,10 @@
 
 impl Stop {
     fn new() -> io::Result<Stop> {
-        Ok(Stop { term: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
+        Ok(Stop {
+            term: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+        })
     }
 
     async fn told(&mut self) {
@@ -287,7 +341,9 @@
 
 /// Binds an address, and tries again for a while where another process has it, as one that is about to end does.
 async fn claimed<T>(
-    what: &str, at: SocketAddr, bind: impl Fn(SocketAddr) -> io::Result<T>,
+    what: &str,
+    at: SocketAddr,
+    bind: impl Fn(SocketAddr) -> io::Result<T>,
 ) -> Result<T, String> {
     let (begun, mut told) = (Instant::now(), false);
     loop {
@@ -295,7 +351,10 @@
             Ok(bound) => return Ok(bound),
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && begun.elapsed() < CLAIM => {
                 if !std::mem::replace(&mut told, true) {
-                    warn!(event = "address_in_use", "{what}{at} is another process's, trying on: {e}");
+                    warn!(
+                        event = "address_in_use",
+                        "{what}{at} is another process's, trying on: {e}"
+                    );
                 }
             }
             Err(e) => return Err(format!("{what}cannot listen on {at}: {e}")),
@@ -313,10 +372,13 @@
         }
         None => Err(std::io::Error::other("not set")),
     };
-    made.inspect_err(|e| warn!("TMPDIR: bans hold in this process only, and no other is seen: {e}")).ok()
+    made.inspect_err(|e| warn!("TMPDIR: bans hold in this process only, and no other is seen: {e}"))
+        .ok()
 }
 
 fn presence(dir: &Path) -> Option<Rc<Presence>> {
     let made = Presence::new(dir);
-    made.map(Rc::new).inspect_err(|e| warn!("TMPDIR: no other process of this proxy sees this one: {e}")).ok()
+    made.map(Rc::new)
+        .inspect_err(|e| warn!("TMPDIR: no other process of this proxy sees this one: {e}"))
+        .ok()
 }
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -50,7 +50,11 @@
 
 impl Passed {
     fn new() -> Passed {
-        Passed { moved: Cell::new(Instant::now()), ended: Cell::new(false), told: Cell::new(None) }
+        Passed {
+            moved: Cell::new(Instant::now()),
+            ended: Cell::new(false),
+            told: Cell::new(None),
+        }
     }
 
     /// Until nothing was handed on for so long: the backend takes no more. Never once all was.
@@ -99,7 +103,16 @@
         let (now, until) = (Instant::now(), from + BODY_PATIENCE);
         let timer = Box::pin(tokio::time::sleep_until(until));
         let (before, waiting, passed) = (None, false, Rc::new(Passed::new()));
-        Upload { before, inner, until, last: now, timer, waiting, client, passed }
+        Upload {
+            before,
+            inner,
+            until,
+            last: now,
+            timer,
+            waiting,
+            client,
+            passed,
+        }
     }
 
     /// Gives back what was taken from its beginning.
@@ -118,7 +131,8 @@
     type Error = Broken;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         if let Some(before) = self.before.take() {
             self.passed.moved.set(Instant::now());
@@ -205,7 +219,14 @@
     /// One piece waits between the two connections. `length`: where it is known.
     pub fn new(length: Option<u64>) -> (mpsc::Sender<Piece>, Flow) {
         let (sender, pieces) = mpsc::channel(1);
-        (sender, Flow { pieces, left: length, over: None })
+        (
+            sender,
+            Flow {
+                pieces,
+                left: length,
+                over: None,
+            },
+        )
     }
 
     /// Calls `over` once nothing more of it is needed, and says whether it broke off.
@@ -218,10 +239,15 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         Poll::Ready(match ready!(self.pieces.poll_recv(cx)) {
             Some(Piece::Data(piece)) => {
-                self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
+                self.left = self
+                    .left
+                    .map(|left| left.saturating_sub(piece.len() as u64));
                 Some(Ok(Frame::data(piece)))
             }
             Some(Piece::End) => None,
--- a/src/net/body/gone_tests.rs
+++ b/src/net/body/gone_tests.rs
@@ -11,10 +11,13 @@
 /// Whether a body reaches its end whose client may have left once it had sent all of it.
 async fn ends(body: &str, leaves: bool) -> bool {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (stream, mut peer) = (Stream::new(tcp), listener.accept().unwrap().0);
     // With more behind it hyper reads no further, and does not see the end itself.
-    peer.write_all(format!("POST / HTTP/1.1\r\nHost: s\r\n{body}GET").as_bytes()).unwrap();
+    peer.write_all(format!("POST / HTTP/1.1\r\nHost: s\r\n{body}GET").as_bytes())
+        .unwrap();
     let peer = (!leaves).then_some(peer);
     let ended = Cell::new(None);
     let service = service_fn(async |request: Request<Incoming>| {
@@ -31,7 +34,9 @@
         drop(upload);
         Err::<Response<Empty<Bytes>>, _>(Broken::Slow) // no answer is of use
     });
-    let _ = http1::Builder::new().serve_connection(stream.clone(), service).await;
+    let _ = http1::Builder::new()
+        .serve_connection(stream.clone(), service)
+        .await;
     drop(peer);
     ended.get().expect("it was read")
 }
@@ -39,8 +44,10 @@
 /// The last byte is not handed on for a client that is gone, whatever tells that it is the last.
 #[tokio::test]
 async fn a_body_does_not_reach_its_end_after_its_client_left() {
-    for body in ["Content-Length: 4\r\n\r\ncash", "Transfer-Encoding: chunked\r\n\r\n4\r\ncash\r\n0\r\n\r\n"]
-    {
+    for body in [
+        "Content-Length: 4\r\n\r\ncash",
+        "Transfer-Encoding: chunked\r\n\r\n4\r\ncash\r\n0\r\n\r\n",
+    ] {
         assert!(ends(body, false).await, "{body}");
         assert!(!ends(body, true).await, "{body}");
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -46,7 +46,10 @@
             return Err("expected a dotted path before the =".into());
         }
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.into()));
-        Ok(Set { path: path.into(), value })
+        Ok(Set {
+            path: path.into(),
+            value,
+        })
     }
 }
 
@@ -58,9 +61,10 @@
             let index = part.strip_suffix(']').and_then(|n| n.parse::<usize>().ok());
             at = match (index, at) {
                 (Some(n), Value::Array(items)) => items.get_mut(n),
-                (None, Value::Object(keys)) => {
-                    Some(keys.entry(part).or_insert_with(|| Value::Object(Default::default())))
-                }
+                (None, Value::Object(keys)) => Some(
+                    keys.entry(part)
+                        .or_insert_with(|| Value::Object(Default::default())),
+                ),
                 _ => None,
             }
             .ok_or_else(|| format!("--set {}: there is no {part}", self.path))?;
@@ -177,22 +181,33 @@
 
     /// What all voters and candidates agree on.
     pub fn leases(&self) -> Result<lease::Rules, lease::RulesError> {
-        lease::Rules::new(self.voters.len(), Micros(self.lease_ms.saturating_mul(1000)), self.drift)
+        lease::Rules::new(
+            self.voters.len(),
+            Micros(self.lease_ms.saturating_mul(1000)),
+            self.drift,
+        )
     }
 
     /// The first thing that is wrong, if any.
     fn check(&self, peers: Option<&Sharing>) -> Result<(), String> {
-        let peers = peers.ok_or("peers is missing: duties are kept between the proxies of a fleet")?;
+        let peers =
+            peers.ok_or("peers is missing: duties are kept between the proxies of a fleet")?;
         if peers.max_age_s < Voting::LEAST_AGE_S {
             // A holder says that it is there each second: its word would be too old before the next one comes.
-            return Err(format!("peers.max_age_s: expected at least {} with duties", Voting::LEAST_AGE_S));
+            return Err(format!(
+                "peers.max_age_s: expected at least {} with duties",
+                Voting::LEAST_AGE_S
+            ));
         }
         let distinct: BTreeSet<&SocketAddr> = self.voters.iter().collect();
         if distinct.len() < self.voters.len() {
             return Err("voters: an address stands twice".into());
         }
         if self.lease_ms < Voting::LEAST_LEASE_MS {
-            return Err(format!("lease_ms: expected at least {}", Voting::LEAST_LEASE_MS));
+            return Err(format!(
+                "lease_ms: expected at least {}",
+                Voting::LEAST_LEASE_MS
+            ));
         }
         for (key, floor) in [("floor", Some(self.floor)), ("zone_floor", self.zone_floor)] {
             if floor.is_some_and(|floor| !(0.0..=1.0).contains(&floor)) {
@@ -251,7 +266,9 @@
             }
             NodeError::Unreadable(path, e) => write!(f, "cannot read {}: {e}", path.display()),
             NodeError::Malformed(path, e) => write!(f, "{}: {e}", path.display()),
-            NodeError::Control(text) => write!(f, "NODE_CONTROL={text}: expected an address and a port"),
+            NodeError::Control(text) => {
+                write!(f, "NODE_CONTROL={text}: expected an address and a port")
+            }
             NodeError::Set(text) => write!(f, "{text}"),
             NodeError::Unknown(keys) => write!(f, "unknown: {}", keys.join(", ")),
             NodeError::Settings(text) => write!(f, "settings: {text}"),
@@ -297,7 +314,10 @@
                 "expected a version of the configuration, below {MOST_NUMBER}"
             )));
         }
-        let checked = self.duties.as_ref().map_or(Ok(()), |duties| duties.check(self.peers.as_ref()));
+        let checked = self
+            .duties
+            .as_ref()
+            .map_or(Ok(()), |duties| duties.check(self.peers.as_ref()));
         checked.map_err(NodeError::Duties)
     }
 }
@@ -315,14 +335,22 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { sockets: 1024, cores: None, memory_mb: None }
+        Limits {
+            sockets: 1024,
+            cores: None,
+            memory_mb: None,
+        }
     }
 }
 
 /// The paths of all keys. The door and the version may come and go; all else that stood in a file belongs in the next.
 fn collect(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     for (name, inner) in value.as_object().into_iter().flatten() {
-        let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+        let path = if path.is_empty() {
+            name.clone()
+        } else {
+            format!("{path}.{name}")
+        };
         collect(inner, &path, keys);
         if path != "control" && path != "version" {
             keys.insert(path);
@@ -354,7 +382,11 @@
 
 impl Text<fs::File> {
     fn open(path: &Path) -> io::Result<Text<fs::File>> {
-        Ok(Text { inner: fs::File::open(path)?, left: MOST, begun: Vec::new() })
+        Ok(Text {
+            inner: fs::File::open(path)?,
+            left: MOST,
+            begun: Vec::new(),
+        })
     }
 }
 
@@ -380,7 +412,10 @@
         };
         match self.goes_on(&to[..length]) {
             true => Ok(length),
-            false => Err(io::Error::new(io::ErrorKind::InvalidData, "stream did not contain valid UTF-8")),
+            false => Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "stream did not contain valid UTF-8",
+            )),
         }
     }
 }
@@ -389,14 +424,16 @@
 fn text(path: &Path) -> Result<String, NodeError> {
     let mut text = String::new();
     let read = Text::open(path).and_then(|mut file| file.read_to_string(&mut text));
-    read.map(|_| text).map_err(|e| NodeError::Unreadable(path.into(), e))
+    read.map(|_| text)
+        .map_err(|e| NodeError::Unreadable(path.into(), e))
 }
 
 /// JSON as it is read, with its long lists taken out: the text is never in memory as a whole.
 fn stream(path: &Path, long: &mut Long) -> Result<Value, NodeError> {
     let unreadable = |e| NodeError::Unreadable(path.into(), e);
     let file = Text::open(path).map_err(unreadable)?;
-    let mut reader = serde_json::Deserializer::from_reader(io::BufReader::with_capacity(READ_AT_ONCE, file));
+    let mut reader =
+        serde_json::Deserializer::from_reader(io::BufReader::with_capacity(READ_AT_ONCE, file));
     let sifted = sift(&mut reader, long).and_then(|value| reader.end().map(|()| value));
     sifted.map_err(|e| match e.is_io() {
         true => unreadable(e.into()),
@@ -412,7 +449,11 @@
         true => toml::from_str(&text).map_err(|e| malformed(e.to_string()))?,
         false => serde_json::from_str(&text).map_err(|e| malformed(e.to_string()))?,
     };
-    source.sets.iter().try_for_each(|set| set.put(&mut whole)).map_err(NodeError::Set)?;
+    source
+        .sets
+        .iter()
+        .try_for_each(|set| set.put(&mut whole))
+        .map_err(NodeError::Set)?;
     Ok(whole)
 }
 
@@ -436,7 +477,10 @@
     fn begin(&mut self, list: &'static str) {
         match list.strip_prefix(Long::SETTINGS) {
             Some(list) => self.settings.begin(list),
-            None => self.endpoints.iter_mut().for_each(|lines| *lines = Lines::default()),
+            None => self
+                .endpoints
+                .iter_mut()
+                .for_each(|lines| *lines = Lines::default()),
         }
     }
     fn item(&mut self, list: &'static str, item: Value) {
@@ -473,12 +517,18 @@
     let path = source.file.as_ref().ok_or(NodeError::Unset)?;
     // The platform's file holds more than a proxy needs; what operators write themselves is meant to count.
     let strict = is_toml(path) || !source.sets.is_empty();
-    let reading = Reading { strict, digested: !matches!(want, Want::Errors) };
+    let reading = Reading {
+        strict,
+        digested: !matches!(want, Want::Errors),
+    };
     let lists = match want {
         Want::Again(in_force) => Lists::over(reading, in_force),
         Want::Errors | Want::Start => Lists::new(reading),
     };
-    let mut long = Long { settings: lists, endpoints: matches!(want, Want::Start).then(Lines::default) };
+    let mut long = Long {
+        settings: lists,
+        endpoints: matches!(want, Want::Start).then(Lines::default),
+    };
     let slim = match strict {
         true => {
             let sifted = sift(whole(source, path)?, &mut long);
@@ -490,16 +540,29 @@
     collect(&slim, "", &mut keys);
     let mut unknown = Vec::new();
     let mut file = shape(slim, path, &mut unknown)?;
-    let known =
-        Known { index: file.known.index, lines: long.endpoints.map_or_else(Pieces::default, Lines::told) };
+    let known = Known {
+        index: file.known.index,
+        lines: long.endpoints.map_or_else(Pieces::default, Lines::told),
+    };
     let settings = Settings::new(std::mem::take(&mut file.settings), long.settings);
     if strict {
-        unknown.extend(settings.unknown().into_iter().map(|key| format!("settings.{key}")));
+        unknown.extend(
+            settings
+                .unknown()
+                .into_iter()
+                .map(|key| format!("settings.{key}")),
+        );
     }
     if !is_toml(path) {
         unknown.retain(|key| source.sets.iter().any(|set| set.path == *key));
     }
-    Ok(Parsed { file, known, settings, keys, unknown })
+    Ok(Parsed {
+        file,
+        known,
+        settings,
+        keys,
+        unknown,
+    })
 }
 
 /// Every error of a configuration, one a line; empty where it can be run.
@@ -508,8 +571,16 @@
         Ok(parsed) => parsed,
         Err(e) => return vec![e.to_string()],
     };
-    let mut errors: Vec<String> = parsed.unknown.iter().map(|key| format!("{key}: unknown key")).collect();
-    let found = parsed.settings.errors().into_iter().chain(seed(&parsed.file.seed).err());
+    let mut errors: Vec<String> = parsed
+        .unknown
+        .iter()
+        .map(|key| format!("{key}: unknown key"))
+        .collect();
+    let found = parsed
+        .settings
+        .errors()
+        .into_iter()
+        .chain(seed(&parsed.file.seed).err());
     errors.extend(found.map(|e| NodeError::Settings(e).to_string()));
     errors.extend(parsed.file.check().err().map(|e| e.to_string()));
     errors
@@ -527,7 +598,8 @@
 
 fn seed(value: &Value) -> Result<u64, String> {
     let hex = value.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
-    hex.or(value.as_u64()).ok_or_else(|| "seed: expected a number or up to 16 hex digits".into())
+    hex.or(value.as_u64())
+        .ok_or_else(|| "seed: expected a number or up to 16 hex digits".into())
 }
 
 /// A configuration that was read again, and what it makes of the settings in force.
@@ -539,16 +611,28 @@
 impl Node {
     /// Reads the file again. One that lacks what stood in it before is not whole.
     pub fn read_again(
-        source: &Source, keys: &BTreeSet<String>, in_force: &InForce,
+        source: &Source,
+        keys: &BTreeSet<String>,
+        in_force: &InForce,
     ) -> Result<Again, NodeError> {
-        if let Some(path) = source.file.as_ref().filter(|path| path.exists() && !path.is_file()) {
+        if let Some(path) = source
+            .file
+            .as_ref()
+            .filter(|path| path.exists() && !path.is_file())
+        {
             // A pipe would hold up all that runs until somebody writes to it.
-            return Err(NodeError::Unreadable(path.clone(), io::Error::other("not a file")));
+            return Err(NodeError::Unreadable(
+                path.clone(),
+                io::Error::other("not a file"),
+            ));
         }
         let (node, settings) = Node::parsed(parse(source, Want::Again(in_force))?)?;
         match keys.difference(&node.keys).next() {
             Some(key) => Err(NodeError::Settings(format!("{key}: missing"))),
-            None => Ok(Again { node, change: in_force.change(&settings) }),
+            None => Ok(Again {
+                node,
+                change: in_force.change(&settings),
+            }),
         }
     }
 
@@ -560,23 +644,35 @@
     }
 
     fn parsed(parsed: Parsed) -> Result<(Node, Settings), NodeError> {
-        let Parsed { file, known, settings, keys, unknown } = parsed;
+        let Parsed {
+            file,
+            known,
+            settings,
+            keys,
+            unknown,
+        } = parsed;
         if !unknown.is_empty() {
             return Err(NodeError::Unknown(unknown));
         }
         file.check()?;
         // Two processes may read one file: what only this one is told comes first.
         let control = match std::env::var("NODE_CONTROL") {
-            Ok(text) if !text.is_empty() => Some(text.parse().map_err(|_| NodeError::Control(text))?),
+            Ok(text) if !text.is_empty() => {
+                Some(text.parse().map_err(|_| NodeError::Control(text))?)
+            }
             _ => file.control,
         };
         let snapshot = match std::env::var_os("NODE_SNAPSHOT") {
-            Some(dir) if !dir.is_empty() => {
-                Some(Snapshots { dir: dir.into(), ..file.snapshot.unwrap_or_default() })
-            }
+            Some(dir) if !dir.is_empty() => Some(Snapshots {
+                dir: dir.into(),
+                ..file.snapshot.unwrap_or_default()
+            }),
             _ => file.snapshot,
         };
-        settings.first_error().map_or(Ok(()), Err).map_err(NodeError::Settings)?;
+        settings
+            .first_error()
+            .map_or(Ok(()), Err)
+            .map_err(NodeError::Settings)?;
         let node = Node {
             name: file.name,
             listen: file.listen,
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -89,7 +89,9 @@
             };
             open.retain(|call| !call.is_finished());
             if open.len() >= MOST {
-                open.pop_front().into_iter().for_each(|oldest| oldest.abort());
+                open.pop_front()
+                    .into_iter()
+                    .for_each(|oldest| oldest.abort());
             }
             let control = self.clone();
             let call = tokio::task::spawn_local(async move {
@@ -116,26 +118,35 @@
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         if figures && status == StatusCode::OK {
-            response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(FIGURES));
+            response
+                .headers_mut()
+                .insert(CONTENT_TYPE, HeaderValue::from_static(FIGURES));
         }
         if status == StatusCode::METHOD_NOT_ALLOWED {
             let names: Vec<&str> = methods.iter().map(Method::as_str).collect();
             let names = HeaderValue::from_str(&names.join(", "));
-            names.into_iter().for_each(|names| drop(response.headers_mut().insert(ALLOW, names)));
+            names
+                .into_iter()
+                .for_each(|names| drop(response.headers_mut().insert(ALLOW, names)));
         }
         response
     }
 
     async fn said(
-        &self, request: Request<Incoming>, methods: &[Method],
+        &self,
+        request: Request<Incoming>,
+        methods: &[Method],
     ) -> Result<(StatusCode, String), Refusal> {
         if methods.is_empty() {
             return Err((StatusCode::NOT_FOUND, "no such call\n"));
         }
         let off = (StatusCode::NOT_FOUND, "no duties in the configuration\n");
-        let fleet =
-            ["/windows", "/duties", "/config"].iter().any(|call| request.uri().path().starts_with(call));
-        let duties = fleet.then(|| self.0.duties.as_ref().ok_or(off)).transpose()?;
+        let fleet = ["/windows", "/duties", "/config"]
+            .iter()
+            .any(|call| request.uri().path().starts_with(call));
+        let duties = fleet
+            .then(|| self.0.duties.as_ref().ok_or(off))
+            .transpose()?;
         if !methods.contains(request.method()) {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "wrong method\n"));
         }
@@ -153,19 +164,34 @@
 
     /// A call that this process answers by itself.
     fn call(&self, request: &Request<Incoming>) -> Result<Cow<'static, str>, Refusal> {
-        let unknown = (StatusCode::NOT_FOUND, "no backend of that id was ever listed\n");
+        let unknown = (
+            StatusCode::NOT_FOUND,
+            "no backend of that id was ever listed\n",
+        );
         let path = request.uri().path();
         if path == "/status" {
             let not_yet = (StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n");
-            return if self.0.server.taking() { Ok("serving\n".into()) } else { Err(not_yet) };
+            return if self.0.server.taking() {
+                Ok("serving\n".into())
+            } else {
+                Err(not_yet)
+            };
         }
         if path == "/metrics" {
             self.0.host.figures(self.0.server.clients());
             return Ok(self.0.figures.render().into());
         }
         if path == "/peers" {
-            let alone = (StatusCode::NOT_FOUND, "state is not shared: no peers in the configuration\n");
-            return self.0.peers.as_ref().map(|p| p.status().into()).ok_or(alone);
+            let alone = (
+                StatusCode::NOT_FOUND,
+                "state is not shared: no peers in the configuration\n",
+            );
+            return self
+                .0
+                .peers
+                .as_ref()
+                .map(|p| p.status().into())
+                .ok_or(alone);
         }
         let id = who(request.uri().query()).map_err(|text| (StatusCode::BAD_REQUEST, text))?;
         let (known, done) = match path {
@@ -195,29 +221,41 @@
 }
 
 /// Has a call answered by those who keep duties, windows and the configuration.
-async fn ask(duties: &dyn DutiesDoor, request: Request<Incoming>) -> Result<(StatusCode, String), Refusal> {
+async fn ask(
+    duties: &dyn DutiesDoor,
+    request: Request<Incoming>,
+) -> Result<(StatusCode, String), Refusal> {
     let (head, body) = request.into_parts();
     let badly = (StatusCode::BAD_REQUEST, "the path is badly encoded\n");
     let path: Option<Vec<String>> = head.uri.path().split('/').skip(1).map(decoded).collect();
     let path = path.ok_or(badly)?;
     let path: Vec<&str> = path.iter().map(String::as_str).collect();
     let answer = duties.call(&head.method, &path, whole(body).await?);
-    let late = (StatusCode::SERVICE_UNAVAILABLE, "no answer in time, ask again\n");
-    tokio::time::timeout(ANSWER_WITHIN, answer).await.map_err(|_| late)
+    let late = (
+        StatusCode::SERVICE_UNAVAILABLE,
+        "no answer in time, ask again\n",
+    );
+    tokio::time::timeout(ANSWER_WITHIN, answer)
+        .await
+        .map_err(|_| late)
 }
 
 /// The whole body of a call, or why it is refused.
 async fn whole(body: Incoming) -> Result<Bytes, Refusal> {
     let all = Limited::new(body, MAX_BODY).collect().await;
-    all.map(|all| all.to_bytes()).map_err(|e| match e.is::<LengthLimitError>() {
-        true => (StatusCode::PAYLOAD_TOO_LARGE, "a body is at most 64 KiB\n"),
-        false => (StatusCode::BAD_REQUEST, "the body is broken\n"),
-    })
+    all.map(|all| all.to_bytes())
+        .map_err(|e| match e.is::<LengthLimitError>() {
+            true => (StatusCode::PAYLOAD_TOO_LARGE, "a body is at most 64 KiB\n"),
+            false => (StatusCode::BAD_REQUEST, "the body is broken\n"),
+        })
 }
 
 /// The one `who` of a query, decoded.
 fn who(query: Option<&str>) -> Result<String, &'static str> {
-    let pairs = query.unwrap_or_default().split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
+    let pairs = query
+        .unwrap_or_default()
+        .split('&')
+        .map(|pair| pair.split_once('=').unwrap_or((pair, "")));
     let mut ids = pairs.filter(|(name, _)| *name == "who").map(|(_, id)| id);
     match (ids.next(), ids.next()) {
         (None, _) => Err("who is missing\n"),
@@ -232,7 +270,9 @@
     let byte = |rest: &str| rest.bytes().take(2).filter(u8::is_ascii_hexdigit).count() == 2;
     let sound = text.split('%').skip(1).all(byte);
     let bytes = percent_encoding::percent_decode_str(text);
-    sound.then(|| bytes.decode_utf8().ok().map(Cow::into_owned)).flatten()
+    sound
+        .then(|| bytes.decode_utf8().ok().map(Cow::into_owned))
+        .flatten()
 }
 
 #[cfg(test)]
--- a/src/net/control/tests.rs
+++ b/src/net/control/tests.rs
@@ -37,7 +37,14 @@
     let server = Server::new(host.clone(), Rules::new(&Config::example(), &network), 4);
     let maintenance = Maintenance::new(host.clone(), None, None);
     let figures = Figures::default();
-    let control = Control::new(Keepers { host, server, maintenance, peers: None, duties, figures });
+    let control = Control::new(Keepers {
+        host,
+        server,
+        maintenance,
+        peers: None,
+        duties,
+        figures,
+    });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let door = tokio::task::spawn_local(control.run(listener));
@@ -59,7 +66,11 @@
 }
 
 fn call(line: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    [format!("{line} HTTP/1.1\r\nHost: d\r\n{headers}\r\n").as_bytes(), body].concat()
+    [
+        format!("{line} HTTP/1.1\r\nHost: d\r\n{headers}\r\n").as_bytes(),
+        body,
+    ]
+    .concat()
 }
 
 fn with_body(line: &str, body: &[u8]) -> Vec<u8> {
@@ -67,7 +78,12 @@
 }
 
 fn chunked(line: &str, body: &[u8]) -> Vec<u8> {
-    let body = [format!("{:x}\r\n", body.len()).as_bytes(), body, b"\r\n0\r\n\r\n"].concat();
+    let body = [
+        format!("{:x}\r\n", body.len()).as_bytes(),
+        body,
+        b"\r\n0\r\n\r\n",
+    ]
+    .concat();
     call(line, "Transfer-Encoding: chunked\r\n", &body)
 }
 
@@ -77,23 +93,79 @@
     let most = vec![b'x'; MAX_BODY];
     let over = vec![b'x'; MAX_BODY + 1];
     let cases = [
-        (with_body("PUT /windows/a%2Fb%20c+d", b"{}"), "202", "PUT windows|a/b c+d 2"),
-        (call("DELETE /windows/w", "", b""), "202", "DELETE windows|w 0"),
-        (chunked("POST /windows/w/extend", b"12345"), "202", "POST windows|w|extend 5"),
-        (call("POST /windows/w/begin", "", b""), "202", "POST windows|w|begin 0"),
+        (
+            with_body("PUT /windows/a%2Fb%20c+d", b"{}"),
+            "202",
+            "PUT windows|a/b c+d 2",
+        ),
+        (
+            call("DELETE /windows/w", "", b""),
+            "202",
+            "DELETE windows|w 0",
+        ),
+        (
+            chunked("POST /windows/w/extend", b"12345"),
+            "202",
+            "POST windows|w|extend 5",
+        ),
+        (
+            call("POST /windows/w/begin", "", b""),
+            "202",
+            "POST windows|w|begin 0",
+        ),
         (call("GET /windows?x=1", "", b""), "202", "GET windows 0"),
         (call("GET /duties", "", b""), "202", "GET duties 0"),
-        (with_body("PUT /windows/w", &most), "202", "PUT windows|w 65536"),
-        (with_body("PUT /windows/w", &over), "413", "a body is at most 64 KiB\n"),
-        (chunked("PUT /windows/w", &over), "413", "a body is at most 64 KiB\n"),
-        (call("PUT /windows/w", "Transfer-Encoding: chunked\r\n", b"zz\r\n"), "400", "the body is broken\n"),
-        (call("PUT /windows/%zz", "", b""), "400", "the path is badly encoded\n"),
-        (call("PUT /windows/%ff", "", b""), "400", "the path is badly encoded\n"),
+        (
+            with_body("PUT /windows/w", &most),
+            "202",
+            "PUT windows|w 65536",
+        ),
+        (
+            with_body("PUT /windows/w", &over),
+            "413",
+            "a body is at most 64 KiB\n",
+        ),
+        (
+            chunked("PUT /windows/w", &over),
+            "413",
+            "a body is at most 64 KiB\n",
+        ),
+        (
+            call(
+                "PUT /windows/w",
+                "Transfer-Encoding: chunked\r\n",
+                b"zz\r\n",
+            ),
+            "400",
+            "the body is broken\n",
+        ),
+        (
+            call("PUT /windows/%zz", "", b""),
+            "400",
+            "the path is badly encoded\n",
+        ),
+        (
+            call("PUT /windows/%ff", "", b""),
+            "400",
+            "the path is badly encoded\n",
+        ),
         (call("POST /windows/w", "", b""), "405", "wrong method\n"),
-        (call("GET /windows/late/begin", "", b""), "405", "wrong method\n"),
+        (
+            call("GET /windows/late/begin", "", b""),
+            "405",
+            "wrong method\n",
+        ),
         (call("PUT /windows/", "", b""), "404", "no such call\n"),
-        (call("POST /windows/w/close", "", b""), "404", "no such call\n"),
-        (call("PUT /windows/late", "", b""), "503", "no answer in time, ask again\n"),
+        (
+            call("POST /windows/w/close", "", b""),
+            "404",
+            "no such call\n",
+        ),
+        (
+            call("PUT /windows/late", "", b""),
+            "503",
+            "no answer in time, ask again\n",
+        ),
     ];
     let scope = tokio::task::LocalSet::new();
     scope
@@ -121,7 +193,17 @@
     for (query, id) in [("who=a-1", "a-1"), ("x=1&who=a%2F%c3%a9+b&y", "a/é b")] {
         assert_eq!(who(Some(query)).as_deref(), Ok(id), "{query}");
     }
-    for bad in ["", "who", "who=", "whom=a", "who=a&who=a", "who=%", "who=%4", "who=%zz", "who=%ff"] {
+    for bad in [
+        "",
+        "who",
+        "who=",
+        "whom=a",
+        "who=a&who=a",
+        "who=%",
+        "who=%4",
+        "who=%zz",
+        "who=%ff",
+    ] {
         assert!(who(Some(bad)).is_err(), "{bad}");
     }
     assert!(who(None).is_err());
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -67,7 +67,9 @@
             WatchError::Status(code) => write!(f, "answered {code}"),
             WatchError::Unread(Unread::Json(e)) => write!(f, "answer not understood: {e}"),
             WatchError::Part => write!(f, "changes in answer to a call for the whole list"),
-            WatchError::Unread(Unread::Garbled) => write!(f, "no entry of the whole list makes sense"),
+            WatchError::Unread(Unread::Garbled) => {
+                write!(f, "no entry of the whole list makes sense")
+            }
             WatchError::Ended => write!(f, "connection ended"),
             WatchError::Silent => write!(f, "silent"),
         }
@@ -94,7 +96,12 @@
             Discovery::Subscribe(within) => Duration::from_micros(in_line(proxies, within).0),
             Discovery::Push => IN_LINE, // an agent has one caller
         };
-        Pace { mode, most, in_full_line, draw: StdRng::seed_from_u64(seed) }
+        Pace {
+            mode,
+            most,
+            in_full_line,
+            draw: StdRng::seed_from_u64(seed),
+        }
     }
 
     fn wait(&mut self) -> Duration {
@@ -167,7 +174,12 @@
     /// A call that begins now: for the whole list where that has to be, or where none of this era is held.
     fn asked(&self, whole: bool) -> Asked {
         let (era, taken, index) = (self.latest.get(), self.taken.get(), self.index.get());
-        Asked { era, taken, index, whole: whole || era != self.era.get() }
+        Asked {
+            era,
+            taken,
+            index,
+            whole: whole || era != self.era.get(),
+        }
     }
 
     /// From now on versions are counted anew.
@@ -195,7 +207,14 @@
         }
         self.taken.set(self.taken.get() + 1);
         self.index.set(list.index);
-        self.host.take(if list.snapshot { ListUpdate::Full } else { ListUpdate::Changes }, &list.lines);
+        self.host.take(
+            if list.snapshot {
+                ListUpdate::Full
+            } else {
+                ListUpdate::Changes
+            },
+            &list.lines,
+        );
         News::Taken
     }
 
@@ -213,7 +232,10 @@
         listened.retain(|call| !call.is_finished());
         listened.push_back(call.abort_handle());
         if listened.len() > LISTENED {
-            listened.pop_front().into_iter().for_each(|oldest| oldest.abort());
+            listened
+                .pop_front()
+                .into_iter()
+                .for_each(|oldest| oldest.abort());
         }
         let known = self.clone();
         tokio::task::spawn_local(known.hear(asked, call));
@@ -222,7 +244,9 @@
     async fn hear(self: Rc<Self>, asked: Asked, mut call: JoinHandle<Fetched>) {
         let answer = tokio::time::timeout(OVERDUE, &mut call).await;
         call.abort(); // unanswered, it would hold its connection
-        let Ok(Ok((_, Ok(list)))) = answer else { return };
+        let Ok(Ok((_, Ok(list)))) = answer else {
+            return;
+        };
         let same = asked.era == self.era.get() && list.index == self.index.get();
         if !same && self.take(&asked, &list) == News::Taken {
             info!("discovery answered a call late, with {}", list.index);
@@ -241,7 +265,12 @@
 
 /// Keeps the list up to date for as long as the program runs. When discovery moves, the whole list is asked for at the
 /// new address at once; a call that is given up, then or as it stays silent, is still listened to.
-pub async fn watch(host: Rc<Host>, mut at: watch::Receiver<SocketAddr>, index: u64, mut pace: Pace) {
+pub async fn watch(
+    host: Rc<Host>,
+    mut at: watch::Receiver<SocketAddr>,
+    index: u64,
+    mut pace: Pace,
+) {
     let known = Rc::new(Known::new(host.clone(), index));
     let asked = pace.mode != Discovery::Push;
     let dial = if asked { PROMPT } else { DIAL };
@@ -264,9 +293,16 @@
         let call = known.asked(whole);
         let (uri, patience) = match call.whole {
             true => ("/api/targets".to_string(), patient),
-            false if wait.is_zero() => (format!("/api/targets?after={}&wait_ms=0", call.index), patient),
+            false if wait.is_zero() => (
+                format!("/api/targets?after={}&wait_ms=0", call.index),
+                patient,
+            ),
             false => {
-                let uri = format!("/api/targets?after={}&wait_ms={}", call.index, wait.as_millis());
+                let uri = format!(
+                    "/api/targets?after={}&wait_ms={}",
+                    call.index,
+                    wait.as_millis()
+                );
                 (uri, wait + PROMPT)
             }
         };
@@ -298,7 +334,11 @@
                 whole = news == News::Gap;
             }
             Err(e) => {
-                patient = if matches!(e, WatchError::Status(_)) { pace.in_full_line } else { IN_LINE };
+                patient = if matches!(e, WatchError::Status(_)) {
+                    pace.in_full_line
+                } else {
+                    IN_LINE
+                };
                 wait = Duration::ZERO; // the next call is answered at once, by what this one missed
                 failures += 1;
                 if failures == 1 {
@@ -337,22 +377,32 @@
 
 async fn open(at: SocketAddr, dial: Duration) -> Result<Link, WatchError> {
     let tcp = tokio::time::timeout(dial, TcpStream::connect(at)).await;
-    let tcp = tcp.unwrap_or(Err(std::io::ErrorKind::TimedOut.into())).map_err(WatchError::Connect)?;
+    let tcp = tcp
+        .unwrap_or(Err(std::io::ErrorKind::TimedOut.into()))
+        .map_err(WatchError::Connect)?;
     let (sender, conn) = http1::handshake(Stream::new(tcp)).await.map_err(boxed)?;
     Ok(Link { sender, conn })
 }
 
 async fn ask(live: &mut Link, at: SocketAddr, uri: &str) -> Result<Answer, WatchError> {
-    let request = Request::get(uri).header("host", at.to_string()).body(Empty::new()).map_err(boxed)?;
+    let request = Request::get(uri)
+        .header("host", at.to_string())
+        .body(Empty::new())
+        .map_err(boxed)?;
     let Link { sender, conn } = live;
     let answer = async {
         sender.ready().await.map_err(boxed)?;
         let answer = sender.send_request(request).await.map_err(boxed)?;
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), MAX_LIST).collect().await.map_err(WatchError::Http)?;
+        let body = Limited::new(answer.into_body(), MAX_LIST)
+            .collect()
+            .await
+            .map_err(WatchError::Http)?;
         Ok((status, body.aggregate()))
     };
-    let (status, body) = driven(conn, answer).await.unwrap_or(Err(WatchError::Ended))?;
+    let (status, body) = driven(conn, answer)
+        .await
+        .unwrap_or(Err(WatchError::Ended))?;
     if status != 200 {
         return Err(WatchError::Status(status));
     }
@@ -362,7 +412,9 @@
 async fn read(body: impl Buf + Send + 'static) -> Result<Answer, WatchError> {
     let answer = match body.remaining() {
         ..READ_ASIDE => Answer::read(body),
-        _ => tokio::task::spawn_blocking(move || Answer::read(body)).await.map_err(boxed)?,
+        _ => tokio::task::spawn_blocking(move || Answer::read(body))
+            .await
+            .map_err(boxed)?,
     };
     answer.map_err(WatchError::Unread)
 }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -25,11 +25,23 @@
     /// Its watch has just ended.
     fn new(proxies: u32, position: u32, within: f64) -> Caller {
         let discovery = Discovery::Subscribe(Micros::from_secs(within));
-        let cfg = Config { proxies, position, discovery, ..Config::example() };
+        let cfg = Config {
+            proxies,
+            position,
+            discovery,
+            ..Config::example()
+        };
         let balancer = Balancer::new(cfg, 11 + u64::from(position)).unwrap();
-        let mut caller =
-            Caller { balancer, now: 1_000 * SECOND, timers: BinaryHeap::new(), calls: Vec::new() };
-        caller.tell(Event::Members { update: ListUpdate::Full, backends: Vec::new() });
+        let mut caller = Caller {
+            balancer,
+            now: 1_000 * SECOND,
+            timers: BinaryHeap::new(),
+            calls: Vec::new(),
+        };
+        caller.tell(Event::Members {
+            update: ListUpdate::Full,
+            backends: Vec::new(),
+        });
         caller.calls.clear();
         caller.pass(10 * SECOND, None);
         assert!(caller.calls.is_empty(), "nothing to ask for");
@@ -38,7 +50,10 @@
     }
 
     fn lost(&mut self) {
-        self.tell(Event::Members { update: ListUpdate::Lost, backends: Vec::new() });
+        self.tell(Event::Members {
+            update: ListUpdate::Lost,
+            backends: Vec::new(),
+        });
     }
 
     fn tell(&mut self, event: Event) {
@@ -46,7 +61,9 @@
         self.balancer.handle(Time(self.now), event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { token, after } => self.timers.push(Reverse((self.now + after.0, token.0))),
+                Action::SetTimer { token, after } => {
+                    self.timers.push(Reverse((self.now + after.0, token.0)))
+                }
                 Action::Follow => self.calls.push(self.now),
                 _ => {}
             }
@@ -57,9 +74,13 @@
     fn pass(&mut self, span: u64, until: Option<usize>) {
         let end = self.now + span;
         while self.timers.peek().is_some_and(|t| t.0 .0 <= end) && until != Some(self.calls.len()) {
-            let Some(Reverse((at, token))) = self.timers.pop() else { return };
+            let Some(Reverse((at, token))) = self.timers.pop() else {
+                return;
+            };
             self.now = at;
-            self.tell(Event::Timer { token: meadowproxy::TimerToken(token) });
+            self.tell(Event::Timer {
+                token: meadowproxy::TimerToken(token),
+            });
         }
         if until != Some(self.calls.len()) {
             self.now = end;
@@ -85,7 +106,15 @@
     |_| Duration::ZERO,
     |_| PROMPT,
     |_| IN_LINE,
-    |n| [Duration::ZERO, IN_LINE, Duration::from_millis(300), PROMPT, IN_LINE][n % 5],
+    |n| {
+        [
+            Duration::ZERO,
+            IN_LINE,
+            Duration::from_millis(300),
+            PROMPT,
+            IN_LINE,
+        ][n % 5]
+    },
 ];
 
 /// Whatever came before: from any moment at which discovery can be reached again the next call begins, and is heard to the
@@ -97,10 +126,15 @@
             for takes in FAILURES {
                 for position in [0, 1, 2] {
                     let begun = Caller::new(proxies, position, within).outage(60 * SECOND, takes);
-                    let gaps = begun.windows(2).map(|pair| (pair[1] - pair[0]) as f64 / 1e6);
+                    let gaps = begun
+                        .windows(2)
+                        .map(|pair| (pair[1] - pair[0]) as f64 / 1e6);
                     let most = gaps.fold(begun[0] as f64 / 1e6, f64::max);
                     let told = most + IN_LINE.as_secs_f64() + SPARE;
-                    assert!(told < TOLD, "{proxies} proxies, {within} s: {most} s between two calls");
+                    assert!(
+                        told < TOLD,
+                        "{proxies} proxies, {within} s: {most} s between two calls"
+                    );
                 }
             }
         }
@@ -117,14 +151,23 @@
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
                 let takes = |n| if refused(n) { Duration::ZERO } else { in_line };
                 let begun = Caller::new(proxies, 1, within).outage(60 * SECOND, takes);
-                let most = begun.windows(2).map(|pair| (pair[1] - pair[0]) as f64 / 1e6).fold(0.0, f64::max);
+                let most = begun
+                    .windows(2)
+                    .map(|pair| (pair[1] - pair[0]) as f64 / 1e6)
+                    .fold(0.0, f64::max);
                 let told = most + IN_LINE.as_secs_f64() + SPARE;
-                assert!(told < TOLD, "{proxies} proxies, {within} s: {most} s between two calls");
+                assert!(
+                    told < TOLD,
+                    "{proxies} proxies, {within} s: {most} s between two calls"
+                );
             }
         }
     }
     let line = in_line(32, Micros::from_secs(9.0));
-    assert!(line > Micros::from_secs(3.0), "a few dozen proxies can wait for the end of discovery's line");
+    assert!(
+        line > Micros::from_secs(3.0),
+        "a few dozen proxies can wait for the end of discovery's line"
+    );
 }
 
 /// What the whole fleet costs a discovery that fails: few calls in the end, at no time in step, later and later at first.
@@ -139,12 +182,25 @@
                 all.filter(|at| (from..from + span).contains(*at)).count()
             };
             let seconds: Vec<usize> = (15..40).map(|n| calls(n * SECOND, SECOND)).collect();
-            assert!(seconds.iter().all(|n| *n <= a_second), "{proxies}: {seconds:?} calls a second");
-            let most = (150..400).map(|n| calls(n * SECOND / 10, SECOND / 10)).max();
-            assert!(most <= Some(a_tenth), "{proxies}: {most:?} calls in one tenth of a second: in step");
+            assert!(
+                seconds.iter().all(|n| *n <= a_second),
+                "{proxies}: {seconds:?} calls a second"
+            );
+            let most = (150..400)
+                .map(|n| calls(n * SECOND / 10, SECOND / 10))
+                .max();
+            assert!(
+                most <= Some(a_tenth),
+                "{proxies}: {most:?} calls in one tenth of a second: in step"
+            );
             // Back-off: what each calls in the first second, and in the seven after it.
             let each = |from, span| calls(from * SECOND, span * SECOND) as f64 / f64::from(proxies);
-            assert!(each(0, 1) <= 4.5 && each(1, 7) <= 9.0, "{proxies}: {} {}", each(0, 1), each(1, 7));
+            assert!(
+                each(0, 1) <= 4.5 && each(1, 7) <= 9.0,
+                "{proxies}: {} {}",
+                each(0, 1),
+                each(1, 7)
+            );
         }
     }
 }
@@ -157,12 +213,19 @@
         let mut pace = Pace::new(Discovery::Push, proxies, 7);
         let waits: Vec<f64> = (0..200).map(|_| pace.wait().as_secs_f64()).collect();
         let most = waits.iter().copied().fold(0.0, f64::max);
-        let first = |position| Caller::new(proxies, position, 10.0).outage(SECOND, |_| Duration::ZERO)[0];
+        let first =
+            |position| Caller::new(proxies, position, 10.0).outage(SECOND, |_| Duration::ZERO)[0];
         let pause = (0..proxies.min(20)).map(first).max().unwrap_or(0) as f64 / 1e6;
         let known = most + PROMPT.as_secs_f64() + pause + IN_LINE.as_secs_f64();
-        assert!(known + SPARE < f64::max(TOLD, most + 2.0), "{proxies}: {most} {pause}");
+        assert!(
+            known + SPARE < f64::max(TOLD, most + 2.0),
+            "{proxies}: {most} {pause}"
+        );
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
-        assert!(f64::from(proxies) / mean <= CALLS / SPREAD, "{proxies}: every {mean} s");
+        assert!(
+            f64::from(proxies) / mean <= CALLS / SPREAD,
+            "{proxies}: every {mean} s"
+        );
         let distinct: BTreeSet<u64> = waits.iter().map(|w| (w * 1e3) as u64).collect();
         assert!(distinct.len() > 50, "{proxies}: in step");
     }
@@ -180,10 +243,13 @@
     let (tell, calls) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for mut tcp in listener.incoming().flatten() {
-            let mut head = BufReader::new(tcp.try_clone().unwrap()).lines().map_while(Result::ok);
+            let mut head = BufReader::new(tcp.try_clone().unwrap())
+                .lines()
+                .map_while(Result::ok);
             let first = head.next().unwrap_or_default();
             head.take_while(|line| !line.is_empty()).for_each(drop);
-            let _ = tcp.write_all(format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n").as_bytes());
+            let _ = tcp
+                .write_all(format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n").as_bytes());
             if tell.send(first).is_err() {
                 return;
             }
@@ -200,9 +266,24 @@
         max_retry_after: second,
         deadlines: vec![second].into(),
     };
-    let balancer = Balancer::new(Config { discovery, ..Config::example() }, 1).unwrap();
-    let (names, clock) = (meadowproxy::settings::Names::default(), crate::net::Clock::new());
-    Host::new(balancer, names, clock, Rc::new(crate::net::upstream::Pool::new(&network, 4)))
+    let balancer = Balancer::new(
+        Config {
+            discovery,
+            ..Config::example()
+        },
+        1,
+    )
+    .unwrap();
+    let (names, clock) = (
+        meadowproxy::settings::Names::default(),
+        crate::net::Clock::new(),
+    );
+    Host::new(
+        balancer,
+        names,
+        clock,
+        Rc::new(crate::net::upstream::Pool::new(&network, 4)),
+    )
 }
 
 /// SIGHUP and the end of a pause in one turn of the loop: whichever the watch hears first, its next call is for the whole
@@ -249,26 +330,48 @@
             true => {
                 serde_json::json!({"name": format!("b{n}"), "address": "127.0.0.1:9", "status": "SERVING"})
             }
-            false => serde_json::json!({"name": format!("b{n}"), "address": "nowhere", "status": "SERVING"}),
+            false => {
+                serde_json::json!({"name": format!("b{n}"), "address": "nowhere", "status": "SERVING"})
+            }
         };
         let endpoints: Vec<serde_json::Value> = (0..good + bad).map(of).collect();
-        let list = List { index: 7, snapshot: whole, endpoints };
+        let list = List {
+            index: 7,
+            snapshot: whole,
+            endpoints,
+        };
         Bytes::from(serde_json::to_vec(&list).unwrap())
     };
     for many in [2, 1_000] {
         assert_eq!(body(true, many, 0).len() >= READ_ASIDE, many > 2);
         let answer = read(body(true, many, many)).await.unwrap();
-        assert_eq!((answer.index, answer.snapshot, answer.lines.len()), (7, true, 2 * many));
+        assert_eq!(
+            (answer.index, answer.snapshot, answer.lines.len()),
+            (7, true, 2 * many)
+        );
         let named = |line: &Line| matches!(line, Line::Entry(e) if e.name.starts_with('b'));
         assert_eq!(answer.lines.iter().filter(|line| named(line)).count(), many);
         assert!(
             matches!(answer.lines.iter().last(), Some(Line::Unclear(name)) if *name == format!("b{}", 2 * many - 1))
         );
-        assert!(matches!(read(body(true, 0, many)).await, Err(WatchError::Unread(Unread::Garbled))));
-        assert_eq!(read(body(false, 0, many)).await.unwrap().lines.len(), many, "changes may be all unclear");
+        assert!(matches!(
+            read(body(true, 0, many)).await,
+            Err(WatchError::Unread(Unread::Garbled))
+        ));
+        assert_eq!(
+            read(body(false, 0, many)).await.unwrap().lines.len(),
+            many,
+            "changes may be all unclear"
+        );
         let cut = body(true, many, 0);
         let cut = cut.slice(..cut.len() - 2);
-        assert!(matches!(read(cut).await, Err(WatchError::Unread(Unread::Json(_)))));
+        assert!(matches!(
+            read(cut).await,
+            Err(WatchError::Unread(Unread::Json(_)))
+        ));
     }
-    assert!(read(body(true, 0, 0)).await.unwrap().lines.len() == 0, "an empty list is a list");
+    assert!(
+        read(body(true, 0, 0)).await.unwrap().lines.len() == 0,
+        "an empty list is a list"
+    );
 }
--- a/src/net/duties/clock.rs
+++ b/src/net/duties/clock.rs
@@ -64,8 +64,11 @@
 
 impl Clock {
     pub fn new(
-        tables: Arc<Tables>, seen: watch::Receiver<Option<Arc<Seen>>>, need: watch::Sender<Need>,
-        own: SocketAddr, alone: bool,
+        tables: Arc<Tables>,
+        seen: watch::Receiver<Option<Arc<Seen>>>,
+        need: watch::Sender<Need>,
+        own: SocketAddr,
+        alone: bool,
     ) -> Clock {
         let now = mono();
         let (digest_at, beat_at, report_at) = (now, now, now);
@@ -95,7 +98,9 @@
                 Ok(Command::Call(call, answer)) => {
                     let _ = answer.send(door::answer(&self.tables, &call)); // who asked may be gone
                 }
-                Ok(Command::Change(base, edits, answer)) => self.tables.config_change(base, edits, answer),
+                Ok(Command::Change(base, edits, answer)) => {
+                    self.tables.config_change(base, edits, answer)
+                }
                 Ok(Command::Leave) => {
                     let mut mail = Mail::new();
                     self.tables.leases.lock().leave(&mut mail);
@@ -120,13 +125,22 @@
         let config = self.tables.config_tick();
         self.need();
         let calendar = self.step().map(|token| (Duty::Calendar, token));
-        let ordering = self.tables.config.lock().leases.holds().map(|token| (Duty::Config, token));
+        let ordering = self
+            .tables
+            .config
+            .lock()
+            .leases
+            .holds()
+            .map(|token| (Duty::Config, token));
         self.beat(calendar.into_iter().chain(ordering).collect());
         self.repeat();
         self.tables.derive();
         self.digest();
         self.report();
-        next.into_iter().chain(config).min().unwrap_or_else(|| mono() + TURN)
+        next.into_iter()
+            .chain(config)
+            .min()
+            .unwrap_or_else(|| mono() + TURN)
     }
 
     /// Takes part once there is nobody to learn from, or nobody answered for long.
@@ -154,7 +168,8 @@
         let calendar = &windows.calendar;
         let decides = (holds || heard > calendar.rules.max_age) && calendar.needs_fleet(wall());
         // What windows name is out without more; whether one that is to come back is listed has to be seen.
-        let known = |named: &BTreeSet<&str>| windows.out.iter().all(|name| named.contains(name.as_str()));
+        let known =
+            |named: &BTreeSet<&str>| windows.out.iter().all(|name| named.contains(name.as_str()));
         let need = match windows.covered.is_some() || decides {
             true => Need::Decides,
             false if calendar.named_out().as_ref().is_some_and(known) => Need::Nothing,
@@ -165,7 +180,8 @@
             Need::Decides => drop(roster.decides.get_or_insert(mono())),
             _ => roster.decides = None,
         }
-        self.need.send_if_modified(|before| std::mem::replace(before, need) != need);
+        self.need
+            .send_if_modified(|before| std::mem::replace(before, need) != need);
     }
 
     /// The holder's steps. The clock is read for the lease after all locks are there, right before the step.
@@ -188,8 +204,12 @@
             (token, at, steps, windows.calendar.changed())
         };
         steps.iter().for_each(|step| tell(step, at));
-        let effect = |entries| Said { tokens: vec![(Duty::Calendar, token)], entries };
-        self.tables.spread(entries(changed).into_iter().map(effect).collect(), &AGAIN);
+        let effect = |entries| Said {
+            tokens: vec![(Duty::Calendar, token)],
+            entries,
+        };
+        self.tables
+            .spread(entries(changed).into_iter().map(effect).collect(), &AGAIN);
         Some(token)
     }
 
@@ -200,7 +220,13 @@
         let now = mono();
         if gained || !held.is_empty() && now >= self.beat_at {
             self.beat_at = now + BEAT;
-            self.tables.spread(vec![Said { tokens: held, entries: Vec::new() }], &[]);
+            self.tables.spread(
+                vec![Said {
+                    tokens: held,
+                    entries: Vec::new(),
+                }],
+                &[],
+            );
         }
     }
 
@@ -212,7 +238,8 @@
             std::mem::replace(&mut outbox.again, later)
         };
         let ours = |said: &Said| said.tokens.iter().all(|duty| self.held.contains(duty));
-        self.tables.spread(due.into_values().flatten().filter(ours).collect(), &[]);
+        self.tables
+            .spread(due.into_values().flatten().filter(ours).collect(), &[]);
     }
 
     /// Tells two members, in turn, what this proxy knows.
@@ -245,7 +272,9 @@
         let now = mono();
         let open = seen.open.iter().filter(|(name, _)| out.contains(*name));
         let open: BTreeMap<String, u32> = open.map(|(name, open)| (name.clone(), *open)).collect();
-        let news = open.iter().any(|(name, open)| *open == 0 && self.reported.get(name) != Some(&0));
+        let news = open
+            .iter()
+            .any(|(name, open)| *open == 0 && self.reported.get(name) != Some(&0));
         if open.is_empty() || now < self.report_at && !news {
             return;
         }
@@ -257,7 +286,12 @@
             return self.tables.roster.lock().report(holder, open, most);
         }
         let parts = message::parts(open, |(name, _)| name.len() + 8);
-        self.tables.send(parts.into_iter().map(|open| (holder, Duties::Report { open })).collect());
+        self.tables.send(
+            parts
+                .into_iter()
+                .map(|open| (holder, Duties::Report { open }))
+                .collect(),
+        );
     }
 }
 
@@ -269,7 +303,9 @@
 
 /// Entries in bytes, in parts that fit into a message each.
 pub fn entries(entries: Vec<Entry>) -> Vec<Vec<Vec<u8>>> {
-    message::parts(entries.iter().map(Entry::encode).collect(), |bytes| bytes.len() + 2)
+    message::parts(entries.iter().map(Entry::encode).collect(), |bytes| {
+        bytes.len() + 2
+    })
 }
 
 #[cfg(test)]
--- a/src/net/duties/clock/tests.rs
+++ b/src/net/duties/clock/tests.rs
@@ -44,9 +44,18 @@
             by_hand: false,
             open: 0,
         };
-        let rows = Rows { at, rows: vec![row("a"), row("b")] };
+        let rows = Rows {
+            at,
+            rows: vec![row("a"), row("b")],
+        };
         let rows = Some(Arc::new(rows)).filter(|_| *self.need.borrow() != Need::Nothing);
-        let seen = Seen { rows, open: BTreeMap::new(), members: Vec::new(), config: 0, file: 0 };
+        let seen = Seen {
+            rows,
+            open: BTreeMap::new(),
+            members: Vec::new(),
+            config: 0,
+            file: 0,
+        };
         self.tables().roster.lock().see(Arc::new(seen));
     }
 
@@ -59,7 +68,12 @@
             at(begin + 60)
         );
         let spec = Spec::from_json(body.as_bytes()).unwrap();
-        let put = self.tables().calendar.lock().calendar.put(id, spec, Stamp { at: wall(), by: 1 }, wall());
+        let put = self.tables().calendar.lock().calendar.put(
+            id,
+            spec,
+            Stamp { at: wall(), by: 1 },
+            wall(),
+        );
         put.unwrap();
     }
 
@@ -68,7 +82,11 @@
         let token = Ballot { number: 5, by: 10 };
         let mut mail = Mail::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
-        self.tables().leases.lock().effect(from, token, true, &mut mail).unwrap();
+        self.tables()
+            .leases
+            .lock()
+            .effect(from, token, true, &mut mail)
+            .unwrap();
         let Some(step) = step else { return };
         let mut windows = self.tables().calendar.lock();
         let mut entry = windows.calendar.get("w").unwrap().clone();
@@ -76,7 +94,13 @@
             meadowproxy::fleet::calendar::When::Once(span) => span.begin,
             _ => unreachable!("it comes once"),
         };
-        entry.mark = Some(Mark { occurrence, token, step, at: wall(), why: String::new() });
+        entry.mark = Some(Mark {
+            occurrence,
+            token,
+            step,
+            at: wall(),
+            why: String::new(),
+        });
         windows.calendar.merge(&entry, wall()).unwrap();
     }
 
@@ -93,7 +117,9 @@
             Effect::Back(name) => ('+', name),
             _ => unreachable!("nothing else is asked here"),
         };
-        std::iter::from_fn(|| self.told.try_recv().ok()).map(of).collect()
+        std::iter::from_fn(|| self.told.try_recv().ok())
+            .map(of)
+            .collect()
     }
 }
 
@@ -108,9 +134,15 @@
     let mut one = One::new();
     assert!(one.needs() == Need::Nothing, "cut off, without windows");
     one.put("v", r#""ids":["b"]"#, 3600);
-    assert!(one.needs() == Need::Nothing, "cut off, with a window in an hour");
+    assert!(
+        one.needs() == Need::Nothing,
+        "cut off, with a window in an hour"
+    );
     one.put("w", r#""ids":["a"]"#, 3);
-    assert!(one.needs() == Need::Decides, "cut off, with one that is due");
+    assert!(
+        one.needs() == Need::Decides,
+        "cut off, with one that is due"
+    );
     one.hear(None);
     assert!(one.needs() == Need::Nothing, "the holder decides");
     one.hear(Some(Step::Draining));
--- a/src/net/duties/config.rs
+++ b/src/net/duties/config.rs
@@ -9,8 +9,8 @@
 use crate::net::overlay::{Newest, Overlay};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{
-    Edit, Entry, Event, Key, Kind, Message, Refused, Rejected, Replica, Rules, Submission, Surroundings,
-    Table, Value,
+    Edit, Entry, Event, Key, Kind, Message, Refused, Rejected, Replica, Rules, Submission,
+    Surroundings, Table, Value,
 };
 use meadowproxy::fleet::lease;
 use meadowproxy::{Micros, Time};
@@ -42,10 +42,18 @@
 
 impl Configuring {
     pub fn new(
-        rules: lease::Rules, voters: Vec<SocketAddr>, own: SocketAddr, incarnation: u64, newest: Newest,
+        rules: lease::Rules,
+        voters: Vec<SocketAddr>,
+        own: SocketAddr,
+        incarnation: u64,
+        newest: Newest,
     ) -> Configuring {
         let now = mono();
-        let of = Rules { lease: rules, voters: voters.clone(), own };
+        let of = Rules {
+            lease: rules,
+            voters: voters.clone(),
+            own,
+        };
         Configuring {
             leases: Leases::new(Duty::Config, rules, voters, own, incarnation),
             replica: Replica::new(of, drawn(), now),
@@ -63,7 +71,11 @@
                 Event::InForce { version, entries } => {
                     let untold = self.untold.get_or_insert_with(Default::default);
                     untold.0 = version;
-                    untold.1.extend(entries.into_iter().map(|entry| (entry.edit.key.clone(), entry)));
+                    untold.1.extend(
+                        entries
+                            .into_iter()
+                            .map(|entry| (entry.edit.key.clone(), entry)),
+                    );
                 }
                 Event::Outcome { id, result } => {
                     if let Some((answer, _)) = self.calls.remove(&id) {
@@ -84,13 +96,18 @@
         match result {
             Ok(version) => (StatusCode::OK, line(&json!({ "version": version }))),
             Err(why) => {
-                let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+                let status =
+                    StatusCode::from_u16(why.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
                 let told = match &why {
                     Rejected::Conflict { key, number } => {
                         json!({ "field": key, "why": why.to_string(), "version": number })
                     }
-                    Rejected::Invalid(invalid) => json!({ "field": invalid.key, "why": invalid.why }),
-                    Rejected::NoHolder => json!({ "field": "holder", "why": self.leases.why_no_holder() }),
+                    Rejected::Invalid(invalid) => {
+                        json!({ "field": invalid.key, "why": invalid.why })
+                    }
+                    Rejected::NoHolder => {
+                        json!({ "field": "holder", "why": self.leases.why_no_holder() })
+                    }
                     why => json!({ "field": "holder", "why": why.to_string() }),
                 };
                 (status, line(&told))
@@ -102,7 +119,8 @@
 impl Tables {
     /// Lets the copy's machine act, and carries out what comes of it.
     fn configure<T>(
-        &self, act: impl FnOnce(&mut Configuring, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>) -> T,
+        &self,
+        act: impl FnOnce(&mut Configuring, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>) -> T,
     ) -> T {
         let (mut mail, mut out) = (Mail::new(), Vec::new());
         let (result, started) = {
@@ -131,12 +149,17 @@
                 );
             }
             if !config.replica.is_new() {
-                config.newest.store(config.replica.newest(), Ordering::Relaxed);
+                config
+                    .newest
+                    .store(config.replica.newest(), Ordering::Relaxed);
             }
             self.tell(&mut config);
             (result, new && !config.replica.is_new())
         };
-        mail.extend(out.into_iter().map(|(to, message)| (to, Duties::Config(message))));
+        mail.extend(
+            out.into_iter()
+                .map(|(to, message)| (to, Duties::Config(message))),
+        );
         self.send(mail);
         if started {
             self.welcome();
@@ -146,9 +169,17 @@
 
     /// Tells the request loop what changed, in one step; while its queue is full that grows together.
     fn tell(&self, config: &mut Configuring) {
-        let Some((version, entries)) = config.untold.take() else { return };
+        let Some((version, entries)) = config.untold.take() else {
+            return;
+        };
         let list = entries.values().cloned().collect();
-        if self.outbox.lock().effects.try_send(Effect::Config(version, list)).is_err() {
+        if self
+            .outbox
+            .lock()
+            .effects
+            .try_send(Effect::Config(version, list))
+            .is_err()
+        {
             config.untold = Some((version, entries));
         }
     }
@@ -178,12 +209,19 @@
         self.configure(|config, now, around, out| {
             config.replica.tick(now, around, out);
             let late = |(_, since): &(oneshot::Sender<Answer>, Time)| now - *since >= ANSWER;
-            let late: Vec<u64> =
-                config.calls.iter().filter(|(_, call)| late(call)).map(|(id, _)| *id).collect();
+            let late: Vec<u64> = config
+                .calls
+                .iter()
+                .filter(|(_, call)| late(call))
+                .map(|(id, _)| *id)
+                .collect();
             for id in late {
                 config.replica.withdraw(id);
                 let told = config.outcome(Err(Rejected::Unknown));
-                config.calls.remove(&id).map(|(answer, _)| answer.send(told));
+                config
+                    .calls
+                    .remove(&id)
+                    .map(|(answer, _)| answer.send(told));
             }
         });
         next
@@ -191,7 +229,9 @@
 
     /// Takes another proxy's message.
     pub fn configured(&self, from: SocketAddr, message: Message) -> Result<(), Refused> {
-        self.configure(|config, now, around, out| config.replica.handle(now, around, from, message, out))
+        self.configure(|config, now, around, out| {
+            config.replica.handle(now, around, from, message, out)
+        })
     }
 
     /// Asks for an operator's change, which is answered once its outcome is known.
@@ -199,18 +239,32 @@
         self.configure(|config, now, around, out| {
             let id = drawn();
             config.calls.insert(id, (answer, now));
-            if let Err(why) = config.replica.submit(now, around, Submission { id, base, edits }, out) {
+            if let Err(why) =
+                config
+                    .replica
+                    .submit(now, around, Submission { id, base, edits }, out)
+            {
                 let told = config.outcome(Err(why));
-                config.calls.remove(&id).map(|(answer, _)| answer.send(told));
+                config
+                    .calls
+                    .remove(&id)
+                    .map(|(answer, _)| answer.send(told));
             }
         });
     }
 
     pub fn config_entry(&self, kind: &str, name: &str) -> Answer {
-        let key = kind_of(kind).map(|kind| Key { kind, name: name.into() });
+        let key = kind_of(kind).map(|kind| Key {
+            kind,
+            name: name.into(),
+        });
         let config = self.config.lock();
         let table = config.replica.table();
-        let entry = key.and_then(|key| table.get(key.position()).filter(|entry| entry.edit.key == key));
+        let entry = key.and_then(|key| {
+            table
+                .get(key.position())
+                .filter(|entry| entry.edit.key == key)
+        });
         match entry {
             None => (
                 StatusCode::NOT_FOUND,
@@ -222,14 +276,22 @@
                     Value::Removed => ("removed", serde_json::Value::Null),
                     Value::AsFile => ("as_file", serde_json::Value::Null),
                 };
-                (StatusCode::OK, line(&json!({ "version": entry.number, "state": state, "value": value })))
+                (
+                    StatusCode::OK,
+                    line(&json!({ "version": entry.number, "state": state, "value": value })),
+                )
             }
         }
     }
 
     pub fn config_status(&self) -> serde_json::Value {
         let config = self.config.lock();
-        let seen = self.roster.lock().seen.as_ref().map(|seen| (seen.config, seen.file));
+        let seen = self
+            .roster
+            .lock()
+            .seen
+            .as_ref()
+            .map(|seen| (seen.config, seen.file));
         let (table, digest) = (config.replica.table(), config.replica.table().digest());
         let mut status = config.leases.status();
         let more = json!({
@@ -256,7 +318,9 @@
         (&Method::PUT, ["config", "file"]) => read_contained(&call.body, overlay),
         (&Method::PUT, ["config", kind, name]) => read_one(&call.body, kind, name, false),
         (&Method::DELETE, ["config", kind, name]) => read_one(&call.body, kind, name, true),
-        (&Method::DELETE, ["config", kind, name, "override"]) => read_override(&call.body, kind, name),
+        (&Method::DELETE, ["config", kind, name, "override"]) => {
+            read_override(&call.body, kind, name)
+        }
         _ => return None,
     };
     Some(read.and_then(|(base, edits)| {
@@ -275,11 +339,19 @@
 
 /// Only what was changed, and not since by a file, can be taken back.
 fn taken_back(edits: &[Edit], overlay: &Overlay) -> Result<(), Answer> {
-    let all = || edits.iter().filter(|edit| edit.value == Value::AsFile).map(|edit| &edit.key);
+    let all = || {
+        edits
+            .iter()
+            .filter(|edit| edit.value == Value::AsFile)
+            .map(|edit| &edit.key)
+    };
     let none: Vec<_> = all().filter(|key| !overlay.is_changed(key)).collect();
     if !none.is_empty() {
         let error = |key: &&Key| (key.to_string(), "never changed since the file".to_string());
-        return Err(refused(StatusCode::NOT_FOUND, none.iter().map(error).collect()));
+        return Err(refused(
+            StatusCode::NOT_FOUND,
+            none.iter().map(error).collect(),
+        ));
     }
     let contained: Vec<_> = all().filter(|key| !overlay.is_over(key)).collect();
     if !contained.is_empty() {
@@ -356,7 +428,9 @@
     let mut reader = serde_json::Deserializer::from_slice(body);
     let read = serde_path_to_error::deserialize(&mut reader);
     let read = read.map_err(|e| wrong(vec![(e.path().to_string(), e.inner().to_string())]))?;
-    reader.end().map_err(|e| wrong(vec![("body".into(), e.to_string())]))?;
+    reader
+        .end()
+        .map_err(|e| wrong(vec![("body".into(), e.to_string())]))?;
     Ok(read)
 }
 
@@ -366,19 +440,28 @@
 }
 
 fn refused(status: StatusCode, errors: Vec<(String, String)>) -> Answer {
-    let errors: Vec<_> = errors.iter().map(|(field, why)| json!({ "field": field, "why": why })).collect();
+    let errors: Vec<_> = errors
+        .iter()
+        .map(|(field, why)| json!({ "field": field, "why": why }))
+        .collect();
     let mut told = errors.first().cloned().unwrap_or_default();
     told["errors"] = errors.into();
     (status, line(&told))
 }
 
 fn kind_of(name: &str) -> Option<Kind> {
-    [Kind::Route, Kind::Tenant].into_iter().find(|kind| kind.name() == name)
+    [Kind::Route, Kind::Tenant]
+        .into_iter()
+        .find(|kind| kind.name() == name)
 }
 
 fn read(body: &[u8]) -> Result<(u64, Vec<Edit>), Answer> {
     let several: Several = parsed(body)?;
-    let items = several.entries.into_iter().enumerate().map(|(n, item)| (format!("entries[{n}]"), item));
+    let items = several
+        .entries
+        .into_iter()
+        .enumerate()
+        .map(|(n, item)| (format!("entries[{n}]"), item));
     checked(several.version, items.collect())
 }
 
@@ -398,18 +481,31 @@
 fn read_one(body: &[u8], kind: &str, name: &str, remove: bool) -> Result<(u64, Vec<Edit>), Answer> {
     let One { version, value } = parsed(body)?;
     if remove && value.is_some() {
-        return Err(wrong(vec![("value".into(), "not where the entry is removed".into())]));
+        return Err(wrong(vec![(
+            "value".into(),
+            "not where the entry is removed".into(),
+        )]));
     }
     if !remove && value.is_none() {
         return Err(wrong(vec![("value".into(), "missing".into())]));
     }
-    let item = Item { kind: kind.into(), name: name.into(), value, as_file: false };
+    let item = Item {
+        kind: kind.into(),
+        name: name.into(),
+        value,
+        as_file: false,
+    };
     checked(version, vec![(String::new(), item)])
 }
 
 fn read_override(body: &[u8], kind: &str, name: &str) -> Result<(u64, Vec<Edit>), Answer> {
     let Taken { version } = parsed(body)?;
-    let item = Item { kind: kind.into(), name: name.into(), value: None, as_file: true };
+    let item = Item {
+        kind: kind.into(),
+        name: name.into(),
+        value: None,
+        as_file: true,
+    };
     checked(version, vec![(String::new(), item)])
 }
 
@@ -417,12 +513,21 @@
 fn checked(version: u64, items: Vec<(String, Item)>) -> Result<(u64, Vec<Edit>), Answer> {
     let (mut edits, mut errors) = (Vec::new(), Vec::new());
     for (path, item) in items {
-        let at = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+        let at = |key: &str| {
+            if path.is_empty() {
+                key.to_string()
+            } else {
+                format!("{path}.{key}")
+            }
+        };
         let Some(kind) = kind_of(&item.kind) else {
             errors.push((at("kind"), "expected routes or tenants".to_string()));
             continue;
         };
-        let key = Key { kind, name: item.name };
+        let key = Key {
+            kind,
+            name: item.name,
+        };
         if let Err(why) = key.check() {
             errors.push((at("name"), why.why));
             continue;
--- a/src/net/duties/copy.rs
+++ b/src/net/duties/copy.rs
@@ -97,7 +97,9 @@
             Refused::Checksum => write!(f, "its checksum does not hold: cut short or changed"),
             Refused::Body(e) => write!(f, "body does not decode: {e}"),
             Refused::Cluster(name) => write!(f, "of the fleet {name:?}"),
-            Refused::Stale(age) => write!(f, "{} s old, over {}", age.as_secs(), MOST_AGE.as_secs()),
+            Refused::Stale(age) => {
+                write!(f, "{} s old, over {}", age.as_secs(), MOST_AGE.as_secs())
+            }
             Refused::Table(why) => write!(f, "no table: {why}"),
         }
     }
@@ -121,7 +123,9 @@
     if bytes.len() > MOST {
         return Err(Refused::TooLarge(bytes.len()));
     }
-    let (prefix, body) = bytes.split_at_checked(PREFIX).ok_or(Refused::Short(bytes.len()))?;
+    let (prefix, body) = bytes
+        .split_at_checked(PREFIX)
+        .ok_or(Refused::Short(bytes.len()))?;
     let magic = [prefix[0], prefix[1], prefix[2], prefix[3]];
     if magic != MAGIC {
         return Err(Refused::Magic(magic));
@@ -143,7 +147,11 @@
 impl Kept {
     /// Proxies that share a folder never write over each other's files.
     fn name(&self, own: SocketAddr) -> String {
-        let whose = blake3::hash(serde_json::json!([self.cluster, own]).to_string().as_bytes());
+        let whose = blake3::hash(
+            serde_json::json!([self.cluster, own])
+                .to_string()
+                .as_bytes(),
+        );
         format!("config-{}.table", hex::encode(&whose.as_bytes()[..16]))
     }
 
@@ -157,13 +165,19 @@
             return Err(Refused::Unreadable(io::Error::other("not a file")));
         }
         // A time ahead of the clock is no age.
-        let age = of.modified().ok().and_then(|at| SystemTime::now().duration_since(at).ok());
+        let age = of
+            .modified()
+            .ok()
+            .and_then(|at| SystemTime::now().duration_since(at).ok());
         if let Some(age) = age.filter(|age| *age > MOST_AGE) {
             return Err(Refused::Stale(age));
         }
         let mut bytes = Vec::new();
         let opened = File::open(file).map_err(unreadable)?;
-        opened.take(MOST as u64 + 1).read_to_end(&mut bytes).map_err(unreadable)?;
+        opened
+            .take(MOST as u64 + 1)
+            .read_to_end(&mut bytes)
+            .map_err(unreadable)?;
         decode(&bytes, &self.cluster)
     }
 
@@ -173,7 +187,10 @@
         match self.read(&file) {
             Ok(table) => {
                 let (version, entries) = (table.version(), table.len());
-                info!(event = "config_snapshot_taken", version, entries, "begins with its own copy");
+                info!(
+                    event = "config_snapshot_taken",
+                    version, entries, "begins with its own copy"
+                );
                 Some(table)
             }
             Err(Refused::Missing) => {
@@ -194,7 +211,10 @@
         loop {
             std::thread::sleep(pause);
             pause = EVERY;
-            let (version, now) = (tables.config.lock().replica.table().version(), SystemTime::now());
+            let (version, now) = (
+                tables.config.lock().replica.table().version(),
+                SystemTime::now(),
+            );
             let done = if version == 0 {
                 continue;
             } else if version != last.0 {
@@ -204,11 +224,15 @@
                     pause = EVERY.max(Duration::from_secs_f64(bytes.len() as f64 / RATE));
                     replace(&self.dir, &name, &bytes).map_err(|e| e.to_string())
                 })
-            } else if now.duration_since(last.1).is_ok_and(|since| since < CONFIRM) {
+            } else if now
+                .duration_since(last.1)
+                .is_ok_and(|since| since < CONFIRM)
+            {
                 continue;
             } else {
                 let file = File::options().write(true).open(self.dir.join(&name));
-                file.and_then(|file| file.set_modified(now)).map_err(|e| e.to_string())
+                file.and_then(|file| file.set_modified(now))
+                    .map_err(|e| e.to_string())
             };
             last.1 = now;
             if let Err(why) = &done {
@@ -223,7 +247,11 @@
 
     /// The whole copy of one version, page by page, so that nobody waits long for the table.
     fn copied(&self, tables: &Tables) -> Body {
-        let mut body = Body { cluster: self.cluster.clone(), digest: Digest::default(), entries: Vec::new() };
+        let mut body = Body {
+            cluster: self.cluster.clone(),
+            digest: Digest::default(),
+            entries: Vec::new(),
+        };
         let mut from = Some(0);
         while let Some(first) = from {
             let config = tables.config.lock();
@@ -236,11 +264,18 @@
                     continue;
                 }
             }
-            let page: Vec<(u64, Entry)> =
-                table.range(first, u64::MAX).take(PAGE).map(|(at, entry)| (at, entry.clone())).collect();
+            let page: Vec<(u64, Entry)> = table
+                .range(first, u64::MAX)
+                .take(PAGE)
+                .map(|(at, entry)| (at, entry.clone()))
+                .collect();
             let whole = page.len() < PAGE;
-            from = page.last().filter(|_| !whole).and_then(|(at, _)| at.checked_add(1));
-            body.entries.extend(page.into_iter().map(|(_, entry)| entry));
+            from = page
+                .last()
+                .filter(|_| !whole)
+                .and_then(|(at, _)| at.checked_add(1));
+            body.entries
+                .extend(page.into_iter().map(|(_, entry)| entry));
         }
         body
     }
--- a/src/net/duties/copy/tests.rs
+++ b/src/net/duties/copy/tests.rs
@@ -5,16 +5,36 @@
 fn table(count: u64) -> Table {
     let mut table = Table::default();
     for n in 0..count {
-        let key = Key { kind: Kind::Tenant, name: format!("t{}", n % 700) };
-        let edits = vec![Edit { key, value: Value::Set(vec![n as u8; 20]) }];
-        table.apply(&Change { number: n + 1, after: n, id: n, edits }).unwrap();
+        let key = Key {
+            kind: Kind::Tenant,
+            name: format!("t{}", n % 700),
+        };
+        let edits = vec![Edit {
+            key,
+            value: Value::Set(vec![n as u8; 20]),
+        }];
+        table
+            .apply(&Change {
+                number: n + 1,
+                after: n,
+                id: n,
+                edits,
+            })
+            .unwrap();
     }
     table
 }
 
 fn body(table: &Table, cluster: &str) -> Body {
-    let entries = table.range(0, u64::MAX).map(|(_, entry)| entry.clone()).collect();
-    Body { cluster: cluster.into(), digest: table.digest(), entries }
+    let entries = table
+        .range(0, u64::MAX)
+        .map(|(_, entry)| entry.clone())
+        .collect();
+    Body {
+        cluster: cluster.into(),
+        digest: table.digest(),
+        entries,
+    }
 }
 
 fn cause(bytes: &[u8]) -> &'static str {
@@ -42,7 +62,10 @@
         (whole[..whole.len() / 2].to_vec(), "checksum"),
         (with(0, b'X'), "magic"),
         (with(4, 9), "format"),
-        (with(whole.len() - 3, whole[whole.len() - 3] ^ 1), "checksum"),
+        (
+            with(whole.len() - 3, whole[whole.len() - 3] ^ 1),
+            "checksum",
+        ),
         (vec![0; MOST + 1], "too_large"),
         (encode(&body(&table, "other")).unwrap(), "cluster"),
         // Sound bytes that are no table.
@@ -51,7 +74,10 @@
         (but(&|body| body.digest.version = u64::MAX), "table"),
         (but(&|body| body.entries[0].number = 901), "table"),
         (but(&|body| body.entries[0].edit.key.name.clear()), "table"),
-        (but(&|body| body.entries.push(body.entries[0].clone())), "table"),
+        (
+            but(&|body| body.entries.push(body.entries[0].clone())),
+            "table",
+        ),
     ];
     for (n, (bytes, expected)) in cases.iter().enumerate() {
         assert_eq!(cause(bytes), *expected, "case {n}");
@@ -61,14 +87,22 @@
 #[test]
 fn files_are_refused_by_what_they_are() {
     let dir = std::env::temp_dir().join(format!("meadowproxy-copy-{}", std::process::id()));
-    let kept = Kept { dir: dir.clone(), cluster: "fleet".into() };
+    let kept = Kept {
+        dir: dir.clone(),
+        cluster: "fleet".into(),
+    };
     let file = dir.join("x");
     let cause = || kept.read(&file).map_or_else(|why| why.cause(), |_| "taken");
     assert_eq!(cause(), "missing");
     replace(&dir, "x", &encode(&body(&table(5), "fleet")).unwrap()).unwrap();
     assert_eq!(cause(), "taken");
     let old = SystemTime::now() - MOST_AGE - Duration::from_secs(10);
-    File::options().write(true).open(&file).unwrap().set_modified(old).unwrap();
+    File::options()
+        .write(true)
+        .open(&file)
+        .unwrap()
+        .set_modified(old)
+        .unwrap();
     assert_eq!(cause(), "stale");
     fs::remove_file(&file).unwrap();
     fs::create_dir(&file).unwrap();
--- a/src/net/duties/door.rs
+++ b/src/net/duties/door.rs
@@ -30,7 +30,10 @@
 /// Carries a call out.
 pub fn answer(tables: &Tables, call: &Call) -> Answer {
     let now = wall();
-    let stamp = Stamp { at: now, by: tables.incarnation };
+    let stamp = Stamp {
+        at: now,
+        by: tables.incarnation,
+    };
     let parts: Vec<&str> = call.path.iter().map(String::as_str).collect();
     let edited = match (call.method.as_str(), parts.as_slice()) {
         ("GET", ["config"]) => return (StatusCode::OK, line(&tables.config_status())),
@@ -46,9 +49,22 @@
         ("DELETE", ["windows", id]) => tables.calendar.lock().calendar.cancel(id, stamp, now),
         ("POST", ["windows", id, "extend"]) => until(&call.body)
             .map_err(Rejected::Invalid)
-            .and_then(|until| tables.calendar.lock().calendar.extend(id, until, stamp, now)),
-        ("POST", ["windows", id, "begin"]) => tables.calendar.lock().calendar.begin_now(id, stamp, now),
-        _ => return (StatusCode::NOT_FOUND, line(&json!({ "field": "path", "why": "no such call" }))),
+            .and_then(|until| {
+                tables
+                    .calendar
+                    .lock()
+                    .calendar
+                    .extend(id, until, stamp, now)
+            }),
+        ("POST", ["windows", id, "begin"]) => {
+            tables.calendar.lock().calendar.begin_now(id, stamp, now)
+        }
+        _ => {
+            return (
+                StatusCode::NOT_FOUND,
+                line(&json!({ "field": "path", "why": "no such call" })),
+            )
+        }
     };
     match edited {
         Ok(put) => {
@@ -65,8 +81,10 @@
 }
 
 fn until(body: &[u8]) -> Result<Wall, Invalid> {
-    let read: Extend =
-        serde_json::from_slice(body).map_err(|e| Invalid { field: "until".into(), why: e.to_string() })?;
+    let read: Extend = serde_json::from_slice(body).map_err(|e| Invalid {
+        field: "until".into(),
+        why: e.to_string(),
+    })?;
     parse_instant("until", &read.until)
 }
 
@@ -74,7 +92,11 @@
     let mut status = tables.leases.lock().status();
     let (windows, out, ready) = {
         let windows = tables.calendar.lock();
-        (windows.calendar.list(wall()).len(), windows.out.clone(), windows.covered.is_none())
+        (
+            windows.calendar.list(wall()).len(),
+            windows.out.clone(),
+            windows.covered.is_none(),
+        )
     };
     let members = tables.roster.lock().members().len();
     let outbox = tables.outbox.lock();
--- a/src/net/duties/leases.rs
+++ b/src/net/duties/leases.rs
@@ -54,7 +54,11 @@
 
 impl Leases {
     pub fn new(
-        duty: Duty, rules: Rules, voters: Vec<SocketAddr>, own: SocketAddr, incarnation: u64,
+        duty: Duty,
+        rules: Rules,
+        voters: Vec<SocketAddr>,
+        own: SocketAddr,
+        incarnation: u64,
     ) -> Leases {
         let now = mono();
         // Two to three terms, drawn once: not all of a large fleet bid together.
@@ -90,7 +94,9 @@
         match self.holds() {
             Some(_) => Some(self.own),
             None => {
-                let other = |h: &Holder| h.at != Some(self.own) && mono() - h.heard < self.rules.grant_life();
+                let other = |h: &Holder| {
+                    h.at != Some(self.own) && mono() - h.heard < self.rules.grant_life()
+                };
                 self.holder.filter(other).and_then(|h| h.at)
             }
         }
@@ -128,22 +134,42 @@
         }
         match &self.voter {
             Some(voter) => {
-                !voter.silent(now) && voter.granted(now).is_none_or(|ballot| ballot.by == self.incarnation)
+                !voter.silent(now)
+                    && voter
+                        .granted(now)
+                        .is_none_or(|ballot| ballot.by == self.incarnation)
             }
             None => now - self.holder.map_or(self.started, |h| h.heard) > self.shy,
         }
     }
 
     /// Takes a lease's message from another proxy.
-    pub fn message(&mut self, from: SocketAddr, message: Message, mail: &mut Mail) -> Result<(), Refused> {
+    pub fn message(
+        &mut self,
+        from: SocketAddr,
+        message: Message,
+        mail: &mut Mail,
+    ) -> Result<(), Refused> {
         let now = mono();
         match message {
             Message::Ask { .. } | Message::Propose { .. } | Message::Release { .. } => {
                 let answer = self.voter.as_mut().and_then(|v| v.handle(now, message));
-                mail.extend(answer.map(|message| (from, Duties::Lease { duty: self.duty, message })));
+                mail.extend(answer.map(|message| {
+                    (
+                        from,
+                        Duties::Lease {
+                            duty: self.duty,
+                            message,
+                        },
+                    )
+                }));
             }
             Message::Free { .. } | Message::Accepted { .. } | Message::Refused { .. } => {
-                let place = self.voters.iter().position(|v| *v == from).ok_or(Refused::Stranger)?;
+                let place = self
+                    .voters
+                    .iter()
+                    .position(|v| *v == from)
+                    .ok_or(Refused::Stranger)?;
                 let mut said = Vec::new();
                 self.answered[place] = Some(now);
                 self.candidate.heard(now, place, message, &mut said);
@@ -157,16 +183,30 @@
     /// An effect of the holder at `from`, whoever passed it on: refused under a token that a higher one followed, else
     /// the holder's word, unless a newer one has come.
     pub fn effect(
-        &mut self, from: SocketAddr, token: Token, newest: bool, mail: &mut Mail,
+        &mut self,
+        from: SocketAddr,
+        token: Token,
+        newest: bool,
+        mail: &mut Mail,
     ) -> Result<(), Refused> {
         if let Err(highest) = self.fence.admit(self.duty, token) {
-            mail.push((from, Duties::Fenced { duty: self.duty, highest }));
+            mail.push((
+                from,
+                Duties::Fenced {
+                    duty: self.duty,
+                    highest,
+                },
+            ));
             return Err(Refused::Token);
         }
         let now = mono();
         self.learn(token, mail);
         if newest {
-            self.holder = Some(Holder { token, at: Some(from), heard: now });
+            self.holder = Some(Holder {
+                token,
+                at: Some(from),
+                heard: now,
+            });
         }
         Ok(())
     }
@@ -181,7 +221,13 @@
         }
         match &mut self.holder {
             Some(holder) if holder.token == word.token => holder.heard = holder.heard.max(heard),
-            holder => *holder = Some(Holder { token: word.token, at: None, heard }),
+            holder => {
+                *holder = Some(Holder {
+                    token: word.token,
+                    at: None,
+                    heard,
+                })
+            }
         }
     }
 
@@ -206,7 +252,11 @@
                 holder => holder.map(|h| now - h.heard),
             };
             let age_ms = age.and_then(|a| u32::try_from(a.0 / 1000).ok());
-            Word { duty: *duty, token, age_ms }
+            Word {
+                duty: *duty,
+                token,
+                age_ms,
+            }
         };
         self.fence.tokens().map(word).collect()
     }
@@ -228,10 +278,18 @@
         while let Some(message) = said.pop_front() {
             for (place, to) in self.voters.iter().enumerate() {
                 if *to != self.own {
-                    mail.push((*to, Duties::Lease { duty: self.duty, message }));
+                    mail.push((
+                        *to,
+                        Duties::Lease {
+                            duty: self.duty,
+                            message,
+                        },
+                    ));
                     continue;
                 }
-                let Some(answer) = self.voter.as_mut().and_then(|v| v.handle(now, message)) else { continue };
+                let Some(answer) = self.voter.as_mut().and_then(|v| v.handle(now, message)) else {
+                    continue;
+                };
                 self.answered[place] = Some(now);
                 let mut more = Vec::new();
                 self.candidate.heard(now, place, answer, &mut more);
@@ -265,7 +323,11 @@
         }
         self.until = self.candidate.holds_until();
         if let Some(token) = self.candidate.holds(now) {
-            self.holder = Some(Holder { token, at: Some(self.own), heard: now });
+            self.holder = Some(Holder {
+                token,
+                at: Some(self.own),
+                heard: now,
+            });
         }
     }
 
@@ -291,7 +353,11 @@
 
     /// Voters that answered within the last term.
     fn answering(&self, now: Time) -> usize {
-        self.answered.iter().flatten().filter(|at| now - **at <= self.rules.term()).count()
+        self.answered
+            .iter()
+            .flatten()
+            .filter(|at| now - **at <= self.rules.term())
+            .count()
     }
 
     /// A voter was heard of, with whatever word.
@@ -312,7 +378,8 @@
 
     /// The voters of which any word came within the last term, or so long.
     fn heard_of(&self, now: Time, lately: Micros) -> Vec<String> {
-        let lately = |at: &Option<Time>| at.is_some_and(|at| now - at <= self.rules.term().max(lately));
+        let lately =
+            |at: &Option<Time>| at.is_some_and(|at| now - at <= self.rules.term().max(lately));
         let heard = self.heard.iter().zip(&self.voters);
         let heard = heard.filter(|(at, voter)| **voter == self.own || lately(at));
         heard.map(|(_, voter)| voter.to_string()).collect()
--- a/src/net/duties/message.rs
+++ b/src/net/duties/message.rs
@@ -56,7 +56,12 @@
     /// Between a candidate and a voter.
     Lease { duty: Duty, message: Message },
     /// What the sender knows. `new`: it has just started and may lack anything. `ask`: the receiver's digests are wanted.
-    Digest { words: Vec<Word>, digest: Digest, new: bool, ask: bool },
+    Digest {
+        words: Vec<Word>,
+        digest: Digest,
+        new: bool,
+        ask: bool,
+    },
     /// Asks for windows by the hashes of their ids.
     Ask { ids: Vec<u64> },
     /// Windows as the sender keeps them: bytes of entries.
@@ -145,7 +150,9 @@
     fn check(&self) -> Result<(), Refused> {
         match self {
             Duties::Lease { message, .. } => match message {
-                Message::Refused { ballot, highest, .. } => sound(*ballot).and_then(|()| sound(*highest)),
+                Message::Refused {
+                    ballot, highest, ..
+                } => sound(*ballot).and_then(|()| sound(*highest)),
                 Message::Ask { ballot }
                 | Message::Free { ballot }
                 | Message::Propose { ballot, .. }
@@ -153,7 +160,9 @@
                 | Message::Release { ballot } => sound(*ballot),
             },
             Duties::Digest { words, .. } => words.iter().try_for_each(|word| sound(word.token)),
-            Duties::Broadcast(_, said) => said.tokens.iter().try_for_each(|(_, token)| sound(*token)),
+            Duties::Broadcast(_, said) => {
+                said.tokens.iter().try_for_each(|(_, token)| sound(*token))
+            }
             Duties::Fenced { highest, .. } => sound(*highest),
             Duties::Config(message) => message.tokens().into_iter().try_for_each(sound),
             Duties::Ask { .. } | Duties::Entries { .. } | Duties::Report { .. } => Ok(()),
@@ -206,27 +215,62 @@
     /// Messages about the configuration; the machine's own tests have all kinds.
     fn config() -> impl Strategy<Value = Duties> {
         use config::{Change, Digest, Edit, Key, Kind, Message, Node, Paxos, Value};
-        let token = || (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, by)| Ballot { number, by });
-        let edit = ("[a-c]{0,3}", prop::option::of(prop::collection::vec(any::<u8>(), 0..200))).prop_map(
-            |(name, value)| Edit {
-                key: Key { kind: Kind::Tenant, name },
+        let token =
+            || (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, by)| Ballot { number, by });
+        let edit = (
+            "[a-c]{0,3}",
+            prop::option::of(prop::collection::vec(any::<u8>(), 0..200)),
+        )
+            .prop_map(|(name, value)| Edit {
+                key: Key {
+                    kind: Kind::Tenant,
+                    name,
+                },
                 value: value.map_or(Value::Removed, Value::Set),
-            },
-        );
-        let change = (0u64..5, 0u64..5, any::<u64>(), prop::collection::vec(edit, 0..3))
-            .prop_map(|(number, after, id, edits)| Change { number, after, id, edits });
+            });
+        let change = (
+            0u64..5,
+            0u64..5,
+            any::<u64>(),
+            prop::collection::vec(edit, 0..3),
+        )
+            .prop_map(|(number, after, id, edits)| Change {
+                number,
+                after,
+                id,
+                edits,
+            });
         let message = prop_oneof![
             (token(), any::<u32>())
                 .prop_map(|(token, round)| Message::Paxos(Paxos::Prepare { token, round })),
-            (token(), any::<u32>(), change.clone())
-                .prop_map(|(token, round, change)| Message::Paxos(Paxos::Accept { token, round, change })),
-            (token(), token()).prop_map(|(token, highest)| Message::Paxos(Paxos::Refused { token, highest })),
-            (prop::collection::vec(change, 0..3), 0u64..9, any::<bool>())
-                .prop_map(|(changes, version, push)| Message::Changes { changes, version, push }),
-            (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(|((version, root), (new, ask))| {
-                Message::Digest { digest: Digest { version, root }, new, ask }
+            (token(), any::<u32>(), change.clone()).prop_map(|(token, round, change)| {
+                Message::Paxos(Paxos::Accept {
+                    token,
+                    round,
+                    change,
+                })
+            }),
+            (token(), token())
+                .prop_map(|(token, highest)| Message::Paxos(Paxos::Refused { token, highest })),
+            (prop::collection::vec(change, 0..3), 0u64..9, any::<bool>()).prop_map(
+                |(changes, version, push)| Message::Changes {
+                    changes,
+                    version,
+                    push
+                }
+            ),
+            (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(
+                |((version, root), (new, ask))| {
+                    Message::Digest {
+                        digest: Digest { version, root },
+                        new,
+                        ask,
+                    }
+                }
+            ),
+            (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::Hashes {
+                node: Node { level, index }
             }),
-            (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::Hashes { node: Node { level, index } }),
             (any::<u64>(), any::<u64>()).prop_map(|(from, to)| Message::Range { from, to }),
         ];
         message.prop_map(Duties::Config)
@@ -245,30 +289,51 @@
         let said = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
         (9u16..14, 0u64..4, said, part).prop_map(|(port, incarnation, said_us, part)| {
             let origin = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-            Header { origin, incarnation, said_us, part }
+            Header {
+                origin,
+                incarnation,
+                said_us,
+                part,
+            }
         })
     }
 
     fn of_duty(duty: Duty) -> impl Strategy<Value = Duties> {
-        let token = || (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, by)| Ballot { number, by });
+        let token =
+            || (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, by)| Ballot { number, by });
         let entries = || prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..6);
-        let word = move |(token, age_ms)| Word { duty, token, age_ms };
+        let word = move |(token, age_ms)| Word {
+            duty,
+            token,
+            age_ms,
+        };
         let rows = prop::collection::vec(any::<(u64, u64)>(), 0..50);
         let words = prop::collection::vec((token(), any::<Option<u32>>()).prop_map(word), 0..2);
         prop_oneof![
-            (token(), token(), any::<u32>(), 0..6).prop_map(move |(ballot, highest, round, kind)| {
-                let message = match kind {
-                    0 => Message::Ask { ballot },
-                    1 => Message::Free { ballot },
-                    2 => Message::Propose { ballot, round },
-                    3 => Message::Accepted { ballot, round },
-                    4 => Message::Refused { ballot, round, highest },
-                    _ => Message::Release { ballot },
-                };
-                Duties::Lease { duty, message }
-            }),
+            (token(), token(), any::<u32>(), 0..6).prop_map(
+                move |(ballot, highest, round, kind)| {
+                    let message = match kind {
+                        0 => Message::Ask { ballot },
+                        1 => Message::Free { ballot },
+                        2 => Message::Propose { ballot, round },
+                        3 => Message::Accepted { ballot, round },
+                        4 => Message::Refused {
+                            ballot,
+                            round,
+                            highest,
+                        },
+                        _ => Message::Release { ballot },
+                    };
+                    Duties::Lease { duty, message }
+                }
+            ),
             (words, any::<(u64, u64, bool)>(), rows).prop_map(|(words, (from, to, new), rows)| {
-                Duties::Digest { words, digest: Digest { from, to, rows }, new, ask: !new }
+                Duties::Digest {
+                    words,
+                    digest: Digest { from, to, rows },
+                    new,
+                    ask: !new,
+                }
             }),
             prop::collection::vec(any::<u64>(), 0..50).prop_map(|ids| Duties::Ask { ids }),
             entries().prop_map(|entries| Duties::Entries { entries }),
--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -105,7 +105,11 @@
 /// The monotonic clock, which all processes of a machine share.
 pub fn mono() -> Time {
     let now = clock_gettime(ClockId::Monotonic);
-    Time((now.tv_sec as u64).saturating_mul(1_000_000).saturating_add(now.tv_nsec as u64 / 1000))
+    Time(
+        (now.tv_sec as u64)
+            .saturating_mul(1_000_000)
+            .saturating_add(now.tv_nsec as u64 / 1000),
+    )
 }
 
 fn wall() -> Wall {
@@ -124,27 +128,52 @@
     /// Starts the workers. `ramp`: how long a backend that is back is in slow start; `kept`: where this proxy's copy of the
     /// configuration is kept, if it is.
     pub fn start(
-        host: Rc<Host>, peers: &Rc<Peers>, rules: &Voting, ramp: Micros, overlay: Rc<Overlay>,
+        host: Rc<Host>,
+        peers: &Rc<Peers>,
+        rules: &Voting,
+        ramp: Micros,
+        overlay: Rc<Overlay>,
         kept: Option<Kept>,
     ) -> io::Result<Rc<Duties>> {
         let own = peers.own();
-        let leases = rules.leases().map_err(|e| io::Error::other(e.to_string()))?;
+        let leases = rules
+            .leases()
+            .map_err(|e| io::Error::other(e.to_string()))?;
         let incarnation = RandomState::new().build_hasher().finish();
         let (effects, told) = mpsc::channel(EFFECTS);
         let calendar = Calendar::new(Rules {
-            budget: Budget { kind: rules.floor, zone: rules.zone_floor.unwrap_or(rules.floor) },
+            budget: Budget {
+                kind: rules.floor,
+                zone: rules.zone_floor.unwrap_or(rules.floor),
+            },
             ramp,
             max_age: peers.max_age(),
         });
-        let windows = Windows { calendar, out: BTreeSet::new(), covered: Some(Vec::new()) };
+        let windows = Windows {
+            calendar,
+            out: BTreeSet::new(),
+            covered: Some(Vec::new()),
+        };
         let tables = Arc::new(Tables {
             leases: Ranked::new(
                 0,
-                Leases::new(Duty::Calendar, leases, rules.voters.clone(), own, incarnation),
+                Leases::new(
+                    Duty::Calendar,
+                    leases,
+                    rules.voters.clone(),
+                    own,
+                    incarnation,
+                ),
             ),
             config: Ranked::new(
                 1,
-                Configuring::new(leases, rules.voters.clone(), own, incarnation, overlay.newest()),
+                Configuring::new(
+                    leases,
+                    rules.voters.clone(),
+                    own,
+                    incarnation,
+                    overlay.newest(),
+                ),
             ),
             calendar: Ranked::new(2, windows),
             roster: Ranked::new(3, Roster::starting()),
@@ -171,11 +200,25 @@
         peers.pass_duties(pass);
         info!(event = "duties_start", own = %own, voters = rules.voters.len(), lease_ms = rules.lease_ms,
             "takes part in the fleet's duties");
-        let applied = Rc::new(Applied { out: RefCell::default(), overlay: overlay.clone() });
+        let applied = Rc::new(Applied {
+            out: RefCell::default(),
+            overlay: overlay.clone(),
+        });
         let (tell, ready) = watch::channel(false);
         tokio::task::spawn_local(apply(host.clone(), told, applied.clone(), tell));
-        tokio::task::spawn_local(shows(host, peers.clone(), applied, show, need, commands.clone()));
-        Ok(Rc::new(Duties { commands, ready, overlay }))
+        tokio::task::spawn_local(shows(
+            host,
+            peers.clone(),
+            applied,
+            show,
+            need,
+            commands.clone(),
+        ));
+        Ok(Rc::new(Duties {
+            commands,
+            ready,
+            overlay,
+        }))
     }
 
     /// Until this proxy knows the calendar as another one does, or has waited long enough for it.
@@ -193,7 +236,11 @@
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> Later {
         let (answer, wait) = oneshot::channel();
         let path = path.iter().map(|part| part.to_string()).collect();
-        let call = door::Call { method: method.clone(), path, body };
+        let call = door::Call {
+            method: method.clone(),
+            path,
+            body,
+        };
         let command = match config::change(&call, &self.overlay) {
             None => Command::Call(call, answer),
             Some(Ok((base, edits))) => Command::Change(base, edits, answer),
@@ -201,7 +248,10 @@
         };
         let queued = self.commands.try_send(command).is_ok();
         Box::pin(async move {
-            let busy = (StatusCode::SERVICE_UNAVAILABLE, "too many calls at once\n".to_string());
+            let busy = (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "too many calls at once\n".to_string(),
+            );
             if queued {
                 wait.await.unwrap_or(busy)
             } else {
@@ -221,18 +271,31 @@
 
 /// Carries out what the workers ask.
 async fn apply(
-    host: Rc<Host>, mut told: mpsc::Receiver<Effect>, applied: Rc<Applied>, ready: watch::Sender<bool>,
+    host: Rc<Host>,
+    mut told: mpsc::Receiver<Effect>,
+    applied: Rc<Applied>,
+    ready: watch::Sender<bool>,
 ) {
     while let Some(effect) = told.recv().await {
         match effect {
             Effect::Out(name) => {
                 host.withdraw_unheard(&name, Why::Window);
-                info!(event = "window_out", backend = name, mono_us = mono().0, "out for a window");
+                info!(
+                    event = "window_out",
+                    backend = name,
+                    mono_us = mono().0,
+                    "out for a window"
+                );
                 applied.out.borrow_mut().insert(name);
             }
             Effect::Back(name) => {
                 host.restore(&name, Why::Window, host.clock.now());
-                info!(event = "window_back", backend = name, mono_us = mono().0, "no window has it any more");
+                info!(
+                    event = "window_back",
+                    backend = name,
+                    mono_us = mono().0,
+                    "no window has it any more"
+                );
                 applied.out.borrow_mut().remove(&name);
             }
             Effect::Config(version, entries) => applied.overlay.add(version, entries),
@@ -246,8 +309,12 @@
 
 /// Shows the workers what the request loop sees: at once where they need more than before.
 async fn shows(
-    host: Rc<Host>, peers: Rc<Peers>, applied: Rc<Applied>, show: watch::Sender<Option<Arc<Seen>>>,
-    mut need: watch::Receiver<Need>, wake: SyncSender<Command>,
+    host: Rc<Host>,
+    peers: Rc<Peers>,
+    applied: Rc<Applied>,
+    show: watch::Sender<Option<Arc<Seen>>>,
+    mut need: watch::Receiver<Need>,
+    wake: SyncSender<Command>,
 ) {
     let (mut rows, mut before) = (None, Need::Nothing);
     loop {
@@ -258,11 +325,20 @@
             Need::Decides => None,
         };
         if rows.is_none() && asked != Need::Nothing {
-            rows = Some(Arc::new(Rows { at, rows: host.roster() }));
+            rows = Some(Arc::new(Rows {
+                at,
+                rows: host.roster(),
+            }));
         }
         let (open, overlay) = (host.open_at(&applied.out.borrow()), &applied.overlay);
         let (config, file) = (overlay.version(), overlay.file_version());
-        let seen = Seen { rows: rows.clone(), open, members: peers.members(), config, file };
+        let seen = Seen {
+            rows: rows.clone(),
+            open,
+            members: peers.members(),
+            config,
+            file,
+        };
         show.send_replace(Some(Arc::new(seen)));
         if asked != before {
             before = asked;
--- a/src/net/duties/ranked.rs
+++ b/src/net/duties/ranked.rs
@@ -24,16 +24,26 @@
 
 impl<T> Ranked<T> {
     pub const fn new(rank: u32, table: T) -> Ranked<T> {
-        Ranked { rank, table: Mutex::new(table) }
+        Ranked {
+            rank,
+            table: Mutex::new(table),
+        }
     }
 
     /// Waits for the lock. A worker that panicked leaves its table as it is: each is sound between any two steps.
     pub fn lock(&self) -> Locked<'_, T> {
         let held = HELD.get();
-        debug_assert!(held >> self.rank == 0, "lock {} taken out of order, ranks held: {held:b}", self.rank);
+        debug_assert!(
+            held >> self.rank == 0,
+            "lock {} taken out of order, ranks held: {held:b}",
+            self.rank
+        );
         let table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         HELD.set(held | 1 << self.rank);
-        Locked { rank: self.rank, table }
+        Locked {
+            rank: self.rank,
+            table,
+        }
     }
 }
 
@@ -75,7 +85,11 @@
         };
         for first in 0..3 {
             for second in 0..3 {
-                assert_eq!(passes(first, second), first < second, "{first} then {second}");
+                assert_eq!(
+                    passes(first, second),
+                    first < second,
+                    "{first} then {second}"
+                );
                 assert_eq!(HELD.get(), 0, "what was held is forgotten");
             }
         }
--- a/src/net/duties/tables.rs
+++ b/src/net/duties/tables.rs
@@ -72,7 +72,14 @@
 impl Outbox {
     pub fn new(effects: mpsc::Sender<Effect>) -> Outbox {
         let (again, refused, complained) = Default::default();
-        Outbox { effects, again, sent: 0, received: 0, refused, complained }
+        Outbox {
+            effects,
+            again,
+            sent: 0,
+            received: 0,
+            refused,
+            complained,
+        }
     }
 
     /// Counts a message that is not used, and says why, so often at most.
@@ -84,7 +91,11 @@
             return;
         }
         self.complained.insert(cause, now);
-        let event = if matches!(why, Refused::Token) { "effect_refused" } else { "duties_refused" };
+        let event = if matches!(why, Refused::Token) {
+            "effect_refused"
+        } else {
+            "duties_refused"
+        };
         warn!(event, cause, from = %from, mono_us = now.0, "refused: {why}");
     }
 }
@@ -92,7 +103,9 @@
 impl Windows {
     /// Takes note that of this range nothing is lacking; whether that is now so of every one.
     pub fn cover(&mut self, digest: &Digest) -> bool {
-        let Some(covered) = &mut self.covered else { return false };
+        let Some(covered) = &mut self.covered else {
+            return false;
+        };
         covered.push((digest.from, digest.to));
         covered.sort_unstable();
         let mut next = Some(0);
@@ -109,11 +122,17 @@
 impl Roster {
     /// At the start whatever is shown is new enough.
     pub fn starting() -> Roster {
-        Roster { decides: Some(Time(0)), ..Roster::default() }
+        Roster {
+            decides: Some(Time(0)),
+            ..Roster::default()
+        }
     }
 
     pub fn members(&self) -> Vec<SocketAddr> {
-        self.seen.as_ref().map(|s| s.members.clone()).unwrap_or_default()
+        self.seen
+            .as_ref()
+            .map(|s| s.members.clone())
+            .unwrap_or_default()
     }
 
     /// Takes what the request loop shows.
@@ -142,12 +161,17 @@
             kind: row.kind.clone(),
             cell: row.cell,
             serving: row.serving,
-            ready: if out.contains(&row.name) { 1.0 } else { row.ready },
+            ready: if out.contains(&row.name) {
+                1.0
+            } else {
+                row.ready
+            },
             out_by_hand: row.by_hand,
             capacity: 1.0,
         };
         let rows = shown.rows.iter().filter(|row| row.listed);
-        let fleet: Arc<Fleet> = Arc::new(rows.map(|row| (row.name.clone(), backend(row))).collect());
+        let fleet: Arc<Fleet> =
+            Arc::new(rows.map(|row| (row.name.clone(), backend(row))).collect());
         self.fleet = Some((shown.clone(), out.clone(), fleet.clone()));
         Some(fleet)
     }
@@ -159,14 +183,29 @@
         let nothing = BTreeMap::new();
         let of = |member: SocketAddr| {
             let said = self.reports.get(&member).unwrap_or(&nothing);
-            let count = |name: &String| said.get(name).filter(|(_, at)| now - *at < REPORTED).copied();
-            let open =
-                out.iter().map(|name| (name.clone(), count(name).map_or(1, |(open, _)| open))).collect();
-            let age = out.iter().map(|name| count(name).map_or(Micros(0), |(_, at)| now - at)).max();
-            Report { age: age.unwrap_or_default(), open }
+            let count = |name: &String| {
+                said.get(name)
+                    .filter(|(_, at)| now - *at < REPORTED)
+                    .copied()
+            };
+            let open = out
+                .iter()
+                .map(|name| (name.clone(), count(name).map_or(1, |(open, _)| open)))
+                .collect();
+            let age = out
+                .iter()
+                .map(|name| count(name).map_or(Micros(0), |(_, at)| now - at))
+                .max();
+            Report {
+                age: age.unwrap_or_default(),
+                open,
+            }
         };
         let members = self.members().into_iter().chain([own]);
-        members.enumerate().map(|(n, member)| (n as u64, of(member))).collect()
+        members
+            .enumerate()
+            .map(|(n, member)| (n as u64, of(member)))
+            .collect()
     }
 
     /// Takes a report, with the time at which it came.
@@ -206,7 +245,11 @@
         let now = mono();
         let mut outbox = self.outbox.lock();
         for pause in again {
-            outbox.again.entry(now + *pause).or_default().extend(said.iter().cloned());
+            outbox
+                .again
+                .entry(now + *pause)
+                .or_default()
+                .extend(said.iter().cloned());
         }
     }
 
@@ -215,7 +258,11 @@
         let seen = self.roster.lock().seen.clone();
         let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
         let next = self.relay.lock().pass_on(header, members);
-        self.send(next.into_iter().map(|(to, h)| (to, Duties::Broadcast(h, said.clone()))).collect());
+        self.send(
+            next.into_iter()
+                .map(|(to, h)| (to, Duties::Broadcast(h, said.clone())))
+                .collect(),
+        );
     }
 
     /// Derives what this proxy keeps out, and tells the request loop what changed. What the queue has no room for
@@ -237,7 +284,9 @@
         let out = windows.calendar.out(now, heard, &fleet);
         let outbox = self.outbox.lock();
         for name in &out {
-            if !windows.out.contains(name) && outbox.effects.try_send(Effect::Out(name.clone())).is_ok() {
+            if !windows.out.contains(name)
+                && outbox.effects.try_send(Effect::Out(name.clone())).is_ok()
+            {
                 windows.out.insert(name.clone());
             }
         }
@@ -273,23 +322,54 @@
         use meadowproxy::fleet::calendar::{Budget, Rules};
         use meadowproxy::fleet::lease;
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
-        let voters = [9, 10, 11].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
+        let voters = [9, 10, 11]
+            .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+            .to_vec();
         let rules = lease::Rules::new(voters.len(), Micros(1_000_000), 0.01).unwrap();
         let (ramp, max_age) = (Micros(1_000_000), Micros(5_000_000));
-        let calendar = Calendar::new(Rules { budget: Budget { kind: 0.5, zone: 0.5 }, ramp, max_age });
-        let windows = Windows { calendar, out: BTreeSet::new(), covered: Some(Vec::new()) };
+        let calendar = Calendar::new(Rules {
+            budget: Budget {
+                kind: 0.5,
+                zone: 0.5,
+            },
+            ramp,
+            max_age,
+        });
+        let windows = Windows {
+            calendar,
+            out: BTreeSet::new(),
+            covered: Some(Vec::new()),
+        };
         let mut config = Configuring::new(rules, voters.clone(), own, 7, Default::default());
         config.replica.take_part();
-        let rows = Some(Arc::new(Rows { at: mono(), rows: Vec::new() }));
+        let rows = Some(Arc::new(Rows {
+            at: mono(),
+            rows: Vec::new(),
+        }));
         let (open, members) = (BTreeMap::new(), voters[1..].to_vec());
-        let seen = Some(Arc::new(Seen { rows, open, members, config: 0, file: 0 }));
+        let seen = Some(Arc::new(Seen {
+            rows,
+            open,
+            members,
+            config: 0,
+            file: 0,
+        }));
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         let (effects, told) = mpsc::channel(64);
         let tables = Tables {
-            leases: Ranked::new(0, Leases::new(Duty::Calendar, rules, voters.clone(), own, 7)),
+            leases: Ranked::new(
+                0,
+                Leases::new(Duty::Calendar, rules, voters.clone(), own, 7),
+            ),
             config: Ranked::new(1, config),
             calendar: Ranked::new(2, windows),
-            roster: Ranked::new(3, Roster { seen, ..Roster::starting() }),
+            roster: Ranked::new(
+                3,
+                Roster {
+                    seen,
+                    ..Roster::starting()
+                },
+            ),
             outbox: Ranked::new(4, Outbox::new(effects)),
             relay: Ranked::new(5, Relay::new(own, 7, max_age)),
             post: Arc::new(Post::new(socket, [0; 8], own)),
--- a/src/net/duties/wire.rs
+++ b/src/net/duties/wire.rs
@@ -38,7 +38,10 @@
 
 /// The tokens of the duties that this proxy holds.
 fn holds(tables: &Tables) -> [Option<Token>; 2] {
-    [tables.leases.lock().holds(), tables.config.lock().leases.holds()]
+    [
+        tables.leases.lock().holds(),
+        tables.config.lock().leases.holds(),
+    ]
 }
 
 /// The same on the duty's own table.
@@ -49,17 +52,33 @@
     }
 }
 
-fn take(tables: &Tables, from: SocketAddr, message: Duties, mail: &mut Mail) -> Result<(), Refused> {
-    [Duty::Calendar, Duty::Config].iter().for_each(|duty| leases(tables, *duty, |l| l.alive(from)));
+fn take(
+    tables: &Tables,
+    from: SocketAddr,
+    message: Duties,
+    mail: &mut Mail,
+) -> Result<(), Refused> {
+    [Duty::Calendar, Duty::Config]
+        .iter()
+        .for_each(|duty| leases(tables, *duty, |l| l.alive(from)));
     match message {
         Duties::Lease { duty, message } => leases(tables, duty, |l| l.message(from, message, mail)),
-        Duties::Digest { words, digest, new, ask } => {
+        Duties::Digest {
+            words,
+            digest,
+            new,
+            ask,
+        } => {
             digested(tables, from, &words, &digest, (new, ask), mail);
             Ok(())
         }
         Duties::Ask { ids } => {
             let asked = tables.calendar.lock().calendar.asked(&ids, wall());
-            mail.extend(entries(asked).into_iter().map(|entries| (from, Duties::Entries { entries })));
+            mail.extend(
+                entries(asked)
+                    .into_iter()
+                    .map(|entries| (from, Duties::Entries { entries })),
+            );
             Ok(())
         }
         Duties::Entries { entries } => merge(tables, &entries, mail),
@@ -77,11 +96,23 @@
 }
 
 /// Takes what one proxy says to all, and passes it on; not what stands under a token that a higher one followed.
-fn broadcast(tables: &Tables, header: &Header, mut said: Said, mail: &mut Mail) -> Result<(), Refused> {
-    let newest = tables.relay.lock().take(header, wall().0).map_err(Refused::Broadcast)?;
+fn broadcast(
+    tables: &Tables,
+    header: &Header,
+    mut said: Said,
+    mail: &mut Mail,
+) -> Result<(), Refused> {
+    let newest = tables
+        .relay
+        .lock()
+        .take(header, wall().0)
+        .map_err(Refused::Broadcast)?;
     let tokens = said.tokens.len();
     said.tokens.retain(|(duty, token)| {
-        leases(tables, *duty, |l| l.effect(header.origin, *token, newest, mail)).is_ok()
+        leases(tables, *duty, |l| {
+            l.effect(header.origin, *token, newest, mail)
+        })
+        .is_ok()
     });
     let late = said.tokens.len() < tokens;
     if late {
@@ -99,10 +130,16 @@
 
 /// Learns what another proxy knows, and gives and asks for what either lacks.
 fn digested(
-    tables: &Tables, from: SocketAddr, words: &[Word], digest: &Digest, (new, ask): (bool, bool),
+    tables: &Tables,
+    from: SocketAddr,
+    words: &[Word],
+    digest: &Digest,
+    (new, ask): (bool, bool),
     mail: &mut Mail,
 ) {
-    words.iter().for_each(|word| leases(tables, word.duty, |l| l.word(word, mail)));
+    words
+        .iter()
+        .for_each(|word| leases(tables, word.duty, |l| l.word(word, mail)));
     if ask {
         mail.extend(digests(tables, false).into_iter().map(|m| (from, m)));
     }
@@ -117,7 +154,11 @@
     if !lacking.ask.is_empty() {
         mail.push((from, Duties::Ask { ids: lacking.ask }));
     }
-    mail.extend(entries(lacking.send).into_iter().map(|entries| (from, Duties::Entries { entries })));
+    mail.extend(
+        entries(lacking.send)
+            .into_iter()
+            .map(|entries| (from, Duties::Entries { entries })),
+    );
     if covered {
         tables.ready();
     }
@@ -129,7 +170,12 @@
     words.extend(tables.config.lock().leases.words());
     let windows = tables.calendar.lock();
     let (digests, new) = (windows.calendar.digests(wall()), windows.covered.is_some());
-    let said = |digest| Duties::Digest { words: words.clone(), digest, new, ask };
+    let said = |digest| Duties::Digest {
+        words: words.clone(),
+        digest,
+        new,
+        ask,
+    };
     digests.into_iter().map(said).collect()
 }
 
@@ -139,13 +185,18 @@
     let mut wrong = None;
     let decode = |bytes: &Vec<u8>| {
         let entry = Entry::decode(bytes, now).map_err(refused)?;
-        entry.mark.as_ref().map_or(Ok(()), |mark| sound(mark.token)).map(|()| entry)
+        entry
+            .mark
+            .as_ref()
+            .map_or(Ok(()), |mark| sound(mark.token))
+            .map(|()| entry)
     };
     let (changed, highest) = {
         let mut windows = tables.calendar.lock();
         let mut changed = false;
         for bytes in entries {
-            let merged = decode(bytes).and_then(|e| windows.calendar.merge(&e, now).map_err(refused));
+            let merged =
+                decode(bytes).and_then(|e| windows.calendar.merge(&e, now).map_err(refused));
             match merged {
                 Ok(news) => changed |= news,
                 Err(e) => drop(wrong.get_or_insert(e)),
@@ -172,7 +223,10 @@
 
 /// What operators changed here goes to all members.
 pub fn spread_edits(tables: &Tables, changed: Vec<Entry>) {
-    let said = |entries| Said { tokens: Vec::new(), entries };
+    let said = |entries| Said {
+        tokens: Vec::new(),
+        entries,
+    };
     tables.spread(entries(changed).into_iter().map(said).collect(), &AGAIN);
 }
 
@@ -225,17 +279,29 @@
         let (tables, _told) = Tables::example();
         let calendar = tables.calendar.lock().calendar.clone();
         let covers = |ranges: &[(u64, u64)]| {
-            let mut windows =
-                Windows { calendar: calendar.clone(), out: BTreeSet::new(), covered: Some(Vec::new()) };
-            let last = ranges
-                .iter()
-                .map(|(from, to)| windows.cover(&Digest { from: *from, to: *to, rows: Vec::new() }));
+            let mut windows = Windows {
+                calendar: calendar.clone(),
+                out: BTreeSet::new(),
+                covered: Some(Vec::new()),
+            };
+            let last = ranges.iter().map(|(from, to)| {
+                windows.cover(&Digest {
+                    from: *from,
+                    to: *to,
+                    rows: Vec::new(),
+                })
+            });
             last.last().unwrap_or_default()
         };
         assert!(covers(&[(0, u64::MAX)]) && covers(&[(6, u64::MAX), (0, 5)]));
-        assert!(covers(&[(0, 9), (3, 5), (10, u64::MAX)]), "one inside another");
         assert!(
-            !covers(&[(0, 5), (7, u64::MAX)]) && !covers(&[(1, u64::MAX)]) && !covers(&[(0, u64::MAX - 1)])
+            covers(&[(0, 9), (3, 5), (10, u64::MAX)]),
+            "one inside another"
+        );
+        assert!(
+            !covers(&[(0, 5), (7, u64::MAX)])
+                && !covers(&[(1, u64::MAX)])
+                && !covers(&[(0, u64::MAX - 1)])
         );
     }
 
@@ -245,20 +311,48 @@
     fn a_word_that_was_passed_on_proves_no_more_than_the_holders_own() {
         let (tables, _told) = Tables::example();
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let part = Part { from: 0, to: u32::MAX, hops: 1 };
+        let part = Part {
+            from: 0,
+            to: u32::MAX,
+            hops: 1,
+        };
         let now = wall().0;
         let say = |port, number, said_us| {
-            let header = Header { origin: at(port), incarnation: u64::from(port), said_us, part };
-            let tokens = vec![(Duty::Calendar, Ballot { number, by: u64::from(port) })];
+            let header = Header {
+                origin: at(port),
+                incarnation: u64::from(port),
+                said_us,
+                part,
+            };
+            let tokens = vec![(
+                Duty::Calendar,
+                Ballot {
+                    number,
+                    by: u64::from(port),
+                },
+            )];
             let mut mail = Mail::new();
-            let said = Duties::Broadcast(header, Said { tokens, entries: Vec::new() });
-            (take(&tables, at(12), said, &mut mail).map_err(|why| why.cause()), mail)
+            let said = Duties::Broadcast(
+                header,
+                Said {
+                    tokens,
+                    entries: Vec::new(),
+                },
+            );
+            (
+                take(&tables, at(12), said, &mut mail).map_err(|why| why.cause()),
+                mail,
+            )
         };
         let holder = || tables.leases.lock().holder();
         assert_eq!(say(10, 5, now), (Ok(()), Vec::new()));
         assert_eq!(holder(), Some(at(10)), "not who passed it on");
         std::thread::sleep(std::time::Duration::from_millis(20));
-        assert_eq!(say(10, 5, now - 1), (Ok(()), Vec::new()), "its content counts");
+        assert_eq!(
+            say(10, 5, now - 1),
+            (Ok(()), Vec::new()),
+            "its content counts"
+        );
         assert_eq!(say(10, 5, now).0, Err("repeated"));
         assert!(
             tables.leases.lock().heard() >= meadowproxy::Micros(20_000),
@@ -268,7 +362,16 @@
         let highest = Ballot { number: 5, by: 10 };
         assert_eq!(
             (refused, told),
-            (Err("token"), vec![(at(11), Duties::Fenced { duty: Duty::Calendar, highest })])
+            (
+                Err("token"),
+                vec![(
+                    at(11),
+                    Duties::Fenced {
+                        duty: Duty::Calendar,
+                        highest
+                    }
+                )]
+            )
         );
         assert_eq!(holder(), Some(at(10)));
     }
@@ -278,9 +381,24 @@
     fn newcomers_do_not_confirm_each_other() {
         let (tables, mut told) = Tables::example();
         let mut hear = |new| {
-            let digest = Digest { from: 0, to: u64::MAX, rows: Vec::new() };
-            let said = Duties::Digest { words: Vec::new(), digest, new, ask: false };
-            take(&tables, SocketAddr::from(([127, 0, 0, 1], 10)), said, &mut Mail::new()).unwrap();
+            let digest = Digest {
+                from: 0,
+                to: u64::MAX,
+                rows: Vec::new(),
+            };
+            let said = Duties::Digest {
+                words: Vec::new(),
+                digest,
+                new,
+                ask: false,
+            };
+            take(
+                &tables,
+                SocketAddr::from(([127, 0, 0, 1], 10)),
+                said,
+                &mut Mail::new(),
+            )
+            .unwrap();
             matches!(told.try_recv(), Ok(Effect::Ready))
         };
         assert!(!hear(true));
--- a/src/net/figures.rs
+++ b/src/net/figures.rs
@@ -35,7 +35,10 @@
         for ((name, labels), figure) in self.table().iter() {
             let (kind, value) = match figure {
                 Figure::Counter(n) => ("counter", n.load(Ordering::Relaxed).to_string()),
-                Figure::Gauge(n) => ("gauge", f64::from_bits(n.load(Ordering::Relaxed)).to_string()),
+                Figure::Gauge(n) => (
+                    "gauge",
+                    f64::from_bits(n.load(Ordering::Relaxed)).to_string(),
+                ),
             };
             if name != last {
                 let _ = writeln!(text, "# TYPE {name} {kind}");
@@ -53,10 +56,20 @@
 
 /// The name and the labels of a figure.
 fn written(key: &Key) -> (String, String) {
-    let escaped = |v: &str| v.replace('\\', r"\\").replace('"', "\\\"").replace('\n', r"\n");
-    let labels: Vec<String> =
-        key.labels().map(|l| format!("{}=\"{}\"", l.key(), escaped(l.value()))).collect();
-    let labels = if labels.is_empty() { String::new() } else { format!("{{{}}}", labels.join(",")) };
+    let escaped = |v: &str| {
+        v.replace('\\', r"\\")
+            .replace('"', "\\\"")
+            .replace('\n', r"\n")
+    };
+    let labels: Vec<String> = key
+        .labels()
+        .map(|l| format!("{}=\"{}\"", l.key(), escaped(l.value())))
+        .collect();
+    let labels = if labels.is_empty() {
+        String::new()
+    } else {
+        format!("{{{}}}", labels.join(","))
+    };
     (key.name().into(), labels)
 }
 
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -13,9 +13,14 @@
 
 /// The socket that `NODE_SOCKET_FD` names; `None` where it names none. Asked once, before anything else runs.
 pub fn inherited() -> Result<Option<TcpListener>, String> {
-    let Ok(text) = std::env::var(VARIABLE) else { return Ok(None) };
+    let Ok(text) = std::env::var(VARIABLE) else {
+        return Ok(None);
+    };
     let wrong = |what: String| format!("{VARIABLE}={text}: {what}");
-    let number: u16 = text.trim().parse().map_err(|_| wrong("expected a descriptor's number".into()))?;
+    let number: u16 = text
+        .trim()
+        .parse()
+        .map_err(|_| wrong("expected a descriptor's number".into()))?;
     if number < 3 {
         return Err(wrong("expected a descriptor from 3 on".into()));
     }
@@ -27,10 +32,15 @@
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
     let listener = taken.map_err(|e| wrong(e.to_string()))?;
     let listener = listener.ok_or_else(|| wrong("expected a socket".into()))?;
-    if !socket2::SockRef::from(&listener).is_listener().unwrap_or(false) {
+    if !socket2::SockRef::from(&listener)
+        .is_listener()
+        .unwrap_or(false)
+    {
         return Err(wrong("expected a listening TCP socket".into()));
     }
-    listener.set_nonblocking(true).map_err(|e| wrong(e.to_string()))?;
+    listener
+        .set_nonblocking(true)
+        .map_err(|e| wrong(e.to_string()))?;
     Ok(Some(listener))
 }
 
@@ -62,16 +72,25 @@
     /// Locks a file that nobody looks at before `publish`.
     pub fn new(dir: &Path) -> io::Result<Presence> {
         std::fs::create_dir_all(dir)?;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let name = format!("{PREFIX}{:020}-{}", now.as_micros(), std::process::id());
         let lock = File::create_new(dir.join(format!(".{name}")))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
-        Ok(Presence { dir: dir.into(), name, lock })
+        Ok(Presence {
+            dir: dir.into(),
+            name,
+            lock,
+        })
     }
 
     /// From now on the other process sees this one.
     pub fn publish(&self) -> io::Result<()> {
-        std::fs::rename(self.dir.join(format!(".{}", self.name)), self.dir.join(&self.name))
+        std::fs::rename(
+            self.dir.join(format!(".{}", self.name)),
+            self.dir.join(&self.name),
+        )
     }
 
     /// Tells the other process what this one holds. Always as long, so that no reader sees half of it.
@@ -89,15 +108,20 @@
                 continue;
             }
             let path = self.dir.join(&name);
-            let Ok(file) = File::open(&path) else { continue };
+            let Ok(file) = File::open(&path) else {
+                continue;
+            };
             match flock(&file, FlockOperation::NonBlockingLockShared) {
                 Ok(()) => drop(std::fs::remove_file(&path)),
                 Err(_) => {
                     let older = name < self.name;
-                    (others.older, others.younger) = (others.older | older, others.younger | !older);
+                    (others.older, others.younger) =
+                        (others.older | older, others.younger | !older);
                     let mut text = [0; 17];
                     let read = file.read_exact_at(&mut text, 0).ok();
-                    let text = read.and_then(|()| std::str::from_utf8(&text).ok()).unwrap_or_default();
+                    let text = read
+                        .and_then(|()| std::str::from_utf8(&text).ok())
+                        .unwrap_or_default();
                     let mut numbers = text.split_whitespace().map(|n| n.parse().unwrap_or(0));
                     others.held.clients += numbers.next().unwrap_or(0);
                     others.held.upstreams += numbers.next().unwrap_or(0);
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -11,11 +11,30 @@
     old.publish().unwrap();
     std::thread::sleep(std::time::Duration::from_millis(2));
     let young = Presence::new(&dir).unwrap();
-    assert_eq!(old.others(), Others::default(), "not before it takes clients");
-    assert_eq!(young.others(), Others { older: true, ..Others::default() });
+    assert_eq!(
+        old.others(),
+        Others::default(),
+        "not before it takes clients"
+    );
+    assert_eq!(
+        young.others(),
+        Others {
+            older: true,
+            ..Others::default()
+        }
+    );
     young.publish().unwrap();
-    assert_eq!(old.others(), Others { younger: true, ..Others::default() });
-    let held = Held { clients: 128, upstreams: 7 };
+    assert_eq!(
+        old.others(),
+        Others {
+            younger: true,
+            ..Others::default()
+        }
+    );
+    let held = Held {
+        clients: 128,
+        upstreams: 7,
+    };
     young.tell(held);
     assert_eq!(old.others().held, held);
     std::fs::write(dir.join(format!("{PREFIX}00000000000000000001-9")), "").unwrap();
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -14,7 +14,14 @@
 
 fn news(host: &Rc<Host>, index: u64, status: &str, port: u16) {
     let entry = serde_json::json!({"name": "b", "address": at(port).to_string(), "status": status});
-    host.members(ListUpdate::Changes, &List { index, snapshot: false, endpoints: vec![entry] });
+    host.members(
+        ListUpdate::Changes,
+        &List {
+            index,
+            snapshot: false,
+            endpoints: vec![entry],
+        },
+    );
 }
 
 async fn scoped(test: impl std::future::Future<Output = ()>) {
@@ -31,10 +38,25 @@
     let deadline = host.clock.now() + Micros(60_000_000);
     let attempts = ago.len() as u32;
     let (class, effect) = (ClassId(0), Effect::Keyed(KeyScope::All, WINDOW));
-    s.requests.insert(id, Live { call, class, effect, ran: None, answer, deadline, attempts });
+    s.requests.insert(
+        id,
+        Live {
+            call,
+            class,
+            effect,
+            ran: None,
+            answer,
+            deadline,
+            attempts,
+        },
+    );
     for (no, ago) in ago.iter().enumerate() {
         let task = tokio::task::spawn_local(std::future::pending::<()>()).abort_handle();
-        let flight = Flight { backend: B, sent: host.clock.now() - Micros(*ago), task };
+        let flight = Flight {
+            backend: B,
+            sent: host.clock.now() - Micros(*ago),
+            task,
+        };
         s.attempts.insert((id, AttemptNo(no as u32)), flight);
     }
     drop(s);
@@ -50,14 +72,23 @@
         news(&host, 1, "SERVING", 9);
         let (id, _wait) = host.example_request();
         assert!(host.may_send(id, FIRST, B, at(9)));
-        assert!(!host.may_send(RequestId(99), FIRST, B, at(9)), "the request is over");
+        assert!(
+            !host.may_send(RequestId(99), FIRST, B, at(9)),
+            "the request is over"
+        );
         news(&host, 2, "SERVING", 10);
-        assert!(!host.may_send(id, FIRST, B, at(9)), "the backend is elsewhere now");
+        assert!(
+            !host.may_send(id, FIRST, B, at(9)),
+            "the backend is elsewhere now"
+        );
         assert!(host.may_send(id, FIRST, B, at(10)));
         news(&host, 3, "DRAINING", 10);
         assert!(!host.may_send(id, FIRST, B, at(10)), "the backend drains");
         host.client_gone(id);
-        assert!(host.state.borrow().attempts.is_empty(), "nothing is out for a client that left");
+        assert!(
+            host.state.borrow().attempts.is_empty(),
+            "nothing is out for a client that left"
+        );
     })
     .await;
 }
@@ -76,9 +107,15 @@
         let (id, _wait) = copies(&host, &[500_000, 0]);
         assert!(!host.may_send(id, SECOND, B, at(9)), "the window is over");
         let (id, _wait) = copies(&host, &[900_000, 500_000]);
-        assert!(!host.may_send(id, FIRST, B, at(9)), "the later copy may have run a window ago");
+        assert!(
+            !host.may_send(id, FIRST, B, at(9)),
+            "the later copy may have run a window ago"
+        );
         host.attempt_ended(id, SECOND, (Outcome::Reset, None));
-        assert!(!host.may_send(id, FIRST, B, at(9)), "and so it may once it has ended");
+        assert!(
+            !host.may_send(id, FIRST, B, at(9)),
+            "and so it may once it has ended"
+        );
         let (id, _wait) = copies(&host, &[900_000, 500_000]);
         host.attempt_ended(id, SECOND, (Outcome::ConnectFailed, None));
         assert!(host.may_send(id, FIRST, B, at(9)), "it never ran");
@@ -95,8 +132,11 @@
             (Effect::Keyed(KeyScope::All, Micros(900_000)), true),
             (Effect::Free, true),
         ] {
-            host.state.borrow_mut().classes =
-                vec![Class { effect, ..Config::example().classes[0].clone() }].into();
+            host.state.borrow_mut().classes = vec![Class {
+                effect,
+                ..Config::example().classes[0].clone()
+            }]
+            .into();
             let (id, _wait) = copies(&host, &[400_000, 0]);
             assert_eq!(host.may_send(id, SECOND, B, at(9)), allowed, "{effect:?}");
         }
@@ -105,8 +145,15 @@
 }
 
 fn served(text: &'static str) -> Ended {
-    let body = super::super::super::upstream::Content::Whole(bytes::Bytes::from_static(text.as_bytes()));
-    (Outcome::Ok, Some(Served { headers: hyper::HeaderMap::new(), body }))
+    let body =
+        super::super::super::upstream::Content::Whole(bytes::Bytes::from_static(text.as_bytes()));
+    (
+        Outcome::Ok,
+        Some(Served {
+            headers: hyper::HeaderMap::new(),
+            body,
+        }),
+    )
 }
 
 /// What crosses in one turn of the loop gives one final answer: the first.
@@ -114,9 +161,10 @@
 async fn of_outcomes_in_one_turn_the_first_is_the_answer() {
     use super::super::super::upstream::Content;
     let text = |answer: Answer| match answer {
-        Answer::Served(Served { body: Content::Whole(body), .. }) => {
-            String::from_utf8(body.to_vec()).unwrap()
-        }
+        Answer::Served(Served {
+            body: Content::Whole(body),
+            ..
+        }) => String::from_utf8(body.to_vec()).unwrap(),
         _ => "none of theirs".into(),
     };
     let host = Host::example();
@@ -126,18 +174,29 @@
         host.attempt_ended(id, SECOND, served("second"));
         host.attempt_ended(id, FIRST, served("first"));
         host.deadline(id);
-        assert_eq!(text(wait.try_recv().unwrap()), "second", "two answers, then the deadline");
+        assert_eq!(
+            text(wait.try_recv().unwrap()),
+            "second",
+            "two answers, then the deadline"
+        );
         let (id, mut wait) = copies(&host, &[0, 0]);
         host.deadline(id);
         host.attempt_ended(id, FIRST, served("late"));
-        assert_eq!(text(wait.try_recv().unwrap()), "none of theirs", "the deadline, then an answer");
+        assert_eq!(
+            text(wait.try_recv().unwrap()),
+            "none of theirs",
+            "the deadline, then an answer"
+        );
         let (id, mut wait) = copies(&host, &[0, 0]);
         host.client_gone(id);
         host.attempt_ended(id, FIRST, served("late"));
         host.deadline(id);
         assert!(wait.try_recv().is_err(), "nobody waits");
         let s = host.state.borrow();
-        assert!(s.attempts.is_empty() && s.requests.is_empty(), "nothing is left of them");
+        assert!(
+            s.attempts.is_empty() && s.requests.is_empty(),
+            "nothing is left of them"
+        );
     })
     .await;
 }
--- a/src/net/host/backends.rs
+++ b/src/net/host/backends.rs
@@ -78,7 +78,10 @@
         let mut held = held.iter().map(|b| b.id).peekable();
         for (id, known) in self.backends.iter_mut() {
             while held.next_if(|h| *h < id).is_some() {}
-            let entry = known.entry.as_mut().filter(|e| e.state != BackendState::Gone);
+            let entry = known
+                .entry
+                .as_mut()
+                .filter(|e| e.state != BackendState::Gone);
             if let Some(entry) = entry.filter(|_| held.peek() != Some(&id)) {
                 entry.state = BackendState::Gone;
                 changed.push(id);
@@ -108,14 +111,17 @@
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
             let mut changed = Vec::new();
-            s.backends.reserve(lines.len().saturating_sub(s.backends.len()));
+            s.backends
+                .reserve(lines.len().saturating_sub(s.backends.len()));
             let entry = |line: &Line| match line {
                 Line::Entry(e) => Some(s.listed(e, &mut changed)),
                 Line::Unclear(name) => s.unclear(name, &mut changed),
             };
             let backends = last_of_each(lines.iter().filter_map(entry).collect());
             if update != ListUpdate::Cached {
-                backends.iter().for_each(|b| debug!("backend {} is {:?}", b.id.0, b.state));
+                backends
+                    .iter()
+                    .for_each(|b| debug!("backend {} is {:?}", b.id.0, b.state));
             }
             if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
                 s.drop_absent(&backends, &mut changed);
@@ -138,7 +144,9 @@
 
     /// No connection is kept to a backend that is to get nothing new. Called after each change of its line or reasons.
     fn shut(&self, s: &mut State, id: BackendId) {
-        let Some(known) = s.backends.get_mut(&id) else { return };
+        let Some(known) = s.backends.get_mut(&id) else {
+            return;
+        };
         match (known.open(), known.shut) {
             (false, false) => self.pool.shut(id),
             (true, true) => self.pool.reopen(id),
@@ -162,7 +170,9 @@
         let open: HashSet<BackendId> = s.attempts.values().map(|flight| flight.backend).collect();
         let (balancer, backends) = (&s.balancer, &mut s.backends);
         let over = |id: &BackendId| {
-            let free = backends.get(id).is_none_or(|known| known.reasons.is_empty());
+            let free = backends
+                .get(id)
+                .is_none_or(|known| known.reasons.is_empty());
             free && !open.contains(id) && !balancer.knows(*id)
         };
         let over: Vec<BackendId> = s.unlisted.iter().copied().filter(over).collect();
@@ -184,7 +194,10 @@
     /// Whether the backend is kept out for that reason, another or not.
     pub fn withdrawn(&self, name: &str, why: Why) -> bool {
         let s = self.state.borrow();
-        s.numbers.get(name).and_then(|id| s.backends.get(id)).is_some_and(|b| b.reasons.contains(why))
+        s.numbers
+            .get(name)
+            .and_then(|id| s.backends.get(id))
+            .is_some_and(|b| b.reasons.contains(why))
     }
 
     /// Takes the backend out of use; false where none of that name is known.
@@ -206,7 +219,9 @@
             if id.0 == next {
                 info!("backend {} is {name}, not listed yet", id.0);
             }
-            let Some(known) = s.backends.get_mut(&id) else { return };
+            let Some(known) = s.backends.get_mut(&id) else {
+                return;
+            };
             let first = known.reasons.is_empty();
             known.reasons.insert(why);
             if !first {
@@ -238,7 +253,9 @@
     pub fn returned(self: &Rc<Self>, name: &str, since: Time) {
         let backend = {
             let mut s = self.state.borrow_mut();
-            let Some(&id) = s.numbers.get(name) else { return };
+            let Some(&id) = s.numbers.get(name) else {
+                return;
+            };
             let reasons = s.backends.get(&id).map(|b| b.reasons).unwrap_or_default();
             if !reasons.is_empty() {
                 info!("{name} stays out: {reasons:?}");
@@ -254,7 +271,9 @@
     pub fn roster(&self) -> Vec<RosterRow> {
         let s = self.state.borrow();
         let mut open: BTreeMap<BackendId, u32> = BTreeMap::new();
-        s.attempts.values().for_each(|flight| *open.entry(flight.backend).or_default() += 1);
+        s.attempts
+            .values()
+            .for_each(|flight| *open.entry(flight.backend).or_default() += 1);
         let mut ready = s.balancer.readiness(self.clock.now()).peekable(); // in the order of numbers as well
         let row = |(id, known): (&BackendId, &Known)| {
             while ready.next_if(|r| r.0 < *id).is_some() {}
@@ -282,7 +301,9 @@
         }
         let s = self.state.borrow();
         let mut open: BTreeMap<BackendId, u32> = BTreeMap::new();
-        s.attempts.values().for_each(|flight| *open.entry(flight.backend).or_default() += 1);
+        s.attempts
+            .values()
+            .for_each(|flight| *open.entry(flight.backend).or_default() += 1);
         let at = |name: &String| {
             let id = s.numbers.get(name.as_str())?;
             s.backends.get(id)?.entry.as_ref()?;
@@ -313,7 +334,11 @@
                 .filter_map(|(c, m)| Some((s.names.class_name(*c)?.into(), *m)))
                 .collect(),
             overall: memory.overall,
-            backends: memory.backends.iter().filter_map(|(b, m)| Some((backend(*b)?, *m))).collect(),
+            backends: memory
+                .backends
+                .iter()
+                .filter_map(|(b, m)| Some((backend(*b)?, *m)))
+                .collect(),
             withdrawn: s
                 .backends
                 .values()
@@ -334,8 +359,16 @@
         let memory = {
             let s = self.state.borrow();
             Memory {
-                kinds: saved.kinds.iter().filter_map(|(n, m)| Some((s.names.kind(n)?, *m))).collect(),
-                classes: saved.classes.iter().filter_map(|(n, m)| Some((s.names.class(n)?, *m))).collect(),
+                kinds: saved
+                    .kinds
+                    .iter()
+                    .filter_map(|(n, m)| Some((s.names.kind(n)?, *m)))
+                    .collect(),
+                classes: saved
+                    .classes
+                    .iter()
+                    .filter_map(|(n, m)| Some((s.names.class(n)?, *m)))
+                    .collect(),
                 overall: saved.overall,
                 backends: saved
                     .backends
@@ -344,7 +377,10 @@
                     .collect(),
             }
         };
-        self.tell(Event::Recall { memory: Box::new(memory), age });
+        self.tell(Event::Recall {
+            memory: Box::new(memory),
+            age,
+        });
     }
 
     /// A shared verdict; one on a backend that no list named here is nothing to this proxy.
