--- a/src/net/host/backends/tests.rs
+++ b/src/net/host/backends/tests.rs
@@ -7,7 +7,14 @@
     let host = Host::example();
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
-    host.members(ListUpdate::Full, &List { index: 1, snapshot: true, endpoints: vec![entry] });
+    host.members(
+        ListUpdate::Full,
+        &List {
+            index: 1,
+            snapshot: true,
+            endpoints: vec![entry],
+        },
+    );
     host
 }
 
@@ -34,14 +41,24 @@
             open: 0,
         };
         assert_eq!(row(&host), warm);
-        assert!(!host.restore("b", first, host.clock.now()), "no such reason");
+        assert!(
+            !host.restore("b", first, host.clock.now()),
+            "no such reason"
+        );
         assert_eq!(row(&host), warm, "a fresh start would be cold");
         assert!(host.withdraw("b", first) && host.withdraw("b", last) && host.withdraw("b", last));
         assert!(host.restore("b", first, host.clock.now()));
         assert!(!host.restore("b", first, host.clock.now()), "it is over");
-        let out = RosterRow { ready: 0.0, by_hand: last == Why::Hand, ..warm.clone() };
+        let out = RosterRow {
+            ready: 0.0,
+            by_hand: last == Why::Hand,
+            ..warm.clone()
+        };
         assert_eq!(row(&host), out, "{last:?} holds");
-        assert_eq!(host.recollect().withdrawn, if out.by_hand { vec!["b"] } else { vec![] });
+        assert_eq!(
+            host.recollect().withdrawn,
+            if out.by_hand { vec!["b"] } else { vec![] }
+        );
         assert!(host.restore("b", last, host.clock.now()));
         let back = row(&host);
         assert!(back.ready > 0.0 && back.ready < 1.0, "{back:?}");
@@ -52,7 +69,11 @@
 fn line(change: serde_json::Value) -> serde_json::Value {
     let mut line = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
-    change.as_object().unwrap().iter().for_each(|(key, value)| line[key] = value.clone());
+    change
+        .as_object()
+        .unwrap()
+        .iter()
+        .for_each(|(key, value)| line[key] = value.clone());
     line
 }
 
@@ -66,17 +87,30 @@
         serde_json::json!({"address": "nowhere"}),
         serde_json::json!({"group": -1}),
     ];
-    for (bad, update) in bad.iter().flat_map(|b| [(b, ListUpdate::Full), (b, ListUpdate::Changes)]) {
+    for (bad, update) in bad
+        .iter()
+        .flat_map(|b| [(b, ListUpdate::Full), (b, ListUpdate::Changes)])
+    {
         let host = host();
-        let list = |endpoints| List { index: 2, snapshot: update == ListUpdate::Full, endpoints };
+        let list = |endpoints| List {
+            index: 2,
+            snapshot: update == ListUpdate::Full,
+            endpoints,
+        };
         let other = line(serde_json::json!({"name": "never", "status": "LAME"}));
         host.members(update, &list(vec![line(bad.clone()), other]));
         let out = row(&host);
-        assert!(out.listed && !out.serving && out.ready == 0.0, "{bad} {update:?}: {out:?}");
+        assert!(
+            out.listed && !out.serving && out.ready == 0.0,
+            "{bad} {update:?}: {out:?}"
+        );
         assert!(!host.knows("never"));
         host.members(update, &list(vec![line(serde_json::json!({}))]));
         let back = row(&host);
-        assert!(back.serving && back.ready == 1.0, "{bad} {update:?}: {back:?}");
+        assert!(
+            back.serving && back.ready == 1.0,
+            "{bad} {update:?}: {back:?}"
+        );
     }
 }
 
@@ -85,18 +119,36 @@
 #[test]
 fn of_several_lines_on_one_backend_the_last_counts() {
     let lines = |statuses: [&str; 2]| {
-        let of = |(n, status): (usize, &&str)| line(serde_json::json!({"status": *status, "since_ms": n}));
-        List { index: 2, snapshot: true, endpoints: statuses.iter().enumerate().map(of).collect() }
+        let of = |(n, status): (usize, &&str)| {
+            line(serde_json::json!({"status": *status, "since_ms": n}))
+        };
+        List {
+            index: 2,
+            snapshot: true,
+            endpoints: statuses.iter().enumerate().map(of).collect(),
+        }
     };
     let host = host();
     host.members(ListUpdate::Full, &lines(["SERVING", "DRAINING"]));
-    assert!(!row(&host).serving && row(&host).ready == 0.0, "{:?}", row(&host));
+    assert!(
+        !row(&host).serving && row(&host).ready == 0.0,
+        "{:?}",
+        row(&host)
+    );
     host.members(ListUpdate::Full, &lines(["DRAINING", "SERVING"]));
-    assert!(row(&host).serving && row(&host).ready > 0.0, "{:?}", row(&host));
+    assert!(
+        row(&host).serving && row(&host).ready > 0.0,
+        "{:?}",
+        row(&host)
+    );
     let withdrawn = host.withdraw("b", Why::Hand) && host.restore("b", Why::Hand, host.clock.now());
     let cold = row(&host).ready;
     host.members(ListUpdate::Full, &lines(["DRAINING", "SERVING"]));
-    assert!(withdrawn && cold < 1.0 && row(&host).ready < 1.0, "the slow start goes on: {:?}", row(&host));
+    assert!(
+        withdrawn && cold < 1.0 && row(&host).ready < 1.0,
+        "the slow start goes on: {:?}",
+        row(&host)
+    );
 }
 
 /// A start time that is new makes it cold, one that is as before does not.
@@ -105,8 +157,11 @@
     let host = host();
     let now = host.clock.now().0 as f64 / 1e3;
     let started = |at: f64| {
-        let list =
-            List { index: 2, snapshot: true, endpoints: vec![line(serde_json::json!({"since_ms": at}))] };
+        let list = List {
+            index: 2,
+            snapshot: true,
+            endpoints: vec![line(serde_json::json!({"since_ms": at}))],
+        };
         host.members(ListUpdate::Full, &list);
         row(&host).ready
     };
@@ -116,7 +171,11 @@
 }
 
 fn lines(of: impl IntoIterator<Item = serde_json::Value>, snapshot: bool) -> List {
-    List { index: 2, snapshot, endpoints: of.into_iter().collect() }
+    List {
+        index: 2,
+        snapshot,
+        endpoints: of.into_iter().collect(),
+    }
 }
 
 fn named(name: &str, status: &str) -> serde_json::Value {
@@ -144,14 +203,19 @@
                 ListUpdate::Changes,
                 &lines([named(&old, "DELETED"), named(&new, "SERVING")], false),
             ),
-            _ => {
-                host.members(ListUpdate::Full, &lines([named("b", "SERVING"), named(&new, "SERVING")], true))
-            }
+            _ => host.members(
+                ListUpdate::Full,
+                &lines([named("b", "SERVING"), named(&new, "SERVING")], true),
+            ),
         }
         assert_eq!(kept(&host), vec!["b".to_string(), new]);
         assert!(!host.knows(&old));
     }
-    assert_eq!(host.state.borrow().next, 502, "each name had a number of its own");
+    assert_eq!(
+        host.state.borrow().next,
+        502,
+        "each name had a number of its own"
+    );
 }
 
 /// One that left stays known while a reason keeps it out: it is out if it comes back.
@@ -180,7 +244,11 @@
         .run_until(async {
             for cold in [false, true] {
                 let host = host();
-                let started = if cold { host.clock.now().0 as f64 / 1e3 } else { 0.0 };
+                let started = if cold {
+                    host.clock.now().0 as f64 / 1e3
+                } else {
+                    0.0
+                };
                 let serving = line(serde_json::json!({"since_ms": started}));
                 host.members(ListUpdate::Changes, &lines([serving.clone()], false));
                 let number = host.state.borrow().numbers["b"];
@@ -191,7 +259,11 @@
                 host.client_gone(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
                 host.members(ListUpdate::Changes, &lines([], false));
-                assert_eq!(kept(&host).len(), usize::from(cold), "what it was sent cold weighs still");
+                assert_eq!(
+                    kept(&host).len(),
+                    usize::from(cold),
+                    "what it was sent cold weighs still"
+                );
                 host.members(ListUpdate::Changes, &lines([serving], false));
                 let after = host.state.borrow().numbers["b"];
                 assert_eq!(after == number, cold, "a number is never given again");
@@ -205,7 +277,9 @@
 fn whole_lists_and_changes_lead_to_the_same_backends() {
     let mut seed = 7u64;
     let mut draw = |below: u64| {
-        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) % below
     };
     let (whole, changes) = (host(), host());
@@ -217,8 +291,10 @@
         for _ in 0..=draw(4) {
             let n = draw(12);
             let status = ["SERVING", "SERVING", "DRAINING", "DELETED"][draw(4) as usize];
-            let new = line(serde_json::json!({"name": format!("n{n}"), "status": status,
-                "zone": format!("z{}", n % 3), "since_ms": draw(3) * 1_000}));
+            let new = line(
+                serde_json::json!({"name": format!("n{n}"), "status": status,
+                "zone": format!("z{}", n % 3), "since_ms": draw(3) * 1_000}),
+            );
             match status {
                 "DELETED" => drop(list.remove(&n)),
                 _ => drop(list.insert(n, new.clone())),
@@ -252,9 +328,19 @@
             let host = host();
             let (id, _wait) = host.example_request();
             let body = Content::Whole(bytes::Bytes::new());
-            host.streams(id, AttemptNo(0), Served { headers: hyper::HeaderMap::new(), body });
+            host.streams(
+                id,
+                AttemptNo(0),
+                Served {
+                    headers: hyper::HeaderMap::new(),
+                    body,
+                },
+            );
             host.members(ListUpdate::Full, &lines([], true));
-            assert!(!host.state.borrow().balancer.knows(BackendId(0)), "its work is done");
+            assert!(
+                !host.state.borrow().balancer.knows(BackendId(0)),
+                "its work is done"
+            );
             assert_eq!(kept(&host), vec!["b"]);
             host.attempt_ended(id, AttemptNo(0), (Outcome::Ok, None));
             host.members(ListUpdate::Full, &lines([], true));
--- a/src/net/host/gone_tests.rs
+++ b/src/net/host/gone_tests.rs
@@ -7,11 +7,20 @@
 #[tokio::test]
 async fn the_first_byte_does_not_go_out_for_a_client_that_has_just_left() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (client, peer) = (Stream::new(tcp), listener.accept().unwrap().0);
-    let (host, at) = (Host::example(), std::net::SocketAddr::from(([127, 0, 0, 1], 9)));
+    let (host, at) = (
+        Host::example(),
+        std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
+    );
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING"});
-    let list = super::super::list::List { index: 1, snapshot: true, endpoints: vec![entry] };
+    let list = super::super::list::List {
+        index: 1,
+        snapshot: true,
+        endpoints: vec![entry],
+    };
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -21,7 +30,10 @@
             drop(peer);
             assert!(!host.may_send(id, AttemptNo(0), BackendId(0), at));
             let s = host.state.borrow();
-            assert!(s.requests.is_empty() && s.attempts.is_empty(), "no other attempt follows");
+            assert!(
+                s.requests.is_empty() && s.attempts.is_empty(),
+                "no other attempt follows"
+            );
         })
         .await;
 }
--- a/src/net/host/known.rs
+++ b/src/net/host/known.rs
@@ -42,7 +42,9 @@
 
 impl fmt::Debug for Reasons {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let held = [Why::Hand, Why::Window].into_iter().filter(|why| self.contains(*why));
+        let held = [Why::Hand, Why::Window]
+            .into_iter()
+            .filter(|why| self.contains(*why));
         f.debug_set().entries(held).finish()
     }
 }
@@ -62,7 +64,14 @@
 
 impl Known {
     pub fn new(id: BackendId, name: Rc<str>, address: SocketAddr) -> Known {
-        Known { name, address, entry: None, reasons: Reasons::default(), shut: false, id }
+        Known {
+            name,
+            address,
+            entry: None,
+            reasons: Reasons::default(),
+            shut: false,
+            id,
+        }
     }
 
     pub fn state(&self) -> BackendState {
@@ -93,7 +102,10 @@
 
     /// Adds one under a number higher than all others.
     pub fn push(&mut self, known: Known) {
-        debug_assert!(self.0.last().is_none_or(|last| last.id < known.id), "numbers only rise");
+        debug_assert!(
+            self.0.last().is_none_or(|last| last.id < known.id),
+            "numbers only rise"
+        );
         self.0.push(known);
     }
 
@@ -104,7 +116,9 @@
 
     /// Takes those out; `ids` are in order.
     pub fn remove(&mut self, ids: &[BackendId]) -> Vec<Known> {
-        self.0.extract_if(.., |known| ids.binary_search(&known.id).is_ok()).collect()
+        self.0
+            .extract_if(.., |known| ids.binary_search(&known.id).is_ok())
+            .collect()
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&BackendId, &Known)> {
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -47,7 +47,16 @@
         let (sooner, follow) = (Notify::new(), Notify::new());
         let listed = watch::channel(false).0;
         let (lag, tell) = (Cell::new(0), RefCell::new(None));
-        Rc::new(Host { state: RefCell::new(state), clock, pool, sooner, follow, listed, lag, tell })
+        Rc::new(Host {
+            state: RefCell::new(state),
+            clock,
+            pool,
+            sooner,
+            follow,
+            listed,
+            lag,
+            tell,
+        })
     }
 
     /// With the example's configuration and no backends.
@@ -61,7 +70,12 @@
             deadlines: vec![second].into(),
         };
         let balancer = Balancer::new(Config::example(), 1).unwrap();
-        Host::new(balancer, Names::default(), Clock::new(), Rc::new(Pool::new(&network, 4)))
+        Host::new(
+            balancer,
+            Names::default(),
+            Clock::new(),
+            Rc::new(Pool::new(&network, 4)),
+        )
     }
 
     /// A request of the example's first class with a minute left, as a client's `GET`.
@@ -73,7 +87,8 @@
     /// The same from a client that may leave.
     #[cfg(test)]
     fn example_request_of(
-        self: &Rc<Self>, client: Option<super::stream::Peer>,
+        self: &Rc<Self>,
+        client: Option<super::stream::Peer>,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
         let call = Call {
             method: hyper::Method::GET,
@@ -108,7 +123,10 @@
 
     /// Takes a request; `arrival.request` is given here.
     pub fn request(
-        self: &Rc<Self>, mut arrival: Arrival, call: &Rc<Call>, effect: Effect,
+        self: &Rc<Self>,
+        mut arrival: Arrival,
+        call: &Rc<Call>,
+        effect: Effect,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, wait) = oneshot::channel();
         let id = {
@@ -120,7 +138,15 @@
                 Payload::Coming(_) => UNKNOWN, // until its last byte
             };
             let (call, class) = (call.clone(), arrival.class);
-            let live = Live { call, class, effect, ran: None, answer, deadline, attempts: 0 };
+            let live = Live {
+                call,
+                class,
+                effect,
+                ran: None,
+                answer,
+                deadline,
+                attempts: 0,
+            };
             s.requests.insert(id, live);
             s.counts.requests += 1;
             id
@@ -151,7 +177,10 @@
         }
         let live = self.state.borrow_mut().requests.remove(&id);
         if let Some(live) = live {
-            warn!("no decision on request {} by its deadline, {} attempts", id.0, live.attempts);
+            warn!(
+                "no decision on request {} by its deadline, {} attempts",
+                id.0, live.attempts
+            );
             self.state.borrow_mut().counts.timed_out += 1;
             let _ = live.answer.send(Answer::TimedOut);
             self.tell(Event::ClientGone { request: id });
@@ -171,13 +200,24 @@
 
     /// Takes settings that were read against `names`, which the lists may have added to since.
     pub fn retune(self: &Rc<Self>, change: Change) {
-        let Change { to, retired, revived, heirs, .. } = change;
+        let Change {
+            to,
+            retired,
+            revived,
+            heirs,
+            ..
+        } = change;
         let config = to.config;
         {
             let mut s = self.state.borrow_mut();
             (s.names, s.classes) = (to.names, config.classes.clone());
         }
-        self.tell(Event::Settings { config: Box::new(config), retired, revived, heirs });
+        self.tell(Event::Settings {
+            config: Box::new(config),
+            retired,
+            revived,
+            heirs,
+        });
     }
 
     /// So many processes are this proxy now.
@@ -199,7 +239,9 @@
             let now = self.clock.now();
             s.balancer.handle(now, event, &mut s.actions);
             let mut actions = std::mem::take(&mut s.actions);
-            actions.drain(..).for_each(|action| self.carry_out(s, now, action));
+            actions
+                .drain(..)
+                .for_each(|action| self.carry_out(s, now, action));
             s.actions = actions;
         }
     }
@@ -207,7 +249,10 @@
     fn carry_out(self: &Rc<Self>, s: &mut State, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(s, now, request, backend),
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 s.counts.refused += 1;
                 finish(s, request, Answer::Refused(retry_after));
             }
@@ -216,9 +261,12 @@
                 finish(s, request, Answer::Failed);
             }
             Action::Cancel { request, attempt } => {
-                let Some(flight) = s.attempts.remove(&(request, attempt)) else { return };
+                let Some(flight) = s.attempts.remove(&(request, attempt)) else {
+                    return;
+                };
                 flight.task.abort();
-                self.pool.unanswered(flight.backend, self.clock.instant(flight.sent));
+                self.pool
+                    .unanswered(flight.backend, self.clock.instant(flight.sent));
                 s.events.push_back(Event::AttemptEnded(AttemptEnd {
                     request,
                     attempt,
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -17,7 +17,10 @@
     pub fn report(&self, clients: usize) {
         let mut s = self.state.borrow_mut();
         let c = std::mem::take(&mut s.counts);
-        s.told.iter_mut().zip(c.named()).for_each(|(told, (_, new))| *told += new);
+        s.told
+            .iter_mut()
+            .zip(c.named())
+            .for_each(|(told, (_, new))| *told += new);
         info!(
             "requests {} served {} refused {} failed {} overdue {} gone {}; attempts {} full {} errors {} \
              resets {} unconnected {} unsent {}; open requests {} clients {} upstreams {} connects {} lag {} us",
@@ -69,7 +72,10 @@
             for _ in 0..2 {
                 metrics::with_local_recorder(&figures, || host.figures(n));
                 let text = figures.render();
-                for line in [format!("meadowproxy_requests_total {n}"), format!("meadowproxy_clients {n}")] {
+                for line in [
+                    format!("meadowproxy_requests_total {n}"),
+                    format!("meadowproxy_clients {n}"),
+                ] {
                     assert!(text.lines().any(|l| l == line), "{line} not in {text}");
                 }
                 host.report(n);
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -115,7 +115,11 @@
             Effect::Unsafe => Some(Micros(0)),
         };
         let now = self.classes.get(live.class.0).map(|class| &class.effect);
-        [Some(&live.effect), now].into_iter().flatten().filter_map(window).min()
+        [Some(&live.effect), now]
+            .into_iter()
+            .flatten()
+            .filter_map(window)
+            .min()
     }
 
     /// Until when a copy of a keyed request is still dropped, where any other copy may have run or may yet. That one
@@ -123,9 +127,16 @@
     /// it may have been faster.
     pub fn repeat_until(&self, request: RequestId, attempt: AttemptNo) -> Option<Time> {
         let live = self.requests.get(&request)?;
-        let others = (0..live.attempts).map(AttemptNo).filter(|no| *no != attempt);
-        let sent = others.filter_map(|no| self.attempts.get(&(request, no))).map(|f| f.sent);
-        sent.chain(live.ran).min().zip(self.window(live)).map(|(at, window)| at + window)
+        let others = (0..live.attempts)
+            .map(AttemptNo)
+            .filter(|no| *no != attempt);
+        let sent = others
+            .filter_map(|no| self.attempts.get(&(request, no)))
+            .map(|f| f.sent);
+        sent.chain(live.ran)
+            .min()
+            .zip(self.window(live))
+            .map(|(at, window)| at + window)
     }
 
     pub fn new(balancer: Balancer, names: Names) -> State {
--- a/src/net/keeper.rs
+++ b/src/net/keeper.rs
@@ -24,12 +24,21 @@
 
 impl Keeper {
     pub fn new(
-        kept: Snapshots, host: Rc<Host>, owner: Owner, settings: [u8; 32],
+        kept: Snapshots,
+        host: Rc<Host>,
+        owner: Owner,
+        settings: [u8; 32],
     ) -> Result<Rc<Keeper>, String> {
         let stands = Cell::new(Stands::own(&owner, settings));
         let writer = Writer::start(kept.dir.clone(), owner.clone());
         let writer = writer.map_err(|e| format!("no thread to write snapshots on: {e}"))?;
-        Ok(Rc::new(Keeper { kept, host, owner: RefCell::new(owner), stands, writer }))
+        Ok(Rc::new(Keeper {
+            kept,
+            host,
+            owner: RefCell::new(owner),
+            stands,
+            writer,
+        }))
     }
 
     /// Takes the snapshot in the folder if it holds; one line says what was taken or why not. Whether it did.
@@ -58,13 +67,19 @@
 
     /// Has one of this moment written.
     pub fn write(&self) {
-        let whole = Snapshot { header: Header::now(self.stands.get()), saved: self.host.recollect() };
+        let whole = Snapshot {
+            header: Header::now(self.stands.get()),
+            saved: self.host.recollect(),
+        };
         self.writer.give(self.owner.borrow().clone(), whole);
     }
 
     /// Until what was to be written is on disk or could not be, for a second at most.
     pub async fn settled(&self) {
-        if tokio::time::timeout(DISK, self.writer.settled()).await.is_err() {
+        if tokio::time::timeout(DISK, self.writer.settled())
+            .await
+            .is_err()
+        {
             let dir = self.kept.dir.display();
             warn!(event = "snapshot_late", %dir, "the snapshot is not on disk after {DISK:?}");
         }
--- a/src/net/list.rs
+++ b/src/net/list.rs
@@ -52,12 +52,24 @@
             "DELETED" => BackendState::Gone,
             other => return Err(format!("unknown status {other:?}")),
         };
-        let address = e.address.parse().map_err(|_| format!("bad address {:?}", e.address))?;
+        let address = e
+            .address
+            .parse()
+            .map_err(|_| format!("bad address {:?}", e.address))?;
         let booted = (e.since_ms > 0.0).then_some(Time((e.since_ms * 1e3) as u64));
-        let entry = Backend { cell: CellId(e.group), state, booted, ..Backend::default() };
+        let entry = Backend {
+            cell: CellId(e.group),
+            state,
+            booted,
+            ..Backend::default()
+        };
         // The name is the same at every proxy; the address may not be.
         let row = Row::new(&e.name, &e.zone, &e.kind, entry);
-        Ok(Endpoint { name: e.name.into(), address, row })
+        Ok(Endpoint {
+            name: e.name.into(),
+            address,
+            row,
+        })
     }
 }
 
@@ -113,9 +125,11 @@
             Ok(entry) => self.lines.push(Line::Entry(entry)),
             Err(e) => {
                 self.unclear += 1;
-                self.sample.get_or_insert_with(|| format!("{e}: {value:.200}"));
+                self.sample
+                    .get_or_insert_with(|| format!("{e}: {value:.200}"));
                 let name = value.get("name").and_then(Value::as_str);
-                name.into_iter().for_each(|name| self.lines.push(Line::Unclear(name.into())));
+                name.into_iter()
+                    .for_each(|name| self.lines.push(Line::Unclear(name.into())));
             }
         }
     }
@@ -123,7 +137,10 @@
     /// Of those that do not make sense one is logged, with their number: a list may be long.
     pub fn told(self) -> Pieces {
         if let Some(sample) = self.sample {
-            warn!("{} discovery entries not understood, the first: {sample:.400}", self.unclear);
+            warn!(
+                "{} discovery entries not understood, the first: {sample:.400}",
+                self.unclear
+            );
         }
         self.lines
     }
@@ -185,11 +202,22 @@
     /// From the pieces that it came in, which are never put together: it may be long.
     pub fn read(body: impl Buf) -> Result<Answer, Unread> {
         let body = io::BufReader::with_capacity(READ_AT_ONCE, body.reader());
-        let Body { index, snapshot, endpoints } = serde_json::from_reader(body).map_err(Unread::Json)?;
-        let sense = endpoints.lines.iter().any(|line| matches!(line, Line::Entry(_)));
+        let Body {
+            index,
+            snapshot,
+            endpoints,
+        } = serde_json::from_reader(body).map_err(Unread::Json)?;
+        let sense = endpoints
+            .lines
+            .iter()
+            .any(|line| matches!(line, Line::Entry(_)));
         if snapshot && endpoints.unclear > 0 && !sense {
             return Err(Unread::Garbled);
         }
-        Ok(Answer { index, snapshot, lines: endpoints.told() })
+        Ok(Answer {
+            index,
+            snapshot,
+            lines: endpoints.told(),
+        })
     }
 }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -39,17 +39,34 @@
 impl Maintenance {
     /// Carries out the bans that are kept already. Of one that a snapshot brought, the folder knows better whether it
     /// is over; what it does not know of is put there, so that the other process hears of its end.
-    pub fn new(host: Rc<Host>, dir: Option<PathBuf>, keeper: Option<Rc<Keeper>>) -> Rc<Maintenance> {
+    pub fn new(
+        host: Rc<Host>,
+        dir: Option<PathBuf>,
+        keeper: Option<Rc<Keeper>>,
+    ) -> Rc<Maintenance> {
         let (kept, told) = (RefCell::default(), RefCell::default());
-        let this = Maintenance { host, dir, keeper, kept, told };
+        let this = Maintenance {
+            host,
+            dir,
+            keeper,
+            kept,
+            told,
+        };
         let found = this.look().unwrap_or_default(); // told of below
-        for (name, since) in found.back.iter().filter(|(name, _)| !found.out.contains(name)) {
+        for (name, since) in found
+            .back
+            .iter()
+            .filter(|(name, _)| !found.out.contains(name))
+        {
             if !this.host.restore(name, Why::Hand, *since) {
                 this.host.returned(name, *since);
             }
         }
         let banned = this.host.recollect().withdrawn;
-        banned.iter().filter(|name| !found.out.contains(*name)).for_each(|name| this.put(name));
+        banned
+            .iter()
+            .filter(|name| !found.out.contains(*name))
+            .for_each(|name| this.put(name));
         this.follow_once();
         Rc::new(this)
     }
@@ -123,7 +140,11 @@
     fn follow_once(&self) {
         let now = match self.look() {
             Ok(kept) => kept.out,
-            Err(e) => return self.tell(format!("TMPDIR: bans kept before hold, others are not seen: {e}")),
+            Err(e) => {
+                return self.tell(format!(
+                    "TMPDIR: bans kept before hold, others are not seen: {e}"
+                ))
+            }
         };
         let before = std::mem::replace(&mut *self.kept.borrow_mut(), now.clone());
         for name in now.difference(&before) {
@@ -142,7 +163,9 @@
     /// The whole folder, or nothing of it: a ban that a broken look leaves out would be taken for one that is over.
     fn look(&self) -> io::Result<Kept> {
         let mut kept = Kept::default();
-        let Some(dir) = &self.dir else { return Ok(kept) };
+        let Some(dir) = &self.dir else {
+            return Ok(kept);
+        };
         for entry in std::fs::read_dir(dir)? {
             let entry = entry?;
             let name = entry.file_name();
@@ -153,9 +176,12 @@
                 (_, Some(Some(id))) => {
                     let since = entry.metadata().and_then(|m| m.modified()).ok();
                     let since = since.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-                    kept.back.push((id, Time(since.map_or(0, |at| at.as_micros() as u64))));
+                    kept.back
+                        .push((id, Time(since.map_or(0, |at| at.as_micros() as u64))));
+                }
+                (Some(None), _) | (_, Some(None)) => {
+                    self.tell(format!("TMPDIR: {text}: no ban, skipped"))
                 }
-                (Some(None), _) | (_, Some(None)) => self.tell(format!("TMPDIR: {text}: no ban, skipped")),
                 (None, None) => {} // another part's
             }
         }
@@ -170,7 +196,13 @@
 }
 
 fn gone(removed: io::Result<()>) -> io::Result<()> {
-    removed.or_else(|e| if e.kind() == io::ErrorKind::NotFound { Ok(()) } else { Err(e) })
+    removed.or_else(|e| {
+        if e.kind() == io::ErrorKind::NotFound {
+            Ok(())
+        } else {
+            Err(e)
+        }
+    })
 }
 
 /// Ids may hold anything: in hex they are plain names of files.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -35,8 +35,13 @@
 
 impl Clock {
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as u64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix: unix.as_micros() as u64,
+        }
     }
     pub fn now(&self) -> Time {
         Time(self.unix + self.start.elapsed().as_micros() as u64)
@@ -61,8 +66,18 @@
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    named.into_iter().for_each(|name| drop(headers.remove(name)));
-    for name in [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT, CONTENT_LENGTH] {
+    named
+        .into_iter()
+        .for_each(|name| drop(headers.remove(name)));
+    for name in [
+        CONNECTION,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+        EXPECT,
+        CONTENT_LENGTH,
+    ] {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/src/net/overlay.rs
+++ b/src/net/overlay.rs
@@ -45,9 +45,21 @@
     /// None, over the settings of a file that contains the changes up to `version`.
     pub fn new(file: InForce, version: u64) -> Overlay {
         let (fresh, told, taken, newest) = Default::default();
-        let (overrides, in_force) = (RefCell::new(Overrides::new(version)), RefCell::new(file.clone()));
+        let (overrides, in_force) = (
+            RefCell::new(Overrides::new(version)),
+            RefCell::new(file.clone()),
+        );
         let (file, news) = (RefCell::new(file), Notify::new());
-        Overlay { overrides, fresh, told, taken, file, in_force, newest, news }
+        Overlay {
+            overrides,
+            fresh,
+            told,
+            taken,
+            file,
+            in_force,
+            newest,
+            news,
+        }
     }
 
     /// Where the newest version that was heard of is told.
@@ -70,9 +82,14 @@
 
     /// Looks whether the file in force contains what it says, as soon as somebody told of the newest version.
     pub fn hear(&self) {
-        let heard = self.heard().map_or(Ok(()), |newest| self.overrides.borrow_mut().heard(newest));
+        let heard = self
+            .heard()
+            .map_or(Ok(()), |newest| self.overrides.borrow_mut().heard(newest));
         if let Err((why, over)) = heard {
-            warn!(event = "config_file_ahead", "the file counts as one that contains no change: {why}");
+            warn!(
+                event = "config_file_ahead",
+                "the file counts as one that contains no change: {why}"
+            );
             self.fresh.borrow_mut().extend(over);
             self.news.notify_one();
         }
@@ -86,7 +103,11 @@
     /// What the next file is read with. Shares all entries.
     pub fn over(&self) -> Over {
         let (overrides, version) = (self.overrides.borrow().clone(), self.told.get());
-        Over { overrides, version, newest: self.heard() }
+        Over {
+            overrides,
+            version,
+            newest: self.heard(),
+        }
     }
 
     /// The version to be put in force, and the entries that wait for it; they do so until [`Overlay::took`].
@@ -96,10 +117,16 @@
     pub fn fresh(&self) -> Result<(u64, Vec<(Key, Value)>), FileRefused> {
         let overrides = self.overrides.borrow();
         match overrides.lacks() {
-            Some(contained) => Err(FileRefused::Old { version: overrides.file(), contained }),
+            Some(contained) => Err(FileRefused::Old {
+                version: overrides.file(),
+                contained,
+            }),
             None => {
                 let fresh = self.fresh.borrow();
-                Ok((self.told.get(), fresh.iter().map(|(k, v)| (k.clone(), v.clone())).collect()))
+                Ok((
+                    self.told.get(),
+                    fresh.iter().map(|(k, v)| (k.clone(), v.clone())).collect(),
+                ))
             }
         }
     }
@@ -108,7 +135,9 @@
     pub fn took_file(&self, file: InForce, version: u64) {
         let mut overrides = self.overrides.borrow_mut();
         overrides.read(version, self.heard());
-        self.fresh.borrow_mut().retain(|key, _| overrides.is_over(key));
+        self.fresh
+            .borrow_mut()
+            .retain(|key, _| overrides.is_over(key));
         *self.file.borrow_mut() = file;
     }
 
@@ -152,21 +181,32 @@
     pub fn check(&self, edits: &[Edit]) -> Vec<String> {
         let (in_force, file) = (self.in_force.borrow(), self.file.borrow());
         let edits = edits.iter().map(|edit| (&edit.key, &edit.value));
-        in_force.amend(&amendments(&in_force, &file, edits)).err().unwrap_or_default()
+        in_force
+            .amend(&amendments(&in_force, &file, edits))
+            .err()
+            .unwrap_or_default()
     }
 }
 
 /// The entries as amendments of these settings, where `file` has what the file says. What is to be removed and is not there needs none.
 fn amendments<'a>(
-    base: &InForce, file: &InForce, entries: impl Iterator<Item = (&'a Key, &'a Value)>,
+    base: &InForce,
+    file: &InForce,
+    entries: impl Iterator<Item = (&'a Key, &'a Value)>,
 ) -> Vec<Amendment> {
     let route = |name: &String, entry: Option<serde_json::Value>| match entry {
         Some(entry) => Some(Amendment::SetProfile(entry)),
-        None => base.names.class(name).map(|_| Amendment::RemoveProfile(name.clone())),
+        None => base
+            .names
+            .class(name)
+            .map(|_| Amendment::RemoveProfile(name.clone())),
     };
     let tenant = |name: &String, entry: Option<serde_json::Value>| match entry {
         Some(entry) => Some(Amendment::SetCustomer(entry)),
-        None => base.names.tenant(name).map(|_| Amendment::RemoveCustomer(name.clone())),
+        None => base
+            .names
+            .tenant(name)
+            .map(|_| Amendment::RemoveCustomer(name.clone())),
     };
     let amendment = |(Key { kind, name }, value): (&Key, &Value)| {
         let read = |bytes: &[u8]| serde_json::from_slice(bytes).unwrap_or_default();
@@ -184,14 +224,25 @@
 }
 
 /// These settings with those entries, all or none; `file` has what the file says. Takes time by the entries.
-pub fn amended(base: &InForce, file: &InForce, entries: &[(Key, Value)]) -> Result<Change, Vec<String>> {
-    base.amend(&amendments(base, file, entries.iter().map(|(key, value)| (key, value))))
+pub fn amended(
+    base: &InForce,
+    file: &InForce,
+    entries: &[(Key, Value)],
+) -> Result<Change, Vec<String>> {
+    base.amend(&amendments(
+        base,
+        file,
+        entries.iter().map(|(key, value)| (key, value)),
+    ))
 }
 
 /// Settings from a file that contains the changes up to `version` with all later entries that fit it over it, and whether all do; one
 /// that does not is told and left out. `None` where there is none. Takes time by the entries.
 pub fn over(file: &InForce, version: u64, overrides: &Overrides) -> (Option<Change>, bool) {
-    let all: Vec<(Key, Value)> = overrides.over(version).map(|(k, v)| (k.clone(), v.clone())).collect();
+    let all: Vec<(Key, Value)> = overrides
+        .over(version)
+        .map(|(k, v)| (k.clone(), v.clone()))
+        .collect();
     if all.is_empty() {
         return (None, true);
     }
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -53,8 +53,13 @@
     /// Takes its socket and joins through the seeds for as long as the program runs. `fleet`: proxies expected;
     /// `cold`: no memory was taken, so that one is asked for.
     pub fn start(
-        host: Rc<Host>, sending: std::net::UdpSocket, rules: Sharing, settings: Rc<Cell<[u8; 32]>>,
-        fleet: u32, seed: u64, cold: bool,
+        host: Rc<Host>,
+        sending: std::net::UdpSocket,
+        rules: Sharing,
+        settings: Rc<Cell<[u8; 32]>>,
+        fleet: u32,
+        seed: u64,
+        cold: bool,
     ) -> io::Result<Rc<Peers>> {
         sending.set_nonblocking(true)?;
         let socket = UdpSocket::from_std(sending.try_clone()?)?;
@@ -63,14 +68,30 @@
         let post = Arc::new(Post::new(sending, cluster, own));
         let max_age = Micros::from_secs(rules.max_age_s);
         let started = Instant::now();
-        let machine_rules = Rules { cluster, seeds: rules.seeds.clone(), max_age, fleet };
+        let machine_rules = Rules {
+            cluster,
+            seeds: rules.seeds.clone(),
+            max_age,
+            fleet,
+        };
         let membership = Membership::new(machine_rules, own, seed, cold, now_since(started));
         let (tell, told) = mpsc::channel(QUEUE);
         host.share(tell);
         info!(event = "peers_start", listen = %socket.local_addr()?, advertise = %own,
             cluster = rules.cluster, seeds = rules.seeds.len(), "shares state with its peers");
         let (membership, duties) = (RefCell::new(membership), RefCell::new(None));
-        let peers = Peers { host, rules, settings, own, fleet, socket, post, duties, started, membership };
+        let peers = Peers {
+            host,
+            rules,
+            settings,
+            own,
+            fleet,
+            socket,
+            post,
+            duties,
+            started,
+            membership,
+        };
         let peers = Rc::new(peers);
         tokio::task::spawn_local(peers.clone().run(told));
         Ok(peers)
@@ -112,21 +133,35 @@
 
     fn news(&self, news: News) {
         match news {
-            News::Up { peer, members } => info!(event = "peer_up", peer = %peer, members, "peer is up"),
-            News::Down { peer, members } => info!(event = "peer_down", peer = %peer, members, "peer is down"),
+            News::Up { peer, members } => {
+                info!(event = "peer_up", peer = %peer, members, "peer is up")
+            }
+            News::Down { peer, members } => {
+                info!(event = "peer_down", peer = %peer, members, "peer is down")
+            }
             News::Replaced { .. } => {} // where it came or went by that, this is told as well
             News::Rejoined { members } => {
-                info!(event = "peers_rejoined", members, "taken for down, joined again")
+                info!(
+                    event = "peers_rejoined",
+                    members, "taken for down, joined again"
+                )
             }
             News::Heard(backend, heard) => self.host.heard(&backend, heard), // the host knows its number
             News::Duty(from, bytes) => self.duty((from, bytes)),
             News::Wanted { to, nonce } => self.give(to, nonce),
             News::Snapshot(bytes) => self.take(&bytes),
             News::NoSnapshot { asked } => {
-                info!(event = "peer_snapshot_missing", asked, "no peer had a snapshot: cold start")
+                info!(
+                    event = "peer_snapshot_missing",
+                    asked, "no peer had a snapshot: cold start"
+                )
             }
             News::Refused(why) => {
-                warn!(event = "datagram_refused", cause = why.cause(), "datagram refused: {why}")
+                warn!(
+                    event = "datagram_refused",
+                    cause = why.cause(),
+                    "datagram refused: {why}"
+                )
             }
             News::TimerFailed(e) => warn!(event = "membership_timer", "membership: {e}"),
             News::AnnounceFailed(to, e) => {
@@ -136,7 +171,11 @@
     }
 
     fn duty(&self, passed: Passed) {
-        let taken = self.duties.borrow().as_ref().is_some_and(|to| to.try_send(passed).is_ok());
+        let taken = self
+            .duties
+            .borrow()
+            .as_ref()
+            .is_some_and(|to| to.try_send(passed).is_ok());
         if !taken {
             self.turn(|m, now, out| m.refuse(Refused::Unheard, now, out));
         }
@@ -150,10 +189,16 @@
             return;
         }
         let header = Header::now(Stands::fleet(self.settings.get()));
-        let Ok(bytes) = snapshot::encode(&Snapshot { header, saved }) else { return };
+        let Ok(bytes) = snapshot::encode(&Snapshot { header, saved }) else {
+            return;
+        };
         self.turn(|m, _, out| {
             if let Err(e) = m.give(to, nonce, &bytes, out) {
-                warn!(event = "peer_snapshot_too_large", bytes = bytes.len(), "too large for a peer: {e}");
+                warn!(
+                    event = "peer_snapshot_too_large",
+                    bytes = bytes.len(),
+                    "too large for a peer: {e}"
+                );
             }
         });
     }
@@ -161,7 +206,9 @@
     /// Takes a peer's snapshot, if it holds here.
     fn take(&self, bytes: &[u8]) {
         let most = self.max_age();
-        match snapshot::decode(bytes).and_then(|s| s.checked(&Stands::fleet(self.settings.get()), most)) {
+        match snapshot::decode(bytes)
+            .and_then(|s| s.checked(&Stands::fleet(self.settings.get()), most))
+        {
             Ok((s, age)) => {
                 info!(
                     event = "peer_snapshot_taken",
@@ -173,7 +220,11 @@
                 self.host.recall(s.saved, age);
             }
             Err(e) => {
-                warn!(event = "snapshot_refused", cause = e.cause(), "a peer's snapshot refused: {e}")
+                warn!(
+                    event = "snapshot_refused",
+                    cause = e.cause(),
+                    "a peer's snapshot refused: {e}"
+                )
             }
         }
     }
@@ -231,5 +282,8 @@
 
 /// Both clocks, the monotonic one from a beginning.
 fn now_since(started: Instant) -> Now {
-    Now { time: Time(started.elapsed().as_micros() as u64), wall_us: wall_us() }
+    Now {
+        time: Time(started.elapsed().as_micros() as u64),
+        wall_us: wall_us(),
+    }
 }
--- a/src/net/peers/post.rs
+++ b/src/net/peers/post.rs
@@ -18,12 +18,22 @@
 impl Post {
     pub fn new(socket: UdpSocket, cluster: Cluster, own: SocketAddr) -> Post {
         let (sent, sent_bytes, unsent) = Default::default();
-        Post { socket, seal: Seal::new(cluster, own), sent, sent_bytes, unsent }
+        Post {
+            socket,
+            seal: Seal::new(cluster, own),
+            sent,
+            sent_bytes,
+            unsent,
+        }
     }
 
     /// Sends a datagram, or counts it as unsent: UDP is not sure to arrive anyway.
     pub fn send(&self, to: SocketAddr, body: Body) {
-        let sent = self.seal.seal(body, wall_us()).ok().map(|bytes| self.socket.send_to(&bytes, to));
+        let sent = self
+            .seal
+            .seal(body, wall_us())
+            .ok()
+            .map(|bytes| self.socket.send_to(&bytes, to));
         match sent {
             Some(Ok(length)) => {
                 self.sent.fetch_add(1, Relaxed);
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -39,16 +39,20 @@
             }
         };
         let thread = std::thread::Builder::new().name("aside".into()).spawn(each);
-        thread.map(|_| Aside(give)).map_err(|e| format!("no thread to read the configuration on: {e}"))
+        thread
+            .map(|_| Aside(give))
+            .map_err(|e| format!("no thread to read the configuration on: {e}"))
     }
 
     /// Does the work there.
     pub async fn run<T: Send + 'static>(
-        &self, work: impl FnOnce() -> T + Send + 'static,
+        &self,
+        work: impl FnOnce() -> T + Send + 'static,
     ) -> Result<T, String> {
         let (tell, told) = oneshot::channel();
         let _ = self.0.send(Box::new(move || drop(tell.send(work())))); // unsent, it tells nothing
-        told.await.map_err(|_| "the reading of the configuration broke off".into())
+        told.await
+            .map_err(|_| "the reading of the configuration broke off".into())
     }
 
     /// Gives something up there: there may be a hundred thousand entries to free.
@@ -67,12 +71,17 @@
 impl Door {
     /// One that is not open yet.
     pub fn closed(keepers: Keepers) -> Door {
-        Door { at: None, running: None, keepers }
+        Door {
+            at: None,
+            running: None,
+            keepers,
+        }
     }
 
     /// Opens it there; where that cannot be, it stays where it was.
     fn open(&mut self, at: SocketAddr) -> Result<(), String> {
-        let listener = server::listen(at).map_err(|e| format!("control: cannot listen on {at}: {e}"))?;
+        let listener =
+            server::listen(at).map_err(|e| format!("control: cannot listen on {at}: {e}"))?;
         self.answer(at, listener);
         Ok(())
     }
@@ -86,7 +95,10 @@
     }
 
     fn close(&mut self) {
-        self.running.take().into_iter().for_each(|task| task.abort());
+        self.running
+            .take()
+            .into_iter()
+            .for_each(|task| task.abort());
         self.at = None;
     }
 
@@ -151,7 +163,10 @@
             let step_us = step.elapsed().as_micros(); // so long nothing else ran
             match taken {
                 Ok(told) => {
-                    info!(event = "configuration_taken", read_ms, step_us, "configuration taken: {told}")
+                    info!(
+                        event = "configuration_taken",
+                        read_ms, step_us, "configuration taken: {told}"
+                    )
                 }
                 Err(e) => warn!("configuration not taken, all stays as it was: {e}"),
             }
@@ -162,15 +177,25 @@
     /// apart from places and kinds that lists name meanwhile, which that sees to.
     async fn read(&self) -> Result<(Again, Entries), String> {
         let (source, keys, over) = (self.source.clone(), self.keys.clone(), self.overlay.over());
-        let in_force = InForce { names: self.host.names(), ..self.in_force.clone() };
+        let in_force = InForce {
+            names: self.host.names(),
+            ..self.in_force.clone()
+        };
         let read = move || {
             let again = Node::read_again(&source, &keys, &in_force).map_err(|e| e.to_string())?;
             let version = again.node.version;
             over.check(version).map_err(|e| e.to_string())?;
             let file = again.change.as_ref().ok().map(|change| &change.to);
-            let (change, all) =
-                file.map_or((None, true), |file| overlay::over(file, version, &over.overrides));
-            Ok((again, Entries { change, version: all.then_some(over.version) }))
+            let (change, all) = file.map_or((None, true), |file| {
+                overlay::over(file, version, &over.overrides)
+            });
+            Ok((
+                again,
+                Entries {
+                    change,
+                    version: all.then_some(over.version),
+                },
+            ))
         };
         self.aside.run(read).await?
     }
@@ -187,9 +212,13 @@
                 return;
             }
         };
-        let base = InForce { names: self.host.names(), ..self.in_force.clone() };
+        let base = InForce {
+            names: self.host.names(),
+            ..self.in_force.clone()
+        };
         let (file, count) = (self.overlay.file(), entries.len());
-        let amended = move || overlay::amended(&base, &file, &entries).map_err(|why| why.join("; "));
+        let amended =
+            move || overlay::amended(&base, &file, &entries).map_err(|why| why.join("; "));
         let amended = self.aside.run(amended).await;
         match amended.and_then(|change| change) {
             Ok(change) => {
@@ -206,7 +235,10 @@
                     "another version of the configuration"
                 );
             }
-            Err(why) => warn!(event = "config_refused", version, "not in force, all stays as it was: {why}"),
+            Err(why) => warn!(
+                event = "config_refused",
+                version, "not in force, all stays as it was: {why}"
+            ),
         }
     }
 
@@ -215,7 +247,8 @@
         change.place(&self.host.names());
         let before = std::mem::replace(&mut self.in_force, change.to.clone());
         self.host.pool.retune(&self.in_force.network);
-        self.server.retune(Rules::new(&self.in_force.config, &self.in_force.network));
+        self.server
+            .retune(Rules::new(&self.in_force.config, &self.in_force.network));
         self.host.retune(change);
         self.aside.discard(before); // by now nobody else holds what is only there
     }
@@ -224,7 +257,9 @@
     fn take(&mut self, again: Again, over: Entries) -> Result<String, String> {
         let Again { node, change } = again;
         if node.discovery.is_some() != self.discovery.is_some() {
-            return Err("discovery: expected as before, it comes and goes only with a restart".into());
+            return Err(
+                "discovery: expected as before, it comes and goes only with a restart".into(),
+            );
         }
         let change = change?;
         // The last that can fail; from here on nothing does.
@@ -251,7 +286,9 @@
         self.overlay.took(over.version, self.in_force.clone());
         self.shared.set(node.shared);
         self.owner.discovery = node.discovery;
-        self.keeper.iter().for_each(|k| k.stand(self.owner.clone(), node.settings));
+        self.keeper
+            .iter()
+            .for_each(|k| k.stand(self.owner.clone(), node.settings));
         if let Some((moved, to)) = self.discovery.as_ref().zip(node.discovery) {
             moved.send_if_modified(|at| std::mem::replace(at, to) != to);
         }
--- a/src/net/room.rs
+++ b/src/net/room.rs
@@ -23,19 +23,37 @@
 
 /// While two processes are this proxy they share its descriptors and what cold backends may get. What one holds
 /// the other may not: the clients of the old one come over one by one, and each side's part follows them.
-pub async fn share(presence: Rc<Presence>, host: Rc<Host>, server: Rc<Server>, sockets: Rc<Cell<usize>>) {
+pub async fn share(
+    presence: Rc<Presence>,
+    host: Rc<Host>,
+    server: Rc<Server>,
+    sockets: Rc<Cell<usize>>,
+) {
     let mut shared = false;
     loop {
         let (room, others) = (room(sockets.get()), presence.others());
-        presence.tell(Held { clients: server.clients(), upstreams: host.pool.open() });
+        presence.tell(Held {
+            clients: server.clients(),
+            upstreams: host.pool.open(),
+        });
         let beside = others.older || others.younger;
-        let (clients, upstreams) =
-            if beside { parts(room, host.pool.open(), others.held) } else { (room - room / 2, room / 2) };
+        let (clients, upstreams) = if beside {
+            parts(room, host.pool.open(), others.held)
+        } else {
+            (room - room / 2, room / 2)
+        };
         host.pool.limit(upstreams);
         server.limit(clients);
         if shared != beside {
             shared = !shared;
-            info!("{}", if shared { "beside another process" } else { "alone again" });
+            info!(
+                "{}",
+                if shared {
+                    "beside another process"
+                } else {
+                    "alone again"
+                }
+            );
             host.beside(if shared { 2 } else { 1 });
         }
         tokio::time::sleep(if shared { LOOK_BESIDE } else { LOOK_EVERY }).await;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -55,7 +55,10 @@
 const ACCEPT_LOG: Micros = Micros(1_000_000);
 
 /// Heard by nobody, but for one who closed only its own side.
-const LEFT: (StatusCode, &str) = (StatusCode::BAD_REQUEST, "the client closed the connection\n");
+const LEFT: (StatusCode, &str) = (
+    StatusCode::BAD_REQUEST,
+    "the client closed the connection\n",
+);
 
 /// What goes out to a client.
 type Outward = Either<Full<Bytes>, Flow>;
@@ -154,7 +157,11 @@
 }
 
 pub fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?; // a restart comes back while old connections still linger
     socket.bind(at)?;
     socket.listen(BACKLOG)
@@ -165,7 +172,17 @@
         let (clients, next, told) = (RefCell::default(), Cell::new(0), Cell::default());
         let (taking, stopping, left) = (Cell::new(false), Cell::new(false), Notify::new());
         let (rules, max) = (RefCell::new(Rc::new(rules)), Cell::new(max));
-        Rc::new(Server { host, rules, max, clients, next, taking, stopping, left, told })
+        Rc::new(Server {
+            host,
+            rules,
+            max,
+            clients,
+            next,
+            taking,
+            stopping,
+            left,
+            told,
+        })
     }
 
     pub fn clients(&self) -> usize {
@@ -190,7 +207,10 @@
     /// Accepts until told to stop, then answers what it has taken and returns. Where `succeeded` says that
     /// another process takes what comes, the listener and its queue are left to it at once.
     pub async fn run(
-        self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>, succeeded: impl Fn() -> bool,
+        self: Rc<Self>,
+        listener: TcpListener,
+        stop: impl Future<Output = ()>,
+        succeeded: impl Fn() -> bool,
     ) {
         let mut stop = pin!(stop);
         self.taking.set(true);
@@ -231,19 +251,24 @@
             }
         }
         // What the kernel has accepted is owed an answer: the backlog is emptied before it is closed.
-        let Ok(listener) = listener.into_std() else { return };
+        let Ok(listener) = listener.into_std() else {
+            return;
+        };
         let end = Instant::now() + LINGER;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let tcp = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+                    let tcp = stream
+                        .set_nonblocking(true)
+                        .and_then(|()| TcpStream::from_std(stream));
                     tcp.into_iter().for_each(|tcp| self.take_in(tcp));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock || Instant::now() >= end => return,
                 Err(_) => {
                     // Out of descriptors: whoever is answered makes room.
                     let _ = self.close_quietest(Duration::ZERO) || self.host.pool.close_oldest();
-                    let _ = tokio::time::timeout(Duration::from_millis(20), self.left.notified()).await;
+                    let _ =
+                        tokio::time::timeout(Duration::from_millis(20), self.left.notified()).await;
                 }
             }
         }
@@ -252,14 +277,24 @@
     async fn finish(&self) {
         // Past the longest deadline nothing is owed any more; a client that holds a connection open with half
         // of a request does not keep the program.
-        let longest = self.rules.borrow().deadlines.iter().max().copied().unwrap_or_default();
+        let longest = self
+            .rules
+            .borrow()
+            .deadlines
+            .iter()
+            .max()
+            .copied()
+            .unwrap_or_default();
         let end = Instant::now() + span(longest) + FLUSH;
         // A long answer or upload that goes on past that is not this side's to end: the platform does.
         while self.clients() > 0
             && (Instant::now() < end || self.clients.borrow().values().any(|c| c.busy.get()))
         {
             // Told again and again: one whose request had just arrived is not closed at the first time.
-            self.clients.borrow().values().for_each(|c| c.close.notify_one());
+            self.clients
+                .borrow()
+                .values()
+                .for_each(|c| c.close.notify_one());
             let _ = tokio::time::timeout(Duration::from_millis(20), self.left.notified()).await;
         }
     }
@@ -278,7 +313,11 @@
                 let now = self.host.clock.now();
                 if now - self.told.get() >= ACCEPT_LOG {
                     self.told.set(now);
-                    warn!("accept: {e}; {} clients, {} upstreams", self.clients(), self.host.pool.open());
+                    warn!(
+                        "accept: {e}; {} clients, {} upstreams",
+                        self.clients(),
+                        self.host.pool.open()
+                    );
                 }
                 if self.close_quietest(Duration::ZERO) || !self.host.pool.close_oldest() {
                     let _ = tokio::time::timeout(RETRY_ACCEPT, self.left.notified()).await;
@@ -318,7 +357,15 @@
         let (stream, since) = (Stream::new(tcp), Cell::new(self.host.clock.now()));
         let (busy, fresh, leaving) = (Cell::new(false), Cell::new(true), Cell::new(false));
         let (parting, close) = (Cell::new(false), Notify::new());
-        let client = Rc::new(Client { stream, busy, fresh, since, leaving, parting, close });
+        let client = Rc::new(Client {
+            stream,
+            busy,
+            fresh,
+            since,
+            leaving,
+            parting,
+            close,
+        });
         self.clients.borrow_mut().insert(key, client.clone());
         let server = self.clone();
         tokio::task::spawn_local(async move {
@@ -334,9 +381,15 @@
     async fn serve(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| async {
             client.busy.set(true);
-            let from = if client.fresh.replace(false) { client.since.get() } else { self.host.clock.now() };
+            let from = if client.fresh.replace(false) {
+                client.since.get()
+            } else {
+                self.host.clock.now()
+            };
             let old = request.version() < Version::HTTP_11;
-            let mut answer = self.answer(request, client, self.host.clock.instant(from)).await;
+            let mut answer = self
+                .answer(request, client, self.host.clock.instant(from))
+                .await;
             match answer.body_mut() {
                 Either::Left(_) => self.idle(client),
                 Either::Right(flow) => {
@@ -400,7 +453,10 @@
 
     /// `from`: since when the patience with its body counts.
     async fn answer(
-        self: &Rc<Self>, request: Request<Incoming>, client: &Client, from: Instant,
+        self: &Rc<Self>,
+        request: Request<Incoming>,
+        client: &Client,
+        from: Instant,
     ) -> Response<Outward> {
         let answer = match request.uri().path() {
             "/-/ready" => Ok(plain(StatusCode::OK, "ready\n")),
@@ -416,7 +472,9 @@
             Err((status, text)) => (plain(status, text), client.stream.peer().has_left()),
         };
         if left || client.leaving.get() || self.stopping.get() || self.clients() > self.max.get() {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -18,12 +18,20 @@
 
 impl Server {
     pub(super) async fn proxy(
-        self: &Rc<Self>, request: Request<Incoming>, client: &Stream, from: Instant,
+        self: &Rc<Self>,
+        request: Request<Incoming>,
+        client: &Stream,
+        from: Instant,
     ) -> Result<Response<Outward>, (StatusCode, &'static str)> {
         let rules = self.rules.borrow().clone(); // a request keeps those it came under
         let (head, body) = request.into_parts();
         let mut headers = head.headers;
-        let class = head.uri.path().split('/').nth(1).and_then(|name| self.host.class(name));
+        let class = head
+            .uri
+            .path()
+            .split('/')
+            .nth(1)
+            .and_then(|name| self.host.class(name));
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class\n"))?;
         let bad = |text| (StatusCode::BAD_REQUEST, text);
         if !headers.contains_key("x-correlation-id") {
@@ -37,13 +45,21 @@
             Effect::Unsafe => head.method == Method::POST,
         };
         if !fits {
-            return Err(bad("the method or Idempotency-Key does not fit the class\n"));
+            return Err(bad(
+                "the method or Idempotency-Key does not fit the class\n",
+            ));
         }
         let most = rules.deadlines[class.0];
-        let left = number(&headers, "x-time-left").map_or(most, Micros::from_secs).min(most);
-        let body =
-            receive(Upload::new(body, client.peer(), from), left).await.map_err(|broken| match broken {
-                Broken::Slow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
+        let left = number(&headers, "x-time-left")
+            .map_or(most, Micros::from_secs)
+            .min(most);
+        let body = receive(Upload::new(body, client.peer(), from), left)
+            .await
+            .map_err(|broken| match broken {
+                Broken::Slow => (
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the body did not come in time\n",
+                ),
                 Broken::Malformed => bad("the body is malformed\n"),
             })?;
         // Its time counts from its last byte.
@@ -59,11 +75,25 @@
         };
         strip_hop_by_hop(&mut headers);
         let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
-        let uri = origin.and_then(Result::ok).ok_or(bad("the target has no path\n"))?;
+        let uri = origin
+            .and_then(Result::ok)
+            .ok_or(bad("the target has no path\n"))?;
         let client = Some(client.peer());
-        let call = Rc::new(Call { method: head.method, uri, headers, body, client });
-        let (id, answer) = self.host.request(arrival, &call, rules.classes[class.0].effect);
-        let mut owed = Owed { host: &self.host, id, open: true };
+        let call = Rc::new(Call {
+            method: head.method,
+            uri,
+            headers,
+            body,
+            client,
+        });
+        let (id, answer) = self
+            .host
+            .request(arrival, &call, rules.classes[class.0].effect);
+        let mut owed = Owed {
+            host: &self.host,
+            id,
+            open: true,
+        };
         let mut answer = pin!(answer);
         let answer = loop {
             let due = self.host.clock.instant(self.host.due(id));
@@ -78,7 +108,9 @@
             }
         };
         owed.open = false;
-        if let (Payload::Coming(coming), false) = (&call.body, matches!(answer, Ok(Answer::Served(_)))) {
+        if let (Payload::Coming(coming), false) =
+            (&call.body, matches!(answer, Ok(Answer::Served(_))))
+        {
             // A client that is still sending hears the answer only if it is read to its end.
             if let Some(rest) = coming.take() {
                 tokio::task::spawn_local(drained(rest));
@@ -125,7 +157,10 @@
 /// A header's number, where it holds a sensible one.
 fn number(headers: &HeaderMap, name: &str) -> Option<f64> {
     let text = headers.get(name)?.to_str().ok()?;
-    text.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
+    text.trim()
+        .parse()
+        .ok()
+        .filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
 /// Takes a body whole, or finds that it is too long for that.
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -8,10 +8,17 @@
 
 /// Runs a test beside a server with room for eight clients.
 fn with_server(test: impl AsyncFnOnce(Rc<Server>, TcpListener)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let second = Micros(1_000_000);
-        let rules = Rules { classes: Vector::new(), deadlines: vec![second].into(), max_retry_after: second };
+        let rules = Rules {
+            classes: Vector::new(),
+            deadlines: vec![second].into(),
+            max_retry_after: second,
+        };
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         test(Server::new(Host::example(), rules, 8), listener).await;
     });
@@ -31,7 +38,9 @@
         match peer.read(&mut byte) {
             Ok(0) => break,
             Ok(_) => got.push(byte[0].into()),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => tokio::time::sleep(Duration::from_millis(1)).await,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                tokio::time::sleep(Duration::from_millis(1)).await
+            }
             Err(_) => return (got, false),
         }
     }
@@ -50,7 +59,10 @@
         assert!(server.close_quietest(Duration::ZERO));
         peer.write_all(READY).unwrap();
         let (answer, plainly) = heard(&mut peer, "").await;
-        assert!(answer.contains("connection: close") && answer.ends_with("ready\n"), "{answer}");
+        assert!(
+            answer.contains("connection: close") && answer.ends_with("ready\n"),
+            "{answer}"
+        );
         assert!(plainly);
     });
 }
@@ -92,9 +104,15 @@
         while server.clients() > 1 {
             tokio::task::yield_now().await; // no timer is waited for
         }
-        assert!(before.elapsed() < Duration::from_millis(300), "as long as it would have lingered");
+        assert!(
+            before.elapsed() < Duration::from_millis(300),
+            "as long as it would have lingered"
+        );
         resting.write_all(READY).unwrap();
-        assert!(heard(&mut resting, "ready\n").await.0.ends_with("ready\n"), "the other stays");
+        assert!(
+            heard(&mut resting, "ready\n").await.0.ends_with("ready\n"),
+            "the other stays"
+        );
     });
 }
 
@@ -112,7 +130,11 @@
         }
         let before = ASKED.get();
         assert!((0..8).all(|_| server.close_quietest(Duration::ZERO)));
-        assert_eq!(ASKED.get() - before, 8 + 8, "one with a request, at each, and one that goes");
+        assert_eq!(
+            ASKED.get() - before,
+            8 + 8,
+            "one with a request, at each, and one that goes"
+        );
         let (answer, _) = heard(&mut asking, "ready\n").await;
         assert!(answer.ends_with("ready\n"), "{answer}");
         for gone in &mut silent[..8] {
@@ -147,7 +169,11 @@
         }
         assert!(server.close_quietest(Duration::ZERO));
         server.left.notified().await; // it parts
-        assert_eq!(server.clients(), 8 + OVER_BOUND, "its other side has not ended");
+        assert_eq!(
+            server.clients(),
+            8 + OVER_BOUND,
+            "its other side has not ended"
+        );
         assert!(server.close_quietest(Duration::ZERO));
         server.left.notified().await;
         assert_eq!(server.clients(), 8 + OVER_BOUND - 1);
--- a/src/net/snapshot.rs
+++ b/src/net/snapshot.rs
@@ -35,7 +35,11 @@
 impl Header {
     /// Of a body that this program writes now.
     pub fn now(stands: Stands) -> Header {
-        Header { program: env!("CARGO_PKG_VERSION").into(), written_us: wall_us(), stands }
+        Header {
+            program: env!("CARGO_PKG_VERSION").into(),
+            written_us: wall_us(),
+            stands,
+        }
     }
 }
 
@@ -51,12 +55,18 @@
 impl Stands {
     /// For a file, which only its own proxy takes back, under the very same settings.
     pub fn own(owner: &Owner, settings: [u8; 32]) -> Stands {
-        Stands { owner: Some(owner.hash()), settings }
+        Stands {
+            owner: Some(owner.hash()),
+            settings,
+        }
     }
 
     /// For another proxy of the fleet, where `settings` are those that the fleet shares.
     pub fn fleet(settings: [u8; 32]) -> Stands {
-        Stands { owner: None, settings }
+        Stands {
+            owner: None,
+            settings,
+        }
     }
 }
 
@@ -170,7 +180,9 @@
             Refused::Body(e) => write!(f, "body does not decode: {e}"),
             Refused::Owner => write!(f, "written by another proxy"),
             Refused::Settings => write!(f, "written under other settings"),
-            Refused::Stale { age, most } => write!(f, "{:.1} s old, over {:.1} s", age.secs(), most.secs()),
+            Refused::Stale { age, most } => {
+                write!(f, "{:.1} s old, over {:.1} s", age.secs(), most.secs())
+            }
             Refused::Ahead(by) => write!(f, "written {:.1} s in the future", by.secs()),
         }
     }
@@ -203,8 +215,12 @@
     if length > MOST {
         return Err(Refused::TooLarge(length));
     }
-    let (prefix, body) = bytes.split_at_checked(PREFIX).ok_or(Refused::Short { length })?;
-    let word = |at: usize| u32::from_le_bytes([prefix[at], prefix[at + 1], prefix[at + 2], prefix[at + 3]]);
+    let (prefix, body) = bytes
+        .split_at_checked(PREFIX)
+        .ok_or(Refused::Short { length })?;
+    let word = |at: usize| {
+        u32::from_le_bytes([prefix[at], prefix[at + 1], prefix[at + 2], prefix[at + 3]])
+    };
     let magic = [prefix[0], prefix[1], prefix[2], prefix[3]];
     if magic != MAGIC {
         return Err(Refused::Magic(magic));
@@ -217,7 +233,10 @@
     if said > body.len() {
         return Err(Refused::Short { length });
     } else if said < body.len() {
-        return Err(Refused::Length { said, found: body.len() });
+        return Err(Refused::Length {
+            said,
+            found: body.len(),
+        });
     }
     let (stored, computed) = (word(10), crc32fast::hash(body));
     if stored != computed {
@@ -272,7 +291,9 @@
             return Err(io::Error::other("not a file")); // a pipe there would hold up the start
         }
         let mut bytes = Vec::new();
-        File::open(&path)?.take(MOST as u64 + 1).read_to_end(&mut bytes)?;
+        File::open(&path)?
+            .take(MOST as u64 + 1)
+            .read_to_end(&mut bytes)?;
         Ok(bytes)
     };
     match whole() {
--- a/src/net/snapshot/tests.rs
+++ b/src/net/snapshot/tests.rs
@@ -27,9 +27,27 @@
         proptest::collection::vec(".{0,12}", 0..3),
         sampled(),
     )
-        .prop_map(|s| Saved { kinds: s.0, classes: s.1, backends: s.2, withdrawn: s.3, overall: s.4 });
-    let header = (".{0,8}", any::<u64>(), any::<[u8; 32]>(), any::<Option<[u8; 32]>>())
-        .prop_map(|h| Header { program: h.0, written_us: h.1, stands: Stands { owner: h.3, settings: h.2 } });
+        .prop_map(|s| Saved {
+            kinds: s.0,
+            classes: s.1,
+            backends: s.2,
+            withdrawn: s.3,
+            overall: s.4,
+        });
+    let header = (
+        ".{0,8}",
+        any::<u64>(),
+        any::<[u8; 32]>(),
+        any::<Option<[u8; 32]>>(),
+    )
+        .prop_map(|h| Header {
+            program: h.0,
+            written_us: h.1,
+            stands: Stands {
+                owner: h.3,
+                settings: h.2,
+            },
+        });
     (header, saved).prop_map(|(header, saved)| Snapshot { header, saved })
 }
 
--- a/src/net/snapshot/writer.rs
+++ b/src/net/snapshot/writer.rs
@@ -38,7 +38,10 @@
     fn next(&self) -> Option<Job> {
         let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         let waits = |p: &mut Pending| p.job.is_none() && !p.closed;
-        let mut pending = self.news.wait_while(pending, waits).unwrap_or_else(PoisonError::into_inner);
+        let mut pending = self
+            .news
+            .wait_while(pending, waits)
+            .unwrap_or_else(PoisonError::into_inner);
         pending.job.take()
     }
 }
@@ -56,15 +59,27 @@
         let (slot, (tell, done)) = (Arc::<Slot>::default(), watch::channel(0));
         let jobs = slot.clone();
         let each = move || run(&jobs, &dir, owner, &tell);
-        std::thread::Builder::new().name("snapshots".into()).spawn(each)?;
-        Ok(Writer { slot, given: Cell::new(0), done })
+        std::thread::Builder::new()
+            .name("snapshots".into())
+            .spawn(each)?;
+        Ok(Writer {
+            slot,
+            given: Cell::new(0),
+            done,
+        })
     }
 
     /// Has it written in place of what still waits. Returns at once.
     pub fn give(&self, owner: Owner, snapshot: Snapshot) {
         let number = self.given.get() + 1;
         self.given.set(number);
-        self.slot.change(|pending| pending.job = Some(Job { number, owner, snapshot }));
+        self.slot.change(|pending| {
+            pending.job = Some(Job {
+                number,
+                owner,
+                snapshot,
+            })
+        });
     }
 
     /// Until all that was given so far is on disk, or could not be written.
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -59,7 +59,14 @@
         let _ = tcp.set_nodelay(true); // small writes are whole messages here
         let (matched, body_left, heard) = (Cell::new(4), Cell::new(0), Cell::new(false));
         let (at, cut) = (Cell::new(Instant::now()), Cell::new(false));
-        Stream(Rc::new(Inner { tcp, matched, body_left, heard, at, cut }))
+        Stream(Rc::new(Inner {
+            tcp,
+            matched,
+            body_left,
+            heard,
+            at,
+            cut,
+        }))
     }
 
     pub fn peer(&self) -> Peer {
@@ -87,7 +94,8 @@
         let s = &self.0;
         for (at, byte) in bytes.iter().enumerate() {
             if s.matched.get() == 4 {
-                s.body_left.set(s.body_left.get().saturating_sub(bytes.len() - at));
+                s.body_left
+                    .set(s.body_left.get().saturating_sub(bytes.len() - at));
                 return;
             }
             s.matched.set(match (s.matched.get(), byte) {
@@ -153,13 +161,17 @@
         tests::ASKED.with(|asked| asked.set(asked.get() + 1));
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let quiet = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
-        !socket2::SockRef::from(&self.0.tcp).peek(&mut byte).is_err_and(quiet)
+        !socket2::SockRef::from(&self.0.tcp)
+            .peek(&mut byte)
+            .is_err_and(quiet)
     }
 }
 
 impl Read for Stream {
     fn poll_read(
-        self: Pin<&mut Self>, cx: &mut Context<'_>, mut buf: ReadBufCursor<'_>,
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut chunk = [0u8; 8192];
         let room = buf.remaining().min(chunk.len());
@@ -182,7 +194,11 @@
 }
 
 impl Write for Stream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.tcp.poll_write_ready(cx))?;
             match self.0.tcp.try_write(buf) {
--- a/src/net/stream/tests.rs
+++ b/src/net/stream/tests.rs
@@ -8,14 +8,18 @@
 
 async fn pair() -> (Stream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let tcp = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let tcp = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     (Stream::new(tcp), listener.accept().unwrap().0)
 }
 
 async fn write(stream: &mut Stream, bytes: &[u8]) {
     let mut left = bytes;
     while !left.is_empty() {
-        let n = std::future::poll_fn(|cx| Pin::new(&mut *stream).poll_write(cx, left)).await.unwrap();
+        let n = std::future::poll_fn(|cx| Pin::new(&mut *stream).poll_write(cx, left))
+            .await
+            .unwrap();
         left = &left[n..];
     }
 }
@@ -24,7 +28,10 @@
 #[tokio::test]
 async fn a_request_counts_as_written_with_its_last_byte() {
     let (mut stream, mut peer) = pair().await;
-    for parts in [["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"], ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"]] {
+    for parts in [
+        ["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"],
+        ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"],
+    ] {
         stream.begin_request(4);
         for part in parts {
             assert!(!stream.request_written(), "before {part:?}");
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -62,7 +62,11 @@
 
 impl Coming {
     pub fn new(source: Upload, left: Micros) -> Coming {
-        Coming { source: RefCell::new(Some(source)), left, sent: Notify::new() }
+        Coming {
+            source: RefCell::new(Some(source)),
+            left,
+            sent: Notify::new(),
+        }
     }
 
     /// Until its last byte has gone out.
@@ -129,11 +133,22 @@
     /// hyper takes a request only after a first turn of its own. It has that here, so that nothing comes between
     /// the last look at what may be sent and the first byte.
     async fn open(stream: Stream, to: SocketAddr, slot: Slot) -> Option<Conn> {
-        let shaken = http1::Builder::new().max_buf_size(2 * MAX_BODY).handshake(stream.clone()).await;
+        let shaken = http1::Builder::new()
+            .max_buf_size(2 * MAX_BODY)
+            .handshake(stream.clone())
+            .await;
         let (mut sender, mut conn) = shaken.ok()?;
         driven(&mut conn, sender.ready()).await?.ok()?;
         let now = Instant::now();
-        Some(Conn { sender, conn, stream, to, since: now, answered: now, _slot: slot })
+        Some(Conn {
+            sender,
+            conn,
+            stream,
+            to,
+            since: now,
+            answered: now,
+            _slot: slot,
+        })
     }
 }
 
@@ -255,7 +270,10 @@
     /// Closes the connection that was idle longest; false when there is none.
     pub fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
+        let oldest = idle
+            .values_mut()
+            .filter(|l| !l.is_empty())
+            .min_by_key(|l| l[0].since);
         oldest.map(|list| list.remove(0)).is_some()
     }
 
@@ -282,15 +300,23 @@
         let tcp = match dial {
             Ok(Ok(tcp)) => tcp,
             // Out of descriptors: that is this proxy's own trouble, and no sign of the backend's.
-            Ok(Err(e)) if matches!(e.raw_os_error(), Some(23 | 24)) => return Err(Outcome::NeverSent),
+            Ok(Err(e)) if matches!(e.raw_os_error(), Some(23 | 24)) => {
+                return Err(Outcome::NeverSent)
+            }
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
-        Conn::open(Stream::new(tcp), to, slot).await.ok_or(Outcome::ConnectFailed)
+        Conn::open(Stream::new(tcp), to, slot)
+            .await
+            .ok_or(Outcome::ConnectFailed)
     }
 
     /// Sends `call` to a backend and waits for the answer.
     pub async fn attempt(
-        &self, id: BackendId, to: SocketAddr, call: &Call, deadline: Instant,
+        &self,
+        id: BackendId,
+        to: SocketAddr,
+        call: &Call,
+        deadline: Instant,
         progress: &Rc<impl Progress + 'static>,
     ) -> Ended {
         let mut c = match self.take(id, to).await {
@@ -328,8 +354,17 @@
         if let Ok(text) = format!("{:.3}", left.as_secs_f64()).parse() {
             request.headers_mut().insert("x-time-left", text);
         }
-        let Conn { sender, conn, stream, .. } = &mut c;
-        let written = || passed.as_ref().map_or_else(|| stream.request_written(), |p| p.ended());
+        let Conn {
+            sender,
+            conn,
+            stream,
+            ..
+        } = &mut c;
+        let written = || {
+            passed
+                .as_ref()
+                .map_or_else(|| stream.request_written(), |p| p.ended())
+        };
         let exchange = async {
             sender.ready().await?;
             let answer = sender.send_request(request).await?;
@@ -371,12 +406,25 @@
                 match (outcome, body) {
                     (Outcome::Ok, Ok(body)) => {
                         let body = Content::Whole(body);
-                        (Outcome::Ok, Some(Served { headers: cleaned(&mut head.headers), body }))
+                        (
+                            Outcome::Ok,
+                            Some(Served {
+                                headers: cleaned(&mut head.headers),
+                                body,
+                            }),
+                        )
                     }
                     (outcome, Err(e)) => {
                         broken(cause(e.as_ref()));
                         // Cut off: a served one has run, and one that says otherwise cannot be trusted in that.
-                        (if outcome == Outcome::Error { outcome } else { Outcome::Reset }, None)
+                        (
+                            if outcome == Outcome::Error {
+                                outcome
+                            } else {
+                                Outcome::Reset
+                            },
+                            None,
+                        )
                     }
                     (outcome, Ok(_)) => {
                         if outcome == Outcome::Error {
@@ -390,7 +438,10 @@
                 self.heard.borrow_mut().insert(id, Instant::now());
                 let (pieces, flow) = Flow::new(length);
                 let headers = cleaned(&mut head.headers);
-                progress.streams(Served { headers, body: Content::Flow(flow) });
+                progress.streams(Served {
+                    headers,
+                    body: Content::Flow(flow),
+                });
                 // It may have given all long before the client has taken it, and be idle from then on.
                 let begun = Instant::now();
                 let (outcome, open) = pumped(&mut c.conn, pass_on(held, body, pieces)).await;
@@ -408,12 +459,28 @@
             other => {
                 // What cannot be read as an answer is an answer all the same, and no break.
                 let (outcome, why) = match &other {
-                    Some(Err(e)) => (if e.is_parse() { Outcome::Error } else { Outcome::Reset }, cause(e)),
+                    Some(Err(e)) => (
+                        if e.is_parse() {
+                            Outcome::Error
+                        } else {
+                            Outcome::Reset
+                        },
+                        cause(e),
+                    ),
                     _ => (Outcome::Reset, "it ended, or took nothing more".into()),
                 };
                 broken(why);
-                let whole = passed.as_ref().map_or_else(|| c.stream.request_written(), |p| p.ended());
-                (if whole { outcome } else { Outcome::ConnectFailed }, None)
+                let whole = passed
+                    .as_ref()
+                    .map_or_else(|| c.stream.request_written(), |p| p.ended());
+                (
+                    if whole {
+                        outcome
+                    } else {
+                        Outcome::ConnectFailed
+                    },
+                    None,
+                )
             }
         }
     }
@@ -437,7 +504,8 @@
 /// Runs `work` to its end and drives its connection for as long as that lasts; whether it still does. Unlike
 /// in `driven`, what a connection brought before its end may take `work` long to pass on.
 async fn pumped<T>(
-    conn: &mut http1::Connection<Stream, Outgoing>, work: impl Future<Output = T>,
+    conn: &mut http1::Connection<Stream, Outgoing>,
+    work: impl Future<Output = T>,
 ) -> (T, bool) {
     let mut work = pin!(work);
     let mut open = true;
--- a/src/net/upstream/answer.rs
+++ b/src/net/upstream/answer.rs
@@ -56,7 +56,9 @@
             match frame {
                 None => return Got::Whole(outcome, head, Ok(held.freeze())),
                 Some(Err(e)) => return Got::Whole(outcome, head, Err(e.into())),
-                Some(Ok(frame)) => held.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
+                Some(Ok(frame)) => {
+                    held.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()))
+                }
             }
             if held.len() > MAX_BODY {
                 return match outcome {
@@ -98,10 +100,15 @@
 
 /// What an answer says. Whatever the protocol does not list may have run.
 pub fn judge(answer: &Response<Incoming>) -> Outcome {
-    let unprocessed = answer.headers().get("x-unprocessed").is_some_and(|v| v == "1");
+    let unprocessed = answer
+        .headers()
+        .get("x-unprocessed")
+        .is_some_and(|v| v == "1");
     match answer.status() {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
+            Outcome::Full
+        }
         _ => Outcome::Error,
     }
 }
@@ -112,7 +119,8 @@
     match (codings.next(), codings.next()) {
         (None, _) => true,
         (Some(only), None) => {
-            only.as_bytes().eq_ignore_ascii_case(b"chunked") && !headers.contains_key(CONTENT_LENGTH)
+            only.as_bytes().eq_ignore_ascii_case(b"chunked")
+                && !headers.contains_key(CONTENT_LENGTH)
         }
         _ => false,
     }
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -3,8 +3,12 @@
 
 fn pool(max: usize) -> Pool {
     let (connect_timeout, conn_idle) = (Micros(5_000_000), Micros(60_000_000));
-    let network =
-        Network { connect_timeout, conn_idle, max_retry_after: Micros(0), deadlines: Default::default() };
+    let network = Network {
+        connect_timeout,
+        conn_idle,
+        max_retry_after: Micros(0),
+        deadlines: Default::default(),
+    };
     Pool::new(&network, max)
 }
 
@@ -42,7 +46,9 @@
 async fn a_backend_that_drains_while_connecting_is_sent_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(4), listener.local_addr().unwrap());
-    let ended = pool.attempt(BackendId(0), to, &call(), soon(), &Rc::new(Drains)).await;
+    let ended = pool
+        .attempt(BackendId(0), to, &call(), soon(), &Rc::new(Drains))
+        .await;
     assert_eq!(ended.0, Outcome::NeverSent);
     let mut peer = listener.accept().unwrap().0;
     drop(pool);
@@ -83,9 +89,12 @@
 
 /// A warm connection on which little goes out until the other side reads, and that side.
 async fn narrow(pool: &Pool) -> (SocketAddr, std::net::TcpStream) {
-    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    let listener =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.set_recv_buffer_size(2048).unwrap();
-    listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    listener
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     listener.listen(4).unwrap();
     let listener = std::net::TcpListener::from(listener);
     let to = listener.local_addr().unwrap();
@@ -93,15 +102,21 @@
     socket.set_send_buffer_size(4096).unwrap();
     let tcp = socket.connect(to).await.unwrap();
     pool.open.set(pool.open.get() + 1);
-    let c = Conn::open(Stream::new(tcp), to, Slot(pool.open.clone())).await.unwrap();
+    let c = Conn::open(Stream::new(tcp), to, Slot(pool.open.clone()))
+        .await
+        .unwrap();
     pool.put(BackendId(0), c);
     let peer = listener.accept().unwrap().0;
-    peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    peer.set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     (to, peer)
 }
 
 fn long_call() -> Call {
-    Call { body: Payload::Whole(Bytes::from(vec![b'y'; MAX_BODY])), ..call() }
+    Call {
+        body: Payload::Whole(Bytes::from(vec![b'y'; MAX_BODY])),
+        ..call()
+    }
 }
 
 /// What answers while the request still goes out cannot be made for it: the request never runs, and its connection ends.
@@ -154,8 +169,13 @@
         }
         all
     });
-    let ended = pool.attempt(BackendId(0), to, &long_call(), soon(), &goes).await;
+    let ended = pool
+        .attempt(BackendId(0), to, &long_call(), soon(), &goes)
+        .await;
     drop(over);
-    assert!(backend.join().unwrap().len() < MAX_BODY, "it went out whole");
+    assert!(
+        backend.join().unwrap().len() < MAX_BODY,
+        "it went out whole"
+    );
     assert_eq!(ended.0, Outcome::ConnectFailed, "it never ran");
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -53,7 +53,11 @@
     pub fn first(settings: &Settings) -> Result<InForce, String> {
         let (config, names) = settings.config()?;
         let network = settings.network()?;
-        Ok(InForce { config: config.checked().map_err(|e| e.to_string())?, names, network })
+        Ok(InForce {
+            config: config.checked().map_err(|e| e.to_string())?,
+            names,
+            network,
+        })
     }
 
     /// These settings after `self`. A class or tenant keeps its number; a class whose rules differ gets a new one.
--- a/src/settings/change.rs
+++ b/src/settings/change.rs
@@ -18,14 +18,23 @@
             return;
         }
         let (mut zones, mut kinds) = (now.zones.clone(), now.kinds.clone());
-        let moved: Vec<ZoneId> = self.to.names.zones.iter().map(|z| ZoneId(zones.number(z))).collect();
+        let moved: Vec<ZoneId> = self
+            .to
+            .names
+            .zones
+            .iter()
+            .map(|z| ZoneId(zones.number(z)))
+            .collect();
         for kind in self.to.names.kinds.iter() {
             kinds.number(kind);
         }
         let to = |zone: &ZoneId| moved.get(zone.0 as usize).copied().unwrap_or(*zone);
         let config = &self.to.config;
-        let regions: BTreeMap<_, _> =
-            config.regions.iter().map(|(zone, region)| (to(zone), *region)).collect();
+        let regions: BTreeMap<_, _> = config
+            .regions
+            .iter()
+            .map(|(zone, region)| (to(zone), *region))
+            .collect();
         let zone = to(&config.zone);
         self.to.config.place(zone, regions);
         self.places = (zones.len(), kinds.len());
@@ -71,7 +80,16 @@
     fn new(base: &InForce, to: InForce) -> Draft {
         let (classes, tenants) = (base.config.classes.len(), base.config.tenants.len());
         let (retired, revived, heirs) = Default::default();
-        Draft { classes, tenants, to, retired, revived, heirs, quotas: BTreeMap::new(), told: Vec::new() }
+        Draft {
+            classes,
+            tenants,
+            to,
+            retired,
+            revived,
+            heirs,
+            quotas: BTreeMap::new(),
+            told: Vec::new(),
+        }
     }
 
     fn set_route(&mut self, route: &Route) -> Result<(), ConfigError> {
@@ -88,31 +106,46 @@
                 let number = to.names.classes.add(name);
                 to.config.put_class(ClassId(number), route.class.clone())?;
                 to.network.deadlines.push_back(route.deadline);
-                self.heirs.extend(old.map(|old| (ClassId(number), ClassId(old))));
+                self.heirs
+                    .extend(old.map(|old| (ClassId(number), ClassId(old))));
                 number
             }
         };
         // What is still open under an old number obeys the stricter of its rules and those that hold now.
-        let old_numbers: Vec<usize> = to.names.classes.numbers(name).filter(|n| *n != number).collect();
+        let old_numbers: Vec<usize> = to
+            .names
+            .classes
+            .numbers(name)
+            .filter(|n| *n != number)
+            .collect();
         for n in old_numbers {
             let class = &to.config.classes[n];
             let effect = stricter(class.effect, route.class.effect);
             if effect != class.effect {
-                let class = Class { effect, ..class.clone() };
+                let class = Class {
+                    effect,
+                    ..class.clone()
+                };
                 to.config.put_class(ClassId(n), class)?;
             }
         }
         if old != Some(number) {
-            self.told.push(format!("{} {name}", if old.is_some() { "changed" } else { "new" }));
+            self.told.push(format!(
+                "{} {name}",
+                if old.is_some() { "changed" } else { "new" }
+            ));
             self.retired.extend(old.map(ClassId));
-            self.revived.extend((number < self.classes).then_some(ClassId(number)));
+            self.revived
+                .extend((number < self.classes).then_some(ClassId(number)));
         }
         Ok(())
     }
 
     /// False where there is none of that name.
     fn remove_route(&mut self, name: &str) -> bool {
-        let Some(old) = self.to.names.classes.find(name) else { return false };
+        let Some(old) = self.to.names.classes.find(name) else {
+            return false;
+        };
         self.to.names.classes.put_in_use(name, None);
         self.retired.insert(ClassId(old));
         self.told.push(format!("dropped {name}"));
@@ -137,7 +170,8 @@
                 let number = self.tenants;
                 self.tenants += 1;
                 tenants.add(name, number);
-                self.quotas.insert(TenantId(number), customer.tenant.clone());
+                self.quotas
+                    .insert(TenantId(number), customer.tenant.clone());
                 number
             }
         }
@@ -149,7 +183,11 @@
         self.told.truncate(TOLD);
         let rest = (more > 0).then(|| format!("{more} more"));
         let told: Vec<String> = self.told.into_iter().chain(rest).collect();
-        let told = if told.is_empty() { "classes as before".into() } else { told.join(", ") };
+        let told = if told.is_empty() {
+            "classes as before".into()
+        } else {
+            told.join(", ")
+        };
         Ok(Change {
             to: self.to,
             retired: self.retired.into_iter().collect(),
@@ -188,7 +226,15 @@
     pub fn new(base: &InForce) -> Reread {
         let draft = || Draft::new(base, base.clone());
         let (named, unsound, stays, failed) = Default::default();
-        Reread { base: base.clone(), routes: draft(), named, unsound, customers: draft(), stays, failed }
+        Reread {
+            base: base.clone(),
+            routes: draft(),
+            named,
+            unsound,
+            customers: draft(),
+            stays,
+            failed,
+        }
     }
 
     /// Of a list that stands twice the last counts.
@@ -239,10 +285,17 @@
                 self.routes.remove_route(name);
             }
         }
-        let dropped = names.tenants.in_use().filter(|(n, _)| !self.stays.get(*n).is_some_and(|s| *s));
+        let dropped = names
+            .tenants
+            .in_use()
+            .filter(|(n, _)| !self.stays.get(*n).is_some_and(|s| *s));
         let tenants = &mut self.customers.to.names.tenants;
         dropped.for_each(|(_, name)| tenants.put_in_use(name, false));
-        let InForce { config, names, network } = self.routes.to;
+        let InForce {
+            config,
+            names,
+            network,
+        } = self.routes.to;
         let tables = Config {
             classes: config.classes.clone(),
             tenants: base.config.tenants.clone(),
@@ -250,13 +303,25 @@
         };
         let to = InForce {
             config: tables.checked()?,
-            names: Names { classes: names.classes, tenants: self.customers.to.names.tenants, ..rest.names },
-            network: Network { deadlines: network.deadlines, ..rest.network },
+            names: Names {
+                classes: names.classes,
+                tenants: self.customers.to.names.tenants,
+                ..rest.names
+            },
+            network: Network {
+                deadlines: network.deadlines,
+                ..rest.network
+            },
         };
         let (tenants, quotas) = (self.customers.tenants, self.customers.quotas);
         match self.failed {
             Some(e) => Err(e),
-            None => Ok(Draft { to, tenants, quotas, ..self.routes }),
+            None => Ok(Draft {
+                to,
+                tenants,
+                quotas,
+                ..self.routes
+            }),
         }
     }
 }
@@ -264,20 +329,37 @@
 /// Settings that follow others as a whole.
 pub(super) fn change(settings: &Settings, base: &InForce) -> Result<Change, String> {
     let bound = |e: ConfigError| e.to_string();
-    let mut names = Names { classes: Default::default(), tenants: Default::default(), ..base.names.clone() };
-    let Read { config, routes, customers } = settings.sound(&mut names)?;
+    let mut names = Names {
+        classes: Default::default(),
+        tenants: Default::default(),
+        ..base.names.clone()
+    };
+    let Read {
+        config,
+        routes,
+        customers,
+    } = settings.sound(&mut names)?;
     let network = settings.network()?;
-    let rest = InForce { config: config.checked().map_err(bound)?, names, network };
+    let rest = InForce {
+        config: config.checked().map_err(bound)?,
+        names,
+        network,
+    };
     if rest.config.discovery != base.config.discovery {
         return Err("discovery: expected as before, it changes only with a restart".into());
     }
     let reread = settings.reread().cloned().unwrap_or_else(|| {
         let mut reread = Reread::new(base);
         routes.iter().for_each(|route| reread.set_route(&route));
-        customers.iter().for_each(|customer| reread.set_customer(&customer));
+        customers
+            .iter()
+            .for_each(|customer| reread.set_customer(&customer));
         reread
     });
-    reread.draft(rest).and_then(|draft| draft.finish(base)).map_err(bound)
+    reread
+        .draft(rest)
+        .and_then(|draft| draft.finish(base))
+        .map_err(bound)
 }
 
 /// One named entry of the settings, as operators change it without saying all the rest again.
@@ -296,7 +378,13 @@
 impl Amendment {
     /// Where the entry stands.
     fn path(&self) -> String {
-        let name = |entry: &Value| entry.get("name").and_then(Value::as_str).unwrap_or_default().to_string();
+        let name = |entry: &Value| {
+            entry
+                .get("name")
+                .and_then(Value::as_str)
+                .unwrap_or_default()
+                .to_string()
+        };
         match self {
             Amendment::SetProfile(entry) => format!("profiles[{}]", name(entry)),
             Amendment::RemoveProfile(name) => format!("profiles[{name}]"),
@@ -309,7 +397,10 @@
 /// A class in use, as it stands in `profiles`.
 pub(super) fn profile(of: &InForce, name: &str) -> Option<Value> {
     let ClassId(number) = of.names.class(name)?;
-    let (class, deadline) = (of.config.classes.get(number)?, of.network.deadlines.get(number)?);
+    let (class, deadline) = (
+        of.config.classes.get(number)?,
+        of.network.deadlines.get(number)?,
+    );
     let mut entry = json!({
         "name": name, "aim_us": class.aim.0, "aim_stretch": class.aim_stretch, "deadline_us": deadline.0,
         "gain": class.worth, "late_worth": class.late_worth,
@@ -354,7 +445,11 @@
         match amendment {
             Amendment::SetProfile(entry) => {
                 let route = route(&at(entry), |_| true);
-                if let Err(e) = route.class.validate().and_then(|()| draft.set_route(&route)) {
+                if let Err(e) = route
+                    .class
+                    .validate()
+                    .and_then(|()| draft.set_route(&route))
+                {
                     wrong(&e.to_string());
                 }
             }
--- a/src/settings/key.rs
+++ b/src/settings/key.rs
@@ -24,7 +24,10 @@
 impl Notes {
     /// `strict`: with the paths that were asked for.
     pub fn new(strict: bool) -> Rc<Notes> {
-        Rc::new(Notes { seen: strict.then(RefCell::default), wrong: RefCell::default() })
+        Rc::new(Notes {
+            seen: strict.then(RefCell::default),
+            wrong: RefCell::default(),
+        })
     }
 
     pub fn strict(&self) -> bool {
@@ -36,14 +39,21 @@
         let paths = &self.wrong.borrow().paths;
         let inside = |mark| {
             let first = format!("{path}{mark}");
-            paths.range(first.clone()..).next().is_some_and(|p| p.starts_with(&first))
+            paths
+                .range(first.clone()..)
+                .next()
+                .is_some_and(|p| p.starts_with(&first))
         };
         paths.contains(path) || inside('.') || inside('[')
     }
 
     /// What was read, or the first that was wrong.
     pub fn sound<T>(&self, read: T) -> Result<T, String> {
-        self.wrong.borrow().texts.first().map_or(Ok(read), |text| Err(text.clone()))
+        self.wrong
+            .borrow()
+            .texts
+            .first()
+            .map_or(Ok(read), |text| Err(text.clone()))
     }
 
     /// All that was wrong.
@@ -85,14 +95,26 @@
         Key::at(String::new(), settings, notes)
     }
     pub fn at(path: String, value: &'a Value, notes: Rc<Notes>) -> Key<'a> {
-        Key { path, value: Some(value), notes }
+        Key {
+            path,
+            value: Some(value),
+            notes,
+        }
     }
     pub fn get(&self, name: &str) -> Key<'a> {
-        let path = if self.path.is_empty() { name.into() } else { format!("{}.{name}", self.path) };
+        let path = if self.path.is_empty() {
+            name.into()
+        } else {
+            format!("{}.{name}", self.path)
+        };
         if let Some(seen) = &self.notes.seen {
             seen.borrow_mut().insert(path.clone());
         }
-        Key { path, value: self.value.and_then(|v| v.get(name)), notes: self.notes.clone() }
+        Key {
+            path,
+            value: self.value.and_then(|v| v.get(name)),
+            notes: self.notes.clone(),
+        }
     }
     pub fn wrong(&self, text: String) {
         let mut wrong = self.notes.wrong.borrow_mut();
@@ -125,10 +147,18 @@
         Micros(self.want(self.whole(), "whole microseconds", 1))
     }
     pub fn count(&self, stand_in: u32) -> u32 {
-        self.want(self.whole().and_then(|n| u32::try_from(n).ok()), "a whole number", stand_in)
+        self.want(
+            self.whole().and_then(|n| u32::try_from(n).ok()),
+            "a whole number",
+            stand_in,
+        )
     }
     pub fn list(&self) -> Vec<Key<'a>> {
-        let items = self.want(self.value.and_then(Value::as_array).map(Vec::as_slice), "an array", &[]);
+        let items = self.want(
+            self.value.and_then(Value::as_array).map(Vec::as_slice),
+            "an array",
+            &[],
+        );
         let item = |(i, v)| Key::at(format!("{}[{i}]", self.path), v, self.notes.clone());
         items.iter().enumerate().map(item).collect()
     }
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -80,7 +80,13 @@
 
     pub fn iter(&self) -> impl Iterator<Item = Customer> + '_ {
         let name = |of: &u32| self.names.name(*of).unwrap_or_default().into();
-        self.of.iter().zip(&self.tenants).map(move |(of, t)| Customer { name: name(of), tenant: t.clone() })
+        self.of
+            .iter()
+            .zip(&self.tenants)
+            .map(move |(of, t)| Customer {
+                name: name(of),
+                tenant: t.clone(),
+            })
     }
 }
 
@@ -103,7 +109,13 @@
 
 impl Long {
     fn new(name: &'static str, strict: bool) -> Long {
-        Long { name, count: 0, notes: Notes::new(strict), unread: Vec::new(), text: Vec::new() }
+        Long {
+            name,
+            count: 0,
+            notes: Notes::new(strict),
+            unread: Vec::new(),
+            text: Vec::new(),
+        }
     }
 
     fn take<T>(&mut self, value: &Value, digested: bool, read: impl FnOnce(&Key) -> T) -> T {
@@ -116,7 +128,11 @@
             self.notes.forget_seen();
         }
         if digested {
-            if self.text.last().is_none_or(|piece| piece.len() > PIECE - ROOM_FOR_ONE) {
+            if self
+                .text
+                .last()
+                .is_none_or(|piece| piece.len() > PIECE - ROOM_FOR_ONE)
+            {
                 self.text.push(String::with_capacity(PIECE));
             }
             let comma = if self.count > 0 { "," } else { "" };
@@ -155,15 +171,27 @@
 
     /// Lists of which nothing has come yet.
     pub fn new(reading: Reading) -> Lists {
-        let (profiles, customers) =
-            (Long::new(PROFILES, reading.strict), Long::new(CUSTOMERS, reading.strict));
+        let (profiles, customers) = (
+            Long::new(PROFILES, reading.strict),
+            Long::new(CUSTOMERS, reading.strict),
+        );
         let (routes, tenants) = (Routes::default(), Customers::default());
-        Lists { reading, profiles, routes, customers, tenants, over: None }
+        Lists {
+            reading,
+            profiles,
+            routes,
+            customers,
+            tenants,
+            over: None,
+        }
     }
 
     /// The same of settings that are to follow those in force, for [`InForce::change`] of the same `base`.
     pub fn over(reading: Reading, base: &InForce) -> Lists {
-        Lists { over: Some(Box::new(Reread::new(base))), ..Lists::new(reading) }
+        Lists {
+            over: Some(Box::new(Reread::new(base))),
+            ..Lists::new(reading)
+        }
     }
 
     /// One of [`Lists::PATHS`] begins; of one that stands twice the last counts.
@@ -187,8 +215,9 @@
         if let Some(over) = &mut self.over {
             match list {
                 PROFILES => {
-                    let route =
-                        self.profiles.take(value, digested, |key| route(key, |name| !over.has_route(name)));
+                    let route = self.profiles.take(value, digested, |key| {
+                        route(key, |name| !over.has_route(name))
+                    });
                     over.set_route(&route);
                     self.routes.sample(route);
                 }
@@ -210,7 +239,9 @@
             }
             _ => {
                 let customer = self.customers.take(value, digested, customer);
-                self.tenants.of.push_back(self.tenants.names.number(&customer.name));
+                self.tenants
+                    .of
+                    .push_back(self.tenants.names.number(&customer.name));
                 self.tenants.tenants.push_back(customer.tenant);
             }
         }
@@ -236,7 +267,10 @@
             leaves(&format!("{path}.{name}"), inner, all);
         }),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            items.iter().enumerate().for_each(|(i, v)| leaves(&format!("{path}[{i}]"), v, all));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| leaves(&format!("{path}[{i}]"), v, all));
         }
         _ => all.push(path.into()),
     }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -44,9 +44,20 @@
     /// Each name with the class of its own number.
     pub fn first(names: Numbered) -> Classes {
         let numbers = 0..names.len() as u32;
-        let of_name = numbers.clone().map(|n| OfName { newest: n, in_use: Some(n) }).collect();
+        let of_name = numbers
+            .clone()
+            .map(|n| OfName {
+                newest: n,
+                in_use: Some(n),
+            })
+            .collect();
         let given = numbers.map(|name| Given { name, older: None }).collect();
-        Classes { in_use: names.len(), names, of_name, given }
+        Classes {
+            in_use: names.len(),
+            names,
+            of_name,
+            given,
+        }
     }
 
     /// How many numbers were given.
@@ -77,7 +88,9 @@
     pub fn name(&self, number: usize) -> Option<&str> {
         let name = self.given.get(number)?.name;
         let in_use = self.of_name.get(name as usize)?.in_use;
-        self.names.name(name).filter(|_| in_use == Some(number as u32))
+        self.names
+            .name(name)
+            .filter(|_| in_use == Some(number as u32))
     }
 
     /// Every number that the name has had, the newest first.
@@ -90,7 +103,10 @@
     pub fn add(&mut self, name: &str) -> usize {
         let number = self.given.len() as u32;
         let name = self.names.number(name);
-        let now = OfName { newest: number, in_use: Some(number) };
+        let now = OfName {
+            newest: number,
+            in_use: Some(number),
+        };
         let before = match (name as usize) < self.of_name.len() {
             true => Some(self.of_name.set(name as usize, now)),
             false => {
@@ -99,16 +115,22 @@
             }
         };
         self.in_use += usize::from(before.as_ref().is_none_or(|of| of.in_use.is_none()));
-        self.given.push_back(Given { name, older: before.map(|of| of.newest) });
+        self.given.push_back(Given {
+            name,
+            older: before.map(|of| of.newest),
+        });
         number as usize
     }
 
     /// Puts another number of that name in use, or none.
     pub fn put_in_use(&mut self, name: &str, number: Option<usize>) {
-        let (Some(at), Some(of)) = (self.names.get(name), self.of(name).cloned()) else { return };
+        let (Some(at), Some(of)) = (self.names.get(name), self.of(name).cloned()) else {
+            return;
+        };
         let in_use = number.map(|n| n as u32);
         if of.in_use != in_use {
-            self.in_use = self.in_use + usize::from(in_use.is_some()) - usize::from(of.in_use.is_some());
+            self.in_use =
+                self.in_use + usize::from(in_use.is_some()) - usize::from(of.in_use.is_some());
             self.of_name.set(at as usize, OfName { in_use, ..of });
         }
     }
@@ -152,7 +174,8 @@
     /// Numbers in use with their names.
     pub fn in_use(&self) -> impl Iterator<Item = (usize, &str)> {
         let all = self.of_name.iter().zip(self.names.iter());
-        all.filter(|(of, _)| of.1).map(|(of, name)| (of.0 as usize, name))
+        all.filter(|(of, _)| of.1)
+            .map(|(of, name)| (of.0 as usize, name))
     }
 
     /// Puts a number in use under the name; one that it has already stays its own.
@@ -163,7 +186,9 @@
     }
 
     pub fn put_in_use(&mut self, name: &str, in_use: bool) {
-        let Some((at, of)) = self.names.get(name).zip(self.of(name)) else { return };
+        let Some((at, of)) = self.names.get(name).zip(self.of(name)) else {
+            return;
+        };
         if of.1 != in_use {
             self.of_name.set(at as usize, (of.0, in_use));
         }
@@ -184,7 +209,11 @@
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         let mark = same.bytes().fold(0xcbf2_9ce4_8422_2325, fold) >> 20;
         let entry = Backend { mark, ..entry };
-        Row { zone: zone.into(), kind: kind.into(), entry }
+        Row {
+            zone: zone.into(),
+            kind: kind.into(),
+            entry,
+        }
     }
 }
 
@@ -223,6 +252,11 @@
     pub fn entry(&mut self, row: &Row, id: BackendId) -> Backend {
         let zone = ZoneId(self.zones.number(&row.zone));
         let kind = KindId(self.kinds.number(&row.kind));
-        Backend { id, zone, kind, ..row.entry.clone() }
+        Backend {
+            id,
+            zone,
+            kind,
+            ..row.entry.clone()
+        }
     }
 }
--- a/src/settings/numbered.rs
+++ b/src/settings/numbered.rs
@@ -63,7 +63,9 @@
     pub fn get(&self, name: &str) -> Option<u32> {
         let (at, mark) = hash(name);
         let bucket = self.buckets.get(place(at, self.buckets.len().max(1)))?;
-        let found = bucket.iter().find(|(m, number)| *m == mark && self.name(*number) == Some(name));
+        let found = bucket
+            .iter()
+            .find(|(m, number)| *m == mark && self.name(*number) == Some(name));
         found.map(|(_, number)| *number)
     }
 
@@ -76,7 +78,11 @@
                 self.split();
             }
             let at = place(at, self.buckets.len());
-            let bucket = self.buckets[at].iter().copied().chain([(mark, number)]).collect();
+            let bucket = self.buckets[at]
+                .iter()
+                .copied()
+                .chain([(mark, number)])
+                .collect();
             self.buckets.set(at, bucket);
             number
         })
@@ -90,9 +96,14 @@
             return;
         }
         let old = new - (new + 1).next_power_of_two() / 2;
-        let moves = |number: u32| self.name(number).is_some_and(|name| place(hash(name).0, new + 1) == new);
-        let (moved, stays): (Vec<_>, Vec<_>) =
-            self.buckets[old].iter().copied().partition(|(_, number)| moves(*number));
+        let moves = |number: u32| {
+            self.name(number)
+                .is_some_and(|name| place(hash(name).0, new + 1) == new)
+        };
+        let (moved, stays): (Vec<_>, Vec<_>) = self.buckets[old]
+            .iter()
+            .copied()
+            .partition(|(_, number)| moves(*number));
         self.buckets.set(old, stays.into());
         self.buckets.set(new, moved.into());
     }
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -2,7 +2,9 @@
 
 use super::change::Reread;
 use super::key::{Key, Notes};
-use super::lists::{leaves, Customer, Customers, Lists, Long, Reading, Route, Routes, CUSTOMERS, PROFILES};
+use super::lists::{
+    leaves, Customer, Customers, Lists, Long, Reading, Route, Routes, CUSTOMERS, PROFILES,
+};
 use super::names::{Classes, Names, Tenants};
 use super::numbered::Numbered;
 use super::sift::sift;
@@ -65,7 +67,11 @@
         let root = self.root();
         let mut names = Names::default();
         let read = self.read(&root, &mut names);
-        let Read { config, routes, customers } = root.notes.sound(read)?;
+        let Read {
+            config,
+            routes,
+            customers,
+        } = root.notes.sound(read)?;
         names.classes = Classes::first(routes.names);
         names.tenants = Tenants::first(customers.names, &customers.of);
         Ok((config, names))
@@ -92,7 +98,11 @@
         let Read { config, .. } = self.read(&root, &mut Names::default());
         self.read_network(&root);
         let follows = |e: &ConfigError| e.field == "classes" && root.notes.misread(PROFILES);
-        let bounds = config.errors().into_iter().filter(|e| !follows(e)).map(|e| e.to_string());
+        let bounds = config
+            .errors()
+            .into_iter()
+            .filter(|e| !follows(e))
+            .map(|e| e.to_string());
         root.notes.texts().into_iter().chain(bounds).collect()
     }
 
@@ -104,8 +114,12 @@
         let mut all = Vec::new();
         for (key, value) in self.rest.as_object().into_iter().flatten() {
             match key.as_str() {
-                PROFILES if value.is_array() => all.extend(self.lists.profiles.unread.iter().cloned()),
-                CUSTOMERS if value.is_array() => all.extend(self.lists.customers.unread.iter().cloned()),
+                PROFILES if value.is_array() => {
+                    all.extend(self.lists.profiles.unread.iter().cloned())
+                }
+                CUSTOMERS if value.is_array() => {
+                    all.extend(self.lists.customers.unread.iter().cloned())
+                }
                 _ => {
                     let mut paths = Vec::new();
                     leaves(key, value, &mut paths);
@@ -128,7 +142,9 @@
             return *hasher.finalize().as_bytes();
         };
         add("{");
-        let kept = keys.iter().filter(|(key, _)| !without.contains(&key.as_str()));
+        let kept = keys
+            .iter()
+            .filter(|(key, _)| !without.contains(&key.as_str()));
         for (n, (key, value)) in kept.enumerate() {
             add(if n > 0 { "," } else { "" });
             add(&Value::from(key.as_str()).to_string());
@@ -175,7 +191,9 @@
         let discovery = match root.get("discovery").text() {
             "automatic" => Discovery::Push,
             "subscribe" => Discovery::Subscribe(must_ask.micros()),
-            _ => root.get("discovery").want(None, "automatic or subscribe", Discovery::Push),
+            _ => root
+                .get("discovery")
+                .want(None, "automatic or subscribe", Discovery::Push),
         };
         let config = Config {
             proxies: root.get("group_size").count(u32::MAX),
@@ -199,7 +217,11 @@
             locality: locality(&root.get("locality")),
             regions: regions(&root.get("locality").get("regions"), names),
         };
-        Read { config, routes, customers }
+        Read {
+            config,
+            routes,
+            customers,
+        }
     }
 
     fn read_network(&self, root: &Key) -> Network {
@@ -245,42 +267,70 @@
             Effect::Keyed(scope, window.micros())
         }
         "single_shot" => Effect::Unsafe,
-        _ => key.get("effect").want(None, "free, guarded or single_shot", Effect::Free),
+        _ => key
+            .get("effect")
+            .want(None, "free, guarded or single_shot", Effect::Free),
     };
     let stretch = key.get("aim_stretch");
     let (aim, deadline) = (key.get("aim_us"), key.get("deadline_us"));
     if deadline.micros().0 == 0 {
         deadline.want(None, "a time above 0", ());
-    } else if aim.whole().zip(deadline.whole()).is_some_and(|(aim, deadline)| aim > deadline) {
+    } else if aim
+        .whole()
+        .zip(deadline.whole())
+        .is_some_and(|(aim, deadline)| aim > deadline)
+    {
         aim.wrong("expected no more than deadline_us".into());
     }
     let class = Class {
         aim: aim.micros(),
-        aim_stretch: if stretch.value.is_some() { stretch.real() } else { 0.0 },
+        aim_stretch: if stretch.value.is_some() {
+            stretch.real()
+        } else {
+            0.0
+        },
         effect,
         worth: key.get("gain").real(),
         late_worth: key.get("late_worth").real(),
     };
-    Route { name: name.text().into(), class, deadline: deadline.micros() }
+    Route {
+        name: name.text().into(),
+        class,
+        deadline: deadline.micros(),
+    }
 }
 
 /// One of `customers`.
 pub(super) fn customer(key: &Key) -> Customer {
     let name = key.get("name").text().into();
-    Customer { name, tenant: Tenant { quota_per_s: key.get("quota_rps").real() } }
+    Customer {
+        name,
+        tenant: Tenant {
+            quota_per_s: key.get("quota_rps").real(),
+        },
+    }
 }
 
 /// `locality`, where it stands: both keys, or an error that names the missing one.
 fn locality(key: &Key) -> Option<Locality> {
     key.value?;
-    Some(Locality { leave_share: key.get("leave_share").real(), ramp: key.get("ramp_us").micros() })
+    Some(Locality {
+        leave_share: key.get("leave_share").real(),
+        ramp: key.get("ramp_us").micros(),
+    })
 }
 
 /// `locality.regions`: zone names to region names. A zone that no list has named yet gets its number here.
 fn regions(key: &Key, names: &mut Names) -> BTreeMap<ZoneId, RegionId> {
-    let Some(value) = key.value else { return BTreeMap::new() };
+    let Some(value) = key.value else {
+        return BTreeMap::new();
+    };
     let none = serde_json::Map::new();
-    let table = key.want(value.as_object(), "a table of zones and their regions", &none);
+    let table = key.want(
+        value.as_object(),
+        "a table of zones and their regions",
+        &none,
+    );
     let mut known = Numbered::default();
     let entry = |zone: &String| {
         let region = RegionId(1 + known.number(key.get(zone).text()));
--- a/src/settings/sift.rs
+++ b/src/settings/sift.rs
@@ -17,7 +17,11 @@
 
 /// The document, with an empty list in the place of each that went to `sink`.
 pub fn sift<'de, D: Deserializer<'de>>(from: D, sink: &mut dyn Sink) -> Result<Value, D::Error> {
-    Sift { path: String::new(), sink }.deserialize(from)
+    Sift {
+        path: String::new(),
+        sink,
+    }
+    .deserialize(from)
 }
 
 /// One value on the way to a list, or the list itself.
@@ -31,9 +35,15 @@
     fn lists(&self) -> (Option<&'static str>, bool) {
         let (lists, path) = (self.sink.lists(), self.path.as_str());
         let inside = |list: &&&str| {
-            path.is_empty() || list.strip_prefix(path).is_some_and(|rest| rest.starts_with('.'))
+            path.is_empty()
+                || list
+                    .strip_prefix(path)
+                    .is_some_and(|rest| rest.starts_with('.'))
         };
-        (lists.iter().find(|list| **list == path).copied(), lists.iter().any(|list| inside(&list)))
+        (
+            lists.iter().find(|list| **list == path).copied(),
+            lists.iter().any(|list| inside(&list)),
+        )
     }
 }
 
@@ -99,8 +109,15 @@
     fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Value, A::Error> {
         let mut kept = Map::new();
         while let Some(key) = entries.next_key::<String>()? {
-            let path = if self.path.is_empty() { key.clone() } else { format!("{}.{key}", self.path) };
-            let inner = entries.next_value_seed(Sift { path, sink: &mut *self.sink })?;
+            let path = if self.path.is_empty() {
+                key.clone()
+            } else {
+                format!("{}.{key}", self.path)
+            };
+            let inner = entries.next_value_seed(Sift {
+                path,
+                sink: &mut *self.sink,
+            })?;
             kept.insert(key, inner);
         }
         Ok(Value::Object(kept))
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -15,7 +15,10 @@
 "ramp_time_us":9000000,"stop_sending_within_us":500000,"tip_after_us":2000000}}"#;
 
 fn create(settings: &str) -> String {
-    format!("[\"CREATE\",\"proxy-3\",99,{}]\n", settings.replace('\n', ""))
+    format!(
+        "[\"CREATE\",\"proxy-3\",99,{}]\n",
+        settings.replace('\n', "")
+    )
 }
 
 const LIST: &str = r#"["SNAPSHOT_ROWS",0,[["east",0,"big","10.0.0.1:80","IN",1,null]]]
@@ -40,7 +43,10 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
-    assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), ("[\"YIELD\"]\n".into(), String::new(), true));
+    assert_eq!(
+        run("[\"TICK\",5]\n[\"END\"]\n"),
+        ("[\"YIELD\"]\n".into(), String::new(), true)
+    );
     assert_eq!(run(""), (String::new(), String::new(), true));
 }
 
@@ -68,14 +74,21 @@
     }
     let (out, err, good) = run(&input);
     assert!(good, "{err}");
-    let refusals = out.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
-    assert_eq!(refusals, 1, "once, with the term after which an ejected backend is tried again: {out}");
+    let refusals = out
+        .matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]")
+        .count();
+    assert_eq!(
+        refusals, 1,
+        "once, with the term after which an ejected backend is tried again: {out}"
+    );
 }
 
 #[test]
 fn a_killed_instance_is_forgotten_and_may_come_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
+    let (out, _, good) = run(&format!(
+        "[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"
+    ));
     assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
     let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
     assert!(!good && err.contains("known instance"), "{err}");
@@ -91,18 +104,43 @@
         ("[]".into(), "name"),
         ("[\"HELLO\",1]".into(), "unknown message HELLO"),
         ("[\"VIEW\",\"proxy-3\",0]".into(), "4 values"),
-        ("[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(), "roster number"),
+        (
+            "[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(),
+            "roster number",
+        ),
         ("[\"VIEW\",\"proxy-3\",0,1,\"odd\"]".into(), "incr, total"),
-        ("[\"VIEW\",\"proxy-9\",0,1,\"incr\"]".into(), "known instance"),
+        (
+            "[\"VIEW\",\"proxy-9\",0,1,\"incr\"]".into(),
+            "known instance",
+        ),
         ("[\"SNAPSHOT_ROWS\",16,[]]".into(), "0 to 15"),
         ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0]]]".into(), "7 values"),
-        ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0,\"big\",\"a:1\",\"UP\",1,null]]]".into(), "IN, LAME or OUT"),
+        (
+            "[\"SNAPSHOT_ROWS\",1,[[\"east\",0,\"big\",\"a:1\",\"UP\",1,null]]]".into(),
+            "IN, LAME or OUT",
+        ),
         ("[\"TIMEOUT_FIRED\",\"proxy-3\",\"7\"]".into(), "token"),
-        (job("\"xyz\",null,900,null,null,0,\"read\""), "16 lower-case hex"),
-        (job("\"00000000000000ab\",null,-4,null,null,0,\"read\""), "time left"),
-        (job("\"00000000000000ab\",null,900,null,null,0,\"none\""), "known class"),
-        (job("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""), "known tenant"),
-        ("[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",8,1,true,null]".into(), "0 to 7"),
+        (
+            job("\"xyz\",null,900,null,null,0,\"read\""),
+            "16 lower-case hex",
+        ),
+        (
+            job("\"00000000000000ab\",null,-4,null,null,0,\"read\""),
+            "time left",
+        ),
+        (
+            job("\"00000000000000ab\",null,900,null,null,0,\"none\""),
+            "known class",
+        ),
+        (
+            job("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""),
+            "known tenant",
+        ),
+        (
+            "[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",8,1,true,null]"
+                .into(),
+            "0 to 7",
+        ),
         (
             "[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",1,1,1,null]".into(),
             "true or false",
@@ -111,9 +149,15 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
+        let (_, err, good) = run(&format!(
+            "[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n",
+            create(SETTINGS)
+        ));
         assert!(!good, "accepted {line}");
-        assert!(err.contains("line 5:") && err.contains(expected), "{line}: {err}");
+        assert!(
+            err.contains("line 5:") && err.contains(expected),
+            "{line}: {err}"
+        );
         assert!(!err.contains("panicked"), "{err}");
     }
     let (_, err, good) = run("[\"END\"]\n");
@@ -125,11 +169,19 @@
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "proxies"),
-        ("\"granularity_us\":5000", "\"granularity_us\":-5", "granularity_us"),
+        (
+            "\"granularity_us\":5000",
+            "\"granularity_us\":-5",
+            "granularity_us",
+        ),
         ("\"my_zone\":\"east\"", "\"my_zone\":\"north\"", "my_zone"),
         ("\"free\"", "\"odd\"", "profiles[0].effect"),
         ("\"key_scope\":\"zone\",", "", "profiles[2].key_scope"),
-        ("\"max_attempts\":3", "\"max_attempts\":\"3\"", "limits.max_attempts"),
+        (
+            "\"max_attempts\":3",
+            "\"max_attempts\":\"3\"",
+            "limits.max_attempts",
+        ),
         ("\"cold_from\":0.3", "\"cold_from\":1.3", "cold_from"),
         ("\"aim_us\":300000", "\"aim_us\":1300000", "aim_us"),
         ("\"name\":\"pay\"", "\"name\":\"read\"", "profiles[1].name"),
@@ -137,8 +189,14 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
+        let (out, err, good) = run(&format!(
+            "[\"TICK\",1]\n{}{LIST}[\"END\"]\n",
+            create(&settings)
+        ));
         assert!(good, "{err}");
-        assert!(out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key), "{to}: {out}");
+        assert!(
+            out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key),
+            "{to}: {out}"
+        );
     }
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -14,7 +14,10 @@
 
 /// A proxy with debug lines.
 fn talking(backend: &Scripted) -> Proxy {
-    let level = [("NODE_LOG", "debug".to_string()), ("TMPDIR", folder().display().to_string())];
+    let level = [
+        ("NODE_LOG", "debug".to_string()),
+        ("TMPDIR", folder().display().to_string()),
+    ];
     Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &level)
 }
 
@@ -30,7 +33,11 @@
         let mut wire = backend.accept();
         wire.request();
         wire.send(answer("first") + more);
-        assert_eq!(client.answer().expect("an answer").body, b"first", "{more:?}");
+        assert_eq!(
+            client.answer().expect("an answer").body,
+            b"first",
+            "{more:?}"
+        );
         the_next_goes_elsewhere(&backend, &mut client, wire, more);
     }
 }
@@ -41,7 +48,11 @@
     let mut next = backend.accept();
     next.request();
     next.answer("second");
-    assert_eq!(client.answer().expect("an answer").body, b"second", "{case:?}");
+    assert_eq!(
+        client.answer().expect("an answer").body,
+        b"second",
+        "{case:?}"
+    );
     assert_eq!(before.rest(), b"", "{case:?}");
 }
 
@@ -79,7 +90,11 @@
         assert_eq!(client.answer().expect("an answer").body, b"x");
         client.send(&pay(3.0));
         wire.0.get_ref().peek(&mut [0]).expect("the next request");
-        assert!(answered.elapsed() >= Duration::from_millis(3), "{:?}", answered.elapsed());
+        assert!(
+            answered.elapsed() >= Duration::from_millis(3),
+            "{:?}",
+            answered.elapsed()
+        );
     }
     wire.request();
     wire.answer("x");
@@ -93,12 +108,20 @@
     let backend = Scripted::start();
     let proxy = one(&backend);
     let mut client = proxy.client();
-    client.send(&pay(3.0).replace("Length: 4", &format!("Length: {LENGTH}")).replace("cash", ""));
+    client.send(
+        &pay(3.0)
+            .replace("Length: 4", &format!("Length: {LENGTH}"))
+            .replace("cash", ""),
+    );
     client.send(&"y".repeat(LENGTH / 2));
     let mut wire = backend.accept();
     wire.bytes(LENGTH / 2);
     wire.answer("stale");
-    assert_eq!(client.answer().expect("an answer").status(), 503, "it never ran");
+    assert_eq!(
+        client.answer().expect("an answer").status(),
+        503,
+        "it never ran"
+    );
     assert!(wire.rest().len() < LENGTH / 2, "the rest did not go out");
 }
 
@@ -139,7 +162,9 @@
             got = vec![0; 70_000]; // it streams: nothing takes these bytes back
             client.0.read_exact(&mut got).unwrap();
         }
-        all_sent.recv_timeout(PATIENCE).expect("the backend's buffers hold it");
+        all_sent
+            .recv_timeout(PATIENCE)
+            .expect("the backend's buffers hold it");
         go.send(()).unwrap();
         sending.join().unwrap();
         let plain_end = client.0.read_to_end(&mut got).is_ok();
@@ -152,7 +177,10 @@
             ),
             (true, true) if old => assert!(!plain_end, "{case}: a plain end"),
             (true, true) => assert!(!text.ends_with("0\r\n\r\n"), "{case}"),
-            (false, _) => assert!(text.contains("200") && text.matches('z').count() == body.len(), "{case}"),
+            (false, _) => assert!(
+                text.contains("200") && text.matches('z').count() == body.len(),
+                "{case}"
+            ),
         }
     }
 }
@@ -173,7 +201,10 @@
         wire.reset();
         let plain_end = client.0.read_to_end(&mut got).is_ok();
         let text = String::from_utf8_lossy(&got);
-        assert!(text.contains("some") && !text.ends_with("0\r\n\r\n"), "{text}");
+        assert!(
+            text.contains("some") && !text.ends_with("0\r\n\r\n"),
+            "{text}"
+        );
         assert!(!old || !plain_end, "a plain end");
     }
 }
@@ -186,7 +217,8 @@
         let mut client = proxy.client();
         client.send(&pay(3.0));
         let tcp = client.0.get_ref();
-        tcp.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
+        tcp.set_read_timeout(Some(Duration::from_millis(2)))
+            .unwrap();
         let wire = loop {
             assert!(Instant::now() < end, "nothing reaches the backend");
             match backend.accepted() {
@@ -199,7 +231,11 @@
         match wire {
             Some(wire) => return (client, wire),
             None => {
-                assert_eq!(client.answer().expect("an answer").status(), 503, "only a refusal is harmless")
+                assert_eq!(
+                    client.answer().expect("an answer").status(),
+                    503,
+                    "only a refusal is harmless"
+                )
             }
         }
     }
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -19,8 +19,15 @@
 }
 
 fn calendar(floor: f64) -> Calendar {
-    let budget = Budget { kind: floor, zone: floor };
-    Calendar::new(Rules { budget, ramp: Micros(RAMP * 1_000_000), max_age: Micros(5_000_000) })
+    let budget = Budget {
+        kind: floor,
+        zone: floor,
+    };
+    Calendar::new(Rules {
+        budget,
+        ramp: Micros(RAMP * 1_000_000),
+        max_age: Micros(5_000_000),
+    })
 }
 
 fn token(number: u64) -> Token {
@@ -28,7 +35,10 @@
 }
 
 fn stamp(secs: u64) -> Stamp {
-    Stamp { at: at(secs), by: 1 }
+    Stamp {
+        at: at(secs),
+        by: 1,
+    }
 }
 
 fn ids(ids: &[usize]) -> Targets {
@@ -37,8 +47,17 @@
 
 /// From second to second after noon.
 fn once(targets: Targets, begin: u64, end: u64, lead_s: u32, overrun_s: u32) -> Spec {
-    let when = When::Once(Span { begin: at(begin), end: at(end) });
-    Spec { targets, when, lead_s, overrun_s, by: "ops".into() }
+    let when = When::Once(Span {
+        begin: at(begin),
+        end: at(end),
+    });
+    Spec {
+        targets,
+        when,
+        lead_s,
+        overrun_s,
+        by: "ops".into(),
+    }
 }
 
 /// Twelve backends of two kinds in three zones.
@@ -61,14 +80,26 @@
 }
 
 fn phase(calendar: &Calendar, id: &str, now: Wall) -> Step {
-    calendar.list(now).into_iter().find(|v| v.id == id).unwrap().phase
+    calendar
+        .list(now)
+        .into_iter()
+        .find(|v| v.id == id)
+        .unwrap()
+        .phase
 }
 
 /// Steps each second and notes what happens, as "second window step".
-fn run(calendar: &mut Calendar, secs: std::ops::Range<u64>, fleet: &Fleet, reports: &Reports) -> Vec<String> {
+fn run(
+    calendar: &mut Calendar,
+    secs: std::ops::Range<u64>,
+    fleet: &Fleet,
+    reports: &Reports,
+) -> Vec<String> {
     let steps = secs.flat_map(|s| {
         let steps = calendar.step(at(s), token(1), fleet, reports);
-        steps.into_iter().map(move |t| format!("{s} {} {}", t.window, t.to.name()))
+        steps
+            .into_iter()
+            .map(move |t| format!("{s} {} {}", t.window, t.to.name()))
     });
     steps.collect()
 }
@@ -82,7 +113,12 @@
         (format!(r#""ids":[""],{base}"#), "ids"),
         (format!(r#""ids":["{}"],{base}"#, "x".repeat(65)), "ids"),
         (
-            format!(r#""ids":[{}"y"],{base}"#, (0..99).map(|i| format!("\"s-{i:07}\",")).collect::<String>()),
+            format!(
+                r#""ids":[{}"y"],{base}"#,
+                (0..99)
+                    .map(|i| format!("\"s-{i:07}\","))
+                    .collect::<String>()
+            ),
             "ids",
         ),
         (format!(r#""ids":["a"],"zone":"b",{base}"#), "zone"),
@@ -91,42 +127,95 @@
         (format!(r#""cell":-1,{base}"#), "cell"),
         (format!(r#""kind":"a\u0000",{base}"#), "kind"),
         (format!(r#""ids":["a"],"lead_s":3601,{base}"#), "lead_s"),
-        (format!(r#""ids":["a"],"overrun_s":86401,{base}"#), "overrun_s"),
-        (r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","by":"x""#.into(), "end"),
-        (r#""ids":["a"],"begin":"tomorrow","end":"2026-12-02T13:00:00Z","by":"x""#.into(), "begin"),
         (
-            r#""ids":["a"],"begin":"2026-12-02T13:00:00","end":"2026-12-02T13:00:00Z","by":"x""#.into(),
+            format!(r#""ids":["a"],"overrun_s":86401,{base}"#),
+            "overrun_s",
+        ),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","by":"x""#.into(),
+            "end",
+        ),
+        (
+            r#""ids":["a"],"begin":"tomorrow","end":"2026-12-02T13:00:00Z","by":"x""#.into(),
             "begin",
         ),
-        (r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T13:00:00Z","by":"x""#.into(), "end"),
-        (r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-09T13:00:01Z","by":"x""#.into(), "end"),
-        (r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T14:00:00Z","by":" ""#.into(), "by"),
-        (r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T14:00:00Z""#.into(), "by"),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00","end":"2026-12-02T13:00:00Z","by":"x""#
+                .into(),
+            "begin",
+        ),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T13:00:00Z","by":"x""#
+                .into(),
+            "end",
+        ),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-09T13:00:01Z","by":"x""#
+                .into(),
+            "end",
+        ),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T14:00:00Z","by":" ""#
+                .into(),
+            "by",
+        ),
+        (
+            r#""ids":["a"],"begin":"2026-12-02T13:00:00Z","end":"2026-12-02T14:00:00Z""#.into(),
+            "by",
+        ),
         (
             format!(
                 r#"{base},"ids":["a"],"recurring":{{"days":"daily","at":"02:30","zone":"UTC","lasts_s":60}}"#
             ),
             "begin",
         ),
-        (often(r#""days":["mo"],"at":"02:30","zone":"UTC","lasts_s":60"#), "recurring.days"),
-        (often(r#""days":[],"at":"02:30","zone":"UTC","lasts_s":60"#), "recurring.days"),
-        (often(r#""days":"daily","at":"24:00","zone":"UTC","lasts_s":60"#), "recurring.at"),
-        (often(r#""days":"daily","at":"02:30","zone":"Africa/Atlantis","lasts_s":60"#), "recurring.zone"),
-        (often(r#""days":"daily","at":"02:30","zone":"UTC","lasts_s":0"#), "recurring.lasts_s"),
-        (often(r#""days":"daily","at":"02:30","zone":"UTC","lasts_s":75600"#), "recurring.lasts_s"),
+        (
+            often(r#""days":["mo"],"at":"02:30","zone":"UTC","lasts_s":60"#),
+            "recurring.days",
+        ),
+        (
+            often(r#""days":[],"at":"02:30","zone":"UTC","lasts_s":60"#),
+            "recurring.days",
+        ),
+        (
+            often(r#""days":"daily","at":"24:00","zone":"UTC","lasts_s":60"#),
+            "recurring.at",
+        ),
+        (
+            often(r#""days":"daily","at":"02:30","zone":"Africa/Atlantis","lasts_s":60"#),
+            "recurring.zone",
+        ),
+        (
+            often(r#""days":"daily","at":"02:30","zone":"UTC","lasts_s":0"#),
+            "recurring.lasts_s",
+        ),
+        (
+            often(r#""days":"daily","at":"02:30","zone":"UTC","lasts_s":75600"#),
+            "recurring.lasts_s",
+        ),
     ];
     for (body, field) in cases {
         let refused = Spec::from_json(format!("{{{body}}}").as_bytes()).unwrap_err();
         assert_eq!(refused.field, field, "{body}: {refused}");
     }
-    let odd = Spec::from_json(format!(r#"{{"ids":["a"],"colour":1,{base}}}"#).as_bytes()).unwrap_err();
+    let odd =
+        Spec::from_json(format!(r#"{{"ids":["a"],"colour":1,{base}}}"#).as_bytes()).unwrap_err();
     assert!(odd.to_string().contains("colour"), "{odd}");
     for body in ["", "[]", "{} {}", "nonsense"] {
         assert!(Spec::from_json(body.as_bytes()).is_err(), "{body}");
     }
     let spec = Spec::from_json(format!(r#"{{"ids":["a"],{base}}}"#).as_bytes()).unwrap();
-    assert_eq!((spec.lead_s, spec.overrun_s, spec.by.as_str()), (LEAD_S, 0, "ops"));
-    assert_eq!(spec.occurrence(Wall(0)), Some(Span { begin: at(3600), end: at(7200) }));
+    assert_eq!(
+        (spec.lead_s, spec.overrun_s, spec.by.as_str()),
+        (LEAD_S, 0, "ops")
+    );
+    assert_eq!(
+        spec.occurrence(Wall(0)),
+        Some(Span {
+            begin: at(3600),
+            end: at(7200)
+        })
+    );
 }
 
 #[test]
@@ -135,38 +224,67 @@
     let spec = || once(ids(&[0]), 100, 200, 30, 0);
     assert_eq!(c.put("w", spec(), stamp(0), at(0)), Ok(Put::New));
     assert_eq!(c.put("w", spec(), stamp(9), at(9)), Ok(Put::Same));
-    let status = |answer: Result<Put, Rejected>| answer.map_err(|r| (r.status(), r.why().field)).unwrap_err();
+    let status = |answer: Result<Put, Rejected>| {
+        answer.map_err(|r| (r.status(), r.why().field)).unwrap_err()
+    };
     assert_eq!(
         status(c.put("w", once(ids(&[1]), 100, 200, 30, 0), stamp(9), at(9))),
         (409, "targets".into())
     );
-    assert_eq!(status(c.put("a/b", spec(), stamp(9), at(9))), (422, "id".into()));
-    assert_eq!(status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), stamp(0), at(200))), (422, "end".into()));
+    assert_eq!(
+        status(c.put("a/b", spec(), stamp(9), at(9))),
+        (422, "id".into())
+    );
+    assert_eq!(
+        status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), stamp(0), at(200))),
+        (422, "end".into())
+    );
     assert_eq!(
         status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), stamp(0), at(170))),
         (422, "lead_s".into())
     );
     assert_eq!(status(c.cancel("x", stamp(9), at(9))), (404, "id".into()));
-    assert_eq!(status(c.extend("w", at(199), stamp(9), at(9))), (422, "until".into()));
-    assert_eq!(status(c.extend("w", at(8 * 24 * 3600), stamp(9), at(9))), (422, "until".into()));
+    assert_eq!(
+        status(c.extend("w", at(199), stamp(9), at(9))),
+        (422, "until".into())
+    );
+    assert_eq!(
+        status(c.extend("w", at(8 * 24 * 3600), stamp(9), at(9))),
+        (422, "until".into())
+    );
     assert_eq!(c.extend("w", at(300), stamp(9), at(9)), Ok(Put::New));
     // A later call wins, though it came to a proxy whose clock is behind.
     let before = c.get("w").unwrap().clone();
     assert_eq!(c.extend("w", at(400), stamp(1), at(9)), Ok(Put::New));
     assert_eq!(c.merge(&before, at(9)), Ok(false));
     assert_eq!(c.extend("w", at(400), stamp(9), at(9)), Ok(Put::Same));
-    assert_eq!(c.list(at(9))[0].end.as_deref(), Some("2026-12-02T12:06:40Z"));
+    assert_eq!(
+        c.list(at(9))[0].end.as_deref(),
+        Some("2026-12-02T12:06:40Z")
+    );
     assert_eq!(c.cancel("w", stamp(10), at(10)), Ok(Put::New));
     assert_eq!(c.cancel("w", stamp(11), at(11)), Ok(Put::Same));
-    assert_eq!(status(c.put("w", spec(), stamp(11), at(11))), (409, "id".into()));
-    assert_eq!(status(c.begin_now("w", stamp(11), at(11))), (409, "id".into()));
+    assert_eq!(
+        status(c.put("w", spec(), stamp(11), at(11))),
+        (409, "id".into())
+    );
+    assert_eq!(
+        status(c.begin_now("w", stamp(11), at(11))),
+        (409, "id".into())
+    );
     assert_eq!(phase(&c, "w", at(11)), Step::Cancelled);
     // An hour later the id is free, and so is its place.
     let later = once(ids(&[1]), 5000, 6000, 30, 0);
     for i in 1..MOST_WINDOWS {
-        assert_eq!(c.put(&format!("w{i}"), later.clone(), stamp(11), at(11)), Ok(Put::New));
+        assert_eq!(
+            c.put(&format!("w{i}"), later.clone(), stamp(11), at(11)),
+            Ok(Put::New)
+        );
     }
-    assert_eq!(status(c.put("v", later.clone(), stamp(11), at(11))), (507, "id".into()));
+    assert_eq!(
+        status(c.put("v", later.clone(), stamp(11), at(11))),
+        (507, "id".into())
+    );
     assert_eq!(c.put("w", later, stamp(3610), at(3610)), Ok(Put::New));
 }
 
@@ -174,7 +292,8 @@
 fn local_time_follows_daylight() {
     let spec = |days: &str, zone: &str| {
         let when = format!(r#"{{"days":{days},"at":"02:30","zone":"{zone}","lasts_s":3600}}"#);
-        Spec::from_json(format!(r#"{{"ids":["a"],"by":"x","recurring":{when}}}"#).as_bytes()).unwrap()
+        Spec::from_json(format!(r#"{{"ids":["a"],"by":"x","recurring":{when}}}"#).as_bytes())
+            .unwrap()
     };
     let begins = |spec: &Spec, from: &str, n: usize| -> Vec<String> {
         let next = |s: &Span| spec.occurrence(s.begin + Micros(1));
@@ -185,57 +304,138 @@
     };
     let berlin = spec("\"daily\"", "Europe/Berlin");
     // There is no 02:30 on 29 March: it is 03:30 then. On 25 October there are two, and the first counts.
-    let march = ["2026-03-28T01:30:00Z", "2026-03-29T01:30:00Z", "2026-03-30T00:30:00Z"];
+    let march = [
+        "2026-03-28T01:30:00Z",
+        "2026-03-29T01:30:00Z",
+        "2026-03-30T00:30:00Z",
+    ];
     assert_eq!(begins(&berlin, "2026-03-28T00:00:00Z", 3), march);
-    let october = ["2026-10-24T00:30:00Z", "2026-10-25T00:30:00Z", "2026-10-26T01:30:00Z"];
+    let october = [
+        "2026-10-24T00:30:00Z",
+        "2026-10-25T00:30:00Z",
+        "2026-10-26T01:30:00Z",
+    ];
     assert_eq!(begins(&berlin, "2026-10-24T00:00:00Z", 3), october);
     let lagos = spec(r#"["mon","thu"]"#, "Africa/Lagos");
-    let winter = ["2026-03-26T01:30:00Z", "2026-03-30T01:30:00Z", "2026-04-02T01:30:00Z"];
+    let winter = [
+        "2026-03-26T01:30:00Z",
+        "2026-03-30T01:30:00Z",
+        "2026-04-02T01:30:00Z",
+    ];
     assert_eq!(begins(&lagos, "2026-03-24T00:00:00Z", 3), winter);
-    assert_eq!(begins(&lagos, "2026-03-26T01:30:00Z", 1), winter[..1], "at the instant itself");
-    assert_eq!(instant("2026-03-29T02:30:00[Europe/Berlin]"), instant("2026-03-29T01:30:00Z"));
+    assert_eq!(
+        begins(&lagos, "2026-03-26T01:30:00Z", 1),
+        winter[..1],
+        "at the instant itself"
+    );
+    assert_eq!(
+        instant("2026-03-29T02:30:00[Europe/Berlin]"),
+        instant("2026-03-29T01:30:00Z")
+    );
     assert_eq!(instant("2026-12-02T13:00:00+01:00[Africa/Lagos]"), NOON);
-    assert!(parse_instant("end", "2026-12-02T13:00:00+05:00[Africa/Lagos]").is_err(), "not Lagos' offset");
+    assert!(
+        parse_instant("end", "2026-12-02T13:00:00+05:00[Africa/Lagos]").is_err(),
+        "not Lagos' offset"
+    );
 }
 
 #[test]
 fn a_window_goes_through_its_phases() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
-    c.put("w", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0)).unwrap();
+    c.put("w", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0))
+        .unwrap();
     // Drained only after every report is younger than the word, and says zero.
-    let old = Report { age: Micros(4_000_000), ..Report::default() };
-    let busy = Report { open: BTreeMap::from([("s0".into(), 1)]), ..Report::default() };
-    assert_eq!(run(&mut c, 0..75, &fleet, &BTreeMap::from([(1, old)])), ["70 w draining"]);
-    assert_eq!(run(&mut c, 75..90, &fleet, &BTreeMap::from([(1, busy), (2, Report::default())])), [""; 0]);
-    assert_eq!(run(&mut c, 90..150, &fleet, &idle()), ["90 w drained", "100 w open"]);
+    let old = Report {
+        age: Micros(4_000_000),
+        ..Report::default()
+    };
+    let busy = Report {
+        open: BTreeMap::from([("s0".into(), 1)]),
+        ..Report::default()
+    };
+    assert_eq!(
+        run(&mut c, 0..75, &fleet, &BTreeMap::from([(1, old)])),
+        ["70 w draining"]
+    );
+    assert_eq!(
+        run(
+            &mut c,
+            75..90,
+            &fleet,
+            &BTreeMap::from([(1, busy), (2, Report::default())])
+        ),
+        [""; 0]
+    );
+    assert_eq!(
+        run(&mut c, 90..150, &fleet, &idle()),
+        ["90 w drained", "100 w open"]
+    );
     // Its end comes, and its backend is not back.
     fleet.get_mut("s0").unwrap().serving = false;
     assert_eq!(run(&mut c, 150..230, &fleet, &idle()), [""; 0]);
     fleet.get_mut("s0").unwrap().serving = true;
-    assert_eq!(run(&mut c, 230..300, &fleet, &idle()), ["230 w restoring", "240 w done"]);
+    assert_eq!(
+        run(&mut c, 230..300, &fleet, &idle()),
+        ["230 w restoring", "240 w done"]
+    );
 
     let mut c = calendar(0.5);
-    c.put("late", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0)).unwrap();
-    c.put("off", once(ids(&[1]), 100, 200, 30, 60), stamp(0), at(0)).unwrap();
-    let busy = BTreeMap::from([(1, Report { open: [("s0".into(), 3)].into(), ..Report::default() })]);
+    c.put("late", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0))
+        .unwrap();
+    c.put("off", once(ids(&[1]), 100, 200, 30, 60), stamp(0), at(0))
+        .unwrap();
+    let busy = BTreeMap::from([(
+        1,
+        Report {
+            open: [("s0".into(), 3)].into(),
+            ..Report::default()
+        },
+    )]);
     let steps = run(&mut c, 0..150, &fleet, &busy);
-    assert_eq!(steps[2..], ["72 off drained", "100 late drained", "100 late open", "100 off open"]);
+    assert_eq!(
+        steps[2..],
+        [
+            "72 off drained",
+            "100 late drained",
+            "100 late open",
+            "100 off open"
+        ]
+    );
     c.cancel("off", stamp(150), at(150)).unwrap();
     fleet.remove("s0");
     let steps = run(&mut c, 150..300, &fleet, &idle());
-    assert_eq!(steps, ["150 off restoring", "160 off cancelled", "260 late overrun"]);
+    assert_eq!(
+        steps,
+        ["150 off restoring", "160 off cancelled", "260 late overrun"]
+    );
 
     // Begun by hand, it opens when drained, lasts as long as planned, and comes again the next day.
     let mut c = calendar(0.5);
-    let when = When::Recurring { days: 0x7f, minute: 14 * 60, zone: "UTC".into(), lasts_s: 100 };
-    let spec = Spec { when, ..once(ids(&[1]), 0, 0, 30, 0) };
+    let when = When::Recurring {
+        days: 0x7f,
+        minute: 14 * 60,
+        zone: "UTC".into(),
+        lasts_s: 100,
+    };
+    let spec = Spec {
+        when,
+        ..once(ids(&[1]), 0, 0, 30, 0)
+    };
     c.put("often", spec, stamp(0), at(0)).unwrap();
     c.begin_now("often", stamp(10), at(10)).unwrap();
     let steps = run(&mut c, 10..200, &fleet, &idle());
-    let once =
-        ["10 often draining", "12 often drained", "12 often open", "140 often restoring", "150 often done"];
+    let once = [
+        "10 often draining",
+        "12 often drained",
+        "12 often open",
+        "140 often restoring",
+        "150 often done",
+    ];
     assert_eq!(steps, once);
-    assert_eq!(c.list(at(200))[0].begin.as_deref(), Some("2026-12-03T14:00:00Z"));
+    assert_eq!(
+        c.list(at(200))[0].begin.as_deref(),
+        Some("2026-12-03T14:00:00Z")
+    );
     let next_day = 26 * 3600;
     assert_eq!(
         run(&mut c, next_day - 31..next_day - 29, &fleet, &idle()),
@@ -244,7 +444,11 @@
     // Nobody held the duty for two days: what was on ends, what was missed is skipped, the next one comes.
     let days = 4 * 24 * 3600 + 2 * 3600;
     let steps = run(&mut c, days - 40..days - 29, &fleet, &idle());
-    let want = [(days - 40, "restoring"), (days - 30, "done"), (days - 30, "draining")];
+    let want = [
+        (days - 40, "restoring"),
+        (days - 30, "done"),
+        (days - 30, "draining"),
+    ];
     assert_eq!(steps, want.map(|(s, step)| format!("{s} often {step}")));
 }
 
@@ -252,15 +456,29 @@
 fn windows_wait_for_the_budget_in_order() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
     // Kind m1 has six: each takes two, and only one fits beside a banned one.
-    c.put("b", once(ids(&[0, 2]), 100, 300, 30, 0), stamp(0), at(0)).unwrap();
-    c.put("a", once(ids(&[4, 6]), 100, 400, 30, 0), stamp(0), at(0)).unwrap();
-    c.put("c", once(ids(&[8, 10]), 90, 900, 30, 0), stamp(0), at(0)).unwrap();
-    c.put("d", once(ids(&[0]), 110, 330, 30, 0), stamp(0), at(0)).unwrap();
-    c.put("m2", once(ids(&[1]), 120, 130, 30, 0), stamp(0), at(0)).unwrap();
+    c.put("b", once(ids(&[0, 2]), 100, 300, 30, 0), stamp(0), at(0))
+        .unwrap();
+    c.put("a", once(ids(&[4, 6]), 100, 400, 30, 0), stamp(0), at(0))
+        .unwrap();
+    c.put("c", once(ids(&[8, 10]), 90, 900, 30, 0), stamp(0), at(0))
+        .unwrap();
+    c.put("d", once(ids(&[0]), 110, 330, 30, 0), stamp(0), at(0))
+        .unwrap();
+    c.put("m2", once(ids(&[1]), 120, 130, 30, 0), stamp(0), at(0))
+        .unwrap();
     fleet.get_mut("s0").unwrap().out_by_hand = true;
     let mut steps = run(&mut c, 0..200, &fleet, &idle());
-    let waiting = |c: &Calendar, id| c.list(at(200)).into_iter().find(|v| v.id == id).unwrap().waiting;
-    assert_eq!(waiting(&c, "a").as_deref(), Some("kind m1: 1.00 of 6.00 left, floor 3.00"));
+    let waiting = |c: &Calendar, id| {
+        c.list(at(200))
+            .into_iter()
+            .find(|v| v.id == id)
+            .unwrap()
+            .waiting
+    };
+    assert_eq!(
+        waiting(&c, "a").as_deref(),
+        Some("kind m1: 1.00 of 6.00 left, floor 3.00")
+    );
     assert_eq!(waiting(&c, "b").as_deref(), Some("kind m1: behind a"));
     // d waits behind them though its backend is banned anyway; m2 takes nothing of what they wait for.
     steps.retain(|s| s.ends_with("draining"));
@@ -271,15 +489,21 @@
     let mut steps = run(&mut c, 200..500, &fleet, &idle());
     steps.retain(|s| !s.contains(" c "));
     assert_eq!(steps, ["270 b refused", "300 d refused", "370 a refused"]);
-    assert!(c.list(at(500))[0].reason.as_deref().unwrap().starts_with("its time ran out: kind m1"));
+    assert!(c.list(at(500))[0]
+        .reason
+        .as_deref()
+        .unwrap()
+        .starts_with("its time ran out: kind m1"));
 }
 
 #[test]
 fn a_late_holders_word_loses_everywhere() {
     let (mut late, mut next, fleet) = (calendar(0.5), calendar(0.5), fleet());
     for c in [&mut late, &mut next] {
-        c.put("w", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0)).unwrap();
-        c.put("v", once(ids(&[2, 4, 6]), 99, 200, 30, 0), stamp(0), at(0)).unwrap();
+        c.put("w", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0))
+            .unwrap();
+        c.put("v", once(ids(&[2, 4, 6]), 99, 200, 30, 0), stamp(0), at(0))
+            .unwrap();
     }
     // The one holds, steps and stops before anyone hears it; the other, its clock a little behind, is next.
     assert_eq!(late.step(at(69), token(1), &fleet, &idle()).len(), 1);
@@ -291,15 +515,31 @@
         late.merge(&entry, at(71)).unwrap();
     }
     assert_eq!(late.get("v"), next.get("v"));
-    assert_eq!(phase(&late, "v", at(71)), Step::Planned, "the word of the higher token");
-    assert_eq!(late.step(at(72), token(1), &fleet, &idle()), [], "and the late one is told so");
+    assert_eq!(
+        phase(&late, "v", at(71)),
+        Step::Planned,
+        "the word of the higher token"
+    );
+    assert_eq!(
+        late.step(at(72), token(1), &fleet, &idle()),
+        [],
+        "and the late one is told so"
+    );
     // What is under way goes on under the next token from where it stands.
     assert_eq!(next.step(at(72), token(2), &fleet, &idle()).len(), 1);
     tell(&mut late, &next.changed(), at(72));
     assert_eq!(late.step(at(73), token(3), &fleet, &idle()), []);
-    let (old, new) =
-        (next.get("v").unwrap().mark.clone().unwrap(), late.get("v").unwrap().mark.clone().unwrap());
-    assert_eq!(new, Mark { token: token(3), ..old });
+    let (old, new) = (
+        next.get("v").unwrap().mark.clone().unwrap(),
+        late.get("v").unwrap().mark.clone().unwrap(),
+    );
+    assert_eq!(
+        new,
+        Mark {
+            token: token(3),
+            ..old
+        }
+    );
 }
 
 #[test]
@@ -307,11 +547,28 @@
     let (mut c, mut fleet) = (calendar(0.5), fleet());
     let names = |out: BTreeSet<String>| out.into_iter().collect::<Vec<_>>().join(" ");
     let (heard, lost) = (Micros(5_000_000), Micros(5_000_001));
-    c.put("on", once(ids(&[0]), 50, 300, 30, 60), stamp(0), at(0)).unwrap();
-    c.put("due", once(Targets::Cell(0), 100, 200, 30, 0), stamp(0), at(0)).unwrap();
-    c.put("much", once(Targets::Zone("b".into()), 100, 200, 30, 0), stamp(0), at(0)).unwrap();
+    c.put("on", once(ids(&[0]), 50, 300, 30, 60), stamp(0), at(0))
+        .unwrap();
+    c.put(
+        "due",
+        once(Targets::Cell(0), 100, 200, 30, 0),
+        stamp(0),
+        at(0),
+    )
+    .unwrap();
+    c.put(
+        "much",
+        once(Targets::Zone("b".into()), 100, 200, 30, 0),
+        stamp(0),
+        at(0),
+    )
+    .unwrap();
     run(&mut c, 0..60, &fleet, &idle());
-    assert_eq!(names(c.clone().out(at(80), heard, &fleet)), "s0", "the holder's word alone");
+    assert_eq!(
+        names(c.clone().out(at(80), heard, &fleet)),
+        "s0",
+        "the holder's word alone"
+    );
     assert_eq!(names(c.out(at(69), lost, &fleet)), "s0");
     // Due by its own clock, where the budget allows; a zone as a whole is over it.
     assert_eq!(names(c.out(at(70), lost, &fleet)), "s0 s1 s2 s3");
@@ -348,16 +605,42 @@
     assert_eq!(names(c.out(at(310), heard, &fleet)), "");
     // Begun by hand and over, it does not come again at its planned time, but the next day.
     let (mut c, fleet) = (calendar(0.5), self::fleet());
-    let when = When::Recurring { days: 0x7f, minute: 14 * 60, zone: "UTC".into(), lasts_s: 100 };
-    c.put("often", Spec { when, ..once(ids(&[1]), 0, 0, 30, 0) }, stamp(0), at(0)).unwrap();
+    let when = When::Recurring {
+        days: 0x7f,
+        minute: 14 * 60,
+        zone: "UTC".into(),
+        lasts_s: 100,
+    };
+    c.put(
+        "often",
+        Spec {
+            when,
+            ..once(ids(&[1]), 0, 0, 30, 0)
+        },
+        stamp(0),
+        at(0),
+    )
+    .unwrap();
     c.begin_now("often", stamp(10), at(10)).unwrap();
-    let outs = [10, 139, 140, 7200, 26 * 3600 - 31, 26 * 3600 - 30, 26 * 3600 + 100];
+    let outs = [
+        10,
+        139,
+        140,
+        7200,
+        26 * 3600 - 31,
+        26 * 3600 - 30,
+        26 * 3600 + 100,
+    ];
     let outs = outs.map(|s| names(c.out(at(s), lost, &fleet)));
     assert_eq!(outs, ["s1", "s1", "", "", "", "s1", ""]);
-    assert_eq!(c.list(at(5000))[0].begin.as_deref(), Some("2026-12-03T14:00:00Z"));
+    assert_eq!(
+        c.list(at(5000))[0].begin.as_deref(),
+        Some("2026-12-03T14:00:00Z")
+    );
     // An operator's cancel that reached the copy counts at once.
     let mut c = calendar(0.5);
-    c.put("off", once(ids(&[0]), 50, 300, 30, 0), stamp(0), at(0)).unwrap();
+    c.put("off", once(ids(&[0]), 50, 300, 30, 0), stamp(0), at(0))
+        .unwrap();
     assert_eq!(names(c.out(at(60), lost, &fleet)), "s0");
     c.cancel("off", stamp(61), at(61)).unwrap();
     assert_eq!(names(c.out(at(62), lost, &fleet)), "");
@@ -380,33 +663,76 @@
         by: "x".repeat(MOST_NAME),
     };
     spec.check().unwrap();
-    let stamp = Stamp { at: at(0), by: u64::MAX };
-    let change = Some(Stamped { stamp, value: Change { occurrence: at(0), at: at(100) } });
-    let token = Token { number: NOON.0 / 1000, by: u64::MAX };
-    let mark = Mark { occurrence: at(0), token, step: Step::Refused, at: at(0), why: "y".repeat(160) };
+    let stamp = Stamp {
+        at: at(0),
+        by: u64::MAX,
+    };
+    let change = Some(Stamped {
+        stamp,
+        value: Change {
+            occurrence: at(0),
+            at: at(100),
+        },
+    });
+    let token = Token {
+        number: NOON.0 / 1000,
+        by: u64::MAX,
+    };
+    let mark = Mark {
+        occurrence: at(0),
+        token,
+        step: Step::Refused,
+        at: at(0),
+        why: "y".repeat(160),
+    };
     let (spec, cancelled, mark) = (Stamped { stamp, value: spec }, Some(stamp), Some(mark));
-    Entry { id: "z".repeat(MOST_NAME), spec, extended: change.clone(), begun: change, cancelled, mark }
+    Entry {
+        id: "z".repeat(MOST_NAME),
+        spec,
+        extended: change.clone(),
+        begun: change,
+        cancelled,
+        mark,
+    }
 }
 
 #[test]
 fn the_largest_entry_fits_a_datagram() {
     let bytes = largest().encode();
-    assert!((1000..=MOST_ENTRY).contains(&bytes.len()), "{}", bytes.len());
+    assert!(
+        (1000..=MOST_ENTRY).contains(&bytes.len()),
+        "{}",
+        bytes.len()
+    );
     assert_eq!(Entry::decode(&bytes, at(0)), Ok(largest()));
-    let digest = Digest { from: u64::MAX, to: u64::MAX, rows: vec![(u64::MAX, u64::MAX); MOST_ROWS] };
+    let digest = Digest {
+        from: u64::MAX,
+        to: u64::MAX,
+        rows: vec![(u64::MAX, u64::MAX); MOST_ROWS],
+    };
     assert!(postcard::to_stdvec(&digest).unwrap().len() <= MOST_ENTRY);
     let mut odd = largest();
     odd.mark.as_mut().unwrap().token.number = u64::MAX;
-    assert!(matches!(Entry::decode(&odd.encode(), at(0)), Err(Garbled::Field(f)) if f.field == "mark"));
+    assert!(
+        matches!(Entry::decode(&odd.encode(), at(0)), Err(Garbled::Field(f)) if f.field == "mark")
+    );
 }
 
 #[test]
 fn who_joins_late_is_sent_all() {
     let (mut full, mut fresh, mut rounds) = (calendar(0.5), calendar(0.5), 0);
     for i in 0..MOST_WINDOWS {
-        full.put(&format!("w{i}"), once(ids(&[i % 12]), 100, 200, 30, 0), stamp(0), at(0)).unwrap();
+        full.put(
+            &format!("w{i}"),
+            once(ids(&[i % 12]), 100, 200, 30, 0),
+            stamp(0),
+            at(0),
+        )
+        .unwrap();
     }
-    fresh.put("own", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0)).unwrap();
+    fresh
+        .put("own", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0))
+        .unwrap();
     while full.digests(at(1)) != fresh.digests(at(1)) {
         rounds += 1;
         assert!(rounds < 10);
@@ -428,8 +754,13 @@
 fn entries() -> impl Strategy<Value = Entry> {
     let stamp = || (0..3u64, 0..3u64).prop_map(|(s, by)| Stamp { at: at(s), by });
     let change = || {
-        let of =
-            |(stamp, s): (Stamp, u64)| Stamped { stamp, value: Change { occurrence: at(100), at: at(s) } };
+        let of = |(stamp, s): (Stamp, u64)| Stamped {
+            stamp,
+            value: Change {
+                occurrence: at(100),
+                at: at(s),
+            },
+        };
         proptest::option::of((stamp(), 200..203u64).prop_map(of))
     };
     let steps = [
@@ -441,7 +772,12 @@
         Step::Done,
         Step::Refused,
     ];
-    let mark = (0..2u64, 0..3u64, proptest::sample::select(steps.to_vec()), 0..3u64);
+    let mark = (
+        0..2u64,
+        0..3u64,
+        proptest::sample::select(steps.to_vec()),
+        0..3u64,
+    );
     let mark = mark.prop_map(|(o, t, step, s)| Mark {
         occurrence: at(100 + o),
         token: token(t),
@@ -449,11 +785,27 @@
         at: at(s),
         why: format!("{s}"),
     });
-    let fields =
-        (stamp(), 0..2usize, change(), change(), proptest::option::of(stamp()), proptest::option::of(mark));
+    let fields = (
+        stamp(),
+        0..2usize,
+        change(),
+        change(),
+        proptest::option::of(stamp()),
+        proptest::option::of(mark),
+    );
     fields.prop_map(|(stamp, i, extended, begun, cancelled, mark)| {
-        let spec = Stamped { stamp, value: once(ids(&[i]), 100, 200, 30, 0) };
-        Entry { id: "w".into(), spec, extended, begun, cancelled, mark }
+        let spec = Stamped {
+            stamp,
+            value: once(ids(&[i]), 100, 200, 30, 0),
+        };
+        Entry {
+            id: "w".into(),
+            spec,
+            extended,
+            begun,
+            cancelled,
+            mark,
+        }
     })
 }
 
@@ -463,18 +815,36 @@
 }
 
 fn tell(to: &mut Calendar, entries: &[Entry], now: Wall) {
-    entries.iter().for_each(|e| assert!(to.merge(e, now).is_ok()));
+    entries
+        .iter()
+        .for_each(|e| assert!(to.merge(e, now).is_ok()));
 }
 
 /// An operator's call or nothing, at a second.
 fn call(c: &mut Calendar, kind: u8, i: usize, now: u64) {
-    let (id, s) = (format!("w{}", i % 6), Stamp { at: at(now), by: kind.into() });
+    let (id, s) = (
+        format!("w{}", i % 6),
+        Stamp {
+            at: at(now),
+            by: kind.into(),
+        },
+    );
     let _ = match kind {
         0..=3 => {
-            let targets =
-                [ids(&[i, (i + 2) % 12]), ids(&[i]), Targets::Cell(i as u64 % 3), Targets::Kind("m1".into())];
+            let targets = [
+                ids(&[i, (i + 2) % 12]),
+                ids(&[i]),
+                Targets::Cell(i as u64 % 3),
+                Targets::Kind("m1".into()),
+            ];
             let begin = now + 20 + 7 * i as u64;
-            let spec = once(targets[usize::from(kind)].clone(), begin, begin + 40, 10 * (i as u32 % 3), 15);
+            let spec = once(
+                targets[usize::from(kind)].clone(),
+                begin,
+                begin + 40,
+                10 * (i as u32 % 3),
+                15,
+            );
             c.put(&id, spec, s, at(now))
         }
         4 => c.cancel(&id, s, at(now)),
@@ -505,14 +875,33 @@
 
 /// The names that windows in these steps have, by an own reading of the list.
 fn had(
-    c: &Calendar, fleet: &Fleet, now: Wall, steps: &[Step], of: &dyn Fn(&str) -> bool,
+    c: &Calendar,
+    fleet: &Fleet,
+    now: Wall,
+    steps: &[Step],
+    of: &dyn Fn(&str) -> bool,
 ) -> BTreeSet<String> {
-    let views = c.list(now).into_iter().filter(|v| steps.contains(&v.phase) && of(&v.id));
+    let views = c
+        .list(now)
+        .into_iter()
+        .filter(|v| steps.contains(&v.phase) && of(&v.id));
     let names = views.flat_map(|v| match v.targets {
         Targets::Ids(ids) => ids.into_iter().collect::<Vec<_>>(),
-        Targets::Kind(kind) => fleet.iter().filter(|(_, b)| b.kind == kind).map(|(n, _)| n.clone()).collect(),
-        Targets::Zone(zone) => fleet.iter().filter(|(_, b)| b.zone == zone).map(|(n, _)| n.clone()).collect(),
-        Targets::Cell(cell) => fleet.iter().filter(|(_, b)| b.cell == cell).map(|(n, _)| n.clone()).collect(),
+        Targets::Kind(kind) => fleet
+            .iter()
+            .filter(|(_, b)| b.kind == kind)
+            .map(|(n, _)| n.clone())
+            .collect(),
+        Targets::Zone(zone) => fleet
+            .iter()
+            .filter(|(_, b)| b.zone == zone)
+            .map(|(n, _)| n.clone())
+            .collect(),
+        Targets::Cell(cell) => fleet
+            .iter()
+            .filter(|(_, b)| b.cell == cell)
+            .map(|(n, _)| n.clone())
+            .collect(),
     });
     names.collect()
 }
@@ -522,7 +911,9 @@
 
 /// Listed and free capacity of the kind or zone, without these.
 fn capacity(fleet: &Fleet, group: &str, without: &BTreeSet<String>) -> (f64, f64) {
-    let of = fleet.iter().filter(|(_, b)| b.kind == group || b.zone == group);
+    let of = fleet
+        .iter()
+        .filter(|(_, b)| b.kind == group || b.zone == group);
     of.fold((0.0, 0.0), |(listed, free), (name, b)| {
         let usable = b.serving && !b.out_by_hand && !without.contains(name);
         (listed + 1.0, free + if usable { b.ready } else { 0.0 })
@@ -531,7 +922,12 @@
 
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(19);
-    ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases,
+        rng_seed,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 proptest! {
@@ -733,7 +1129,9 @@
 fn the_fleet_is_needed_around_windows_only() {
     let mut calendar = calendar(0.4);
     assert!(!calendar.needs_fleet(at(0)) && !calendar.any_out());
-    calendar.put("w", once(ids(&[1]), 100, 130, 10, 0), stamp(0), at(0)).unwrap();
+    calendar
+        .put("w", once(ids(&[1]), 100, 130, 10, 0), stamp(0), at(0))
+        .unwrap();
     let mut needed = Vec::new();
     for secs in 0..200 {
         calendar.step(at(secs), token(8), &fleet(), &idle());
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -11,7 +11,13 @@
 
 fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_meadowproxy"));
-    for name in ["NODE_CONFIG", "NODE_CONTROL", "NODE_SOCKET_FD", "NODE_SNAPSHOT", "NODE_LOG_FORMAT"] {
+    for name in [
+        "NODE_CONFIG",
+        "NODE_CONTROL",
+        "NODE_SOCKET_FD",
+        "NODE_SNAPSHOT",
+        "NODE_LOG_FORMAT",
+    ] {
         command.env_remove(name);
     }
     command.args(arguments);
@@ -19,8 +25,15 @@
 }
 
 fn output(arguments: &[&str]) -> (Option<i32>, String) {
-    let Output { status, stdout, stderr } = program(arguments).output().unwrap();
-    (status.code(), String::from_utf8([stdout, stderr].concat()).unwrap())
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = program(arguments).output().unwrap();
+    (
+        status.code(),
+        String::from_utf8([stdout, stderr].concat()).unwrap(),
+    )
 }
 
 fn written(text: &str) -> String {
@@ -38,12 +51,23 @@
         (
             "aim_us = 400000",
             "aim_us = \"soon\"",
-            &["settings.profiles[0].aim_us: expected whole microseconds", "soon"],
+            &[
+                "settings.profiles[0].aim_us: expected whole microseconds",
+                "soon",
+            ],
+        ),
+        (
+            "sockets = 1024",
+            "sockets = \"many\"",
+            &["limits.sockets: ", "many"],
         ),
-        ("sockets = 1024", "sockets = \"many\"", &["limits.sockets: ", "many"]),
         ("my_zone = \"here\"", "", &["settings: my_zone: missing"]),
         ("listen = \"127.0.0.1:8080\"", "", &["listen"]),
-        ("whole = 1.0", "whole = 1.0\nwhol = 1.0", &["settings.blend.whol: unknown key"]),
+        (
+            "whole = 1.0",
+            "whole = 1.0\nwhol = 1.0",
+            &["settings.blend.whol: unknown key"],
+        ),
         (
             "sockets = 1024",
             "sockets = 1024\nsocket = 1\n[limit]\nx = 1",
@@ -54,7 +78,9 @@
         let (code, text) = output(&["check", &written(&sound.replacen(from, to, 1))]);
         assert_eq!(code, Some(2), "{to}: {text}");
         let text = text.replace("settings: profiles", "settings.profiles");
-        expected.iter().for_each(|words| assert!(text.contains(words), "{to}: {words:?} not in {text}"));
+        expected
+            .iter()
+            .for_each(|words| assert!(text.contains(words), "{to}: {words:?} not in {text}"));
     }
     // Each once, whatever stands before it, and nothing that only follows from another.
     let mut bad = sound.replace("name = \"write\"", "name = \"read\"");
@@ -87,14 +113,20 @@
         "settings: tick: expected a time above 0",
         "settings: seed: expected a number or up to 16 hex digits",
     ];
-    assert_eq!((code, text.lines().collect::<Vec<_>>()), (Some(2), expected.to_vec()));
+    assert_eq!(
+        (code, text.lines().collect::<Vec<_>>()),
+        (Some(2), expected.to_vec())
+    );
     for (set, words) in [
         ("settings.blend.whol=1", "unknown"),
         ("known.endpoints[7].name=x", "there is no"),
         ("x", "KEY=VALUE"),
     ] {
         let (code, text) = output(&["check", EXAMPLE, "--set", set]);
-        assert!(code == Some(2) && text.contains(words), "{set}: {code:?} {text}");
+        assert!(
+            code == Some(2) && text.contains(words),
+            "{set}: {code:?} {text}"
+        );
     }
 }
 
@@ -112,31 +144,66 @@
     for (peers, duties, words) in [
         ("name=x", voters.into(), "duties: peers is missing"),
         (old, voters.into(), "duties: peers.max_age_s"),
-        (peers, r#""voters":[]"#.into(), "duties: voters: expected 1, 3, 5 or 7"),
-        (peers, r#""voters":["127.0.0.1:1","127.0.0.1:2"]"#.into(), "duties: voters: expected 1, 3, 5 or 7"),
-        (peers, voters.replace(":3", ":2"), "duties: voters: an address stands twice"),
+        (
+            peers,
+            r#""voters":[]"#.into(),
+            "duties: voters: expected 1, 3, 5 or 7",
+        ),
+        (
+            peers,
+            r#""voters":["127.0.0.1:1","127.0.0.1:2"]"#.into(),
+            "duties: voters: expected 1, 3, 5 or 7",
+        ),
+        (
+            peers,
+            voters.replace(":3", ":2"),
+            "duties: voters: an address stands twice",
+        ),
         (peers, r#""voters":["here"]"#.into(), "duties.voters[0]: "),
-        (peers, format!(r#"{voters},"lease_ms":10"#), "duties: lease_ms"),
+        (
+            peers,
+            format!(r#"{voters},"lease_ms":10"#),
+            "duties: lease_ms",
+        ),
         (peers, format!(r#"{voters},"drift":0.5"#), "duties: drift"),
         (peers, format!(r#"{voters},"floor":1.5"#), "duties: floor"),
-        (peers, format!(r#"{voters},"zone_floor":-0.1"#), "duties: zone_floor"),
-        (peers, format!(r#"{voters},"flor":0.5"#), "unknown field `flor`"),
+        (
+            peers,
+            format!(r#"{voters},"zone_floor":-0.1"#),
+            "duties: zone_floor",
+        ),
+        (
+            peers,
+            format!(r#"{voters},"flor":0.5"#),
+            "unknown field `flor`",
+        ),
     ] {
         let (code, text) = check(peers, &duties);
-        assert!(code == Some(2) && text.contains(words), "{duties}: {code:?} {text}");
+        assert!(
+            code == Some(2) && text.contains(words),
+            "{duties}: {code:?} {text}"
+        );
     }
 }
 
 /// What `show-config` prints is itself a configuration, with the defaults in it and what was set.
 #[test]
 fn what_show_config_prints_is_the_configuration_in_force() {
-    let set =
-        ["--set", "settings.locality={\"leave_share\":0.5,\"ramp_us\":1000}", "--set", "snapshot.dir=/kept"];
+    let set = [
+        "--set",
+        "settings.locality={\"leave_share\":0.5,\"ramp_us\":1000}",
+        "--set",
+        "snapshot.dir=/kept",
+    ];
     let (code, shown) = output(&[&["show-config", EXAMPLE][..], &set].concat());
     assert_eq!(code, Some(0), "{shown}");
-    for line in
-        ["every_ms = 2000", "max_age_s = 300.0", "leave_share = 0.5", "dir = \"/kept\"", "sockets = 1024"]
-    {
+    for line in [
+        "every_ms = 2000",
+        "max_age_s = 300.0",
+        "leave_share = 0.5",
+        "dir = \"/kept\"",
+        "sockets = 1024",
+    ] {
         assert!(shown.contains(line), "{line} not in {shown}");
     }
     let again = written(&shown);
@@ -155,32 +222,65 @@
         .replace("127.0.0.1:9001", &at)
         .replace("127.0.0.1:9002", &at);
     let path = written(&sound);
-    let set = ["--set", "listen=127.0.0.1:0", "--set", "control=127.0.0.1:0", "--log-format", "json"];
+    let set = [
+        "--set",
+        "listen=127.0.0.1:0",
+        "--set",
+        "control=127.0.0.1:0",
+        "--log-format",
+        "json",
+    ];
     let mut command = program(&[&["run", "--config", &path][..], &set].concat());
-    let mut child = command.env("TMPDIR", folder()).stderr(Stdio::piped()).spawn().unwrap();
+    let mut child = command
+        .env("TMPDIR", folder())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let mut until = |words: &str| loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended before {words}");
-        let fields: serde_json::Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
+        assert!(
+            log.read_line(&mut line).unwrap() > 0,
+            "it ended before {words}"
+        );
+        let fields: serde_json::Value =
+            serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
         if line.contains(words) {
             return fields;
         }
     };
     let said = until("listens on")["message"].as_str().unwrap().to_string();
-    let address = said.split("listens on ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let address = said
+        .split("listens on ")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     let begun = Instant::now();
-    while Client::connect(address).ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status() != 200 {
+    while Client::connect(address)
+        .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+        .status()
+        != 200
+    {
         assert!(begun.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(Client::connect(address).ask(&read(1.0)).status(), 200);
     std::fs::write(&path, sound.replace("[settings.blend]", "[settings.blend")).unwrap();
-    let hangup = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap();
+    let hangup = Command::new("kill")
+        .args(["-HUP", &child.id().to_string()])
+        .status()
+        .unwrap();
     assert!(hangup.success());
     let line = until("configuration not taken");
     assert_eq!(line["level"], "WARN");
-    assert!(line["message"].as_str().unwrap().contains("settings.blend"), "{line}");
+    assert!(
+        line["message"].as_str().unwrap().contains("settings.blend"),
+        "{line}"
+    );
     assert_eq!(Client::connect(address).ask(&read(1.0)).status(), 200);
     let _ = child.kill();
     let _ = child.wait();
@@ -190,10 +290,21 @@
 #[test]
 fn the_readme_runs_the_example() {
     let command = "cargo run --release -- run --config examples/local.toml";
-    assert!(include_str!("../README.md").lines().any(|line| line == command), "{command}");
+    assert!(
+        include_str!("../README.md")
+            .lines()
+            .any(|line| line == command),
+        "{command}"
+    );
     let manifest: toml::Table = include_str!("../Cargo.toml").parse().unwrap();
-    let program = manifest["package"].get("default-run").and_then(|name| name.as_str());
-    assert_eq!(program, Some("meadowproxy"), "of two programs cargo has to know which");
+    let program = manifest["package"]
+        .get("default-run")
+        .and_then(|name| name.as_str());
+    assert_eq!(
+        program,
+        Some("meadowproxy"),
+        "of two programs cargo has to know which"
+    );
 }
 
 /// Every key of the example, those in its commented parts too, has its place in the page on the configuration.
@@ -203,15 +314,31 @@
     let mut table = String::new();
     let mut keys = 0;
     for line in std::fs::read_to_string(EXAMPLE).unwrap().lines() {
-        let line = line.trim_start_matches("# ").split('#').next().unwrap().trim();
+        let line = line
+            .trim_start_matches("# ")
+            .split('#')
+            .next()
+            .unwrap()
+            .trim();
         let words = |text: &str| !text.contains(' ');
-        if let Some(name) = line.strip_prefix('[').and_then(|l| l.strip_suffix(']')).filter(|l| words(l)) {
+        if let Some(name) = line
+            .strip_prefix('[')
+            .and_then(|l| l.strip_suffix(']'))
+            .filter(|l| words(l))
+        {
             table = name.trim_matches(['[', ']']).to_string();
         } else if let Some((key, _)) = line.split_once(" = ").filter(|(key, _)| words(key)) {
             let item = ["known.endpoints", "settings.profiles"].contains(&table.as_str());
-            let path = if item || table.is_empty() { key.into() } else { format!("{table}.{key}") };
-            let row =
-                if item { page.lines().find(|l| l.contains(&format!("`{table}`"))) } else { Some(page) };
+            let path = if item || table.is_empty() {
+                key.into()
+            } else {
+                format!("{table}.{key}")
+            };
+            let row = if item {
+                page.lines().find(|l| l.contains(&format!("`{table}`")))
+            } else {
+                Some(page)
+            };
             assert!(
                 row.is_some_and(|row| row.contains(&format!("`{path}`"))),
                 "{table} {key}: not in the page"
@@ -226,7 +353,13 @@
 /// bytes that are none, or the half of one at the end, are refused.
 #[test]
 fn a_long_file_is_text_to_its_end() {
-    let config = rig::told("127.0.0.1:0", "127.0.0.1:9".parse().unwrap(), 1024, &[], SETTINGS);
+    let config = rig::told(
+        "127.0.0.1:0",
+        "127.0.0.1:9".parse().unwrap(),
+        1024,
+        &[],
+        SETTINGS,
+    );
     let path = folder().join("config.json");
     let check = |bytes: &[u8]| {
         std::fs::write(&path, bytes).unwrap();
@@ -236,15 +369,32 @@
         let name = format!("{}{}", "x".repeat(ahead), "\u{10348}é€".repeat(9_000));
         let long = config.replace("\"north\"", &format!("\"{name}\""));
         assert!(long.len() > 80_000 && long != config);
-        assert_eq!(check(long.as_bytes()), (Some(0), "ok\n".into()), "{ahead} ahead");
+        assert_eq!(
+            check(long.as_bytes()),
+            (Some(0), "ok\n".into()),
+            "{ahead} ahead"
+        );
         let mut bytes = long.clone().into_bytes();
-        let at = bytes.len() - 1_000 - bytes.iter().rev().skip(1_000).take_while(|b| b.is_ascii()).count();
+        let at = bytes.len()
+            - 1_000
+            - bytes
+                .iter()
+                .rev()
+                .skip(1_000)
+                .take_while(|b| b.is_ascii())
+                .count();
         bytes[at - 1] = 0xff;
         let (code, text) = check(&bytes);
-        assert!(code == Some(2) && text.contains("cannot read") && text.contains("UTF-8"), "{text}");
+        assert!(
+            code == Some(2) && text.contains("cannot read") && text.contains("UTF-8"),
+            "{text}"
+        );
     }
     // At the very end the parser may be the first to see it.
     let half = [config.as_bytes(), b" ", &"é".as_bytes()[..1]].concat();
     let (code, text) = check(&half);
-    assert!(code == Some(2) && text.lines().count() == 1 && text.contains("config.json"), "{text}");
+    assert!(
+        code == Some(2) && text.lines().count() == 1 && text.contains("config.json"),
+        "{text}"
+    );
 }
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -18,10 +18,22 @@
 }
 
 const WAYS: [Leave; 4] = [
-    Leave { reset: false, bytes: true },
-    Leave { reset: true, bytes: true },
-    Leave { reset: false, bytes: false },
-    Leave { reset: true, bytes: false },
+    Leave {
+        reset: false,
+        bytes: true,
+    },
+    Leave {
+        reset: true,
+        bytes: true,
+    },
+    Leave {
+        reset: false,
+        bytes: false,
+    },
+    Leave {
+        reset: true,
+        bytes: false,
+    },
 ];
 
 impl Leave {
@@ -36,7 +48,9 @@
     /// Leaves, though the kernel may not bring that to the proxy's side before it has read what stands before.
     fn turn_away(self, client: Client) {
         let tcp = client.0.get_ref();
-        socket2::SockRef::from(tcp).set_linger(self.reset.then_some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(tcp)
+            .set_linger(self.reset.then_some(Duration::ZERO))
+            .unwrap();
     }
 
     /// Leaves, and waits until the kernel has brought that to the proxy's side.
@@ -44,7 +58,10 @@
         let tcp = client.0.get_ref();
         let (own, proxy) = (tcp.local_addr().unwrap(), tcp.peer_addr().unwrap());
         self.turn_away(client);
-        until(|| sockets(ESTABLISHED, Some(proxy), own) == 0, "the end never arrived");
+        until(
+            || sockets(ESTABLISHED, Some(proxy), own) == 0,
+            "the end never arrived",
+        );
     }
 }
 
@@ -65,8 +82,12 @@
     let named = |at: SocketAddr| format!("0100007F:{:04X}", at.port());
     let (from, to) = (from.map(named), named(to));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let fields = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    fields.filter(|f| f[3] == state && f[2] == to && from.as_ref().is_none_or(|from| f[1] == *from)).count()
+    let fields = table
+        .lines()
+        .map(|line| line.split_whitespace().collect::<Vec<_>>());
+    fields
+        .filter(|f| f[3] == state && f[2] == to && from.as_ref().is_none_or(|from| f[1] == *from))
+        .count()
 }
 
 fn until(done: impl Fn() -> bool, otherwise: &str) {
@@ -79,12 +100,19 @@
 
 /// All that came before this was read by the proxy.
 fn in_hand(proxy: &Proxy) {
-    assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(
+        proxy
+            .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
+        200
+    );
 }
 
 fn figure(proxy: &Proxy, name: &str) -> u32 {
     let text = String::from_utf8(proxy.call("GET /metrics").body).unwrap();
-    let value = text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse::<f64>().ok());
+    let value = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.trim().parse::<f64>().ok());
     value.unwrap_or_else(|| panic!("no {name} in {text}")) as u32
 }
 
@@ -94,7 +122,9 @@
 }
 
 fn upload(length: usize) -> String {
-    pay(3.0).replace("Length: 4", &format!("Length: {length}")).replace("cash", &"x".repeat(length))
+    pay(3.0)
+        .replace("Length: 4", &format!("Length: {length}"))
+        .replace("cash", &"x".repeat(length))
 }
 
 /// No backend serves; the list that brings one and the clients' ends meet, in either order.
@@ -113,7 +143,9 @@
         if list_first {
             answer.send((200, news.clone())).unwrap();
         }
-        left.into_iter().chain(bodies).for_each(|(way, client)| way.go(client));
+        left.into_iter()
+            .chain(bodies)
+            .for_each(|(way, client)| way.go(client));
         if !list_first {
             answer.send((200, news)).unwrap();
         }
@@ -133,7 +165,10 @@
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send(&read(3.0)));
     let out = || figure(&proxy, "meadowproxy_attempts_total");
-    until(|| figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.count(), "never all out");
+    until(
+        || figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.count(),
+        "never all out",
+    );
     assert!(backend.count() < 20, "none waits");
     let late = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
     in_hand(&proxy);
@@ -141,8 +176,13 @@
     late.into_iter().for_each(|(way, client)| way.go(client));
     gate.open();
     proxy.go_on();
-    clients.iter_mut().for_each(|c| drop(c.answer().expect("an answer")));
-    until(|| proxy.ask(&read(3.0)).status() == 200, "nothing more is served");
+    clients
+        .iter_mut()
+        .for_each(|c| drop(c.answer().expect("an answer")));
+    until(
+        || proxy.ask(&read(3.0)).status() == 200,
+        "nothing more is served",
+    );
     assert_eq!(sent_on(&backend), 0);
 }
 
@@ -156,9 +196,12 @@
     const QUEUE: usize = 8;
 
     fn new() -> Late {
-        let new = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let new =
+            || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = new();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         socket.listen(Late::QUEUE as i32 - 1).unwrap();
         let to = socket.local_addr().unwrap();
         let connected = |_| {
@@ -166,7 +209,10 @@
             client.connect(&to).unwrap();
             client
         };
-        Late { _queue: (0..Late::QUEUE).map(connected).collect(), listener: socket.into() }
+        Late {
+            _queue: (0..Late::QUEUE).map(connected).collect(),
+            listener: socket.into(),
+        }
     }
 
     /// Takes those who filled the queue: whoever tries now comes up.
@@ -198,7 +244,10 @@
     let known = [entry("b0", late.listener.local_addr().unwrap(), "SERVING")];
     let proxy = Proxy::with(&known, 1024, &slow);
     let left = WAYS.map(|way| (way, way.ask(&proxy, &read(9.0))));
-    until(|| sockets(SYN_SENT, None, late.listener.local_addr().unwrap()) == 4, "not all were dispatched");
+    until(
+        || sockets(SYN_SENT, None, late.listener.local_addr().unwrap()) == 4,
+        "not all were dispatched",
+    );
     proxy.hold();
     late.open();
     let came: Vec<_> = (0..4).map(|_| late.accept()).collect(); // up, as the proxy will find
@@ -212,7 +261,12 @@
         answer_each(tcp, tell.clone());
     }
     let listener = late.listener.try_clone().unwrap();
-    std::thread::spawn(move || listener.incoming().flatten().for_each(|tcp| answer_each(tcp, tell.clone())));
+    std::thread::spawn(move || {
+        listener
+            .incoming()
+            .flatten()
+            .for_each(|tcp| answer_each(tcp, tell.clone()))
+    });
     assert_eq!(stays.answer().expect("an answer").status(), 200);
     assert_eq!(heard.try_iter().count(), 1);
 }
@@ -244,7 +298,10 @@
             })
         };
         let (a, b) = (start(), start());
-        let proxy = Proxy::start(&[entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")]);
+        let proxy = Proxy::start(&[
+            entry("b0", a.address, "SERVING"),
+            entry("b1", b.address, "SERVING"),
+        ]);
         (0..25).for_each(|_| served(&proxy)); // each saves up for a further attempt
         let (theirs, failed) = (Cell::new(0), Cell::new(0));
         let heard = || {
@@ -281,8 +338,10 @@
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     proxy.hold();
-    WAYS.iter().for_each(|way| way.go(way.ask(&proxy, &read(3.0))));
-    WAYS.iter().for_each(|way| way.go(way.ask(&proxy, &upload(100_000))));
+    WAYS.iter()
+        .for_each(|way| way.go(way.ask(&proxy, &read(3.0))));
+    WAYS.iter()
+        .for_each(|way| way.go(way.ask(&proxy, &upload(100_000))));
     proxy.go_on();
     served(&proxy);
     assert_eq!(sent_on(&backend), 0);
@@ -293,7 +352,13 @@
 fn a_pipelined_request_is_not_sent_on_once_its_client_left() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let backend = BackendServer::start(move |n| if n < 4 { Reply::Gate(wait.clone()) } else { ok("x") });
+    let backend = BackendServer::start(move |n| {
+        if n < 4 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("x")
+        }
+    });
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let left = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
     until(|| backend.count() == 4, "not all were sent");
