--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -58,7 +58,13 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: Micros(400_000), aim_stretch: 0.0, effect, worth: 1.0, late_worth: 0.0 }
+    Class {
+        aim: Micros(400_000),
+        aim_stretch: 0.0,
+        effect,
+        worth: 1.0,
+        late_worth: 0.0,
+    }
 }
 
 impl Host {
@@ -94,18 +100,34 @@
     fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend } => {
-                let r = self.requests.get_mut(&request).expect("dispatch of a known request");
+                let r = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("dispatch of a known request");
                 assert!(r.answer.is_none(), "sent after the final answer");
                 let b = self.list.get(&backend).expect("a listed backend");
-                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.second_copies || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
+                assert_eq!(
+                    b.state,
+                    BackendState::Ready,
+                    "sent to a backend that drains or is gone"
+                );
+                assert!(
+                    r.tries.len() < self.cfg.max_attempts as usize,
+                    "too many attempts"
+                );
+                assert!(
+                    self.cfg.second_copies || r.tries.iter().all(|t| t.outcome.is_some()),
+                    "two at once"
+                );
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
                     match self.cfg.classes[r.class].effect {
                         Effect::Free => {}
                         Effect::Unsafe => panic!("an unsafe request was sent twice"),
                         Effect::Keyed(scope, window) => {
-                            assert!(self.now <= t.at + window, "a key was repeated after its window");
+                            assert!(
+                                self.now <= t.at + window,
+                                "a key was repeated after its window"
+                            );
                             let same = match scope {
                                 KeyScope::All => true,
                                 KeyScope::Zone => t.zone == b.zone,
@@ -116,9 +138,18 @@
                     }
                 }
                 let (zone, cell, at) = (b.zone, b.cell, self.now);
-                r.tries.push(Try { backend, zone, cell, at, outcome: None });
+                r.tries.push(Try {
+                    backend,
+                    zone,
+                    cell,
+                    at,
+                    outcome: None,
+                });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 assert!(retry_after > Micros(0), "refused without advice");
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let ran = r.tries.iter().any(Try::may_have_run);
@@ -136,7 +167,10 @@
             Action::Cancel { request, attempt } => {
                 assert!(self.cfg.cancel, "cancel is not allowed");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
+                assert!(
+                    (attempt.0 as usize) < r.tries.len(),
+                    "cancelled what was never sent"
+                );
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
@@ -154,7 +188,9 @@
 
     pub fn members(&mut self, update: ListUpdate, backends: Vec<Backend>) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            self.list.values_mut().for_each(|b| b.state = BackendState::Gone);
+            self.list
+                .values_mut()
+                .for_each(|b| b.state = BackendState::Gone);
         }
         for b in &backends {
             self.list.insert(b.id, b.clone());
@@ -170,7 +206,13 @@
         self.next += 1;
         let id = RequestId(self.next);
         let deadline = self.now + Micros(left);
-        let open = Open { class, deadline, tries: Vec::new(), streaming: false, answer: None };
+        let open = Open {
+            class,
+            deadline,
+            tries: Vec::new(),
+            streaming: false,
+            answer: None,
+        };
         self.requests.insert(id, open);
         self.event(Event::Request(Arrival {
             request: id,
@@ -194,14 +236,24 @@
         self.event(Event::Timer { token });
         self.event(Event::ClientGone { request });
         self.event(Event::StreamStarted { request, attempt });
-        self.event(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled: false }));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            settled: false,
+        }));
     }
 
     /// Ends an attempt that is out.
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else {
+            return;
+        };
         t.outcome = Some(outcome);
         let latency = now - t.at;
         if outcome == Outcome::Ok && r.answer.is_none() {
@@ -209,16 +261,29 @@
         }
         let settled = r.answer.is_some();
         let attempt = AttemptNo(no as u32);
-        self.event(Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, latency, settled }));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            settled,
+        }));
     }
 
     pub fn start_stream(&mut self, id: RequestId, no: usize) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
+        let Some(r) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| r.answer.is_none() && !r.streaming)
+        else {
             return;
         };
         if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
-            self.event(Event::StreamStarted { request: id, attempt: AttemptNo(no as u32) });
+            self.event(Event::StreamStarted {
+                request: id,
+                attempt: AttemptNo(no as u32),
+            });
         }
     }
 
@@ -227,7 +292,9 @@
         let until = self.now + Micros(span);
         while self.now < until {
             self.now = (self.now + self.cfg.tick).min(until);
-            let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
+            let (due, rest) = std::mem::take(&mut self.timers)
+                .into_iter()
+                .partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
             for (_, token) in due {
@@ -244,13 +311,20 @@
             }
             for (id, r) in &self.requests {
                 let open = r.answer.is_none() && !r.streaming;
-                assert!(!open || self.now < r.deadline + Micros(16_000), "no answer in time for {id:?}");
+                assert!(
+                    !open || self.now < r.deadline + Micros(16_000),
+                    "no answer in time for {id:?}"
+                );
             }
         }
     }
 
     pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.backend.0).collect()
+        self.requests[&id]
+            .tries
+            .iter()
+            .map(|t| t.backend.0)
+            .collect()
     }
 
     /// Serves everything that is out, each after `span`.
@@ -263,7 +337,11 @@
 
     pub fn out(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+            r.tries
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.outcome.is_none())
+                .map(|(no, _)| (*id, no))
         });
         each.collect()
     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -2,8 +2,8 @@
 //! know that they are none any more, voters that forget, proxies that start anew. Real machines, a random host.
 
 use meadowproxy::fleet::config::{
-    Acceptor, Change, Digest, Edit, Entry, Event, Key, Kind, Memory, Message, Node, Paxos, Replica, Rules,
-    Submission, Surroundings, Table, Value,
+    Acceptor, Change, Digest, Edit, Entry, Event, Key, Kind, Memory, Message, Node, Paxos, Replica,
+    Rules, Submission, Surroundings, Table, Value,
 };
 use meadowproxy::fleet::lease::{self, Ballot, Token};
 use meadowproxy::{Micros, Time};
@@ -32,7 +32,13 @@
         1 => Value::AsFile,
         _ => Value::Set(value.to_le_bytes().to_vec()),
     };
-    Edit { key: Key { kind: Kind::Tenant, name: format!("t-{name}") }, value }
+    Edit {
+        key: Key {
+            kind: Kind::Tenant,
+            name: format!("t-{name}"),
+        },
+        value,
+    }
 }
 
 struct Proxy {
@@ -102,9 +108,18 @@
 
     fn fresh(&mut self, n: usize) -> Proxy {
         let voters = (0..self.voters).map(address).collect();
-        let rules = Rules { lease: lease_rules(self.voters), voters, own: address(n) };
+        let rules = Rules {
+            lease: lease_rules(self.voters),
+            voters,
+            own: address(n),
+        };
         let replica = Replica::new(rules, self.random.next_u64(), Time(self.now));
-        Proxy { replica, holding: None, up: true, version: 0 }
+        Proxy {
+            replica,
+            holding: None,
+            up: true,
+            version: 0,
+        }
     }
 
     fn draw(&mut self, below: usize) -> usize {
@@ -117,10 +132,14 @@
 
     /// Lets one proxy act, and checks what its copy became.
     fn act(
-        &mut self, n: usize,
+        &mut self,
+        n: usize,
         act: impl FnOnce(&mut Replica, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>),
     ) {
-        let members: Vec<SocketAddr> = (0..self.proxies.len()).filter(|m| *m != n).map(address).collect();
+        let members: Vec<SocketAddr> = (0..self.proxies.len())
+            .filter(|m| *m != n)
+            .map(address)
+            .collect();
         let holder = self.holder.map(address);
         let around = Surroundings {
             wall_ms: WALL + self.now / MS,
@@ -130,12 +149,23 @@
             holder,
         };
         let mut out = Vec::new();
-        act(&mut self.proxies[n].replica, Time(self.now), &around, &mut out);
+        act(
+            &mut self.proxies[n].replica,
+            Time(self.now),
+            &around,
+            &mut out,
+        );
         for (to, message) in out {
             self.post(n, to, message);
         }
         let proxy = &mut self.proxies[n];
-        for change in proxy.replica.table().since(proxy.version).into_iter().flatten() {
+        for change in proxy
+            .replica
+            .table()
+            .since(proxy.version)
+            .into_iter()
+            .flatten()
+        {
             let link = self.links.entry(change.after).or_insert(change.clone());
             assert_eq!(link, change, "two changes follow version {}", change.after);
         }
@@ -143,21 +173,34 @@
         for event in proxy.replica.events() {
             match event {
                 Event::InForce { version, entries } => {
-                    assert!(version > proxy.version, "proxy {n} went from {} to {version}", proxy.version);
+                    assert!(
+                        version > proxy.version,
+                        "proxy {n} went from {} to {version}",
+                        proxy.version
+                    );
                     proxy.version = version;
                     self.steps_of_many += u64::from(entries.len() > 2);
                     versions.push(version);
                 }
-                Event::Outcome { id, result: Ok(number) } => drop(self.acknowledged.insert(id, number)),
+                Event::Outcome {
+                    id,
+                    result: Ok(number),
+                } => drop(self.acknowledged.insert(id, number)),
                 Event::Outcome { .. } => self.refused += 1,
                 Event::Superseded(_) => proxy.holding = None,
-                Event::Diverged(other) => panic!("proxy {n} and {other} differ at version {}", proxy.version),
+                Event::Diverged(other) => {
+                    panic!("proxy {n} and {other} differ at version {}", proxy.version)
+                }
             }
         }
         let digest = proxy.replica.table().digest();
         assert_eq!(digest.version, proxy.version);
         let root = *self.roots.entry(digest.version).or_insert(digest.root);
-        assert_eq!(root, digest.root, "two states have version {}", digest.version);
+        assert_eq!(
+            root, digest.root,
+            "two states have version {}",
+            digest.version
+        );
     }
 
     fn post(&mut self, from: usize, to: SocketAddr, message: Message) {
@@ -169,7 +212,10 @@
         for _ in 0..copies {
             let late = self.draw(self.weather.late_us as usize) as u64;
             self.sent += 1;
-            self.wire.insert((self.now + MS + late, self.sent), (from, to, message.clone()));
+            self.wire.insert(
+                (self.now + MS + late, self.sent),
+                (from, to, message.clone()),
+            );
         }
     }
 
@@ -178,7 +224,10 @@
         let end = self.now + span;
         let mut tick = self.now;
         while self.now < end {
-            let message = self.wire.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
+            let message = self
+                .wire
+                .first_key_value()
+                .map_or(u64::MAX, |((at, _), _)| *at);
             if message < tick {
                 let ((at, _), (from, to, message)) = self.wire.pop_first().unwrap();
                 self.now = at;
@@ -203,7 +252,10 @@
     /// Gives the duty to a proxy. The one before it does not know yet.
     fn elect(&mut self, n: usize) {
         self.token += 1;
-        self.proxies[n].holding = Some(Ballot { number: self.token, by: n as u64 });
+        self.proxies[n].holding = Some(Ballot {
+            number: self.token,
+            by: n as u64,
+        });
         self.holder = Some(n);
     }
 
@@ -221,7 +273,9 @@
         self.submitted += 1;
         let (id, base) = (self.submitted, self.proxies[n].version);
         let submission = Submission { id, base, edits };
-        self.act(n, |r, now, around, out| drop(r.submit(now, around, submission, out)));
+        self.act(n, |r, now, around, out| {
+            drop(r.submit(now, around, submission, out))
+        });
         id
     }
 
@@ -275,14 +329,22 @@
                     fleet.proxies[n] = fleet.fresh(n);
                     let begins = fleet.chance(0.5);
                     if let Some(table) = fleet.kept.get(n).filter(|_| begins).cloned() {
-                        let entries = table.range(0, u64::MAX).map(|(_, entry)| entry.clone()).collect();
-                        let table = Table::restore(table.digest(), entries).expect("as it was kept");
+                        let entries = table
+                            .range(0, u64::MAX)
+                            .map(|(_, entry)| entry.clone())
+                            .collect();
+                        let table =
+                            Table::restore(table.digest(), entries).expect("as it was kept");
                         fleet.act(n, |r, _, _, _| r.restore(table));
                     }
                 }
             }
             5 => {
-                fleet.kept = fleet.proxies.iter().map(|p| p.replica.table().clone()).collect();
+                fleet.kept = fleet
+                    .proxies
+                    .iter()
+                    .map(|p| p.replica.table().clone())
+                    .collect();
             }
             _ => {
                 let n = fleet.draw(size);
@@ -293,26 +355,45 @@
                     fleet.submit(n, vec![Edit::contains(upto)]);
                     continue;
                 }
-                let edits: BTreeMap<usize, u64> =
-                    (0..1 + fleet.draw(3)).map(|_| (fleet.draw(30), fleet.random.next_u64())).collect();
-                fleet.submit(n, edits.into_iter().map(|(name, value)| edit(name, value)).collect());
+                let edits: BTreeMap<usize, u64> = (0..1 + fleet.draw(3))
+                    .map(|_| (fleet.draw(30), fleet.random.next_u64()))
+                    .collect();
+                fleet.submit(
+                    n,
+                    edits
+                        .into_iter()
+                        .map(|(name, value)| edit(name, value))
+                        .collect(),
+                );
             }
         }
         let span = 1 + fleet.draw(900) as u64 * MS;
         fleet.run(span);
     }
     fleet.side = vec![0; size];
-    fleet.weather = Weather { loss: 0.0, doubled: 0.0, late_us: 20 * MS };
+    fleet.weather = Weather {
+        loss: 0.0,
+        doubled: 0.0,
+        late_us: 20 * MS,
+    };
     let holder = fleet.draw(size);
     fleet.settle(holder, 12);
     let at = fleet.draw(size);
     let last = fleet.submit(at, vec![edit(99, 5)]);
     fleet.settle(holder, 5);
-    assert!(fleet.acknowledged.contains_key(&last), "changes can be made again: {:?}", fleet.versions());
+    assert!(
+        fleet.acknowledged.contains_key(&last),
+        "changes can be made again: {:?}",
+        fleet.versions()
+    );
     assert_eq!(fleet.versions().len(), 1, "all are equal");
     let chain = fleet.chain();
     let ends = (chain[0].after, chain[chain.len() - 1].number);
-    assert_eq!((ends.0, Some(&ends.1)), (0, fleet.versions().first()), "all of it");
+    assert_eq!(
+        (ends.0, Some(&ends.1)),
+        (0, fleet.versions().first()),
+        "all of it"
+    );
     for pair in chain.windows(2) {
         assert_eq!(pair[1].after, pair[0].number, "one chain");
     }
@@ -320,8 +401,14 @@
     assert_eq!(ids.len(), chain.len(), "no change twice");
     for (id, number) in &fleet.acknowledged {
         // One that changed nothing has the number of the state in which all was so already.
-        let kept = ids.get(id).map_or(*number <= chain[chain.len() - 1].number, |n| n == number);
-        assert!(kept, "change {id} was acknowledged as {number}, and is {:?}", ids.get(id));
+        let kept = ids
+            .get(id)
+            .map_or(*number <= chain[chain.len() - 1].number, |n| n == number);
+        assert!(
+            kept,
+            "change {id} was acknowledged as {number}, and is {:?}",
+            ids.get(id)
+        );
     }
     fleet
 }
@@ -339,26 +426,50 @@
 
 #[test]
 fn storms_acknowledge_and_refuse() {
-    let weather = Weather { loss: 0.05, doubled: 0.05, late_us: 100 * MS };
+    let weather = Weather {
+        loss: 0.05,
+        doubled: 0.05,
+        late_us: 100 * MS,
+    };
     let fleets: Vec<Fleet> = (0..6).map(|seed| storm(seed, 24, weather)).collect();
     let acknowledged: usize = fleets.iter().map(|f| f.acknowledged.len()).sum();
     let submitted: u64 = fleets.iter().map(|f| f.submitted).sum();
     println!("{acknowledged} of {submitted} acknowledged");
-    assert!(acknowledged as u64 * 4 > submitted, "{acknowledged} of {submitted}");
+    assert!(
+        acknowledged as u64 * 4 > submitted,
+        "{acknowledged} of {submitted}"
+    );
 }
 
 /// Small fleets of voters whose messages are mostly lost, so that what is under way is often known to few.
 #[test]
 fn voters_alone_keep_what_they_acknowledged() {
     for seed in 0..40 {
-        storm(seed, 5 + seed as usize % 3, Weather { loss: 0.45, doubled: 0.1, late_us: 900 * MS });
+        storm(
+            seed,
+            5 + seed as usize % 3,
+            Weather {
+                loss: 0.45,
+                doubled: 0.1,
+                late_us: 900 * MS,
+            },
+        );
     }
 }
 
 /// The least fleet: one voter's word is the majority.
 #[test]
 fn one_voter_decides_alone() {
-    let mut fleet = Fleet::new(3, 1, 3, Weather { loss: 0.1, doubled: 0.1, late_us: 50 * MS });
+    let mut fleet = Fleet::new(
+        3,
+        1,
+        3,
+        Weather {
+            loss: 0.1,
+            doubled: 0.1,
+            late_us: 50 * MS,
+        },
+    );
     fleet.settle(0, 6);
     for n in 0..3 {
         let id = fleet.submit(n, vec![edit(n, 9)]);
@@ -379,7 +490,10 @@
         [Paxos::Recover { nonce }] => *nonce,
         _ => panic!("{out:?}"),
     };
-    let memory = |version| Memory { version, ..Memory::default() };
+    let memory = |version| Memory {
+        version,
+        ..Memory::default()
+    };
     acceptor.known(now, WALL, 9, 0, asked(&out), (true, memory(10)));
     acceptor.known(now, WALL, 9, 2, asked(&out), (false, memory(9)));
     assert_eq!((acceptor.reaching(), acceptor.votes()), (Some(10), false));
@@ -400,7 +514,11 @@
 /// A proxy that is no voter, with so many changes of one entry each, told by another.
 fn filled(own: usize, changes: impl Iterator<Item = Change>) -> Replica {
     let voters = (0..5).map(address).collect();
-    let rules = Rules { lease: lease_rules(5), voters, own: address(own) };
+    let rules = Rules {
+        lease: lease_rules(5),
+        voters,
+        own: address(own),
+    };
     let mut replica = Replica::new(rules, own as u64, Time(0));
     for change in changes {
         tell(&mut replica, vec![change]);
@@ -410,24 +528,50 @@
 }
 
 fn tell(replica: &mut Replica, changes: Vec<Change>) {
-    let message = Message::Changes { changes, version: 0, push: false };
-    replica.handle(Time(0), &around(&[]), address(OTHER), message, &mut Vec::new()).unwrap();
+    let message = Message::Changes {
+        changes,
+        version: 0,
+        push: false,
+    };
+    replica
+        .handle(
+            Time(0),
+            &around(&[]),
+            address(OTHER),
+            message,
+            &mut Vec::new(),
+        )
+        .unwrap();
 }
 
 fn around(members: &[SocketAddr]) -> Surroundings<'_> {
-    Surroundings { wall_ms: WALL, members, near: &[], holding: None, holder: None }
+    Surroundings {
+        wall_ms: WALL,
+        members,
+        near: &[],
+        holding: None,
+        holder: None,
+    }
 }
 
 /// A chain of changes, of these entries.
 fn changes(edits: impl Iterator<Item = Edit>) -> impl Iterator<Item = Change> {
-    let numbered = |(n, edit): (u64, Edit)| Change { number: n + 1, after: n, id: n, edits: vec![edit] };
+    let numbered = |(n, edit): (u64, Edit)| Change {
+        number: n + 1,
+        after: n,
+        id: n,
+        edits: vec![edit],
+    };
     (0..).zip(edits).map(numbered)
 }
 
 /// Passes messages between two proxies until the second one is as the first; each one that is lost by chance costs time.
 /// Gives how many went either way, and the events of the second.
 fn repair(
-    first: &mut Replica, second: &mut Replica, loss: f64, mut later: Vec<Change>,
+    first: &mut Replica,
+    second: &mut Replica,
+    loss: f64,
+    mut later: Vec<Change>,
 ) -> (usize, Vec<Event>) {
     let (a, b) = (address(8), address(9));
     let mut random = Pcg32::seed_from_u64(5);
@@ -464,7 +608,12 @@
             first.table().digest()
         );
     }
-    let entries = |r: &Replica| r.table().range(0, u64::MAX).map(|(_, e)| e.clone()).collect::<Vec<_>>();
+    let entries = |r: &Replica| {
+        r.table()
+            .range(0, u64::MAX)
+            .map(|(_, e)| e.clone())
+            .collect::<Vec<_>>()
+    };
     assert_eq!(entries(first), entries(second));
     (passed, events)
 }
@@ -477,36 +626,64 @@
     let mut first = filled(8, chain.into_iter());
     let mut second = filled(9, std::iter::empty());
     let (passed, events) = repair(&mut first, &mut second, 0.02, later);
-    let Event::InForce { version, entries } = &events[0] else { panic!("{:?}", events[0]) };
-    println!("{passed} messages; first in force {version} with {} entries", entries.len());
-    assert!(*version >= 8990 && entries.len() == 6000, "{version}, {}", entries.len());
+    let Event::InForce { version, entries } = &events[0] else {
+        panic!("{:?}", events[0])
+    };
+    println!(
+        "{passed} messages; first in force {version} with {} entries",
+        entries.len()
+    );
+    assert!(
+        *version >= 8990 && entries.len() == 6000,
+        "{version}, {}",
+        entries.len()
+    );
 }
 
 /// What the files contain is dropped, also at a copy that has it and gets the newest state by ranges: there the entries are gone
 /// without a word, as the proxy's own file may not contain them yet.
 #[test]
 fn a_fetched_state_says_nothing_of_what_the_files_contain() {
-    let edits = (0..9000).map(|n| if n == 8000 { Edit::contains(4000) } else { edit(n, 9) });
+    let edits = (0..9000).map(|n| {
+        if n == 8000 {
+            Edit::contains(4000)
+        } else {
+            edit(n, 9)
+        }
+    });
     let chain: Vec<Change> = changes(edits).collect();
     let mut second = filled(9, chain[..3000].iter().cloned());
     let mut first = filled(8, chain.into_iter());
-    assert_eq!((first.table().len(), first.table().contained()), (5000, 4000));
+    assert_eq!(
+        (first.table().len(), first.table().contained()),
+        (5000, 4000)
+    );
     let (_, events) = repair(&mut first, &mut second, 0.0, Vec::new());
-    let Event::InForce { version, entries } = &events[0] else { panic!("{:?}", events[0]) };
+    let Event::InForce { version, entries } = &events[0] else {
+        panic!("{:?}", events[0])
+    };
     assert_eq!((*version, entries.len()), (9000, 5000));
-    assert!(entries.iter().all(|entry| entry.edit.value != Value::AsFile));
+    assert!(entries
+        .iter()
+        .all(|entry| entry.edit.value != Value::AsFile));
 }
 
 /// A copy that differs in few of many entries asks for these ranges only.
 #[test]
 fn few_differences_among_many_entries_cost_few_messages() {
     let most = 20_000;
-    let chain: Vec<Change> =
-        changes((0..most).map(|n| edit(n, 9)).chain((0..5000).map(|n| edit(n % 10, n as u64)))).collect();
+    let chain: Vec<Change> = changes(
+        (0..most)
+            .map(|n| edit(n, 9))
+            .chain((0..5000).map(|n| edit(n % 10, n as u64))),
+    )
+    .collect();
     let mut second = filled(9, chain[..most].iter().cloned());
     let mut first = filled(8, chain.into_iter());
     let (passed, events) = repair(&mut first, &mut second, 0.0, Vec::new());
-    let Event::InForce { version, entries } = &events[0] else { panic!("{:?}", events[0]) };
+    let Event::InForce { version, entries } = &events[0] else {
+        panic!("{:?}", events[0])
+    };
     assert_eq!((*version, entries.len()), (most as u64 + 5000, 10));
     println!("{passed} messages");
     assert!(passed < 120, "{passed} messages");
@@ -532,13 +709,23 @@
     println!("{} bytes", bytes.len());
     assert!(bytes.len() <= 20, "{} bytes", bytes.len());
     let mut answers = Vec::new();
-    second.handle(Time(0), &around(&[]), address(8), out.remove(0).1, &mut answers).unwrap();
+    second
+        .handle(
+            Time(0),
+            &around(&[]),
+            address(8),
+            out.remove(0).1,
+            &mut answers,
+        )
+        .unwrap();
     assert_eq!(answers, []);
 }
 
 fn key() -> impl Strategy<Value = Key> {
-    (0..2, "[a-c]{0,2}")
-        .prop_map(|(kind, name)| Key { kind: if kind == 0 { Kind::Route } else { Kind::Tenant }, name })
+    (0..2, "[a-c]{0,2}").prop_map(|(kind, name)| Key {
+        kind: if kind == 0 { Kind::Route } else { Kind::Tenant },
+        name,
+    })
 }
 
 fn any_edit() -> impl Strategy<Value = Edit> {
@@ -551,8 +738,18 @@
 }
 
 fn any_change() -> impl Strategy<Value = Change> {
-    (0u64..6, 0u64..6, any::<u64>(), prop::collection::vec(any_edit(), 0..3))
-        .prop_map(|(number, after, id, edits)| Change { number, after, id, edits })
+    (
+        0u64..6,
+        0u64..6,
+        any::<u64>(),
+        prop::collection::vec(any_edit(), 0..3),
+    )
+        .prop_map(|(number, after, id, edits)| Change {
+            number,
+            after,
+            id,
+            edits,
+        })
 }
 
 fn any_message() -> impl Strategy<Value = Message> {
@@ -593,8 +790,16 @@
     ];
     prop_oneof![
         paxos.prop_map(Message::Paxos),
-        (prop::collection::vec(any_change(), 0..4), 0u64..9, any::<bool>())
-            .prop_map(|(changes, version, push)| Message::Changes { changes, version, push }),
+        (
+            prop::collection::vec(any_change(), 0..4),
+            0u64..9,
+            any::<bool>()
+        )
+            .prop_map(|(changes, version, push)| Message::Changes {
+                changes,
+                version,
+                push
+            }),
         (digest(), any::<(bool, bool)>()).prop_map(|(digest, (new, ask))| Message::Digest {
             digest,
             new,
@@ -602,14 +807,35 @@
         }),
         (0u64..9).prop_map(|version| Message::Since { version }),
         node().prop_map(|node| Message::Hashes { node }),
-        (digest(), node(), prop::collection::vec(any::<u64>(), 0..20))
-            .prop_map(|(digest, node, hashes)| Message::Children { digest, node, hashes }),
+        (digest(), node(), prop::collection::vec(any::<u64>(), 0..20)).prop_map(
+            |(digest, node, hashes)| Message::Children {
+                digest,
+                node,
+                hashes
+            }
+        ),
         any::<(u64, u64)>().prop_map(|(from, to)| Message::Range { from, to }),
-        (digest(), any::<(u64, u64)>(), prop::collection::vec(entry(), 0..4))
-            .prop_map(|(digest, (from, to), entries)| Message::Part { digest, from, to, entries }),
-        (any::<u64>(), 0u64..9, prop::collection::vec(any_edit(), 0..3))
+        (
+            digest(),
+            any::<(u64, u64)>(),
+            prop::collection::vec(entry(), 0..4)
+        )
+            .prop_map(|(digest, (from, to), entries)| Message::Part {
+                digest,
+                from,
+                to,
+                entries
+            }),
+        (
+            any::<u64>(),
+            0u64..9,
+            prop::collection::vec(any_edit(), 0..3)
+        )
             .prop_map(|(id, base, edits)| Message::Submit(Submission { id, base, edits })),
-        (any::<u64>(), any::<u64>()).prop_map(|(id, number)| Message::Outcome { id, result: Ok(number) }),
+        (any::<u64>(), any::<u64>()).prop_map(|(id, number)| Message::Outcome {
+            id,
+            result: Ok(number)
+        }),
     ]
 }
 
@@ -650,10 +876,18 @@
     let mut replica = filled(9, changes((0..3).map(|n| edit(n, 9))));
     let before = replica.table().digest();
     let of = |name: usize, value: usize| Edit {
-        key: Key { kind: Kind::Route, name: "n".repeat(name) },
+        key: Key {
+            kind: Kind::Route,
+            name: "n".repeat(name),
+        },
         value: Value::Set(vec![0; value]),
     };
-    let change = |number: u64, after: u64, edits: Vec<Edit>| Change { number, after, id: 1, edits };
+    let change = |number: u64, after: u64, edits: Vec<Edit>| Change {
+        number,
+        after,
+        id: 1,
+        edits,
+    };
     let wrong = [
         (change(4, 4, vec![of(1, 1)]), "number"),
         (change(1 << 53, 3, vec![of(1, 1)]), "number"),
@@ -666,22 +900,58 @@
         (change(4, 3, (1..18).map(|n| of(n, 1)).collect()), "entry"),
     ];
     let mut cause = |message: Message, from: usize| {
-        let refused = replica.handle(Time(0), &around(&[]), address(from), message, &mut Vec::new());
+        let refused = replica.handle(
+            Time(0),
+            &around(&[]),
+            address(from),
+            message,
+            &mut Vec::new(),
+        );
         assert_eq!(replica.table().digest(), before);
         refused.err().map_or("", |why| why.cause())
     };
     for (change, why) in wrong {
-        let told = Message::Changes { changes: vec![change.clone()], version: 0, push: true };
+        let told = Message::Changes {
+            changes: vec![change.clone()],
+            version: 0,
+            push: true,
+        };
         assert_eq!(cause(told, OTHER), why, "{change:?}");
     }
     let token = Ballot { number: 1, by: 1 };
-    assert_eq!(cause(Message::Paxos(Paxos::Accepted { token, round: 1 }), OTHER), "stranger");
-    assert_eq!(cause(Message::Paxos(Paxos::Prepare { token, round: 1 }), 0), "no_voter");
-    assert_eq!(cause(Message::Hashes { node: Node { level: 4, index: 0 } }, OTHER), "unasked");
+    assert_eq!(
+        cause(Message::Paxos(Paxos::Accepted { token, round: 1 }), OTHER),
+        "stranger"
+    );
+    assert_eq!(
+        cause(Message::Paxos(Paxos::Prepare { token, round: 1 }), 0),
+        "no_voter"
+    );
+    assert_eq!(
+        cause(
+            Message::Hashes {
+                node: Node { level: 4, index: 0 }
+            },
+            OTHER
+        ),
+        "unasked"
+    );
     assert_eq!(cause(Message::Range { from: 2, to: 1 }, OTHER), "unasked");
-    let digest = Digest { version: 9, root: 1 };
-    let part = Message::Part { digest, from: 0, to: 9, entries: Vec::new() };
+    let digest = Digest {
+        version: 9,
+        root: 1,
+    };
+    let part = Message::Part {
+        digest,
+        from: 0,
+        to: 9,
+        entries: Vec::new(),
+    };
     assert_eq!(cause(part, OTHER), "unasked");
-    let children = Message::Children { digest, node: Node::ROOT, hashes: vec![0; 16] };
+    let children = Message::Children {
+        digest,
+        node: Node::ROOT,
+        hashes: vec![0; 16],
+    };
     assert_eq!(cause(children, OTHER), "unasked");
 }
--- a/tests/config_files.rs
+++ b/tests/config_files.rs
@@ -80,7 +80,13 @@
 }
 
 fn set(name: &str, number: u64) -> Edit {
-    Edit { key: Key { kind: Kind::Tenant, name: name.into() }, value: Value::Set(vec![number as u8]) }
+    Edit {
+        key: Key {
+            kind: Kind::Tenant,
+            name: name.into(),
+        },
+        value: Value::Set(vec![number as u8]),
+    }
 }
 
 fn put(state: &mut State, key: &Key, value: &Value) {
@@ -97,25 +103,38 @@
     /// What all files and tables together say at a version.
     fn state(&self, version: u64) -> State {
         let mut state = State::from([("a".into(), 0), ("b".into(), 0)]);
-        let edits = self.chain[..version as usize].iter().flat_map(|change| &change.edits);
-        edits.filter(|edit| edit.key.kind == Kind::Tenant).for_each(|e| put(&mut state, &e.key, &e.value));
+        let edits = self.chain[..version as usize]
+            .iter()
+            .flat_map(|change| &change.edits);
+        edits
+            .filter(|edit| edit.key.kind == Kind::Tenant)
+            .for_each(|e| put(&mut state, &e.key, &e.value));
         state
     }
 
     /// The latest version that has this state, none where it is none.
     fn version_of(&self, state: &State) -> Option<u64> {
-        (0..=self.newest()).rev().find(|version| self.state(*version) == *state)
+        (0..=self.newest())
+            .rev()
+            .find(|version| self.state(*version) == *state)
     }
 
     fn table(&self, version: u64) -> Table {
         let mut table = Table::default();
-        self.chain[..version as usize].iter().for_each(|change| assert!(table.apply(change).is_ok()));
+        self.chain[..version as usize]
+            .iter()
+            .for_each(|change| assert!(table.apply(change).is_ok()));
         table
     }
 
     fn decide(&mut self, edits: Vec<Edit>) {
         let after = self.newest();
-        self.chain.push(Change { number: after + 1, after, id: after, edits });
+        self.chain.push(Change {
+            number: after + 1,
+            after,
+            id: after,
+            edits,
+        });
     }
 }
 
@@ -133,7 +152,16 @@
         let overrides = Overrides::new(self.told(version));
         let (in_force, waiting) = (world.state(version), Vec::new());
         let (copy, file, heard, reached, back) = (0, version, false, 0, false);
-        Proxy { copy, overrides, file, heard, in_force, waiting, reached, back }
+        Proxy {
+            copy,
+            overrides,
+            file,
+            heard,
+            in_force,
+            waiting,
+            reached,
+            back,
+        }
     }
 
     /// A copy came to another version, as the event says.
@@ -173,7 +201,13 @@
 
     fn init_states(&self) -> Vec<World> {
         let (chain, proxies) = Default::default();
-        let mut world = World { chain, proxies, dropped: false, lacking: false, refused: false };
+        let mut world = World {
+            chain,
+            proxies,
+            dropped: false,
+            lacking: false,
+            refused: false,
+        };
         world.proxies = (0..PROXIES).map(|_| self.start(&world, 0)).collect();
         vec![world]
     }
@@ -214,8 +248,13 @@
                 self.take(&mut world, p, change.number, change.entries());
             }
             Act::Fetch(p) => {
-                let (mine, theirs) = (world.table(world.proxies[p].copy), world.table(world.newest()));
-                let entries = theirs.range(0, u64::MAX).filter(|(at, entry)| mine.get(*at) != Some(entry));
+                let (mine, theirs) = (
+                    world.table(world.proxies[p].copy),
+                    world.table(world.newest()),
+                );
+                let entries = theirs
+                    .range(0, u64::MAX)
+                    .filter(|(at, entry)| mine.get(*at) != Some(entry));
                 let entries = entries.map(|(_, entry)| entry.clone()).collect();
                 let newest = world.newest();
                 self.take(&mut world, p, newest, entries);
@@ -235,7 +274,9 @@
             }
         }
         for p in 0..PROXIES {
-            let now = world.version_of(&world.proxies[p].in_force).unwrap_or_default();
+            let now = world
+                .version_of(&world.proxies[p].in_force)
+                .unwrap_or_default();
             let proxy = &mut world.proxies[p];
             let counts = proxy.heard && !fresh;
             proxy.back |= counts && now < proxy.reached;
@@ -247,7 +288,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(STATE, |_, world: &World| {
-                world.proxies.iter().all(|proxy| world.version_of(&proxy.in_force).is_some())
+                world
+                    .proxies
+                    .iter()
+                    .all(|proxy| world.version_of(&proxy.in_force).is_some())
             }),
             Property::always(NEWEST, |_, world: &World| {
                 let of = |proxy: &Proxy| match proxy.overrides.lacks() {
@@ -256,7 +300,9 @@
                 };
                 world.proxies.iter().all(of)
             }),
-            Property::always(BACK, |_, world: &World| !world.proxies.iter().any(|proxy| proxy.back)),
+            Property::always(BACK, |_, world: &World| {
+                !world.proxies.iter().any(|proxy| proxy.back)
+            }),
             Property::sometimes(DROPPED, |_, world: &World| world.dropped),
             Property::sometimes(LACKING, |_, world: &World| world.lacking),
             Property::sometimes(REFUSED, |_, world: &World| world.refused),
@@ -264,9 +310,22 @@
     }
 }
 
-fn search(fault: Fault, threads: usize, until: HasDiscoveries) -> (usize, BTreeMap<&'static str, Vec<Act>>) {
-    let checker = Files { fault }.checker().threads(threads).finish_when(until).spawn_bfs().join();
-    let found = checker.discoveries().into_iter().map(|(name, path)| (name, path.into_actions())).collect();
+fn search(
+    fault: Fault,
+    threads: usize,
+    until: HasDiscoveries,
+) -> (usize, BTreeMap<&'static str, Vec<Act>>) {
+    let checker = Files { fault }
+        .checker()
+        .threads(threads)
+        .finish_when(until)
+        .spawn_bfs()
+        .join();
+    let found = checker
+        .discoveries()
+        .into_iter()
+        .map(|(name, path)| (name, path.into_actions()))
+        .collect();
     (checker.unique_state_count(), found)
 }
 
@@ -274,7 +333,11 @@
 fn whatever_files_the_proxies_have_a_state_of_the_chain_is_in_force() {
     let (states, found) = search(Fault::None, 2, HasDiscoveries::All);
     println!("{states} states");
-    assert_eq!(found.keys().copied().collect::<Vec<_>>(), [REFUSED, LACKING, DROPPED], "{found:?}");
+    assert_eq!(
+        found.keys().copied().collect::<Vec<_>>(),
+        [REFUSED, LACKING, DROPPED],
+        "{found:?}"
+    );
 }
 
 /// Each part of the rule is needed: without it the search finds a way to what must not be.
@@ -288,7 +351,12 @@
     ];
     for (fault, property) in faults {
         let (states, found) = search(fault, 1, HasDiscoveries::AllOf([property].into()));
-        let way = found.get(property).unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
-        println!("{fault:?}: fails after {} steps, {states} states: {way:?}", way.len());
+        let way = found
+            .get(property)
+            .unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
+        println!(
+            "{fault:?}: fails after {} steps, {states} states: {way:?}",
+            way.len()
+        );
     }
 }
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -13,8 +13,10 @@
 const WALL: u64 = 1000;
 
 const NUMBER: &str = "no two changes have one number";
-const KEPT: &str = "no two changes are decided after one version, so none that was acknowledged is lost";
-const CHAIN: &str = "every copy is a prefix of one chain, so a change comes into force everywhere or nowhere";
+const KEPT: &str =
+    "no two changes are decided after one version, so none that was acknowledged is lost";
+const CHAIN: &str =
+    "every copy is a prefix of one chain, so a change comes into force everywhere or nowhere";
 const FINISHED: &str = "a change of one holder may be finished by the next";
 const DROPPED: &str = "a change that was proposed may be dropped";
 const RECOVERED: &str = "a change is possible with a voter that had forgotten";
@@ -118,11 +120,20 @@
 }
 
 fn token(p: usize) -> Token {
-    Ballot { number: p as u64 + 1, by: 0 }
+    Ballot {
+        number: p as u64 + 1,
+        by: 0,
+    }
 }
 
 fn edits() -> Vec<Edit> {
-    vec![Edit { key: Key { kind: Kind::Tenant, name: "a".into() }, value: Value::Removed }]
+    vec![Edit {
+        key: Key {
+            kind: Kind::Tenant,
+            name: "a".into(),
+        },
+        value: Value::Removed,
+    }]
 }
 
 fn round_of(message: &Paxos) -> Option<u32> {
@@ -145,7 +156,12 @@
             acceptor.known(awake(), 0, 0, other, 1, (true, Default::default()));
         }
         assert!(acceptor.votes());
-        Seat { acceptor: Some(acceptor), copy: Vec::new(), answers: BTreeSet::new(), open: Vec::new() }
+        Seat {
+            acceptor: Some(acceptor),
+            copy: Vec::new(),
+            answers: BTreeSet::new(),
+            open: Vec::new(),
+        }
     }
 }
 
@@ -167,7 +183,10 @@
     }
 
     fn copies(&self) -> impl Iterator<Item = &Vec<Change>> {
-        self.seats.iter().map(|s| &s.copy).chain(self.players.iter().map(|p| &p.copy))
+        self.seats
+            .iter()
+            .map(|s| &s.copy)
+            .chain(self.players.iter().map(|p| &p.copy))
     }
 
     /// Takes what a holder put out.
@@ -185,7 +204,8 @@
     fn forget(&mut self) {
         let rounds: Vec<Option<u32>> = self.players.iter().map(|p| p.round).collect();
         for seat in &mut self.seats {
-            seat.answers.retain(|(p, answer)| round_of(answer) == rounds[*p]);
+            seat.answers
+                .retain(|(p, answer)| round_of(answer) == rounds[*p]);
         }
     }
 
@@ -193,7 +213,9 @@
     fn hear(&mut self, p: usize, voter: usize, answer: Paxos) {
         let player = &mut self.players[p];
         let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
-        let Some(proposer) = &mut player.proposer else { return };
+        let Some(proposer) = &mut player.proposer else {
+            return;
+        };
         let step = proposer.heard(now, version, voter, answer, &mut out);
         if proposer.is_ready() || proposer.reaching().is_some() {
             player.round = None;
@@ -230,8 +252,14 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let player =
-            Player { proposer: None, copy: Vec::new(), now: Time(0), round: None, retries: 0, proposed: 0 };
+        let player = Player {
+            proposer: None,
+            copy: Vec::new(),
+            now: Time(0),
+            round: None,
+            retries: 0,
+            proposed: 0,
+        };
         vec![World {
             seats: (0..VOTERS).map(Seat::old).collect(),
             players: vec![player; HOLDERS],
@@ -277,12 +305,18 @@
         for p in 0..HOLDERS {
             let answered = |seat: &Seat| seat.answers.iter().any(|(to, _)| *to == p);
             let pairs = [[0, 1], [0, 2], [1, 2]];
-            let answered = pairs.iter().filter(|pair| pair.iter().all(|n| answered(&world.seats[*n])));
+            let answered = pairs
+                .iter()
+                .filter(|pair| pair.iter().all(|n| answered(&world.seats[*n])));
             acts.extend(answered.map(|pair| Act::Agree(p, *pair)));
             acts.extend((0..VOTERS + HOLDERS).map(|to| Act::Spread(p, to)));
         }
         if world.restarts < self.restarts {
-            acts.push(if self.all { Act::RestartAll } else { Act::Restart });
+            acts.push(if self.all {
+                Act::RestartAll
+            } else {
+                Act::Restart
+            });
         }
     }
 
@@ -298,7 +332,13 @@
                 if self.fault == Fault::NoRead {
                     for voter in 0..VOTERS / 2 + 1 {
                         let (token, version) = (token(p), version(&world.players[p].copy));
-                        let promise = Paxos::Promise { token, round: 1, version, accepted: None, floor: 0 };
+                        let promise = Paxos::Promise {
+                            token,
+                            round: 1,
+                            version,
+                            accepted: None,
+                            floor: 0,
+                        };
                         world.hear(p, voter, promise);
                     }
                 }
@@ -315,19 +355,34 @@
                 let player = &mut world.players[p];
                 player.proposed += 1;
                 let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
-                player.proposer.as_mut()?.propose(now, 0, version, (p as u64, edits()), &mut out)?;
+                player.proposer.as_mut()?.propose(
+                    now,
+                    0,
+                    version,
+                    (p as u64, edits()),
+                    &mut out,
+                )?;
                 world.say(p, out);
             }
             Act::Arrive(p, message, voter) => {
                 let seat = &mut world.seats[voter];
                 let answer = seat.acceptor.as_mut()?.handle(message, version(&seat.copy));
                 // A holder that does not hear that it is none does more than one that does.
-                seat.answers.extend(answer.filter(|a| round_of(a).is_some()).map(|answer| (p, answer)));
+                seat.answers.extend(
+                    answer
+                        .filter(|a| round_of(a).is_some())
+                        .map(|answer| (p, answer)),
+                );
                 world.forget();
             }
             Act::Agree(p, seats) => {
                 for voter in seats {
-                    let answer = world.seats[voter].answers.iter().find(|(to, _)| *to == p)?.1.clone();
+                    let answer = world.seats[voter]
+                        .answers
+                        .iter()
+                        .find(|(to, _)| *to == p)?
+                        .1
+                        .clone();
                     world.hear(p, voter, answer);
                 }
             }
@@ -340,11 +395,15 @@
                 mine.push(theirs[mine.len()].clone());
                 let version = version(mine);
                 if let Some(seat) = world.seats.get_mut(to) {
-                    seat.acceptor.iter_mut().for_each(|a| a.tick(awake(), WALL, version, &mut Vec::new()));
+                    seat.acceptor
+                        .iter_mut()
+                        .for_each(|a| a.tick(awake(), WALL, version, &mut Vec::new()));
                 } else {
                     let player = &mut world.players[to - VOTERS];
                     let mut out = Vec::new();
-                    if let Some(proposer) = player.proposer.as_mut().filter(|p| p.reaching().is_some()) {
+                    if let Some(proposer) =
+                        player.proposer.as_mut().filter(|p| p.reaching().is_some())
+                    {
                         proposer.tick(player.now, version, &mut out);
                     }
                     world.say(to - VOTERS, out);
@@ -380,16 +439,27 @@
         if !self.all {
             properties.push(Property::always(KEPT, |_, world: &World| !world.again));
             properties.push(Property::always(CHAIN, |_, world: &World| {
-                let longest = world.copies().max_by_key(|copy| copy.len()).cloned().unwrap_or_default();
+                let longest = world
+                    .copies()
+                    .max_by_key(|copy| copy.len())
+                    .cloned()
+                    .unwrap_or_default();
                 world.copies().all(|copy| longest.starts_with(copy))
             }));
-            properties.push(Property::sometimes(FINISHED, |_, world: &World| world.finished));
-            properties.push(Property::sometimes(DROPPED, |_, world: &World| world.dropped));
+            properties.push(Property::sometimes(FINISHED, |_, world: &World| {
+                world.finished
+            }));
+            properties.push(Property::sometimes(DROPPED, |_, world: &World| {
+                world.dropped
+            }));
         }
         if self.restarts > 0 {
             properties.push(Property::sometimes(RECOVERED, |_, world: &World| {
                 world.recovered
-                    && world.seats.iter().all(|s| s.acceptor.as_ref().is_some_and(Acceptor::votes))
+                    && world
+                        .seats
+                        .iter()
+                        .all(|s| s.acceptor.as_ref().is_some_and(Acceptor::votes))
             }));
         }
         properties
@@ -401,7 +471,12 @@
         let open = self.players.iter().map(|p| p.round).collect();
         let seat = &mut self.seats[voter];
         // What it answered may still arrive.
-        *seat = Seat { acceptor: None, copy: Vec::new(), answers: std::mem::take(&mut seat.answers), open };
+        *seat = Seat {
+            acceptor: None,
+            copy: Vec::new(),
+            answers: std::mem::take(&mut seat.answers),
+            open,
+        };
     }
 }
 
@@ -426,29 +501,61 @@
 
     fn tell(&self, world: &mut World, from: usize, to: usize) -> Option<()> {
         let known = version(&world.seats[from].copy);
-        let answer = world.seats[from].acceptor.as_mut()?.handle(Paxos::Recover { nonce: 1 }, known)?;
-        let Paxos::Known { nonce, mut memory, remembers } = answer else { return None };
+        let answer = world.seats[from]
+            .acceptor
+            .as_mut()?
+            .handle(Paxos::Recover { nonce: 1 }, known)?;
+        let Paxos::Known {
+            nonce,
+            mut memory,
+            remembers,
+        } = answer
+        else {
+            return None;
+        };
         if self.fault == Fault::NoAccepted {
             memory.accepted = None;
         }
-        let wall = if self.fault == Fault::NoFloor { 0 } else { WALL };
+        let wall = if self.fault == Fault::NoFloor {
+            0
+        } else {
+            WALL
+        };
         let seat = &mut world.seats[to];
         let version = version(&seat.copy);
-        seat.acceptor.as_mut()?.known(awake(), wall, version, from, nonce, (remembers, memory));
+        seat.acceptor
+            .as_mut()?
+            .known(awake(), wall, version, from, nonce, (remembers, memory));
         Some(())
     }
 
     fn of(restarts: u8, retries: u8, changes: u8) -> Fleet {
-        Fleet { fault: Fault::None, restarts, all: false, retries, changes }
+        Fleet {
+            fault: Fault::None,
+            restarts,
+            all: false,
+            retries,
+            changes,
+        }
     }
 
     /// The states seen, the longest way to one, and the ways to what was found. One thread finds the shortest.
     fn search(
-        self, threads: usize, until: HasDiscoveries,
+        self,
+        threads: usize,
+        until: HasDiscoveries,
     ) -> (usize, usize, BTreeMap<&'static str, Vec<Act>>) {
-        let checker = self.checker().threads(threads).finish_when(until).spawn_bfs().join();
-        let found =
-            checker.discoveries().into_iter().map(|(name, path)| (name, path.into_actions())).collect();
+        let checker = self
+            .checker()
+            .threads(threads)
+            .finish_when(until)
+            .spawn_bfs()
+            .join();
+        let found = checker
+            .discoveries()
+            .into_iter()
+            .map(|(name, path)| (name, path.into_actions()))
+            .collect();
         (checker.unique_state_count(), checker.max_depth(), found)
     }
 }
@@ -456,9 +563,24 @@
 #[test]
 fn no_order_of_events_splits_the_chain() {
     let searches = [
-        ("two holders, one change each", Fleet::of(0, 0, 1), vec![FINISHED, DROPPED]),
-        ("a voter forgets", Fleet::of(1, 0, 1), vec![FINISHED, DROPPED, RECOVERED]),
-        ("all voters forget at once", Fleet { all: true, ..Fleet::of(1, 0, 1) }, vec![RECOVERED]),
+        (
+            "two holders, one change each",
+            Fleet::of(0, 0, 1),
+            vec![FINISHED, DROPPED],
+        ),
+        (
+            "a voter forgets",
+            Fleet::of(1, 0, 1),
+            vec![FINISHED, DROPPED, RECOVERED],
+        ),
+        (
+            "all voters forget at once",
+            Fleet {
+                all: true,
+                ..Fleet::of(1, 0, 1)
+            },
+            vec![RECOVERED],
+        ),
     ];
     for (name, fleet, expected) in searches {
         let (states, depth, found) = fleet.search(3, HasDiscoveries::All);
@@ -479,11 +601,24 @@
         (Fault::NoSilence, Fleet::of(1, 0, 1), KEPT),
         (Fault::NoRecovery, Fleet::of(1, 0, 1), KEPT),
         (Fault::NoAccepted, Fleet::of(1, 0, 1), KEPT),
-        (Fault::NoFloor, Fleet { all: true, ..Fleet::of(1, 0, 1) }, NUMBER),
+        (
+            Fault::NoFloor,
+            Fleet {
+                all: true,
+                ..Fleet::of(1, 0, 1)
+            },
+            NUMBER,
+        ),
     ];
     for (fault, fleet, property) in faults {
-        let (states, _, found) = Fleet { fault, ..fleet }.search(1, HasDiscoveries::AllOf([property].into()));
-        let way = found.get(property).unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
-        println!("{fault:?}: {property} fails after {} steps, {states} states: {way:?}", way.len());
+        let (states, _, found) =
+            Fleet { fault, ..fleet }.search(1, HasDiscoveries::AllOf([property].into()));
+        let way = found
+            .get(property)
+            .unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
+        println!(
+            "{fault:?}: {property} fails after {} steps, {states} states: {way:?}",
+            way.len()
+        );
     }
 }
--- a/tests/config_scale.rs
+++ b/tests/config_scale.rs
@@ -71,7 +71,11 @@
         let lease = lease::Rules::new(VOTERS, Micros(3_000_000), 0.01).unwrap();
         let mut random = Pcg32::seed_from_u64(seed);
         let voters: Vec<SocketAddr> = (0..VOTERS).map(address).collect();
-        let of = |n| Rules { lease, voters: voters.clone(), own: address(n) };
+        let of = |n| Rules {
+            lease,
+            voters: voters.clone(),
+            own: address(n),
+        };
         let proxies = (0..size).map(|n| {
             let mut replica = Replica::new(of(n), random.next_u64(), Time(0));
             replica.take_part();
@@ -80,7 +84,8 @@
         let proxies: Vec<Replica> = proxies.collect();
         let addresses = (0..size).chain(0..size).map(address).collect();
         // Their clocks' workers do not go in step.
-        let due = (0..size).map(|n| Reverse((u64::from(random.next_u32() % 100_000), n as u64, n, None)));
+        let due =
+            (0..size).map(|n| Reverse((u64::from(random.next_u32() % 100_000), n as u64, n, None)));
         let (bytes, versions, at) = (vec![0; size], vec![0; size], vec![0; size]);
         Fleet {
             due: due.collect(),
@@ -102,7 +107,8 @@
     }
 
     fn act(
-        &mut self, n: usize,
+        &mut self,
+        n: usize,
         act: impl FnOnce(&mut Replica, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>),
     ) {
         let size = self.proxies.len();
@@ -116,7 +122,10 @@
             wall_ms: 1_800_000_000_000 + self.now / MS,
             members,
             near: &[],
-            holding: (n == 0).then_some(Ballot { number: self.token, by: 1 }),
+            holding: (n == 0).then_some(Ballot {
+                number: self.token,
+                by: 1,
+            }),
             holder: Some(address(0)),
         };
         let mut out = Vec::new();
@@ -142,7 +151,11 @@
                 continue;
             }
             // A hop takes up to 5 ms in a region and 20 to 100 ms between two.
-            let (least, more) = if n % REGIONS == to % REGIONS { (MS, 4 * MS) } else { (20 * MS, 80 * MS) };
+            let (least, more) = if n % REGIONS == to % REGIONS {
+                (MS, 4 * MS)
+            } else {
+                (20 * MS, 80 * MS)
+            };
             let late = least + u64::from(self.random.next_u32()) % more;
             let slot = self.free.pop().unwrap_or_else(|| {
                 self.messages.push(None);
@@ -150,14 +163,17 @@
             });
             self.messages[slot] = Some(message);
             self.count += 1;
-            self.due.push(Reverse((self.now + late, self.count, to, Some((n, slot)))));
+            self.due
+                .push(Reverse((self.now + late, self.count, to, Some((n, slot)))));
         }
     }
 
     fn run(&mut self, span: u64) {
         let end = self.now + span;
         while self.due.peek().is_some_and(|due| due.0 .0 < end) {
-            let Some(Reverse((at, _, n, message))) = self.due.pop() else { return };
+            let Some(Reverse((at, _, n, message))) = self.due.pop() else {
+                return;
+            };
             self.now = at;
             match message {
                 Some((from, slot)) => {
@@ -180,11 +196,18 @@
     /// Has one proxy ask for a change; how long after that each came to it, in milliseconds, sorted.
     fn change(&mut self, id: u64, by: usize, span: u64) -> Vec<u64> {
         let value = Value::Set(vec![id as u8; 200]);
-        let edits = vec![Edit { key: Key { kind: Kind::Tenant, name: format!("tenant-{id}") }, value }];
+        let edits = vec![Edit {
+            key: Key {
+                kind: Kind::Tenant,
+                name: format!("tenant-{id}"),
+            },
+            value,
+        }];
         let (begun, base) = (self.now, self.versions[by]);
         let before = self.versions.clone();
         self.act(by, |r, now, around, out| {
-            r.submit(now, around, Submission { id, base, edits }, out).unwrap();
+            r.submit(now, around, Submission { id, base, edits }, out)
+                .unwrap();
         });
         self.run(span);
         let newest = self.versions.iter().max().copied().unwrap_or_default();
@@ -231,7 +254,12 @@
         let before: Vec<u64> = fleet.bytes.clone();
         let last = play(&mut fleet, changes);
         let span = 6.0 * changes as f64;
-        let sent: Vec<u64> = fleet.bytes.iter().zip(&before).map(|(now, then)| now - then).collect();
+        let sent: Vec<u64> = fleet
+            .bytes
+            .iter()
+            .zip(&before)
+            .map(|(now, then)| now - then)
+            .collect();
         let mean = sent.iter().sum::<u64>() as f64 / 1800.0;
         let a_change = (mean - quiet * span) / changes as f64;
         println!(
@@ -252,7 +280,10 @@
     fleet.run(6_000_000);
     play(&mut fleet, 1);
     let side = |last: bool| {
-        let of: Vec<SocketAddr> = (0..1800).filter(|n| outside(*n) == last).map(address).collect();
+        let of: Vec<SocketAddr> = (0..1800)
+            .filter(|n| outside(*n) == last)
+            .map(address)
+            .collect();
         [of.clone(), of].concat()
     };
     (fleet.cut, fleet.sides) = (true, Some([side(false), side(true)]));
@@ -266,6 +297,9 @@
     let healed = fleet.now;
     fleet.run(5_000_000);
     assert!(fleet.versions.iter().all(|version| *version == newest));
-    let last = (0..1800).filter(|n| outside(*n)).map(|n| (fleet.at[n] - healed) / MS).max();
+    let last = (0..1800)
+        .filter(|n| outside(*n))
+        .map(|n| (fleet.at[n] - healed) / MS)
+        .max();
     println!("{behind} proxies, the last equal after {last:?} ms");
 }
--- a/tests/decision_modules.rs
+++ b/tests/decision_modules.rs
@@ -55,7 +55,8 @@
 
 /// Whether the file holds only tests, which are no part of the decisions.
 fn is_test_file(path: &Path) -> bool {
-    path.file_stem().is_some_and(|stem| stem.to_string_lossy().ends_with("tests"))
+    path.file_stem()
+        .is_some_and(|stem| stem.to_string_lossy().ends_with("tests"))
 }
 
 #[test]
@@ -63,11 +64,15 @@
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
     let deploy: toml::Table = text.parse().unwrap();
     let listed = deploy["policy"].as_array().expect("a list");
-    let paths: BTreeSet<PathBuf> =
-        listed.iter().map(|path| PathBuf::from(path.as_str().expect("a path"))).collect();
+    let paths: BTreeSet<PathBuf> = listed
+        .iter()
+        .map(|path| PathBuf::from(path.as_str().expect("a path")))
+        .collect();
     assert_eq!(paths.len(), listed.len(), "a file is listed twice");
-    let modules: BTreeSet<PathBuf> =
-        decision_files().into_iter().filter(|path| !is_test_file(path)).collect();
+    let modules: BTreeSet<PathBuf> = decision_files()
+        .into_iter()
+        .filter(|path| !is_test_file(path))
+        .collect();
     assert!(!modules.is_empty());
     assert_eq!(paths, modules);
 }
@@ -79,7 +84,12 @@
         for (number, line) in text.lines().enumerate() {
             let code = line.split("//").next().unwrap_or_default();
             for word in FORBIDDEN {
-                assert!(!code.contains(word), "{}:{}: {word}", path.display(), number + 1);
+                assert!(
+                    !code.contains(word),
+                    "{}:{}: {word}",
+                    path.display(),
+                    number + 1
+                );
             }
         }
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -34,7 +34,10 @@
 
 impl Crowd {
     fn start(at: SocketAddr) -> Crowd {
-        let (busy, back) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
+        let (busy, back) = (
+            Arc::new(AtomicBool::new(true)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let (go_on, count) = (busy.clone(), back.clone());
         let thread = std::thread::spawn(move || {
             let mut all: Vec<Option<TcpStream>> = (0..CROWD).map(|_| None).collect();
@@ -48,14 +51,21 @@
                 std::thread::sleep(Duration::from_millis(20));
             }
         });
-        Crowd { busy, back, thread: Some(thread) }
+        Crowd {
+            busy,
+            back,
+            thread: Some(thread),
+        }
     }
 }
 
 impl Drop for Crowd {
     fn drop(&mut self) {
         self.busy.store(false, Ordering::SeqCst);
-        self.thread.take().into_iter().for_each(|t| t.join().unwrap());
+        self.thread
+            .take()
+            .into_iter()
+            .for_each(|t| t.join().unwrap());
     }
 }
 
@@ -87,7 +97,9 @@
 }
 
 fn descriptors(pid: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count()
+    std::fs::read_dir(format!("/proc/{pid}/fd"))
+        .unwrap()
+        .count()
 }
 
 /// Descriptors that are neither a client's nor an upstream's.
@@ -96,7 +108,8 @@
     let text = String::from_utf8(proxy.call("GET /metrics").body).unwrap();
     let figure = |name: &str| -> usize {
         let line = text.lines().find(|l| l.split(' ').next() == Some(name));
-        line.and_then(|l| l.split(' ').nth(1)?.parse().ok()).unwrap_or_else(|| panic!("{name} in {text}"))
+        line.and_then(|l| l.split(' ').nth(1)?.parse().ok())
+            .unwrap_or_else(|| panic!("{name} in {text}"))
     };
     all.saturating_sub(figure("meadowproxy_clients") + figure("meadowproxy_upstreams"))
 }
@@ -109,7 +122,10 @@
 
 impl Most {
     fn of(pid: u32) -> Most {
-        let (seen, busy) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(true)));
+        let (seen, busy) = (
+            Arc::new(AtomicUsize::new(0)),
+            Arc::new(AtomicBool::new(true)),
+        );
         let (tell, go_on) = (seen.clone(), busy.clone());
         std::thread::spawn(move || {
             while go_on.load(Ordering::SeqCst) {
@@ -137,7 +153,10 @@
 }
 
 fn entries(all: &[BackendServer]) -> Vec<String> {
-    all.iter().enumerate().map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING")).collect()
+    all.iter()
+        .enumerate()
+        .map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING"))
+        .collect()
 }
 
 /// As many requests at once as the clients' bound allows: each leaves a warm connection to a backend.
@@ -150,7 +169,9 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     gate.open();
-    assert!(clients.iter_mut().all(|c| c.answer().is_some_and(|a| a.status() == 200)));
+    assert!(clients
+        .iter_mut()
+        .all(|c| c.answer().is_some_and(|a| a.status() == 200)));
 }
 
 /// Under a crowd that fills it a small process goes through an outage of discovery. `back` ends the outage and gives the
@@ -168,7 +189,10 @@
     let dir = folder();
     let more = [
         ("TMPDIR", dir.to_str().unwrap().to_string()),
-        ("NODE_SNAPSHOT", dir.join("kept").to_str().unwrap().to_string()),
+        (
+            "NODE_SNAPSHOT",
+            dir.join("kept").to_str().unwrap().to_string(),
+        ),
         ("NODE_CONTROL", "127.0.0.1:0".to_string()),
     ];
     let proxy = Proxy::placed("127.0.0.1:0", at, &known, SOCKETS, &settings, &more);
@@ -183,10 +207,15 @@
         for held in &mut staff {
             if !held.as_mut().is_some_and(open) {
                 *held = TcpStream::connect(proxy.control.unwrap()).ok();
-                held.iter().for_each(|tcp| tcp.set_nonblocking(true).unwrap());
+                held.iter()
+                    .for_each(|tcp| tcp.set_nonblocking(true).unwrap());
             }
         }
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "a client among the crowd");
+        assert_eq!(
+            proxy.ask(&read(3.0)).status(),
+            200,
+            "a client among the crowd"
+        );
         asked += 1;
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -205,7 +234,10 @@
     drop(answer);
     let mut busy: Vec<Client> = Vec::new();
     while new.count() == 0 {
-        assert!(returned.elapsed() < TOLD, "the list was not taken in time after {target}");
+        assert!(
+            returned.elapsed() < TOLD,
+            "the list was not taken in time after {target}"
+        );
         let mut client = proxy.client();
         client.send(&pay(3.0));
         busy.push(client);
@@ -219,7 +251,10 @@
         busy.push(client);
     }
     gate.open();
-    let answers: Vec<u16> = busy.iter_mut().map(|c| c.answer().map_or(0, |a| a.status())).collect();
+    let answers: Vec<u16> = busy
+        .iter_mut()
+        .map(|c| c.answer().map_or(0, |a| a.status()))
+        .collect();
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
     let most = most.seen.load(Ordering::SeqCst);
     let back = crowd.back.load(Ordering::SeqCst);
@@ -228,8 +263,14 @@
     );
     assert!(back > 2 * CROWD, "the crowd did not fill it: {back}");
     assert_eq!(old[0].count(), before, "nothing new for one that drains");
-    assert!(new.connections.load(Ordering::SeqCst) > 0, "attempts open connections");
-    assert!(full > 200 && most <= SOCKETS as usize, "{full}, at most {most}");
+    assert!(
+        new.connections.load(Ordering::SeqCst) > 0,
+        "attempts open connections"
+    );
+    assert!(
+        full > 200 && most <= SOCKETS as usize,
+        "{full}, at most {most}"
+    );
     for words in ["Too many open files", "panicked", "accept:"] {
         assert_eq!(proxy.logged(words), 0, "{words}");
     }
@@ -270,7 +311,11 @@
     let mut dice = Pcg32::seed_from_u64(28);
     let connect = || TcpStream::connect(proxy.address).unwrap();
     let mut silent: Vec<TcpStream> = (0..SOCKETS).map(|_| connect()).collect();
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200, "behind a crowd that was taken in");
+    assert_eq!(
+        proxy.ask(&read(3.0)).status(),
+        200,
+        "behind a crowd that was taken in"
+    );
     proxy.hold();
     let mut asking = Vec::new();
     while silent.len() < SILENT || asking.len() < ASKING {
@@ -287,7 +332,12 @@
     proxy.go_on();
     for client in &mut asking {
         let status = client.answer().map(|answer| answer.status());
-        assert_eq!((status, from.elapsed() < LEFT), (Some(200), true), "after {:?}", from.elapsed());
+        assert_eq!(
+            (status, from.elapsed() < LEFT),
+            (Some(200), true),
+            "after {:?}",
+            from.elapsed()
+        );
     }
     eprintln!("all answered after {:?}", from.elapsed());
     assert_eq!(backend.count() as usize, 1 + ASKING);
@@ -317,10 +367,17 @@
     let used = ticks(proxy.child.id());
     std::thread::sleep(Duration::from_millis(500));
     let used = ticks(proxy.child.id()) - used;
-    assert!(staff.answer().is_some_and(|a| a.status() == 200), "never heard");
+    assert!(
+        staff.answer().is_some_and(|a| a.status() == 200),
+        "never heard"
+    );
     let most = 2 + begun.elapsed().as_secs() as usize;
     for words in ["control: accept", "server: accept"] {
-        assert!(proxy.logged(words) <= most, "{} lines: {words}", proxy.logged(words));
+        assert!(
+            proxy.logged(words) <= most,
+            "{} lines: {words}",
+            proxy.logged(words)
+        );
     }
     assert!(used < 25, "{used} hundredths of a second of 50");
 }
@@ -328,6 +385,11 @@
 /// Processor time that a process has used, in hundredths of a second.
 fn ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
--- a/tests/discovery_order.rs
+++ b/tests/discovery_order.rs
@@ -19,9 +19,16 @@
 fn in_each_mode(case: impl Fn(Case)) {
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
-        let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+        let (old, new) = (
+            BackendServer::start(|_| ok("old")),
+            BackendServer::start(|_| ok("new")),
+        );
         let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
-        case(Case { proxy: &proxy, old: &old, new: &new });
+        case(Case {
+            proxy: &proxy,
+            old: &old,
+            new: &new,
+        });
     }
 }
 
@@ -33,12 +40,20 @@
 
     /// The old backend drains, the new one serves.
     fn after(&self) -> Vec<String> {
-        vec![entry("b0", self.old.address, "DRAINING"), entry("b1", self.new.address, "SERVING")]
+        vec![
+            entry("b0", self.old.address, "DRAINING"),
+            entry("b1", self.new.address, "SERVING"),
+        ]
     }
 
     /// Answers the first call with that version.
     fn begin(&self, index: u64) {
-        self.proxy.discovery.call().1.send((200, list(index, true, &self.before()))).unwrap();
+        self.proxy
+            .discovery
+            .call()
+            .1
+            .send((200, list(index, true, &self.before())))
+            .unwrap();
     }
 
     /// A call after that version that is given up: its answer may come late.
@@ -61,7 +76,11 @@
     fn only_new(&self) {
         let before = self.old.count();
         (0..8).for_each(|_| {
-            assert_eq!(self.proxy.ask(&pay(3.0)).body, b"new", "nothing new for one that drains")
+            assert_eq!(
+                self.proxy.ask(&pay(3.0)).body,
+                b"new",
+                "nothing new for one that drains"
+            )
         });
         assert_eq!(self.old.count(), before);
     }
@@ -116,7 +135,12 @@
         first.send((200, list(8, true, &case.before()))).unwrap();
         case.only_new();
         // The one that is waited for has changes since 5 as well, up to more than is held: they follow on.
-        third.send((200, list(12, false, &[entry("b2", case.new.address, "SERVING")]))).unwrap();
+        third
+            .send((
+                200,
+                list(12, false, &[entry("b2", case.new.address, "SERVING")]),
+            ))
+            .unwrap();
         let _hold = goes_on(&case.proxy.discovery, 12);
         case.only_new();
     });
@@ -128,9 +152,14 @@
     in_each_mode(|case| {
         case.begin(50);
         let late = case.given_up(50);
-        goes_on(&case.proxy.discovery, 50).send((200, list(2, false, &[]))).unwrap();
+        goes_on(&case.proxy.discovery, 50)
+            .send((200, list(2, false, &[])))
+            .unwrap();
         let (target, whole) = case.proxy.discovery.call();
-        assert_eq!(target, "GET /api/targets HTTP/1.1", "changes to a list that is not held");
+        assert_eq!(
+            target, "GET /api/targets HTTP/1.1",
+            "changes to a list that is not held"
+        );
         whole.send((200, list(3, true, &case.after()))).unwrap();
         let next = goes_on(&case.proxy.discovery, 3);
         case.only_new();
@@ -152,7 +181,9 @@
         late.send((200, list(60, false, &case.before()))).unwrap();
         case.late(1);
         next.send((503, String::new())).unwrap(); // it goes down here
-        goes_on(&case.proxy.discovery, 60).send((200, list(3, true, &case.after()))).unwrap();
+        goes_on(&case.proxy.discovery, 60)
+            .send((200, list(3, true, &case.after())))
+            .unwrap();
         let _hold = goes_on(&case.proxy.discovery, 3);
         case.only_new();
     });
@@ -221,19 +252,33 @@
     let settings = settings
         .replace("\"group_size\":1,", "\"group_size\":300,")
         .replace("9000000,\"ramp", "600000000,\"ramp");
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+    let (old, new) = (
+        BackendServer::start(|_| ok("old")),
+        BackendServer::start(|_| ok("new")),
+    );
     let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
-    let case = Case { proxy: &proxy, old: &old, new: &new };
+    let case = Case {
+        proxy: &proxy,
+        old: &old,
+        new: &new,
+    };
     (0..6).for_each(|_| proxy.discovery.call().1.send((503, String::new())).unwrap());
     let (_, last) = proxy.discovery.call();
     let moved = case.moved();
     let signal = Instant::now();
     let (_, first) = moved.call();
     first.send((503, String::new())).unwrap();
-    moved.call().1.send((200, list(3, true, &case.after()))).unwrap();
+    moved
+        .call()
+        .1
+        .send((200, list(3, true, &case.after())))
+        .unwrap();
     let _hold = goes_on(&moved, 3);
     let took = signal.elapsed();
-    assert!(took < Duration::from_millis(1500), "known {took:?} after the signal");
+    assert!(
+        took < Duration::from_millis(1500),
+        "known {took:?} after the signal"
+    );
     // One of three hundred proxies takes the others to hold as much as it does, and refuses while the machine is busy.
     let before = old.count();
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
@@ -247,8 +292,9 @@
 /// The module repeats a call of which it hears nothing, while that call is still out. That one is not for the next failure.
 #[test]
 fn a_repeated_ask_from_before_a_failure_does_not_end_the_pause_after_it() {
-    let settings =
-        SETTINGS.replace("\"automatic\"", "\"subscribe\"").replace("9000000,\"ramp", "2000000,\"ramp");
+    let settings = SETTINGS
+        .replace("\"automatic\"", "\"subscribe\"")
+        .replace("9000000,\"ramp", "2000000,\"ramp");
     let old = BackendServer::start(|_| ok("old"));
     let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     let (_, _silent) = proxy.discovery.call(); // repeated 1 s later, given up 1.8 s later
@@ -258,7 +304,10 @@
     answer.send((503, String::new())).unwrap();
     let _next = proxy.discovery.call();
     let pause = failed.elapsed();
-    assert!(pause >= Duration::from_millis(45), "called again after {pause:?}");
+    assert!(
+        pause >= Duration::from_millis(45),
+        "called again after {pause:?}"
+    );
 }
 
 /// A late answer that came while the next call was out has nothing to say on a failure after that.
@@ -276,7 +325,10 @@
         watch.send((503, String::new())).unwrap();
         let _next = goes_on(&case.proxy.discovery, 10);
         let pause = failed.elapsed();
-        assert!(pause >= Duration::from_millis(45), "called again after {pause:?}");
+        assert!(
+            pause >= Duration::from_millis(45),
+            "called again after {pause:?}"
+        );
     });
 }
 
@@ -285,7 +337,9 @@
 fn changes_to_a_call_for_the_whole_list_count_as_a_failure() {
     in_each_mode(|case| {
         case.begin(50);
-        goes_on(&case.proxy.discovery, 50).send((200, list(2, false, &[]))).unwrap();
+        goes_on(&case.proxy.discovery, 50)
+            .send((200, list(2, false, &[])))
+            .unwrap();
         let begun = Instant::now();
         for _ in 0..5 {
             let (target, whole) = case.proxy.discovery.call();
@@ -295,7 +349,10 @@
         let (target, whole) = case.proxy.discovery.call();
         assert_eq!(target, "GET /api/targets HTTP/1.1");
         let pauses = begun.elapsed();
-        assert!(pauses >= Duration::from_millis(250), "{pauses:?} for five calls");
+        assert!(
+            pauses >= Duration::from_millis(250),
+            "{pauses:?} for five calls"
+        );
         assert_eq!(case.proxy.logged("discovery failed: changes"), 1);
         whole.send((200, list(3, true, &case.after()))).unwrap();
         let _hold = goes_on(&case.proxy.discovery, 3);
@@ -308,8 +365,13 @@
 fn a_list_that_makes_no_sense_takes_nothing_out_of_use() {
     in_each_mode(|case| {
         case.begin(5);
-        let lame = [entry("b0", case.old.address, "LAME"), entry("b1", case.new.address, "LAME")];
-        goes_on(&case.proxy.discovery, 5).send((200, list(9, true, &lame))).unwrap();
+        let lame = [
+            entry("b0", case.old.address, "LAME"),
+            entry("b1", case.new.address, "LAME"),
+        ];
+        goes_on(&case.proxy.discovery, 5)
+            .send((200, list(9, true, &lame)))
+            .unwrap();
         let next = goes_on(&case.proxy.discovery, 5);
         assert_eq!(case.proxy.logged("discovery failed: no entry"), 1);
         (0..4).for_each(|_| assert_eq!(case.proxy.ask(&pay(3.0)).body, b"old"));
@@ -326,7 +388,12 @@
         case.begin(5);
         let watch = goes_on(&case.proxy.discovery, 5);
         assert_eq!(case.proxy.ask(&pay(3.0)).body, b"old");
-        watch.send((200, list(6, false, &[entry("b0", case.new.address, "SERVING")]))).unwrap();
+        watch
+            .send((
+                200,
+                list(6, false, &[entry("b0", case.new.address, "SERVING")]),
+            ))
+            .unwrap();
         let _hold = goes_on(&case.proxy.discovery, 6);
         case.only_new();
     });
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -9,14 +9,19 @@
 use std::time::Duration;
 
 fn life(proxy: usize, killed: Option<u64>, log: &str) -> Life {
-    Life { proxy, log: log.into(), killed }
+    Life {
+        proxy,
+        log: log.into(),
+        killed,
+    }
 }
 
 /// The check that all tests below rest on: it accepts what is sound, and tells each way of being wrong.
 #[test]
 fn the_overlap_check_tells_two_holders_a_token_that_fell_and_a_late_act() {
-    let held =
-        |token: &str, at: u64| format!(" event=\"duty_held\" duty=calendar token={token} mono_us={at}\n");
+    let held = |token: &str, at: u64| {
+        format!(" event=\"duty_held\" duty=calendar token={token} mono_us={at}\n")
+    };
     let over = |token: &str, at: u64, until: u64| {
         format!(
             " event=\"duty_over\" duty=calendar token={token} reason=\"a b\" mono_us={at} until_us={until}\n"
@@ -27,26 +32,47 @@
     };
     let first = held("10-7", 100) + &act("10-7", 150) + &over("10-7", 300, 900); // it was stopped from 200 to 900
     let second = held("11-3", 400) + &act("11-3", 500);
-    let sound = [life(0, None, &first), life(1, Some(600), &second), life(2, None, &held("12-1", 700))];
+    let sound = [
+        life(0, None, &first),
+        life(1, Some(600), &second),
+        life(2, None, &held("12-1", 700)),
+    ];
     assert_eq!(contradictions(&sound), [""; 0]);
     let told = |n: usize, text: &str, what: &str| {
         let mut wrong = sound.clone();
         wrong[n].log = text.into();
         let wrong = contradictions(&wrong);
-        assert!(wrong.iter().any(|w| w.contains(what)), "{what} not told: {wrong:?}");
+        assert!(
+            wrong.iter().any(|w| w.contains(what)),
+            "{what} not told: {wrong:?}"
+        );
     };
     told(0, &held("10-7", 100), "two holders at once"); // never over
-    told(0, &(held("10-7", 100) + &over("10-7", 401, 900)), "two holders at once");
+    told(
+        0,
+        &(held("10-7", 100) + &over("10-7", 401, 900)),
+        "two holders at once",
+    );
     told(2, &held("12-1", 599), "two holders at once");
     told(2, &held("11-2", 700), "did not grow");
-    told(0, &(first.clone() + &act("10-7", 901)), "outside of its holding");
+    told(
+        0,
+        &(first.clone() + &act("10-7", 901)),
+        "outside of its holding",
+    );
     told(2, &act("11-3", 500), "outside of its holding");
     // Each duty has a holder of its own.
     let other = |line: String| line.replace("duty=calendar", "duty=config");
-    let both = [sound.to_vec(), vec![life(3, None, &other(held("10-7", 450)))]].concat();
+    let both = [
+        sound.to_vec(),
+        vec![life(3, None, &other(held("10-7", 450)))],
+    ]
+    .concat();
     assert_eq!(contradictions(&both), [""; 0]);
     let two = [both, vec![life(4, None, &other(held("11-7", 460)))]].concat();
-    assert!(contradictions(&two).iter().any(|w| w.contains("two holders at once")));
+    assert!(contradictions(&two)
+        .iter()
+        .any(|w| w.contains("two holders at once")));
 }
 
 /// Five proxies hand a duty on by leases while a seed picks what befalls the fleet: its holder is killed and started again
@@ -78,11 +104,16 @@
         noise(&fleet);
         let (holder, token) = fleet.holder(&[]);
         let others: Vec<usize> = (0..5).filter(|n| *n != holder).collect();
-        let one_way = |pairs: Vec<(usize, usize)>| fleet.faults.rules.lock().unwrap().cut.extend(pairs);
+        let one_way =
+            |pairs: Vec<(usize, usize)>| fleet.faults.rules.lock().unwrap().cut.extend(pairs);
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
-        let fate = if befallen.len() < 6 { befallen.len() as u64 } else { state % 6 };
+        let fate = if befallen.len() < 6 {
+            befallen.len() as u64
+        } else {
+            state % 6
+        };
         befallen.push(fate);
         match fate {
             0 => fleet.kill(&[holder]),
@@ -92,14 +123,23 @@
             4 => one_way(others.iter().map(|n| (holder, *n)).collect()),
             _ => ended.push((holder, fleet.end(holder))),
         }
-        fleet.wait("a successor", |f| holdings(&f.lives()).iter().any(|h| h.token > token).then_some(()));
+        fleet.wait("a successor", |f| {
+            holdings(&f.lives())
+                .iter()
+                .any(|h| h.token > token)
+                .then_some(())
+        });
         match fate {
             0 | 5 => fleet.restart(holder),
             1 => fleet.proxies[holder].signal("-CONT"),
             _ => {}
         }
         fleet.faults.heal();
-        let over = |f: &Fleet| holdings(&f.lives()).iter().all(|h| h.token != token || h.to != u64::MAX);
+        let over = |f: &Fleet| {
+            holdings(&f.lives())
+                .iter()
+                .all(|h| h.token != token || h.to != u64::MAX)
+        };
         fleet.wait("the first holding to be over", |f| over(f).then_some(()));
     }
     let lives = fleet.lives();
@@ -110,5 +150,8 @@
     // Whoever goes by SIGTERM has said that it holds nothing any more.
     let kept = |h: &&rig::holdings::Holding| ended.contains(&(h.proxy, h.to));
     assert_eq!(holdings(&lives).iter().find(kept), None);
-    eprintln!("{befallen:?}: {} holdings, never two at once", holdings(&lives).len());
+    eprintln!(
+        "{befallen:?}: {} holdings, never two at once",
+        holdings(&lives).len()
+    );
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -9,7 +9,10 @@
 }
 
 fn config(classes: Vec<Class>) -> Config {
-    Config { classes: classes.into(), ..Config::example() }
+    Config {
+        classes: classes.into(),
+        ..Config::example()
+    }
 }
 
 fn host(cfg: Config, list: Vec<Backend>) -> Host {
@@ -42,20 +45,31 @@
     assert_eq!(bad(|c| c.classes[0].aim = Micros(0)), Some("aim"));
     assert_eq!(bad(|c| c.classes[0].worth = f64::NAN), Some("worth"));
     assert_eq!(bad(|c| c.classes[0].late_worth = 1.5), Some("late_worth"));
-    assert_eq!(bad(|c| c.tenants.push_back(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
+    assert_eq!(
+        bad(|c| c.tenants.push_back(Tenant { quota_per_s: -1.0 })),
+        Some("quota_per_s")
+    );
     assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
     assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
     assert_eq!(bad(|c| c.cold_from = -0.1), Some("cold_from"));
-    assert_eq!(bad(|c| c.fall_multiple = f64::INFINITY), Some("fall_multiple"));
+    assert_eq!(
+        bad(|c| c.fall_multiple = f64::INFINITY),
+        Some("fall_multiple")
+    );
     assert_eq!(bad(|_| ()), None);
 }
 
 #[test]
 fn an_empty_fleet_refuses_in_time() {
-    let mut host = host(config(vec![class(Effect::Free), class(Effect::Unsafe)]), Vec::new());
+    let mut host = host(
+        config(vec![class(Effect::Free), class(Effect::Unsafe)]),
+        Vec::new(),
+    );
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
     host.advance(500_000);
-    assert!(ids.iter().all(|id| host.requests[id].answer == Some("refused")));
+    assert!(ids
+        .iter()
+        .all(|id| host.requests[id].answer == Some("refused")));
 }
 
 #[test]
@@ -71,7 +85,13 @@
 #[test]
 fn at_light_load_the_faster_kind_takes_nearly_all() {
     let list = (0..6).map(|i| backend(i, 0, i % 2)).collect();
-    let mut host = host(Config { proxies: 1, ..Config::example() }, list);
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        list,
+    );
     let time = |b: u32| if b.is_multiple_of(2) { 20_000 } else { 80_000 };
     serve(&mut host, 150, 0, time);
     let chosen = serve(&mut host, 100, 0, time);
@@ -81,7 +101,13 @@
 
 #[test]
 fn inside_a_kind_the_draw_is_even() {
-    let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(4));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        fleet(4),
+    );
     let chosen = serve(&mut host, 800, 0, |_| 20_000);
     for b in 0..4 {
         let part = chosen.iter().filter(|c| **c == b).count();
@@ -96,7 +122,11 @@
     let id = host.arrive(0, 900_000);
     let hung = host.sent_to(id)[0];
     host.advance(100_000);
-    assert_eq!(host.sent_to(id).len(), 1, "age alone sent a copy: such copies crowd every backend");
+    assert_eq!(
+        host.sent_to(id).len(),
+        1,
+        "age alone sent a copy: such copies crowd every backend"
+    );
     let chosen = serve(&mut host, 30, 0, |_| 5_000);
     assert!(!chosen.contains(&hung));
 }
@@ -104,7 +134,11 @@
 #[test]
 fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
     for copies in [true, false] {
-        let cfg = Config { second_copies: copies, proxies: 1, ..config(vec![class(Effect::Free)]) };
+        let cfg = Config {
+            second_copies: copies,
+            proxies: 1,
+            ..config(vec![class(Effect::Free)])
+        };
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
@@ -114,7 +148,10 @@
         host.advance(20_000);
         assert_eq!(host.sent_to(two[1]).len(), 2, "copies {copies}");
         let called_back = host.requests[&two[1]].tries[0].outcome == Some(Outcome::Cancelled);
-        assert_eq!(called_back, !copies, "where no copy may run beside it the first is called back");
+        assert_eq!(
+            called_back, !copies,
+            "where no copy may run beside it the first is called back"
+        );
     }
 }
 
@@ -123,7 +160,14 @@
     // Incident i962b3c: when each rounded by its own coin, some backends were crowded and others idle.
     let mut held = [0; 6];
     for position in 0..3 {
-        let mut host = host(Config { proxies: 3, position, ..Config::example() }, fleet(6));
+        let mut host = host(
+            Config {
+                proxies: 3,
+                position,
+                ..Config::example()
+            },
+            fleet(6),
+        );
         host.burst(40, 0, 900_000);
         let tries = host.requests.values().flat_map(|r| &r.tries);
         tries.for_each(|t| held[t.backend.0 as usize] += 1);
@@ -135,13 +179,25 @@
 fn a_thin_tenant_inside_its_quota_is_not_taken_for_a_flood() {
     // Full size: a proxy's part of a quota is below one a second; two at once by chance were beyond it.
     let tenants = vec![Tenant { quota_per_s: 50.0 }].into();
-    let mut host = host(Config { proxies: 100, tenants, ..Config::example() }, fleet(20));
+    let mut host = host(
+        Config {
+            proxies: 100,
+            tenants,
+            ..Config::example()
+        },
+        fleet(20),
+    );
     let mut refused = 0;
     for _ in 0..30 {
         // Two at once each nine seconds, 0.22 a second of 0.5 due, on a fleet that holds about five each.
-        let ids: Vec<RequestId> = (0..2).map(|_| host.arrive_for(0, 8_000_000, Some(TenantId(0)))).collect();
+        let ids: Vec<RequestId> = (0..2)
+            .map(|_| host.arrive_for(0, 8_000_000, Some(TenantId(0))))
+            .collect();
         host.advance(7_000_000);
-        refused += ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count();
+        refused += ids
+            .iter()
+            .filter(|id| host.requests[id].answer == Some("refused"))
+            .count();
         ids.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
         host.advance(2_000_000);
     }
@@ -155,7 +211,11 @@
     serve(&mut host, 20, 0, |_| 10_000);
     host.timers_set = 0;
     host.advance(10_000_000);
-    assert!(host.timers_set <= 5, "{} timers in ten idle seconds", host.timers_set);
+    assert!(
+        host.timers_set <= 5,
+        "{} timers in ten idle seconds",
+        host.timers_set
+    );
 }
 
 #[test]
@@ -163,13 +223,27 @@
     // Full size: with a connection from every proxy to every backend two attempts in three found none free.
     let mut sent = [0; 30];
     for position in 0..300 {
-        let mut host = host(Config { proxies: 300, position, ..Config::example() }, fleet(30));
+        let mut host = host(
+            Config {
+                proxies: 300,
+                position,
+                ..Config::example()
+            },
+            fleet(30),
+        );
         let mine = serve(&mut host, 20, 0, |_| 10_000);
         let used: std::collections::BTreeSet<u32> = mine.iter().copied().collect();
-        assert!(used.len() <= 3, "proxy {position} uses {} backends, two and an edge would do", used.len());
+        assert!(
+            used.len() <= 3,
+            "proxy {position} uses {} backends, two and an edge would do",
+            used.len()
+        );
         mine.iter().for_each(|b| sent[*b as usize] += 1);
     }
-    assert!(sent.iter().all(|n| (140..=260).contains(n)), "200 each expected: {sent:?}");
+    assert!(
+        sent.iter().all(|n| (140..=260).contains(n)),
+        "200 each expected: {sent:?}"
+    );
 }
 
 #[test]
@@ -182,17 +256,30 @@
     host.end(id, 0, Outcome::Full);
     let retried = host.sent_to(id).len();
     host.end(id, retried - 1, Outcome::Ok);
-    assert!(!serve(&mut host, 20, 0, |_| 5_000).contains(&full), "used at once again");
-    assert!(host.logs.iter().all(|l| !l.contains("ejected")), "{:?}", host.logs);
+    assert!(
+        !serve(&mut host, 20, 0, |_| 5_000).contains(&full),
+        "used at once again"
+    );
+    assert!(
+        host.logs.iter().all(|l| !l.contains("ejected")),
+        "{:?}",
+        host.logs
+    );
     host.advance(500_000);
-    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&full), "not used after the pause");
+    assert!(
+        serve(&mut host, 60, 0, |_| 5_000).contains(&full),
+        "not used after the pause"
+    );
 }
 
 #[test]
 fn many_proxies_refuse_low_worth_first_and_at_once_when_the_fleet_is_crowded() {
     // Full size: without a room of its own a proxy sent all it had, and the machines tipped into the slow state.
-    let mut cfg =
-        Config { proxies: 100, tenants: vec![Tenant { quota_per_s: 1e6 }].into(), ..Config::example() };
+    let mut cfg = Config {
+        proxies: 100,
+        tenants: vec![Tenant { quota_per_s: 1e6 }].into(),
+        ..Config::example()
+    };
     cfg.tenants.push_back(Tenant { quota_per_s: 1e-3 });
     let mut host = host(cfg, fleet(20));
     let mut answer = |proxied: u64, tenant: usize| {
@@ -208,17 +295,35 @@
         host.end(id, 0, Outcome::Ok);
         answer
     };
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend: the quota's first token");
+    assert_eq!(
+        answer(300_000, 1),
+        None,
+        "1.5 held on each backend: the quota's first token"
+    );
     assert_eq!(answer(300_000, 1), None, "1.5 held on each backend");
-    assert_eq!(answer(600_000, 1), Some("refused"), "3 held on each backend, beyond quota");
-    assert_eq!(answer(600_000, 0), None, "3 held on each backend, within quota");
+    assert_eq!(
+        answer(600_000, 1),
+        Some("refused"),
+        "3 held on each backend, beyond quota"
+    );
+    assert_eq!(
+        answer(600_000, 0),
+        None,
+        "3 held on each backend, within quota"
+    );
 }
 
 /// Found on join+mass: of 4100 attempts a second in a storm 2000 were called back after 80 ms, at the end of what clients
 /// that had come again had left of their time.
 #[test]
 fn who_has_no_time_left_for_an_answer_takes_no_room_in_a_crowd() {
-    let mut host = host(Config { proxies: 100, ..Config::example() }, fleet(20));
+    let mut host = host(
+        Config {
+            proxies: 100,
+            ..Config::example()
+        },
+        fleet(20),
+    );
     let second = |host: &mut Host, held: u64| {
         let id = host.arrive(0, 990_000);
         host.serve_all(held);
@@ -232,17 +337,31 @@
         answer
     };
     (0..20).for_each(|_| second(&mut host, 250_000));
-    assert_eq!(short(&mut host), None, "little is held, so that it harms nobody to try");
+    assert_eq!(
+        short(&mut host),
+        None,
+        "little is held, so that it harms nobody to try"
+    );
     (0..20).for_each(|_| second(&mut host, 600_000));
-    assert_eq!(short(&mut host), Some("refused"), "three held on each backend");
+    assert_eq!(
+        short(&mut host),
+        Some("refused"),
+        "three held on each backend"
+    );
     second(&mut host, 600_000);
 }
 
 /// Found on join+mass: in a storm of repeats those took their tenants' quotas, and first tries were refused as beyond them.
 #[test]
 fn repeats_take_nothing_of_the_quota_that_first_tries_need() {
-    let cfg =
-        Config { proxies: 100, tenants: vec![Tenant { quota_per_s: 1_000.0 }].into(), ..Config::example() };
+    let cfg = Config {
+        proxies: 100,
+        tenants: vec![Tenant {
+            quota_per_s: 1_000.0,
+        }]
+        .into(),
+        ..Config::example()
+    };
     let mut host = host(cfg, fleet(20));
     let tenant = Some(TenantId(0));
     let second = |host: &mut Host, repeats: usize| {
@@ -263,10 +382,20 @@
 
 #[test]
 fn a_full_backend_is_drawn_again_and_the_rest_waits() {
-    let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(2));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        fleet(2),
+    );
     host.burst(20, 0, 900_000);
     let out = host.out();
-    assert!((8..=10).contains(&out.len()), "{} out on two backends", out.len());
+    assert!(
+        (8..=10).contains(&out.len()),
+        "{} out on two backends",
+        out.len()
+    );
     let (id, no) = out[0];
     host.advance(20_000);
     let before = host.out().len();
@@ -289,7 +418,10 @@
 #[test]
 fn a_keyed_repeat_stays_in_its_zone_and_window() {
     let keyed = class(Effect::Keyed(KeyScope::Zone, Micros(200_000)));
-    let mut host = host(config(vec![keyed]), (0..6).map(|i| backend(i, i % 2, 0)).collect());
+    let mut host = host(
+        config(vec![keyed]),
+        (0..6).map(|i| backend(i, i % 2, 0)).collect(),
+    );
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     host.end(id, 0, Outcome::Error);
@@ -321,12 +453,24 @@
 
 #[test]
 fn an_erring_backend_is_ejected_and_tried_by_free_requests_only() {
-    let mut host = host(config(vec![class(Effect::Free), class(Effect::Unsafe)]), fleet(6));
+    let mut host = host(
+        config(vec![class(Effect::Free), class(Effect::Unsafe)]),
+        fleet(6),
+    );
     let bad = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
+    assert!(
+        !serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
+        "used during its term"
+    );
     host.advance(2_000_000);
-    assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&bad), "an unsafe request tried it");
-    assert!(serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "no free request tried it");
+    assert!(
+        !serve(&mut host, 40, 1, |_| 5_000).contains(&bad),
+        "an unsafe request tried it"
+    );
+    assert!(
+        serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
+        "no free request tried it"
+    );
     assert!(host.logs.iter().any(|l| l.contains("is back")));
 }
 
@@ -343,29 +487,53 @@
         host.end(id, no, Outcome::Ok);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
-    assert!(chosen.iter().any(|b| *b != 0), "all load went to the one backend left");
+    assert!(
+        chosen.iter().any(|b| *b != 0),
+        "all load went to the one backend left"
+    );
 }
 
 #[test]
 fn a_cold_backend_gets_less_than_its_budget() {
-    let cfg = Config { proxies: 1, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg = Config {
+        proxies: 1,
+        cold_from: 0.1,
+        fall_multiple: 2.0,
+        ..Config::example()
+    };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
-    let cold = Backend { booted: Some(host.now), ..backend(9, 0, 0) };
+    let cold = Backend {
+        booted: Some(host.now),
+        ..backend(9, 0, 0)
+    };
     host.members(ListUpdate::Changes, vec![cold]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
     let sent = chosen.iter().filter(|b| **b == 9).count();
     // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
-    assert!((1..=14).contains(&sent), "{sent} of 100 went to the cold backend");
+    assert!(
+        (1..=14).contains(&sent),
+        "{sent} of 100 went to the cold backend"
+    );
 }
 
 #[test]
 fn a_burst_cannot_push_a_cold_backend_over() {
-    let cfg = Config { proxies: 3, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg = Config {
+        proxies: 3,
+        cold_from: 0.1,
+        fall_multiple: 2.0,
+        ..Config::example()
+    };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     let booted = Some(host.now);
-    let list = (0..12).map(|i| Backend { booted, ..backend(i, 0, 0) }).collect();
+    let list = (0..12)
+        .map(|i| Backend {
+            booted,
+            ..backend(i, 0, 0)
+        })
+        .collect();
     host.members(ListUpdate::Full, list);
     let mut sent = 0;
     for _ in 0..25 {
@@ -373,18 +541,35 @@
         host.advance(20_000);
         let out = host.out();
         sent += out.len();
-        out.into_iter().for_each(|(id, no)| host.end(id, no, Outcome::Ok));
+        out.into_iter()
+            .for_each(|(id, no)| host.end(id, no, Outcome::Ok));
     }
     // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third, by 0.8: 11 each.
-    let tries = || host.requests.values().flat_map(|r| &r.tries).filter(|t| Some(t.at) >= booted);
-    let most = (0..12).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
-    assert!(sent >= 1 && most <= Some(11), "{sent} sent, {most:?} to one cold backend");
+    let tries = || {
+        host.requests
+            .values()
+            .flat_map(|r| &r.tries)
+            .filter(|t| Some(t.at) >= booted)
+    };
+    let most = (0..12)
+        .map(|b| tries().filter(|t| t.backend == BackendId(b)).count())
+        .max();
+    assert!(
+        sent >= 1 && most <= Some(11),
+        "{sent} sent, {most:?} to one cold backend"
+    );
 }
 
 #[test]
 fn a_clients_repeat_waits_behind_first_tries() {
     // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
-    let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(1));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        fleet(1),
+    );
     let fill = host.burst(8, 0, 900_000);
     host.advance(5_000);
     let first = host.arrive(0, 900_000);
@@ -394,45 +579,96 @@
     fill.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
     let at = |id: &RequestId| host.requests[id].tries.first().map(|t| t.at);
     assert!(at(&first).is_some());
-    assert!(at(&repeat).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
+    assert!(
+        at(&repeat).is_none_or(|t| t >= at(&first).unwrap()),
+        "the repeat went first"
+    );
 }
 
 #[test]
 fn traffic_beyond_a_quota_leaves_room_for_the_others() {
-    let tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1_000.0 }].into();
-    let mut host = host(Config { proxies: 1, tenants, ..Config::example() }, fleet(2));
-    let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
-    let flooded = flood.iter().filter(|id| !host.sent_to(**id).is_empty()).count();
+    let tenants = vec![
+        Tenant { quota_per_s: 1.0 },
+        Tenant {
+            quota_per_s: 1_000.0,
+        },
+    ]
+    .into();
+    let mut host = host(
+        Config {
+            proxies: 1,
+            tenants,
+            ..Config::example()
+        },
+        fleet(2),
+    );
+    let flood: Vec<RequestId> = (0..30)
+        .map(|_| host.arrive_for(0, 900_000, Some(TenantId(0))))
+        .collect();
+    let flooded = flood
+        .iter()
+        .filter(|id| !host.sent_to(**id).is_empty())
+        .count();
     let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
     assert!(flooded <= 6, "{flooded} of the flood went out");
-    assert_eq!(host.sent_to(other).len(), 1, "the other tenant waits behind the flood");
+    assert_eq!(
+        host.sent_to(other).len(),
+        1,
+        "the other tenant waits behind the flood"
+    );
 }
 
 #[test]
 fn in_overload_the_densest_worth_is_served() {
-    let rich = Class { worth: 8.0, ..class(Effect::Free) };
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), rich]) }, fleet(1));
+    let rich = Class {
+        worth: 8.0,
+        ..class(Effect::Free)
+    };
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..config(vec![class(Effect::Free), rich])
+        },
+        fleet(1),
+    );
     let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
     for _ in 0..6 {
         host.serve_all(60_000);
     }
     host.advance(900_000);
-    let served =
-        |c: usize| ids.iter().skip(c).step_by(2).filter(|i| host.requests[i].answer == Some("served"));
+    let served = |c: usize| {
+        ids.iter()
+            .skip(c)
+            .step_by(2)
+            .filter(|i| host.requests[i].answer == Some("served"))
+    };
     let (poor, rich) = (served(0).count(), served(1).count());
-    assert!(rich > poor, "{rich} rich and {poor} poor requests were served");
+    assert!(
+        rich > poor,
+        "{rich} rich and {poor} poor requests were served"
+    );
 }
 
 fn zones(cost: f64) -> usize {
-    let cfg = Config { cross_zone_cost: cost, ..Config::example() };
+    let cfg = Config {
+        cross_zone_cost: cost,
+        ..Config::example()
+    };
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
-    serve(&mut host, 300, 0, |_| 10_000).iter().filter(|b| *b % 3 == 0).count()
+    serve(&mut host, 300, 0, |_| 10_000)
+        .iter()
+        .filter(|b| *b % 3 == 0)
+        .count()
 }
 
 #[test]
 fn where_crossing_zones_costs_traffic_stays_near() {
     assert!(zones(0.05) >= 270, "{} of 300 stayed", zones(0.05));
-    assert!((70..=130).contains(&zones(0.0)), "{} of 300 stayed without a cost", zones(0.0));
+    assert!(
+        (70..=130).contains(&zones(0.0)),
+        "{} of 300 stayed without a cost",
+        zones(0.0)
+    );
 }
 
 /// Two proxies cannot stand in three zones: the backends of the one that has none get their part all the same.
@@ -441,33 +677,64 @@
     let mut sent = [0; 3];
     for position in 0..2 {
         let zone = ZoneId(position);
-        let cfg = Config { cross_zone_cost: 0.05, proxies: 2, position, zone, ..Config::example() };
+        let cfg = Config {
+            cross_zone_cost: 0.05,
+            proxies: 2,
+            position,
+            zone,
+            ..Config::example()
+        };
         let mut host = host(cfg, (0..6).map(|i| backend(i, i % 3, 0)).collect());
-        serve(&mut host, 300, 0, |_| 10_000).iter().for_each(|b| sent[*b as usize % 3] += 1);
+        serve(&mut host, 300, 0, |_| 10_000)
+            .iter()
+            .for_each(|b| sent[*b as usize % 3] += 1);
     }
-    assert!(sent.iter().all(|n| (150..=250).contains(n)), "{sent:?} of 600");
+    assert!(
+        sent.iter().all(|n| (150..=250).contains(n)),
+        "{sent:?} of 600"
+    );
 }
 
 #[test]
 fn a_zone_short_of_backends_sends_its_surplus_out() {
     // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
-    let cfg = Config { cross_zone_cost: 0.05, ..Config::example() };
-    let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
+    let cfg = Config {
+        cross_zone_cost: 0.05,
+        ..Config::example()
+    };
+    let list = (0..7)
+        .map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0))
+        .collect();
     let mut host = host(cfg, list);
-    let near = serve(&mut host, 400, 0, |_| 10_000).iter().filter(|b| **b == 0).count();
-    assert!((120..=220).contains(&near), "{near} of 400 stayed on the one near backend");
+    let near = serve(&mut host, 400, 0, |_| 10_000)
+        .iter()
+        .filter(|b| **b == 0)
+        .count();
+    assert!(
+        (120..=220).contains(&near),
+        "{near} of 400 stayed on the one near backend"
+    );
 }
 
 #[test]
 fn discovery_is_followed_at_once_and_again_after_a_loss() {
-    let cfg = Config { discovery: Discovery::Subscribe(Micros(10_000_000)), ..Config::example() };
+    let cfg = Config {
+        discovery: Discovery::Subscribe(Micros(10_000_000)),
+        ..Config::example()
+    };
     let mut host = Host::new(cfg, 3);
     host.members(ListUpdate::Cached, fleet(2));
     assert_eq!(host.follows, 1);
     host.members(ListUpdate::Changes, fleet(3));
     host.advance(8_000_000);
-    assert_eq!(host.follows, 1, "a living subscription is not asked for again");
-    host.event(Event::Members { update: ListUpdate::Lost, backends: Vec::new() });
+    assert_eq!(
+        host.follows, 1,
+        "a living subscription is not asked for again"
+    );
+    host.event(Event::Members {
+        update: ListUpdate::Lost,
+        backends: Vec::new(),
+    });
     host.advance(400_000);
     assert_eq!(host.follows, 2);
     host.advance(6_000_000);
@@ -499,7 +766,13 @@
 /// What one proxy has out on a backend in the last second of an overload, on average: three backends of so
 /// many cores serve in order of arrival, each request 100 ms of a core.
 fn held_on_each(cores: usize) -> f64 {
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free)]) }, fleet(3));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..config(vec![class(Effect::Free)])
+        },
+        fleet(3),
+    );
     let mut left = std::collections::BTreeMap::new();
     let (mut due, mut held) = (0.0, 0);
     for step in 0..1_000 {
@@ -533,7 +806,10 @@
     for cores in [7, 16] {
         let held = held_on_each(cores);
         let (least, most) = (cores as f64 * 0.9, cores as f64 * 2.0);
-        assert!((least..=most).contains(&held), "{held} held on each backend of {cores} cores");
+        assert!(
+            (least..=most).contains(&held),
+            "{held} held on each backend of {cores} cores"
+        );
     }
     let held = held_on_each(1);
     assert!(held <= 6.0, "{held} held on each backend of one core");
@@ -541,9 +817,17 @@
 
 /// Of 20 rounds in which far more of a dense and of a thin class come than find room: how many were served.
 fn served_of_each(goal_whole: f64, goal_worst_class: f64) -> [usize; 2] {
-    let dense = Class { worth: 2.0, ..class(Effect::Free) };
+    let dense = Class {
+        worth: 2.0,
+        ..class(Effect::Free)
+    };
     let classes = vec![dense, class(Effect::Free)];
-    let cfg = Config { proxies: 1, goal_whole, goal_worst_class, ..config(classes) };
+    let cfg = Config {
+        proxies: 1,
+        goal_whole,
+        goal_worst_class,
+        ..config(classes)
+    };
     let mut host = host(cfg, fleet(1));
     let mut ids = Vec::new();
     for _ in 0..20 {
@@ -552,7 +836,11 @@
         host.serve_all(90_000);
         host.advance(400_000); // the rest is given up
     }
-    let served = |c| ids.iter().filter(|i| i.0 == c && host.requests[&i.1].answer == Some("served")).count();
+    let served = |c| {
+        ids.iter()
+            .filter(|i| i.0 == c && host.requests[&i.1].answer == Some("served"))
+            .count()
+    };
     [served(0), served(1)]
 }
 
@@ -560,15 +848,27 @@
 fn the_class_served_worst_counts_as_much_as_the_goal_says() {
     // Found in service: lookups got half of what submits got, though the worst class is 30% of the goal.
     let [dense, thin] = served_of_each(1.0, 0.0);
-    assert!(dense > thin * 3 / 2, "{dense} dense and {thin} thin: only the whole counts");
+    assert!(
+        dense > thin * 3 / 2,
+        "{dense} dense and {thin} thin: only the whole counts"
+    );
     let [dense, thin] = served_of_each(0.5, 0.5);
-    assert!(thin * 5 >= dense * 4, "{dense} dense and {thin} thin: the worst class counts as well");
+    assert!(
+        thin * 5 >= dense * 4,
+        "{dense} dense and {thin} thin: the worst class counts as well"
+    );
 }
 
 #[test]
 fn one_broken_answer_among_good_ones_ejects_nobody() {
     // Found in service (day 3): each broken connection took a healthy backend out of use for a second.
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free)]) }, fleet(1));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..config(vec![class(Effect::Free)])
+        },
+        fleet(1),
+    );
     serve(&mut host, 40, 0, |_| 10_000);
     let ids = host.burst(3, 0, 900_000);
     host.advance(5_000);
@@ -590,7 +890,13 @@
 #[test]
 fn where_every_backend_breaks_now_and_then_none_is_ejected_for_it() {
     // Found in service (day 3): one attempt in twelve was reset, or could not connect, wherever it went.
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free)]) }, fleet(2));
+    let mut host = host(
+        Config {
+            proxies: 1,
+            ..config(vec![class(Effect::Free)])
+        },
+        fleet(2),
+    );
     let mut line = Vec::new();
     for number in 0..1_500u32 {
         line.push(host.arrive(0, 900_000));
@@ -598,7 +904,11 @@
         if line.len() > 5 {
             let id = line.remove(0);
             let breaks = (number.wrapping_mul(2_654_435_761) >> 16) < 0x1_0000 / 12;
-            let how = if number % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Reset };
+            let how = if number % 3 == 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Reset
+            };
             host.end(id, 0, if breaks { how } else { Outcome::Ok });
             host.end(id, 1, Outcome::Ok);
         }
@@ -610,7 +920,13 @@
 /// A body that goes out as it comes has no deadline until it is whole, and no second backend.
 #[test]
 fn an_upload_is_bound_to_one_backend_and_timed_from_its_end() {
-    let mut host = Host::new(Config { proxies: 1, ..Config::example() }, 8);
+    let mut host = Host::new(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        8,
+    );
     host.members(ListUpdate::Full, (0..3).map(|n| backend(n, 0, 0)).collect());
     for _ in 0..30 {
         host.burst(3, 0, 500_000);
@@ -618,13 +934,20 @@
     }
     for outcome in [Outcome::Ok, Outcome::ConnectFailed, Outcome::Reset] {
         let id = host.arrive(0, 500_000);
-        host.event(Event::UploadStarted { request: id, attempt: AttemptNo(0) });
+        host.event(Event::UploadStarted {
+            request: id,
+            attempt: AttemptNo(0),
+        });
         // The harness, which knows no uploads, looks on its own clock only.
         host.requests.get_mut(&id).unwrap().deadline = host.now + Micros(60_000_000);
         host.advance(5_000_000);
         assert_eq!(host.requests[&id].answer, None);
         let time_left = Micros(500_000);
-        host.event(Event::Uploaded { request: id, attempt: AttemptNo(0), time_left });
+        host.event(Event::Uploaded {
+            request: id,
+            attempt: AttemptNo(0),
+            time_left,
+        });
         host.requests.get_mut(&id).unwrap().deadline = host.now + time_left;
         host.advance(100_000);
         host.end(id, 0, outcome);
@@ -636,10 +959,20 @@
 /// With the first bytes of a long answer its backend has room for another request.
 #[test]
 fn an_answer_that_streams_takes_no_room_at_its_backend() {
-    let mut host = Host::new(Config { proxies: 1, ..Config::example() }, 9);
+    let mut host = Host::new(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        9,
+    );
     host.members(ListUpdate::Full, vec![backend(0, 0, 0)]);
     let ids = host.burst(20, 0, 500_000);
-    let held = |host: &Host, ids: &[RequestId]| ids.iter().filter(|id| host.sent_to(**id).is_empty()).count();
+    let held = |host: &Host, ids: &[RequestId]| {
+        ids.iter()
+            .filter(|id| host.sent_to(**id).is_empty())
+            .count()
+    };
     let waiting = held(&host, &ids);
     assert!(waiting > 0);
     host.advance(20_000);
@@ -651,7 +984,10 @@
 /// Where a copy was out beside the attempt whose answer streams, its end does not end the answer.
 #[test]
 fn a_copys_end_leaves_the_streaming_answer_alone() {
-    let cfg = Config { proxies: 1, ..config(vec![class(Effect::Free)]) };
+    let cfg = Config {
+        proxies: 1,
+        ..config(vec![class(Effect::Free)])
+    };
     let mut host = host(cfg, fleet(1));
     serve(&mut host, 100, 0, |_| 10_000);
     let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
@@ -663,8 +999,17 @@
     assert_eq!(host.sent_to(copied).len(), 2);
     host.start_stream(copied, 0);
     let (attempt, outcome, latency) = (AttemptNo(1), Outcome::Cancelled, Micros(5_000));
-    host.event(Event::AttemptEnded(AttemptEnd { request: copied, attempt, outcome, latency, settled: true }));
+    host.event(Event::AttemptEnded(AttemptEnd {
+        request: copied,
+        attempt,
+        outcome,
+        latency,
+        settled: true,
+    }));
     assert!(!host.cancelled.contains(&(copied, 0)));
     host.event(Event::ClientGone { request: copied });
-    assert!(host.cancelled.contains(&(copied, 0)), "it ends with its client");
+    assert!(
+        host.cancelled.contains(&(copied, 0)),
+        "it ends with its client"
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -40,7 +40,11 @@
 impl Fleet {
     fn new(cfg: &Config, count: u32, serve: fn(u32) -> (u64, Outcome)) -> Fleet {
         let proxy = |position| {
-            let cfg = Config { proxies: count, position, ..cfg.clone() };
+            let cfg = Config {
+                proxies: count,
+                position,
+                ..cfg.clone()
+            };
             Balancer::new(cfg, 7 + u64::from(position)).expect("sound")
         };
         Fleet {
@@ -72,12 +76,14 @@
                     *no += 1;
                 }
                 Action::SetTimer { token, after } => {
-                    self.due.push(Reverse((self.now + after.0, proxy, Due::Timer(token.0))));
+                    self.due
+                        .push(Reverse((self.now + after.0, proxy, Due::Timer(token.0))));
                 }
                 Action::Refuse { .. } => self.refused += 1,
                 Action::Follow => {
                     self.follows.push(self.now);
-                    self.due.push(Reverse((self.now + 2 * SECOND, proxy, Due::Lost)));
+                    self.due
+                        .push(Reverse((self.now + 2 * SECOND, proxy, Due::Lost)));
                 }
                 _ => {}
             }
@@ -86,7 +92,13 @@
 
     fn members(&mut self, update: ListUpdate, backends: &[Backend]) {
         for proxy in 0..self.proxies.len() {
-            self.tell(proxy, Event::Members { update, backends: backends.to_vec() });
+            self.tell(
+                proxy,
+                Event::Members {
+                    update,
+                    backends: backends.to_vec(),
+                },
+            );
         }
     }
 
@@ -95,18 +107,32 @@
         let gap = (SECOND as f64 / rate) as u64;
         let (until, count) = (self.now + span, self.proxies.len() as u64);
         for proxy in 0..count {
-            self.due.push(Reverse((self.now + gap * proxy / count, proxy as usize, Due::Arrival)));
+            self.due.push(Reverse((
+                self.now + gap * proxy / count,
+                proxy as usize,
+                Due::Arrival,
+            )));
         }
         while self.due.peek().is_some_and(|d| d.0 .0 < until) {
-            let Some(Reverse((at, proxy, due))) = self.due.pop() else { return };
+            let Some(Reverse((at, proxy, due))) = self.due.pop() else {
+                return;
+            };
             self.now = at;
             match due {
                 Due::Arrival => {
                     self.next += 1;
-                    let (request, class, time_left) = (RequestId(self.next), ClassId(0), Micros(SECOND));
+                    let (request, class, time_left) =
+                        (RequestId(self.next), ClassId(0), Micros(SECOND));
                     let tenant = Some(TenantId(self.next as usize % 2)); // of those there are, if any
                     let (work_hint, repeat) = (None, self.repeat);
-                    let arrival = Arrival { request, class, tenant, time_left, work_hint, repeat };
+                    let arrival = Arrival {
+                        request,
+                        class,
+                        tenant,
+                        time_left,
+                        work_hint,
+                        repeat,
+                    };
                     self.tell(proxy, Event::Request(arrival));
                     let gap = match (self.uneven, proxy % 10) {
                         (false, _) => gap,
@@ -115,15 +141,31 @@
                     };
                     self.due.push(Reverse((at + gap, proxy, Due::Arrival)));
                 }
-                Due::Timer(token) => self.tell(proxy, Event::Timer { token: TimerToken(token) }),
+                Due::Timer(token) => self.tell(
+                    proxy,
+                    Event::Timer {
+                        token: TimerToken(token),
+                    },
+                ),
                 Due::Lost => {
-                    self.tell(proxy, Event::Members { update: ListUpdate::Lost, backends: Vec::new() });
+                    self.tell(
+                        proxy,
+                        Event::Members {
+                            update: ListUpdate::Lost,
+                            backends: Vec::new(),
+                        },
+                    );
                 }
                 Due::End(request, attempt, backend, sent) => {
                     let (attempt, outcome) = (AttemptNo(attempt), (self.serve)(backend).1);
                     let latency = Micros(at - sent);
-                    let end =
-                        AttemptEnd { request, attempt, outcome, latency, settled: outcome == Outcome::Ok };
+                    let end = AttemptEnd {
+                        request,
+                        attempt,
+                        outcome,
+                        latency,
+                        settled: outcome == Outcome::Ok,
+                    };
                     self.tell(proxy, Event::AttemptEnded(end));
                 }
             }
@@ -134,7 +176,10 @@
 
     /// Sends to a backend from one time to another, by all proxies.
     fn sent_to(&self, backend: u32, from: u64, to: u64) -> usize {
-        self.sent.iter().filter(|s| s.2 == backend && (from..to).contains(&s.0)).count()
+        self.sent
+            .iter()
+            .filter(|s| s.2 == backend && (from..to).contains(&s.0))
+            .count()
     }
 }
 
@@ -155,8 +200,12 @@
 #[test]
 fn many_proxies_together_send_cold_backends_what_they_can_do_and_not_more() {
     let ramp = 23 * SECOND;
-    let cfg =
-        Config { cold_from: 0.13, ramp: Micros(ramp), fall_window: Micros(3 * SECOND), ..Config::example() };
+    let cfg = Config {
+        cold_from: 0.13,
+        ramp: Micros(ramp),
+        fall_window: Micros(3 * SECOND),
+        ..Config::example()
+    };
     let mut fleet = Fleet::new(&cfg, 100, |_| (120_000, Outcome::Ok));
     fleet.members(ListUpdate::Full, &backends(0..60, None));
     fleet.play(15.0, 10 * SECOND);
@@ -186,7 +235,10 @@
         ids.map(|id| fleet.sent_to(id, from, to)).sum::<usize>() as f64 / count
     };
     let (cold, warm) = (mean(100..136), mean(36..60));
-    assert!(cold >= warm * 0.4, "{cold} to each cold backend beside {warm} to each warm one");
+    assert!(
+        cold >= warm * 0.4,
+        "{cold} to each cold backend beside {warm} to each warm one"
+    );
 }
 
 /// Found on herd+vast: nine refusals in ten were repeats, turned away from two requests a backend on, a load of
@@ -213,7 +265,14 @@
 #[test]
 fn a_proxy_that_gets_several_times_the_mean_refuses_no_more_than_the_others() {
     let tenants = vec![Tenant { quota_per_s: 800.0 }, Tenant { quota_per_s: 700.0 }].into();
-    let mut fleet = Fleet::new(&Config { tenants, ..Config::example() }, 100, |_| (150_000, Outcome::Ok));
+    let mut fleet = Fleet::new(
+        &Config {
+            tenants,
+            ..Config::example()
+        },
+        100,
+        |_| (150_000, Outcome::Ok),
+    );
     fleet.members(ListUpdate::Full, &backends(0..60, None));
     fleet.uneven = true;
     fleet.play(15.0, 12 * SECOND);
@@ -233,9 +292,18 @@
     fleet.members(ListUpdate::Full, &backends(0..24, None));
     fleet.play(15.0, 8 * SECOND);
     // Held: up to eight on each of 24, 200 ms each, 960 a second.
-    let sent = |from: u64| fleet.sent.iter().filter(|s| s.0 / SECOND == shrunk / SECOND + from).count();
+    let sent = |from: u64| {
+        fleet
+            .sent
+            .iter()
+            .filter(|s| s.0 / SECOND == shrunk / SECOND + from)
+            .count()
+    };
     let each: Vec<usize> = (1..8).map(sent).collect();
-    assert!(each.iter().all(|n| *n >= 600), "{each:?} sent in each second after it shrank");
+    assert!(
+        each.iter().all(|n| *n >= 600),
+        "{each:?} sent in each second after it shrank"
+    );
 }
 
 /// Found on herd+vast: with discovery overbooked the proxies made 50 to 60 calls a second between them, each of
@@ -243,15 +311,34 @@
 #[test]
 fn an_overbooked_discovery_is_not_called_faster_by_many_proxies() {
     let discovery = Discovery::Subscribe(Micros(10 * SECOND));
-    let mut fleet = Fleet::new(&Config { discovery, ..Config::example() }, 100, |_| (100_000, Outcome::Ok));
+    let mut fleet = Fleet::new(
+        &Config {
+            discovery,
+            ..Config::example()
+        },
+        100,
+        |_| (100_000, Outcome::Ok),
+    );
     fleet.members(ListUpdate::Cached, &backends(0..60, None));
     let start = fleet.now;
     fleet.play(5.0, 40 * SECOND);
     let calls = |from: u64, to: u64| {
-        fleet.follows.iter().filter(|at| (start + from..start + to).contains(at)).count()
+        fleet
+            .follows
+            .iter()
+            .filter(|at| (start + from..start + to).contains(at))
+            .count()
     };
     let late = calls(20 * SECOND, 40 * SECOND);
-    assert!((510..=600).contains(&late), "{late} calls in 20 s: each proxy once in 3.4 seconds or so");
-    let most = (200..400).map(|n| calls(n * SECOND / 10, (n + 1) * SECOND / 10)).max();
-    assert!(most <= Some(12), "{most:?} calls in one tenth of a second: in step");
+    assert!(
+        (510..=600).contains(&late),
+        "{late} calls in 20 s: each proxy once in 3.4 seconds or so"
+    );
+    let most = (200..400)
+        .map(|n| calls(n * SECOND / 10, (n + 1) * SECOND / 10))
+        .max();
+    assert!(
+        most <= Some(12),
+        "{most:?} calls in one tenth of a second: in step"
+    );
 }
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -35,7 +35,11 @@
     }
     // Made from an older version: refused where the entry changed since, and only there.
     let (code, told) = put_answered(&fleet, 3, "t4", last - 1, 99);
-    assert_eq!((code, &told["field"], &told["version"]), (409, &json!("tenants.t4"), &json!(last)), "{told}");
+    assert_eq!(
+        (code, &told["field"], &told["version"]),
+        (409, &json!("tenants.t4"), &json!(last)),
+        "{told}"
+    );
     assert_eq!(put_answered(&fleet, 3, "t0", last - 1, 99).0, 200);
     let (code, told) = put_answered(&fleet, 2, "t0", last, 99);
     assert_eq!(code, 200, "the same again: {told}");
@@ -49,13 +53,22 @@
     assert_eq!(code, 200, "{told}");
     let now = told["version"].as_u64().unwrap();
     equal(&fleet, &ALL, now);
-    let state = |path: &str| said(&fleet.call(0, &format!("GET /config/{path}"), "")).1["state"].clone();
+    let state =
+        |path: &str| said(&fleet.call(0, &format!("GET /config/{path}"), "")).1["state"].clone();
     assert_eq!(
-        [state("tenants/t1"), state("tenants/north"), state("tenants/t2")],
+        [
+            state("tenants/t1"),
+            state("tenants/north"),
+            state("tenants/t2")
+        ],
         ["removed", "removed", "set"]
     );
-    let (code, told) =
-        answered(&fleet, 2, "DELETE /config/tenants/t3", &json!({ "version": now }).to_string());
+    let (code, told) = answered(
+        &fleet,
+        2,
+        "DELETE /config/tenants/t3",
+        &json!({ "version": now }).to_string(),
+    );
     assert_eq!(code, 200, "{told}");
     // What is wrong is said by key, all of it, and nothing is kept.
     let now = equal(&fleet, &ALL, told["version"].as_u64().unwrap());
@@ -66,8 +79,12 @@
         { "kind": "tenants", "name": "c", "value": { "name": "c", "x": "y".repeat(600) } },
     ]});
     let (code, told) = answered(&fleet, 1, "PUT /config", &wrong.to_string());
-    let fields: Vec<&str> =
-        told["errors"].as_array().unwrap().iter().map(|e| e["field"].as_str().unwrap()).collect();
+    let fields: Vec<&str> = told["errors"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|e| e["field"].as_str().unwrap())
+        .collect();
     let expected = [
         "entries[1].kind",
         "entries[2].name",
@@ -77,11 +94,31 @@
     ];
     assert_eq!((code, &fields[..]), (422, &expected[..]), "{told}");
     let bad = [
-        ("PUT /config/tenants/a", r#"{"version":"x","value":{}}"#, 422, "version"),
+        (
+            "PUT /config/tenants/a",
+            r#"{"version":"x","value":{}}"#,
+            422,
+            "version",
+        ),
         ("PUT /config/tenants/a", r#"{"version":1}"#, 422, "value"),
-        ("PUT /config/tenants/a", r#"{"version":1,"valeu":{}}"#, 422, "valeu"),
-        ("DELETE /config/tenants/a", r#"{"version":1,"value":{}}"#, 422, "value"),
-        ("PUT /config", r#"{"version":1,"entries":[]}"#, 422, "entries"),
+        (
+            "PUT /config/tenants/a",
+            r#"{"version":1,"valeu":{}}"#,
+            422,
+            "valeu",
+        ),
+        (
+            "DELETE /config/tenants/a",
+            r#"{"version":1,"value":{}}"#,
+            422,
+            "value",
+        ),
+        (
+            "PUT /config",
+            r#"{"version":1,"entries":[]}"#,
+            422,
+            "entries",
+        ),
         // What the settings make of it is said by their own keys.
         (
             "PUT /config/tenants/a",
@@ -89,12 +126,21 @@
             422,
             "customers[a].quota_rps",
         ),
-        ("PUT /config/tenants/a", r#"{"version":1,"value":{"name":"a"}}"#, 422, "customers[a].quota_rps"),
+        (
+            "PUT /config/tenants/a",
+            r#"{"version":1,"value":{"name":"a"}}"#,
+            422,
+            "customers[a].quota_rps",
+        ),
         ("GET /config/tenants/never", "", 404, "path"),
     ];
     for (line, body, code, key) in bad {
         let (status, told) = answered(&fleet, 0, line, body);
-        assert_eq!((status, told["field"].as_str()), (code, Some(key)), "{line} {body}: {told}");
+        assert_eq!(
+            (status, told["field"].as_str()),
+            (code, Some(key)),
+            "{line} {body}: {told}"
+        );
     }
     assert_eq!(fleet.call(0, "GET /config/cells/a", "").status(), 404);
     assert_eq!(fleet.call(0, "POST /config", "").status(), 405);
@@ -102,7 +148,8 @@
     // The figures say the same.
     fleet.wait("the figures", |fleet| {
         let text = String::from_utf8(fleet.proxies[3].call("GET /metrics").body).unwrap();
-        text.contains(&format!("meadowproxy_config_version {now}\n")).then_some(())
+        text.contains(&format!("meadowproxy_config_version {now}\n"))
+            .then_some(())
     });
     consistent(&fleet);
 }
@@ -116,12 +163,18 @@
     fleet.until(&ALL, 4);
     let ask = |fleet: &Fleet, n: usize, route: &str| {
         let request = read(3.0).replace("/read/", &format!("/{route}/"));
-        Client::connect(fleet.proxies[n].address).ask(&request).status()
+        Client::connect(fleet.proxies[n].address)
+            .ask(&request)
+            .status()
     };
     let changed = |fleet: &Fleet| {
         for n in ALL {
             fleet.proxies[n].wait_until_serving();
-            assert_eq!([ask(fleet, n, "list"), ask(fleet, n, "read")], [200, 200], "proxy {n}");
+            assert_eq!(
+                [ask(fleet, n, "list"), ask(fleet, n, "read")],
+                [200, 200],
+                "proxy {n}"
+            );
             assert_ne!(ask(fleet, n, "vote"), 200, "proxy {n}");
         }
     };
@@ -165,7 +218,10 @@
     let reason = fleet.wait("a reason", |fleet| {
         let (code, told) = put(fleet, 3, "b", version(fleet, 3), 2);
         assert_eq!(code, 503, "{told}");
-        told["why"].as_str().filter(|why| why.contains("majority")).map(String::from)
+        told["why"]
+            .as_str()
+            .filter(|why| why.contains("majority"))
+            .map(String::from)
     });
     assert!(reason.ends_with("1 of 3"), "{reason}");
     let mut last = 0;
@@ -173,14 +229,22 @@
         last = put_surely(&fleet, 4, "a", quota + 5);
     }
     equal(&fleet, &[1, 2, 4], last);
-    assert_eq!(quota(&fleet, 3, "a"), Some(1), "it goes on with what it has");
+    assert_eq!(
+        quota(&fleet, 3, "a"),
+        Some(1),
+        "it goes on with what it has"
+    );
     let asked = Client::connect(fleet.proxies[3].address).ask(&read(3.0));
     assert_eq!(asked.status(), 200);
     fleet.faults.heal();
     let healed = Instant::now();
     last = equal(&fleet, &ALL, last);
     eprintln!("equal {:?} after the heal", healed.elapsed());
-    assert!(healed.elapsed() < Duration::from_secs(5), "{:?}", healed.elapsed());
+    assert!(
+        healed.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        healed.elapsed()
+    );
     assert!(put_surely(&fleet, 3, "b", 2) > last);
     consistent(&fleet);
 }
@@ -217,7 +281,11 @@
         (Heard::All, Fate::CutOff),
     ];
     for (n, (heard, fate)) in cases.into_iter().enumerate() {
-        equal(&fleet, &ALL, put_surely(&fleet, 4, &format!("before-{n}"), 1));
+        equal(
+            &fleet,
+            &ALL,
+            put_surely(&fleet, 4, &format!("before-{n}"), 1),
+        );
         let votes = |f: &Fleet| (0..3).all(|n| status(f, n)["votes"] == true).then_some(());
         fleet.wait("all voters to take part", votes);
         let (at, token) = holder(&fleet, &(0, String::new()));
@@ -229,16 +297,22 @@
         });
         fleet.faults.rules.lock().unwrap().cut.extend(cut);
         let (name, base) = (format!("middle-{n}"), version(&fleet, at));
-        let body = json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
+        let body =
+            json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
         let length = body.len();
-        let call = format!("PUT /config/tenants/{name} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
+        let call = format!(
+            "PUT /config/tenants/{name} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"
+        );
         let mut caller = Client::connect(fleet.proxies[at].control.expect("a door"));
         caller.0.get_mut().write_all(call.as_bytes()).unwrap();
-        fleet.wait("the change to be under way", |f| status(f, at)["proposed"].as_u64());
+        fleet.wait("the change to be under way", |f| {
+            status(f, at)["proposed"].as_u64()
+        });
         if heard == Heard::All {
             let keep = |f: &Fleet| {
                 // Or has it in force, where a successor was quick.
-                let kept = |n: usize| !status(f, n)["keeps"].is_null() || quota(f, n, &name).is_some();
+                let kept =
+                    |n: usize| !status(f, n)["keeps"].is_null() || quota(f, n, &name).is_some();
                 (others.iter().filter(|n| **n < 3 && kept(**n)).count() == voters).then_some(())
             };
             fleet.wait("the voters to keep it", keep);
@@ -269,9 +343,16 @@
         equal(&fleet, &ALL, after);
         let has: Vec<Option<u64>> = ALL.iter().map(|n| quota(&fleet, *n, &name)).collect();
         eprintln!("{heard:?}, {fate:?}: {has:?}");
-        assert!(has.iter().all(|q| *q == has[0]), "{heard:?}, {fate:?}: {has:?}");
+        assert!(
+            has.iter().all(|q| *q == has[0]),
+            "{heard:?}, {fate:?}: {has:?}"
+        );
         if heard == Heard::All {
-            assert_eq!(has[0], Some(7), "a majority of the voters kept it: {fate:?}");
+            assert_eq!(
+                has[0],
+                Some(7),
+                "a majority of the voters kept it: {fate:?}"
+            );
         } else if fate == Fate::Killed {
             assert_eq!(has[0], None, "nobody else had it");
         }
@@ -309,7 +390,9 @@
         let others: Vec<usize> = ALL.into_iter().filter(|other| *other != voter).collect();
         changes(&fleet, &others);
         fleet.restart(voter);
-        fleet.wait("the voter to take part", |f| (status(f, voter)["votes"] == true).then_some(()));
+        fleet.wait("the voter to take part", |f| {
+            (status(f, voter)["votes"] == true).then_some(())
+        });
     }
     let before = changes(&fleet, &ALL);
     let had: Vec<_> = (0..7).map(|n| quota(&fleet, 4, &format!("t{n}"))).collect();
@@ -333,7 +416,11 @@
 #[test]
 fn the_holdings_of_each_duty_are_told_apart() {
     let held = |duty: &str| format!(" event=\"duty_held\" duty={duty} token=10-7 mono_us=5\n");
-    let life = holdings::Life { proxy: 0, log: held("calendar") + &held("config"), killed: None };
+    let life = holdings::Life {
+        proxy: 0,
+        log: held("calendar") + &held("config"),
+        killed: None,
+    };
     assert_eq!(holdings_of("config", std::slice::from_ref(&life)).len(), 1);
     assert_eq!(contradictions(&[life]), [""; 0]);
 }
--- a/tests/fleet_files.rs
+++ b/tests/fleet_files.rs
@@ -9,8 +9,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-const LIST: &str =
-    r#"{"name":"list","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}"#;
+const LIST: &str = r#"{"name":"list","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}"#;
 
 /// The file of a proxy as it would be without a version, for the last of these to be put in.
 fn plain(fleet: &Fleet, n: usize) -> String {
@@ -21,7 +20,11 @@
 fn file(plain: &str, version: u64, list: bool) -> String {
     let with = plain.replacen('{', &format!(r#"{{"version":{version},"#), 1);
     match list {
-        true => with.replacen(r#"{"name":"read""#, &format!(r#"{LIST},{{"name":"read""#), 1),
+        true => with.replacen(
+            r#"{"name":"read""#,
+            &format!(r#"{LIST},{{"name":"read""#),
+            1,
+        ),
         false => with,
     }
 }
@@ -49,13 +52,24 @@
 fn lists(fleet: &Fleet, n: usize) -> bool {
     fleet.proxies[n].wait_until_serving();
     let request = read(3.0).replace("/read/", "/list/");
-    Client::connect(fleet.proxies[n].address).ask(&request).status() == 200
+    Client::connect(fleet.proxies[n].address)
+        .ask(&request)
+        .status()
+        == 200
 }
 
 /// Sets the route for the fleet, or removes it, and waits until that is in force everywhere.
 fn put_list(fleet: &Fleet, n: usize, there: bool) -> u64 {
-    let value = if there { format!(r#","value":{LIST}"#) } else { String::new() };
-    let line = if there { "PUT /config/routes/list" } else { "DELETE /config/routes/list" };
+    let value = if there {
+        format!(r#","value":{LIST}"#)
+    } else {
+        String::new()
+    };
+    let line = if there {
+        "PUT /config/routes/list"
+    } else {
+        "DELETE /config/routes/list"
+    };
     let version = fleet.wait("a change to be taken", |fleet| {
         let body = format!(r#"{{"version":{}{value}}}"#, version(fleet, n));
         let (code, told) = said(&fleet.call(n, line, &body));
@@ -77,12 +91,20 @@
     // At some proxies only: the file has that change, and the operator took the route out of it since.
     for n in [1, 3] {
         assert!(reload(&fleet, n, &file(&plain[n], first, false)).0);
-        fleet.wait("it to be shown", |f| (status(f, n)["file"] == first).then_some(()));
+        fleet.wait("it to be shown", |f| {
+            (status(f, n)["file"] == first).then_some(())
+        });
     }
-    assert_eq!(ALL.map(|n| lists(&fleet, n)), [true, false, true, false, true]);
+    assert_eq!(
+        ALL.map(|n| lists(&fleet, n)),
+        [true, false, true, false, true]
+    );
     // Rolled back at one of them: the table's entry is there again.
     assert!(reload(&fleet, 3, &plain[3]).0);
-    assert_eq!(ALL.map(|n| lists(&fleet, n)), [true, false, true, true, true]);
+    assert_eq!(
+        ALL.map(|n| lists(&fleet, n)),
+        [true, false, true, true, true]
+    );
     // A later change is in force at all, whatever file they have, and stays so after another reading.
     let second = put_list(&fleet, 4, false);
     assert!(!ALL.iter().any(|n| lists(&fleet, *n)));
@@ -91,7 +113,10 @@
     assert!(reload(&fleet, 1, &file(&plain[1], second, true)).0);
     assert!(lists(&fleet, 1), "it is newer now");
     let (taken, line) = reload(&fleet, 2, &file(&plain[2], second + 1000, true));
-    assert!(!taken && line.contains("version: ") && line.contains(&second.to_string()), "{line}");
+    assert!(
+        !taken && line.contains("version: ") && line.contains(&second.to_string()),
+        "{line}"
+    );
     assert!(!lists(&fleet, 2));
     for wrong in [r#""x""#, "-1", "1e30", "9007199254740992"] {
         let text = plain[2].replacen('{', &format!(r#"{{"version":{wrong},"#), 1);
@@ -118,24 +143,40 @@
         answered(fleet, n, "PUT /config/file", &body)
     };
     let (code, told) = contain(&fleet, 2, upto);
-    assert_eq!((code, &told["field"]), (422, &json!("contains")), "its own file does not: {told}");
+    assert_eq!(
+        (code, &told["field"]),
+        (422, &json!("contains")),
+        "its own file does not: {told}"
+    );
     for n in [0, 1, 2, 4] {
         assert!(reload(&fleet, n, &file(&plain[n], upto, true)).0);
     }
-    fleet.wait("the file to be shown", |f| (status(f, 2)["file"] == upto).then_some(()));
+    fleet.wait("the file to be shown", |f| {
+        (status(f, 2)["file"] == upto).then_some(())
+    });
     let (code, told) = contain(&fleet, 2, upto);
     assert_eq!(code, 200, "{told}");
     let dropped = equal(&fleet, &ALL, told["version"].as_u64().unwrap());
     for n in ALL {
         let status = status(&fleet, n);
-        assert_eq!((&status["entries"], &status["contained"]), (&json!(1), &json!(upto)), "{status}");
-        assert!(lists(&fleet, n), "proxy {n}, also the one whose file is older");
+        assert_eq!(
+            (&status["entries"], &status["contained"]),
+            (&json!(1), &json!(upto)),
+            "{status}"
+        );
+        assert!(
+            lists(&fleet, n),
+            "proxy {n}, also the one whose file is older"
+        );
     }
     // That one keeps what only it needs, also over its file read again.
     assert!(reload(&fleet, 3, &plain[3]).0);
     assert!(lists(&fleet, 3));
     let (taken, line) = reload(&fleet, 2, &plain[2]);
-    assert!(!taken && line.contains(&format!("version: expected at least {upto}")), "{line}");
+    assert!(
+        !taken && line.contains(&format!("version: expected at least {upto}")),
+        "{line}"
+    );
     assert!(lists(&fleet, 2));
     // One that starts with the newer file, killed in the middle of its repair once, has all.
     fleet.write_more(format!(r#","version":{upto}"#));
@@ -172,11 +213,20 @@
 fn a_proxy_that_starts_again_begins_with_its_own_copy() {
     let backend = BackendServer::start(|_| ok("x"));
     let dir = folder();
-    let mut fleet = fleet_with(24, &backend, vec![("NODE_SNAPSHOT", dir.to_str().unwrap().into())]);
+    let mut fleet = fleet_with(
+        24,
+        &backend,
+        vec![("NODE_SNAPSHOT", dir.to_str().unwrap().into())],
+    );
     fleet.until(&ALL, 4);
     let files = || -> Vec<std::path::PathBuf> {
-        let all = std::fs::read_dir(&dir).into_iter().flatten().flatten().map(|e| e.path());
-        all.filter(|path| path.extension().is_some_and(|e| e == "table")).collect()
+        let all = std::fs::read_dir(&dir)
+            .into_iter()
+            .flatten()
+            .flatten()
+            .map(|e| e.path());
+        all.filter(|path| path.extension().is_some_and(|e| e == "table"))
+            .collect()
     };
     for n in ALL {
         put_surely(&fleet, n, &format!("t{n}"), 5);
@@ -185,12 +235,17 @@
     fleet.wait("all copies to be written with that", |_| {
         let name = br#""name":"list""#;
         let has = |bytes: Vec<u8>| bytes.windows(name.len()).any(|window| window == name);
-        let whole = files().into_iter().filter(|f| std::fs::read(f).is_ok_and(has));
+        let whole = files()
+            .into_iter()
+            .filter(|f| std::fs::read(f).is_ok_and(has));
         (whole.count() == ALL.len()).then_some(())
     });
     let lines = |fleet: &Fleet, n: usize, event: &str| {
         let text = fleet.proxies[n].said.clone();
-        text.lines().filter(|line| line.contains(event)).map(String::from).collect::<Vec<_>>()
+        text.lines()
+            .filter(|line| line.contains(event))
+            .map(String::from)
+            .collect::<Vec<_>>()
     };
     // A voter and another, both alone at their start, with the others gone on meanwhile.
     fleet.kill(&[0, 4]);
@@ -198,26 +253,45 @@
     fleet.faults.split(&[&[0], &[4], &[1, 2, 3]]);
     for n in [0, 4] {
         fleet.restart(n);
-        let line = lines(&fleet, n, "config_snapshot_taken").pop().expect("its own copy");
-        assert!(line.contains(&format!("version={kept} entries=6")), "{line}");
+        let line = lines(&fleet, n, "config_snapshot_taken")
+            .pop()
+            .expect("its own copy");
+        assert!(
+            line.contains(&format!("version={kept} entries=6")),
+            "{line}"
+        );
         assert!(lists(&fleet, n));
         let status = status(&fleet, n);
-        assert_eq!((&status["version"], &status["in_force"]), (&json!(kept), &json!(kept)));
+        assert_eq!(
+            (&status["version"], &status["in_force"]),
+            (&json!(kept), &json!(kept))
+        );
     }
     assert_eq!(status(&fleet, 0)["votes"], false);
     fleet.faults.heal();
-    fleet.wait("the voter", |f| (status(f, 0)["votes"] == true).then_some(()));
+    fleet.wait("the voter", |f| {
+        (status(f, 0)["votes"] == true).then_some(())
+    });
     let now = equal(&fleet, &ALL, kept + 1);
     for (cut, cause) in [(true, "checksum"), (false, "magic")] {
-        let texts: Vec<_> = files().into_iter().map(|f| (std::fs::read(&f).unwrap(), f)).collect();
+        let texts: Vec<_> = files()
+            .into_iter()
+            .map(|f| (std::fs::read(&f).unwrap(), f))
+            .collect();
         fleet.kill(&[4]);
         // Which of them is its own does not matter: the others run.
         for (bytes, file) in &texts {
-            let bytes = if cut { bytes[..bytes.len() - 1].to_vec() } else { [b"X", &bytes[1..]].concat() };
+            let bytes = if cut {
+                bytes[..bytes.len() - 1].to_vec()
+            } else {
+                [b"X", &bytes[1..]].concat()
+            };
             std::fs::write(file, bytes).unwrap();
         }
         fleet.restart(4);
-        let line = lines(&fleet, 4, "config_snapshot_refused").pop().expect("refused");
+        let line = lines(&fleet, 4, "config_snapshot_refused")
+            .pop()
+            .expect("refused");
         assert!(line.contains(&format!(r#"cause="{cause}""#)), "{line}");
         equal(&fleet, &ALL, now);
     }
@@ -233,7 +307,10 @@
     fleet.until(&ALL, 4);
     let ask = |fleet: &Fleet, n: usize, route: &str| {
         let request = read(3.0).replace("/read/", &format!("/{route}/"));
-        Client::connect(fleet.proxies[n].address).ask(&request).status() == 200
+        Client::connect(fleet.proxies[n].address)
+            .ask(&request)
+            .status()
+            == 200
     };
     let serve = |fleet: &Fleet| {
         ALL.map(|n| {
@@ -246,8 +323,9 @@
         answered(fleet, n, &format!("DELETE /config/{path}/override"), &body)
     };
     assert_eq!(back(&fleet, 0, "routes/list").0, 404);
-    let entries =
-        format!(r#"[{{"kind":"routes","name":"list","value":{LIST}}},{{"kind":"routes","name":"read"}}]"#);
+    let entries = format!(
+        r#"[{{"kind":"routes","name":"list","value":{LIST}}},{{"kind":"routes","name":"read"}}]"#
+    );
     let change = |fleet: &Fleet, n: usize, entries: &str| {
         let body = format!(r#"{{"version":{},"entries":{entries}}}"#, version(fleet, n));
         let (code, told) = answered(fleet, n, "PUT /config", &body);
@@ -257,12 +335,15 @@
     change(&fleet, 1, &entries);
     assert_eq!(serve(&fleet), [[true, false]; 5]);
     // Both at once.
-    let entries =
-        r#"[{"kind":"routes","name":"list","as_file":true},{"kind":"routes","name":"read","as_file":true}]"#;
+    let entries = r#"[{"kind":"routes","name":"list","as_file":true},{"kind":"routes","name":"read","as_file":true}]"#;
     change(&fleet, 2, entries);
     assert_eq!(serve(&fleet), [[false, true]; 5]);
     let (code, told) = back(&fleet, 3, "routes/list");
-    assert_eq!((code, &told["field"]), (404, &json!("routes.list")), "{told}");
+    assert_eq!(
+        (code, &told["field"]),
+        (404, &json!("routes.list")),
+        "{told}"
+    );
     // One, and a proxy that starts after it.
     let put = put_list(&fleet, 3, true);
     let (code, told) = back(&fleet, 4, "routes/list");
@@ -273,17 +354,29 @@
     fleet.restart(0);
     equal(&fleet, &ALL, now);
     assert_eq!(serve(&fleet), [[false, true]; 5]);
-    let (code, told) = answered(&fleet, 1, "DELETE /config/routes/x/override", r#"{"version":1,"value":{}}"#);
+    let (code, told) = answered(
+        &fleet,
+        1,
+        "DELETE /config/routes/x/override",
+        r#"{"version":1,"value":{}}"#,
+    );
     assert_eq!((code, &told["field"]), (422, &json!("value")), "{told}");
-    let both =
-        r#"{"version":1,"entries":[{"kind":"routes","name":"x","value":{"name":"x"},"as_file":true}]}"#;
+    let both = r#"{"version":1,"entries":[{"kind":"routes","name":"x","value":{"name":"x"},"as_file":true}]}"#;
     let (code, told) = answered(&fleet, 1, "PUT /config", both);
-    assert_eq!((code, &told["field"]), (422, &json!("entries[0].value")), "{told}");
+    assert_eq!(
+        (code, &told["field"]),
+        (422, &json!("entries[0].value")),
+        "{told}"
+    );
     // Where the file contains the change there is nothing to go back to.
     let put = put_list(&fleet, 3, true);
     let text = plain(&fleet, 2);
     assert!(reload(&fleet, 2, &file(&text, put, true)).0);
     let (code, told) = back(&fleet, 2, "routes/list");
-    assert_eq!((code, &told["field"]), (422, &json!("routes.list")), "{told}");
+    assert_eq!(
+        (code, &told["field"]),
+        (422, &json!("routes.list")),
+        "{told}"
+    );
     consistent(&fleet);
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -46,7 +46,16 @@
     };
     vec![
         plain.clone(),
-        Stream { name: "zones", seed: 2, proxies: 27, backends: 60, kinds: 3, zones: 9, near: true, ..plain },
+        Stream {
+            name: "zones",
+            seed: 2,
+            proxies: 27,
+            backends: 60,
+            kinds: 3,
+            zones: 9,
+            near: true,
+            ..plain
+        },
         Stream {
             name: "locality",
             seed: 3,
@@ -68,7 +77,15 @@
             churn_us: 500_000,
             ..plain
         },
-        Stream { name: "flood", seed: 5, proxies: 5, backends: 10, kinds: 3, gap_us: 900, ..plain },
+        Stream {
+            name: "flood",
+            seed: 5,
+            proxies: 5,
+            backends: 10,
+            kinds: 3,
+            gap_us: 900,
+            ..plain
+        },
         Stream {
             name: "slices",
             seed: 6,
@@ -102,9 +119,33 @@
             churn_us: 40_000,
             ..plain
         },
-        Stream { name: "careful", seed: 8, proxies: 9, backends: 30, ask: true, copies: false, ..plain },
-        Stream { name: "no cancel", seed: 9, backends: 20, zones: 2, ask: true, cancel: false, ..plain },
-        Stream { name: "tables", seed: 10, proxies: 60, tenants: 3_000, classes: 300, backends: 40, ..plain },
+        Stream {
+            name: "careful",
+            seed: 8,
+            proxies: 9,
+            backends: 30,
+            ask: true,
+            copies: false,
+            ..plain
+        },
+        Stream {
+            name: "no cancel",
+            seed: 9,
+            backends: 20,
+            zones: 2,
+            ask: true,
+            cancel: false,
+            ..plain
+        },
+        Stream {
+            name: "tables",
+            seed: 10,
+            proxies: 60,
+            tenants: 3_000,
+            classes: 300,
+            backends: 40,
+            ..plain
+        },
         Stream {
             name: "large",
             seed: 11,
@@ -143,11 +184,24 @@
 fn check(stream: &Stream) -> BTreeMap<String, usize> {
     let (digests, did) = play(stream);
     let prefix = format!("{}: ", stream.name);
-    let recorded = RECORDED.lines().find_map(|l| l.strip_prefix(&prefix)).expect("a recorded stream");
-    let recorded: Vec<u32> =
-        recorded.split(' ').map(|d| u32::from_str_radix(d, 16).expect("a digest")).collect();
-    assert_eq!(digests.len(), recorded.len(), "{}: other lengths", stream.name);
-    let differs = digests.iter().zip(&recorded).position(|(now, then)| now != then);
+    let recorded = RECORDED
+        .lines()
+        .find_map(|l| l.strip_prefix(&prefix))
+        .expect("a recorded stream");
+    let recorded: Vec<u32> = recorded
+        .split(' ')
+        .map(|d| u32::from_str_radix(d, 16).expect("a digest"))
+        .collect();
+    assert_eq!(
+        digests.len(),
+        recorded.len(),
+        "{}: other lengths",
+        stream.name
+    );
+    let differs = digests
+        .iter()
+        .zip(&recorded)
+        .position(|(now, then)| now != then);
     assert_eq!(
         differs.map(|block| block * BLOCK),
         None,
@@ -166,9 +220,14 @@
         }
     }
     // Streams in which nothing happens would prove nothing.
-    let much = ["Dispatch", "Refuse", "Fail", "Cancel", "SetTimer", "Tell", "Log"];
+    let much = [
+        "Dispatch", "Refuse", "Fail", "Cancel", "SetTimer", "Tell", "Log",
+    ];
     for what in much {
-        assert!(all.get(what).is_some_and(|n| *n >= 20), "too little of {what}: {all:?}");
+        assert!(
+            all.get(what).is_some_and(|n| *n >= 20),
+            "too little of {what}: {all:?}"
+        );
     }
     for what in [
         "Follow",
@@ -180,14 +239,20 @@
         "zone returning",
         "not taken",
     ] {
-        assert!(all.get(what).is_some_and(|n| *n >= 2), "too little of {what}: {all:?}");
+        assert!(
+            all.get(what).is_some_and(|n| *n >= 2),
+            "too little of {what}: {all:?}"
+        );
     }
 }
 
 /// Another seed of the module's own gives other actions: the digests see them.
 #[test]
 fn other_decisions_give_other_digests() {
-    let stream = Stream { steps: 500, ..streams().remove(0) };
+    let stream = Stream {
+        steps: 500,
+        ..streams().remove(0)
+    };
     let mut other = World::with_seed(&stream, stream.seed + 1);
     (0..stream.steps).for_each(|_| other.step());
     assert_ne!(play(&stream).0.last(), Some(&other.digest()));
--- a/tests/golden/encoding.rs
+++ b/tests/golden/encoding.rs
@@ -7,15 +7,24 @@
 pub fn encode_action(action: &Action) -> Vec<u64> {
     match action {
         Action::Dispatch { request, backend } => vec![1, request.0, backend.0.into()],
-        Action::Refuse { request, retry_after } => vec![2, request.0, retry_after.0],
+        Action::Refuse {
+            request,
+            retry_after,
+        } => vec![2, request.0, retry_after.0],
         Action::Fail { request } => vec![3, request.0],
         Action::Cancel { request, attempt } => vec![4, request.0, attempt.0.into()],
         Action::SetTimer { token, after } => vec![5, token.0, after.0],
         Action::Follow => vec![6],
-        Action::Tell { backend, verdict: Verdict::Out { term, strikes } } => {
+        Action::Tell {
+            backend,
+            verdict: Verdict::Out { term, strikes },
+        } => {
             vec![7, backend.0.into(), term.0, (*strikes).into()]
         }
-        Action::Tell { backend, verdict: Verdict::Back } => vec![8, backend.0.into()],
+        Action::Tell {
+            backend,
+            verdict: Verdict::Back,
+        } => vec![8, backend.0.into()],
         Action::Log(_) => vec![9],
     }
 }
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -120,8 +120,11 @@
     cfg.position = s.proxies / 3;
     cfg.classes = classes(s.classes).into_iter().collect();
     let share = 1e6 / s.gap_us as f64 * f64::from(s.proxies) / s.tenants as f64;
-    cfg.tenants =
-        (0..s.tenants).map(|n| Tenant { quota_per_s: share * (0.3 + 0.4 * (n % 4) as f64) }).collect();
+    cfg.tenants = (0..s.tenants)
+        .map(|n| Tenant {
+            quota_per_s: share * (0.3 + 0.4 * (n % 4) as f64),
+        })
+        .collect();
     cfg.goal_worst_class = 0.3;
     cfg.second_copies = s.copies;
     cfg.cancel = s.cancel;
@@ -130,7 +133,10 @@
         cfg.discovery = Discovery::Subscribe(Micros(2_000_000));
     }
     if s.locality {
-        cfg.locality = Some(Locality { leave_share: 0.5, ramp: Micros(2_000_000) });
+        cfg.locality = Some(Locality {
+            leave_share: 0.5,
+            ramp: Micros(2_000_000),
+        });
         cfg.regions = (0..s.zones).map(|z| (ZoneId(z), RegionId(z % 3))).collect();
     }
     cfg.ramp = Micros(4_000_000);
@@ -215,7 +221,11 @@
         match due {
             Due::Arrive => {
                 let burst = self.one_in(40);
-                let gap = if burst { 1 } else { self.below(2 * self.stream.gap_us) };
+                let gap = if burst {
+                    1
+                } else {
+                    self.below(2 * self.stream.gap_us)
+                };
                 self.plan(gap, Due::Arrive);
                 // A few routes and customers bring most of the traffic.
                 let class = self.skewed(self.cfg.classes.len());
@@ -224,12 +234,17 @@
                 Some(self.arrive(class, tenant, false))
             }
             Due::Again(class, tenant) => Some(self.arrive(class, tenant, true)),
-            Due::Timer(token) => Some(Event::Timer { token: TimerToken(token) }),
+            Due::Timer(token) => Some(Event::Timer {
+                token: TimerToken(token),
+            }),
             Due::Begin(request, no) => {
                 let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
                 r.tries.get(no as usize).filter(|t| t.out)?;
                 r.settled = true;
-                Some(Event::StreamStarted { request: RequestId(request), attempt: AttemptNo(no) })
+                Some(Event::StreamStarted {
+                    request: RequestId(request),
+                    attempt: AttemptNo(no),
+                })
             }
             Due::Uploaded(request, no) => {
                 let r = self.open.get_mut(&request)?;
@@ -237,7 +252,11 @@
                 t.sent = self.now;
                 let time_left = Micros(400_000);
                 r.deadline = self.now + time_left.0;
-                Some(Event::Uploaded { request: RequestId(request), attempt: AttemptNo(no), time_left })
+                Some(Event::Uploaded {
+                    request: RequestId(request),
+                    attempt: AttemptNo(no),
+                    time_left,
+                })
             }
             Due::End(request, no) => self.end(request, no, None),
             Due::Cancelled(request, no) => self.end(request, no, Some(Outcome::Cancelled)),
@@ -248,17 +267,24 @@
                     self.plan(left, Due::Deadline(request));
                     return None;
                 }
-                if let Some(no) = r.tries.iter().position(|t| t.out && t.outcome == Outcome::TimedOut) {
+                if let Some(no) = r
+                    .tries
+                    .iter()
+                    .position(|t| t.out && t.outcome == Outcome::TimedOut)
+                {
                     self.plan(0, Due::Deadline(request));
                     return self.end(request, no as u32, None);
                 }
-                (!std::mem::replace(&mut r.settled, true))
-                    .then_some(Event::ClientGone { request: RequestId(request) })
+                (!std::mem::replace(&mut r.settled, true)).then_some(Event::ClientGone {
+                    request: RequestId(request),
+                })
             }
             Due::Leave(request) => {
                 let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
                 r.settled = true;
-                Some(Event::ClientGone { request: RequestId(request) })
+                Some(Event::ClientGone {
+                    request: RequestId(request),
+                })
             }
             Due::Churn => {
                 let gap = self.below(2 * self.stream.churn_us) + 1;
@@ -277,8 +303,16 @@
         self.next_request += 1;
         let id = self.next_request;
         let left = 30_000 + self.below(1_500_000);
-        self.open
-            .insert(id, Open { class, tenant, deadline: self.now + left, settled: false, tries: Vec::new() });
+        self.open.insert(
+            id,
+            Open {
+                class,
+                tenant,
+                deadline: self.now + left,
+                settled: false,
+                tries: Vec::new(),
+            },
+        );
         self.plan(left, Due::Deadline(id));
         if self.one_in(50) {
             let at = self.below(left);
@@ -304,7 +338,13 @@
         let latency = Micros(now - t.sent);
         r.settled |= outcome == Outcome::Ok;
         let (request, attempt, settled) = (RequestId(request), AttemptNo(no), r.settled);
-        Some(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled }))
+        Some(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            settled,
+        }))
     }
 
     fn tell(&mut self, event: Event) {
@@ -323,9 +363,14 @@
                 self.count("Dispatch");
                 self.dispatch(request.0, backend.0);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.count("Refuse");
-                let Some(r) = self.open.get_mut(&request.0) else { return };
+                let Some(r) = self.open.get_mut(&request.0) else {
+                    return;
+                };
                 r.settled = true;
                 let again = Due::Again(r.class, r.tenant);
                 if self.one_in(3) {
@@ -334,7 +379,10 @@
             }
             Action::Fail { request } => {
                 self.count("Fail");
-                self.open.get_mut(&request.0).into_iter().for_each(|r| r.settled = true);
+                self.open
+                    .get_mut(&request.0)
+                    .into_iter()
+                    .for_each(|r| r.settled = true);
             }
             Action::Cancel { request, attempt } => {
                 self.count("Cancel");
@@ -351,8 +399,15 @@
             Action::Tell { .. } => self.count("Tell"),
             Action::Log(text) => {
                 self.count("Log");
-                let words =
-                    ["ejected: ", "on the word", "is back", "left:", "returning", "not taken", "recalled"];
+                let words = [
+                    "ejected: ",
+                    "on the word",
+                    "is back",
+                    "left:",
+                    "returning",
+                    "not taken",
+                    "recalled",
+                ];
                 for word in words.into_iter().filter(|w| text.contains(w)) {
                     self.count(match word {
                         "left:" => "zone left",
@@ -384,14 +439,20 @@
             _ => (Outcome::Ok, work),
         };
         let now = self.now;
-        let Some(r) = self.open.get_mut(&request) else { return };
+        let Some(r) = self.open.get_mut(&request) else {
+            return;
+        };
         let no = r.tries.len() as u32;
         if no > 0 {
             *self.did.entry("second attempts".into()).or_default() += 1;
         }
         let late = now.saturating_add(after) >= r.deadline;
         let outcome = if late { Outcome::TimedOut } else { outcome };
-        r.tries.push(Try { sent: now, outcome, out: true });
+        r.tries.push(Try {
+            sent: now,
+            outcome,
+            out: true,
+        });
         if late {
             return; // it ends with the client's patience
         }
@@ -441,7 +502,10 @@
             for _ in 0..2.min(lines.len()) {
                 let at = self.below(lines.len() as u64) as usize;
                 let id = lines.remove(at).id.0;
-                self.list.get_mut(&id).into_iter().for_each(|b| b.0.state = BackendState::Gone);
+                self.list
+                    .get_mut(&id)
+                    .into_iter()
+                    .for_each(|b| b.0.state = BackendState::Gone);
             }
         }
         if self.one_in(4) {
@@ -473,29 +537,55 @@
                 self.word()
             }
             7..=11 => self.lines(),
-            12 => Event::Members { update: ListUpdate::Full, backends: self.whole() },
+            12 => Event::Members {
+                update: ListUpdate::Full,
+                backends: self.whole(),
+            },
             13 => match self.below(6) {
-                0 => Event::Members { update: ListUpdate::Cached, backends: self.whole() },
-                1 => Event::Beside { processes: 1 + self.below(2) as u32 },
-                _ => Event::Members { update: ListUpdate::Lost, backends: Vec::new() },
+                0 => Event::Members {
+                    update: ListUpdate::Cached,
+                    backends: self.whole(),
+                },
+                1 => Event::Beside {
+                    processes: 1 + self.below(2) as u32,
+                },
+                _ => Event::Members {
+                    update: ListUpdate::Lost,
+                    backends: Vec::new(),
+                },
+            },
+            14 => Event::Withdraw {
+                backend: BackendId(self.any()),
             },
-            14 => Event::Withdraw { backend: BackendId(self.any()) },
             15 | 16 => {
                 let (backend, ago) = (BackendId(self.any()), self.below(3_000_000));
-                Event::Restore { backend, since: Time(self.now - ago) }
+                Event::Restore {
+                    backend,
+                    since: Time(self.now - ago),
+                }
             }
             17 | 18 => self.retune(),
             19 => {
                 let memory = Box::new(self.balancer.recollect(Time(self.now)));
-                Event::Recall { memory, age: Micros(self.below(20_000_000)) }
+                Event::Recall {
+                    memory,
+                    age: Micros(self.below(20_000_000)),
+                }
             }
             _ => self.word(),
         }
     }
 
     fn trouble(&mut self) {
-        let moods =
-            [Mood::Dead, Mood::Silent, Mood::Failing, Mood::Slow, Mood::Full, Mood::Breaking, Mood::Dead];
+        let moods = [
+            Mood::Dead,
+            Mood::Silent,
+            Mood::Failing,
+            Mood::Slow,
+            Mood::Full,
+            Mood::Breaking,
+            Mood::Dead,
+        ];
         let mood = moods[self.below(moods.len() as u64) as usize];
         let one = self.any();
         let zone = self.list[&one].0.zone;
@@ -521,7 +611,11 @@
             let now = self.now;
             let place = (self.stream.moves && self.one_in(2)).then(|| {
                 let zone = self.below(u64::from(self.stream.zones)) as u32;
-                (zone, self.below(u64::from(self.stream.kinds)) as u32, self.draw.next_u32())
+                (
+                    zone,
+                    self.below(u64::from(self.stream.kinds)) as u32,
+                    self.draw.next_u32(),
+                )
             });
             let (b, mood) = self.list.get_mut(&id).expect("listed");
             if let Some((zone, kind, mark)) = place {
@@ -535,22 +629,34 @@
                 0 => b.state = BackendState::Draining,
                 1 => b.state = BackendState::Gone,
                 2..=4 => {
-                    (b.state, b.booted, *mood) = (BackendState::Ready, Some(Time(now - ago)), Mood::Good);
+                    (b.state, b.booted, *mood) =
+                        (BackendState::Ready, Some(Time(now - ago)), Mood::Good);
                 }
                 _ => b.state = BackendState::Ready,
             }
             changed.push(b.clone());
         }
-        Event::Members { update: ListUpdate::Changes, backends: changed }
+        Event::Members {
+            update: ListUpdate::Changes,
+            backends: changed,
+        }
     }
 
     fn word(&mut self) -> Event {
         // Of a few the peers speak often: two of them have to agree.
-        let backend = BackendId(if self.one_in(3) { self.any() } else { self.below(3) as u32 });
+        let backend = BackendId(if self.one_in(3) {
+            self.any()
+        } else {
+            self.below(3) as u32
+        });
         let origin = self.below(5) as u32;
         let term = Micros(500_000 + self.below(2_000_000));
         let strikes = 1 + self.below(3) as u8;
-        let verdict = if self.one_in(3) { Verdict::Back } else { Verdict::Out { term, strikes } };
+        let verdict = if self.one_in(3) {
+            Verdict::Back
+        } else {
+            Verdict::Out { term, strikes }
+        };
         Event::Heard(Heard {
             backend,
             origin: (origin > 0).then_some(OriginId(origin)),
@@ -573,7 +679,9 @@
             3 => {
                 let at = self.below(cfg.tenants.len() as u64) as usize;
                 cfg.tenants[at].quota_per_s *= 0.5 + 0.25 * self.below(5) as f64;
-                cfg.tenants.push_back(Tenant { quota_per_s: 1.0 + self.below(20) as f64 });
+                cfg.tenants.push_back(Tenant {
+                    quota_per_s: 1.0 + self.below(20) as f64,
+                });
             }
             4 => {
                 let old = self.skewed(cfg.classes.len());
@@ -600,5 +708,10 @@
 
 fn settings(cfg: Config, retired: Vec<ClassId>, heirs: Vec<(ClassId, ClassId)>) -> Event {
     let config = Box::new(cfg.checked().expect("sound"));
-    Event::Settings { config, retired, revived: Vec::new(), heirs }
+    Event::Settings {
+        config,
+        retired,
+        revived: Vec::new(),
+        heirs,
+    }
 }
--- a/tests/halb.rs
+++ b/tests/halb.rs
@@ -34,9 +34,15 @@
 #[test]
 fn counts_weigh_and_may_be_parts() {
     // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
-    close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)), &[1.0, 0.0]);
+    close(
+        halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)),
+        &[1.0, 0.0],
+    );
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
-    close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(6.25)), &[0.96, 0.04]);
+    close(
+        halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(6.25)),
+        &[0.96, 0.04],
+    );
 }
 
 #[test]
@@ -47,21 +53,36 @@
 
 #[test]
 fn without_a_rate_ready_counts_decide() {
-    close(halb_shares(&[(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)], None), &[0.75, 0.25, 0.0]);
+    close(
+        halb_shares(&[(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)], None),
+        &[0.75, 0.25, 0.0],
+    );
 }
 
 #[test]
 fn near_zero_rate_the_fastest_kind_takes_all() {
     close(halb_shares(&TWO, Some(0.0)), &[1.0, 0.0]);
-    close(halb_shares(&[(1.0, 4.0), (3.0, 4.0)], Some(0.0)), &[0.25, 0.75]);
-    close(halb_shares(&[(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)], Some(1e-12)), &[0.0, 1.0, 0.0]);
+    close(
+        halb_shares(&[(1.0, 4.0), (3.0, 4.0)], Some(0.0)),
+        &[0.25, 0.75],
+    );
+    close(
+        halb_shares(&[(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)], Some(1e-12)),
+        &[0.0, 1.0, 0.0],
+    );
 }
 
 #[test]
 fn one_kind_takes_all_and_none_ready_takes_nothing() {
     close(halb_shares(&[(2.0, 3.0)], Some(1.0)), &[1.0]);
-    close(halb_shares(&[(0.0, 3.0), (0.0, 1.0)], Some(1.0)), &[0.0, 0.0]);
-    close(halb_shares(&[(0.0, 3.0), (2.0, 1.0)], Some(1.0)), &[0.0, 1.0]);
+    close(
+        halb_shares(&[(0.0, 3.0), (0.0, 1.0)], Some(1.0)),
+        &[0.0, 0.0],
+    );
+    close(
+        halb_shares(&[(0.0, 3.0), (2.0, 1.0)], Some(1.0)),
+        &[0.0, 1.0],
+    );
     close(halb_shares(&[], Some(1.0)), &[]);
     close(halb_shares(&[], None), &[]);
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -36,7 +36,11 @@
         1 => Just(BackendState::Draining),
         1 => Just(BackendState::Gone)
     ];
-    let update = prop_oneof![Just(ListUpdate::Full), Just(ListUpdate::Cached), Just(ListUpdate::Lost)];
+    let update = prop_oneof![
+        Just(ListUpdate::Full),
+        Just(ListUpdate::Cached),
+        Just(ListUpdate::Lost)
+    ];
     prop_oneof![
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
         8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
@@ -54,11 +58,18 @@
     let mut cfg = Config::example();
     cfg.classes = vec![
         class(Effect::Free),
-        Class { late_worth: 0.3, worth: 5.0, ..class(Effect::Unsafe) },
+        Class {
+            late_worth: 0.3,
+            worth: 5.0,
+            ..class(Effect::Unsafe)
+        },
         class(Effect::Keyed(KeyScope::Zone, window)),
         class(Effect::Keyed(KeyScope::Cell, window)),
         class(Effect::Keyed(KeyScope::All, window)),
-        Class { aim: Micros(100_000), ..class(Effect::Free) },
+        Class {
+            aim: Micros(100_000),
+            ..class(Effect::Free)
+        },
     ]
     .into();
     cfg.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }].into();
@@ -77,7 +88,12 @@
 fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = Host::new(config(bits), seed);
     let mut trace = Vec::new();
-    let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
+    let fleet = |mask: u32| {
+        (0..8)
+            .filter(|i| mask >> i & 1 == 1)
+            .map(|i| backend(i, i % 3, i % 2))
+            .collect()
+    };
     host.members(ListUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
@@ -95,8 +111,12 @@
                 }
             }
             Step::Gone(n) => {
-                let open: Vec<RequestId> =
-                    host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
+                let open: Vec<RequestId> = host
+                    .requests
+                    .iter()
+                    .filter(|(_, r)| r.answer.is_none())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if let Some(id) = nth(&open, n) {
                     host.requests.get_mut(&id).unwrap().answer = Some("left");
                     host.event(Event::ClientGone { request: id });
@@ -107,7 +127,11 @@
                 let booted = restarted.then_some(host.now);
                 host.members(
                     ListUpdate::Changes,
-                    vec![Backend { state, booted, ..backend(b, b % 3, b % 2) }],
+                    vec![Backend {
+                        state,
+                        booted,
+                        ..backend(b, b % 3, b % 2)
+                    }],
                 );
             }
             Step::Relist(_, ListUpdate::Lost) => host.members(ListUpdate::Lost, Vec::new()),
@@ -120,7 +144,10 @@
     }
     host.advance(3_000_000);
     let answered = |r: &common::Open| r.answer.is_some() || r.streaming;
-    assert!(host.requests.values().all(answered), "a request was left without an answer");
+    assert!(
+        host.requests.values().all(answered),
+        "a request was left without an answer"
+    );
     trace
 }
 
@@ -130,13 +157,21 @@
 }
 
 fn runner(cases: u32) -> TestRunner {
-    let config = ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() };
+    let config = ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
 #[test]
 fn rules_hold_over_generated_events() {
-    let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
+    let all = (
+        0..32u32,
+        any::<u64>(),
+        proptest::collection::vec(step(), 1..250),
+    );
     let run = runner(300).run(&all, |(bits, seed, steps)| {
         play(bits, seed, &steps);
         Ok(())
@@ -146,7 +181,11 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
+    let all = (
+        0..32u32,
+        any::<u64>(),
+        proptest::collection::vec(step(), 1..120),
+    );
     let run = runner(40).run(&all, |(bits, seed, steps)| {
         prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
         Ok(())
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -10,7 +10,10 @@
 /// Settings of which position and zone differ between the proxies of one fleet.
 fn settings() -> String {
     SETTINGS
-        .replace(r#""position":0,"group_size":1"#, r#""position":0,"group_size":2"#)
+        .replace(
+            r#""position":0,"group_size":1"#,
+            r#""position":0,"group_size":2"#,
+        )
         .replace(r#""zones":["east"]"#, r#""zones":["east","west"]"#)
 }
 
@@ -19,14 +22,23 @@
 
 /// A proxy that keeps snapshots there, with a `TMPDIR` of its own.
 fn keeping(dir: &Path, known: &[String], settings: &str, who: &str) -> Proxy {
-    let kept = format!(r#"{SELF}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#, dir.display());
+    let kept = format!(
+        r#"{SELF}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#,
+        dir.display()
+    );
     let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
     Proxy::configured(known, settings, &kept, &[tmp])
 }
 
 fn backends() -> (BackendServer, BackendServer, Vec<String>) {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = vec![entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = vec![
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     (a, b, known)
 }
 
@@ -58,10 +70,18 @@
     assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
     written(&dir);
     drop(first); // SIGKILL
-    let others = [r#","name":"n1""#, r#","listen":"127.0.0.2:0""#, r#","discovery":"127.0.0.1:10""#];
+    let others = [
+        r#","name":"n1""#,
+        r#","listen":"127.0.0.2:0""#,
+        r#","discovery":"127.0.0.1:10""#,
+    ];
     for (n, who) in others.into_iter().enumerate() {
         let other = keeping(&dir, &known, &settings, who);
-        assert!(other.said.contains("no snapshot: cold start"), "{who}: {}", other.said);
+        assert!(
+            other.said.contains("no snapshot: cold start"),
+            "{who}: {}",
+            other.said
+        );
         assert!(uses(&other, &a), "{who}: it holds another one's ban");
         until("it keeps no file of its own", || files(&dir).len() == n + 2);
     }
@@ -92,17 +112,35 @@
         settings.replacen(from, to, 1)
     };
     let cases = [
-        ("settings", &bytes, swap(r#""position":0"#, r#""position":1"#)),
-        ("settings", &bytes, swap(r#""my_zone":"east""#, r#""my_zone":"west""#)),
-        ("settings", &bytes, swap(r#""quota_rps":500.0"#, r#""quota_rps":400.0"#)),
+        (
+            "settings",
+            &bytes,
+            swap(r#""position":0"#, r#""position":1"#),
+        ),
+        (
+            "settings",
+            &bytes,
+            swap(r#""my_zone":"east""#, r#""my_zone":"west""#),
+        ),
+        (
+            "settings",
+            &bytes,
+            swap(r#""quota_rps":500.0"#, r#""quota_rps":400.0"#),
+        ),
         ("owner", &foreign, settings.clone()),
     ];
     for (cause, bytes, settings) in cases {
         std::fs::write(&own, bytes).unwrap();
         let proxy = keeping(&dir, &known, &settings, "");
-        let line = proxy.said.lines().find(|l| l.contains("snapshot refused, cold start"));
+        let line = proxy
+            .said
+            .lines()
+            .find(|l| l.contains("snapshot refused, cold start"));
         let line = line.unwrap_or_else(|| panic!("{cause}: not refused: {}", proxy.said));
-        assert!(line.contains(&format!("cause=\"{cause}\"")), "{cause}: {line}");
+        assert!(
+            line.contains(&format!("cause=\"{cause}\"")),
+            "{cause}: {line}"
+        );
         assert!(uses(&proxy, &a), "{cause}: it holds a ban from elsewhere");
     }
 }
@@ -117,16 +155,28 @@
     drop(first); // SIGKILL
     let own = files(&dir).remove(0);
     let pipe = |at: &Path| {
-        assert!(std::process::Command::new("mkfifo").arg(at).status().unwrap().success());
+        assert!(std::process::Command::new("mkfifo")
+            .arg(at)
+            .status()
+            .unwrap()
+            .success());
     };
     let huge = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
     let folder = |at: &Path| std::fs::create_dir(at).unwrap();
-    let cases = [("unreadable", &pipe as &dyn Fn(&Path)), ("too_large", &huge), ("unreadable", &folder)];
+    let cases = [
+        ("unreadable", &pipe as &dyn Fn(&Path)),
+        ("too_large", &huge),
+        ("unreadable", &folder),
+    ];
     for (cause, put) in cases {
         let _ = std::fs::remove_file(&own);
         put(&own);
         let proxy = keeping(&dir, &known, &settings(), "");
-        assert!(proxy.said.contains(&format!("cause=\"{cause}\"")), "{cause}: {}", proxy.said);
+        assert!(
+            proxy.said.contains(&format!("cause=\"{cause}\"")),
+            "{cause}: {}",
+            proxy.said
+        );
         assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{cause}: serves cold");
     }
 }
@@ -141,9 +191,15 @@
     assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
     written(&dir);
     let text = std::fs::read_to_string(&first.config).unwrap();
-    std::fs::write(&first.config, text.replace("127.0.0.1:9\"", "127.0.0.1:10\"")).unwrap();
+    std::fs::write(
+        &first.config,
+        text.replace("127.0.0.1:9\"", "127.0.0.1:10\""),
+    )
+    .unwrap();
     first.signal("-HUP");
-    until("the new address was not taken", || first.logged("discovery at 127.0.0.1:10") > 0);
+    until("the new address was not taken", || {
+        first.logged("discovery at 127.0.0.1:10") > 0
+    });
     drop(first); // SIGKILL
     let old = keeping(&dir, &known, &settings(), "");
     assert!(old.said.contains("no snapshot: cold start"), "{}", old.said);
@@ -161,8 +217,12 @@
     let (a, _b, known) = backends();
     let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
     let start = |who: &str| {
-        let proxy =
-            Proxy::configured(&known, &settings(), &format!("{SELF}{who}"), std::slice::from_ref(&tmp));
+        let proxy = Proxy::configured(
+            &known,
+            &settings(),
+            &format!("{SELF}{who}"),
+            std::slice::from_ref(&tmp),
+        );
         proxy.wait_until_serving();
         proxy
     };
@@ -174,9 +234,17 @@
         other.terminate();
         assert!(other.child.wait().unwrap().success());
         until("its log ends", || other.logged("stopped") > 0);
-        assert_eq!(other.logged("another process"), 0, "{who}: it left its clients to a stranger");
+        assert_eq!(
+            other.logged("another process"),
+            0,
+            "{who}: it left its clients to a stranger"
+        );
     }
-    assert_eq!(first.logged("another process"), 0, "it shared its descriptors with a stranger");
+    assert_eq!(
+        first.logged("another process"),
+        0,
+        "it shared its descriptors with a stranger"
+    );
     drop(first); // SIGKILL
     let next = start(r#","discovery":"127.0.0.1:10""#);
     assert!(!uses(&next, &a), "its own ban was lost");
