--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,7 +1,9 @@
 //! Leases: random schedules of a fleet of five voters and three candidates, and single rules.
 
 use meadowproxy::fleet::fence::Fence;
-use meadowproxy::fleet::lease::{Ballot, Candidate, Change, Loss, Message, Rules, RulesError, Token, Voter};
+use meadowproxy::fleet::lease::{
+    Ballot, Candidate, Change, Loss, Message, Rules, RulesError, Token, Voter,
+};
 use meadowproxy::{Micros, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -45,7 +47,10 @@
 
 impl Watch {
     fn draw(dice: &mut Pcg32) -> Watch {
-        Watch(1.0 + 0.1 * (f64::from(dice.next_u32()) / 2_147_483_648.0 - 1.0), dice.next_u64() >> 16)
+        Watch(
+            1.0 + 0.1 * (f64::from(dice.next_u32()) / 2_147_483_648.0 - 1.0),
+            dice.next_u64() >> 16,
+        )
     }
 
     fn at(self, ms: u64) -> Time {
@@ -94,7 +99,18 @@
         };
         let rivals = (0..RIVALS).map(|_| rival()).collect();
         let (wire, latest, gains) = (BTreeMap::new(), Token::default(), 0);
-        Sea { weather, dice, rules, ms: 0, voters, rivals, wire, sent: 0, latest, gains }
+        Sea {
+            weather,
+            dice,
+            rules,
+            ms: 0,
+            voters,
+            rivals,
+            wire,
+            sent: 0,
+            latest,
+            gains,
+        }
     }
 
     fn chance(&mut self, part: f64) -> bool {
@@ -103,13 +119,21 @@
 
     fn send(&mut self, to_voter: bool, voter: usize, rival: usize, message: Message) {
         let storm = self.ms < STORM;
-        let copies = if storm { u64::from(!self.chance(self.weather.loss)) } else { 1 };
+        let copies = if storm {
+            u64::from(!self.chance(self.weather.loss))
+        } else {
+            1
+        };
         let copies = copies + u64::from(storm && self.chance(self.weather.doubled));
         for _ in 0..copies {
             let late = storm && self.chance(0.1);
-            let delay = 1 + u64::from(self.dice.next_u32()) % if late { self.weather.delay } else { 20 };
+            let delay =
+                1 + u64::from(self.dice.next_u32()) % if late { self.weather.delay } else { 20 };
             self.sent += 1;
-            self.wire.insert((self.ms + delay, self.sent), (to_voter, voter, rival, message));
+            self.wire.insert(
+                (self.ms + delay, self.sent),
+                (to_voter, voter, rival, message),
+            );
         }
     }
 
@@ -120,7 +144,12 @@
         }
         for change in self.rivals[rival].machine.changes() {
             if let Change::Gained(token) = change {
-                assert!(token > self.latest, "{token:?} after {:?} at {} ms", self.latest, self.ms);
+                assert!(
+                    token > self.latest,
+                    "{token:?} after {:?} at {} ms",
+                    self.latest,
+                    self.ms
+                );
                 self.latest = token;
                 self.gains += 1;
             }
@@ -130,7 +159,12 @@
 
     /// Who holds the duty by its own clock: one at most.
     fn holder(&self) -> Option<usize> {
-        let holds = |r: &usize| self.rivals[*r].machine.holds(self.rivals[*r].watch.at(self.ms)).is_some();
+        let holds = |r: &usize| {
+            self.rivals[*r]
+                .machine
+                .holds(self.rivals[*r].watch.at(self.ms))
+                .is_some()
+        };
         let holders: Vec<usize> = (0..RIVALS).filter(holds).collect();
         assert!(holders.len() <= 1, "{holders:?} hold at {} ms", self.ms);
         holders.first().copied()
@@ -141,7 +175,9 @@
         match trouble {
             Trouble::Stall(r, ms) => self.rivals[r].stalled = until(ms),
             Trouble::Drain(r, ms) => self.rivals[r].unwanted = until(ms),
-            Trouble::Die(r) => self.rivals[r].machine = Candidate::new(self.rules, self.dice.next_u64()),
+            Trouble::Die(r) => {
+                self.rivals[r].machine = Candidate::new(self.rules, self.dice.next_u64())
+            }
             Trouble::Restart(v) => self.restart(v),
             Trouble::RestartAll => (0..SEATS).for_each(|v| self.restart(v)),
         }
@@ -171,7 +207,13 @@
     }
 
     fn wake(&mut self, rival: usize) {
-        let Rival { machine, watch, ahead, stalled, unwanted } = &mut self.rivals[rival];
+        let Rival {
+            machine,
+            watch,
+            ahead,
+            stalled,
+            unwanted,
+        } = &mut self.rivals[rival];
         let (now, wanted) = (watch.at(self.ms), self.ms >= *unwanted);
         if self.ms >= *stalled && (!wanted || machine.next().is_none_or(|at| at <= now)) {
             let mut out = Vec::new();
@@ -184,13 +226,19 @@
     fn pass(&mut self) {
         self.ms += 1;
         self.holder();
-        while let Some(due) = self.wire.first_entry().filter(|first| first.key().0 <= self.ms) {
+        while let Some(due) = self
+            .wire
+            .first_entry()
+            .filter(|first| first.key().0 <= self.ms)
+        {
             let (to_voter, voter, rival, message) = due.remove();
             self.arrive(to_voter, voter, rival, message);
         }
         (0..RIVALS).for_each(|rival| self.wake(rival));
         let now = self.ms;
-        let (due, later) = std::mem::take(&mut self.weather.troubles).into_iter().partition(|t| t.0 <= now);
+        let (due, later) = std::mem::take(&mut self.weather.troubles)
+            .into_iter()
+            .partition(|t| t.0 <= now);
         self.weather.troubles = later;
         Vec::into_iter(due).for_each(|(_, trouble)| self.trouble(trouble));
     }
@@ -205,15 +253,26 @@
         1 => Just(Trouble::RestartAll),
     ];
     let troubles = proptest::collection::vec((0..STORM, trouble), 0..12);
-    (any::<u64>(), 0.0..0.4, 0.0..0.3, 1..DELAY, troubles)
-        .prop_map(|(seed, loss, doubled, delay, troubles)| Weather { seed, loss, doubled, delay, troubles })
+    (any::<u64>(), 0.0..0.4, 0.0..0.3, 1..DELAY, troubles).prop_map(
+        |(seed, loss, doubled, delay, troubles)| Weather {
+            seed,
+            loss,
+            doubled,
+            delay,
+            troubles,
+        },
+    )
 }
 
 /// Five voters, three candidates: one holder at most at every millisecond, tokens that grow, and after the storm
 /// (its last messages still on their way) a holder again within four terms, who keeps the duty.
 #[test]
 fn random_storms_leave_one_holder_and_then_pass() {
-    let config = ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() };
+    let config = ProptestConfig {
+        cases: 128,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let (longest, gains) = (Cell::new(0), Cell::new(0));
@@ -236,7 +295,11 @@
         Ok(())
     };
     runner.run(&weather(), run).unwrap();
-    println!("{} holdings, a holder again at most {} ms after each storm", gains.get(), longest.get());
+    println!(
+        "{} holdings, a holder again at most {} ms after each storm",
+        gains.get(),
+        longest.get()
+    );
 }
 
 const START: Time = Time(1_000_000_000);
@@ -271,7 +334,10 @@
     let mut voters = vec![Voter::new(rules(), START - rules().grant_life()); 3];
     let mut candidate = Candidate::new(rules(), 1);
     let token = tick(START, &mut candidate, &mut voters).unwrap();
-    assert_eq!((token.number, candidate.changes()), (7, vec![Change::Gained(token)]));
+    assert_eq!(
+        (token.number, candidate.changes()),
+        (7, vec![Change::Gained(token)])
+    );
     (voters, candidate, token)
 }
 
@@ -283,12 +349,26 @@
     assert_eq!(candidate.holds(late), None);
     // Answers that waited for it meanwhile bring nothing back.
     let mut out = Vec::new();
-    candidate.heard(late, 0, Message::Accepted { ballot: token, round: 1 }, &mut out);
-    assert_eq!((candidate.holds(late), &out[..]), (None, &[Message::Release { ballot: token }][..]));
+    candidate.heard(
+        late,
+        0,
+        Message::Accepted {
+            ballot: token,
+            round: 1,
+        },
+        &mut out,
+    );
+    assert_eq!(
+        (candidate.holds(late), &out[..]),
+        (None, &[Message::Release { ballot: token }][..])
+    );
     assert_eq!(candidate.changes(), [Change::Lost(token, Loss::TermOver)]);
     talk(late, &mut candidate, &mut voters, out);
     let again = tick(candidate.next().unwrap(), &mut candidate, &mut voters);
-    assert!(again > Some(token), "a holding that was interrupted has a token of its own");
+    assert!(
+        again > Some(token),
+        "a holding that was interrupted has a token of its own"
+    );
 }
 
 #[test]
@@ -304,15 +384,27 @@
     // A voter that forgot all tells the other that it is free; that must not take it from the holder.
     let now = candidate.next().unwrap();
     voters[0] = Voter::new(rules(), now - rules().grant_life());
-    assert_eq!(tick(other.next().unwrap().max(now), &mut other, &mut voters), None);
+    assert_eq!(
+        tick(other.next().unwrap().max(now), &mut other, &mut voters),
+        None
+    );
     assert_eq!(tick(now, &mut candidate, &mut voters), Some(token));
     assert_eq!(voters[0].granted(now), Some(token));
     let mut out = Vec::new();
     candidate.release(now, &mut out);
-    assert_eq!((candidate.next(), candidate.changes()), (None, vec![Change::Lost(token, Loss::Released)]));
+    assert_eq!(
+        (candidate.next(), candidate.changes()),
+        (None, vec![Change::Lost(token, Loss::Released)])
+    );
     talk(now, &mut candidate, &mut voters, out);
     // A proposal that comes behind its release grants nothing.
-    let late = voters[1].handle(now, Message::Propose { ballot: token, round: 1 });
+    let late = voters[1].handle(
+        now,
+        Message::Propose {
+            ballot: token,
+            round: 1,
+        },
+    );
     assert!(matches!(late, Some(Message::Refused { .. })), "{late:?}");
     assert!(tick(other.next().unwrap(), &mut other, &mut voters) > Some(token));
 }
@@ -325,16 +417,29 @@
     candidate.learn(START, token, &mut out);
     assert_eq!(candidate.holds(START), Some(token));
     candidate.learn(START, higher, &mut out);
-    assert_eq!(candidate.changes(), [Change::Lost(token, Loss::Superseded(higher))]);
+    assert_eq!(
+        candidate.changes(),
+        [Change::Lost(token, Loss::Superseded(higher))]
+    );
     talk(START, &mut candidate, &mut voters, out);
     assert!(tick(candidate.next().unwrap(), &mut candidate, &mut voters) > Some(higher));
     // Voters that started anew and were told so grant nothing below it.
     let mut voter = Voter::new(rules(), START);
-    let propose = Message::Propose { ballot: token, round: 1 };
+    let propose = Message::Propose {
+        ballot: token,
+        round: 1,
+    };
     voter.learn(higher);
     assert_eq!(voter.handle(START, propose), None, "it keeps silent");
-    let refused = Message::Refused { ballot: token, round: 1, highest: higher };
-    assert_eq!(voter.handle(START + rules().grant_life(), propose), Some(refused));
+    let refused = Message::Refused {
+        ballot: token,
+        round: 1,
+        highest: higher,
+    };
+    assert_eq!(
+        voter.handle(START + rules().grant_life(), propose),
+        Some(refused)
+    );
 }
 
 #[test]
@@ -345,20 +450,35 @@
     fence.learn("calendar", high);
     fence.learn("calendar", low);
     assert_eq!(fence.admit("calendar", low), Err(high));
-    assert_eq!((fence.admit("calendar", high), fence.admit("other", low)), (Ok(()), Ok(())));
-    assert_eq!((fence.refused(), fence.highest(&"calendar")), (1, Some(high)));
-    assert_eq!(fence.tokens().collect::<Vec<_>>(), [(&"calendar", high), (&"other", low)]);
+    assert_eq!(
+        (fence.admit("calendar", high), fence.admit("other", low)),
+        (Ok(()), Ok(()))
+    );
+    assert_eq!(
+        (fence.refused(), fence.highest(&"calendar")),
+        (1, Some(high))
+    );
+    assert_eq!(
+        fence.tokens().collect::<Vec<_>>(),
+        [(&"calendar", high), (&"other", low)]
+    );
 }
 
 #[test]
 fn rules_out_of_range_are_named() {
     let term = Micros(1_000);
     assert_eq!(Rules::new(4, term, 0.0), Err(RulesError::Voters(4)));
-    assert_eq!(Rules::new(3, Micros(u64::MAX), 0.0), Err(RulesError::Term(Micros(u64::MAX))));
+    assert_eq!(
+        Rules::new(3, Micros(u64::MAX), 0.0),
+        Err(RulesError::Term(Micros(u64::MAX)))
+    );
     for drift in [-0.1, 0.5, f64::NAN] {
         assert_eq!(Rules::new(3, term, drift), Err(RulesError::Drift));
     }
-    assert_eq!(Rules::new(3, term, 0.25).unwrap().grant_life(), Micros(1_667));
+    assert_eq!(
+        Rules::new(3, term, 0.25).unwrap().grant_life(),
+        Micros(1_667)
+    );
 }
 
 proptest! {
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -136,13 +136,18 @@
     }
 
     fn holders(&self) -> usize {
-        (0..CANDIDATES).filter(|c| self.players[*c].machine.holds(self.clock(*c)).is_some()).count()
+        (0..CANDIDATES)
+            .filter(|c| self.players[*c].machine.holds(self.clock(*c)).is_some())
+            .count()
     }
 
     /// One answer a seat to a candidate's present round that agrees, or refuses.
     fn answers(&self, c: usize, agrees: bool) -> Vec<Message> {
         let counts = |(to, answer): &&(usize, Message)| *to == c && meaning(answer).1 == agrees;
-        self.seats.iter().filter_map(|seat| seat.answers.iter().find(counts).map(|a| a.1)).collect()
+        self.seats
+            .iter()
+            .filter_map(|seat| seat.answers.iter().find(counts).map(|a| a.1))
+            .collect()
     }
 
     /// Lets a candidate hear answers, of distinct voters: which ones they are makes no difference to it.
@@ -172,7 +177,13 @@
             }
             // An older round that arrives late does what the newest does, and its answer means nothing.
             if let Message::Propose { ballot, round } = message {
-                self.said.remove(&(c, Message::Propose { ballot, round: round.saturating_sub(1) }));
+                self.said.remove(&(
+                    c,
+                    Message::Propose {
+                        ballot,
+                        round: round.saturating_sub(1),
+                    },
+                ));
             }
             self.said.insert((c, message));
         }
@@ -194,7 +205,9 @@
             let player = &self.players[*to];
             round == player.round && !(agrees && player.won)
         };
-        self.seats.iter_mut().for_each(|seat| seat.answers.retain(counts));
+        self.seats
+            .iter_mut()
+            .for_each(|seat| seat.answers.retain(counts));
     }
 }
 
@@ -204,7 +217,11 @@
     }
 
     fn voter_rules(&self) -> Rules {
-        let drift = if self.fault == Fault::NoMargin { 0.0 } else { DRIFT };
+        let drift = if self.fault == Fault::NoMargin {
+            0.0
+        } else {
+            DRIFT
+        };
         Rules::new(VOTERS, TERM, drift).unwrap()
     }
 
@@ -236,11 +253,19 @@
             put_back: 0,
             bids: 0,
         };
-        let seat = |pace| Seat { voter: self.old_voter(Time(START)), pace, answers: BTreeSet::new() };
+        let seat = |pace| Seat {
+            voter: self.old_voter(Time(START)),
+            pace,
+            answers: BTreeSet::new(),
+        };
         let world = |(voters, candidates): &([u64; VOTERS], [u64; CANDIDATES])| World {
             ticks: 0,
             seats: voters.iter().map(|pace| seat(*pace)).collect(),
-            players: candidates.iter().enumerate().map(|(c, pace)| player(c, *pace)).collect(),
+            players: candidates
+                .iter()
+                .enumerate()
+                .map(|(c, pace)| player(c, *pace))
+                .collect(),
             said: BTreeSet::new(),
             restarts: 0,
             quits: 0,
@@ -293,7 +318,12 @@
                 // A question that changes nothing lets voters forget what is over: fewer states that differ in nothing.
                 for seat in 0..VOTERS {
                     let now = world.voter_clock(seat);
-                    world.seats[seat].voter.handle(now, Message::Ask { ballot: Ballot::default() });
+                    world.seats[seat].voter.handle(
+                        now,
+                        Message::Ask {
+                            ballot: Ballot::default(),
+                        },
+                    );
                 }
             }
             Step::Wake(c) => {
@@ -310,20 +340,28 @@
             Step::Arrive(c, message, seat) => {
                 let now = world.voter_clock(seat);
                 let answer = world.seats[seat].voter.handle(now, message);
-                world.seats[seat]
-                    .answers
-                    .extend(answer.filter(|a| self.voters_say_no || meaning(a).1).map(|answer| (c, answer)));
+                world.seats[seat].answers.extend(
+                    answer
+                        .filter(|a| self.voters_say_no || meaning(a).1)
+                        .map(|answer| (c, answer)),
+                );
                 world.forget();
             }
             Step::Agree(c) => {
                 let mut answers = world.answers(c, true);
                 if !self.voters_say_no && world.players[c].round.1 == 0 {
-                    answers = vec![Message::Free { ballot: world.players[c].round.0 }; majority];
+                    answers = vec![
+                        Message::Free {
+                            ballot: world.players[c].round.0
+                        };
+                        majority
+                    ];
                 }
                 if answers.len() < majority {
                     return None;
                 }
-                if self.fault == Fault::FromAnswer && matches!(answers[0], Message::Accepted { .. }) {
+                if self.fault == Fault::FromAnswer && matches!(answers[0], Message::Accepted { .. })
+                {
                     world.players[c].put_back += (world.clock(c) - world.players[c].asked).0;
                 }
                 let out = world.hear(c, &answers[..majority]);
@@ -332,7 +370,8 @@
             }
             Step::Deny(c, seat) => {
                 let higher = |(to, answer): &&(usize, Message)| {
-                    *to == c && matches!(answer, Message::Refused { ballot, highest, .. } if highest > ballot)
+                    *to == c
+                        && matches!(answer, Message::Refused { ballot, highest, .. } if highest > ballot)
                 };
                 let answer = world.seats[seat].answers.iter().find(higher)?.1;
                 let out = world.hear(c, &[answer]);
@@ -371,7 +410,9 @@
         vec![
             Property::always(ONE, |_, world: &World| world.holders() <= 1),
             Property::always(GROW, |_, world: &World| !world.shrank),
-            Property::sometimes(AGAIN, |_, world: &World| world.gains > 1 && world.holders() == 1),
+            Property::sometimes(AGAIN, |_, world: &World| {
+                world.gains > 1 && world.holders() == 1
+            }),
         ]
     }
 }
@@ -382,29 +423,71 @@
 impl Fleet {
     fn worst(ticks: u64, rounds: u32, restarts: u8) -> Fleet {
         let paces = vec![WORST];
-        Fleet { fault: Fault::None, ticks, bids: 1, rounds, paces, restarts, quits: 0, voters_say_no: false }
+        Fleet {
+            fault: Fault::None,
+            ticks,
+            bids: 1,
+            rounds,
+            paces,
+            restarts,
+            quits: 0,
+            voters_say_no: false,
+        }
     }
 
     /// The states seen, the longest way to one, and the ways to what was found. One thread finds the shortest.
     fn search(
-        self, threads: usize, until: HasDiscoveries,
+        self,
+        threads: usize,
+        until: HasDiscoveries,
     ) -> (usize, usize, BTreeMap<&'static str, Vec<Step>>) {
-        let checker = self.checker().threads(threads).finish_when(until).spawn_bfs().join();
-        let found =
-            checker.discoveries().into_iter().map(|(name, path)| (name, path.into_actions())).collect();
+        let checker = self
+            .checker()
+            .threads(threads)
+            .finish_when(until)
+            .spawn_bfs()
+            .join();
+        let found = checker
+            .discoveries()
+            .into_iter()
+            .map(|(name, path)| (name, path.into_actions()))
+            .collect();
         (checker.unique_state_count(), checker.max_depth(), found)
     }
 }
 
 #[test]
 fn no_order_of_events_gives_two_holders() {
-    let mixed = vec![([1, 2, 2], [1, 1]), ([2, 2, 2], [1, 2]), ([1, 1, 2], [2, 1])];
+    let mixed = vec![
+        ([1, 2, 2], [1, 1]),
+        ([2, 2, 2], [1, 2]),
+        ([1, 1, 2], [2, 1]),
+    ];
     let searches = [
         ("a voter restarts", Fleet::worst(2, 2, 1)),
         ("renewals end", Fleet::worst(3, 2, 0)),
-        ("a holder drains and bids again", Fleet { quits: 1, bids: 2, ..Fleet::worst(2, 1, 0) }),
-        ("other clocks", Fleet { paces: mixed, ..Fleet::worst(2, 1, 0) }),
-        ("voters answer asks and refuse", Fleet { voters_say_no: true, ..Fleet::worst(1, 1, 0) }),
+        (
+            "a holder drains and bids again",
+            Fleet {
+                quits: 1,
+                bids: 2,
+                ..Fleet::worst(2, 1, 0)
+            },
+        ),
+        (
+            "other clocks",
+            Fleet {
+                paces: mixed,
+                ..Fleet::worst(2, 1, 0)
+            },
+        ),
+        (
+            "voters answer asks and refuse",
+            Fleet {
+                voters_say_no: true,
+                ..Fleet::worst(1, 1, 0)
+            },
+        ),
     ];
     for (name, fleet) in searches {
         let handed_on = fleet.ticks > 1;
@@ -412,7 +495,11 @@
         println!("{name}: {states} states, depth {depth}");
         // The one thing that may be found is what is to be possible, where there is time for it.
         let expected: &[&str] = if handed_on { &[AGAIN] } else { &[] };
-        assert_eq!(found.keys().copied().collect::<Vec<_>>(), expected, "{name}: {found:#?}");
+        assert_eq!(
+            found.keys().copied().collect::<Vec<_>>(),
+            expected,
+            "{name}: {found:#?}"
+        );
     }
 }
 
@@ -426,8 +513,14 @@
         (Fault::NoWall, Fleet::worst(2, 1, 1), GROW),
     ];
     for (fault, fleet, property) in faults {
-        let (states, _, found) = Fleet { fault, ..fleet }.search(1, HasDiscoveries::AllOf([property].into()));
-        let way = found.get(property).unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
-        println!("{fault:?}: {property} fails after {} steps, {states} states: {way:?}", way.len());
+        let (states, _, found) =
+            Fleet { fault, ..fleet }.search(1, HasDiscoveries::AllOf([property].into()));
+        let way = found
+            .get(property)
+            .unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
+        println!(
+            "{fault:?}: {property} fails after {} steps, {states} states: {way:?}",
+            way.len()
+        );
     }
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -62,10 +62,16 @@
     fn new(proxies: u32) -> Side {
         let mut cfg = Config::example();
         cfg.proxies = proxies;
-        cfg.classes = [class(Effect::Free), class(Effect::Unsafe)].into_iter().collect();
+        cfg.classes = [class(Effect::Free), class(Effect::Unsafe)]
+            .into_iter()
+            .collect();
         (cfg.cross_zone_cost, cfg.ramp) = (0.1, Micros(600_000));
         let balancer = Balancer::new(cfg, 5).expect("sound");
-        Side { balancer, out: Vec::new(), tries: BTreeMap::new() }
+        Side {
+            balancer,
+            out: Vec::new(),
+            tries: BTreeMap::new(),
+        }
     }
 
     fn tell(&mut self, now: Time, event: Event) -> Vec<Action> {
@@ -87,14 +93,24 @@
         }
         let (request, attempt, sent) = self.out.remove(n % self.out.len());
         let settled = outcome == Outcome::Ok;
-        let end = AttemptEnd { request, attempt, outcome, latency: now - sent, settled };
+        let end = AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency: now - sent,
+            settled,
+        };
         self.tell(now, Event::AttemptEnded(end))
     }
 
     fn state(&self, now: Time) -> State {
         let b = &self.balancer;
         let (readiness, holds) = (b.readiness(now).collect(), b.holds().collect());
-        State { readiness, holds, memory: b.recollect(now) }
+        State {
+            readiness,
+            holds,
+            memory: b.recollect(now),
+        }
     }
 }
 
@@ -109,30 +125,60 @@
             Step::Line(b, state, boot) => {
                 // Most leave and come back under the same number, some in other zones and of other kinds.
                 let booted = (*boot > 0).then(|| Time(now.0 - boot * 100_000));
-                let line = Backend { state: *state, booted, ..backend(*b, b % 3 + (boot / 3) as u32, b % 2) };
+                let line = Backend {
+                    state: *state,
+                    booted,
+                    ..backend(*b, b % 3 + (boot / 3) as u32, b % 2)
+                };
                 if *state == BackendState::Gone {
                     // The line of its end is its last one, as a whole list says no more than that it is gone.
                     list.remove(&line.id);
                     let last = told.get(&line.id).cloned();
-                    list.extend(last.map(|last| (last.id, Backend { state: *state, ..last })));
+                    list.extend(last.map(|last| {
+                        (
+                            last.id,
+                            Backend {
+                                state: *state,
+                                ..last
+                            },
+                        )
+                    }));
                 } else {
                     list.insert(line.id, line);
                 }
                 continue;
             }
             Step::Told => {
-                let changed: Vec<Backend> =
-                    list.values().filter(|b| told.get(&b.id) != Some(*b)).cloned().collect();
+                let changed: Vec<Backend> = list
+                    .values()
+                    .filter(|b| told.get(&b.id) != Some(*b))
+                    .cloned()
+                    .collect();
                 told.clone_from(&list);
                 // A whole list does not name what is gone.
-                let mut all: Vec<Backend> =
-                    list.values().filter(|b| b.state != BackendState::Gone).cloned().collect();
+                let mut all: Vec<Backend> = list
+                    .values()
+                    .filter(|b| b.state != BackendState::Gone)
+                    .cloned()
+                    .collect();
                 if reverse {
                     all.reverse();
                 }
                 (
-                    whole.tell(now, Event::Members { update: ListUpdate::Full, backends: all }),
-                    changes.tell(now, Event::Members { update: ListUpdate::Changes, backends: changed }),
+                    whole.tell(
+                        now,
+                        Event::Members {
+                            update: ListUpdate::Full,
+                            backends: all,
+                        },
+                    ),
+                    changes.tell(
+                        now,
+                        Event::Members {
+                            update: ListUpdate::Changes,
+                            backends: changed,
+                        },
+                    ),
                 )
             }
             Step::Request(left) => {
@@ -150,11 +196,16 @@
             }
             Step::End(n, outcome) => (whole.end(now, *n, *outcome), changes.end(now, *n, *outcome)),
             Step::Withdraw(b) => {
-                let event = Event::Withdraw { backend: BackendId(*b) };
+                let event = Event::Withdraw {
+                    backend: BackendId(*b),
+                };
                 (whole.tell(now, event.clone()), changes.tell(now, event))
             }
             Step::Restore(b) => {
-                let event = Event::Restore { backend: BackendId(*b), since: now };
+                let event = Event::Restore {
+                    backend: BackendId(*b),
+                    since: now,
+                };
                 (whole.tell(now, event.clone()), changes.tell(now, event))
             }
             Step::Pass(span) => {
@@ -169,10 +220,19 @@
 
 #[test]
 fn whole_lists_and_changes_lead_to_the_same_state() {
-    let config = ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]));
+    let config = ProptestConfig {
+        cases: 400,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]));
     let proxies = prop_oneof![Just(1u32), Just(3), Just(40)];
-    let all = (proxies, any::<bool>(), proptest::collection::vec(step(), 1..160));
+    let all = (
+        proxies,
+        any::<bool>(),
+        proptest::collection::vec(step(), 1..160),
+    );
     let run = runner.run(&all, |(proxies, reverse, steps)| {
         play(proxies, reverse, &steps);
         Ok(())
--- a/tests/locality.rs
+++ b/tests/locality.rs
@@ -11,7 +11,10 @@
 fn settings(position: u32) -> String {
     let zones = r#""zones":["east","west"],"locality":{"leave_share":0.5,"ramp_us":9000000},"#;
     SETTINGS
-        .replace(r#""position":0,"group_size":1,"#, &format!(r#""position":{position},"group_size":2,"#))
+        .replace(
+            r#""position":0,"group_size":1,"#,
+            &format!(r#""position":{position},"group_size":2,"#),
+        )
         .replace(r#""zones":["east"],"#, zones)
 }
 
@@ -23,7 +26,10 @@
 /// nothing more, and every client is served by the other zone.
 #[test]
 fn both_proxies_leave_a_zone_that_is_half_dead_and_lose_no_request() {
-    let (e0, e1) = (BackendServer::start(|_| ok("east")), BackendServer::start(|_| ok("east")));
+    let (e0, e1) = (
+        BackendServer::start(|_| ok("east")),
+        BackendServer::start(|_| ok("east")),
+    );
     let (dead, w1) = (Refusing::new(), BackendServer::start(|_| ok("west")));
     let known = [
         entry("e0", e0.address, "SERVING"),
@@ -31,7 +37,10 @@
         west("w0", dead.address()),
         west("w1", w1.address),
     ];
-    let proxies = [Proxy::with(&known, 1024, &settings(0)), Proxy::with(&known, 1024, &settings(1))];
+    let proxies = [
+        Proxy::with(&known, 1024, &settings(0)),
+        Proxy::with(&known, 1024, &settings(1)),
+    ];
     for proxy in &proxies {
         for _ in 0..60 {
             // A retry is paid for by earlier requests: the first failed connects may be refused, never failed.
@@ -43,15 +52,25 @@
     }
     // Shares are solved again a tenth of a second on, at the next request.
     std::thread::sleep(std::time::Duration::from_millis(200));
-    proxies.iter().for_each(|proxy| assert!([200, 503].contains(&proxy.ask(&read(3.0)).status())));
+    proxies
+        .iter()
+        .for_each(|proxy| assert!([200, 503].contains(&proxy.ask(&read(3.0)).status())));
     let before = w1.count();
     for proxy in &proxies {
         for _ in 0..60 {
             let answer = proxy.ask(&read(3.0));
-            assert_eq!((answer.status(), &answer.body[..]), (200, &b"east"[..]), "left zone in use");
+            assert_eq!(
+                (answer.status(), &answer.body[..]),
+                (200, &b"east"[..]),
+                "left zone in use"
+            );
         }
     }
-    assert_eq!(w1.count(), before, "the half that lives in a left zone still got requests");
+    assert_eq!(
+        w1.count(),
+        before,
+        "the half that lives in a left zone still got requests"
+    );
 }
 
 const ZONES: [&str; 3] = ["east", "west", "south"];
@@ -85,9 +104,15 @@
         };
         let known: Vec<String> = backends.iter().enumerate().map(row).collect();
         let proxy = |n: usize| {
-            let own = format!(r#""my_zone":"{}","zones":["east","west","south"]{locality},"#, ZONES[n]);
+            let own = format!(
+                r#""my_zone":"{}","zones":["east","west","south"]{locality},"#,
+                ZONES[n]
+            );
             let settings = SETTINGS
-                .replace(r#""position":0,"group_size":1,"#, &format!(r#""position":{n},"group_size":3,"#))
+                .replace(
+                    r#""position":0,"group_size":1,"#,
+                    &format!(r#""position":{n},"group_size":3,"#),
+                )
                 .replace(r#""my_zone":"east","zones":["east"],"#, &own);
             Proxy::seeded(
                 n as u64 + 1,
@@ -97,7 +122,11 @@
                 &[("TMPDIR", folder().to_str().unwrap().into())],
             )
         };
-        Fleet { proxies: (0..3).map(proxy).collect(), backends, cut }
+        Fleet {
+            proxies: (0..3).map(proxy).collect(),
+            backends,
+            cut,
+        }
     }
 
     /// Six clients at every proxy for so long, one request every 20 ms each: how many each zone got, and the statuses.
@@ -132,7 +161,10 @@
         while west.logged(words) == 0 || west.logged(words) < west.logged(those) {
             assert!(begun.elapsed() < PATIENCE, "it never said {words:?}");
             let (_, statuses) = self.load(Duration::from_millis(250));
-            assert!(statuses.iter().all(|s| [200, 503].contains(s)), "{statuses:?}");
+            assert!(
+                statuses.iter().all(|s| [200, 503].contains(s)),
+                "{statuses:?}"
+            );
         }
         begun.elapsed()
     }
@@ -147,7 +179,12 @@
     let spread = Fleet::new("");
     let near = |f: &Fleet| {
         // Only east's proxy is asked, so what the other zones' backends get has crossed.
-        let counts = || f.backends.iter().map(BackendServer::count).collect::<Vec<_>>();
+        let counts = || {
+            f.backends
+                .iter()
+                .map(BackendServer::count)
+                .collect::<Vec<_>>()
+        };
         let before = counts();
         (0..60).for_each(|_| assert_eq!(f.proxies[0].ask(&read(3.0)).status(), 200));
         let after = counts();
@@ -161,9 +198,19 @@
     let left = fleet.until("zone 1 left", "zone 1 left");
     let (away, statuses) = fleet.load(2 * quarter);
     let refused = statuses.iter().filter(|s| **s != 200).count();
-    assert!(statuses.iter().all(|s| [200, 503].contains(s)), "failed while its zone was left");
-    assert!(refused * 20 < statuses.len(), "left, and yet {refused} of {} refused", statuses.len());
-    assert!(away[1] * 8 < away[0] + away[2], "a left zone kept its traffic: {away:?}");
+    assert!(
+        statuses.iter().all(|s| [200, 503].contains(s)),
+        "failed while its zone was left"
+    );
+    assert!(
+        refused * 20 < statuses.len(),
+        "left, and yet {refused} of {} refused",
+        statuses.len()
+    );
+    assert!(
+        away[1] * 8 < away[0] + away[2],
+        "a left zone kept its traffic: {away:?}"
+    );
     fleet.cut.store(false, Ordering::SeqCst);
     let returned = fleet.until("zone 1 returning", "zone 1 left");
     let (early, _) = fleet.load(quarter);
@@ -172,5 +219,8 @@
     let (late, _) = fleet.load(second);
     eprintln!("left after {left:.1?}, returning after {returned:.1?}, back after {back:.1?}; {early:?} early, {late:?} late");
     let share = |z: [u32; 3]| f64::from(z[1]) / f64::from(z.iter().sum::<u32>());
-    assert!(share(early) < 0.8 * share(late), "no ramp: {early:?} then {late:?}");
+    assert!(
+        share(early) < 0.8 * share(late),
+        "no ramp: {early:?} then {late:?}"
+    );
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -46,28 +46,54 @@
     fn new(size: usize) -> Fleet {
         let (ones, way, bytes, cut) = Default::default();
         let random = Pcg32::seed_from_u64(5);
-        let mut fleet =
-            Fleet { now: 0, size, ones, way, sent: 0, bytes, cut, lose_one_in: None, random, ahead: None };
+        let mut fleet = Fleet {
+            now: 0,
+            size,
+            ones,
+            way,
+            sent: 0,
+            bytes,
+            cut,
+            lose_one_in: None,
+            random,
+            ahead: None,
+        };
         (0..size).for_each(|n| fleet.start(n));
         fleet
     }
 
     fn clock(&self, n: usize) -> Now {
         let ahead = self.ahead.filter(|a| a.0 == n).map_or(0, |a| a.1);
-        Now { time: Time(self.now), wall_us: WALL + self.now + ahead }
+        Now {
+            time: Time(self.now),
+            wall_us: WALL + self.now + ahead,
+        }
     }
 
     fn start(&mut self, n: usize) {
         let cluster = wire::cluster("test");
-        let rules =
-            Rules { cluster, seeds: vec![address(0)], max_age: Micros(5 * SECOND), fleet: self.size as u32 };
+        let rules = Rules {
+            cluster,
+            seeds: vec![address(0)],
+            max_age: Micros(5 * SECOND),
+            fleet: self.size as u32,
+        };
         let membership = Membership::new(rules, address(n), 7 + n as u64, true, self.clock(n));
-        self.ones.insert(n, One { membership, seal: Seal::new(cluster, address(n)), news: Vec::new() });
+        self.ones.insert(
+            n,
+            One {
+                membership,
+                seal: Seal::new(cluster, address(n)),
+                news: Vec::new(),
+            },
+        );
     }
 
     fn turn(&mut self, n: usize, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
         let now = self.clock(n);
-        let Some(one) = self.ones.get_mut(&n) else { return };
+        let Some(one) = self.ones.get_mut(&n) else {
+            return;
+        };
         let mut out = Vec::new();
         step(&mut one.membership, now, &mut out);
         for output in out {
@@ -78,7 +104,9 @@
                     self.sent += 1;
                     let bytes = one.seal.seal(body, now.wall_us).expect("a body that fits");
                     *self.bytes.entry(n).or_default() += bytes.len() as u64;
-                    let lost = self.lose_one_in.is_some_and(|of| self.random.next_u32().is_multiple_of(of));
+                    let lost = self
+                        .lose_one_in
+                        .is_some_and(|of| self.random.next_u32().is_multiple_of(of));
                     if lost || self.cut.contains(&n) != self.cut.contains(&to) {
                         continue;
                     }
@@ -91,9 +119,18 @@
     fn play(&mut self, span: u64) {
         let end = self.now + span;
         loop {
-            let due = self.ones.iter().map(|(n, one)| (one.membership.due().0, *n)).min();
+            let due = self
+                .ones
+                .iter()
+                .map(|(n, one)| (one.membership.due().0, *n))
+                .min();
             let came = self.way.first_key_value().map(|(key, _)| key.0);
-            let next = due.map(|d| d.0).into_iter().chain(came).min().unwrap_or(end);
+            let next = due
+                .map(|d| d.0)
+                .into_iter()
+                .chain(came)
+                .min()
+                .unwrap_or(end);
             if next >= end {
                 break;
             }
@@ -110,7 +147,9 @@
 
     /// All know all.
     fn whole(&self) -> bool {
-        self.ones.values().all(|one| one.membership.known() + 1 == self.size)
+        self.ones
+            .values()
+            .all(|one| one.membership.known() + 1 == self.size)
     }
 
     fn said(&self, n: usize, what: fn(&News) -> bool) -> usize {
@@ -131,7 +170,10 @@
     fleet.play(10 * SECOND);
     assert!(fleet.whole());
     assert!(fleet.said(4, |news| matches!(news, News::Rejoined { .. })) > 0);
-    assert!(fleet.said(0, |news| matches!(news, News::Replaced { .. })) > 0, "by a later start");
+    assert!(
+        fleet.said(0, |news| matches!(news, News::Replaced { .. })) > 0,
+        "by a later start"
+    );
 }
 
 /// A proxy whose clock was ahead is followed by one that starts earlier by its own clock: this one renews itself by the
@@ -148,7 +190,10 @@
     fleet.start(1);
     fleet.play(10 * SECOND);
     assert!(fleet.whole());
-    assert!(fleet.said(1, |news| matches!(news, News::Rejoined { .. })) > 0, "it had no need to");
+    assert!(
+        fleet.said(1, |news| matches!(news, News::Rejoined { .. })) > 0,
+        "it had no need to"
+    );
 }
 
 /// One that stops without a word is down everywhere within the time that suspicion takes; nobody else is.
@@ -158,11 +203,17 @@
     fleet.play(10 * SECOND);
     assert!(fleet.whole());
     let downs = |fleet: &Fleet, n: usize| fleet.said(n, |news| matches!(news, News::Down { .. }));
-    assert!((0..40).all(|n| downs(&fleet, n) == 0), "somebody was taken for dead");
+    assert!(
+        (0..40).all(|n| downs(&fleet, n) == 0),
+        "somebody was taken for dead"
+    );
     fleet.ones.remove(&20);
     fleet.play(30 * SECOND);
     let live: Vec<usize> = fleet.ones.keys().copied().collect();
-    assert!(live.iter().all(|n| downs(&fleet, *n) == 1), "each finds out once");
+    assert!(
+        live.iter().all(|n| downs(&fleet, *n) == 1),
+        "each finds out once"
+    );
 }
 
 /// A snapshot that a member asks for comes whole through the parts that the driver sends; one too large is refused.
@@ -176,7 +227,9 @@
     });
     let (to, nonce) = wanted.expect("it asked");
     let bytes: Vec<u8> = (0..5_000u32).map(|n| n as u8).collect();
-    fleet.turn(0, |m, _, out| m.give(to, nonce, &bytes, out).expect("small enough"));
+    fleet.turn(0, |m, _, out| {
+        m.give(to, nonce, &bytes, out).expect("small enough")
+    });
     fleet.play(100_000);
     let got = fleet.ones[&1].news.iter().find_map(|news| match news {
         News::Snapshot(got) => Some(got.clone()),
@@ -197,7 +250,10 @@
     fleet.play(10 * SECOND);
     fleet.ones.remove(&5);
     fleet.play(20 * SECOND);
-    let verdict = Verdict::Out { term: Micros(SECOND), strikes: 1 };
+    let verdict = Verdict::Out {
+        term: Micros(SECOND),
+        strikes: 1,
+    };
     let born_us = WALL + fleet.now;
     fleet.turn(3, |m, now, out| m.tell("b7".into(), verdict, now, out));
     fleet.play(3 * SECOND);
@@ -212,10 +268,16 @@
     order.push(3);
     for (turn, n) in order.into_iter().enumerate() {
         let heard = fleet.ones[&n].news.iter().filter_map(|news| match news {
-            News::Heard(backend, heard) => Some((backend.as_str(), heard.verdict, heard.turn, heard.others)),
+            News::Heard(backend, heard) => {
+                Some((backend.as_str(), heard.verdict, heard.turn, heard.others))
+            }
             _ => None,
         });
-        assert_eq!(heard.collect::<Vec<_>>(), [("b7", verdict, turn as u32, 10)], "proxy {n}");
+        assert_eq!(
+            heard.collect::<Vec<_>>(),
+            [("b7", verdict, turn as u32, 10)],
+            "proxy {n}"
+        );
     }
 }
 
@@ -227,7 +289,10 @@
     fleet.play(20 * SECOND);
     assert!(fleet.whole());
     let begin = fleet.bytes.clone();
-    let verdict = Verdict::Out { term: Micros(SECOND), strikes: 1 };
+    let verdict = Verdict::Out {
+        term: Micros(SECOND),
+        strikes: 1,
+    };
     for second in 1..=8 {
         for n in 0..60 {
             for b in 0..10 {
@@ -236,7 +301,10 @@
             }
         }
         fleet.play(SECOND);
-        let most = (0..60).map(|n| fleet.bytes[&n] - begin[&n]).max().expect("sixty");
+        let most = (0..60)
+            .map(|n| fleet.bytes[&n] - begin[&n])
+            .max()
+            .expect("sixty");
         assert!(most <= 5_000 + second * 4_000, "{most} bytes in {second} s");
     }
     assert!((0..60).all(|n| fleet.said(n, |news| matches!(news, News::Down { .. })) == 0));
@@ -248,19 +316,32 @@
     let mut fleet = Fleet::new(100);
     fleet.play(30 * SECOND);
     assert!(fleet.whole());
-    let (begin, verdict) = (fleet.bytes.clone(), Verdict::Out { term: Micros(SECOND), strikes: 1 });
+    let (begin, verdict) = (
+        fleet.bytes.clone(),
+        Verdict::Out {
+            term: Micros(SECOND),
+            strikes: 1,
+        },
+    );
     for n in 0..100 {
         fleet.turn(n, |m, now, out| m.tell("dead".into(), verdict, now, out));
         fleet.play(5_000);
     }
     fleet.play(SECOND);
     for n in 0..100 {
-        let others = fleet.said(n, |news| matches!(news, News::Heard(_, heard) if heard.origin.is_some()));
+        let others = fleet.said(
+            n,
+            |news| matches!(news, News::Heard(_, heard) if heard.origin.is_some()),
+        );
         assert!(others >= 2, "proxy {n} heard {others}");
     }
     fleet.play(SECOND);
     let sum: u64 = (0..100).map(|n| fleet.bytes[&n] - begin[&n]).sum();
-    assert!(sum / 100 <= 6_000, "{} bytes each, as if all were passed on", sum / 100);
+    assert!(
+        sum / 100 <= 6_000,
+        "{} bytes each, as if all were passed on",
+        sum / 100
+    );
 }
 
 /// Hundreds that start at once all know all in the end, by lists that are compared until they are equal; and then
@@ -269,7 +350,11 @@
 fn lists_of_members_end_whole() {
     let mut fleet = Fleet::new(200);
     fleet.play(40 * SECOND);
-    let lacking = fleet.ones.values().filter(|one| one.membership.known() != 199).count();
+    let lacking = fleet
+        .ones
+        .values()
+        .filter(|one| one.membership.known() != 199)
+        .count();
     assert_eq!(lacking, 0, "proxies that lack another");
     fleet.play(20 * SECOND); // what is still passed on runs out
     let before: u64 = fleet.bytes.values().sum();
@@ -288,17 +373,25 @@
     assert!(fleet.whole());
     fleet.cut = (REGION..50).collect();
     fleet.play(60 * SECOND);
-    assert!((0..REGION).all(|n| fleet.ones[&n].membership.known() == REGION - 1), "it was not missed");
+    assert!(
+        (0..REGION).all(|n| fleet.ones[&n].membership.known() == REGION - 1),
+        "it was not missed"
+    );
     fleet.cut.clear();
     fleet.ones.values_mut().for_each(|one| one.news.clear());
     fleet.play(20 * SECOND);
     assert!(fleet.whole());
     let rejoined = |n: &usize| fleet.said(*n, |news| matches!(news, News::Rejoined { .. })) > 0;
-    assert_eq!((0..50).filter(rejoined).collect::<Vec<_>>(), (REGION..50).collect::<Vec<_>>());
+    assert_eq!(
+        (0..50).filter(rejoined).collect::<Vec<_>>(),
+        (REGION..50).collect::<Vec<_>>()
+    );
     let inside = |n: usize| n >= REGION;
     for n in 0..50 {
         for news in &fleet.ones[&n].news {
-            let News::Down { peer, .. } = news else { continue };
+            let News::Down { peer, .. } = news else {
+                continue;
+            };
             let other = usize::from(peer.port()) - 1000;
             assert_ne!(inside(n), inside(other), "{n} took {other} for dead");
         }
@@ -312,7 +405,8 @@
     fleet.play(10 * SECOND);
     fleet.lose_one_in = Some(10);
     fleet.play(120 * SECOND);
-    let rejoined =
-        (0..60).map(|n| fleet.said(n, |news| matches!(news, News::Rejoined { .. }))).sum::<usize>();
+    let rejoined = (0..60)
+        .map(|n| fleet.said(n, |news| matches!(news, News::Rejoined { .. })))
+        .sum::<usize>();
     assert_eq!(rejoined, 0);
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -13,17 +13,31 @@
 /// Bytes of the process that no file backs.
 fn held(proxy: &Proxy) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
-    let line = status.lines().find_map(|l| l.strip_prefix("RssAnon:")).unwrap();
-    line.split_whitespace().next().unwrap().parse::<f64>().unwrap() * 1024.0
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("RssAnon:"))
+        .unwrap();
+    line.split_whitespace()
+        .next()
+        .unwrap()
+        .parse::<f64>()
+        .unwrap()
+        * 1024.0
 }
 
 /// A proxy that has taken a whole list of so many from discovery.
 fn with_backends(count: usize) -> Proxy {
     let proxy = Proxy::start(&[]);
     let address = "127.0.0.1:9".parse().unwrap();
-    let lines: Vec<String> =
-        (0..count).map(|n| entry(&format!("backend-{n:05}.east"), address, "SERVING")).collect();
-    proxy.discovery.call().1.send((200, list(5, true, &lines))).unwrap();
+    let lines: Vec<String> = (0..count)
+        .map(|n| entry(&format!("backend-{n:05}.east"), address, "SERVING"))
+        .collect();
+    proxy
+        .discovery
+        .call()
+        .1
+        .send((200, list(5, true, &lines)))
+        .unwrap();
     let (next, _) = proxy.discovery.call();
     assert!(next.contains("after=5"), "the list was taken: {next}");
     proxy
@@ -34,7 +48,11 @@
     let tenants: Vec<String> = (0..count).map(tenant).collect();
     let one = r#"[{"name":"north","quota_rps":500.0}]"#;
     assert!(SETTINGS.contains(one));
-    Proxy::with(&[], 1024, &SETTINGS.replace(one, &format!("[{}]", tenants.join(","))))
+    Proxy::with(
+        &[],
+        1024,
+        &SETTINGS.replace(one, &format!("[{}]", tenants.join(","))),
+    )
 }
 
 /// Reads the file again; until it is taken.
@@ -51,7 +69,8 @@
 /// A fleet of the coming size is held by each proxy, and so is what it left behind on its way in.
 #[test]
 fn a_backend_takes_little_memory() {
-    let each = (held(&with_backends(BACKENDS)) - held(&with_backends(FEW))) / (BACKENDS - FEW) as f64;
+    let each =
+        (held(&with_backends(BACKENDS)) - held(&with_backends(FEW))) / (BACKENDS - FEW) as f64;
     println!("{each:.0} bytes a backend");
     assert!(each < 800.0, "{each:.0} bytes a backend");
 }
@@ -69,5 +88,8 @@
     let after = each(held(&many) - held(&few));
     println!("{start:.0} bytes a tenant, {after:.0} after three reloads");
     assert!(start < 100.0, "{start:.0} bytes a tenant");
-    assert!(after < 120.0, "{after:.0} bytes a tenant after reloads, {start:.0} before");
+    assert!(
+        after < 120.0,
+        "{after:.0} bytes a tenant after reloads, {start:.0} before"
+    );
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -25,16 +25,25 @@
 #[test]
 fn the_door_answers_each_call_and_closes() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[tmp()]);
+    let proxy = Proxy::operated(
+        &[entry("b0", backend.address, "SERVING")],
+        SETTINGS,
+        &[tmp()],
+    );
     proxy.wait_until_serving();
-    for (status, line) in
-        [(404, "GET /"), (404, "GET /status/x"), (405, "PUT /status"), (405, "POST /status")]
-    {
+    for (status, line) in [
+        (404, "GET /"),
+        (404, "GET /status/x"),
+        (405, "PUT /status"),
+        (405, "POST /status"),
+    ] {
         assert_eq!(proxy.call(line).status(), status, "{line}");
     }
     let mut client = Client::connect(proxy.control.unwrap());
     assert_eq!(
-        client.ask("GET /status HTTP/1.1\r\nHost: d\r\n\r\nGET /status HTTP/1.1\r\n\r\n").status(),
+        client
+            .ask("GET /status HTTP/1.1\r\nHost: d\r\n\r\nGET /status HTTP/1.1\r\n\r\n")
+            .status(),
         200
     );
     assert!(client.ended(), "one call to a connection");
@@ -44,7 +53,10 @@
     assert_eq!(proxy.call("GET /status").status(), 200);
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     let figures = proxy.call("GET /metrics");
-    assert_eq!(figures.header("content-type"), Some("text/plain; version=0.0.4"));
+    assert_eq!(
+        figures.header("content-type"),
+        Some("text/plain; version=0.0.4")
+    );
     let text = String::from_utf8(figures.body).unwrap();
     assert!(
         text.contains(
@@ -75,7 +87,13 @@
 fn a_new_version_takes_over_without_a_lost_request() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let first = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("old") });
+    let first = BackendServer::start(move |n| {
+        if n == 0 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("old")
+        }
+    });
     let second = BackendServer::start(|_| ok("new"));
     let ((socket, passed), tmp) = (platform(), tmp());
     let at = socket.local_addr().unwrap();
@@ -89,8 +107,17 @@
     assert_eq!(kept.ask(&read(3.0)).body, b"old");
     let new = start(&[entry("b1", second.address, "SERVING")]);
     let (_, answer) = new.discovery.call();
-    assert_ne!(new.call("GET /status").status(), 200, "not before its list is at hand");
-    answer.send((200, list(9, true, &[entry("b1", second.address, "SERVING")]))).unwrap();
+    assert_ne!(
+        new.call("GET /status").status(),
+        200,
+        "not before its list is at hand"
+    );
+    answer
+        .send((
+            200,
+            list(9, true, &[entry("b1", second.address, "SERVING")]),
+        ))
+        .unwrap();
     new.wait_until_serving();
     old.terminate();
     while old.call("GET /status").status() == 200 {
@@ -100,12 +127,26 @@
         assert_eq!(Client::connect(at).ask(&read(3.0)).body, b"new");
     }
     let answer = kept.ask(&read(3.0));
-    assert_eq!((&answer.body[..], answer.header("connection")), (&b"old"[..], Some("close")));
+    assert_eq!(
+        (&answer.body[..], answer.header("connection")),
+        (&b"old"[..], Some("close"))
+    );
     gate.open();
-    assert_eq!(busy.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(
+        busy.answer().expect("the answer that was owed").body,
+        b"gated"
+    );
     assert!(old.child.wait().unwrap().success());
-    assert_eq!(Client::connect(at).ask(&read(3.0)).body, b"new", "the socket was closed, not shut down");
-    assert_eq!(second.connections.load(SeqCst), 1, "a warm connection all along");
+    assert_eq!(
+        Client::connect(at).ask(&read(3.0)).body,
+        b"new",
+        "the socket was closed, not shut down"
+    );
+    assert_eq!(
+        second.connections.load(SeqCst),
+        1,
+        "a warm connection all along"
+    );
 }
 
 #[test]
@@ -114,24 +155,41 @@
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","settings":{SETTINGS}}}"#
     );
     let bound = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    bound.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    bound
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<std::net::SocketAddr>()
+                .unwrap()
+                .into(),
+        )
+        .unwrap();
     bound.set_cloexec(false).unwrap();
     for value in ["", "x", "2", "999", "-4", &bound.as_raw_fd().to_string()] {
-        let out = launch(Some(&config)).env("NODE_SOCKET_FD", value).output().unwrap();
+        let out = launch(Some(&config))
+            .env("NODE_SOCKET_FD", value)
+            .output()
+            .unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{value}");
-        assert!(text.contains("NODE_SOCKET_FD") && !text.contains("panicked"), "{value}: {text}");
+        assert!(
+            text.contains("NODE_SOCKET_FD") && !text.contains("panicked"),
+            "{value}: {text}"
+        );
     }
 }
 
 fn names(backends: &[&BackendServer]) -> Vec<String> {
     let each = backends.iter().enumerate();
-    each.map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING")).collect()
+    each.map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING"))
+        .collect()
 }
 
 #[test]
 fn a_backend_taken_out_gets_nothing_until_it_is_called_back() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
     let proxy = Proxy::operated(&names(&[&a, &b]), SETTINGS, &[tmp()]);
     proxy.wait_until_serving();
     for (status, line) in [
@@ -164,12 +222,17 @@
 /// A ban made at one process reaches the other, and both outlive the process that was told.
 #[test]
 fn bans_reach_a_new_version_and_are_kept_over_it() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
     let ((_socket, passed), tmp) = (platform(), tmp());
     let known = names(&[&a, &b]);
     let start = || Proxy::operated(&known, SETTINGS, &[passed.clone(), tmp.clone()]);
     let old = start();
-    let kept = std::fs::read_dir(std::path::Path::new(&tmp.1).join("shaletide")).unwrap().flatten();
+    let kept = std::fs::read_dir(std::path::Path::new(&tmp.1).join("shaletide"))
+        .unwrap()
+        .flatten();
     let kept: Vec<_> = kept.map(|e| e.path()).collect();
     assert_eq!(kept.len(), 1, "one proxy, one folder");
     std::fs::write(kept[0].join("out-6x"), "").unwrap(); // foreign: skipped
@@ -179,7 +242,11 @@
     assert!(new.said.contains("out-6x: no ban, skipped"), "{}", new.said);
     new.wait_until_serving();
     for _ in 0..30 {
-        assert_eq!(new.ask(&read(3.0)).body, b"b", "read before the first request");
+        assert_eq!(
+            new.ask(&read(3.0)).body,
+            b"b",
+            "read before the first request"
+        );
     }
     assert_eq!(a.count(), 0);
     assert_eq!(new.call("PUT /maintenance/exit?who=b0").status(), 200);
@@ -194,13 +261,20 @@
     drop(new);
     let third = start();
     third.wait_until_serving();
-    assert_eq!(third.ask(&read(3.0)).body, b"a", "kept though no process ran");
+    assert_eq!(
+        third.ask(&read(3.0)).body,
+        b"a",
+        "kept though no process ran"
+    );
 }
 
 /// Without a folder the ban holds all the same.
 #[test]
 fn a_missing_folder_does_not_undo_a_ban() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
     let nowhere = ("TMPDIR", "/proc/none".to_string());
     let proxy = Proxy::operated(&names(&[&a, &b]), SETTINGS, &[nowhere]);
     proxy.wait_until_serving();
@@ -223,8 +297,7 @@
     read(left).replace("GET /read", "GET /log")
 }
 
-const LOG: &str =
-    r#"{"name":"log","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}"#;
+const LOG: &str = r#"{"name":"log","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}"#;
 
 /// Asks until the answer is that one: a signal takes its time.
 fn until(proxy: &Proxy, request: impl Fn(f64) -> String, status: u16) {
@@ -239,7 +312,13 @@
 fn on_a_reload_classes_come_and_go_and_open_requests_keep_theirs() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let backend = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("x") });
+    let backend = BackendServer::start(move |n| {
+        if n == 0 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("x")
+        }
+    });
     let proxy = Proxy::operated(&names(&[&backend]), SETTINGS, &[tmp()]);
     let mut open = proxy.client();
     open.send(&pay(3.0));
@@ -247,20 +326,33 @@
     assert_eq!(proxy.ask(&log(3.0)).status(), 404);
     // `pay` makes way for `log`, and `read` becomes one that must not be repeated.
     let text = std::fs::read_to_string(&proxy.config).unwrap();
-    let (from, to) = (text.find(r#"{"name":"pay""#).unwrap(), text.find(r#"{"name":"vote""#).unwrap());
+    let (from, to) = (
+        text.find(r#"{"name":"pay""#).unwrap(),
+        text.find(r#"{"name":"vote""#).unwrap(),
+    );
     rewrite(&proxy, &text[from..to], &format!("{LOG},"));
     rewrite(&proxy, r#""effect":"free""#, r#""effect":"single_shot""#);
     proxy.signal("-HUP");
     until(&proxy, log, 200);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 404);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 400, "no GET for what must not be repeated");
+    assert_eq!(
+        proxy.ask(&read(3.0)).status(),
+        400,
+        "no GET for what must not be repeated"
+    );
     assert_eq!(proxy.ask(&read(3.0).replace("GET", "POST")).status(), 200);
     gate.open();
     assert_eq!(open.answer().expect("an answer").body, b"gated");
     std::fs::write(&proxy.config, text).unwrap();
     proxy.signal("-HUP");
     until(&proxy, log, 404);
-    assert_eq!((proxy.ask(&pay(3.0)).status(), proxy.ask(&read(3.0)).status()), (200, 200));
+    assert_eq!(
+        (
+            proxy.ask(&pay(3.0)).status(),
+            proxy.ask(&read(3.0)).status()
+        ),
+        (200, 200)
+    );
 }
 
 /// Each file is broken in one way and would bring a new class: nothing of it is taken, and a sound one is.
@@ -268,7 +360,11 @@
 fn nothing_is_taken_from_a_broken_file() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::operated(&names(&[&backend]), SETTINGS, &[tmp()]);
-    let sound = rewrite(&proxy, r#"{"name":"read""#, &format!(r#"{LOG},{{"name":"read""#));
+    let sound = rewrite(
+        &proxy,
+        r#"{"name":"read""#,
+        &format!(r#"{LOG},{{"name":"read""#),
+    );
     let new = std::fs::read_to_string(&proxy.config).unwrap();
     let swap = |from: &str, to: &str| {
         assert!(new.contains(from), "{from}");
@@ -282,7 +378,10 @@
         "{}".into(),
         new[..half].into(),
         swap(r#""seed":"8c1f30d27a5be964","#, ""),
-        swap(r#""limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"#, ""),
+        swap(
+            r#""limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"#,
+            "",
+        ),
         swap(r#""over_share_worth":0.1,"#, ""),
         swap(&format!("{deadline},"), ""),
         swap(deadline, r#""deadline_us":0"#),
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -56,8 +56,19 @@
         socket.listen(128).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         let entries = entries.into_iter().map(|e| (5, e)).collect();
-        let world = Arc::new((Mutex::new(World { index: 5, entries, ..World::default() }), Condvar::new()));
-        let service = Service { address, world, open: Arc::default() };
+        let world = Arc::new((
+            Mutex::new(World {
+                index: 5,
+                entries,
+                ..World::default()
+            }),
+            Condvar::new(),
+        ));
+        let service = Service {
+            address,
+            world,
+            open: Arc::default(),
+        };
         let accepting = service.clone();
         std::thread::spawn(move || accepting.accept(socket));
         service
@@ -81,7 +92,9 @@
     fn called(&self, count: u32) {
         let (world, changed) = &*self.world;
         let few = |w: &mut World| w.calls < count;
-        let (_world, late) = changed.wait_timeout_while(world.lock().unwrap(), PATIENCE, few).unwrap();
+        let (_world, late) = changed
+            .wait_timeout_while(world.lock().unwrap(), PATIENCE, few)
+            .unwrap();
         assert!(!late.timed_out(), "not {count} calls");
     }
 
@@ -116,7 +129,15 @@
         let mut reader = BufReader::new(tcp.try_clone().unwrap());
         while let Some(call) = Message::read(&mut reader) {
             self.change(|w| w.calls += 1);
-            let number = |name: &str| call.first.split(name).nth(1)?.split(['&', ' ']).next()?.parse().ok();
+            let number = |name: &str| {
+                call.first
+                    .split(name)
+                    .nth(1)?
+                    .split(['&', ' '])
+                    .next()?
+                    .parse()
+                    .ok()
+            };
             let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0));
             let go_on = match self.answer(after, wait) {
                 Ok(list) => send(&mut tcp, 200, &list),
@@ -129,8 +150,9 @@
                 }
                 Err(Silent | Unreachable) => hang(&mut tcp),
                 Err(Half) => {
-                    let _ =
-                        tcp.write_all(b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{\"index\":9,\"snap");
+                    let _ = tcp.write_all(
+                        b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{\"index\":9,\"snap",
+                    );
                     hang(&mut tcp)
                 }
                 Err(Endless) => {
@@ -150,12 +172,20 @@
     /// What a call is answered: the whole list, or news within the wait; or how it fails.
     fn answer(&self, after: Option<u64>, wait: u64) -> Result<String, Fault> {
         let (world, changed) = &*self.world;
-        let quiet = |w: &mut World| w.fault.is_none() && after.is_some_and(|after| w.index <= after);
+        let quiet =
+            |w: &mut World| w.fault.is_none() && after.is_some_and(|after| w.index <= after);
         let wait = Duration::from_millis(wait);
-        let (world, _) = changed.wait_timeout_while(world.lock().unwrap(), wait, quiet).unwrap();
-        let news = world.entries.iter().filter(|e| after.is_none_or(|after| e.0 > after));
+        let (world, _) = changed
+            .wait_timeout_while(world.lock().unwrap(), wait, quiet)
+            .unwrap();
+        let news = world
+            .entries
+            .iter()
+            .filter(|e| after.is_none_or(|after| e.0 > after));
         let news: Vec<String> = news.map(|e| e.1.clone()).collect();
-        world.fault.map_or(Ok(list(world.index, after.is_none(), &news)), Err)
+        world
+            .fault
+            .map_or(Ok(list(world.index, after.is_none(), &news)), Err)
     }
 }
 
@@ -193,7 +223,10 @@
 
 fn send(tcp: &mut TcpStream, status: u16, body: &str) -> bool {
     // An interim answer first, as any server may send.
-    let head = format!("HTTP/1.1 103 X\r\n\r\nHTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     tcp.write_all((head + body).as_bytes()).is_ok()
 }
 
@@ -214,20 +247,35 @@
     fn start(service: &Service, known: &[String], mode: &str, proxies: u32) -> Process {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
         let settings = settings.replace("\"group_size\":1,", &format!("\"group_size\":{proxies},"));
-        let settings = settings.replace("\"must_ask_in_us\":9000000", "\"must_ask_in_us\":600000000");
+        let settings =
+            settings.replace("\"must_ask_in_us\":9000000", "\"must_ask_in_us\":600000000");
         let (known, at) = (list(4, true, known), service.address);
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{at}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}}}"#
         );
         let mut child = launch(Some(&config)).spawn().unwrap();
-        let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-        let listens = lines.by_ref().find_map(|line| Some(line.split("listens on ").nth(1)?.to_string()));
-        let address = listens.expect("it listens").split(',').next().unwrap().parse().unwrap();
+        let mut lines = BufReader::new(child.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
+        let listens = lines
+            .by_ref()
+            .find_map(|line| Some(line.split("listens on ").nth(1)?.to_string()));
+        let address = listens
+            .expect("it listens")
+            .split(',')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
         let log = Arc::new(Mutex::new(String::new()));
         let keep = log.clone();
         std::thread::spawn(move || lines.for_each(|line| *keep.lock().unwrap() += &(line + "\n")));
-        Process { child, address, log }
+        Process {
+            child,
+            address,
+            log,
+        }
     }
 
     fn logged(&self, words: &str) -> usize {
@@ -255,7 +303,13 @@
 }
 
 fn case(fault: Fault, down: f64, mode: &'static str, proxies: u32, told: f64) -> Case {
-    Case { fault, down: Duration::from_secs_f64(down), mode, proxies, told: Duration::from_secs_f64(told) }
+    Case {
+        fault,
+        down: Duration::from_secs_f64(down),
+        mode,
+        proxies,
+        told: Duration::from_secs_f64(told),
+    }
 }
 
 /// A drain inside the outage and one right after it. Returns how long after the return, and after the second drain, the
@@ -290,23 +344,33 @@
     service.change(|w| w.fault = Some(case.fault));
     std::thread::sleep(case.down / 2);
     // All that it knew, as it may use only a slice of them.
-    service.tell(&[line(0, "DRAINING"), line(1, "DRAINING"), line(2, "DRAINING"), line(3, "SERVING")]);
+    service.tell(&[
+        line(0, "DRAINING"),
+        line(1, "DRAINING"),
+        line(2, "DRAINING"),
+        line(3, "SERVING"),
+    ]);
     std::thread::sleep(case.down / 2);
     let back = Instant::now();
     service.change(|w| w.fault = None);
     std::thread::sleep(Duration::from_millis(200));
     let drained = Instant::now();
     service.tell(&[line(3, "DRAINING"), line(4, "SERVING")]);
-    let quiet = || (0..4).all(|n| last(n).is_none_or(|at| at.elapsed() > Duration::from_millis(700)));
+    let quiet =
+        || (0..4).all(|n| last(n).is_none_or(|at| at.elapsed() > Duration::from_millis(700)));
     while back.elapsed() < Duration::from_millis(7500) && !(quiet() && last(4).is_some()) {
         std::thread::sleep(Duration::from_millis(20));
     }
     *over.lock().unwrap() = true;
     client.join().unwrap();
-    let after = |n: usize, at: Instant| last(n).map_or(Duration::ZERO, |l| l.saturating_duration_since(at));
+    let after =
+        |n: usize, at: Instant| last(n).map_or(Duration::ZERO, |l| l.saturating_duration_since(at));
     let first = (0..3).map(|n| after(n, back)).max().unwrap_or_default();
     let (second, most) = (after(3, drained), service.open.1.load(Ordering::SeqCst));
-    let name = format!("{:?} {:?} {} {}", case.fault, case.down, case.mode, case.proxies);
+    let name = format!(
+        "{:?} {:?} {} {}",
+        case.fault, case.down, case.mode, case.proxies
+    );
     let said = format!(
         "{name}: {first:?} and {second:?}, {most} connections, {} lines",
         proxy.logged("discovery failed")
@@ -323,10 +387,16 @@
 }
 
 fn play_all(cases: Vec<Case>) {
-    let running: Vec<_> = cases.into_iter().map(|c| std::thread::spawn(move || play(&c))).collect();
+    let running: Vec<_> = cases
+        .into_iter()
+        .map(|c| std::thread::spawn(move || play(&c)))
+        .collect();
     let results: Vec<_> = running.into_iter().map(|r| r.join().unwrap()).collect();
     let failed: Vec<&String> = results.iter().filter_map(|r| r.as_ref().err()).collect();
-    results.iter().flatten().for_each(|said| eprintln!("{said}"));
+    results
+        .iter()
+        .flatten()
+        .for_each(|said| eprintln!("{said}"));
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
@@ -335,9 +405,16 @@
 fn lists_that_are_asked_for_are_known_within_six_seconds_of_the_return() {
     let faults = [Refused, Unreachable, Unavailable, Reset, Silent, Half];
     let lengths = [0.5, 7.0, 13.0];
-    let cases = faults.iter().flat_map(|f| lengths.iter().map(|l| case(*f, *l, "subscribe", 300, 6.0)));
-    let more = [Endless, Giant, Garbage].iter().map(|f| case(*f, 5.0, "subscribe", 300, 6.0));
-    let few = [case(Refused, 13.0, "subscribe", 3, 6.0), case(Silent, 13.0, "subscribe", 30, 6.0)];
+    let cases = faults
+        .iter()
+        .flat_map(|f| lengths.iter().map(|l| case(*f, *l, "subscribe", 300, 6.0)));
+    let more = [Endless, Giant, Garbage]
+        .iter()
+        .map(|f| case(*f, 5.0, "subscribe", 300, 6.0));
+    let few = [
+        case(Refused, 13.0, "subscribe", 3, 6.0),
+        case(Silent, 13.0, "subscribe", 30, 6.0),
+    ];
     play_all(cases.chain(more).chain(few).collect());
 }
 
@@ -346,10 +423,18 @@
 #[test]
 fn lists_that_are_pushed_are_known_at_once() {
     let quick = [Refused, Unavailable, Reset, Garbage];
-    let quick = quick.iter().flat_map(|f| [0.5, 4.0].iter().map(|l| case(*f, *l, "automatic", 300, 1.0)));
-    let slow = [Silent, Half, Endless].iter().map(|f| case(*f, 4.0, "automatic", 300, 6.0));
+    let quick = quick.iter().flat_map(|f| {
+        [0.5, 4.0]
+            .iter()
+            .map(|l| case(*f, *l, "automatic", 300, 1.0))
+    });
+    let slow = [Silent, Half, Endless]
+        .iter()
+        .map(|f| case(*f, 4.0, "automatic", 300, 6.0));
     // Until the open watch is taken for broken no new connection is tried; from then on one each 0.35 s.
-    let cut_off =
-        [case(Unreachable, 0.5, "automatic", 300, 6.0), case(Unreachable, 8.0, "automatic", 300, 1.5)];
+    let cut_off = [
+        case(Unreachable, 0.5, "automatic", 300, 6.0),
+        case(Unreachable, 8.0, "automatic", 300, 1.5),
+    ];
     play_all(quick.chain(slow).chain(cut_off).collect());
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -18,7 +18,10 @@
         answers.filter(|status| *status != 200).count()
     };
     std::thread::spawn(move || {
-        let asking: Vec<_> = at.into_iter().map(|a| std::thread::spawn(move || ask(a))).collect();
+        let asking: Vec<_> = at
+            .into_iter()
+            .map(|a| std::thread::spawn(move || ask(a)))
+            .collect();
         asking.into_iter().map(|a| a.join().unwrap()).sum()
     })
 }
@@ -34,8 +37,11 @@
     const SIZE: usize = 12;
     let live: Vec<BackendServer> = (0..7).map(|_| BackendServer::start(|_| ok("x"))).collect();
     let dead = Refusing::new();
-    let mut known: Vec<String> =
-        live.iter().enumerate().map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING")).collect();
+    let mut known: Vec<String> = live
+        .iter()
+        .enumerate()
+        .map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING"))
+        .collect();
     known.push(entry("dead", dead.address(), "SERVING"));
     let debug = ("NODE_LOG", "debug".to_string());
     let shared = Fleet::new(SIZE, 7, &known, std::slice::from_ref(&debug));
@@ -52,14 +58,26 @@
         (rules.drop, rules.double, rules.late) = (0.1, 0.1, Duration::from_millis(50));
         rules.cut.insert((0, 1)); // the others vouch for one whose words get lost one way
     }
-    let failed = [&shared.proxies, &alone].map(|side| ask_all(side, 20)).map(|side| side.join().unwrap());
-    let connects = |side: &[Proxy]| side.iter().map(|p| p.logged("at 7: ConnectFailed")).sum::<usize>();
+    let failed = [&shared.proxies, &alone]
+        .map(|side| ask_all(side, 20))
+        .map(|side| side.join().unwrap());
+    let connects = |side: &[Proxy]| {
+        side.iter()
+            .map(|p| p.logged("at 7: ConnectFailed"))
+            .sum::<usize>()
+    };
     let (with, without) = (connects(&shared.proxies), connects(&alone));
     eprintln!("failed connects shared {with}, alone {without}; answers not 200: {failed:?}");
     shared.until(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
     assert!(with >= 2, "someone has to find out");
     assert!(without >= 5 * with, "{without} alone, {with} shared");
-    assert!(shared.proxies.iter().any(|p| p.logged("on the word of") > 0), "nobody took a peer's word");
+    assert!(
+        shared
+            .proxies
+            .iter()
+            .any(|p| p.logged("on the word of") > 0),
+        "nobody took a peer's word"
+    );
 }
 
 /// Everything that is not a whole, fresh datagram of the cluster is refused and counted by its cause; members, facts and
@@ -72,7 +90,13 @@
     fleet.until(&[0, 1, 2], 2);
     let target = fleet.faults.started(0, &fleet.proxies[0].said);
     let sound = fleet.faults.last.lock().unwrap()[&0].clone();
-    let mut junk = vec![Vec::new(), vec![0; 5], vec![0; 40], vec![0xff; 1400], vec![0; 2000]];
+    let mut junk = vec![
+        Vec::new(),
+        vec![0; 5],
+        vec![0; 40],
+        vec![0xff; 1400],
+        vec![0; 2000],
+    ];
     for at in [0, 4, 6, sound.len() / 2, sound.len() - 1] {
         let mut changed = sound.clone();
         changed[at] ^= 0x41;
@@ -80,21 +104,29 @@
     }
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     for _ in 0..20 {
-        junk.iter().chain([&sound, &sound]).for_each(|bytes| drop(socket.send_to(bytes, target)));
+        junk.iter()
+            .chain([&sound, &sound])
+            .for_each(|bytes| drop(socket.send_to(bytes, target)));
         std::thread::sleep(Duration::from_millis(20)); // its socket's buffer holds only so many
     }
     let begun = Instant::now();
     let status = loop {
         let status = Status::of(&fleet.proxies[0]);
-        let all =
-            ["short", "magic", "version", "checksum", "oversized"].iter().all(|c| status.refused(c) >= 10);
+        let all = ["short", "magic", "version", "checksum", "oversized"]
+            .iter()
+            .all(|c| status.refused(c) >= 10);
         if all && status.refused("replayed") + status.refused("stale") >= 10 {
             break status;
         }
         assert!(begun.elapsed() < PATIENCE, "{}", status.0);
         std::thread::sleep(Duration::from_millis(20));
     };
-    assert_eq!((status.members(), status.count("facts_heard")), (2, 0), "{}", status.0);
+    assert_eq!(
+        (status.members(), status.count("facts_heard")),
+        (2, 0),
+        "{}",
+        status.0
+    );
     assert!(fleet.proxies[0].logged("datagram_refused") > 0, "said why");
     assert_eq!(fleet.proxies[0].ask(&read(3.0)).status(), 200);
 }
@@ -105,19 +137,38 @@
 fn no_fact_is_used_past_its_bound_and_a_healed_partition_grows_together() {
     let backend = BackendServer::start(|_| ok("x"));
     let dead = Refusing::new();
-    let known = [entry("b0", backend.address, "SERVING"), entry("dead", dead.address(), "SERVING")];
+    let known = [
+        entry("b0", backend.address, "SERVING"),
+        entry("dead", dead.address(), "SERVING"),
+    ];
     let fleet = Fleet::new(6, 11, &known, &[]);
     let all = [0, 1, 2, 3, 4, 5];
     fleet.until(&all, 5);
-    fleet.faults.part(&[0, 1, 2], &[3, 4, 5], Duration::from_secs(7));
+    fleet
+        .faults
+        .part(&[0, 1, 2], &[3, 4, 5], Duration::from_secs(7));
     // Only one half meets the dead backend, while it still sends the other half its words.
     ask_all(&fleet.proxies[..3], 10).join().unwrap();
     let parted = fleet.until(&all, 2);
-    assert!(fleet.proxies[..3].iter().any(|p| Status::of(p).count("facts_heard") > 0), "none inside a half");
+    assert!(
+        fleet.proxies[..3]
+            .iter()
+            .any(|p| Status::of(p).count("facts_heard") > 0),
+        "none inside a half"
+    );
     for proxy in &fleet.proxies[3..] {
         let status = Status::of(proxy);
-        assert!(status.refused("stale") > 0, "nothing came late: {}", status.0);
-        assert_eq!(status.count("facts_heard"), 0, "a fact past its bound was taken: {}", status.0);
+        assert!(
+            status.refused("stale") > 0,
+            "nothing came late: {}",
+            status.0
+        );
+        assert_eq!(
+            status.count("facts_heard"),
+            0,
+            "a fact past its bound was taken: {}",
+            status.0
+        );
     }
     fleet.faults.heal();
     let healed = fleet.until(&all, 5);
@@ -130,15 +181,27 @@
 fn the_rest_outlive_a_third_killed_and_warm_the_one_that_returns() {
     let backend = BackendServer::start(|_| ok("x"));
     let other = BackendServer::start(|_| ok("y"));
-    let known = [entry("b0", backend.address, "SERVING"), entry("b1", other.address, "SERVING")];
+    let known = [
+        entry("b0", backend.address, "SERVING"),
+        entry("b1", other.address, "SERVING"),
+    ];
     let mut fleet = Fleet::new(6, 5, &known, &[]);
     fleet.until(&[0, 1, 2, 3, 4, 5], 5);
     fleet.proxies.truncate(4); // SIGKILL
     let asked = ask_all(&fleet.proxies, 10);
     let found = fleet.until(&[0, 1, 2, 3], 3);
-    assert_eq!(asked.join().unwrap(), 0, "a client of a live proxy was not served");
+    assert_eq!(
+        asked.join().unwrap(),
+        0,
+        "a client of a live proxy was not served"
+    );
     eprintln!("two of six found dead after {found:.1?}");
-    assert_eq!(fleet.proxies[0].call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        fleet.proxies[0]
+            .call("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     fleet.restart(4);
     let begun = Instant::now();
     while fleet.proxies[4].logged("peer_snapshot_taken") == 0 {
@@ -150,5 +213,8 @@
     for _ in 0..30 {
         assert_eq!(fleet.proxies[4].ask(&read(3.0)).status(), 200);
     }
-    assert!(backend.count() > before, "a ban said at another proxy's door was taken over");
+    assert!(
+        backend.count() > before,
+        "a ban said at another proxy's door was taken over"
+    );
 }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -26,7 +26,10 @@
 
 impl Named {
     fn new(name: &str) -> Named {
-        Named { name: name.into(), live: true }
+        Named {
+            name: name.into(),
+            live: true,
+        }
     }
     fn find(table: &[Named], name: &str) -> Option<usize> {
         table.iter().position(|n| n.live && n.name == name)
@@ -54,7 +57,10 @@
 
     /// The kind of that name, if a list or the settings named it.
     pub fn kind(&self, name: &str) -> Option<KindId> {
-        self.kinds.iter().position(|k| k == name).map(|n| KindId(n as u32))
+        self.kinds
+            .iter()
+            .position(|k| k == name)
+            .map(|n| KindId(n as u32))
     }
 
     /// The name of a kind.
@@ -69,7 +75,10 @@
 
     /// The name of a class in use.
     pub fn class_name(&self, class: ClassId) -> Option<&str> {
-        self.classes.get(class.0).filter(|n| n.live).map(|n| n.name.as_str())
+        self.classes
+            .get(class.0)
+            .filter(|n| n.live)
+            .map(|n| n.name.as_str())
     }
 
     /// The zone and the kind of a list's row get their numbers.
@@ -80,7 +89,10 @@
 
     /// The number of a zone.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones.iter().position(|z| z == name).map(|n| ZoneId(n as u32))
+        self.zones
+            .iter()
+            .position(|z| z == name)
+            .map(|n| ZoneId(n as u32))
     }
 }
 
@@ -97,11 +109,17 @@
     /// Whether the value there, or one inside it, could not be read.
     fn misread(&self, path: &str) -> bool {
         let inside = |rest: &str| rest.is_empty() || rest.starts_with(['.', '[']);
-        self.wrong.borrow().iter().any(|(p, _)| p.strip_prefix(path).is_some_and(inside))
+        self.wrong
+            .borrow()
+            .iter()
+            .any(|(p, _)| p.strip_prefix(path).is_some_and(inside))
     }
     /// What was read, or the first that was wrong.
     fn sound<T>(&self, read: T) -> Result<T, String> {
-        self.wrong.borrow().first().map_or(Ok(read), |(_, text)| Err(text.clone()))
+        self.wrong
+            .borrow()
+            .first()
+            .map_or(Ok(read), |(_, text)| Err(text.clone()))
     }
 }
 
@@ -115,12 +133,24 @@
 
 impl<'a> Key<'a> {
     fn root(settings: &'a Value) -> Key<'a> {
-        Key { path: String::new(), value: Some(settings), notes: Rc::default() }
+        Key {
+            path: String::new(),
+            value: Some(settings),
+            notes: Rc::default(),
+        }
     }
     fn get(&self, name: &str) -> Key<'a> {
-        let path = if self.path.is_empty() { name.into() } else { format!("{}.{name}", self.path) };
+        let path = if self.path.is_empty() {
+            name.into()
+        } else {
+            format!("{}.{name}", self.path)
+        };
         self.notes.seen.borrow_mut().insert(path.clone());
-        Key { path, value: self.value.and_then(|v| v.get(name)), notes: self.notes.clone() }
+        Key {
+            path,
+            value: self.value.and_then(|v| v.get(name)),
+            notes: self.notes.clone(),
+        }
     }
     fn wrong(&self, text: String) {
         let mut wrong = self.notes.wrong.borrow_mut();
@@ -153,12 +183,23 @@
         Micros(self.want(self.whole(), "whole microseconds", 1))
     }
     fn count(&self, stand_in: u32) -> u32 {
-        self.want(self.whole().and_then(|n| u32::try_from(n).ok()), "a whole number", stand_in)
+        self.want(
+            self.whole().and_then(|n| u32::try_from(n).ok()),
+            "a whole number",
+            stand_in,
+        )
     }
     fn list(&self) -> Vec<Key<'a>> {
-        let items = self.want(self.value.and_then(Value::as_array).map(Vec::as_slice), "an array", &[]);
-        let item =
-            |(i, v)| Key { path: format!("{}[{i}]", self.path), value: Some(v), notes: self.notes.clone() };
+        let items = self.want(
+            self.value.and_then(Value::as_array).map(Vec::as_slice),
+            "an array",
+            &[],
+        );
+        let item = |(i, v)| Key {
+            path: format!("{}[{i}]", self.path),
+            value: Some(v),
+            notes: self.notes.clone(),
+        };
         items.iter().enumerate().map(item).collect()
     }
 }
@@ -176,9 +217,17 @@
     let (config, _) = read_with(&root, Names::default());
     network_of(&root);
     let follows = |e: &ConfigError| e.field == "classes" && root.notes.misread("profiles");
-    let bounds = config.errors().into_iter().filter(|e| !follows(e)).map(|e| e.to_string());
+    let bounds = config
+        .errors()
+        .into_iter()
+        .filter(|e| !follows(e))
+        .map(|e| e.to_string());
     let wrong = root.notes.wrong.borrow();
-    wrong.iter().map(|(_, text)| text.clone()).chain(bounds).collect()
+    wrong
+        .iter()
+        .map(|(_, text)| text.clone())
+        .chain(bounds)
+        .collect()
 }
 
 /// Paths of values that nothing reads.
@@ -186,11 +235,18 @@
     fn leaves(path: &str, value: &Value, all: &mut Vec<String>) {
         match value {
             Value::Object(keys) if !keys.is_empty() => keys.iter().for_each(|(name, inner)| {
-                let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                let path = if path.is_empty() {
+                    name.clone()
+                } else {
+                    format!("{path}.{name}")
+                };
                 leaves(&path, inner, all);
             }),
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                items.iter().enumerate().for_each(|(i, v)| leaves(&format!("{path}[{i}]"), v, all));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(i, v)| leaves(&format!("{path}[{i}]"), v, all));
             }
             _ => all.push(path.into()),
         }
@@ -224,18 +280,27 @@
     if zone.is_some() || !root.notes.misread("zones") {
         my_zone.want(zone, "one of zones", 0);
     }
-    let classes = root.get("profiles").list().iter().map(|key| class(key, &mut names)).collect();
+    let classes = root
+        .get("profiles")
+        .list()
+        .iter()
+        .map(|key| class(key, &mut names))
+        .collect();
     let mut tenants = Vec::new();
     for tenant in root.get("customers").list() {
         names.tenants.push(Named::new(tenant.get("name").text()));
-        tenants.push(Tenant { quota_per_s: tenant.get("quota_rps").real() });
+        tenants.push(Tenant {
+            quota_per_s: tenant.get("quota_rps").real(),
+        });
     }
     let (limits, rules, goal) = (root.get("limits"), root.get("rules"), root.get("blend"));
     let must_ask = rules.get("must_ask_in_us");
     let discovery = match root.get("discovery").text() {
         "automatic" => Discovery::Push,
         "subscribe" => Discovery::Subscribe(must_ask.micros()),
-        _ => root.get("discovery").want(None, "automatic or subscribe", Discovery::Push),
+        _ => root
+            .get("discovery")
+            .want(None, "automatic or subscribe", Discovery::Push),
     };
     let config = Config {
         proxies: root.get("group_size").count(u32::MAX),
@@ -282,18 +347,28 @@
             Effect::Keyed(scope, window.micros())
         }
         "single_shot" => Effect::Unsafe,
-        _ => class.get("effect").want(None, "free, guarded or single_shot", Effect::Free),
+        _ => class
+            .get("effect")
+            .want(None, "free, guarded or single_shot", Effect::Free),
     };
     let stretch = class.get("aim_stretch");
     let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
     if deadline.micros().0 == 0 {
         deadline.want(None, "a time above 0", ());
-    } else if aim.whole().zip(deadline.whole()).is_some_and(|(aim, deadline)| aim > deadline) {
+    } else if aim
+        .whole()
+        .zip(deadline.whole())
+        .is_some_and(|(aim, deadline)| aim > deadline)
+    {
         aim.wrong("expected no more than deadline_us".into());
     }
     Class {
         aim: aim.micros(),
-        aim_stretch: if stretch.value.is_some() { stretch.real() } else { 0.0 },
+        aim_stretch: if stretch.value.is_some() {
+            stretch.real()
+        } else {
+            0.0
+        },
         effect,
         worth: class.get("gain").real(),
         late_worth: class.get("late_worth").real(),
@@ -303,14 +378,23 @@
 /// `locality`, where it stands: both keys, or an error that names the missing one.
 fn locality(key: &Key) -> Option<Locality> {
     key.value?;
-    Some(Locality { leave_share: key.get("leave_share").real(), ramp: key.get("ramp_us").micros() })
+    Some(Locality {
+        leave_share: key.get("leave_share").real(),
+        ramp: key.get("ramp_us").micros(),
+    })
 }
 
 /// `locality.regions`: zone names to region names. A zone that no list has named yet gets its number here.
 fn regions(key: &Key, names: &mut Names) -> BTreeMap<ZoneId, RegionId> {
-    let Some(value) = key.value else { return BTreeMap::new() };
+    let Some(value) = key.value else {
+        return BTreeMap::new();
+    };
     let none = serde_json::Map::new();
-    let table = key.want(value.as_object(), "a table of zones and their regions", &none);
+    let table = key.want(
+        value.as_object(),
+        "a table of zones and their regions",
+        &none,
+    );
     let mut known = Vec::new();
     let entry = |zone: &String| {
         let region = RegionId(1 + number(&mut known, key.get(zone).text()));
@@ -385,8 +469,17 @@
 }
 
 /// Reads settings that follow others. A class or tenant keeps its number; a class whose rules differ gets a new one.
-pub fn change(settings: &Value, names: &Names, config: &Config, before: &Network) -> Result<Change, String> {
-    let places = Names { classes: Vec::new(), tenants: Vec::new(), ..names.clone() };
+pub fn change(
+    settings: &Value,
+    names: &Names,
+    config: &Config,
+    before: &Network,
+) -> Result<Change, String> {
+    let places = Names {
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        ..names.clone()
+    };
     let root = Key::root(settings);
     let read = read_with(&root, places);
     let (fresh, fresh_names) = root.notes.sound(read)?;
@@ -395,16 +488,22 @@
     if fresh.discovery != config.discovery {
         return Err("discovery: expected as before, it changes only with a restart".into());
     }
-    let (mut classes, mut deadlines) =
-        (config.classes.iter().cloned().collect::<Vec<_>>(), before.deadlines.clone());
+    let (mut classes, mut deadlines) = (
+        config.classes.iter().cloned().collect::<Vec<_>>(),
+        before.deadlines.clone(),
+    );
     let mut named = names.classes.clone();
     named.iter_mut().for_each(|n| n.live = false);
     let (mut heirs, mut told) = (Vec::new(), Vec::new());
-    for ((class, new), deadline) in
-        fresh.classes.iter().zip(&fresh_names.classes).zip(&fresh_network.deadlines)
+    for ((class, new), deadline) in fresh
+        .classes
+        .iter()
+        .zip(&fresh_names.classes)
+        .zip(&fresh_network.deadlines)
     {
-        let same =
-            |k: &usize| named[*k].name == new.name && classes[*k] == *class && deadlines[*k] == *deadline;
+        let same = |k: &usize| {
+            named[*k].name == new.name && classes[*k] == *class && deadlines[*k] == *deadline
+        };
         let old = Named::find(&names.classes, &new.name);
         let number = (0..classes.len()).find(same).unwrap_or_else(|| {
             classes.push(class.clone());
@@ -415,18 +514,39 @@
         });
         named[number].live = true;
         if old != Some(number) {
-            told.push(format!("{} {}", if old.is_some() { "changed" } else { "new" }, new.name));
+            told.push(format!(
+                "{} {}",
+                if old.is_some() { "changed" } else { "new" },
+                new.name
+            ));
         }
     }
     // What is still open under an old number obeys the stricter of its rules and those that hold now.
-    for (number, class) in classes.iter_mut().enumerate().filter(|(n, _)| !named[*n].live) {
-        let now = fresh_names.classes.iter().position(|new| new.name == named[number].name);
-        class.effect = now.map_or(class.effect, |at| stricter(class.effect, fresh.classes[at].effect));
+    for (number, class) in classes
+        .iter_mut()
+        .enumerate()
+        .filter(|(n, _)| !named[*n].live)
+    {
+        let now = fresh_names
+            .classes
+            .iter()
+            .position(|new| new.name == named[number].name);
+        class.effect = now.map_or(class.effect, |at| {
+            stricter(class.effect, fresh.classes[at].effect)
+        });
     }
     let dropped = |n: &&Named| n.live && Named::find(&named, &n.name).is_none();
-    told.extend(names.classes.iter().filter(dropped).map(|n| format!("dropped {}", n.name)));
-    let (mut tenants, mut customers) =
-        (config.tenants.iter().cloned().collect::<Vec<_>>(), names.tenants.clone());
+    told.extend(
+        names
+            .classes
+            .iter()
+            .filter(dropped)
+            .map(|n| format!("dropped {}", n.name)),
+    );
+    let (mut tenants, mut customers) = (
+        config.tenants.iter().cloned().collect::<Vec<_>>(),
+        names.tenants.clone(),
+    );
     customers.iter_mut().for_each(|n| n.live = false);
     for (tenant, new) in fresh.tenants.iter().zip(&fresh_names.tenants) {
         match customers.iter().position(|n| n.name == new.name) {
@@ -438,8 +558,30 @@
         }
     }
     let live = named.iter().map(|n| n.live).collect();
-    let told = if told.is_empty() { "classes as before".into() } else { told.join(", ") };
-    let names = Names { classes: named, tenants: customers, ..fresh_names };
-    let config = Config { classes: classes.into(), tenants: tenants.into(), ..fresh };
-    Ok(Change { config, live, heirs, names, network: Network { deadlines, ..fresh_network }, told })
+    let told = if told.is_empty() {
+        "classes as before".into()
+    } else {
+        told.join(", ")
+    };
+    let names = Names {
+        classes: named,
+        tenants: customers,
+        ..fresh_names
+    };
+    let config = Config {
+        classes: classes.into(),
+        tenants: tenants.into(),
+        ..fresh
+    };
+    Ok(Change {
+        config,
+        live,
+        heirs,
+        names,
+        network: Network {
+            deadlines,
+            ..fresh_network
+        },
+        told,
+    })
 }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -45,12 +45,19 @@
         let mut client = proxy.client();
         client.send(&pay(9.0));
         std::thread::sleep(Duration::from_millis(100)); // its dial is under way, or begins to the new address
-        let (address, status) =
-            if what == "moved" { (elsewhere.address, "SERVING") } else { (late.address(), what) };
+        let (address, status) = if what == "moved" {
+            (elsewhere.address, "SERVING")
+        } else {
+            (late.address(), what)
+        };
         let _watch = told(&proxy, watch, 6, address, status);
         let late = late.open();
         let wire = late.accept();
-        assert_eq!(client.answer().expect("an answer").status(), 503, "{what}: it never ran");
+        assert_eq!(
+            client.answer().expect("an answer").status(),
+            503,
+            "{what}: it never ran"
+        );
         drop(proxy); // an unused connection may be kept till then
         assert_eq!(wire.rest(), b"", "{what}");
     }
@@ -63,7 +70,11 @@
         let mut columns = line.split_whitespace().skip(2);
         columns.next().is_some_and(|remote| remote.ends_with(&port)) && columns.next() == Some("02")
     };
-    while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(tried) {
+    while !std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .lines()
+        .any(tried)
+    {
         assert!(begun.elapsed() < PATIENCE, "nobody connects to {to}");
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -80,7 +91,10 @@
     let mut client = proxy.client();
     client.send(&pay(9.0));
     dialled(late.address());
-    let moved = [entry("b0", late.address(), "DRAINING"), entry("b1", other.address, "SERVING")];
+    let moved = [
+        entry("b0", late.address(), "DRAINING"),
+        entry("b1", other.address, "SERVING"),
+    ];
     let _watch = told_of(&proxy, watch, 6, &moved);
     let late = late.open();
     let unused = late.accept();
@@ -118,7 +132,11 @@
         }
         wire.request();
         wire.answer("next");
-        assert_eq!(client.answer().expect("an answer").body, b"next", "reopened {reopened}");
+        assert_eq!(
+            client.answer().expect("an answer").body,
+            b"next",
+            "reopened {reopened}"
+        );
     }
     let (old, new) = (Scripted::start(), Scripted::start());
     let (proxy, watch) = watching(old.address, SETTINGS);
@@ -190,7 +208,10 @@
         (false, "", true),
     ] {
         let (backend, other) = (Scripted::start(), BackendServer::start(|_| ok("elsewhere")));
-        let known = [entry("b0", backend.address, "SERVING"), entry("b1", other.address, "SERVING")];
+        let known = [
+            entry("b0", backend.address, "SERVING"),
+            entry("b1", other.address, "SERVING"),
+        ];
         let proxy = Proxy::start(&known);
         let mut client = proxy.client();
         let case = format!("crossing {crossing}, {half:?}, reset {reset}");
@@ -236,7 +257,11 @@
                     assert_eq!(client.answer().expect("an answer").body, b"next", "{case}");
                     break;
                 }
-                assert_eq!(client.answer().expect("an answer").body, b"elsewhere", "{case}");
+                assert_eq!(
+                    client.answer().expect("an answer").body,
+                    b"elsewhere",
+                    "{case}"
+                );
             }
         }
     }
@@ -245,7 +270,8 @@
 /// What comes first: that, or else an answer for the client.
 fn until<T>(mut that: impl FnMut() -> Option<T>, client: &Client) -> Option<T> {
     let tcp = client.0.get_ref();
-    tcp.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
+    tcp.set_read_timeout(Some(Duration::from_millis(2)))
+        .unwrap();
     let end = std::time::Instant::now() + PATIENCE;
     let came = loop {
         assert!(std::time::Instant::now() < end, "neither came");
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -13,12 +13,16 @@
 }
 
 fn two(a: &BackendServer, b: &BackendServer) -> Proxy {
-    Proxy::start(&[entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")])
+    Proxy::start(&[
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ])
 }
 
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
-    let backend = BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
+    let backend =
+        BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
     let proxy = one(&backend);
     let answer = proxy.ask(
         "POST /vote/k%201?q=%2F HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 00aa\r\nIdempotency-Key: 77\r\n\
@@ -29,8 +33,17 @@
     assert_eq!(answer.header("content-type"), Some("text/x"));
     let got = backend.request();
     assert_eq!(got.first, "POST /vote/k%201?q=%2F HTTP/1.1");
-    assert_eq!((got.header("x-correlation-id"), got.header("idempotency-key")), (Some("00aa"), Some("77")));
-    assert_eq!((&got.body[..], got.header("x-private")), (&b"abc"[..], None));
+    assert_eq!(
+        (
+            got.header("x-correlation-id"),
+            got.header("idempotency-key")
+        ),
+        (Some("00aa"), Some("77"))
+    );
+    assert_eq!(
+        (&got.body[..], got.header("x-private")),
+        (&b"abc"[..], None)
+    );
     let left: f64 = got.header("x-time-left").unwrap().parse().unwrap();
     assert!(left > 0.0 && left < 2.5, "{left}");
     assert_eq!(backend.count(), 1);
@@ -61,8 +74,16 @@
         ("reset", || Reply::Reset, 3.0),
         ("silence", || Reply::Silence, 0.3),
         ("unlisted", || Reply::Answer(404, "", String::new()), 3.0),
-        ("503 without a word on it", || Reply::Answer(503, "", String::new()), 3.0),
-        ("the word on another status", || Reply::Answer(500, "X-Unprocessed: 1", String::new()), 3.0),
+        (
+            "503 without a word on it",
+            || Reply::Answer(503, "", String::new()),
+            3.0,
+        ),
+        (
+            "the word on another status",
+            || Reply::Answer(500, "X-Unprocessed: 1", String::new()),
+            3.0,
+        ),
     ];
     for (what, reply, left) in cases {
         let ((a, first), (b, second)) = (turning(reply), turning(reply));
@@ -93,7 +114,11 @@
             assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
             sent += 1;
         }
-        assert_eq!(good.count() - good_before, sent, "every one was served once");
+        assert_eq!(
+            good.count() - good_before,
+            sent,
+            "every one was served once"
+        );
     }
 }
 
@@ -104,7 +129,10 @@
     let proxy = one(&good);
     warm_up(&proxy);
     let (_, answer) = proxy.discovery.call();
-    let both = [entry("b0", good.address, "SERVING"), entry("b1", nobody.address(), "SERVING")];
+    let both = [
+        entry("b0", good.address, "SERVING"),
+        entry("b1", nobody.address(), "SERVING"),
+    ];
     answer.send((200, list(9, true, &both))).unwrap();
     let _hold = proxy.discovery.call(); // by now the list is taken in
     let before = good.count();
@@ -122,7 +150,11 @@
     for request in [pay(3.0), read(3.0)] {
         let answer = proxy.ask(&request);
         assert_eq!(answer.status(), 503);
-        let advice: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+        let advice: f64 = answer
+            .header("retry-after")
+            .expect("advice")
+            .parse()
+            .expect("a number");
         assert!(advice > 0.0 && advice <= 2.0, "{advice}");
     }
 }
@@ -134,9 +166,16 @@
     let begun = std::time::Instant::now();
     let status = proxy.ask(&pay(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
-    assert!(begun.elapsed() < Duration::from_secs(3), "the client's time counts, not the class's");
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "the client's time counts, not the class's"
+    );
     backend.closed(); // the attempt was given up with it
-    assert_eq!(proxy.ask(&read(0.3)).status(), 503, "a safe one is harmless to repeat");
+    assert_eq!(
+        proxy.ask(&read(0.3)).status(),
+        503,
+        "a safe one is harmless to repeat"
+    );
 }
 
 #[test]
@@ -187,26 +226,47 @@
 
 #[test]
 fn the_watch_follows_changes_failures_and_gaps() {
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+    let (old, new) = (
+        BackendServer::start(|_| ok("old")),
+        BackendServer::start(|_| ok("new")),
+    );
     let proxy = one(&old);
     assert_eq!(proxy.ask(&read(3.0)).body, b"old");
     let (target, answer) = proxy.discovery.call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     let bad = r#"{"name":7},{"name":"x","address":"nowhere","status":"SERVING"}"#.to_string();
     let odd = entry("b9", old.address, "RESTING");
-    answer.send((200, list(9, true, &[bad, odd, entry("b0", old.address, "SERVING")]))).unwrap();
+    answer
+        .send((
+            200,
+            list(9, true, &[bad, odd, entry("b0", old.address, "SERVING")]),
+        ))
+        .unwrap();
     let (target, answer) = proxy.discovery.call();
-    assert!(target.starts_with("GET /api/targets?after=9&wait_ms="), "{target}");
-    let change = [entry("b0", old.address, "DRAINING"), entry("b1", new.address, "SERVING")];
+    assert!(
+        target.starts_with("GET /api/targets?after=9&wait_ms="),
+        "{target}"
+    );
+    let change = [
+        entry("b0", old.address, "DRAINING"),
+        entry("b1", new.address, "SERVING"),
+    ];
     answer.send((200, list(10, false, &change))).unwrap();
     let (target, answer) = proxy.discovery.call(); // by now the change is taken in
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
-        assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "nothing new for one that drains");
+        assert_eq!(
+            proxy.ask(&pay(3.0)).body,
+            b"new",
+            "nothing new for one that drains"
+        );
     }
     answer.send((503, String::new())).unwrap();
     let (target, answer) = proxy.discovery.call();
-    assert!(target.contains("after=10&"), "a failure is asked again: {target}");
+    assert!(
+        target.contains("after=10&"),
+        "a failure is asked again: {target}"
+    );
     answer.send((200, "no list".into())).unwrap();
     let (target, answer) = proxy.discovery.call();
     assert!(target.contains("after=10&"), "so is nonsense: {target}");
@@ -214,11 +274,20 @@
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(3, false, &[]))).unwrap();
     let (target, answer) = proxy.discovery.call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "a gap means the whole list");
-    answer.send((200, list(3, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
+    assert_eq!(
+        target, "GET /api/targets HTTP/1.1",
+        "a gap means the whole list"
+    );
+    answer
+        .send((200, list(3, true, &[entry("b0", old.address, "SERVING")])))
+        .unwrap();
     let (target, _hold) = proxy.discovery.call();
     assert!(target.contains("after=3&"), "{target}");
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"old", "what is absent from the whole list is gone");
+    assert_eq!(
+        proxy.ask(&pay(3.0)).body,
+        b"old",
+        "what is absent from the whole list is gone"
+    );
     assert_eq!(old.count(), 2);
 }
 
@@ -227,12 +296,21 @@
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let cases = [
-        (404, "GET /none/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string()),
-        (404, "GET / HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string()),
+        (
+            404,
+            "GET /none/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string(),
+        ),
+        (
+            404,
+            "GET / HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string(),
+        ),
         (404, "GET /-/load HTTP/1.1\r\nHost: s\r\n\r\n".to_string()),
         (400, "GET /read/k\r\nwhat\r\n\r\n".to_string()),
         (400, "GET /read/k HTTP/1.1\r\nHost: s\r\n\r\n".to_string()),
-        (400, "GET /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string()),
+        (
+            400,
+            "GET /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n\r\n".to_string(),
+        ),
         (
             400,
             "POST /vote/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\nContent-Length: 0\r\n\r\n"
@@ -244,16 +322,28 @@
         let mut client = proxy.client();
         // The proxy may answer and close before it has read all of it.
         let _ = client.0.get_mut().write_all(request.as_bytes());
-        let answer = client.answer().unwrap_or_else(|| panic!("no answer to {request:.80}"));
+        let answer = client
+            .answer()
+            .unwrap_or_else(|| panic!("no answer to {request:.80}"));
         assert_eq!(answer.status(), status, "{request:.80}");
     }
     assert_eq!(backend.count(), 0);
-    for left in
-        ["", "X-Time-Left: soon\r\n", "X-Time-Left: -1\r\n", "X-Time-Left: NaN\r\n", "X-Time-Left: 1e300\r\n"]
-    {
-        let request = format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
+    for left in [
+        "",
+        "X-Time-Left: soon\r\n",
+        "X-Time-Left: -1\r\n",
+        "X-Time-Left: NaN\r\n",
+        "X-Time-Left: 1e300\r\n",
+    ] {
+        let request =
+            format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
         assert_eq!(proxy.ask(&request).status(), 200, "{left}");
-        let told: f64 = backend.request().header("x-time-left").unwrap().parse().unwrap();
+        let told: f64 = backend
+            .request()
+            .header("x-time-left")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(told > 1.0 && told <= 3.0, "the class's deadline: {told}");
     }
 }
@@ -270,7 +360,10 @@
         let out = launch(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{config:?}");
-        assert!(text.contains(expected) && !text.contains("panicked"), "{config:?}: {text}");
+        assert!(
+            text.contains(expected) && !text.contains("panicked"),
+            "{config:?}: {text}"
+        );
     }
 }
 
@@ -317,14 +410,23 @@
     assert_eq!(backend.connections.load(SeqCst), 2, "both are idle now");
     assert_eq!(proxy.ask(&read(0.3)).status(), 503);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
-    assert_eq!(backend.connections.load(SeqCst), 3, "a new one, though one was left");
+    assert_eq!(
+        backend.connections.load(SeqCst),
+        3,
+        "a new one, though one was left"
+    );
 }
 
 /// The kernel may run out of descriptors before the bound is reached: then too the idle make way.
 #[test]
 fn running_out_of_descriptors_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
+    let proxy = Proxy::launched(
+        &[entry("b0", backend.address, "SERVING")],
+        1024,
+        SETTINGS,
+        40,
+    );
     let mut idle = Vec::new();
     for _ in 0..60 {
         let mut client = proxy.client();
@@ -355,7 +457,10 @@
 fn a_head_that_stopped_makes_way_before_its_time_is_over() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
-    let (half, rest) = ("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr", "elation-Id: 1\r\n\r\n");
+    let (half, rest) = (
+        "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr",
+        "elation-Id: 1\r\n\r\n",
+    );
     let mut slow: Vec<Client> = (0..32)
         .map(|_| {
             let mut client = proxy.client();
@@ -375,7 +480,13 @@
 fn one_that_has_just_connected_is_left_time_to_ask() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let backend = BackendServer::start(move |n| if n < 4 { Reply::Gate(wait.clone()) } else { ok("x") });
+    let backend = BackendServer::start(move |n| {
+        if n < 4 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("x")
+        }
+    });
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 72, SETTINGS);
     let mut busy: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     for client in &mut busy {
@@ -383,11 +494,18 @@
         backend.request();
     }
     let mut just_come = proxy.client();
-    assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(
+        proxy
+            .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status(),
+        200
+    );
     just_come.send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
     assert_eq!(just_come.answer().expect("it was left alone").status(), 200);
     gate.open();
-    assert!(busy.iter_mut().all(|client| client.answer().is_some_and(|a| a.status() == 200)));
+    assert!(busy
+        .iter_mut()
+        .all(|client| client.answer().is_some_and(|a| a.status() == 200)));
 }
 
 /// On SIGTERM what is under way is answered, and so is what comes while clients do not know of it yet.
@@ -395,11 +513,22 @@
 fn a_graceful_shutdown_answers_everything_and_ends() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let backend = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("late") });
+    let backend = BackendServer::start(move |n| {
+        if n == 0 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("late")
+        }
+    });
     let mut proxy = one(&backend);
     let (mut busy, mut kept, mut idle) = (proxy.client(), proxy.client(), proxy.client());
     for client in [&mut kept, &mut idle] {
-        assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+        assert_eq!(
+            client
+                .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+                .status(),
+            200
+        );
     }
     busy.send(&pay(3.0));
     backend.request();
@@ -414,18 +543,27 @@
     }
     for client in [&mut kept, &mut proxy.client()] {
         let answer = client.ask(&pay(2.0));
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
     }
     assert!(idle.ended(), "an idle connection is closed");
     gate.open();
-    assert_eq!(busy.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(
+        busy.answer().expect("the answer that was owed").body,
+        b"gated"
+    );
     assert!(busy.ended());
     assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
 fn keyed_requests_are_repeated_under_the_same_key() {
-    let ((bad, switch), good) = (turning(|| Reply::Reset), BackendServer::start(|_| ok("counted")));
+    let ((bad, switch), good) = (
+        turning(|| Reply::Reset),
+        BackendServer::start(|_| ok("counted")),
+    );
     let proxy = two(&bad, &good);
     warm_up(&proxy);
     while bad.seen.try_recv().is_ok() || good.seen.try_recv().is_ok() {}
@@ -437,8 +575,14 @@
         let served = good.request();
         if bad.count() > before {
             let reset = bad.request();
-            assert_eq!(reset.header("idempotency-key"), served.header("idempotency-key"));
-            assert_eq!(reset.header("x-correlation-id"), served.header("x-correlation-id"));
+            assert_eq!(
+                reset.header("idempotency-key"),
+                served.header("idempotency-key")
+            );
+            assert_eq!(
+                reset.header("x-correlation-id"),
+                served.header("x-correlation-id")
+            );
             return;
         }
     }
@@ -447,24 +591,37 @@
 /// The platform moves discovery: the file names the new address, and SIGHUP says so.
 #[test]
 fn on_a_reload_the_list_is_taken_whole_from_where_discovery_is_now() {
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+    let (old, new) = (
+        BackendServer::start(|_| ok("old")),
+        BackendServer::start(|_| ok("new")),
+    );
     let proxy = one(&old);
     let (_, answer) = proxy.discovery.call();
-    answer.send((200, list(7, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
+    answer
+        .send((200, list(7, true, &[entry("b0", old.address, "SERVING")])))
+        .unwrap();
     let (_, _unanswered) = proxy.discovery.call(); // the watch waits there when the signal comes
     let moved = DiscoveryServer::start();
     let text = std::fs::read_to_string(&proxy.config).unwrap();
     std::fs::write(&proxy.config, "{").unwrap();
     proxy.signal("-HUP"); // a file that cannot be read changes nothing
     assert_eq!(proxy.ask(&read(3.0)).body, b"old");
-    let text = text.replace(&proxy.discovery.address.to_string(), &moved.address.to_string());
+    let text = text.replace(
+        &proxy.discovery.address.to_string(),
+        &moved.address.to_string(),
+    );
     std::fs::write(&proxy.config, text).unwrap();
     proxy.signal("-HUP");
     let (call, answer) = moved.call();
     assert_eq!(call, "GET /api/targets HTTP/1.1");
-    answer.send((200, list(3, true, &[entry("b1", new.address, "SERVING")]))).unwrap();
+    answer
+        .send((200, list(3, true, &[entry("b1", new.address, "SERVING")])))
+        .unwrap();
     let (call, _hold) = moved.call();
-    assert!(call.starts_with("GET /api/targets?after=3&wait_ms="), "{call}");
+    assert!(
+        call.starts_with("GET /api/targets?after=3&wait_ms="),
+        "{call}"
+    );
     assert_eq!(proxy.ask(&read(3.0)).body, b"new");
 }
 
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -6,8 +6,17 @@
 use meadowproxy::*;
 
 fn fleet() -> Host {
-    let mut host = Host::new(Config { proxies: 1, ..Config::example() }, 5);
-    host.members(ListUpdate::Full, (0..4).map(|id| backend(id, 0, 0)).collect());
+    let mut host = Host::new(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        5,
+    );
+    host.members(
+        ListUpdate::Full,
+        (0..4).map(|id| backend(id, 0, 0)).collect(),
+    );
     host
 }
 
@@ -31,7 +40,10 @@
     if beside {
         host.event(Event::Beside { processes: 2 });
     }
-    host.event(Event::Recall { memory: Box::new(memory.clone()), age: Micros(2_000_000) });
+    host.event(Event::Recall {
+        memory: Box::new(memory.clone()),
+        age: Micros(2_000_000),
+    });
     host
 }
 
@@ -44,12 +56,19 @@
     learn(&mut first);
     let memory = first.balancer.recollect(first.now);
     assert!(memory.kinds[0].1.hold > 8.0, "nothing learned: {memory:?}");
-    let (alone, beside) = (taken(&mut recalled(&memory, false)), taken(&mut recalled(&memory, true)));
+    let (alone, beside) = (
+        taken(&mut recalled(&memory, false)),
+        taken(&mut recalled(&memory, true)),
+    );
     assert!(alone >= 2 * cold, "{alone} at once where {cold} are cold");
     assert_eq!(beside, cold, "its hold counted twice");
     for wrong in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         let mut bad = memory.clone();
-        (bad.kinds[0].1.hold, bad.kinds[0].1.latency.value, bad.overall.value) = (wrong, wrong, wrong);
+        (
+            bad.kinds[0].1.hold,
+            bad.kinds[0].1.latency.value,
+            bad.overall.value,
+        ) = (wrong, wrong, wrong);
         assert_eq!(taken(&mut recalled(&bad, false)), cold, "{wrong}");
     }
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -13,7 +13,10 @@
 
 /// Starts the program with a snapshot folder and its own `TMPDIR`, as on the platform where nothing else lasts.
 fn start(known: &[String], settings: &str, dir: &Path, extra: &str) -> Proxy {
-    let kept = format!(r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100{extra}}}"#, dir.display());
+    let kept = format!(
+        r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100{extra}}}"#,
+        dir.display()
+    );
     Proxy::configured(known, settings, &kept, &[tmp()])
 }
 
@@ -36,11 +39,21 @@
 /// named by the configuration or by `NODE_SNAPSHOT`.
 #[test]
 fn a_ban_outlives_a_crash_through_the_snapshot() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = [
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     let dir = snapshots();
     let first = start(&known, SETTINGS, &dir, "");
-    assert!(first.said.contains("no snapshot: cold start"), "{}", first.said);
+    assert!(
+        first.said.contains("no snapshot: cold start"),
+        "{}",
+        first.said
+    );
     assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
     written(&dir);
     drop(first); // SIGKILL
@@ -51,7 +64,11 @@
     for _ in 0..30 {
         assert_eq!(status(&second), 200);
     }
-    assert_eq!(a.count(), before, "the banned backend got requests after the crash");
+    assert_eq!(
+        a.count(),
+        before,
+        "the banned backend got requests after the crash"
+    );
 }
 
 /// Every kind of broken or unfit file is refused with its cause named, and the proxy serves from a cold start.
@@ -89,9 +106,15 @@
         std::fs::create_dir_all(&dir).unwrap();
         std::fs::write(dir.join(name), bytes).unwrap();
         let proxy = start(&known, settings, &dir, extra);
-        let line = proxy.said.lines().find(|l| l.contains("snapshot refused, cold start"));
+        let line = proxy
+            .said
+            .lines()
+            .find(|l| l.contains("snapshot refused, cold start"));
         let line = line.unwrap_or_else(|| panic!("{cause}: no refusal in {}", proxy.said));
-        assert!(line.contains(&format!("cause=\"{cause}\"")), "{cause}: {line}");
+        assert!(
+            line.contains(&format!("cause=\"{cause}\"")),
+            "{cause}: {line}"
+        );
         assert_eq!(status(&proxy), 200, "{cause}: serves cold");
     }
 }
@@ -111,7 +134,9 @@
             let busy = busy.clone();
             std::thread::spawn(move || {
                 while busy.load(Ordering::SeqCst) {
-                    let Ok(mut tcp) = TcpStream::connect(at) else { return };
+                    let Ok(mut tcp) = TcpStream::connect(at) else {
+                        return;
+                    };
                     let _ = tcp.set_read_timeout(Some(Duration::from_secs(1)));
                     let _ = tcp.write_all(pay(3.0).as_bytes());
                     let _ = Message::read(&mut BufReader::new(tcp));
@@ -125,13 +150,25 @@
         busy.store(false, Ordering::SeqCst);
         load.join().unwrap();
         proxy = start(&known, SETTINGS, &dir, "");
-        assert!(proxy.said.contains("snapshot taken"), "round {round}: {}", proxy.said);
+        assert!(
+            proxy.said.contains("snapshot taken"),
+            "round {round}: {}",
+            proxy.said
+        );
         let whole = file(&dir);
         let parts = std::fs::read_dir(&dir).unwrap().flatten();
-        assert!(parts.filter(|e| e.path() != whole).count() <= 1, "parts pile up");
+        assert!(
+            parts.filter(|e| e.path() != whole).count() <= 1,
+            "parts pile up"
+        );
     }
     for _ in 0..20 {
-        assert_eq!(status(&proxy), 200, "a warm start serves at once: {}", proxy.said);
+        assert_eq!(
+            status(&proxy),
+            200,
+            "a warm start serves at once: {}",
+            proxy.said
+        );
     }
     let ids = backend.seen.try_iter().filter_map(|seen| match seen {
         Seen::Request(message) => message.header("x-correlation-id").map(String::from),
@@ -141,7 +178,11 @@
     let all = ids.len();
     ids.sort();
     ids.dedup();
-    assert!(all > 100 && ids.len() == all, "{} of {all} requests came again", all - ids.len());
+    assert!(
+        all > 100 && ids.len() == all,
+        "{} of {all} requests came again",
+        all - ids.len()
+    );
 }
 
 /// Settings that changed while it ran are those that its snapshot stands under from then on.
@@ -152,7 +193,9 @@
     let dir = snapshots();
     let first = start(&known, SETTINGS, &dir, "");
     let other = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
-    let text = std::fs::read_to_string(&first.config).unwrap().replace(SETTINGS, &other);
+    let text = std::fs::read_to_string(&first.config)
+        .unwrap()
+        .replace(SETTINGS, &other);
     std::fs::write(&first.config, text).unwrap();
     first.signal("-HUP");
     let begun = std::time::Instant::now();
@@ -170,30 +213,54 @@
 /// each end of one, not only from time to time.
 #[test]
 fn what_operators_were_told_outlives_a_crash_in_the_next_moment() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = [
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     let dir = snapshots();
-    let seldom = format!(r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#, dir.display());
+    let seldom = format!(
+        r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
+        dir.display()
+    );
     let start = || Proxy::configured(&known, SETTINGS, &seldom, &[tmp()]);
     let first = start();
     assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
     drop(first); // SIGKILL
     let second = start();
     let before = a.count();
-    assert!((0..30).all(|_| status(&second) == 200) && a.count() == before, "the ban was forgotten");
+    assert!(
+        (0..30).all(|_| status(&second) == 200) && a.count() == before,
+        "the ban was forgotten"
+    );
     assert_eq!(second.call("PUT /maintenance/exit?who=b0").status(), 200);
     drop(second); // SIGKILL
     let third = start();
-    assert!((0..60).all(|_| status(&third) == 200) && a.count() > before, "the ban came back");
+    assert!(
+        (0..60).all(|_| status(&third) == 200) && a.count() > before,
+        "the ban came back"
+    );
 }
 
 /// The folder in `TMPDIR` is newer than a snapshot that was written before a ban ended: the ban stays over.
 #[test]
 fn a_ban_that_is_over_does_not_come_back_with_an_older_snapshot() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = [
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     let (dir, tmp) = (snapshots(), tmp());
-    let kept = format!(r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#, dir.display());
+    let kept = format!(
+        r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
+        dir.display()
+    );
     let start = || Proxy::configured(&known, SETTINGS, &kept, std::slice::from_ref(&tmp));
     let mut first = start();
     assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
@@ -206,20 +273,35 @@
     std::fs::write(file(&dir), before).unwrap();
     let third = start();
     assert!(third.said.contains("snapshot taken"), "{}", third.said);
-    assert!((0..60).all(|_| status(&third) == 200) && a.count() > 0, "the ban came back");
+    assert!(
+        (0..60).all(|_| status(&third) == 200) && a.count() > 0,
+        "the ban came back"
+    );
 }
 
 /// A ban that two processes of one proxy have from a snapshot, with a `TMPDIR` that knows nothing of it, is over at both
 /// once operators end it at one.
 #[test]
 fn a_ban_from_a_snapshot_ends_at_both_processes() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = [
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     let (dir, late) = (snapshots(), tmp());
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&socket).set_cloexec(false).unwrap();
-    let passed = ("NODE_SOCKET_FD", std::os::fd::AsRawFd::as_raw_fd(&socket).to_string());
-    let kept = format!(r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100}}"#, dir.display());
+    let passed = (
+        "NODE_SOCKET_FD",
+        std::os::fd::AsRawFd::as_raw_fd(&socket).to_string(),
+    );
+    let kept = format!(
+        r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100}}"#,
+        dir.display()
+    );
     let start = |tmp: &(&'static str, String)| {
         let proxy = Proxy::configured(&known, SETTINGS, &kept, &[tmp.clone(), passed.clone()]);
         proxy.wait_until_serving();
@@ -237,7 +319,10 @@
     drop(old);
     let end = std::time::Instant::now() + Duration::from_secs(5);
     while a.count() == 0 {
-        assert!(std::time::Instant::now() < end, "the other process was not told");
+        assert!(
+            std::time::Instant::now() < end,
+            "the other process was not told"
+        );
         assert_eq!(status(&new), 200);
     }
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -79,10 +79,19 @@
         let known = (0..size).filter(|m| *m != n && random.next_u32() % 100 >= dead);
         let members = known.map(address).collect();
         let relay = Relay::new(address(n), random.next_u64(), Micros(MAX_AGE));
-        Proxy { relay, members, turn: random.next_u32() as usize, heard: 0, longest: 0, step: None }
+        Proxy {
+            relay,
+            members,
+            turn: random.next_u32() as usize,
+            heard: 0,
+            longest: 0,
+            step: None,
+        }
     };
     let proxies: Vec<Proxy> = (0..size).map(&mut one).collect();
-    let alive = (0..size).map(|n| n == 0 || random.next_u32() % 100 >= dead).collect();
+    let alive = (0..size)
+        .map(|n| n == 0 || random.next_u32() % 100 >= dead)
+        .collect();
     let mut fleet = Fleet {
         proxies,
         alive,
@@ -158,7 +167,11 @@
             }
             Event::Digest(from) if self.alive[from] => {
                 self.after(BEAT, Event::Digest(from));
-                let age = if from == 0 { 0 } else { self.now - self.proxies[from].heard };
+                let age = if from == 0 {
+                    0
+                } else {
+                    self.now - self.proxies[from].heard
+                };
                 let step = self.proxies[from].step.is_some();
                 for _ in 0..2 {
                     let proxy = &mut self.proxies[from];
@@ -176,7 +189,9 @@
                 }
             }
             Event::Asked(at, from) if self.alive[at] => self.send(Event::Sent(from)),
-            Event::Sent(at) if self.alive[at] => drop(self.proxies[at].step.get_or_insert(self.now)),
+            Event::Sent(at) if self.alive[at] => {
+                drop(self.proxies[at].step.get_or_insert(self.now))
+            }
             _ => {}
         }
     }
@@ -203,9 +218,15 @@
     /// The longest time without a newer word of each live proxy, in order, since the last call.
     fn longest(&mut self) -> Vec<u64> {
         let now = self.now;
-        let live = self.proxies.iter_mut().zip(&self.alive).skip(1).filter(|(_, alive)| **alive);
-        let mut all: Vec<u64> =
-            live.map(|(p, _)| std::mem::take(&mut p.longest).max(now - p.heard)).collect();
+        let live = self
+            .proxies
+            .iter_mut()
+            .zip(&self.alive)
+            .skip(1)
+            .filter(|(_, alive)| **alive);
+        let mut all: Vec<u64> = live
+            .map(|(p, _)| std::mem::take(&mut p.longest).max(now - p.heard))
+            .collect();
         all.sort_unstable();
         all
     }
@@ -215,10 +236,18 @@
         self.proxies.iter_mut().for_each(|p| p.step = None);
         let begun = self.now;
         self.proxies[0].step = Some(begun);
-        SAID.iter().for_each(|after| self.after(*after, Event::Say(true)));
+        SAID.iter()
+            .for_each(|after| self.after(*after, Event::Say(true)));
         self.run(begun + 10 * S);
-        let live = self.proxies.iter().zip(&self.alive).filter(|(_, alive)| **alive);
-        live.map(|(p, _)| p.step.map(|at| at - begun)).collect::<Option<Vec<u64>>>()?.into_iter().max()
+        let live = self
+            .proxies
+            .iter()
+            .zip(&self.alive)
+            .filter(|(_, alive)| **alive);
+        live.map(|(p, _)| p.step.map(|at| at - begun))
+            .collect::<Option<Vec<u64>>>()?
+            .into_iter()
+            .max()
     }
 }
 
@@ -244,8 +273,12 @@
             fleet.sent.fill(0);
             fleet.run((3 + seconds) * S);
             let longest = fleet.longest();
-            let at = |part: f64| longest[((longest.len() - 1) as f64 * part) as usize] as f64 / S as f64;
-            let (most, over) = (*longest.last().unwrap(), longest.iter().filter(|t| **t > MAX_AGE).count());
+            let at =
+                |part: f64| longest[((longest.len() - 1) as f64 * part) as usize] as f64 / S as f64;
+            let (most, over) = (
+                *longest.last().unwrap(),
+                longest.iter().filter(|t| **t > MAX_AGE).count(),
+            );
             let mean = fleet.sent[1..].iter().sum::<u64>() as f64 / (size as u64 * seconds) as f64;
             let holder = fleet.sent[0] as f64 / seconds as f64;
             println!(
@@ -256,8 +289,14 @@
                 most as f64 / S as f64
             );
             let allowed = if loss < 0.1 { 0 } else { size / 100 };
-            assert!(over <= allowed, "{size} proxies, {loss} lost, {dead}% dead: {over} went without a word");
-            assert!(holder <= FAN_OUT as f64 && mean <= 1.0, "{holder} by the holder, {mean} by each");
+            assert!(
+                over <= allowed,
+                "{size} proxies, {loss} lost, {dead}% dead: {over} went without a word"
+            );
+            assert!(
+                holder <= FAN_OUT as f64 && mean <= 1.0,
+                "{holder} by the holder, {mean} by each"
+            );
             // Without loss the last beat reached all.
             assert!(loss > 0.0 || most < BEAT + S / 2, "{most} us");
         }
@@ -271,7 +310,9 @@
         for loss in [0.01, 0.1] {
             let mut fleet = fleet(size, 13, loss, 0);
             fleet.run(S);
-            let mut took: Vec<u64> = (0..steps).map(|_| fleet.step().unwrap_or(u64::MAX)).collect();
+            let mut took: Vec<u64> = (0..steps)
+                .map(|_| fleet.step().unwrap_or(u64::MAX))
+                .collect();
             took.sort_unstable();
             let late = took.iter().filter(|t| **t > TOLD).count();
             let s = |n: usize| took[n] as f64 / S as f64;
@@ -282,7 +323,10 @@
                 s(last / 2),
                 s(last)
             );
-            assert!(loss > 0.01 || late == 0, "{size} proxies: {late} of {steps} steps took over 2 s");
+            assert!(
+                loss > 0.01 || late == 0,
+                "{size} proxies: {late} of {steps} steps took over 2 s"
+            );
         }
     }
 }
@@ -290,7 +334,10 @@
 fn header(by: &mut Relay, now: u64, own: SocketAddr, members: &[SocketAddr]) -> Header {
     let header = by.begin(now);
     let next = by.pass_on(&header, members);
-    next.into_iter().find(|(to, _)| *to == own).expect("few enough to be told directly").1
+    next.into_iter()
+        .find(|(to, _)| *to == own)
+        .expect("few enough to be told directly")
+        .1
 }
 
 /// A broadcast is taken once. One that a later one overtook is passed on, but is not the newest; one that is too old, or
@@ -302,24 +349,48 @@
     let mut relay = Relay::new(b, 2, Micros(MAX_AGE));
     let first = header(&mut origin, WALL, b, &[b]);
     let second = header(&mut origin, WALL, b, &[b]);
-    assert!(second.said_us > first.said_us, "numbers rise within a microsecond");
+    assert!(
+        second.said_us > first.said_us,
+        "numbers rise within a microsecond"
+    );
     assert!(relay.take(&second, WALL).unwrap());
     assert!(!relay.take(&first, WALL).unwrap(), "overtaken");
-    let cause = |relay: &mut Relay, header: &Header, now| relay.take(header, now).unwrap_err().cause();
+    let cause =
+        |relay: &mut Relay, header: &Header, now| relay.take(header, now).unwrap_err().cause();
     assert_eq!(cause(&mut relay, &first, WALL), "repeated");
     assert_eq!(cause(&mut relay, &second, WALL), "repeated");
     let third = header(&mut origin, WALL + S, b, &[b]);
     assert_eq!(cause(&mut relay, &third, WALL + S + MAX_AGE + 1), "stale");
     assert_eq!(cause(&mut relay, &third, WALL - 2 * S), "ahead");
-    let part = |from, to, hops| Header { part: Part { from, to, hops }, ..third };
-    assert_eq!(cause(&mut relay, &part(0, u32::MAX, MOST_HOPS + 1), WALL + S), "hops");
+    let part = |from, to, hops| Header {
+        part: Part { from, to, hops },
+        ..third
+    };
+    assert_eq!(
+        cause(&mut relay, &part(0, u32::MAX, MOST_HOPS + 1), WALL + S),
+        "hops"
+    );
     assert_eq!(cause(&mut relay, &part(1, 0, 1), WALL + S), "astray");
     assert_eq!(cause(&mut origin, &third, WALL + S), "repeated");
-    let nobody = Header { origin: SocketAddr::from(([0, 0, 0, 0], 7000)), ..third };
+    let nobody = Header {
+        origin: SocketAddr::from(([0, 0, 0, 0], 7000)),
+        ..third
+    };
     assert_eq!(cause(&mut relay, &nobody, WALL + S), "origin");
-    assert!(relay.take(&third, WALL + S).unwrap(), "what was refused did not count as seen");
-    assert!(relay.pass_on(&part(0, u32::MAX, MOST_HOPS), &[address(3)]).is_empty(), "the hops are bounded");
-    assert!(matches!(relay.take(&third, WALL + S), Err(Refused::Repeated)));
+    assert!(
+        relay.take(&third, WALL + S).unwrap(),
+        "what was refused did not count as seen"
+    );
+    assert!(
+        relay
+            .pass_on(&part(0, u32::MAX, MOST_HOPS), &[address(3)])
+            .is_empty(),
+        "the hops are bounded"
+    );
+    assert!(matches!(
+        relay.take(&third, WALL + S),
+        Err(Refused::Repeated)
+    ));
 }
 
 /// No two broadcasts go the same way: who is below a dead member in one tree is not in the next.
@@ -330,9 +401,18 @@
     let mut first = BTreeSet::new();
     for n in 0..50 {
         let header = origin.begin(WALL + n * S);
-        first.extend(origin.pass_on(&header, &members).into_iter().map(|(to, _)| to));
+        first.extend(
+            origin
+                .pass_on(&header, &members)
+                .into_iter()
+                .map(|(to, _)| to),
+        );
     }
-    assert!(first.len() > 150, "50 broadcasts went to {} members first", first.len());
+    assert!(
+        first.len() > 150,
+        "50 broadcasts went to {} members first",
+        first.len()
+    );
 }
 
 /// Origins without end take no memory without end, and none of them is taken twice within the bound on those kept.
@@ -347,7 +427,9 @@
         assert!(relay.take(&header, WALL + n).unwrap());
         said.push(header);
     }
-    assert!(said[800..].iter().all(|header| relay.take(header, WALL + 1000).is_err()));
+    assert!(said[800..]
+        .iter()
+        .all(|header| relay.take(header, WALL + 1000).is_err()));
 }
 
 proptest! {
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -18,7 +18,11 @@
 }
 
 fn pipe(at: &Path) {
-    assert!(std::process::Command::new("mkfifo").arg(at).status().unwrap().success());
+    assert!(std::process::Command::new("mkfifo")
+        .arg(at)
+        .status()
+        .unwrap()
+        .success());
 }
 
 fn log(left: f64) -> String {
@@ -30,7 +34,11 @@
     let class = format!(
         r#"{{"name":"{name}","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}},"#
     );
-    text.replacen(r#"{"name":"read""#, &format!(r#"{class}{{"name":"read""#), 1)
+    text.replacen(
+        r#"{"name":"read""#,
+        &format!(r#"{class}{{"name":"read""#),
+        1,
+    )
 }
 
 /// The program still reads its configuration, from a pipe that nobody wrote to yet, when SIGHUP comes: it starts, answers
@@ -42,18 +50,45 @@
     let mut child = launch(None).env("NODE_CONFIG", &at).spawn().unwrap();
     // Opening for writing waits until the program has opened it for reading.
     let mut file = std::fs::OpenOptions::new().write(true).open(&at).unwrap();
-    let kill = std::process::Command::new("kill").args(["-HUP", &child.id().to_string()]).status();
+    let kill = std::process::Command::new("kill")
+        .args(["-HUP", &child.id().to_string()])
+        .status();
     assert!(kill.unwrap().success());
-    let config = rig::told("127.0.0.1:0", "127.0.0.1:9".parse().unwrap(), 1024, &[], SETTINGS);
-    file.write_all(config.as_bytes()).expect("the program is still there");
+    let config = rig::told(
+        "127.0.0.1:0",
+        "127.0.0.1:9".parse().unwrap(),
+        1024,
+        &[],
+        SETTINGS,
+    );
+    file.write_all(config.as_bytes())
+        .expect("the program is still there");
     drop(file);
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(child.stderr.take().unwrap()));
-    let mut next = |words: &str| lines.by_ref().map_while(Result::ok).find(|line| line.contains(words));
+    let mut next = |words: &str| {
+        lines
+            .by_ref()
+            .map_while(Result::ok)
+            .find(|line| line.contains(words))
+    };
     let line = next("listens on").expect("it ended before it listened");
-    let address = line.split("listens on ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let address = line
+        .split("listens on ")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     let line = next("configuration not taken").expect("it ended before it answered the signal");
     assert!(line.contains("not a file"), "{line}");
-    assert_eq!(Client::connect(address).ask("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n").status(), 200);
+    assert_eq!(
+        Client::connect(address)
+            .ask("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n")
+            .status(),
+        200
+    );
     child.kill().unwrap();
     child.wait().unwrap();
 }
@@ -76,7 +111,8 @@
         }
     };
     let huge = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
-    let long = |at: &Path| std::fs::write(at, [&sound[..], &vec![b' '; 64 << 20]].concat()).unwrap();
+    let long =
+        |at: &Path| std::fs::write(at, [&sound[..], &vec![b' '; 64 << 20]].concat()).unwrap();
     let dir = |at: &Path| std::fs::create_dir(at).unwrap();
     let bytes = |at: &Path| std::fs::write(at, [0xff, 0xfe, 0]).unwrap();
     let deep = |at: &Path| std::fs::write(at, vec![b'['; 1 << 20]).unwrap();
@@ -98,17 +134,24 @@
         let _ = std::fs::remove_dir(at);
         put(at);
         proxy.signal("-HUP");
-        until("no answer to the signal", || proxy.logged("configuration not taken") == n + 1);
+        until("no answer to the signal", || {
+            proxy.logged("configuration not taken") == n + 1
+        });
         let line = proxy.lines("configuration not taken").pop().unwrap();
         assert!(line.contains(cause), "{cause}: {line}");
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     }
     let _ = std::fs::remove_file(at);
     let longest = vec![b' '; (64 << 20) - sound.len()];
-    for (n, text) in [&sound, &[&sound[..], &longest].concat()].into_iter().enumerate() {
+    for (n, text) in [&sound, &[&sound[..], &longest].concat()]
+        .into_iter()
+        .enumerate()
+    {
         std::fs::write(at, text).unwrap();
         proxy.signal("-HUP");
-        until("a sound one was not taken", || proxy.logged("configuration taken") == n + 1);
+        until("a sound one was not taken", || {
+            proxy.logged("configuration taken") == n + 1
+        });
     }
     assert_eq!(proxy.logged("configuration not taken"), cases.len());
 }
@@ -119,7 +162,13 @@
 fn of_many_reloads_in_a_row_the_last_counts() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
-    let backend = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("x") });
+    let backend = BackendServer::start(move |n| {
+        if n == 0 {
+            Reply::Gate(wait.clone())
+        } else {
+            ok("x")
+        }
+    });
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let text = std::fs::read_to_string(&proxy.config).unwrap();
     let mut open = proxy.client();
@@ -129,31 +178,47 @@
         std::fs::write(&proxy.config, with_class(&text, &format!("c{n}"))).unwrap();
         proxy.signal("-HUP");
     }
-    std::fs::write(&proxy.config, with_class(&text, "log").replace(r#""name":"pay""#, r#""name":"owe""#))
-        .unwrap();
+    std::fs::write(
+        &proxy.config,
+        with_class(&text, "log").replace(r#""name":"pay""#, r#""name":"owe""#),
+    )
+    .unwrap();
     proxy.signal("-HUP");
     until("the last was not taken", || proxy.logged("new log") == 1);
     gate.open();
     assert_eq!(open.answer().expect("an answer").body, b"gated");
     assert_eq!(proxy.ask(&log(3.0)).status(), 200);
     assert_eq!(proxy.ask(&pay(3.0)).status(), 404);
-    assert_eq!(proxy.ask(&read(3.0).replace("GET /read", "GET /c5")).status(), 404);
+    assert_eq!(
+        proxy
+            .ask(&read(3.0).replace("GET /read", "GET /c5"))
+            .status(),
+        404
+    );
 }
 
 /// Requests do not wait for a configuration that takes long to read: the same client is answered again and again between
 /// the signal and the line that tells of it.
 #[test]
 fn requests_are_answered_while_a_long_configuration_is_read() {
-    let tenants: Vec<String> =
-        (0..60_000).map(|n| format!(r#"{{"name":"tenant-{n}","quota_rps":1.5}}"#)).collect();
+    let tenants: Vec<String> = (0..60_000)
+        .map(|n| format!(r#"{{"name":"tenant-{n}","quota_rps":1.5}}"#))
+        .collect();
     let settings = SETTINGS.replace(
         r#"{"name":"north","quota_rps":500.0}"#,
-        &format!(r#"{},{{"name":"north","quota_rps":500.0}}"#, tenants.join(",")),
+        &format!(
+            r#"{},{{"name":"north","quota_rps":500.0}}"#,
+            tenants.join(",")
+        ),
     );
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
     let text = std::fs::read_to_string(&proxy.config).unwrap();
-    std::fs::write(&proxy.config, text.replace("\"tenant-7\"", "\"tenant-new\"")).unwrap();
+    std::fs::write(
+        &proxy.config,
+        text.replace("\"tenant-7\"", "\"tenant-new\""),
+    )
+    .unwrap();
     let mut client = proxy.client();
     client.ask(&read(3.0));
     proxy.signal("-HUP");
@@ -164,9 +229,20 @@
     }
     assert!(answered > 10, "{answered} answers while it was read");
     let line = proxy.lines("configuration taken").pop().unwrap();
-    let figure =
-        |name: &str| -> f64 { line.split(name).nth(1).unwrap().split(' ').next().unwrap().parse().unwrap() };
-    assert!(figure("step_us=") / 1e3 < figure("read_ms=") / 4.0, "it was read on the loop: {line}");
+    let figure = |name: &str| -> f64 {
+        line.split(name)
+            .nth(1)
+            .unwrap()
+            .split(' ')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap()
+    };
+    assert!(
+        figure("step_us=") / 1e3 < figure("read_ms=") / 4.0,
+        "it was read on the loop: {line}"
+    );
 }
 
 /// Signals that come while the program ends: neither a second SIGTERM, nor SIGINT, nor a new configuration, sound or
@@ -184,16 +260,24 @@
     until("it does not end", || proxy.logged("stopping") == 1);
     let text = std::fs::read_to_string(&proxy.config).unwrap();
     let shorter = text.replace("\"deadline_us\":3000000", "\"deadline_us\":950000");
-    for (n, text) in [&text[..text.len() / 2], &shorter, "", &text].iter().enumerate() {
+    for (n, text) in [&text[..text.len() / 2], &shorter, "", &text]
+        .iter()
+        .enumerate()
+    {
         std::fs::write(&proxy.config, text).unwrap();
         proxy.signal("-HUP");
-        until("no answer to the signal", || proxy.logged("configuration") == n + 1);
+        until("no answer to the signal", || {
+            proxy.logged("configuration") == n + 1
+        });
         proxy.signal("-TERM");
         proxy.signal("-INT");
     }
     assert_eq!(proxy.logged("configuration taken"), 2);
     gate.open();
-    assert_eq!(open.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(
+        open.answer().expect("the answer that was owed").body,
+        b"gated"
+    );
     assert!(proxy.child.wait().unwrap().success());
     assert_eq!(proxy.logged("stopping"), 1);
 }
@@ -212,7 +296,11 @@
     let text = text
         .replace("\"sockets\":1024", "\"sockets\":68")
         .replace(r#"{"name":"north","quota_rps":500.0}"#, "");
-    std::fs::write(&proxy.config, text.replace("\"max_attempts\":4", "\"max_attempts\":1")).unwrap();
+    std::fs::write(
+        &proxy.config,
+        text.replace("\"max_attempts\":4", "\"max_attempts\":1"),
+    )
+    .unwrap();
     proxy.signal("-HUP");
     until("not taken", || proxy.logged("configuration taken") == 1);
     gate.open();
@@ -220,21 +308,31 @@
         assert_eq!(client.answer().expect("an answer").body, b"gated");
     }
     let named = read(3.0).replace("\r\n\r\n", "\r\nX-Account: north\r\n\r\n");
-    assert_eq!(proxy.ask(&named).status(), 200, "a tenant that is no more is a stranger");
+    assert_eq!(
+        proxy.ask(&named).status(),
+        200,
+        "a tenant that is no more is a stranger"
+    );
 }
 
 /// A request waits for a backend when SIGTERM comes, and the list that then brings one, beside one that drains, still
 /// counts: the process that ends serves it there.
 #[test]
 fn a_list_that_comes_in_the_shutdown_counts() {
-    let (drained, new) = (BackendServer::start(|_| ok("drained")), BackendServer::start(|_| ok("new")));
+    let (drained, new) = (
+        BackendServer::start(|_| ok("drained")),
+        BackendServer::start(|_| ok("new")),
+    );
     let mut proxy = Proxy::start(&[]);
     let mut open = proxy.client();
     open.send(&pay(3.0));
     let (_, answer) = proxy.discovery.call();
     proxy.terminate();
     until("it does not end", || proxy.logged("stopping") == 1);
-    let told = [entry("b0", drained.address, "DRAINING"), entry("b1", new.address, "SERVING")];
+    let told = [
+        entry("b0", drained.address, "DRAINING"),
+        entry("b1", new.address, "SERVING"),
+    ];
     answer.send((200, list(9, true, &told))).unwrap();
     assert_eq!(open.answer().expect("the answer that is owed").body, b"new");
     assert!(proxy.child.wait().unwrap().success());
@@ -245,34 +343,64 @@
 /// older changes nothing, and one that is newer is taken; a move there and back ends at the first.
 #[test]
 fn an_answer_that_crosses_a_move_of_discovery_counts_by_its_age() {
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
-    let at =
-        |old_is: &str, new_is: &str| [entry("b0", old.address, old_is), entry("b1", new.address, new_is)];
+    let (old, new) = (
+        BackendServer::start(|_| ok("old")),
+        BackendServer::start(|_| ok("new")),
+    );
+    let at = |old_is: &str, new_is: &str| {
+        [
+            entry("b0", old.address, old_is),
+            entry("b1", new.address, new_is),
+        ]
+    };
     let proxy = Proxy::start(&[entry("b0", old.address, "SERVING")]);
     let text = std::fs::read_to_string(&proxy.config).unwrap();
-    let (first, second) = (proxy.discovery.address.to_string(), DiscoveryServer::start());
+    let (first, second) = (
+        proxy.discovery.address.to_string(),
+        DiscoveryServer::start(),
+    );
     let move_to = |to: &str, times: usize| {
         std::fs::write(&proxy.config, text.replace(&first, to)).unwrap();
         proxy.signal("-HUP");
         until("not taken", || proxy.logged("configuration taken") == times);
     };
     let (_, answer) = proxy.discovery.call();
-    answer.send((200, list(5, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
+    answer
+        .send((200, list(5, true, &[entry("b0", old.address, "SERVING")])))
+        .unwrap();
     let (_, older) = proxy.discovery.call();
     move_to(&second.address.to_string(), 1);
-    second.call().1.send((200, list(9, true, &at("DRAINING", "SERVING")))).unwrap();
+    second
+        .call()
+        .1
+        .send((200, list(9, true, &at("DRAINING", "SERVING"))))
+        .unwrap();
     let (target, newer) = second.call(); // by now the list is taken
     assert!(target.contains("after=9&"), "{target}");
-    older.send((200, list(7, true, &[entry("b0", old.address, "SERVING")]))).unwrap();
-    until("the answer was not read", || proxy.discovery.ended.load(SeqCst) == 1);
+    older
+        .send((200, list(7, true, &[entry("b0", old.address, "SERVING")])))
+        .unwrap();
+    until("the answer was not read", || {
+        proxy.discovery.ended.load(SeqCst) == 1
+    });
     let before = old.count();
     let all = |body: &[u8]| (0..20).all(|_| proxy.ask(&pay(3.0)).body == body);
-    assert!(all(b"new"), "an older answer brought a draining backend back");
+    assert!(
+        all(b"new"),
+        "an older answer brought a draining backend back"
+    );
     assert_eq!(old.count(), before);
     move_to(&first, 2);
     let (target, _silent) = proxy.discovery.call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "the whole list, and where it is now");
-    newer.send((200, list(12, true, &at("SERVING", "DRAINING")))).unwrap();
-    until("a newer answer was dropped", || proxy.logged("answered a call late, with 12") == 1);
+    assert_eq!(
+        target, "GET /api/targets HTTP/1.1",
+        "the whole list, and where it is now"
+    );
+    newer
+        .send((200, list(12, true, &at("SERVING", "DRAINING"))))
+        .unwrap();
+    until("a newer answer was dropped", || {
+        proxy.logged("answered a call late, with 12") == 1
+    });
     assert!(all(b"old"));
 }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -32,7 +32,14 @@
     fn start(&self) -> Proxy {
         let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
         let kept = ("NODE_SNAPSHOT", self.kept.to_str().unwrap().to_string());
-        Proxy::placed(&self.listen, self.discovery, &self.known, 1024, &self.settings, &[tmp, kept])
+        Proxy::placed(
+            &self.listen,
+            self.discovery,
+            &self.known,
+            1024,
+            &self.settings,
+            &[tmp, kept],
+        )
     }
 }
 
@@ -47,18 +54,26 @@
             (proxy, begun.elapsed())
         }
     };
-    let threads: Vec<_> = seats.iter().cloned().map(|seat| std::thread::spawn(start(seat))).collect();
+    let threads: Vec<_> = seats
+        .iter()
+        .cloned()
+        .map(|seat| std::thread::spawn(start(seat)))
+        .collect();
     threads.into_iter().map(|t| t.join().unwrap()).unzip()
 }
 
 /// Every second proxy knows no backend, as one that never had a list, beginning with the second.
 fn seats(discovery: SocketAddr, backend: &BackendServer) -> Vec<Seat> {
     // Free ones, on an address of their own so that nobody else is given them meanwhile.
-    let held: Vec<TcpListener> = (0..FLEET).map(|_| TcpListener::bind("127.0.77.1:0").unwrap()).collect();
+    let held: Vec<TcpListener> = (0..FLEET)
+        .map(|_| TcpListener::bind("127.0.77.1:0").unwrap())
+        .collect();
     let seat = |n: usize| Seat {
         listen: held[n].local_addr().unwrap().to_string(),
         discovery,
-        known: (n % 2..1).map(|_| entry("b0", backend.address, "SERVING")).collect(),
+        known: (n % 2..1)
+            .map(|_| entry("b0", backend.address, "SERVING"))
+            .collect(),
         kept: folder().join("kept"),
         settings: SETTINGS.into(),
     };
@@ -109,10 +124,19 @@
     told("killed, discovery down", took);
     let causes = ["snapshot taken", "truncated", "checksum", "settings"];
     for (n, proxy) in proxies.iter().enumerate() {
-        assert!(proxy.said.contains(causes[n % 4]), "{}: {}", causes[n % 4], proxy.said);
+        assert!(
+            proxy.said.contains(causes[n % 4]),
+            "{}: {}",
+            causes[n % 4],
+            proxy.said
+        );
     }
     let served = |p: &&Proxy| p.ask(&read(0.3)).status() == 200;
-    assert_eq!(proxies.iter().filter(served).count(), FLEET / 2, "who knows a backend serves");
+    assert_eq!(
+        proxies.iter().filter(served).count(),
+        FLEET / 2,
+        "who knows a backend serves"
+    );
     Overbooked::on(down.listen(), &backend, Duration::ZERO);
     serving(&proxies);
 }
@@ -135,7 +159,8 @@
                         }
                         let _one = turn.lock().unwrap();
                         std::thread::sleep(each);
-                        let head = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", told.len());
+                        let head =
+                            format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", told.len());
                         if tcp.write_all((head + &told).as_bytes()).is_err() {
                             return;
                         }
@@ -174,7 +199,10 @@
     seats.iter_mut().for_each(|seat| {
         (seat.known, seat.settings) = (vec![entry("b0", backend.address, "SERVING")], long.clone());
     });
-    let listen: Vec<String> = seats.iter().map(|seat| format!("{} is", seat.listen)).collect();
+    let listen: Vec<String> = seats
+        .iter()
+        .map(|seat| format!("{} is", seat.listen))
+        .collect();
     let (mut old, _) = started(&seats);
     let mut open: Vec<Client> = old.iter().map(Proxy::client).collect();
     open.iter_mut().for_each(|client| client.send(&pay(30.0)));
@@ -183,19 +211,29 @@
     old.iter().for_each(Proxy::hold);
     old.iter().for_each(Proxy::terminate);
     let starting = std::thread::spawn(move || started(&seats));
-    let own = |line: &&str| line.contains(MET) && listen.iter().any(|at| line.contains(at.as_str()));
+    let own =
+        |line: &&str| line.contains(MET) && listen.iter().any(|at| line.contains(at.as_str()));
     let end = Instant::now() + PATIENCE;
     while STARTING.lock().unwrap().lines().filter(own).count() < FLEET {
-        assert!(Instant::now() < end, "not every new process met its old one");
+        assert!(
+            Instant::now() < end,
+            "not every new process met its old one"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
     old.iter().for_each(Proxy::go_on);
     let (new, took) = starting.join().unwrap();
     told("told to end, discovery silent", took);
-    assert!(new.iter().all(|p| p.said.matches(MET).count() == 1), "it says so once");
+    assert!(
+        new.iter().all(|p| p.said.matches(MET).count() == 1),
+        "it says so once"
+    );
     gate.open();
     for (client, old) in open.iter_mut().zip(&mut old) {
-        assert_eq!(client.answer().expect("the answer that was owed").body, b"gated");
+        assert_eq!(
+            client.answer().expect("the answer that was owed").body,
+            b"gated"
+        );
         assert!(old.child.wait().unwrap().success());
     }
 }
@@ -207,11 +245,16 @@
     let at = held.local_addr().unwrap().to_string();
     let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let begun = Instant::now();
-    let out = launch(Some(&told_to_listen(&at, nowhere))).output().unwrap();
+    let out = launch(Some(&told_to_listen(&at, nowhere)))
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
     assert!(!out.status.success() && begun.elapsed() < READY, "{text}");
     assert_eq!(text.matches("trying on").count(), 1, "{text}");
-    assert!(text.contains(&format!("cannot listen on {at}")) && !text.contains("panicked"), "{text}");
+    assert!(
+        text.contains(&format!("cannot listen on {at}")) && !text.contains("panicked"),
+        "{text}"
+    );
 }
 
 fn told_to_listen(at: &str, discovery: SocketAddr) -> String {
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -9,7 +9,10 @@
 /// Two backends that are one listener, so that the test sees every request wherever it goes.
 fn pair(settings: &str) -> (Scripted, Proxy) {
     let backend = Scripted::start();
-    let known = [entry("b0", backend.address, "SERVING"), entry("b1", backend.address, "SERVING")];
+    let known = [
+        entry("b0", backend.address, "SERVING"),
+        entry("b1", backend.address, "SERVING"),
+    ];
     let proxy = Proxy::with(&known, 1024, settings);
     (backend, proxy)
 }
@@ -17,7 +20,8 @@
 /// The connection on which the next request comes, or none where the client has an answer first.
 fn next(backend: &Scripted, wires: &mut Vec<Wire>, client: &Client) -> Option<Wire> {
     let tcp = client.0.get_ref().try_clone().unwrap();
-    tcp.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
+    tcp.set_read_timeout(Some(Duration::from_millis(2)))
+        .unwrap();
     let end = Instant::now() + PATIENCE;
     let came = loop {
         assert!(Instant::now() < end, "neither a request nor an answer");
@@ -50,9 +54,11 @@
 #[test]
 fn a_request_obeys_the_stricter_of_the_settings_before_and_after_a_reload() {
     let keyed = r#""effect":"guarded","key_scope":"all","window_us":500000"#;
-    for (effect, repeated) in
-        [(r#""effect":"single_shot""#, false), (keyed, false), (r#""effect":"free""#, true)]
-    {
+    for (effect, repeated) in [
+        (r#""effect":"single_shot""#, false),
+        (keyed, false),
+        (r#""effect":"free""#, true),
+    ] {
         let (backend, proxy) = pair(SETTINGS);
         let (mut client, mut wires) = (proxy.client(), Vec::new());
         warm_up(&backend, &mut wires, &mut client);
@@ -60,7 +66,11 @@
         let mut first = next(&backend, &mut wires, &client).expect("a request");
         first.request();
         let text = std::fs::read_to_string(&proxy.config).unwrap();
-        std::fs::write(&proxy.config, text.replacen(r#""effect":"free""#, effect, 1)).unwrap();
+        std::fs::write(
+            &proxy.config,
+            text.replacen(r#""effect":"free""#, effect, 1),
+        )
+        .unwrap();
         proxy.signal("-HUP");
         let end = Instant::now() + PATIENCE;
         while proxy.logged("configuration taken") == 0 {
@@ -78,7 +88,11 @@
             }
             None => 502,
         };
-        assert_eq!(client.answer().expect("an answer").status(), status, "{effect}");
+        assert_eq!(
+            client.answer().expect("an answer").status(),
+            status,
+            "{effect}"
+        );
     }
 }
 
@@ -101,7 +115,10 @@
             assert!(client.answer().expect("an answer").status() >= 500);
         } else if let Some(mut second) = second {
             // Unless this machine took longer than the window for it.
-            assert_eq!(second.request().header("idempotency-key").map(String::from), key);
+            assert_eq!(
+                second.request().header("idempotency-key").map(String::from),
+                key
+            );
             second.answer("own");
             assert_eq!(client.answer().expect("an answer").body, b"own");
         }
@@ -131,7 +148,12 @@
         if got.status() == 200 {
             wires.push(wire);
         }
-        assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+        assert_eq!(
+            proxy
+                .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+                .status(),
+            200
+        );
         client.0.get_ref().set_nonblocking(true).unwrap();
         let more = client.0.get_ref().peek(&mut [0]);
         client.0.get_ref().set_nonblocking(false).unwrap();
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -7,13 +7,27 @@
 
 fn config() -> Config {
     let classes = vec![class(Effect::Free), class(Effect::Unsafe)].into();
-    Config { proxies: 1, classes, max_attempts: 3, ..Config::example() }
+    Config {
+        proxies: 1,
+        classes,
+        max_attempts: 3,
+        ..Config::example()
+    }
 }
 
 /// The second class becomes free to repeat, under a number of its own; attempts get fewer.
 fn changed() -> Config {
-    let classes = vec![class(Effect::Free), class(Effect::Unsafe), class(Effect::Free)].into();
-    Config { classes, max_attempts: 2, ..config() }
+    let classes = vec![
+        class(Effect::Free),
+        class(Effect::Unsafe),
+        class(Effect::Free),
+    ]
+    .into();
+    Config {
+        classes,
+        max_attempts: 2,
+        ..config()
+    }
 }
 
 fn change(host: &mut Host) {
@@ -21,7 +35,12 @@
     host.cfg.max_attempts = 3; // the harness checks the most that any open request may have
     let config = Box::new(changed().checked().unwrap());
     let (retired, heirs) = (vec![ClassId(1)], vec![(ClassId(2), ClassId(1))]);
-    host.event(Event::Settings { config, retired, revived: Vec::new(), heirs });
+    host.event(Event::Settings {
+        config,
+        retired,
+        revived: Vec::new(),
+        heirs,
+    });
 }
 
 fn host(seed: u64) -> Host {
@@ -42,12 +61,19 @@
     change(&mut host);
     let again = host.arrive(2, 400_000);
     host.end(bound, 0, Outcome::Reset);
-    assert_eq!(host.requests[&bound].answer, Some("failed"), "unsafe when it came");
+    assert_eq!(
+        host.requests[&bound].answer,
+        Some("failed"),
+        "unsafe when it came"
+    );
     for (id, most) in [(free, 3), (again, 2)] {
         for no in 0..most {
             host.end(id, no, Outcome::Error);
         }
-        assert_eq!((host.sent_to(id).len(), host.requests[&id].answer), (most, Some("refused")));
+        assert_eq!(
+            (host.sent_to(id).len(), host.requests[&id].answer),
+            (most, Some("refused"))
+        );
     }
 }
 
@@ -64,13 +90,18 @@
     host.members(ListUpdate::Full, Vec::new());
     let held = host.arrive(2, 400_000);
     host.advance(365_000);
-    assert_eq!(host.requests[&held].answer, None, "not a quarter of its aim before the end, as if unknown");
+    assert_eq!(
+        host.requests[&held].answer, None,
+        "not a quarter of its aim before the end, as if unknown"
+    );
     host.advance(35_000);
     assert_eq!(host.requests[&held].answer, Some("refused"));
     host.members(ListUpdate::Full, fleet);
     let ids = host.burst(4, 2, 400_000);
     host.serve_all(20_000);
-    assert!(ids.iter().all(|id| host.requests[id].answer == Some("served")));
+    assert!(ids
+        .iter()
+        .all(|id| host.requests[id].answer == Some("served")));
 }
 
 /// Classes whose answers come late in their aim leave, come anew with what was learned of the old one, and come back:
@@ -84,9 +115,20 @@
         host.serve_all(300_000);
     }
     let taken = |retired: usize, revived: usize, heirs| Event::Settings {
-        config: Box::new(Config { max_attempts: 3, ..changed() }.checked().unwrap()),
+        config: Box::new(
+            Config {
+                max_attempts: 3,
+                ..changed()
+            }
+            .checked()
+            .unwrap(),
+        ),
         retired: vec![ClassId(retired)],
-        revived: if revived < 2 { vec![ClassId(revived)] } else { Vec::new() },
+        revived: if revived < 2 {
+            vec![ClassId(revived)]
+        } else {
+            Vec::new()
+        },
         heirs,
     };
     host.cfg = changed();
@@ -96,16 +138,28 @@
     host.event(taken(0, 1, Vec::new()));
     let ids = host.burst(2, 1, 400_000);
     host.serve_all(20_000);
-    assert!(ids.iter().all(|id| host.requests[id].answer == Some("served")));
+    assert!(ids
+        .iter()
+        .all(|id| host.requests[id].answer == Some("served")));
 }
 
 #[test]
 fn settings_that_forget_a_number_are_not_taken() {
     let mut host = host(5);
-    let short = Config { classes: vec![class(Effect::Free)].into(), ..config() }.checked().unwrap();
+    let short = Config {
+        classes: vec![class(Effect::Free)].into(),
+        ..config()
+    }
+    .checked()
+    .unwrap();
     let (retired, heirs) = (vec![ClassId(1)], vec![(ClassId(9), ClassId(7))]);
     let config = Box::new(short);
-    host.event(Event::Settings { config, retired, revived: vec![ClassId(8)], heirs });
+    host.event(Event::Settings {
+        config,
+        retired,
+        revived: vec![ClassId(8)],
+        heirs,
+    });
     let id = host.arrive(1, 400_000);
     host.serve_all(20_000);
     assert_eq!(host.requests[&id].answer, Some("served"));
@@ -115,17 +169,45 @@
 #[test]
 fn unsound_settings_do_not_become_checked_ones() {
     let field = |config: Config| config.checked().err().map(|e| e.field);
-    assert_eq!(field(Config { max_attempts: 0, ..changed() }), Some("max_attempts"));
-    assert_eq!(field(Config { classes: Vec::new().into(), ..changed() }), Some("classes"));
+    assert_eq!(
+        field(Config {
+            max_attempts: 0,
+            ..changed()
+        }),
+        Some("max_attempts")
+    );
+    assert_eq!(
+        field(Config {
+            classes: Vec::new().into(),
+            ..changed()
+        }),
+        Some("classes")
+    );
     let mut config = changed().checked().unwrap();
     let before = config.clone();
-    let bad = Class { worth: f64::INFINITY, ..class(Effect::Free) };
-    assert_eq!(config.put_class(ClassId(1), bad).map_err(|e| e.field), Err("worth"));
-    assert_eq!(config.put_class(ClassId(4), class(Effect::Free)).map_err(|e| e.field), Err("classes"));
+    let bad = Class {
+        worth: f64::INFINITY,
+        ..class(Effect::Free)
+    };
+    assert_eq!(
+        config.put_class(ClassId(1), bad).map_err(|e| e.field),
+        Err("worth")
+    );
+    assert_eq!(
+        config
+            .put_class(ClassId(4), class(Effect::Free))
+            .map_err(|e| e.field),
+        Err("classes")
+    );
     let first = (TenantId(0), Tenant { quota_per_s: 5.0 });
     for (bad, field) in [((1, 0.0), "quota_per_s"), ((2, 1.0), "tenants")] {
         let bad = (TenantId(bad.0), Tenant { quota_per_s: bad.1 });
-        assert_eq!(config.put_tenants([first.clone(), bad]).map_err(|e| e.field), Err(field));
+        assert_eq!(
+            config
+                .put_tenants([first.clone(), bad])
+                .map_err(|e| e.field),
+            Err(field)
+        );
     }
     assert_eq!(config, before, "what was refused left its mark");
 }
@@ -134,17 +216,33 @@
 /// are many and no whole numbers; what shares its tables with it does not change.
 #[test]
 fn an_amended_configuration_equals_one_made_whole() {
-    let quota = |n: u64| Tenant { quota_per_s: 1.0 / (n.wrapping_mul(0x9e37_79b9) % 1000 + 1) as f64 };
-    let whole = |tenants: Vec<Tenant>| Config { tenants: tenants.into(), ..config() }.checked().unwrap();
+    let quota = |n: u64| Tenant {
+        quota_per_s: 1.0 / (n.wrapping_mul(0x9e37_79b9) % 1000 + 1) as f64,
+    };
+    let whole = |tenants: Vec<Tenant>| {
+        Config {
+            tenants: tenants.into(),
+            ..config()
+        }
+        .checked()
+        .unwrap()
+    };
     let mut tenants: Vec<Tenant> = (0..10_000).map(quota).collect();
     let plain = |tenants: &[Tenant]| tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
     let first = whole(tenants.clone());
-    assert_eq!(whole(tenants[..4096].to_vec()).quota_sum(), plain(&tenants[..4096]), "in their order");
+    assert_eq!(
+        whole(tenants[..4096].to_vec()).quota_sum(),
+        plain(&tenants[..4096]),
+        "in their order"
+    );
     assert!((first.quota_sum() / plain(&tenants) - 1.0).abs() < 1e-12);
     let mut amended = first.clone();
     for n in (0..10_040).step_by(40) {
         let (tenant, at) = (quota(n as u64 + 77), n.min(tenants.len()));
-        assert_eq!(amended.put_tenants([(TenantId(at), tenant.clone())]), Ok(()));
+        assert_eq!(
+            amended.put_tenants([(TenantId(at), tenant.clone())]),
+            Ok(())
+        );
         match tenants.get_mut(at) {
             Some(old) => *old = tenant,
             None => tenants.push(tenant),
@@ -153,6 +251,14 @@
     assert_eq!(amended.put_class(ClassId(2), class(Effect::Unsafe)), Ok(()));
     assert_eq!(amended.put_class(ClassId(0), class(Effect::Unsafe)), Ok(()));
     let classes = vec![class(Effect::Unsafe); 3].into();
-    assert_eq!(amended, Config { classes, ..(*whole(tenants)).clone() }.checked().unwrap());
+    assert_eq!(
+        amended,
+        Config {
+            classes,
+            ..(*whole(tenants)).clone()
+        }
+        .checked()
+        .unwrap()
+    );
     assert_eq!(first, whole((0..10_000).map(quota).collect()));
 }
--- a/tests/rig/changes.rs
+++ b/tests/rig/changes.rs
@@ -23,7 +23,10 @@
 }
 
 pub fn said(answer: &Message) -> (u16, Value) {
-    (answer.status(), serde_json::from_slice(&answer.body).unwrap_or_default())
+    (
+        answer.status(),
+        serde_json::from_slice(&answer.body).unwrap_or_default(),
+    )
 }
 
 /// What a call comes to, once somebody holds the duty: on a machine that is short of time a lease may end in between.
@@ -35,7 +38,9 @@
 }
 
 pub fn put_answered(fleet: &Fleet, n: usize, name: &str, base: u64, quota: u64) -> (u16, Value) {
-    fleet.wait("an answer", |fleet| Some(put(fleet, n, name, base, quota)).filter(|answer| answer.0 != 503))
+    fleet.wait("an answer", |fleet| {
+        Some(put(fleet, n, name, base, quota)).filter(|answer| answer.0 != 503)
+    })
 }
 
 /// The same until it is taken; its version.
@@ -57,7 +62,9 @@
 pub fn equal(fleet: &Fleet, of: &[usize], least: u64) -> u64 {
     fleet.wait("equal copies", |fleet| {
         let all: Vec<Value> = of.iter().map(|n| status(fleet, *n)).collect();
-        let version = all[0]["version"].as_u64().filter(|version| *version >= least)?;
+        let version = all[0]["version"]
+            .as_u64()
+            .filter(|version| *version >= least)?;
         let same = |s: &Value| {
             s["version"] == version && s["in_force"] == version && s["digest"] == all[0]["digest"]
         };
@@ -74,11 +81,22 @@
     for life in &lives {
         let mut last = 0;
         for line in events(&life.log, "config_copy") {
-            let (version, digest) = (number(line, "version").unwrap(), field(line, "digest").unwrap());
-            assert!(version > last, "proxy {} went from {last} to {version}", life.proxy);
+            let (version, digest) = (
+                number(line, "version").unwrap(),
+                field(line, "digest").unwrap(),
+            );
+            assert!(
+                version > last,
+                "proxy {} went from {last} to {version}",
+                life.proxy
+            );
             last = version;
             let known = digests.entry(version).or_insert(digest.into());
-            assert_eq!(known, digest, "proxy {}: two states have version {version}", life.proxy);
+            assert_eq!(
+                known, digest,
+                "proxy {}: two states have version {version}",
+                life.proxy
+            );
         }
         assert_eq!(events(&life.log, "config_diverged").next(), None);
     }
@@ -91,7 +109,11 @@
 }
 
 /// The same with these variables.
-pub fn fleet_with(seed: u64, backend: &BackendServer, variables: Vec<(&'static str, String)>) -> Fleet {
+pub fn fleet_with(
+    seed: u64,
+    backend: &BackendServer,
+    variables: Vec<(&'static str, String)>,
+) -> Fleet {
     let known = vec![entry("b0", backend.address, "SERVING")];
     let lease_ms = 800;
     Fleet::of(Shape {
--- a/tests/rig/faults.rs
+++ b/tests/rig/faults.rs
@@ -43,7 +43,13 @@
         let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
         let sockets: Vec<Arc<UdpSocket>> = (0..proxies).map(bind).collect();
         let (real, rules, waiting, last) = Default::default();
-        let faults = Faults { sockets, real, rules, waiting, last };
+        let faults = Faults {
+            sockets,
+            real,
+            rules,
+            waiting,
+            last,
+        };
         (0..proxies).for_each(|to| faults.relay(to, seed + to as u64));
         faults
     }
@@ -55,8 +61,19 @@
 
     /// Where the proxy listens, as its first lines say; an earlier process of it is forgotten.
     pub fn started(&self, proxy: usize, said: &str) -> SocketAddr {
-        let at = said.lines().find(|l| l.contains("peers_start")).expect("it shares state");
-        let at = at.split("listen=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
+        let at = said
+            .lines()
+            .find(|l| l.contains("peers_start"))
+            .expect("it shares state");
+        let at = at
+            .split("listen=")
+            .nth(1)
+            .unwrap()
+            .split(' ')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
         let mut real = self.real.lock().unwrap();
         real.retain(|_, number| *number != proxy);
         real.insert(at, proxy);
@@ -65,7 +82,9 @@
 
     /// What passes between two groups takes so long, both ways.
     pub fn part(&self, one: &[usize], other: &[usize], time: Duration) {
-        let both = one.iter().flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
+        let both = one
+            .iter()
+            .flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
         self.rules.lock().unwrap().slow = both.map(|pair| (pair, time)).collect();
     }
 
@@ -82,8 +101,13 @@
         self.rules.lock().unwrap().kept.clear();
         let real = self.real.lock().unwrap();
         for (to, data) in self.waiting.lock().unwrap().drain(..) {
-            let target = real.iter().find(|(_, number)| **number == to).map(|(at, _)| *at);
-            target.into_iter().for_each(|at| drop(self.sockets[to].send_to(&data, at)));
+            let target = real
+                .iter()
+                .find(|(_, number)| **number == to)
+                .map(|(at, _)| *at);
+            target
+                .into_iter()
+                .for_each(|at| drop(self.sockets[to].send_to(&data, at)));
         }
     }
 
@@ -107,10 +131,15 @@
             while let Ok((length, source)) = socket.recv_from(&mut bytes) {
                 let (from, target) = {
                     let real = real.lock().unwrap();
-                    let target = real.iter().find(|(_, number)| **number == to).map(|(at, _)| *at);
+                    let target = real
+                        .iter()
+                        .find(|(_, number)| **number == to)
+                        .map(|(at, _)| *at);
                     (real.get(&source).copied(), target)
                 };
-                let (Some(from), Some(target)) = (from, target) else { continue };
+                let (Some(from), Some(target)) = (from, target) else {
+                    continue;
+                };
                 let mut data = bytes[..length].to_vec();
                 let (copies, late, slow, again) = {
                     let rules = rules.lock().unwrap();
@@ -119,14 +148,27 @@
                         continue;
                     }
                     let lost = rules.cut.contains(&(from, to)) || chance() < rules.drop;
-                    let copies = if lost { 0 } else { 1 + usize::from(chance() < rules.double) };
+                    let copies = if lost {
+                        0
+                    } else {
+                        1 + usize::from(chance() < rules.double)
+                    };
                     if length > 0 && chance() < rules.spoil {
                         data[(chance() * length as f64) as usize] ^= 1 + (chance() * 255.0) as u8;
                     }
                     let slow = rules.slow.get(&(from, to)).copied().unwrap_or_default();
-                    (copies, rules.late, slow, copies > 0 && chance() < rules.replay)
+                    (
+                        copies,
+                        rules.late,
+                        slow,
+                        copies > 0 && chance() < rules.replay,
+                    )
+                };
+                let before = if copies > 0 {
+                    last.lock().unwrap().insert(to, data.clone())
+                } else {
+                    None
                 };
-                let before = if copies > 0 { last.lock().unwrap().insert(to, data.clone()) } else { None };
                 for data in std::iter::repeat_n(data, copies).chain(before.filter(|_| again)) {
                     let (socket, wait) = (socket.clone(), slow + late.mul_f64(chance()));
                     let send = move || drop(socket.send_to(&data, target));
