--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -21,7 +21,10 @@
 /// A pause between the two readings makes it too early, never too late.
 pub fn mono_at(wall_us: u64) -> u64 {
     let mono = mono_us();
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_micros() as u64;
     (mono + wall_us).saturating_sub(wall)
 }
 
@@ -57,7 +60,10 @@
     fn wait() -> Turn {
         let running = RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner);
         let full = |running: &mut usize| *running >= AT_A_TIME;
-        *RUNNING.1.wait_while(running, full).unwrap_or_else(PoisonError::into_inner) += 1;
+        *RUNNING
+            .1
+            .wait_while(running, full)
+            .unwrap_or_else(PoisonError::into_inner) += 1;
         Turn
     }
 }
@@ -103,7 +109,11 @@
     fn start(&self, faults: &Faults, n: usize) -> Proxy {
         let group = format!(r#""position":{n},"group_size":{},"#, self.size);
         let mut settings = SETTINGS.replace(r#""position":0,"group_size":1,"#, &group);
-        let of = |count: usize| (0..count).map(|n| format!(r#""{}""#, faults.address(n))).collect::<Vec<_>>();
+        let of = |count: usize| {
+            (0..count)
+                .map(|n| format!(r#""{}""#, faults.address(n)))
+                .collect::<Vec<_>>()
+        };
         let (own, seeds) = (faults.address(n), of(self.voters.max(1)).join(","));
         let (mut age, mut duties) = (String::new(), String::new());
         if self.voters > 0 {
@@ -120,31 +130,60 @@
         );
         let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
         let variables = [&self.variables[..], &[tmp]].concat();
-        let proxy =
-            Proxy::seeded(n as u64 + 1, &self.known, &settings, &(peers + &duties + &self.more), &variables);
+        let proxy = Proxy::seeded(
+            n as u64 + 1,
+            &self.known,
+            &settings,
+            &(peers + &duties + &self.more),
+            &variables,
+        );
         faults.started(n, &proxy.said);
         proxy
     }
 }
 
 impl Fleet {
-    pub fn new(size: usize, seed: u64, known: &[String], variables: &[(&'static str, String)]) -> Fleet {
+    pub fn new(
+        size: usize,
+        seed: u64,
+        known: &[String],
+        variables: &[(&'static str, String)],
+    ) -> Fleet {
         let (known, variables) = (known.to_vec(), variables.to_vec());
-        Fleet::of(Shape { size, seed, known, variables, ..Shape::default() })
+        Fleet::of(Shape {
+            size,
+            seed,
+            known,
+            variables,
+            ..Shape::default()
+        })
     }
 
     pub fn of(shape: Shape) -> Fleet {
         let turn = Turn::wait();
         let faults = Faults::new(shape.size, shape.seed);
         let proxies = (0..shape.size).map(|n| shape.start(&faults, n)).collect();
-        Fleet { faults, proxies, killed: HashMap::new(), past: Vec::new(), shape, _turn: turn }
+        Fleet {
+            faults,
+            proxies,
+            killed: HashMap::new(),
+            past: Vec::new(),
+            shape,
+            _turn: turn,
+        }
     }
 
     /// Waits until each of these sees so many others; how long that took.
     pub fn until(&self, of: &[usize], others: usize) -> Duration {
         let begun = Instant::now();
-        while of.iter().any(|n| Status::of(&self.proxies[*n]).members() != others) {
-            assert!(begun.elapsed() < 3 * PATIENCE, "not {others} others at each of {of:?}");
+        while of
+            .iter()
+            .any(|n| Status::of(&self.proxies[*n]).members() != others)
+        {
+            assert!(
+                begun.elapsed() < 3 * PATIENCE,
+                "not {others} others at each of {of:?}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
         begun.elapsed()
@@ -186,7 +225,9 @@
 
     /// Those whose process lives.
     pub fn live(&self) -> Vec<usize> {
-        (0..self.proxies.len()).filter(|n| !self.killed.contains_key(n)).collect()
+        (0..self.proxies.len())
+            .filter(|n| !self.killed.contains_key(n))
+            .collect()
     }
 
     /// All that the present process of number `n` logged.
@@ -196,9 +237,17 @@
 
     /// Every process that ever was.
     pub fn lives(&self) -> Vec<Life> {
-        let past = self.past.iter().map(|(n, p, at)| Life { proxy: *n, log: log(p), killed: Some(*at) });
+        let past = self.past.iter().map(|(n, p, at)| Life {
+            proxy: *n,
+            log: log(p),
+            killed: Some(*at),
+        });
         let now = self.proxies.iter().enumerate();
-        let now = now.map(|(n, p)| Life { proxy: n, log: log(p), killed: self.killed.get(&n).copied() });
+        let now = now.map(|(n, p)| Life {
+            proxy: n,
+            log: log(p),
+            killed: self.killed.get(&n).copied(),
+        });
         past.chain(now).collect()
     }
 
@@ -218,17 +267,34 @@
     pub fn holder(&self, but: &[usize]) -> (usize, holdings::Token) {
         self.wait("a holder", |fleet| {
             let all = holdings::holdings(&fleet.lives());
-            let now = all.iter().rfind(|h| h.to == u64::MAX && !but.contains(&h.proxy));
+            let now = all
+                .iter()
+                .rfind(|h| h.to == u64::MAX && !but.contains(&h.proxy));
             now.map(|h| (h.proxy, h.token.clone()))
         })
     }
 
     /// Puts a window at a proxy's door: it begins in so many seconds and lasts so many.
-    pub fn put(&self, at: usize, id: &str, ids: &[&str], begin_in: f64, lasts: f64, lead_s: u32) -> Window {
+    pub fn put(
+        &self,
+        at: usize,
+        id: &str,
+        ids: &[&str],
+        begin_in: f64,
+        lasts: f64,
+        lead_s: u32,
+    ) -> Window {
         let us = |secs: f64| (secs * 1e6) as u64;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_micros() as u64;
         let (begin, end) = (now + us(begin_in), now + us(begin_in + lasts));
-        let text = |us: u64| jiff::Timestamp::from_microsecond(us as i64).unwrap().to_string();
+        let text = |us: u64| {
+            jiff::Timestamp::from_microsecond(us as i64)
+                .unwrap()
+                .to_string()
+        };
         let (from, to) = (text(begin), text(end));
         let body = format!(
             r#"{{"ids":{ids:?},"begin":"{from}","end":"{to}","lead_s":{lead_s},"overrun_s":5,"by":"ops"}}"#
@@ -236,7 +302,12 @@
         let answer = self.call(at, &format!("PUT /windows/{id}"), &body);
         assert!(answer.status() / 100 == 2, "{answer:?}");
         let ids = ids.iter().map(|id| id.to_string()).collect();
-        Window { id: id.into(), ids, begin: mono_at(begin), end: mono_at(end) }
+        Window {
+            id: id.into(),
+            ids,
+            begin: mono_at(begin),
+            end: mono_at(end),
+        }
     }
 
     /// What holders decided of a window, over all processes, in the order of time.
@@ -244,12 +315,16 @@
         let mut all = Vec::new();
         for life in self.lives() {
             let own = |l: &&str| holdings::field(l, "window") == Some(window);
-            all.extend(holdings::events(&life.log, "window").filter(own).map(|line| Decided {
-                proxy: life.proxy,
-                to: holdings::field(line, "to").unwrap_or_default().into(),
-                at: holdings::number(line, "mono_us").expect("a time"),
-                token: holdings::token(line).expect("a token"),
-            }));
+            all.extend(
+                holdings::events(&life.log, "window")
+                    .filter(own)
+                    .map(|line| Decided {
+                        proxy: life.proxy,
+                        to: holdings::field(line, "to").unwrap_or_default().into(),
+                        at: holdings::number(line, "mono_us").expect("a time"),
+                        token: holdings::token(line).expect("a token"),
+                    }),
+            );
         }
         all.sort_by_key(|d| d.at);
         all
@@ -258,14 +333,19 @@
     /// Waits until a holder decided that step; which came first.
     pub fn stepped(&self, window: &str, to: &str) -> Decided {
         let what = format!("{window} to be {to}");
-        self.wait(&what, |fleet| fleet.steps(window).into_iter().find(|d| d.to == to))
+        self.wait(&what, |fleet| {
+            fleet.steps(window).into_iter().find(|d| d.to == to)
+        })
     }
 
     /// Waits until the list of each of these has these windows.
     pub fn know(&self, of: &[usize], windows: &[&Window]) {
         self.wait("all to know the windows", |fleet| {
-            let lists = |n: &usize, w: &Window| fleet.json(*n, "/windows").to_string().contains(&w.id);
-            of.iter().all(|n| windows.iter().all(|w| lists(n, w))).then_some(())
+            let lists =
+                |n: &usize, w: &Window| fleet.json(*n, "/windows").to_string().contains(&w.id);
+            of.iter()
+                .all(|n| windows.iter().all(|w| lists(n, w)))
+                .then_some(())
         });
     }
 
@@ -275,7 +355,9 @@
         let of = |event: &str| {
             let own = |l: &&str| holdings::field(l, "backend") == Some(backend);
             let lines = holdings::events(&log, event).filter(own);
-            lines.map(|l| holdings::number(l, "mono_us").expect("a time")).collect()
+            lines
+                .map(|l| holdings::number(l, "mono_us").expect("a time"))
+                .collect()
         };
         (of("window_out"), of("window_back"))
     }
@@ -283,25 +365,41 @@
     /// Waits until each of these has taken a window's backends out and back, and sees that each was so once, and not
     /// back before the window's end.
     pub fn out_and_back_once(&self, of: &[usize], window: &Window) {
-        for (n, backend) in of.iter().flat_map(|n| window.ids.iter().map(move |b| (*n, b))) {
+        for (n, backend) in of
+            .iter()
+            .flat_map(|n| window.ids.iter().map(move |b| (*n, b)))
+        {
             let what = format!("proxy {n} to take {backend} back");
-            self.wait(&what, |fleet| (!fleet.moves(n, backend).1.is_empty()).then_some(()));
+            self.wait(&what, |fleet| {
+                (!fleet.moves(n, backend).1.is_empty()).then_some(())
+            });
             let (out, back) = self.moves(n, backend);
-            assert_eq!((out.len(), back.len()), (1, 1), "proxy {n}, {backend}: {out:?}, {back:?}");
+            assert_eq!(
+                (out.len(), back.len()),
+                (1, 1),
+                "proxy {n}, {backend}: {out:?}, {back:?}"
+            );
             let early = window.end.saturating_sub(back[0]);
-            assert!(early < 20_000, "proxy {n} took {backend} back {early} us before the end");
+            assert!(
+                early < 20_000,
+                "proxy {n} took {backend} back {early} us before the end"
+            );
         }
     }
 
     /// A call with a body at a proxy's door.
     pub fn call(&self, n: usize, line: &str, body: &str) -> Message {
-        let head = format!("{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
         Client::connect(self.proxies[n].control.expect("a door")).ask(&(head + body))
     }
 
     /// What a call answers, as JSON.
     pub fn json(&self, n: usize, path: &str) -> serde_json::Value {
-        serde_json::from_slice(&self.proxies[n].call(&format!("GET {path}")).body).expect("JSON at the door")
+        serde_json::from_slice(&self.proxies[n].call(&format!("GET {path}")).body)
+            .expect("JSON at the door")
     }
 }
 
@@ -316,7 +414,14 @@
 impl Window {
     /// Where nothing may reach its backends: from that time to its end.
     pub fn shut(&self, from: u64) -> Vec<Shut> {
-        self.ids.iter().map(|b| Shut { backend: b.clone(), from, to: self.end }).collect()
+        self.ids
+            .iter()
+            .map(|b| Shut {
+                backend: b.clone(),
+                from,
+                to: self.end,
+            })
+            .collect()
     }
 }
 
@@ -350,23 +455,33 @@
         let address = listener.local_addr().unwrap();
         let (seen, answered, dead): (Arc<Mutex<Vec<_>>>, Arc<Mutex<Vec<_>>>, Arc<AtomicBool>) =
             Default::default();
-        let (record, wrote, gone, own) = (seen.clone(), answered.clone(), dead.clone(), name.to_string());
+        let (record, wrote, gone, own) = (
+            seen.clone(),
+            answered.clone(),
+            dead.clone(),
+            name.to_string(),
+        );
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
                 if gone.load(Ordering::SeqCst) {
                     return;
                 }
-                let (record, wrote, gone, own) = (record.clone(), wrote.clone(), gone.clone(), own.clone());
+                let (record, wrote, gone, own) =
+                    (record.clone(), wrote.clone(), gone.clone(), own.clone());
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
-                        let id = message.header("x-correlation-id").unwrap_or_default().to_string();
+                        let id = message
+                            .header("x-correlation-id")
+                            .unwrap_or_default()
+                            .to_string();
                         let body = format!("{own} {id}");
                         record.lock().unwrap().push((id.clone(), mono_us()));
                         let last = gone.load(Ordering::SeqCst);
                         let close = if last { "Connection: close\r\n" } else { "" };
                         let length = body.len();
-                        let head = format!("HTTP/1.1 200 OK\r\n{close}Content-Length: {length}\r\n\r\n");
+                        let head =
+                            format!("HTTP/1.1 200 OK\r\n{close}Content-Length: {length}\r\n\r\n");
                         if tcp.write_all((head + &body).as_bytes()).is_err() {
                             return;
                         }
@@ -378,13 +493,24 @@
                 });
             }
         });
-        Recorder { name: name.into(), address, seen, answered, dead }
+        Recorder {
+            name: name.into(),
+            address,
+            seen,
+            answered,
+            dead,
+        }
     }
 
     /// A whole kind of them, `b0` and on, and the list's entries.
     pub fn several(count: usize) -> (Vec<Recorder>, Vec<String>) {
-        let all: Vec<Recorder> = (0..count).map(|n| Recorder::start(&format!("b{n}"))).collect();
-        let known = all.iter().map(|b| entry(&b.name, b.address, "SERVING")).collect();
+        let all: Vec<Recorder> = (0..count)
+            .map(|n| Recorder::start(&format!("b{n}")))
+            .collect();
+        let known = all
+            .iter()
+            .map(|b| entry(&b.name, b.address, "SERVING"))
+            .collect();
         (all, known)
     }
 
@@ -427,7 +553,11 @@
 impl Load {
     /// Each client asks again so long after its last answer.
     pub fn start(fleet: &Fleet, pause: Duration) -> Load {
-        let place = |p: &Proxy| Place { at: Mutex::new(p.address), away: false.into(), idle: false.into() };
+        let place = |p: &Proxy| Place {
+            at: Mutex::new(p.address),
+            away: false.into(),
+            idle: false.into(),
+        };
         let places: Vec<_> = fleet.proxies.iter().map(|p| Arc::new(place(p))).collect();
         let stop: Arc<AtomicBool> = Arc::default();
         let client = |(n, place): (usize, &Arc<Place>)| {
@@ -435,7 +565,11 @@
             std::thread::spawn(move || Load::client(n, &place, &stop, pause))
         };
         let threads = places.iter().enumerate().map(client).collect();
-        Load { stop, places, threads }
+        Load {
+            stop,
+            places,
+            threads,
+        }
     }
 
     fn client(proxy: usize, place: &Place, stop: &AtomicBool, pause: Duration) -> Vec<Asked> {
@@ -450,15 +584,31 @@
             }
             let once = asked.len() % 2 == 1;
             let request = if once { pay(3.0) } else { read(3.0) };
-            let id = request.split("X-Correlation-Id: ").nth(1).and_then(|r| r.split('\r').next()).unwrap();
+            let id = request
+                .split("X-Correlation-Id: ")
+                .nth(1)
+                .and_then(|r| r.split('\r').next())
+                .unwrap();
             let begun = mono_us();
-            let mut at = client.take().unwrap_or_else(|| Client::connect(*place.at.lock().unwrap()));
+            let mut at = client
+                .take()
+                .unwrap_or_else(|| Client::connect(*place.at.lock().unwrap()));
             let sent = at.0.get_mut().write_all(request.as_bytes()).is_ok();
             let answer = sent.then(|| at.answer()).flatten();
             let took = mono_us() - begun;
-            let (status, body) = answer.as_ref().map_or((0, &[][..]), |a| (a.status(), &a.body));
+            let (status, body) = answer
+                .as_ref()
+                .map_or((0, &[][..]), |a| (a.status(), &a.body));
             let own = std::str::from_utf8(body).is_ok_and(|b| b.split(' ').nth(1) == Some(id));
-            asked.push(Asked { proxy, id: id.into(), once, begun, took, status, own });
+            asked.push(Asked {
+                proxy,
+                id: id.into(),
+                once,
+                begun,
+                took,
+                status,
+                own,
+            });
             client = (status != 0).then_some(at);
             std::thread::sleep(pause);
         }
@@ -467,9 +617,13 @@
 
     /// Takes its clients away from these, as the front does before a proxy goes; returns once nothing of theirs is out.
     pub fn away(&self, of: &[usize]) {
-        of.iter().for_each(|n| self.places[*n].away.store(true, Ordering::SeqCst));
+        of.iter()
+            .for_each(|n| self.places[*n].away.store(true, Ordering::SeqCst));
         let begun = Instant::now();
-        while of.iter().any(|n| !self.places[*n].idle.load(Ordering::SeqCst)) {
+        while of
+            .iter()
+            .any(|n| !self.places[*n].idle.load(Ordering::SeqCst))
+        {
             assert!(begun.elapsed() < PATIENCE, "a client never had its answer");
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -487,7 +641,10 @@
     /// Ends it; all that was asked.
     pub fn end(self) -> Vec<Asked> {
         self.stop.store(true, Ordering::SeqCst);
-        self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
+        self.threads
+            .into_iter()
+            .flat_map(|t| t.join().unwrap())
+            .collect()
     }
 }
 
@@ -505,18 +662,40 @@
     for backend in backends {
         let of = |times: &Mutex<Vec<(String, u64)>>| {
             let times = times.lock().unwrap();
-            times.iter().filter(|(id, _)| *id == asked.id).map(|(_, at)| *at).collect::<Vec<_>>()
+            times
+                .iter()
+                .filter(|(id, _)| *id == asked.id)
+                .map(|(_, at)| *at)
+                .collect::<Vec<_>>()
         };
         let (came, answered) = (of(&backend.seen), of(&backend.answered));
         if !came.is_empty() {
-            told.push(format!("came to {} at {came:?}, answered at {answered:?}", backend.name));
+            told.push(format!(
+                "came to {} at {came:?}, answered at {answered:?}",
+                backend.name
+            ));
         }
     }
-    let lives = fleet.lives().into_iter().filter(|life| life.proxy == asked.proxy);
-    let words = ["ejected", "is back", "window_out", "window_back", "stopping", "report"];
+    let lives = fleet
+        .lives()
+        .into_iter()
+        .filter(|life| life.proxy == asked.proxy);
+    let words = [
+        "ejected",
+        "is back",
+        "window_out",
+        "window_back",
+        "stopping",
+        "report",
+    ];
     for life in lives {
         let said = |line: &&str| words.iter().any(|word| line.contains(word));
-        told.extend(life.log.lines().filter(said).map(|line| format!("its proxy: {line}")));
+        told.extend(
+            life.log
+                .lines()
+                .filter(said)
+                .map(|line| format!("its proxy: {line}")),
+        );
     }
     told.push(format!("now {}, {:?}", mono_us(), SystemTime::now()));
     told.join("\n  ")
@@ -526,19 +705,34 @@
 /// once ran twice, nothing begun in a shut span reached that backend, one holder at a time. Says how many were sent.
 pub fn check(name: &str, fleet: &Fleet, backends: &[Recorder], asked: &[Asked], shut: &[Shut]) {
     let failed: Vec<_> = asked.iter().filter(|a| a.status != 200 || !a.own).collect();
-    let told: Vec<String> = failed.iter().take(5).map(|a| story(a, fleet, backends)).collect();
-    assert!(failed.is_empty(), "{} clients failed: {}", failed.len(), told.join("\n"));
+    let told: Vec<String> = failed
+        .iter()
+        .take(5)
+        .map(|a| story(a, fleet, backends))
+        .collect();
+    assert!(
+        failed.is_empty(),
+        "{} clients failed: {}",
+        failed.len(),
+        told.join("\n")
+    );
     let by_id: HashMap<&str, &Asked> = asked.iter().map(|a| (a.id.as_str(), a)).collect();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let mut late = Vec::new();
     for backend in backends {
         for (id, at) in backend.seen.lock().unwrap().iter() {
             *runs.entry(id.clone()).or_default() += 1;
-            let Some(asked) = by_id.get(id.as_str()) else { continue };
-            let hit = |s: &&Shut| s.backend == backend.name && s.from < asked.begun && asked.begun < s.to;
+            let Some(asked) = by_id.get(id.as_str()) else {
+                continue;
+            };
+            let hit =
+                |s: &&Shut| s.backend == backend.name && s.from < asked.begun && asked.begun < s.to;
             if let Some(shut) = shut.iter().find(hit) {
                 let begun = asked.begun as f64 / 1e6;
-                late.push(format!("proxy {} {begun} (arrived {at}) in {shut:?}", asked.proxy));
+                late.push(format!(
+                    "proxy {} {begun} (arrived {at}) in {shut:?}",
+                    asked.proxy
+                ));
             }
         }
     }
@@ -550,9 +744,18 @@
         asked.len(),
         late.len()
     );
-    assert!(asked.len() > 100, "too few to prove anything: {}", asked.len());
+    assert!(
+        asked.len() > 100,
+        "too few to prove anything: {}",
+        asked.len()
+    );
     assert_eq!((lost, doubled), (0, 0));
-    assert!(late.is_empty(), "{} reached a drained backend: {:?}", late.len(), &late[..late.len().min(5)]);
+    assert!(
+        late.is_empty(),
+        "{} reached a drained backend: {:?}",
+        late.len(),
+        &late[..late.len().min(5)]
+    );
     let wrong = holdings::contradictions(&fleet.lives());
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
--- a/tests/rig/holdings.rs
+++ b/tests/rig/holdings.rs
@@ -49,7 +49,8 @@
 /// The lines of one event.
 pub fn events<'a>(log: &'a str, event: &str) -> impl Iterator<Item = &'a str> + use<'a> {
     let event = event.to_string();
-    log.lines().filter(move |line| field(line, "event") == Some(&event))
+    log.lines()
+        .filter(move |line| field(line, "event") == Some(&event))
 }
 
 /// Every holding of the calendar's duty, in the order of their begins.
@@ -71,7 +72,13 @@
             let from = number(line, "mono_us").unwrap_or_else(|| panic!("no time: {line}"));
             let end = ends.get(&token).copied().unwrap_or(u64::MAX);
             let to = end.min(life.killed.unwrap_or(u64::MAX));
-            all.push(Holding { proxy: life.proxy, life: n, token, from, to });
+            all.push(Holding {
+                proxy: life.proxy,
+                life: n,
+                token,
+                from,
+                to,
+            });
         }
     }
     all.sort_by_key(|h| h.from);
@@ -96,10 +103,15 @@
     }
     for (n, life) in lives.iter().enumerate() {
         for line in events(&life.log, "window") {
-            let Some((by, at)) = token(line).zip(number(line, "mono_us")) else { continue };
+            let Some((by, at)) = token(line).zip(number(line, "mono_us")) else {
+                continue;
+            };
             let own = |h: &&Holding| h.life == n && h.token == by && h.from <= at && at <= h.to;
             if all.iter().find(own).is_none() {
-                wrong.push(format!("proxy {} acted outside of its holding: {line}", life.proxy));
+                wrong.push(format!(
+                    "proxy {} acted outside of its holding: {line}",
+                    life.proxy
+                ));
             }
         }
     }
--- a/tests/rig/kept.rs
+++ b/tests/rig/kept.rs
@@ -7,7 +7,11 @@
 
 /// The snapshots in a folder, without what is being written.
 pub fn files(dir: &Path) -> Vec<PathBuf> {
-    let all = std::fs::read_dir(dir).into_iter().flatten().flatten().map(|e| e.path());
+    let all = std::fs::read_dir(dir)
+        .into_iter()
+        .flatten()
+        .flatten()
+        .map(|e| e.path());
     let mut whole: Vec<PathBuf> = all.filter(|p| p.extension().is_none()).collect();
     whole.sort();
     whole
@@ -36,7 +40,9 @@
     let mut changes = BTreeSet::new();
     while changes.len() < 2 {
         assert!(Instant::now() < end, "no snapshot was written");
-        let times = files(dir).into_iter().filter_map(|p| p.metadata().ok()?.modified().ok());
+        let times = files(dir)
+            .into_iter()
+            .filter_map(|p| p.metadata().ok()?.modified().ok());
         changes.extend(times.filter(|at| *at > asked));
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -30,10 +30,17 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
+        self.headers
+            .iter()
+            .find(|h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1.as_str())
     }
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
     /// `None` when the other side ended the connection first.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
@@ -42,17 +49,28 @@
             let read = from.read_line(&mut text).ok()?;
             (read > 0).then(|| text.trim_end().to_string())
         };
-        let mut message = Message { first: line()?, ..Message::default() };
+        let mut message = Message {
+            first: line()?,
+            ..Message::default()
+        };
         loop {
             let text = line()?;
-            let Some((name, value)) = text.split_once(':') else { break };
+            let Some((name, value)) = text.split_once(':') else {
+                break;
+            };
             message.headers.push((name.into(), value.trim().into()));
         }
-        if message.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
+        if message
+            .header("transfer-encoding")
+            .is_some_and(|v| v.eq_ignore_ascii_case("chunked"))
+        {
             while message.chunk(from)? {}
             return Some(message);
         }
-        let length = message.header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let length = message
+            .header("content-length")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         message.body = vec![0; length];
         from.read_exact(&mut message.body).ok()?;
         Some(message)
@@ -99,7 +117,10 @@
         self.1.notify_all();
     }
     pub fn wait(&self) {
-        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open).unwrap();
+        let _ = self
+            .1
+            .wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open)
+            .unwrap();
     }
 }
 
@@ -133,14 +154,21 @@
                 std::thread::spawn(move || serve(tcp, &tell, &count, &*reply));
             }
         });
-        BackendServer { address, seen, connections, requests }
+        BackendServer {
+            address,
+            seen,
+            connections,
+            requests,
+        }
     }
 
     /// Waits for the next request.
     pub fn request(&self) -> Message {
         loop {
-            if let Seen::Request(message) =
-                self.seen.recv_timeout(PATIENCE).expect("a request at the backend")
+            if let Seen::Request(message) = self
+                .seen
+                .recv_timeout(PATIENCE)
+                .expect("a request at the backend")
             {
                 return message;
             }
@@ -149,7 +177,12 @@
 
     /// Waits until a connection ends.
     pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+        while !matches!(
+            self.seen
+                .recv_timeout(PATIENCE)
+                .expect("a closed connection"),
+            Seen::Closed
+        ) {}
     }
 
     pub fn count(&self) -> u32 {
@@ -157,16 +190,26 @@
     }
 }
 
-fn serve(tcp: TcpStream, tell: &mpsc::Sender<Seen>, count: &AtomicU32, reply: &dyn Fn(u32) -> Reply) {
+fn serve(
+    tcp: TcpStream,
+    tell: &mpsc::Sender<Seen>,
+    count: &AtomicU32,
+    reply: &dyn Fn(u32) -> Reply,
+) {
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
         let _ = tell.send(Seen::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
-            let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
+            let line = if header.is_empty() {
+                String::new()
+            } else {
+                format!("{header}\r\n")
+            };
             let length = body.len();
-            let text = format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
+            let text =
+                format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
             out.write_all(text.as_bytes()).is_ok()
         };
         let go_on = match reply(number) {
@@ -195,7 +238,8 @@
 
 impl Refusing {
     pub fn new() -> Refusing {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
         Refusing(socket)
@@ -218,7 +262,10 @@
 }
 
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// Discovery: hands each call's target to the test, which answers it with a status and a body.
@@ -249,9 +296,12 @@
                         if tell.send((message.first, answer)).is_err() {
                             return;
                         }
-                        let Ok((status, body)) = wait.recv() else { return };
+                        let Ok((status, body)) = wait.recv() else {
+                            return;
+                        };
                         let length = body.len();
-                        let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {length}\r\n\r\n");
+                        let head =
+                            format!("HTTP/1.1 {status} X\r\nContent-Length: {length}\r\n\r\n");
                         if tcp.write_all((head + &body).as_bytes()).is_err() {
                             return;
                         }
@@ -260,7 +310,11 @@
                 });
             }
         });
-        DiscoveryServer { address, ended, calls }
+        DiscoveryServer {
+            address,
+            ended,
+            calls,
+        }
     }
 
     /// The call that waits, if one does.
@@ -270,7 +324,9 @@
 
     /// The next call, and where its answer goes.
     pub fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+        self.calls
+            .recv_timeout(PATIENCE)
+            .expect("a call to discovery")
     }
 }
 
@@ -324,15 +380,22 @@
     /// With an operators' door and fewer descriptors than it is told.
     pub fn scarce(descriptors: u32) -> Proxy {
         let discovery = DiscoveryServer::start();
-        let mut command =
-            limited(Some(&told("127.0.0.1:0", discovery.address, 1024, &[], SETTINGS)), descriptors);
+        let mut command = limited(
+            Some(&told("127.0.0.1:0", discovery.address, 1024, &[], SETTINGS)),
+            descriptors,
+        );
         command.env("NODE_CONTROL", "127.0.0.1:0");
         Proxy::run(command, discovery)
     }
 
     /// Told to listen there and to ask there; the discovery that it has by itself stands idle.
     pub fn placed(
-        listen: &str, at: SocketAddr, known: &[String], sockets: u32, settings: &str, more: &[(&str, String)],
+        listen: &str,
+        at: SocketAddr,
+        known: &[String],
+        sockets: u32,
+        settings: &str,
+        more: &[(&str, String)],
     ) -> Proxy {
         let mut command = limited(Some(&told(listen, at, sockets, known, settings)), sockets);
         command.envs(more.iter().map(|(name, value)| (*name, value)));
@@ -345,13 +408,22 @@
     }
 
     /// The same with `more` keys at the end of its configuration, each written with its leading comma.
-    pub fn configured(known: &[String], settings: &str, more: &str, variables: &[(&str, String)]) -> Proxy {
+    pub fn configured(
+        known: &[String],
+        settings: &str,
+        more: &str,
+        variables: &[(&str, String)],
+    ) -> Proxy {
         Proxy::seeded(0x8c1f_30d2_7a5b_e964, known, settings, more, variables)
     }
 
     /// The same with a seed of its own, as proxies of one fleet have.
     pub fn seeded(
-        seed: u64, known: &[String], settings: &str, more: &str, variables: &[(&str, String)],
+        seed: u64,
+        known: &[String],
+        settings: &str,
+        more: &str,
+        variables: &[(&str, String)],
     ) -> Proxy {
         let discovery = DiscoveryServer::start();
         let (at, known) = (discovery.address, list(4, true, known));
@@ -366,14 +438,20 @@
     }
 
     fn run(mut command: Command, discovery: DiscoveryServer) -> Proxy {
-        let path = command.get_envs().find(|e| e.0 == "NODE_CONFIG").and_then(|e| e.1);
+        let path = command
+            .get_envs()
+            .find(|e| e.0 == "NODE_CONFIG")
+            .and_then(|e| e.1);
         let config = PathBuf::from(path.unwrap());
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut control, mut said) = (None, String::new());
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the program ended before it listened: {said}");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "the program ended before it listened: {said}"
+            );
             said += &line;
             *STARTING.lock().unwrap() += &line;
             if let Some(at) = line.split("control on ").nth(1) {
@@ -391,12 +469,26 @@
                 *keep.lock().unwrap() += &(line + "\n");
             }
         });
-        Proxy { child, address, discovery, config, control, said, log: kept }
+        Proxy {
+            child,
+            address,
+            discovery,
+            config,
+            control,
+            said,
+            log: kept,
+        }
     }
 
     /// Lines logged since it listened that hold these words.
     pub fn lines(&self, words: &str) -> Vec<String> {
-        self.log.lock().unwrap().lines().filter(|line| line.contains(words)).map(String::from).collect()
+        self.log
+            .lock()
+            .unwrap()
+            .lines()
+            .filter(|line| line.contains(words))
+            .map(String::from)
+            .collect()
     }
 
     /// How many.
@@ -415,7 +507,8 @@
 
     /// One call at the operators' door.
     pub fn call(&self, line: &str) -> Message {
-        Client::connect(self.control.expect("a door")).ask(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
+        Client::connect(self.control.expect("a door"))
+            .ask(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
     }
 
     /// Waits until it says that it takes clients.
@@ -447,7 +540,10 @@
     }
 
     pub fn signal(&self, which: &str) {
-        let done = Command::new("kill").args([which, &self.child.id().to_string()]).status().unwrap();
+        let done = Command::new("kill")
+            .args([which, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(done.success());
     }
 }
@@ -460,7 +556,13 @@
 }
 
 /// A configuration as the platform writes it.
-pub fn told(listen: &str, at: SocketAddr, sockets: u32, known: &[String], settings: &str) -> String {
+pub fn told(
+    listen: &str,
+    at: SocketAddr,
+    sockets: u32,
+    known: &[String],
+    settings: &str,
+) -> String {
     let known = list(4, true, known);
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{at}","seed":"8c1f30d27a5be964",
@@ -471,7 +573,8 @@
 /// A folder of its own, as `TMPDIR` for the processes of one proxy.
 pub fn folder() -> PathBuf {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("meadowproxy-tmp-{}-{number}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("meadowproxy-tmp-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
@@ -485,13 +588,19 @@
     let mut command = Command::new("sh");
     let line = format!("ulimit -n {descriptors}; exec \"$0\"");
     command.args(["-c", &line, env!("CARGO_BIN_EXE_meadowproxy")]);
-    for name in ["NODE_CONFIG", "NODE_CONTROL", "NODE_SOCKET_FD", "NODE_SNAPSHOT"] {
+    for name in [
+        "NODE_CONFIG",
+        "NODE_CONTROL",
+        "NODE_SOCKET_FD",
+        "NODE_SNAPSHOT",
+    ] {
         command.env_remove(name);
     }
     command.stderr(Stdio::piped()).stdout(Stdio::null());
     if let Some(config) = config {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("meadowproxy-{}-{number}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("meadowproxy-{}-{number}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
         command.env("NODE_CONFIG", path);
     }
@@ -519,7 +628,9 @@
     /// The proxy ended the connection before this side lost its patience.
     pub fn let_go(&mut self) -> bool {
         let waited = [ErrorKind::WouldBlock, ErrorKind::TimedOut];
-        self.0.read(&mut [0]).map_or_else(|e| !waited.contains(&e.kind()), |n| n == 0)
+        self.0
+            .read(&mut [0])
+            .map_or_else(|e| !waited.contains(&e.kind()), |n| n == 0)
     }
     /// The proxy ended the connection, with nothing more on it.
     pub fn ended(&mut self) -> bool {
@@ -532,7 +643,10 @@
 }
 
 pub fn read(left: f64) -> String {
-    format!("GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n", id())
+    format!(
+        "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n",
+        id()
+    )
 }
 
 pub fn pay(left: f64) -> String {
--- a/tests/rig/scripted.rs
+++ b/tests/rig/scripted.rs
@@ -20,13 +20,21 @@
     fn on(listener: TcpListener) -> Scripted {
         let address = listener.local_addr().unwrap();
         let (tell, accepted) = mpsc::channel();
-        std::thread::spawn(move || listener.incoming().flatten().all(|tcp| tell.send(tcp).is_ok()));
+        std::thread::spawn(move || {
+            listener
+                .incoming()
+                .flatten()
+                .all(|tcp| tell.send(tcp).is_ok())
+        });
         Scripted { address, accepted }
     }
 
     /// The next connection.
     pub fn accept(&self) -> Wire {
-        let tcp = self.accepted.recv_timeout(PATIENCE).expect("a connection to the backend");
+        let tcp = self
+            .accepted
+            .recv_timeout(PATIENCE)
+            .expect("a connection to the backend");
         Wire::new(tcp)
     }
 
@@ -44,7 +52,8 @@
 
 impl Late {
     pub fn start() -> Late {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
         socket.listen(0).unwrap();
@@ -114,7 +123,9 @@
 
     /// Ends it with a reset.
     pub fn reset(self) {
-        socket2::SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(self.0.get_ref())
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 
     /// What came until the proxy ended it, reset or not.
@@ -133,5 +144,8 @@
 }
 
 pub fn answer(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -14,14 +14,31 @@
 }
 
 /// Settings with these classes, and with what stands in the places of tenants, kinds, zones and the proxy's own zone.
-fn settings(classes: &[(&str, &str)], tenants: &str, kinds: &str, zones: &str, my_zone: &str) -> String {
+fn settings(
+    classes: &[(&str, &str)],
+    tenants: &str,
+    kinds: &str,
+    zones: &str,
+    my_zone: &str,
+) -> String {
     let from = SETTINGS.find("\"profiles\":[").unwrap();
     let to = SETTINGS.find("\"rules\"").unwrap();
-    let classes: Vec<String> = classes.iter().map(|(name, effect)| class(name, effect)).collect();
-    let text = format!("{}\"profiles\":[{}],\n{}", &SETTINGS[..from], classes.join(","), &SETTINGS[to..]);
+    let classes: Vec<String> = classes
+        .iter()
+        .map(|(name, effect)| class(name, effect))
+        .collect();
+    let text = format!(
+        "{}\"profiles\":[{}],\n{}",
+        &SETTINGS[..from],
+        classes.join(","),
+        &SETTINGS[to..]
+    );
     text.replace(r#"[{"name":"north","quota_rps":500.0}]"#, tenants)
         .replace(r#""kinds":["big"]"#, &format!(r#""kinds":{kinds}"#))
-        .replace(r#""my_zone":"east","zones":["east"]"#, &format!(r#"{my_zone}"zones":{zones}"#))
+        .replace(
+            r#""my_zone":"east","zones":["east"]"#,
+            &format!(r#"{my_zone}"zones":{zones}"#),
+        )
 }
 
 fn request(name: &str, effect: &str) -> String {
@@ -30,17 +47,23 @@
         .replace("\r\n\r\n", "\r\nX-Account: nobody\r\n\r\n");
     match effect {
         "free" => read,
-        "guarded" => read
+        "guarded" => read.replace("GET", "POST").replace(
+            "\r\n\r\n",
+            "\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
+        ),
+        _ => read
             .replace("GET", "POST")
-            .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n"),
-        _ => read.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
+            .replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
     }
 }
 
 #[test]
 fn any_number_of_classes_and_no_tenants_zones_or_kinds_are_served() {
     let backend = BackendServer::start(|_| ok("x"));
-    let bare = format!(r#"{{"name":"b0","address":"{}","status":"SERVING"}}"#, backend.address);
+    let bare = format!(
+        r#"{{"name":"b0","address":"{}","status":"SERVING"}}"#,
+        backend.address
+    );
     let placed = entry("b0", backend.address, "SERVING");
     let one: &[(&str, &str)] = &[("only", "single_shot")];
     let many: &[(&str, &str)] = &[
@@ -54,8 +77,26 @@
     let shapes = [
         (one, settings(one, "[]", "[]", "[]", "")),
         (many, settings(many, "[]", "[]", "[]", r#""my_zone":"","#)),
-        (one, settings(one, "[]", r#"["x","y"]"#, r#"["p","q","r","s"]"#, r#""my_zone":"s","#)),
-        (many, settings(many, r#"[{"name":"t","quota_rps":1.0}]"#, "[]", "[]", r#""my_zone":null,"#)),
+        (
+            one,
+            settings(
+                one,
+                "[]",
+                r#"["x","y"]"#,
+                r#"["p","q","r","s"]"#,
+                r#""my_zone":"s","#,
+            ),
+        ),
+        (
+            many,
+            settings(
+                many,
+                r#"[{"name":"t","quota_rps":1.0}]"#,
+                "[]",
+                "[]",
+                r#""my_zone":null,"#,
+            ),
+        ),
     ];
     let serves = |proxy: &Proxy, classes: &[(&str, &str)]| {
         for (name, effect) in classes.iter().filter(|c| c.0.is_ascii()) {
@@ -64,7 +105,10 @@
     };
     for known in [&bare, &placed] {
         for (classes, settings) in &shapes {
-            serves(&Proxy::with(std::slice::from_ref(known), 1024, settings), classes);
+            serves(
+                &Proxy::with(std::slice::from_ref(known), 1024, settings),
+                classes,
+            );
         }
     }
     let proxy = Proxy::with(&[bare], 1024, &shapes[2].1);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -19,7 +19,9 @@
 fn short(deadline_ms: u32) -> String {
     let aim = format!("\"aim_us\":{}000", deadline_ms / 2);
     let deadline = format!("\"deadline_us\":{deadline_ms}000");
-    SETTINGS.replace("\"aim_us\":900000", &aim).replace("\"deadline_us\":3000000", &deadline)
+    SETTINGS
+        .replace("\"aim_us\":900000", &aim)
+        .replace("\"deadline_us\":3000000", &deadline)
 }
 
 /// Clients whose first request was answered.
@@ -66,7 +68,10 @@
     for client in clients.iter_mut().chain([&mut new, &mut half]) {
         assert_eq!(client.answer().expect("an answer").status(), 200);
     }
-    clients.iter_mut().chain([&mut new, &mut half]).for_each(ended_plainly);
+    clients
+        .iter_mut()
+        .chain([&mut new, &mut half])
+        .for_each(ended_plainly);
     assert!(proxy.child.wait().unwrap().success());
 }
 
@@ -104,7 +109,13 @@
     queued.iter_mut().for_each(|c| c.send(READY));
     proxy.go_on();
     for (n, client) in queued.iter_mut().enumerate() {
-        assert_eq!(client.answer().unwrap_or_else(|| panic!("no answer to {n}")).status(), 200);
+        assert_eq!(
+            client
+                .answer()
+                .unwrap_or_else(|| panic!("no answer to {n}"))
+                .status(),
+            200
+        );
     }
     drop(queued);
     assert!(proxy.child.wait().unwrap().success());
@@ -116,7 +127,11 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &short(60_000));
+    let mut proxy = Proxy::with(
+        &[entry("b0", backend.address, "SERVING")],
+        1024,
+        &short(60_000),
+    );
     let mut busy = proxy.client();
     busy.send(&pay(60.0));
     backend.request();
@@ -128,7 +143,9 @@
             Some(text) => std::fs::write(&proxy.config, text).unwrap(),
             None => std::fs::remove_file(&proxy.config).unwrap(),
         }
-        ["-TERM", "-INT", "-HUP"].iter().for_each(|which| proxy.signal(which));
+        ["-TERM", "-INT", "-HUP"]
+            .iter()
+            .for_each(|which| proxy.signal(which));
         let end = Instant::now() + PATIENCE;
         while proxy.logged("configuration") <= n {
             assert!(Instant::now() < end, "it did not hear the signal");
@@ -136,7 +153,10 @@
         }
     }
     gate.open();
-    assert_eq!(busy.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(
+        busy.answer().expect("the answer that was owed").body,
+        b"gated"
+    );
     ended_plainly(&mut busy);
     assert!(proxy.child.wait().unwrap().success());
 }
@@ -145,12 +165,16 @@
 #[test]
 fn a_shutdown_waits_for_streams_and_not_for_halves() {
     const LONG: usize = 300_000;
-    let (gate, listener) = (Arc::new(Gate::default()), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (gate, listener) = (
+        Arc::new(Gate::default()),
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+    );
     let (address, wait) = (listener.local_addr().unwrap(), gate.clone());
     std::thread::spawn(move || {
         let mut tcp = listener.accept().unwrap().0;
         let _ = tcp.read(&mut [0; 4096]).unwrap();
-        tcp.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n").as_bytes()).unwrap();
+        tcp.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n").as_bytes())
+            .unwrap();
         tcp.write_all(&[b'x'; LONG / 2]).unwrap();
         wait.wait();
         tcp.write_all(&[b'x'; LONG / 2]).unwrap();
@@ -163,7 +187,10 @@
     half.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
     proxy.terminate();
     std::thread::sleep(4 * RESTING); // well past the longest deadline
-    assert!(proxy.child.try_wait().unwrap().is_none(), "it left its stream");
+    assert!(
+        proxy.child.try_wait().unwrap().is_none(),
+        "it left its stream"
+    );
     gate.open();
     let mut rest = Vec::new();
     stream.0.read_to_end(&mut rest).expect("the whole stream");
@@ -181,10 +208,14 @@
     assert_eq!(proxy.ask(READY).status(), 200); // all were taken in
     proxy.hold();
     std::thread::sleep(Duration::from_millis(2_600));
-    clients[..4].iter_mut().for_each(|c| c.send(READY.strip_prefix("GET /-/re").unwrap()));
+    clients[..4]
+        .iter_mut()
+        .for_each(|c| c.send(READY.strip_prefix("GET /-/re").unwrap()));
     clients[4..].iter_mut().for_each(|c| c.send(READY));
     proxy.go_on();
-    assert!(clients.iter_mut().all(|c| c.answer().is_some_and(|a| a.status() == 200)));
+    assert!(clients
+        .iter_mut()
+        .all(|c| c.answer().is_some_and(|a| a.status() == 200)));
 }
 
 /// What could not be understood is answered, and the answer is not taken away by a reset over what was not read.
@@ -193,19 +224,42 @@
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let junk = "x".repeat(60_000);
-    let long = |head: String| head.replace("Length: 4", "Length: 60000").replace("cash", &junk);
+    let long = |head: String| {
+        head.replace("Length: 4", "Length: 60000")
+            .replace("cash", &junk)
+    };
     for (what, request, status) in [
         ("no head at all", format!("what?\r\n\r\n{junk}"), 400),
-        ("no such class", long(pay(3.0).replace("/pay/", "/none/")), 404),
-        ("no id", long(pay(3.0).replace("X-Correlation-Id", "X-Other")), 400),
-        ("a broken chunk", pay(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &junk, 400),
-        ("two lengths", long(pay(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")), 400),
+        (
+            "no such class",
+            long(pay(3.0).replace("/pay/", "/none/")),
+            404,
+        ),
+        (
+            "no id",
+            long(pay(3.0).replace("X-Correlation-Id", "X-Other")),
+            400,
+        ),
+        (
+            "a broken chunk",
+            pay(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &junk,
+            400,
+        ),
+        (
+            "two lengths",
+            long(pay(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")),
+            400,
+        ),
     ] {
         proxy.hold();
         let mut client = proxy.client();
         client.send(&request);
         proxy.go_on();
-        assert_eq!(client.answer().unwrap_or_else(|| panic!("{what}")).status(), status, "{what}");
+        assert_eq!(
+            client.answer().unwrap_or_else(|| panic!("{what}")).status(),
+            status,
+            "{what}"
+        );
         assert!(client.ended());
         // A reset right behind the end would show by now.
         assert_eq!(proxy.ask(READY).status(), 200);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -100,7 +100,10 @@
 }
 
 fn config(case: &Case, position: u32) -> Config {
-    let class = |aim| Class { aim: Micros(aim), ..Config::example().classes[0].clone() };
+    let class = |aim| Class {
+        aim: Micros(aim),
+        ..Config::example().classes[0].clone()
+    };
     Config {
         proxies: case.proxies,
         position,
@@ -134,7 +137,10 @@
         };
         // A tenth of the proxies get five times the mean, and of three one twice as much.
         let many = case.proxies.div_ceil(10);
-        let (high, count) = (if case.proxies < 10 { 2.0 } else { 5.0 }, f64::from(case.proxies));
+        let (high, count) = (
+            if case.proxies < 10 { 2.0 } else { 5.0 },
+            f64::from(case.proxies),
+        );
         let low = (count - high * f64::from(many)) / f64::from(case.proxies - many).max(1.0);
         for position in 0..case.proxies {
             // Who gets more lies anywhere among the positions.
@@ -156,10 +162,21 @@
         let seed = self.case.seed * 1_000 + self.processes.len() as u64;
         let balancer = Balancer::new(config(&self.case, position), seed).expect("sound");
         let told = (self.boot <= self.now).then_some(self.now);
-        self.processes.push(Process { balancer, position, weight, told });
+        self.processes.push(Process {
+            balancer,
+            position,
+            weight,
+            told,
+        });
         let process = self.processes.len() - 1;
         let backends = self.list(told.is_some());
-        self.tell(process, Event::Members { update: ListUpdate::Full, backends });
+        self.tell(
+            process,
+            Event::Members {
+                update: ListUpdate::Full,
+                backends,
+            },
+        );
         process
     }
 
@@ -182,7 +199,13 @@
         let new = self.start(position, weight);
         let memory = Box::new(self.processes[old].balancer.recollect(Time(self.now)));
         if how != Start::Blank {
-            self.tell(new, Event::Recall { memory, age: Micros(0) });
+            self.tell(
+                new,
+                Event::Recall {
+                    memory,
+                    age: Micros(0),
+                },
+            );
         }
         self.processes[old].weight = 0.0;
         if how == Start::Beside {
@@ -216,32 +239,53 @@
 
     fn tell(&mut self, process: usize, event: Event) {
         let mut actions = Vec::new();
-        self.processes[process].balancer.handle(Time(self.now), event, &mut actions);
+        self.processes[process]
+            .balancer
+            .handle(Time(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::Dispatch { request, backend } => self.dispatch(process, request, backend.0),
                 Action::Cancel { request, attempt } => {
-                    let cancelled = Due::End(process, request, attempt, self.now, Outcome::Cancelled);
+                    let cancelled =
+                        Due::End(process, request, attempt, self.now, Outcome::Cancelled);
                     self.at(self.now, cancelled);
                 }
-                Action::SetTimer { token, after } => self.at(self.now + after.0, Due::Timer(process, token)),
+                Action::SetTimer { token, after } => {
+                    self.at(self.now + after.0, Due::Timer(process, token))
+                }
                 _ => {}
             }
         }
     }
 
     fn dispatch(&mut self, process: usize, request: RequestId, backend: u32) {
-        let Some((work, tries)) = self.requests.get_mut(&request) else { return };
+        let Some((work, tries)) = self.requests.get_mut(&request) else {
+            return;
+        };
         let (work, attempt) = (*work, AttemptNo(*tries));
         *tries += 1;
-        self.sent.push((self.now, backend, work, self.processes[process].told.is_some()));
+        self.sent.push((
+            self.now,
+            backend,
+            work,
+            self.processes[process].told.is_some(),
+        ));
         let cold = backend < self.case.cold && self.now >= self.boot;
-        let pace = if cold { warmth(self.now - self.boot) } else { 1.0 };
+        let pace = if cold {
+            warmth(self.now - self.boot)
+        } else {
+            1.0
+        };
         let takes = work * self.case.cores as f64 / self.case.speed / pace * SECOND as f64;
-        let Some(core) = self.cores[backend as usize].iter_mut().min() else { return };
+        let Some(core) = self.cores[backend as usize].iter_mut().min() else {
+            return;
+        };
         *core = (*core).max(self.now) + takes as u64;
         let end = *core;
-        self.at(end, Due::End(process, request, attempt, self.now, Outcome::Ok));
+        self.at(
+            end,
+            Due::End(process, request, attempt, self.now, Outcome::Ok),
+        );
     }
 
     fn arrival(&mut self) {
@@ -259,12 +303,27 @@
         self.requests.insert(request, (work, 0));
         let time_left = Micros([750_000, 3 * SECOND][class.0]);
         let (tenant, work_hint, repeat) = (None, None, false);
-        let arrival = Arrival { request, class, tenant, time_left, work_hint, repeat };
+        let arrival = Arrival {
+            request,
+            class,
+            tenant,
+            time_left,
+            work_hint,
+            repeat,
+        };
         self.tell(process, Event::Request(arrival));
-        let patience = if self.now < self.boot { 3 * SECOND } else { self.case.patience };
+        let patience = if self.now < self.boot {
+            3 * SECOND
+        } else {
+            self.case.patience
+        };
         let patience = patience / 2 + self.chance.below(patience);
         self.at(self.now + patience, Due::Gone(process, request));
-        let load = if self.now < self.boot { self.case.before } else { self.case.load };
+        let load = if self.now < self.boot {
+            self.case.before
+        } else {
+            self.case.load
+        };
         let rate = load * f64::from(self.case.backends) * self.case.speed;
         let gap = -(1.0 - self.chance.unit()).ln() / rate * SECOND as f64;
         self.at(self.now + gap as u64, Due::Arrival);
@@ -272,15 +331,27 @@
 
     fn play(&mut self, span: u64) {
         let until = self.now + span;
-        while self.due.first_key_value().is_some_and(|(at, _)| at.0 < until) {
-            let Some(((at, _), due)) = self.due.pop_first() else { return };
+        while self
+            .due
+            .first_key_value()
+            .is_some_and(|(at, _)| at.0 < until)
+        {
+            let Some(((at, _), due)) = self.due.pop_first() else {
+                return;
+            };
             self.now = at;
             match due {
                 Due::Arrival => self.arrival(),
                 Due::Timer(process, token) => self.tell(process, Event::Timer { token }),
                 Due::End(process, request, attempt, sent, outcome) => {
                     let (latency, settled) = (Micros(at - sent), true);
-                    let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                    let end = AttemptEnd {
+                        request,
+                        attempt,
+                        outcome,
+                        latency,
+                        settled,
+                    };
                     self.tell(process, Event::AttemptEnded(end));
                 }
                 Due::Gone(process, request) => self.tell(process, Event::ClientGone { request }),
@@ -291,7 +362,13 @@
                 Due::Told(process) => {
                     self.processes[process].told.get_or_insert(at);
                     let backends = self.list(true);
-                    self.tell(process, Event::Members { update: ListUpdate::Full, backends });
+                    self.tell(
+                        process,
+                        Event::Members {
+                            update: ListUpdate::Full,
+                            backends,
+                        },
+                    );
                 }
             }
         }
@@ -304,12 +381,21 @@
         let mut windows = Windows::default();
         for backend in 0..self.case.cold {
             let (mut all, mut told, mut inside) = (0.0, 0.0, VecDeque::new());
-            for (at, _, work, knew) in self.sent.iter().filter(|s| s.1 == backend && s.0 >= self.boot) {
+            for (at, _, work, knew) in self
+                .sent
+                .iter()
+                .filter(|s| s.1 == backend && s.0 >= self.boot)
+            {
                 let by_told = |work: f64, knew: bool| if knew { work } else { 0.0 };
                 (all, told) = (all + work, told + by_told(*work, *knew));
                 inside.push_back((*at, *work, *knew));
-                while inside.front().is_some_and(|s: &(u64, f64, bool)| s.0 + WINDOW <= *at) {
-                    let Some((_, work, knew)) = inside.pop_front() else { break };
+                while inside
+                    .front()
+                    .is_some_and(|s: &(u64, f64, bool)| s.0 + WINDOW <= *at)
+                {
+                    let Some((_, work, knew)) = inside.pop_front() else {
+                        break;
+                    };
                     (all, told) = (all - work, told - by_told(work, knew));
                 }
                 let age = at.saturating_sub(WINDOW).saturating_sub(self.boot);
@@ -322,8 +408,10 @@
                 windows.over_told += usize::from(told > most);
                 windows.over_all += usize::from(all > most);
                 windows.broken += usize::from(all > most && told > all * 2.0 / 3.0);
-                windows.fullest =
-                    (windows.fullest.0.max(told / allowed), windows.fullest.1.max(all / allowed));
+                windows.fullest = (
+                    windows.fullest.0.max(told / allowed),
+                    windows.fullest.1.max(all / allowed),
+                );
             }
         }
         windows
@@ -350,7 +438,10 @@
         self.over_told += more.over_told;
         self.over_all += more.over_all;
         self.broken += more.broken;
-        self.fullest = (self.fullest.0.max(more.fullest.0), self.fullest.1.max(more.fullest.1));
+        self.fullest = (
+            self.fullest.0.max(more.fullest.0),
+            self.fullest.1.max(more.fullest.1),
+        );
     }
 }
 
@@ -392,7 +483,10 @@
 
 fn hold(proxies: u32, seeds: u64, then: fn(&mut Fleet)) {
     let sum = sum(proxies, (0..seeds).map(|seed| case(proxies, seed)), then);
-    assert!(sum.over_told + sum.broken == 0, "{proxies} proxies: {sum:?}");
+    assert!(
+        sum.over_told + sum.broken == 0,
+        "{proxies} proxies: {sum:?}"
+    );
 }
 
 /// A flood of clients that leave almost at once: nothing but the budgets bounds what is sent.
@@ -407,7 +501,10 @@
         ..case(proxies, seed)
     };
     let sum = sum(proxies, (0..6).map(flood), then);
-    assert!(sum.over_told + sum.broken == 0, "{proxies} proxies: {sum:?}");
+    assert!(
+        sum.over_told + sum.broken == 0,
+        "{proxies} proxies: {sum:?}"
+    );
 }
 
 #[test]
@@ -475,9 +572,25 @@
             fleet.play(3 * SECOND / 2);
             for process in 0..fleet.processes.len() {
                 let whole = fleet.list(true);
-                let backends = whole.iter().filter(|b| b.booted.is_none()).cloned().collect();
-                fleet.tell(process, Event::Members { update: ListUpdate::Full, backends });
-                fleet.tell(process, Event::Members { update: ListUpdate::Full, backends: whole });
+                let backends = whole
+                    .iter()
+                    .filter(|b| b.booted.is_none())
+                    .cloned()
+                    .collect();
+                fleet.tell(
+                    process,
+                    Event::Members {
+                        update: ListUpdate::Full,
+                        backends,
+                    },
+                );
+                fleet.tell(
+                    process,
+                    Event::Members {
+                        update: ListUpdate::Full,
+                        backends: whole,
+                    },
+                );
             }
             fleet.play(2 * SECOND);
         });
@@ -488,14 +601,27 @@
 #[test]
 fn a_restarted_backend_gets_its_fair_load_by_the_end_of_its_ramp() {
     for proxies in [3, 30] {
-        let mut fleet =
-            Fleet::new(Case { cold: 2, load: 0.6, before: 0.6, patience: 3 * SECOND, ..case(proxies, 6) });
+        let mut fleet = Fleet::new(Case {
+            cold: 2,
+            load: 0.6,
+            before: 0.6,
+            patience: 3 * SECOND,
+            ..case(proxies, 6)
+        });
         fleet.play(LEARN);
         fleet.restart();
         fleet.play(RAMP + 2 * SECOND);
-        let late = fleet.sent.iter().filter(|s| s.0 >= fleet.boot + RAMP - 3 * SECOND);
-        let (cold, all) = late.fold((0.0, 0.0), |n, s| (n.0 + f64::from(u8::from(s.1 < 2)), n.1 + 1.0));
+        let late = fleet
+            .sent
+            .iter()
+            .filter(|s| s.0 >= fleet.boot + RAMP - 3 * SECOND);
+        let (cold, all) = late.fold((0.0, 0.0), |n, s| {
+            (n.0 + f64::from(u8::from(s.1 < 2)), n.1 + 1.0)
+        });
         let part = cold / 2.0 / (all / f64::from(fleet.case.backends));
-        assert!(part > 0.8, "{proxies} proxies: {part} of an even part by the end of the ramp");
+        assert!(
+            part > 0.8,
+            "{proxies} proxies: {part} of an even part by the end of the ramp"
+        );
     }
 }
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -13,10 +13,18 @@
 /// A proxy that writes ten times a second, and is held as it opens the next file: its folder, and the pipe.
 fn held(known: &[String]) -> (Proxy, PathBuf, PathBuf) {
     let dir = folder().join("kept");
-    let kept = format!(r#","snapshot":{{"dir":"{}","every_ms":100}}"#, dir.display());
+    let kept = format!(
+        r#","snapshot":{{"dir":"{}","every_ms":100}}"#,
+        dir.display()
+    );
     let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
     let proxy = Proxy::configured(known, SETTINGS, &kept, &[tmp]);
-    let name = first(&dir).file_name().unwrap().to_str().unwrap().to_string();
+    let name = first(&dir)
+        .file_name()
+        .unwrap()
+        .to_str()
+        .unwrap()
+        .to_string();
     let pipe = dir.join(format!("{name}.{}.part", proxy.child.id()));
     let end = Instant::now() + PATIENCE;
     while !made(&pipe) {
@@ -27,7 +35,12 @@
 
 /// Fails while a file stands there.
 fn made(pipe: &Path) -> bool {
-    Command::new("mkfifo").arg(pipe).output().unwrap().status.success()
+    Command::new("mkfifo")
+        .arg(pipe)
+        .output()
+        .unwrap()
+        .status
+        .success()
 }
 
 /// Waits until it has said that the disk took too long.
@@ -43,8 +56,14 @@
 /// it goes on, snapshots do.
 #[test]
 fn a_disk_that_hangs_holds_up_no_request() {
-    let (a, b) = (BackendServer::start(|_| ok("a")), BackendServer::start(|_| ok("b")));
-    let known = [entry("b0", a.address, "SERVING"), entry("b1", b.address, "SERVING")];
+    let (a, b) = (
+        BackendServer::start(|_| ok("a")),
+        BackendServer::start(|_| ok("b")),
+    );
+    let known = [
+        entry("b0", a.address, "SERVING"),
+        entry("b1", b.address, "SERVING"),
+    ];
     let (proxy, dir, pipe) = held(&known);
     let before = first(&dir).metadata().unwrap().modified().unwrap();
     assert_eq!(proxy.call("PUT /maintenance/enter?who=b0").status(), 200);
@@ -53,7 +72,11 @@
     for _ in 0..20 {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
     }
-    assert_eq!(first(&dir).metadata().unwrap().modified().unwrap(), before, "the disk did not hang");
+    assert_eq!(
+        first(&dir).metadata().unwrap().modified().unwrap(),
+        before,
+        "the disk did not hang"
+    );
     let other_end = File::open(&pipe).unwrap();
     std::fs::remove_file(&pipe).unwrap();
     written(&dir);
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -10,12 +10,24 @@
 use std::collections::BTreeSet;
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
-const READING: Reading = Reading { strict: true, digested: true };
+const READING: Reading = Reading {
+    strict: true,
+    digested: true,
+};
 const ZONES: [&str; 4] = ["p", "q", "r", "s"];
 
 fn route() -> impl Strategy<Value = Value> {
-    let effects = ["free", "single_shot", "guarded zone 500", "guarded cell 900", "guarded all 200"];
-    let (name, effect) = (prop::sample::select(&NAMES[..5]), prop::sample::select(effects.to_vec()));
+    let effects = [
+        "free",
+        "single_shot",
+        "guarded zone 500",
+        "guarded cell 900",
+        "guarded all 200",
+    ];
+    let (name, effect) = (
+        prop::sample::select(&NAMES[..5]),
+        prop::sample::select(effects.to_vec()),
+    );
     (name, effect, 1..3u64, 3..5u64, 0..2u32).prop_map(|(name, effect, aim, deadline, late)| {
         let words: Vec<&str> = effect.split(' ').collect();
         let (aim, deadline, late) = (aim * 100_000, deadline * 100_000, f64::from(late) / 2.0);
@@ -38,13 +50,18 @@
 /// The first entry of each name, in the order that they came.
 fn distinct(entries: Vec<Value>) -> Vec<Value> {
     let mut names = BTreeSet::new();
-    entries.into_iter().filter(|e| names.insert(e["name"].to_string())).collect()
+    entries
+        .into_iter()
+        .filter(|e| names.insert(e["name"].to_string()))
+        .collect()
 }
 
 /// Sound settings; tenants may stand twice, which is no error.
 fn sound() -> impl Strategy<Value = Value> {
-    let (routes, customers) =
-        (prop::collection::vec(route(), 1..9).prop_map(distinct), prop::collection::vec(customer(), 0..7));
+    let (routes, customers) = (
+        prop::collection::vec(route(), 1..9).prop_map(distinct),
+        prop::collection::vec(customer(), 0..7),
+    );
     let zones = prop::sample::subsequence(ZONES.to_vec(), 0..4);
     let regions = prop::option::of(prop::sample::subsequence(ZONES.to_vec(), 0..4));
     (routes, customers, zones, regions, 1..4u32).prop_map(|(routes, customers, zones, regions, most)| {
@@ -86,16 +103,22 @@
         json!([{"x": 1}]),
     ];
     let put = prop::sample::select(values).prop_map(Flaw::Put);
-    (any::<prop::sample::Index>(), prop_oneof![4 => put, 2 => Just(Flaw::Remove), 1 => Just(Flaw::Add)])
+    (
+        any::<prop::sample::Index>(),
+        prop_oneof![4 => put, 2 => Just(Flaw::Remove), 1 => Just(Flaw::Add)],
+    )
 }
 
 /// JSON pointers of all values inside.
 fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
-        Value::Object(keys) => keys.iter().for_each(|(key, v)| pointers(v, format!("{at}/{key}"), all)),
-        Value::Array(items) => {
-            items.iter().enumerate().for_each(|(n, v)| pointers(v, format!("{at}/{n}"), all))
-        }
+        Value::Object(keys) => keys
+            .iter()
+            .for_each(|(key, v)| pointers(v, format!("{at}/{key}"), all)),
+        Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .for_each(|(n, v)| pointers(v, format!("{at}/{n}"), all)),
         _ => {}
     }
     all.push(at);
@@ -106,7 +129,9 @@
         let mut all = Vec::new();
         pointers(&settings, String::new(), &mut all);
         all.retain(|path| !path.is_empty());
-        let Some(path) = all.get(at.index(all.len().max(1))).cloned() else { continue };
+        let Some(path) = all.get(at.index(all.len().max(1))).cloned() else {
+            continue;
+        };
         let (parent, key) = path.rsplit_once('/').unwrap();
         match (flaw, settings.pointer_mut(parent).unwrap()) {
             (Flaw::Put(value), parent) => match parent {
@@ -115,7 +140,9 @@
             },
             (Flaw::Remove, Value::Object(keys)) => drop(keys.remove(key)),
             (Flaw::Remove, Value::Array(items)) => drop(items.remove(key.parse().unwrap())),
-            (Flaw::Add, Value::Object(keys)) => drop(keys.insert("extra".into(), json!({"deep": [1, 2]}))),
+            (Flaw::Add, Value::Object(keys)) => {
+                drop(keys.insert("extra".into(), json!({"deep": [1, 2]})))
+            }
             _ => {}
         }
     }
@@ -129,7 +156,11 @@
 }
 
 fn runner(cases: u32) -> TestRunner {
-    let config = ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() };
+    let config = ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
 }
 
@@ -140,8 +171,14 @@
 /// The change to these settings: the same whether their lists are read beside the tables in force or over them.
 fn change(tables: &InForce, settings: &Value) -> Result<Change, String> {
     let (beside, over) = (read(settings), Settings::over(settings, READING, tables));
-    assert_eq!((beside.errors(), beside.first_error()), (over.errors(), over.first_error()));
-    assert_eq!((beside.unknown(), beside.digest(&[])), (over.unknown(), over.digest(&[])));
+    assert_eq!(
+        (beside.errors(), beside.first_error()),
+        (over.errors(), over.first_error())
+    );
+    assert_eq!(
+        (beside.unknown(), beside.digest(&[])),
+        (over.unknown(), over.digest(&[]))
+    );
     let change = tables.change(&over);
     assert_eq!(tables.change(&beside), change);
     change
@@ -164,17 +201,35 @@
         assert_eq!(self.config, *tables.config);
         let sum: f64 = self.config.tenants.iter().map(|t| t.quota_per_s).sum();
         assert_eq!(tables.config.quota_sum(), sum);
-        let network = (self.network.connect_timeout, self.network.conn_idle, self.network.max_retry_after);
+        let network = (
+            self.network.connect_timeout,
+            self.network.conn_idle,
+            self.network.max_retry_after,
+        );
         let now = &tables.network;
-        assert_eq!(network, (now.connect_timeout, now.conn_idle, now.max_retry_after));
+        assert_eq!(
+            network,
+            (now.connect_timeout, now.conn_idle, now.max_retry_after)
+        );
         assert!(self.network.deadlines.iter().eq(now.deadlines.iter()));
         for name in NAMES {
-            assert_eq!(self.names.class(name), tables.names.class(name), "class {name}");
-            assert_eq!(self.names.tenant(name), tables.names.tenant(name), "tenant {name}");
+            assert_eq!(
+                self.names.class(name),
+                tables.names.class(name),
+                "class {name}"
+            );
+            assert_eq!(
+                self.names.tenant(name),
+                tables.names.tenant(name),
+                "tenant {name}"
+            );
         }
         for number in 0..self.config.classes.len() + 1 {
             let number = ClassId(number);
-            assert_eq!(self.names.class_name(number), tables.names.class_name(number));
+            assert_eq!(
+                self.names.class_name(number),
+                tables.names.class_name(number)
+            );
         }
         for number in (0..9).map(meadowproxy::ZoneId) {
             assert_eq!(self.names.zone_name(number), tables.names.zone_name(number));
@@ -207,7 +262,8 @@
             .iter()
             .for_each(|id| assert!(!std::mem::replace(&mut live[id.0], true), "{id:?} was in"));
         assert_eq!(live, plain.live);
-        (self.config, self.names, self.network, self.live) = (plain.config, plain.names, plain.network, live);
+        (self.config, self.names, self.network, self.live) =
+            (plain.config, plain.names, plain.network, live);
         self.same(&change.to);
     }
 }
@@ -220,11 +276,19 @@
         let tables = read(&settings);
         assert_eq!(plain::errors(&settings), tables.errors());
         assert_eq!(plain::unknown(&settings), tables.unknown());
-        assert_eq!(blake3::hash(settings.to_string().as_bytes()).as_bytes(), &tables.digest(&[]));
+        assert_eq!(
+            blake3::hash(settings.to_string().as_bytes()).as_bytes(),
+            &tables.digest(&[])
+        );
         let mut shared = settings.clone();
         shared.as_object_mut().unwrap().remove("my_zone");
-        assert_eq!(blake3::hash(shared.to_string().as_bytes()).as_bytes(), &tables.digest(&["my_zone"]));
-        let first = plain::read(&settings).err().or(plain::network(&settings).err());
+        assert_eq!(
+            blake3::hash(shared.to_string().as_bytes()).as_bytes(),
+            &tables.digest(&["my_zone"])
+        );
+        let first = plain::read(&settings)
+            .err()
+            .or(plain::network(&settings).err());
         assert_eq!(first, tables.first_error());
         match (plain::read(&settings), tables.config()) {
             (Ok((plain, _)), Ok((config, _))) => assert_eq!(plain, config),
@@ -239,14 +303,25 @@
 #[test]
 fn settings_follow_each_other_as_the_plain_way_has_them() {
     let met = || {
-        (prop::option::of(prop::sample::select(ZONES.to_vec())), prop::sample::select(vec!["big", "small"]))
+        (
+            prop::option::of(prop::sample::select(ZONES.to_vec())),
+            prop::sample::select(vec!["big", "small"]),
+        )
     };
     let steps = prop::collection::vec((settings(), met(), met()), 1..12);
     let run = runner(1500).run(&(sound(), steps), |(first, steps)| {
         let mut tables = InForce::first(&read(&first)).unwrap();
         let (config, names) = plain::read(&first).unwrap();
-        let (network, live) = (plain::network(&first).unwrap(), vec![true; config.classes.len()]);
-        let mut plain = Plain { config, names, network, live };
+        let (network, live) = (
+            plain::network(&first).unwrap(),
+            vec![true; config.classes.len()],
+        );
+        let mut plain = Plain {
+            config,
+            names,
+            network,
+            live,
+        };
         plain.same(&tables);
         for (settings, before, during) in steps {
             let mut see = |(zone, kind): (Option<&str>, &str), names: &mut Names| {
@@ -281,8 +356,14 @@
     let mut told = Vec::new();
     type Make = (fn(Value) -> Amendment, fn(String) -> Amendment);
     let lists: [(&str, Make); 2] = [
-        ("profiles", (Amendment::SetProfile, Amendment::RemoveProfile)),
-        ("customers", (Amendment::SetCustomer, Amendment::RemoveCustomer)),
+        (
+            "profiles",
+            (Amendment::SetProfile, Amendment::RemoveProfile),
+        ),
+        (
+            "customers",
+            (Amendment::SetCustomer, Amendment::RemoveCustomer),
+        ),
     ];
     for (list, (set, remove)) in lists {
         let (was, is) = (entries(before, list), entries(after, list));
@@ -299,37 +380,69 @@
 /// class back to an older number whose rules were made as strict as its own meanwhile, and who does not name it does not.
 #[test]
 fn amendments_come_to_what_the_whole_file_does() {
-    let lists = || (prop::collection::vec(route(), 1..9), prop::collection::vec(customer(), 0..7));
-    let run = runner(1500).run(&(sound(), prop::collection::vec(lists(), 1..10)), |(first, steps)| {
-        let mut file = first;
-        file["customers"] = distinct(file["customers"].as_array().unwrap().clone()).into();
-        let mut tables = InForce::first(&read(&file)).unwrap();
-        let mut by_difference = tables.clone();
-        for (routes, customers) in steps {
-            let mut next = file.clone();
-            (next["profiles"], next["customers"]) = (distinct(routes).into(), distinct(customers).into());
-            let whole = change(&tables, &next).unwrap();
-            let mut amended = tables.amend(&amendments(&file, &next, true)).unwrap();
-            // The log's line says first what is set; the file's numbers order what was dropped, and here the calls do.
-            let told = |change: &Change| change.told.split(", ").map(String::from).collect::<BTreeSet<_>>();
-            assert_eq!(told(&whole), told(&amended));
-            amended.told = whole.told.clone();
-            assert_eq!(whole, amended);
-            by_difference = by_difference.amend(&amendments(&file, &next, false)).unwrap().to;
-            let rules = |tables: &InForce, name: &str| {
-                let number = tables.names.class(name)?.0;
-                Some((tables.config.classes[number].clone(), tables.network.deadlines[number]))
-            };
-            for name in NAMES {
-                assert_eq!(rules(&whole.to, name), rules(&by_difference, name), "{name}");
-                assert_eq!(whole.to.names.tenant(name), by_difference.names.tenant(name), "{name}");
+    let lists = || {
+        (
+            prop::collection::vec(route(), 1..9),
+            prop::collection::vec(customer(), 0..7),
+        )
+    };
+    let run = runner(1500).run(
+        &(sound(), prop::collection::vec(lists(), 1..10)),
+        |(first, steps)| {
+            let mut file = first;
+            file["customers"] = distinct(file["customers"].as_array().unwrap().clone()).into();
+            let mut tables = InForce::first(&read(&file)).unwrap();
+            let mut by_difference = tables.clone();
+            for (routes, customers) in steps {
+                let mut next = file.clone();
+                (next["profiles"], next["customers"]) =
+                    (distinct(routes).into(), distinct(customers).into());
+                let whole = change(&tables, &next).unwrap();
+                let mut amended = tables.amend(&amendments(&file, &next, true)).unwrap();
+                // The log's line says first what is set; the file's numbers order what was dropped, and here the calls do.
+                let told = |change: &Change| {
+                    change
+                        .told
+                        .split(", ")
+                        .map(String::from)
+                        .collect::<BTreeSet<_>>()
+                };
+                assert_eq!(told(&whole), told(&amended));
+                amended.told = whole.told.clone();
+                assert_eq!(whole, amended);
+                by_difference = by_difference
+                    .amend(&amendments(&file, &next, false))
+                    .unwrap()
+                    .to;
+                let rules = |tables: &InForce, name: &str| {
+                    let number = tables.names.class(name)?.0;
+                    Some((
+                        tables.config.classes[number].clone(),
+                        tables.network.deadlines[number],
+                    ))
+                };
+                for name in NAMES {
+                    assert_eq!(
+                        rules(&whole.to, name),
+                        rules(&by_difference, name),
+                        "{name}"
+                    );
+                    assert_eq!(
+                        whole.to.names.tenant(name),
+                        by_difference.names.tenant(name),
+                        "{name}"
+                    );
+                }
+                assert_eq!(whole.to.config.tenants, by_difference.config.tenants);
+                assert_eq!(
+                    whole.to.config.quota_sum(),
+                    by_difference.config.quota_sum()
+                );
+                (tables, file) = (whole.to, next);
             }
-            assert_eq!(whole.to.config.tenants, by_difference.config.tenants);
-            assert_eq!(whole.to.config.quota_sum(), by_difference.config.quota_sum());
-            (tables, file) = (whole.to, next);
-        }
-        Ok(())
-    });
+            Ok(())
+        },
+    );
     run.unwrap();
 }
 
@@ -349,10 +462,15 @@
     let class = |n: usize| json!({"name":format!("c{n}"),"aim_us":1,"deadline_us":9,"effect":"free","gain":1.0,"late_worth":0.0});
     let tenant = |n: usize| json!({"name":format!("t{n}"),"quota_rps":1.0 + n as f64});
     let found = |tables: &InForce, many: usize| {
-        assert_eq!((tables.config.classes.len(), tables.config.tenants.len()), (many, many));
+        assert_eq!(
+            (tables.config.classes.len(), tables.config.tenants.len()),
+            (many, many)
+        );
         for n in 0..many {
-            let (class, tenant) =
-                (tables.names.class(&format!("c{n}")), tables.names.tenant(&format!("t{n}")));
+            let (class, tenant) = (
+                tables.names.class(&format!("c{n}")),
+                tables.names.tenant(&format!("t{n}")),
+            );
             assert_eq!((class, tenant), (Some(ClassId(n)), Some(TenantId(n))));
             assert_eq!(tables.names.class_name(ClassId(n)), Some(&*format!("c{n}")));
             assert_eq!(tables.config.tenants[n].quota_per_s, 1.0 + n as f64);
@@ -369,7 +487,10 @@
         let first = InForce::first(&read(&file)).unwrap();
         let mut tables = first.clone();
         for n in read_at_once..read_at_once + 100 {
-            let both = [Amendment::SetCustomer(tenant(n)), Amendment::SetProfile(class(n))];
+            let both = [
+                Amendment::SetCustomer(tenant(n)),
+                Amendment::SetProfile(class(n)),
+            ];
             tables = tables.amend(&both).unwrap().to;
         }
         found(&tables, read_at_once + 100);
@@ -396,8 +517,10 @@
 fn amendments_are_taken_whole_or_told_by_key() {
     let route = |name: &str, gain: f64| json!({"name":name,"aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
     let mut first = bare();
-    (first["profiles"], first["customers"]) =
-        (json!([route("a", 1.0)]), json!([{"name":"t","quota_rps":1.0}]));
+    (first["profiles"], first["customers"]) = (
+        json!([route("a", 1.0)]),
+        json!([{"name":"t","quota_rps":1.0}]),
+    );
     let tables = InForce::first(&read(&first)).unwrap();
     let before = tables.clone();
     let mut late = route("c", 1.0);
@@ -423,11 +546,22 @@
         "profiles[a]: the name stands twice",
     ];
     assert_eq!(tables.amend(&bad).unwrap_err(), errors);
-    let none = tables.amend(&[Amendment::RemoveProfile("a".into())]).unwrap_err();
+    let none = tables
+        .amend(&[Amendment::RemoveProfile("a".into())])
+        .unwrap_err();
     assert_eq!(none, ["profiles: expected at least one class"]);
     assert_eq!(tables, before);
-    let swap = [Amendment::RemoveProfile("a".into()), Amendment::SetProfile(route("b", 1.0))];
+    let swap = [
+        Amendment::RemoveProfile("a".into()),
+        Amendment::SetProfile(route("b", 1.0)),
+    ];
     let change = tables.amend(&swap).unwrap();
-    assert_eq!((change.told.as_str(), change.retired), ("dropped a, new b", vec![ClassId(0)]));
-    assert_eq!((change.to.names.class("a"), change.to.names.class("b")), (None, Some(ClassId(1))));
+    assert_eq!(
+        (change.told.as_str(), change.retired),
+        ("dropped a, new b", vec![ClassId(0)])
+    );
+    assert_eq!(
+        (change.to.names.class("a"), change.to.names.class("b")),
+        (None, Some(ClassId(1)))
+    );
 }
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -18,13 +18,24 @@
 /// Five proxies, three of them voters, that know each other, and so many backends of one kind and zone.
 fn fleet(seed: u64, backends: usize, shape: Shape) -> (Vec<Recorder>, Fleet) {
     let (recorders, known) = Recorder::several(backends);
-    let fleet = Fleet::of(Shape { size: ALL.len(), seed, known, voters: 3, ..shape });
+    let fleet = Fleet::of(Shape {
+        size: ALL.len(),
+        seed,
+        known,
+        voters: 3,
+        ..shape
+    });
     fleet.until(&ALL, ALL.len() - 1);
     (recorders, fleet)
 }
 
 fn shape() -> Shape {
-    Shape { lease_ms: 1500, floor: 0.5, max_age_s: 3.0, ..Shape::default() }
+    Shape {
+        lease_ms: 1500,
+        floor: 0.5,
+        max_age_s: 3.0,
+        ..Shape::default()
+    }
 }
 
 fn noise(fleet: &Fleet) {
@@ -56,11 +67,18 @@
         fleet.put((first + 2) % 5, "w1", &["b1"], 4.5, 9.0, 3),
     ];
     fleet.know(&ALL, &[&windows[0], &windows[1]]);
-    let Decided { proxy: first, token, .. } = fleet.stepped("w0", "draining");
+    let Decided {
+        proxy: first,
+        token,
+        ..
+    } = fleet.stepped("w0", "draining");
     load.away(&[first]);
     fleet.kill(&[first]);
     for window in &windows {
-        assert!(fleet.stepped(&window.id, "done").token > token, "the successor's doing");
+        assert!(
+            fleet.stepped(&window.id, "done").token > token,
+            "the successor's doing"
+        );
         fleet.out_and_back_once(&but(first), window);
     }
     let shut = decided(&fleet, &[&windows[0], &windows[1]]);
@@ -72,7 +90,15 @@
 #[test]
 fn late_words_of_a_stopped_holder_are_refused_by_their_token() {
     // A word may be late for a minute before it is refused for its age.
-    let (backends, fleet) = fleet(23, 6, Shape { lease_ms: 3000, max_age_s: 60.0, ..shape() });
+    let (backends, fleet) = fleet(
+        23,
+        6,
+        Shape {
+            lease_ms: 3000,
+            max_age_s: 60.0,
+            ..shape()
+        },
+    );
     let load = Load::start(&fleet, PAUSE);
     let (first, token) = fleet.holder(&[]);
     load.away(&[first]);
@@ -84,8 +110,11 @@
     fleet.proxies[first].signal("-STOP");
     let (next, grown) = fleet.holder(&[first]);
     assert!(next != first && grown > token, "{grown:?} after {token:?}");
-    let knows = |f: &Fleet, n: usize| f.json(n, "/duties")["token"] == format!("{}-{}", grown.0, grown.1);
-    fleet.wait("the others to know of it", |f| late.iter().all(|n| knows(f, *n)).then_some(()));
+    let knows =
+        |f: &Fleet, n: usize| f.json(n, "/duties")["token"] == format!("{}-{}", grown.0, grown.1);
+    fleet.wait("the others to know of it", |f| {
+        late.iter().all(|n| knows(f, *n)).then_some(())
+    });
     fleet.faults.let_go();
     for n in &late {
         let refused = |l: &str| holdings::field(l, "cause") == Some("token");
@@ -94,7 +123,9 @@
     }
     fleet.proxies[first].signal("-CONT");
     let over = |f: &Fleet| holdings::events(&f.log(first), "duty_over").count() > 0;
-    fleet.wait("the stopped holder to find its holding over", |f| over(f).then_some(()));
+    fleet.wait("the stopped holder to find its holding over", |f| {
+        over(f).then_some(())
+    });
     load.back(&fleet, &[first]);
     assert!(fleet.stepped("w0", "done").token >= grown);
     fleet.out_and_back_once(&rest, &window);
@@ -106,7 +137,10 @@
 /// holder for longer than a proxy goes by a holder's last word. On every side the first opens on time and closes on
 /// time, and the second waits for it until its own time is over.
 fn parted(
-    name: &str, seed: u64, (begin, lasts, lead): (f64, f64, u32), step: &str,
+    name: &str,
+    seed: u64,
+    (begin, lasts, lead): (f64, f64, u32),
+    step: &str,
     cut: impl Fn(&Fleet, usize, &Window),
 ) -> Fleet {
     let (backends, fleet) = fleet(seed, 6, shape());
@@ -124,38 +158,65 @@
     fleet.until(&ALL, ALL.len() - 1);
     fleet.stepped("w1", "refused");
     for n in ALL {
-        assert_eq!(fleet.moves(n, "b2").0, [0; 0], "proxy {n} went below the floor");
+        assert_eq!(
+            fleet.moves(n, "b2").0,
+            [0; 0],
+            "proxy {n} went below the floor"
+        );
     }
-    check(name, &fleet, &backends, &load.end(), &window.shut(window.begin));
+    check(
+        name,
+        &fleet,
+        &backends,
+        &load.end(),
+        &window.shut(window.begin),
+    );
     fleet
 }
 
 #[test]
 fn windows_are_kept_on_time_with_the_holder_in_the_minority() {
-    let fleet = parted("holder in the minority", 29, PLAN, "planned", |fleet, holder, _| {
-        fleet.faults.split(&[&[holder], &but(holder)]);
-        fleet.holder(&[holder]);
-    });
+    let fleet = parted(
+        "holder in the minority",
+        29,
+        PLAN,
+        "planned",
+        |fleet, holder, _| {
+            fleet.faults.split(&[&[holder], &but(holder)]);
+            fleet.holder(&[holder]);
+        },
+    );
     assert!(fleet.stepped("w0", "done").token >= fleet.stepped("w0", "draining").token);
 }
 
 /// Cut off in an open window, the minority restores at its end by itself.
 #[test]
 fn windows_are_kept_on_time_with_the_holder_in_the_majority() {
-    let fleet = parted("holder in the majority", 31, PLAN, "open", |fleet, holder, _| {
-        let voters = [0, 1, 2].into_iter().filter(|v| *v != holder).take(2);
-        let side: Vec<usize> = voters.chain([holder]).collect();
-        let other: Vec<usize> = ALL.into_iter().filter(|n| !side.contains(n)).collect();
-        fleet.faults.split(&[&side, &other]);
-    });
+    let fleet = parted(
+        "holder in the majority",
+        31,
+        PLAN,
+        "open",
+        |fleet, holder, _| {
+            let voters = [0, 1, 2].into_iter().filter(|v| *v != holder).take(2);
+            let side: Vec<usize> = voters.chain([holder]).collect();
+            let other: Vec<usize> = ALL.into_iter().filter(|n| !side.contains(n)).collect();
+            fleet.faults.split(&[&side, &other]);
+        },
+    );
     fleet.stepped("w0", "done");
 }
 
 #[test]
 fn windows_are_kept_on_time_without_any_majority() {
-    let fleet = parted("no majority", 37, PLAN, "planned", |fleet, _, _| fleet.faults.split(&[&[3, 4]]));
+    let fleet = parted("no majority", 37, PLAN, "planned", |fleet, _, _| {
+        fleet.faults.split(&[&[3, 4]])
+    });
     let said = |n: &usize| holdings::events(&fleet.log(*n), "duty_no_majority").count() > 0;
-    assert!(ALL.iter().any(said), "nobody said that there is no majority");
+    assert!(
+        ALL.iter().any(said),
+        "nobody said that there is no majority"
+    );
     fleet.stepped("w0", "refused"); // nobody held the duty in all its time
 }
 
@@ -163,8 +224,12 @@
 /// though less than the lead is left: its backends do not come back in between.
 #[test]
 fn a_holder_that_comes_back_in_an_open_window_takes_it_over() {
-    let fleet =
-        parted("no majority, healed in the window", 53, (16.0, 10.0, 8), "planned", |fleet, _, window| {
+    let fleet = parted(
+        "no majority, healed in the window",
+        53,
+        (16.0, 10.0, 8),
+        "planned",
+        |fleet, _, window| {
             fleet.faults.split(&[&[3, 4]]);
             let out = |f: &Fleet| ALL.iter().all(|n| !f.moves(*n, "b0").0.is_empty());
             fleet.wait("all to drain by themselves", |f| out(f).then_some(()));
@@ -172,14 +237,16 @@
                 (mono_us() > window.end - 7_000_000).then_some(())
             });
             fleet.faults.heal();
-        });
+        },
+    );
     fleet.stepped("w0", "done");
 }
 
 #[test]
 fn windows_are_kept_on_time_while_nobody_hears_the_holder() {
     let fleet = parted("one way cut", 41, PLAN, "planned", |fleet, holder, _| {
-        fleet.faults.rules.lock().unwrap().cut = but(holder).into_iter().map(|n| (holder, n)).collect();
+        fleet.faults.rules.lock().unwrap().cut =
+            but(holder).into_iter().map(|n| (holder, n)).collect();
         fleet.holder(&[holder]);
     });
     fleet.stepped("w0", "done");
@@ -200,9 +267,13 @@
     fleet.kill(&voters);
     voters.iter().for_each(|n| fleet.restart(*n));
     let knows = |f: &Fleet| voters.iter().all(|n| !f.moves(*n, "b0").0.is_empty());
-    fleet.wait("the new processes to be told of the window", |f| knows(f).then_some(()));
+    fleet.wait("the new processes to be told of the window", |f| {
+        knows(f).then_some(())
+    });
     load.back(&fleet, &voters);
-    let (_, after) = fleet.wait("a new holder", |f| Some(f.holder(&[])).filter(|(_, t)| *t > before));
+    let (_, after) = fleet.wait("a new holder", |f| {
+        Some(f.holder(&[])).filter(|(_, t)| *t > before)
+    });
     assert!(after.0 > before.0, "{after:?} after {before:?}");
     fleet.out_and_back_once(&ALL, &window);
     fleet.stepped("w0", "done");
@@ -211,7 +282,13 @@
     ALL.iter().for_each(|n| fleet.restart(*n));
     let (_, last) = fleet.holder(&[]);
     assert!(last.0 > after.0, "{last:?} after {after:?}");
-    check("all voters killed", &fleet, &backends, &load.end(), &window.shut(draining + GRACE_US));
+    check(
+        "all voters killed",
+        &fleet,
+        &backends,
+        &load.end(),
+        &window.shut(draining + GRACE_US),
+    );
 }
 
 /// Three windows of two backends each want the same time, of eight of which three fifths have to stay ready: they run one
@@ -219,7 +296,14 @@
 /// would take three does not fit beside the dead one: it is refused when its time is over.
 #[test]
 fn the_budget_lets_windows_run_one_after_the_other() {
-    let (backends, mut fleet) = fleet(47, 8, Shape { floor: 0.6, ..shape() });
+    let (backends, mut fleet) = fleet(
+        47,
+        8,
+        Shape {
+            floor: 0.6,
+            ..shape()
+        },
+    );
     let load = Load::start(&fleet, PAUSE);
     let (first, _) = fleet.holder(&[]);
     let put = |at, id, ids: &[&str], begin, end| fleet.put(at, id, ids, begin, end - begin, 2);
@@ -232,7 +316,10 @@
     fleet.stepped("w0", "open");
     let waits = |id: &str| {
         let list = fleet.json((first + 1) % 5, "/windows").to_string();
-        assert!(list.contains("waiting"), "{id} does not say what it waits for: {list}");
+        assert!(
+            list.contains("waiting"),
+            "{id} does not say what it waits for: {list}"
+        );
     };
     waits("w1");
     backends[7].die();
@@ -241,13 +328,27 @@
     fleet.end(first);
     let rest = but(first);
     fleet.stepped("w3", "refused");
-    assert!(fleet.steps("w3").iter().all(|d| d.to != "draining"), "{:?}", fleet.steps("w3"));
+    assert!(
+        fleet.steps("w3").iter().all(|d| d.to != "draining"),
+        "{:?}",
+        fleet.steps("w3")
+    );
     for pair in windows.windows(2) {
-        let (over, next) =
-            (fleet.stepped(&pair[0].id, "restoring").at, fleet.stepped(&pair[1].id, "draining").at);
-        assert!(over <= next, "{} drained {} us before {} was back", pair[1].id, over - next, pair[0].id);
+        let (over, next) = (
+            fleet.stepped(&pair[0].id, "restoring").at,
+            fleet.stepped(&pair[1].id, "draining").at,
+        );
+        assert!(
+            over <= next,
+            "{} drained {} us before {} was back",
+            pair[1].id,
+            over - next,
+            pair[0].id
+        );
     }
-    windows.iter().for_each(|w| fleet.out_and_back_once(&rest, w));
+    windows
+        .iter()
+        .for_each(|w| fleet.out_and_back_once(&rest, w));
     let shut = decided(&fleet, &[&windows[0], &windows[1], &windows[2]]);
     check("budget", &fleet, &backends, &load.end(), &shut);
 }
--- a/tests/withdraw.rs
+++ b/tests/withdraw.rs
@@ -10,7 +10,13 @@
 }
 
 fn host(seed: u64) -> Host {
-    let mut host = Host::new(Config { proxies: 1, ..Config::example() }, seed);
+    let mut host = Host::new(
+        Config {
+            proxies: 1,
+            ..Config::example()
+        },
+        seed,
+    );
     host.members(ListUpdate::Full, fleet());
     host
 }
@@ -21,7 +27,11 @@
     for _ in 0..rounds {
         let ids = host.burst(4, 0, 500_000);
         host.serve_all(20_000);
-        sent += ids.iter().flat_map(|id| host.sent_to(*id)).filter(|b| *b == 0).count();
+        sent += ids
+            .iter()
+            .flat_map(|id| host.sent_to(*id))
+            .filter(|b| *b == 0)
+            .count();
     }
     sent
 }
@@ -31,13 +41,23 @@
 fn nothing_undoes_a_ban_but_the_call_back() {
     let mut host = host(5);
     assert!(sent_to_first(&mut host, 20) > 0);
-    host.event(Event::Withdraw { backend: BackendId(0) });
-    host.event(Event::Withdraw { backend: BackendId(0) });
+    host.event(Event::Withdraw {
+        backend: BackendId(0),
+    });
+    host.event(Event::Withdraw {
+        backend: BackendId(0),
+    });
     assert_eq!(sent_to_first(&mut host, 20), 0);
     host.members(ListUpdate::Full, fleet());
     assert_eq!(sent_to_first(&mut host, 20), 0, "a whole list");
     let booted = Some(host.now);
-    host.members(ListUpdate::Changes, vec![Backend { booted, ..backend(0, 0, 0) }]);
+    host.members(
+        ListUpdate::Changes,
+        vec![Backend {
+            booted,
+            ..backend(0, 0, 0)
+        }],
+    );
     assert_eq!(sent_to_first(&mut host, 20), 0, "a new start");
     host.members(ListUpdate::Full, fleet().split_off(1));
     host.members(ListUpdate::Full, fleet());
@@ -47,7 +67,10 @@
     host.advance(600_000);
     assert!(host.sent_to(id).is_empty(), "the only one left");
     host.members(ListUpdate::Full, fleet());
-    host.event(Event::Restore { backend: BackendId(0), since: host.now });
+    host.event(Event::Restore {
+        backend: BackendId(0),
+        since: host.now,
+    });
     host.advance(1_000_000);
     assert!(sent_to_first(&mut host, 50) > 0, "one call ends it");
 }
@@ -58,9 +81,15 @@
     let mut host = host(6);
     host.members(ListUpdate::Full, fleet().drain(..1).collect());
     let ids = host.burst(40, 0, 500_000);
-    let waiting: Vec<_> = ids.iter().filter(|id| host.sent_to(**id).is_empty()).copied().collect();
+    let waiting: Vec<_> = ids
+        .iter()
+        .filter(|id| host.sent_to(**id).is_empty())
+        .copied()
+        .collect();
     assert!(!waiting.is_empty() && waiting.len() < ids.len());
-    host.event(Event::Withdraw { backend: BackendId(0) });
+    host.event(Event::Withdraw {
+        backend: BackendId(0),
+    });
     host.serve_all(20_000);
     assert!(waiting.iter().all(|id| host.sent_to(*id).is_empty()));
     host.members(ListUpdate::Changes, fleet().split_off(1));
@@ -80,14 +109,27 @@
         host.advance(20_000);
         for (id, no) in host.out() {
             let first = host.requests[&id].tries[no].backend == BackendId(0);
-            host.end(id, no, if first { Outcome::ConnectFailed } else { Outcome::Ok });
+            host.end(
+                id,
+                no,
+                if first {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         drop(ids);
     }
     assert!(sent_to_first(&mut host, 3) <= 1, "ejected");
-    host.event(Event::Withdraw { backend: BackendId(0) });
+    host.event(Event::Withdraw {
+        backend: BackendId(0),
+    });
     host.advance(500_000);
-    host.event(Event::Restore { backend: BackendId(0), since: host.now });
+    host.event(Event::Restore {
+        backend: BackendId(0),
+        since: host.now,
+    });
     let cold = sent_to_first(&mut host, 100);
     assert!(cold > 0 && cold < usual * 2 / 3, "{cold} of {usual}");
     host.advance(20_000_000);
--- a/tests/words.rs
+++ b/tests/words.rs
@@ -9,8 +9,17 @@
 
 /// One proxy of twelve with four backends, each of which has answered it.
 fn proxy() -> Host {
-    let mut host = Host::new(Config { proxies: 12, ..Config::example() }, 3);
-    host.members(ListUpdate::Full, (0..4).map(|id| backend(id, 0, 0)).collect());
+    let mut host = Host::new(
+        Config {
+            proxies: 12,
+            ..Config::example()
+        },
+        3,
+    );
+    host.members(
+        ListUpdate::Full,
+        (0..4).map(|id| backend(id, 0, 0)).collect(),
+    );
     play(&mut host, 1_000);
     host
 }
@@ -33,17 +42,31 @@
 /// Another proxy's verdict on backend 0.
 fn hear(host: &mut Host, origin: u32, verdict: Verdict, age_ms: u64, turn: u32) {
     let (backend, origin, age) = (BackendId(0), Some(OriginId(origin)), Micros(age_ms * 1_000));
-    host.event(Event::Heard(Heard { backend, origin, verdict, age, bound: BOUND, others: 11, turn }));
+    host.event(Event::Heard(Heard {
+        backend,
+        origin,
+        verdict,
+        age,
+        bound: BOUND,
+        others: 11,
+        turn,
+    }));
 }
 
-const OUT: Verdict = Verdict::Out { term: Micros(1_000_000), strikes: 1 };
+const OUT: Verdict = Verdict::Out {
+    term: Micros(1_000_000),
+    strikes: 1,
+};
 
 #[test]
 fn two_words_take_a_backend_out_one_does_not_and_back_returns_it() {
     let mut host = proxy();
     hear(&mut host, 1, OUT, 0, 3);
     hear(&mut host, 1, OUT, 0, 3);
-    assert!(play(&mut host, 400)[0] > 0, "one proxy's word, twice, took it out");
+    assert!(
+        play(&mut host, 400)[0] > 0,
+        "one proxy's word, twice, took it out"
+    );
     hear(&mut host, 1, OUT, 0, 3);
     hear(&mut host, 2, OUT, 0, 3);
     assert_eq!(play(&mut host, 800)[0], 0, "two words, and it was used");
@@ -59,8 +82,15 @@
     hear(&mut host, 2, OUT, 900, 0);
     hear(&mut host, 3, OUT, 6_000, 0);
     hear(&mut host, 4, OUT, 7_000, 0);
-    assert!(play(&mut host, 800)[0] > 0, "an older verdict won over its own answer");
-    assert!(host.told.is_empty(), "words of others are not told on: {:?}", host.told);
+    assert!(
+        play(&mut host, 800)[0] > 0,
+        "an older verdict won over its own answer"
+    );
+    assert!(
+        host.told.is_empty(),
+        "words of others are not told on: {:?}",
+        host.told
+    );
 }
 
 /// The trial goes to the proxy whose turn it is; the others wait a first term each, and no longer than the bound.
@@ -70,9 +100,17 @@
         let mut host = proxy();
         hear(&mut host, 1, OUT, 0, turn);
         hear(&mut host, 2, OUT, 0, turn);
-        assert_eq!(play(&mut host, from_ms - 100)[0], 0, "turn {turn}: tried before it");
+        assert_eq!(
+            play(&mut host, from_ms - 100)[0],
+            0,
+            "turn {turn}: tried before it"
+        );
         let tried = play(&mut host, until_ms - from_ms + 100)[0];
         assert!(tried > 0, "turn {turn}: not tried by {until_ms} ms");
-        assert_eq!(host.told, [(BackendId(0), Verdict::Back)], "turn {turn}: good trials are told once");
+        assert_eq!(
+            host.told,
+            [(BackendId(0), Verdict::Back)],
+            "turn {turn}: good trials are told once"
+        );
     }
 }
