--- a/benches/module.rs
+++ b/benches/module.rs
@@ -40,12 +40,12 @@
 fn entry(id: u32, booted: Option<Time>) -> Backend {
     Backend {
         id: BackendId(id),
-        mark: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
+        address_hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
         zone: ZoneId(id % ZONES),
         cell: CellId(u64::from(id / 8)),
         kind: KindId(id / 7 % KINDS),
         state: BackendState::Ready,
-        booted,
+        started_at: booted,
     }
 }
 
@@ -54,14 +54,14 @@
     let class = cfg.classes[0].clone();
     let effect = |n| {
         if n % 3 == 1 {
-            Effect::Unsafe
+            Idempotency::NonIdempotent
         } else {
-            Effect::Free
+            Idempotency::Idempotent
         }
     };
     cfg.classes = (0..classes)
-        .map(|n| Class {
-            effect: effect(n),
+        .map(|n| RequestClass {
+            idempotency: effect(n),
             ..class.clone()
         })
         .collect();
@@ -70,7 +70,7 @@
             quota_per_s: 250_000.0 / tenants as f64,
         })
         .collect();
-    (cfg.proxies, cfg.position, cfg.cross_zone_cost) = (PROXIES, 700, 0.02);
+    (cfg.proxy_count, cfg.proxy_index, cfg.cross_zone_cost) = (PROXIES, 700, 0.02);
     cfg
 }
 
@@ -131,8 +131,11 @@
                     return;
                 };
                 let sent = self.sent.remove(&request).unwrap_or(self.now);
-                let (request, attempt, latency) =
-                    (RequestId(request), AttemptNo(0), Micros(self.now - sent));
+                let (request, attempt, latency) = (
+                    RequestId(request),
+                    AttemptNumber(0),
+                    Micros(self.now - sent),
+                );
                 let (outcome, settled) = (Outcome::Ok, true);
                 self.tell(
                     "end",
@@ -141,13 +144,13 @@
                         attempt,
                         outcome,
                         latency,
-                        settled,
+                        answered: settled,
                     }),
                 );
             } else if let Some(Reverse((_, token))) = self.timers.pop() {
                 self.tell(
                     "timer",
-                    Event::Timer {
+                    Event::TimerFired {
                         token: TimerToken(token),
                     },
                 );
@@ -171,13 +174,13 @@
             let tenant = (tenants > 0).then(|| TenantId(self.draw() as usize % tenants));
             self.tell(
                 what,
-                Event::Request(Arrival {
+                Event::RequestArrived(RequestArrival {
                     request: RequestId(first + n),
                     class: ClassId(class),
                     tenant,
                     time_left: Micros(2_000_000),
                     work_hint: None,
-                    repeat: false,
+                    client_retry: false,
                 }),
             );
         }
@@ -196,11 +199,11 @@
         times: Times::default(),
     };
     let mut list: Vec<Backend> = (0..backends).map(|id| entry(id, None)).collect();
-    let members = |update, backends: &[Backend]| Event::Members {
+    let members = |update, backends: &[Backend]| Event::EndpointsUpdated {
         update,
         backends: backends.to_vec(),
     };
-    bench.tell("first list", members(ListUpdate::Full, &list));
+    bench.tell("first list", members(EndpointUpdate::Full, &list));
     bench.requests("warm up", 0, 117 * 5, classes, tenants);
     bench.times.0.clear();
     let requests = 117 * SECONDS;
@@ -210,24 +213,27 @@
         let at = (n * 97) % list.len();
         let booted = Some(Time(bench.now - 1_000));
         list[at] = entry(list[at].id.0, booted);
-        bench.tell("one line", members(ListUpdate::Changes, &list[at..=at]));
+        bench.tell(
+            "one line",
+            members(EndpointUpdate::Incremental, &list[at..=at]),
+        );
         bench.requests("request after it", 20_000 + n as u64, 1, classes, tenants);
     }
     for n in 0..5 {
         let fresh = list.len() as u32;
         list.remove(n * 7 % 50);
         list.push(entry(fresh + n as u32, None));
-        bench.tell("whole list", members(ListUpdate::Full, &list));
+        bench.tell("whole list", members(EndpointUpdate::Full, &list));
         bench.requests("request after that", 30_000 + n as u64, 1, classes, tenants);
     }
     // A zone comes back cold.
     let (now, zone) = (bench.now, ZoneId(3));
     let cold = list.iter().filter(|b| b.zone == zone).map(|b| Backend {
-        booted: Some(Time(now)),
+        started_at: Some(Time(now)),
         ..b.clone()
     });
     let cold: Vec<Backend> = cold.collect();
-    bench.tell("a zone starts", members(ListUpdate::Changes, &cold));
+    bench.tell("a zone starts", members(EndpointUpdate::Incremental, &cold));
     bench.requests("request, zone cold", 40_000, 117 * 5, classes, tenants);
     let order = [
         "request",
--- a/benches/scale/balance.rs
+++ b/benches/scale/balance.rs
@@ -35,8 +35,8 @@
 impl Balance {
     pub fn new(load: Load, position: u32, proxies: u32, seed: u64, now: Time) -> Balance {
         let config = Config {
-            proxies,
-            position,
+            proxy_count: proxies,
+            proxy_index: position,
             max_attempts: 4,
             ..Config::example()
         };
@@ -52,15 +52,15 @@
         };
         let one = |id: u32| Backend {
             id: BackendId(id),
-            mark: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
+            address_hash: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
             state: BackendState::Ready,
             ..Backend::default()
         };
         let backends = (0..load.backends).map(one).collect();
         balance.event(
             now,
-            Event::Members {
-                update: ListUpdate::Full,
+            Event::EndpointsUpdated {
+                update: EndpointUpdate::Full,
                 backends,
             },
         );
@@ -89,7 +89,7 @@
                     self.due.push(Reverse((at + self.gap(), Due::Arrival)));
                     self.arrival()
                 }
-                Due::Timer(token) => Event::Timer {
+                Due::Timer(token) => Event::TimerFired {
                     token: TimerToken(token),
                 },
                 Due::End(request, attempt, backend, sent) => {
@@ -102,14 +102,14 @@
         std::mem::take(&mut self.told)
     }
 
-    pub fn heard(&mut self, backend: &str, heard: Heard, now: Time) {
+    pub fn heard(&mut self, backend: &str, heard: PeerVerdict, now: Time) {
         let Some(id) = backend.strip_prefix('b').and_then(|n| n.parse().ok()) else {
             return;
         };
         let begun = Instant::now();
         self.event(
             now,
-            Event::Heard(Heard {
+            Event::VerdictReceived(PeerVerdict {
                 backend: BackendId(id),
                 ..heard
             }),
@@ -119,13 +119,13 @@
 
     fn arrival(&mut self) -> Event {
         self.next += 1;
-        Event::Request(Arrival {
+        Event::RequestArrived(RequestArrival {
             request: RequestId(self.next),
             class: ClassId(0),
             tenant: None,
             time_left: Micros(3_000_000),
             work_hint: None,
-            repeat: false,
+            client_retry: false,
         })
     }
 
@@ -136,14 +136,14 @@
         }
         Event::AttemptEnded(AttemptEnd {
             request,
-            attempt: AttemptNo(attempt),
+            attempt: AttemptNumber(attempt),
             outcome: if ok {
                 Outcome::Ok
             } else {
                 Outcome::ConnectFailed
             },
             latency: Micros(took),
-            settled: ok,
+            answered: ok,
         })
     }
 
@@ -167,8 +167,10 @@
                     self.due
                         .push(Reverse((now.0 + after.0, Due::Timer(token.0))));
                 }
-                Action::Tell { backend, verdict } => self.told.push((name(backend), verdict)),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::PublishVerdict { backend, verdict } => {
+                    self.told.push((name(backend), verdict))
+                }
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.tries.remove(&request);
                 }
                 _ => {}
--- a/benches/scale/clockwork.rs
+++ b/benches/scale/clockwork.rs
@@ -4,7 +4,7 @@
 use super::balance::Balance;
 use super::figures::{quantiles, Row};
 use super::fleet::{STORM, TROUBLE};
-use super::hollow::{Change, Heard};
+use super::hollow::{Change, PeerVerdict};
 use super::learned::learned;
 use super::plan::{Plan, REGIONS, ZONES};
 use super::protocol::{Absence, Cut, Faults, Learned, Load, LATE_US};
@@ -44,7 +44,7 @@
     rejoined: u64,
     told: u64,
     heard: u64,
-    news: Vec<Heard>,
+    news: Vec<PeerVerdict>,
 }
 
 pub struct Clockwork {
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -10,7 +10,7 @@
 
 /// What is wrong with the holder's datagrams while its change is under way.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum PeerVerdict {
     /// Nobody hears it, and so nobody else has the change.
     Nobody,
     /// All hear it, and it hears nobody: the voters have the change, and it does not know so.
@@ -30,11 +30,15 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 impl Play {
-    pub fn without_holder(&mut self, heard: Heard, fate: Fate) {
+    pub fn without_holder(&mut self, heard: PeerVerdict, fate: Fate) {
         let name = format!(
             "holder {}, heard by {}",
             words(fate),
-            if heard == Heard::All { "all" } else { "nobody" }
+            if heard == PeerVerdict::All {
+                "all"
+            } else {
+                "nobody"
+            }
         );
         self.watch(&name, Duration::ZERO, |play| {
             let mut done = Done {
@@ -50,17 +54,22 @@
         self.settle();
     }
 
-    fn lose_holder(&mut self, heard: Heard, fate: Fate, done: &mut Done) -> Result<String, String> {
+    fn lose_holder(
+        &mut self,
+        heard: PeerVerdict,
+        fate: Fate,
+        done: &mut Done,
+    ) -> Result<String, String> {
         let (at, token) = self.fleet.holder(None).ok_or("nobody holds the duty")?;
         let base = self.change_surely(at + 1)?.version;
         self.reach(base, "a change before")?;
         let holder = self.fleet.real[at].number;
         self.fleet.isolate(match heard {
-            Heard::Nobody => Isolation {
+            PeerVerdict::Nobody => Isolation {
                 mute: Some(holder),
                 deaf: None,
             },
-            Heard::All => Isolation {
+            PeerVerdict::All => Isolation {
                 mute: None,
                 deaf: Some(holder),
             },
@@ -71,8 +80,9 @@
         caller.send(&call(&line, &body));
         let begun = || self.fleet.real[at].json("/config")["proposed"].is_u64();
         let begun = wait(Duration::from_secs(2), begun);
-        let kept = heard == Heard::All && wait(Duration::from_secs(2), || self.kept(at, &line));
-        if !begun || (heard == Heard::All && !kept) {
+        let kept =
+            heard == PeerVerdict::All && wait(Duration::from_secs(2), || self.kept(at, &line));
+        if !begun || (heard == PeerVerdict::All && !kept) {
             return Err(format!(
                 "not in the middle of a change: proposed {begun}, kept by the voters {kept}"
             ));
@@ -159,7 +169,7 @@
         number: u32,
         from: u64,
         line: &str,
-        heard: Heard,
+        heard: PeerVerdict,
         fate: Fate,
     ) -> Result<String, String> {
         let get = line.replace("PUT", "GET");
@@ -185,9 +195,9 @@
         let everywhere = real_with == self.fleet.real.len() && hollow_without == 0;
         let nowhere = real_without == self.fleet.real.len() && hollow_with == 0;
         let due = match (heard, fate) {
-            (Heard::All, _) => everywhere, // a majority of the voters kept it
-            (Heard::Nobody, Fate::Killed) => nowhere,
-            (Heard::Nobody, _) => everywhere || nowhere,
+            (PeerVerdict::All, _) => everywhere, // a majority of the voters kept it
+            (PeerVerdict::Nobody, Fate::Killed) => nowhere,
+            (PeerVerdict::Nobody, _) => everywhere || nowhere,
         };
         if due && wrong.is_empty() {
             Ok(told)
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -43,13 +43,13 @@
     Down,
     Replaced,
     /// A probe of that number, see [`probe`].
-    Heard,
+    PeerVerdict,
     /// A change of that number, see [`change`].
     InForce,
 }
 
 /// When, of whom, and what.
-pub type Heard = (u64, u32, Change);
+pub type PeerVerdict = (u64, u32, Change);
 
 /// The name of a backend that is none: a verdict on it only shows how it spreads.
 pub fn probe(number: u32) -> String {
@@ -70,7 +70,7 @@
     pub balancer: Cell<Duration>,
     /// Of proxies that are gone.
     pub past: RefCell<Counts>,
-    pub news: RefCell<Vec<Heard>>,
+    pub news: RefCell<Vec<PeerVerdict>>,
 }
 
 pub struct Hollow {
@@ -255,7 +255,7 @@
             News::Rejoined { .. } => self.tally.rejoined.set(self.tally.rejoined.get() + 1),
             News::Heard(backend, heard) => {
                 if let Some(number) = backend.strip_prefix("probe-").and_then(|n| n.parse().ok()) {
-                    self.keep(number, Change::Heard);
+                    self.keep(number, Change::PeerVerdict);
                 } else if let Some(balance) = self.balance.borrow_mut().as_mut() {
                     balance.heard(&backend, heard, Time(mono_us()));
                 }
--- a/benches/scale/in_force.rs
+++ b/benches/scale/in_force.rs
@@ -1,13 +1,13 @@
 //! When changes of the configuration were in force at the last proxy.
 
-use super::hollow::{Change, Heard};
+use super::hollow::{Change, PeerVerdict};
 use super::protocol::Absence;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Milliseconds until each change, by its number and when it was asked for, was in force at the last of these proxies;
 /// `None` where it is not at some. Those that were absent meanwhile are not asked.
 pub fn slowest<'a>(
-    asked: impl Iterator<Item = (u32, &'a [Heard])>,
+    asked: impl Iterator<Item = (u32, &'a [PeerVerdict])>,
     absences: &[Absence],
     changes: &[(u32, u64)],
 ) -> BTreeMap<u32, Option<u32>> {
--- a/benches/scale/learned.rs
+++ b/benches/scale/learned.rs
@@ -1,6 +1,6 @@
 //! What the proxies learned of each other, and when.
 
-use super::hollow::{Change, Heard};
+use super::hollow::{Change, PeerVerdict};
 use super::plan::Plan;
 use super::protocol::{Absence, Cut, Learned};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -12,7 +12,7 @@
 /// What these proxies learned since then; those that were absent themselves are not asked.
 pub fn learned<'a>(
     plan: &Plan,
-    asked: impl Iterator<Item = (u32, &'a [Heard])>,
+    asked: impl Iterator<Item = (u32, &'a [PeerVerdict])>,
     since: u64,
     absences: &[Absence],
     probes: &[(u32, u64)],
@@ -67,7 +67,7 @@
             count(
                 2,
                 *told,
-                first(*probe, *told, &[Change::Heard, Change::InForce]),
+                first(*probe, *told, &[Change::PeerVerdict, Change::InForce]),
             );
         }
     }
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -2,7 +2,7 @@
 
 use super::figures::{Row, Spread, HOLLOW};
 use super::fleet::{Changed, Fleet, Whole, STORM, TROUBLE};
-use super::holder::{Fate, Heard};
+use super::holder::{Fate, PeerVerdict};
 use super::hollow::mono_us;
 use super::protocol::{Absence, Cut, Faults, Load};
 use super::rows::{self, ALL_REAL};
@@ -139,8 +139,8 @@
             "changes-region" => self.changes_while_cut(),
             "changes-holder" => {
                 for fate in [Fate::Killed, Fate::Stopped, Fate::CutOff] {
-                    self.without_holder(Heard::Nobody, fate);
-                    self.without_holder(Heard::All, fate);
+                    self.without_holder(PeerVerdict::Nobody, fate);
+                    self.without_holder(PeerVerdict::All, fate);
                 }
             }
             "loss" => {
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -61,7 +61,8 @@
                 cluster,
                 max_age_s,
             } => {
-                let (cluster, max_age) = (wire::cluster(&cluster), Micros::from_secs(max_age_s));
+                let (cluster, max_age) =
+                    (wire::cluster(&cluster), Micros::from_secs_f64(max_age_s));
                 self.plan = Some((
                     plan,
                     Rules {
@@ -91,7 +92,7 @@
                 let hollow = self.places.get(&proxy).and_then(|p| p.hollow.as_ref());
                 hollow
                     .ok_or(format!("proxy {proxy} is not there"))?
-                    .tell(probe(number), Verdict::Back);
+                    .tell(probe(number), Verdict::Readmitted);
             }
             Command::Sample => return Ok(Reply::Sample(self.sample())),
             Command::Learned {
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -188,7 +188,7 @@
 fn amendments(name: &str, size: Size) {
     let text: serde_json::Value = serde_json::from_str(&settings(size, 1.0)).unwrap();
     let mut tables = InForce::first(&Settings::of(&text, Reading::default())).unwrap();
-    let mut balancer = Balancer::of(tables.config.clone(), 1);
+    let mut balancer = Balancer::from_validated(tables.config.clone(), 1);
     let mut took = Vec::new();
     for n in 0..AMENDMENTS {
         let one = match size.tenants {
@@ -208,18 +208,18 @@
         let Change {
             to,
             retired,
-            revived,
-            heirs,
+            reinstated,
+            successors,
             ..
         } = tables.amend(&[one]).unwrap();
         let config = Box::new(to.config.clone());
         balancer.handle(
             Time(1),
-            Event::Settings {
+            Event::ConfigChanged {
                 config,
                 retired,
-                revived,
-                heirs,
+                reinstated,
+                successors,
             },
             &mut Vec::new(),
         );
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -31,14 +31,14 @@
 /// is less: should the call hang after all, what comes before the next one still fits into the 6 s. That is a pause
 /// of half the gap, or the gap where the module repeats its question meanwhile.
 pub fn in_line(proxies: u32, within: Micros) -> Micros {
-    let half = within.secs() / 2.0;
+    let half = within.as_secs_f64() / 2.0;
     let gap = longest(proxies).min(half);
     let behind = if half < LINE {
         gap
     } else {
         (FIRST + gap) / 2.0
     };
-    Micros::from_secs((MOST - behind).clamp(CALL_PATIENCE.secs(), LINE))
+    Micros::from_secs_f64((MOST - behind).clamp(CALL_PATIENCE.as_secs_f64(), LINE))
 }
 
 /// A proxy's calls. A gap runs from the beginning of one to the next and not from a failure on: so a call that hangs
@@ -65,13 +65,13 @@
 
     /// A call failed, at one of so many proxies of which each has to ask `within` so long; `drawn` is even in 0..1.
     pub fn failed(&mut self, now: Time, proxies: u32, within: Micros, drawn: f64) {
-        let most = longest(proxies).min(within.secs() / 2.0);
+        let most = longest(proxies).min(within.as_secs_f64() / 2.0);
         let next = (self.gap * 2.0).clamp(FIRST, most.max(FIRST));
         let least = if self.gap < next { GROWING } else { GROWN };
         self.gap = next;
-        let gap = Micros::from_secs(self.gap * (least + (1.0 - least) * drawn));
+        let gap = Micros::from_secs_f64(self.gap * (least + (1.0 - least) * drawn));
         // It may have hung for longer than the gap, at all proxies alike: they are not to stay in step.
-        let pause = Micros::from_secs((FIRST + self.gap * drawn) / 2.0);
+        let pause = Micros::from_secs_f64((FIRST + self.gap * drawn) / 2.0);
         self.at = Some((self.begun + gap).max(now + pause));
     }
 
@@ -89,7 +89,7 @@
         let due = self.at.is_some_and(|at| now >= at);
         if due {
             // Unanswered so long, the call itself was lost.
-            (self.at, self.begun) = (Some(now + within.times(0.5)), now);
+            (self.at, self.begun) = (Some(now + within.mul_f64(0.5)), now);
         }
         due
     }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -235,9 +235,9 @@
         l.health = 1.0 - p.errors;
         l.silent = p.silent;
         l.offered = offered;
-        let boot = p.entry.booted.max(p.back);
-        l.warm_at = boot.map_or(Time(0), |boot| boot + Micros(cfg.ramp.0.max(1)));
-        let warm_before = boot.map_or(Time(0), |_| l.warm_at + cfg.fall_window);
+        let boot = p.entry.started_at.max(p.back);
+        l.warm_at = boot.map_or(Time(0), |boot| boot + Micros(cfg.slow_start.0.max(1)));
+        let warm_before = boot.map_or(Time(0), |_| l.warm_at + cfg.overload_window);
         l.plain_at = p.full_until.max(warm_before);
         let (n, ejected) = (at as u32, p.ejected.is_some());
         member(&mut self.busy, n, l.out > 0, p.out > 0);
@@ -294,7 +294,8 @@
         let same = all.all(|(at, (p, l))| {
             let (n, g) = (at as u32, &self.groups[l.group as usize]);
             let placed = p.entry.id == self.ids[at]
-                && (p.entry.kind, p.entry.zone, p.entry.mark) == (l.kind, l.zone, self.marks[at])
+                && (p.entry.kind, p.entry.zone, p.entry.address_hash)
+                    == (l.kind, l.zone, self.marks[at])
                 && (g.kind, self.zones[l.place as usize]) == (l.kind, l.zone)
                 && g.members[l.weigh_at as usize] == n;
             let read = (
@@ -369,13 +370,13 @@
             }
             same
         });
-        fresh.retain(|entry| entry.state != BackendState::Gone);
+        fresh.retain(|entry| entry.state != BackendState::Removed);
         let gone: Vec<BackendId> = std::mem::take(&mut self.gone);
         let (mut left, mut out) = (Vec::new(), Vec::new());
         for id in gone {
             match self.find(id).map(|at| (at, &self.records[at])) {
-                Some((_, p)) if p.entry.state == BackendState::Gone && kept(p) => left.push(id),
-                Some((at, p)) if p.entry.state == BackendState::Gone => out.push(at),
+                Some((_, p)) if p.entry.state == BackendState::Removed && kept(p) => left.push(id),
+                Some((at, p)) if p.entry.state == BackendState::Removed => out.push(at),
                 _ => {}
             }
         }
@@ -396,8 +397,8 @@
         for at in 0..self.len() {
             let id = self.ids[at];
             while named.next_if(|n| *n < id).is_some() {}
-            if named.peek() != Some(&id) && self.records[at].entry.state != BackendState::Gone {
-                self.record_mut(at).entry.state = BackendState::Gone;
+            if named.peek() != Some(&id) && self.records[at].entry.state != BackendState::Removed {
+                self.record_mut(at).entry.state = BackendState::Removed;
                 self.gone.push(id);
             }
         }
@@ -408,19 +409,20 @@
         if self.records[at].entry == entry {
             return false;
         }
-        if self.records[at].entry.booted != entry.booted {
+        if self.records[at].entry.started_at != entry.started_at {
             // A restarted process has nothing in common with the old one but its address.
             self.renew(entry.id, None);
         }
-        if entry.state == BackendState::Gone {
+        if entry.state == BackendState::Removed {
             self.gone.push(entry.id);
         }
         let l = &mut self.loads[at];
-        let moved = (l.kind, l.zone, self.marks[at]) != (entry.kind, entry.zone, entry.mark);
-        if self.marks[at] != entry.mark {
+        let moved =
+            (l.kind, l.zone, self.marks[at]) != (entry.kind, entry.zone, entry.address_hash);
+        if self.marks[at] != entry.address_hash {
             l.coin = 0.0;
         }
-        (l.kind, l.zone, self.marks[at]) = (entry.kind, entry.zone, entry.mark);
+        (l.kind, l.zone, self.marks[at]) = (entry.kind, entry.zone, entry.address_hash);
         self.record_mut(at).entry = entry;
         moved
     }
@@ -468,7 +470,7 @@
             let (id, kind, zone) = (entry.id, entry.kind, entry.zone);
             self.order.push(self.ids.len() as u32);
             self.ids.push(id);
-            self.marks.push(entry.mark);
+            self.marks.push(entry.address_hash);
             self.loads.push(Load {
                 kind,
                 zone,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -175,15 +175,15 @@
 
 /// The part of its capacity that a backend has at least.
 fn warmth(cfg: &Config, now: Time, p: &Record) -> f64 {
-    let age = p.entry.booted.max(p.back).map_or(f64::MAX, |boot| {
-        (now - boot).secs() / cfg.ramp.secs().max(1e-6)
+    let age = p.entry.started_at.max(p.back).map_or(f64::MAX, |boot| {
+        (now - boot).as_secs_f64() / cfg.slow_start.as_secs_f64().max(1e-6)
     });
     from_cold(cfg, age)
 }
 
 /// Readiness after `part` of a ramp: from `cold_from` at its start to 1 at its end and after.
 fn from_cold(cfg: &Config, part: f64) -> f64 {
-    cfg.cold_from + (1.0 - cfg.cold_from) * part.min(1.0)
+    cfg.slow_start_min_readiness + (1.0 - cfg.slow_start_min_readiness) * part.min(1.0)
 }
 
 /// A backend's place in the turns that the proxies take where a part is less than one: evenly from 0 to 1.
@@ -214,7 +214,7 @@
 
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
-    cfg: Checked,
+    cfg: ValidatedConfig,
     dice: Dice,
     backends: Backends,
     kinds: BTreeMap<KindId, Kind>,
@@ -232,7 +232,7 @@
     held: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     blocked: f64,
-    attempts: BTreeMap<(RequestId, AttemptNo), (BackendId, usize, Time)>,
+    attempts: BTreeMap<(RequestId, AttemptNumber), (BackendId, usize, Time)>,
     rate: Rate,
     /// First tries that came: clients' repeats swell in a crowd, what the front sends here does not.
     firsts: Rate,
@@ -256,11 +256,12 @@
 impl Balancer {
     /// A proxy that knows nothing yet but its configuration.
     pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
-        cfg.checked().map(|cfg| Balancer::of(cfg, seed))
+        cfg.validated()
+            .map(|cfg| Balancer::from_validated(cfg, seed))
     }
 
     /// The same with one that was checked before.
-    pub fn of(cfg: Checked, seed: u64) -> Balancer {
+    pub fn from_validated(cfg: ValidatedConfig, seed: u64) -> Balancer {
         let mut balancer = Balancer {
             dice: Dice::new(seed),
             backends: Backends::default(),
@@ -305,18 +306,22 @@
     /// Takes one event that happened at `now` and adds the actions it calls for.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.born.get_or_insert(now);
-        if !matches!(event, Event::Request(_) | Event::Timer { .. }) {
+        if !matches!(event, Event::RequestArrived(_) | Event::TimerFired { .. }) {
             self.blocked = 0.0; // those two make no room, and trying a long line in vain costs too much CPU
         }
         // What is out on backends that drain, are gone or out of use crowds none of the others.
         self.crowd.pass(now, self.backends.in_use(now, &self.cfg));
-        if now >= self.solve_at && (matches!(event, Event::Request(_)) || !self.held.is_empty()) {
+        if now >= self.solve_at
+            && (matches!(event, Event::RequestArrived(_)) || !self.held.is_empty())
+        {
             self.solve(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
         }
         match event {
-            Event::Members { update, backends } => self.members(now, update, backends),
-            Event::Request(arrival) => self.request(now, arrival),
-            Event::StreamStarted { request, attempt } => self.stream_started(now, request, attempt),
+            Event::EndpointsUpdated { update, backends } => self.members(now, update, backends),
+            Event::RequestArrived(arrival) => self.request(now, arrival),
+            Event::ResponseStarted { request, attempt } => {
+                self.stream_started(now, request, attempt)
+            }
             Event::UploadStarted { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     (r.uploading, r.most) = (true, r.sent.len());
@@ -327,7 +332,7 @@
                     .into_iter()
                     .for_each(|a| a.2 = Time(u64::MAX));
             }
-            Event::Uploaded {
+            Event::UploadFinished {
                 request,
                 attempt,
                 time_left,
@@ -337,48 +342,57 @@
                     .into_iter()
                     .for_each(|a| a.2 = now);
                 if let Some(r) = self.requests.get_mut(&request) {
-                    let aim = self.cfg.classes[r.class].aim.min(time_left);
+                    let aim = self.cfg.classes[r.class].latency_objective.min(time_left);
                     (r.uploading, r.came, r.aim, r.deadline) =
                         (false, now, now + aim, now + time_left);
                 }
                 self.look_at = now;
             }
             Event::AttemptEnded(end) => self.ended(now, end),
-            Event::ClientGone { request } => self.close(request),
-            Event::Withdraw { backend } => {
+            Event::ClientDisconnected { request } => self.close(request),
+            Event::BackendDisabled { backend } => {
                 self.backends.withdraw(backend);
                 self.solve_at = now;
             }
-            Event::Restore { backend, since } => {
+            Event::BackendEnabled { backend, since } => {
                 self.backends.restore(backend, since);
                 self.solve_at = now;
             }
-            Event::Beside { processes } => {
-                self.beside = (processes.max(1), self.beside.0, now + self.cfg.fall_window);
+            Event::ProcessCountChanged { processes } => {
+                self.beside = (
+                    processes.max(1),
+                    self.beside.0,
+                    now + self.cfg.overload_window,
+                );
             }
-            Event::Settings {
+            Event::ConfigChanged {
                 config,
                 retired,
-                revived,
-                heirs,
+                reinstated,
+                successors,
             } => {
-                self.settings(now, *config, [(&retired, false), (&revived, true)], &heirs);
+                self.settings(
+                    now,
+                    *config,
+                    [(&retired, false), (&reinstated, true)],
+                    &successors,
+                );
             }
-            Event::Recall { memory, age } => self.recall(now, *memory, age),
-            Event::Heard(word) => self.heard(now, &word),
-            Event::Timer { token } if token != TimerToken(self.timer.0) => return,
-            Event::Timer { .. } => self.timer.1 = Time(u64::MAX),
+            Event::StateRestored { state: memory, age } => self.recall(now, *memory, age),
+            Event::VerdictReceived(word) => self.heard(now, &word),
+            Event::TimerFired { token } if token != TimerToken(self.timer.0) => return,
+            Event::TimerFired { .. } => self.timer.1 = Time(u64::MAX),
         }
         if now >= self.look_at {
             self.look_after(now);
         }
         self.pump(now);
         if !self.held.is_empty() {
-            self.look_at = self.look_at.min(now + self.cfg.tick);
+            self.look_at = self.look_at.min(now + self.cfg.timer_resolution);
         }
         if self.look_at < self.timer.1 {
             self.timer = (self.timer.0 + 1, self.look_at);
-            let after = (self.look_at - now).max(self.cfg.tick);
+            let after = (self.look_at - now).max(self.cfg.timer_resolution);
             self.actions.push(Action::SetTimer {
                 token: TimerToken(self.timer.0),
                 after,
@@ -397,19 +411,19 @@
     }
 
     /// What was learned and outlives a second, for a later process of this proxy (see [`Memory`]).
-    pub fn recollect(&self, now: Time) -> Memory {
+    pub fn learned_state(&self, now: Time) -> LearnedState {
         let live = self
             .classes
             .iter()
             .enumerate()
             .filter(|(_, c)| c.live && c.latency.count > 0.0);
         let backends = self.backends.records().map(|(id, p)| (id, p.memory(now)));
-        Memory {
+        LearnedState {
             kinds: self.kinds.iter().map(|(id, k)| (*id, k.memory())).collect(),
             classes: live
                 .map(|(n, c)| (ClassId(n), c.latency.sampled()))
                 .collect(),
-            overall: self.overall.sampled(),
+            overall_latency: self.overall.sampled(),
             backends: backends.filter(|(_, m)| *m != Default::default()).collect(),
         }
     }
@@ -420,7 +434,7 @@
     }
 
     /// The hold of each kind: requests that all proxies together keep on one of its backends.
-    pub fn holds(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
+    pub fn concurrency_limits(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
         self.kinds.iter().map(|(id, k)| (*id, k.hold))
     }
 
@@ -439,8 +453,8 @@
 
     /// Takes a memory `age` old: its samples weigh less the older it is, so that new answers soon outweigh
     /// it; what the list no longer names is dropped.
-    fn recall(&mut self, now: Time, memory: Memory, age: Micros) {
-        let weight = 0.5f64.powf(age.secs() / RECALL_HALF_LIFE);
+    fn recall(&mut self, now: Time, memory: LearnedState, age: Micros) {
+        let weight = 0.5f64.powf(age.as_secs_f64() / RECALL_HALF_LIFE);
         for (id, m) in memory
             .kinds
             .into_iter()
@@ -453,7 +467,7 @@
                 .recall(&m, weight, self.beside.0 == 1);
         }
         // A class's work is its latency over the overall one: the two come together or not at all.
-        let overall = Mean::recalled(memory.overall, weight);
+        let overall = Mean::recalled(memory.overall_latency, weight);
         if overall.count > 0.0 {
             self.overall = overall;
             for (id, s) in memory.classes {
@@ -475,29 +489,34 @@
             now,
             format!(
                 "recalled a memory {:.1} s old at weight {weight:.2}",
-                age.secs()
+                age.as_secs_f64()
             ),
         );
     }
 
-    fn members(&mut self, now: Time, update: ListUpdate, list: Vec<Backend>) {
+    fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<Backend>) {
         match (update, self.cfg.discovery) {
             // Asked for again, later each time and not in step with others: discovery serves all in turn, and
             // calls that come faster than it can answer make each other fail.
-            (ListUpdate::Lost, Discovery::Subscribe(within)) => {
+            (
+                EndpointUpdate::Failed,
+                Discovery::Poll {
+                    staleness_limit: within,
+                },
+            ) => {
                 self.ask
-                    .failed(now, self.cfg.proxies, within, self.dice.unit());
+                    .failed(now, self.cfg.proxy_count, within, self.dice.unit());
                 self.log(now, "discovery lost, asking again".into());
             }
-            (ListUpdate::Changes | ListUpdate::Full, _) => self.ask.answered(),
+            (EndpointUpdate::Incremental | EndpointUpdate::Full, _) => self.ask.answered(),
             _ => {}
         }
         // What a cold one was sent weighs still if it is back within the fall window.
-        let (cfg, window) = (&self.cfg, self.cfg.fall_window);
+        let (cfg, window) = (&self.cfg, self.cfg.overload_window);
         let recent = |p: &Record| p.spent.last().is_some_and(|s| now - s.0 < window);
         let kept = |p: &Record| p.out > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
         self.backends.take(
-            matches!(update, ListUpdate::Full | ListUpdate::Cached),
+            matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached),
             list,
             kept,
         );
@@ -509,9 +528,9 @@
     fn settings(
         &mut self,
         now: Time,
-        cfg: Checked,
+        cfg: ValidatedConfig,
         turned: [(&Vec<ClassId>, bool); 2],
-        heirs: &[(ClassId, ClassId)],
+        successors: &[ClassSuccessor],
     ) {
         let (classes, tenants) = (cfg.classes.len(), cfg.tenants.len());
         if classes < self.classes.len() || tenants < self.cfg.tenants.len() {
@@ -529,10 +548,10 @@
             live: true,
             ..Default::default()
         });
-        for (new, old) in heirs {
-            let latency = self.classes.get(old.0).map(|s| s.latency);
+        for successor in successors {
+            let latency = self.classes.get(successor.predecessor.0).map(|s| s.latency);
             self.classes
-                .get_mut(new.0)
+                .get_mut(successor.class.0)
                 .zip(latency)
                 .into_iter()
                 .for_each(|(s, latency)| s.latency = latency);
@@ -546,7 +565,8 @@
                 .into_iter()
                 .for_each(|s| s.live = live);
         }
-        if (cfg.ramp, cfg.fall_window) != (self.cfg.ramp, self.cfg.fall_window) {
+        if (cfg.slow_start, cfg.overload_window) != (self.cfg.slow_start, self.cfg.overload_window)
+        {
             self.backends.retune();
         }
         (self.cfg, self.solve_at, self.look_at) = (cfg, now, now);
@@ -561,7 +581,7 @@
             .into_iter()
             .filter(|n| self.classes.get(**n).is_some_and(|s| s.live));
         live.fold((0, 0), |(free, tight), n| {
-            let repeats = self.cfg.classes[*n].effect == Effect::Free;
+            let repeats = self.cfg.classes[*n].idempotency == Idempotency::Idempotent;
             // One that never had an answer is taken for quick.
             let late = self.classes[*n].latency.count > 0.0 && !self.quick(*n);
             (free + usize::from(repeats), tight + usize::from(late))
@@ -577,7 +597,7 @@
         (0..self.classes.len()).collect()
     }
 
-    fn request(&mut self, now: Time, new: Arrival) {
+    fn request(&mut self, now: Time, new: RequestArrival) {
         let Some(c) = self.cfg.classes.get(new.class.0) else {
             return;
         };
@@ -586,7 +606,7 @@
         }
         self.rate.add(now, 1.0);
         self.extra = (self.extra + RETRY_RATIO).min(RETRY_RATIO * KIND_SAMPLES);
-        if !new.repeat {
+        if !new.client_retry {
             self.firsts.add(now, 1.0);
         }
         let busy = self.busy();
@@ -595,22 +615,27 @@
             .and_then(|t| Some((t, self.cfg.tenants.get(t.0)?)));
         // More traffic than others get is more of each quota; a repeat belongs to its first try, which took
         // its part.
-        let part = |t: &Tenant| t.quota_per_s / f64::from(self.cfg.proxies) * busy;
+        let part = |t: &Tenant| t.quota_per_s / f64::from(self.cfg.proxy_count) * busy;
         let over_quota =
-            !new.repeat && tenant.is_some_and(|(id, t)| !self.buckets.take(id, now, part(t)));
-        let aim = c.aim.0 + new.work_hint.unwrap_or_default().times(c.aim_stretch).0;
+            !new.client_retry && tenant.is_some_and(|(id, t)| !self.buckets.take(id, now, part(t)));
+        let aim = c.latency_objective.0
+            + new
+                .work_hint
+                .unwrap_or_default()
+                .mul_f64(c.objective_per_work)
+                .0;
         let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
         // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
         // and serving it before a new request would make both late, all through a storm of repeats.
-        let again = if new.repeat { c.late_worth } else { 1.0 };
+        let again = if new.client_retry { c.late_weight } else { 1.0 };
         let quota = if over_quota {
-            self.cfg.over_quota_worth
+            self.cfg.over_quota_weight
         } else {
             1.0
         };
         let value = again * quota;
-        if !new.repeat {
-            self.classes[new.class.0].asked += c.worth * quota;
+        if !new.client_retry {
+            self.classes[new.class.0].asked += c.priority_weight * quota;
         }
         let (class, came, sent) = (new.class.0, now, Vec::new());
         let (streaming, uploading) = (false, false);
@@ -634,7 +659,7 @@
 
     /// The first bytes of a long answer: from here on the client's pace holds it up, so what there is to
     /// learn is learned now, and its backend has room again.
-    fn stream_started(&mut self, now: Time, request: RequestId, attempt: AttemptNo) {
+    fn stream_started(&mut self, now: Time, request: RequestId, attempt: AttemptNumber) {
         let Some(r) = self.requests.get_mut(&request) else {
             return;
         };
@@ -649,9 +674,9 @@
         let part = if now <= r.aim {
             1.0
         } else {
-            self.cfg.classes[r.class].late_worth
+            self.cfg.classes[r.class].late_weight
         };
-        self.classes[r.class].earned += self.cfg.classes[r.class].worth * r.value * part;
+        self.classes[r.class].earned += self.cfg.classes[r.class].priority_weight * r.value * part;
         let Some(&(backend, class, sent)) = self.attempts.get(&(request, attempt)) else {
             return;
         };
@@ -666,7 +691,7 @@
                 attempt,
                 outcome,
                 latency,
-                settled: true,
+                answered: true,
             },
         );
     }
@@ -698,18 +723,18 @@
             return;
         };
         if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
-            (s.out, s.never_ran) = (false, end.outcome.never_ran());
-            s.withheld = gone && end.outcome == Outcome::NeverSent;
+            (s.out, s.never_ran) = (false, end.outcome.proves_not_run());
+            s.withheld = gone && end.outcome == Outcome::NotSent;
         }
         if end.outcome == Outcome::Ok && !begun {
             let c = &self.cfg.classes[class];
-            let part = if now <= r.aim { 1.0 } else { c.late_worth };
-            self.classes[class].earned += c.worth * r.value * part;
+            let part = if now <= r.aim { 1.0 } else { c.late_weight };
+            self.classes[class].earned += c.priority_weight * r.value * part;
         }
         if r.streaming && !begun {
             return; // a copy's end: the answer streams on from another backend
         }
-        if end.settled || end.outcome == Outcome::Ok {
+        if end.answered || end.outcome == Outcome::Ok {
             self.close(id);
         } else if !r.out() && !self.held.contains(&id) {
             self.held.push(id); // `pump` sends it again or gives it up
@@ -727,9 +752,9 @@
         }
         let (limit, alive) = (
             ERROR_LIMIT + STAND_OUT * self.errors.value,
-            self.usual(class).times(ALIVE),
+            self.usual(class).mul_f64(ALIVE),
         );
-        let long = end.latency > self.usual(class).times(SILENT_AFTER);
+        let long = end.latency > self.usual(class).mul_f64(SILENT_AFTER);
         let was_tight = !self.quick(class);
         let Some(p) = self.backends.get_mut(id) else {
             return;
@@ -741,7 +766,7 @@
             Outcome::Cancelled if long => Some(1.0),
             _ => None,
         };
-        let zone = unanswered.filter(|_| self.cfg.locality.is_some());
+        let zone = unanswered.filter(|_| self.cfg.zone_failover.is_some());
         zone.into_iter().for_each(|f| {
             self.zones
                 .entry(p.entry.zone)
@@ -753,7 +778,7 @@
         match end.outcome {
             Outcome::Ok => {
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
-                let secs = end.latency.secs().max(1e-6);
+                let secs = end.latency.as_secs_f64().max(1e-6);
                 self.classes[class].latency.add(secs, KIND_SAMPLES);
                 self.overall.add(secs, KIND_SAMPLES);
                 let plain = secs * self.overall.value / self.classes[class].latency.value;
@@ -768,9 +793,9 @@
                     p.strikes = 0;
                 } else if p.trials >= TRIALS {
                     (p.ejected, p.hearsay, p.errors) = (None, None, 0.0);
-                    self.actions.push(Action::Tell {
+                    self.actions.push(Action::PublishVerdict {
                         backend: id,
-                        verdict: Verdict::Back,
+                        verdict: Verdict::Readmitted,
                     });
                     self.log(now, format!("backend {} is back", id.0));
                 } else if p.hearsay.is_some_and(|since| sent <= since) {
@@ -779,8 +804,8 @@
                 }
             }
             // A full backend answers, and is left alone for a moment: busy is not ill.
-            Outcome::Full => p.full_until = now + Micros::from_secs(EJECT_TERM / 2.0),
-            Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Overloaded => p.full_until = now + Micros::from_secs_f64(EJECT_TERM / 2.0),
+            Outcome::Cancelled | Outcome::NotSent => {}
             // A heavy request alone is no illness: other answers came back meanwhile.
             Outcome::TimedOut if p.answered >= sent => {}
             // A break while answers come is one connection's end, not the process's: like an error it takes
@@ -810,14 +835,17 @@
         };
         p.failed = now;
         if p.ejected.is_none_or(|until| now >= until) {
-            let term = Micros::from_secs(term * f64::from(p.strikes.min(2)).exp2());
+            let term = Micros::from_secs_f64(term * f64::from(p.strikes.min(2)).exp2());
             (p.ejected, p.hearsay) = (Some(now + term), None);
             (p.strikes, p.trials) = (p.strikes + 1, 0);
             let strikes = p.strikes.clamp(0, 255) as u8;
             self.backends.rest(id);
-            self.actions.push(Action::Tell {
+            self.actions.push(Action::PublishVerdict {
                 backend: id,
-                verdict: Verdict::Out { term, strikes },
+                verdict: Verdict::Ejected {
+                    duration: term,
+                    consecutive_ejections: strikes,
+                },
             });
             self.look_at = now;
             self.log(now, format!("backend {} ejected: {why:?}", id.0));
@@ -827,14 +855,22 @@
     /// A verdict of the fleet's, unless this proxy knows better from an answer or a failure since. Trials of
     /// what is out go round: after each verdict one proxy's turn comes at the end of its term, the next's a
     /// first term later, so that one's word reaches the others first, and no broken link holds it for long.
-    fn heard(&mut self, now: Time, word: &Heard) {
+    fn heard(&mut self, now: Time, word: &PeerVerdict) {
         let (born, id) = (now - word.age, word.backend);
-        let Some(p) = self.backends.get_mut(id).filter(|_| word.age <= word.bound) else {
+        let Some(p) = self
+            .backends
+            .get_mut(id)
+            .filter(|_| word.age <= word.max_age)
+        else {
             return;
         };
         p.heard
-            .retain(|h| Some(h.0) != word.origin && now - h.1 <= word.bound);
-        let Verdict::Out { term, strikes } = word.verdict else {
+            .retain(|h| Some(h.0) != word.origin && now - h.1 <= word.max_age);
+        let Verdict::Ejected {
+            duration: term,
+            consecutive_ejections: strikes,
+        } = word.verdict
+        else {
             if p.ejected.is_some() && born > p.failed {
                 (p.ejected, p.hearsay, p.errors, p.strikes) = (None, None, 0.0, 0);
                 p.heard.clear();
@@ -848,12 +884,13 @@
         }
         p.heard.extend(word.origin.map(|origin| (origin, born)));
         if born >= p.word.0 {
-            let defer = Micros::from_secs(EJECT_TERM * f64::from(word.turn)).min(word.bound);
+            let defer = Micros::from_secs_f64(EJECT_TERM * f64::from(word.health_check_turn))
+                .min(word.max_age);
             p.word = (born, born + term + defer); // the newest verdict says to all whose turn it is
         }
         if p.ejected.is_some() {
             (p.ejected, p.strikes) = (Some(p.word.1), p.strikes.max(i32::from(strikes)));
-        } else if p.heard.len() >= WORDS.min(word.others) as usize {
+        } else if p.heard.len() >= WORDS.min(word.live_peers) as usize {
             (p.ejected, p.hearsay, p.strikes) = (Some(p.word.1), Some(now), i32::from(strikes));
             (p.trials, self.look_at) = (0, now);
             let words = p.heard.len();
@@ -867,16 +904,19 @@
 
     /// What time alone brings about, and when to look again.
     fn look_after(&mut self, now: Time) {
-        let mut next = now + Micros::from_secs(IDLE_LOOK); // nothing else may be due
-        if let Discovery::Subscribe(within) = self.cfg.discovery {
+        let mut next = now + Micros::from_secs_f64(IDLE_LOOK); // nothing else may be due
+        if let Discovery::Poll {
+            staleness_limit: within,
+        } = self.cfg.discovery
+        {
             if self.ask.take_due(now, within) {
-                self.actions.push(Action::Follow);
+                self.actions.push(Action::PollDiscovery);
             }
         }
         next = self.ask.next().map_or(next, |at| next.min(at));
         let mut silent = Vec::new();
         for &(backend, class, sent) in self.attempts.values() {
-            let quiet = sent + self.usual(class).times(SILENT_AFTER); // far off for what is still uploaded
+            let quiet = sent + self.usual(class).mul_f64(SILENT_AFTER); // far off for what is still uploaded
             next = if quiet > now { next.min(quiet) } else { next };
             if now >= quiet
                 && self
@@ -895,7 +935,7 @@
             .filter(|(_, r)| !r.streaming && !r.uploading)
         {
             let usual = self.usual(r.class);
-            let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !r.sent.is_empty();
+            let late_pays = self.cfg.classes[r.class].late_weight > 0.0 && !r.sent.is_empty();
             let last_start = if late_pays { r.deadline } else { r.aim };
             let lost = |s: &Sent| {
                 s.out
@@ -913,45 +953,50 @@
                 last_start.min(r.deadline)
             };
             let margin = if r.out() {
-                self.cfg.tick
+                self.cfg.timer_resolution
             } else {
-                usual.max(self.cfg.tick)
+                usual.max(self.cfg.timer_resolution)
             };
             if now + margin >= last_start {
                 over.push(id);
             } else if lost && now + usual < r.aim && self.extra >= 1.0 {
                 // Age alone is no reason: copies of merely heavy requests crowd every backend.
-                if self.cfg.second_copies {
+                if self.cfg.hedging {
                     if self.may_send(now, r) && !self.held.contains(&id) {
                         self.held.push(id);
                     }
-                } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
+                } else if self.cfg.cancellation
+                    && self.cfg.classes[r.class].idempotency != Idempotency::NonIdempotent
+                {
                     // Where no copy may run beside it, the first is called back to make way for the next.
                     self.actions.push(Action::Cancel {
                         request: id,
-                        attempt: AttemptNo(0),
+                        attempt: AttemptNumber(0),
                     });
                 }
             }
             next = next.min(last_start - margin);
         }
-        self.look_at = next.max(now + self.cfg.tick);
+        self.look_at = next.max(now + self.cfg.timer_resolution);
         over.into_iter().for_each(|id| self.give_up(id));
     }
 
     /// What a served request of the class usually takes; before any was served, a quarter of its aim.
     fn usual(&self, class: usize) -> Micros {
         let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].aim.times(0.25), Micros::from_secs)
+        known.map_or(
+            self.cfg.classes[class].latency_objective.mul_f64(0.25),
+            Micros::from_secs_f64,
+        )
     }
 
     /// Whether what a class usually takes is well inside its aim.
     fn quick(&self, class: usize) -> bool {
-        self.usual(class).times(WELL_INSIDE) <= self.cfg.classes[class].aim
+        self.usual(class).mul_f64(WELL_INSIDE) <= self.cfg.classes[class].latency_objective
     }
 
     /// The classes that the settings hold, with their numbers.
-    fn live(&self) -> impl Iterator<Item = (usize, &Class)> {
+    fn live(&self) -> impl Iterator<Item = (usize, &RequestClass)> {
         self.cfg
             .classes
             .iter()
@@ -973,11 +1018,11 @@
         self.learn_holds(now - self.solved_at);
         self.solved_at = now;
         let few = FEW / self.rate.per_s().unwrap_or(FEW / SOLVE_EVERY).max(1.0);
-        self.solve_at = now + Micros::from_secs(SOLVE_EVERY.max(few));
+        self.solve_at = now + Micros::from_secs_f64(SOLVE_EVERY.max(few));
         self.blocked = 0.0;
         let listed = self.backends.loads.iter().filter(|l| l.offered);
         let (all, out) = listed.fold((0u32, 0u32), |n, l| (n.0 + 1, n.1 + u32::from(l.ejected)));
-        let proxies = f64::from(self.cfg.proxies);
+        let proxies = f64::from(self.cfg.proxy_count);
         self.kinds.values_mut().for_each(|k| {
             k.ready = 0.0;
             k.served.add(now, 0.0);
@@ -1042,7 +1087,7 @@
     /// How many requests a backend of each kind is worth holding. A kind whose rooms are full and whose
     /// answers take no longer than uncrowded has cores to spare; where they take longer it holds too many.
     fn learn_holds(&mut self, gap: Micros) {
-        let gap = gap.secs().min(1.0);
+        let gap = gap.as_secs_f64().min(1.0);
         let mut crowds = vec![(0.0, 0.0); self.backends.groups.len()];
         for l in self.backends.loads.iter().filter(|l| l.ready > 0.0) {
             let (out, room) = &mut crowds[l.group as usize];
@@ -1075,7 +1120,7 @@
     /// traffic stays near so far as all proxies together still give every backend the same part: a zone
     /// whose backends are due less than its proxies bring sends its surplus to the zones due more.
     fn allot(&mut self) {
-        let (proxies, backends) = (f64::from(self.cfg.proxies), &mut self.backends);
+        let (proxies, backends) = (f64::from(self.cfg.proxy_count), &mut self.backends);
         let kind = |g: &Group| {
             self.kinds
                 .get(&g.kind)
@@ -1084,7 +1129,7 @@
         let kinds: Vec<(f64, f64, f64)> = backends.groups.iter().map(kind).collect();
         let part = |l: &Load| kinds[l.group as usize].0 * l.ready / kinds[l.group as usize].1;
         // A zone that is out brings its traffic all the same.
-        let mut sums = vec![self.cfg.locality.map(|_| 0.0); backends.zones.len()];
+        let mut sums = vec![self.cfg.zone_failover.map(|_| 0.0); backends.zones.len()];
         for l in backends.loads.iter().filter(|l| l.ready > 0.0) {
             *sums[l.place as usize].get_or_insert(0.0) += part(l);
         }
@@ -1097,7 +1142,7 @@
         let zones = due.len() as f64;
         // With fewer proxies than zones some zone has none, and nobody is told which: whatever stays near
         // leaves that zone's backends idle and fills the others.
-        let near = self.cfg.cross_zone_cost > 0.0 || self.cfg.locality.is_some();
+        let near = self.cfg.cross_zone_cost > 0.0 || self.cfg.zone_failover.is_some();
         let local = near && proxies >= zones;
         let pulls = spill(&due, self.cfg.zone, &self.cfg.regions);
         let bias = |zone: &ZoneId| {
@@ -1111,7 +1156,7 @@
         };
         let biases: Vec<f64> = backends.zones.iter().map(bias).collect();
         let (mut reached, mut pulled) = (0u32, vec![0.0; kinds.len()]);
-        backends.seat(self.cfg.position, self.cfg.proxies);
+        backends.seat(self.cfg.proxy_index, self.cfg.proxy_count);
         for (l, p_pull) in backends.loads.iter_mut().zip(&mut backends.pull) {
             let bias = biases[l.place as usize];
             // Half of the room for all goes by that part, half evenly; each has a room of one at least, as
@@ -1132,7 +1177,7 @@
         // slices together cover every backend by its pull.
         let width =
             (SHARED_BY / proxies * backends.len() as f64 / f64::from(reached.max(1))).min(1.0);
-        let start = (f64::from(self.cfg.position) * 0.618_033_988_749_895).fract();
+        let start = (f64::from(self.cfg.proxy_index) * 0.618_033_988_749_895).fract();
         let mut walked = vec![(0.0, 0.0); kinds.len()];
         for &at in &backends.order {
             let (at, l) = (at as usize, &mut backends.loads[at as usize]);
@@ -1154,7 +1199,7 @@
     /// Each zone's factor on its backends' readiness: none while it is left, a ramp while it returns. Where
     /// every zone would be left, none is: some backends may still serve.
     fn zones(&mut self, now: Time) -> BTreeMap<ZoneId, f64> {
-        let (Some(rules), mut factors) = (self.cfg.locality, BTreeMap::new()) else {
+        let (Some(rules), mut factors) = (self.cfg.zone_failover, BTreeMap::new()) else {
             return BTreeMap::new();
         };
         let mut counts = vec![(0.0, 0.0); self.backends.zones.len()];
@@ -1165,17 +1210,17 @@
         let counts = self.backends.zones.iter().copied().zip(counts);
         for (id, (all, out)) in counts.filter(|c| c.1 .0 > 0.0) {
             let z = self.zones.entry(id).or_default();
-            z.lefts.retain(|at| now - *at < Micros::from_secs(60.0));
+            z.lefts.retain(|at| now - *at < Micros::from_secs_f64(60.0));
             let again = f64::from(1u32 << z.lefts.len().clamp(1, 6)) / 2.0; // doubles with each time
-            let ramp = rules.ramp.times(again);
+            let ramp = rules.recovery_ramp.mul_f64(again);
             let failing =
-                z.fails.count >= QUICK_SAMPLES / 2.0 && z.fails.value >= rules.leave_share;
-            let bad = failing || out / all >= rules.leave_share;
+                z.fails.count >= QUICK_SAMPLES / 2.0 && z.fails.value >= rules.unhealthy_threshold;
+            let bad = failing || out / all >= rules.unhealthy_threshold;
             z.bad = z.bad.filter(|_| bad).or(bad.then_some(now));
             let lasted = z
                 .bad
-                .is_some_and(|since| (now - since).secs() >= LEAVE_AFTER);
-            let term = Micros::from_secs(EJECT_TERM * again);
+                .is_some_and(|since| (now - since).as_secs_f64() >= LEAVE_AFTER);
+            let term = Micros::from_secs_f64(EJECT_TERM * again);
             let rested = z.lefts.last().is_none_or(|at| now - *at >= term);
             let said = match (z.left, out / all) {
                 (false, _) if lasted => {
@@ -1187,9 +1232,13 @@
                         id.0
                     ))
                 }
-                (true, part) if part < rules.leave_share / 2.0 && rested => {
+                (true, part) if part < rules.unhealthy_threshold / 2.0 && rested => {
                     (z.left, z.since) = (false, Some(now));
-                    Some(format!("zone {} returning over {:.1} s", id.0, ramp.secs()))
+                    Some(format!(
+                        "zone {} returning over {:.1} s",
+                        id.0,
+                        ramp.as_secs_f64()
+                    ))
                 }
                 (false, _) if z.since.is_some_and(|since| now - since >= ramp) => {
                     z.since = None;
@@ -1198,9 +1247,9 @@
                 _ => None,
             };
             self.actions.extend(said.map(Action::Log));
-            let age = z
-                .since
-                .map_or(1.0, |since| (now - since).secs() / ramp.secs().max(1e-6));
+            let age = z.since.map_or(1.0, |since| {
+                (now - since).as_secs_f64() / ramp.as_secs_f64().max(1e-6)
+            });
             factors.insert(
                 id,
                 if z.left {
@@ -1220,7 +1269,7 @@
     /// all may, as those do not send there in whose slice the backend is not.
     fn budget(&self, now: Time, at: usize, sure: &mut BTreeMap<KindId, f64>) -> f64 {
         let p = self.backends.record(at);
-        let warmth = warmth(&self.cfg, now - self.cfg.fall_window, p); // as the window began
+        let warmth = warmth(&self.cfg, now - self.cfg.overload_window, p); // as the window began
         if warmth >= 1.0 {
             return f64::MAX;
         }
@@ -1230,10 +1279,11 @@
         let spent: f64 = p
             .spent
             .iter()
-            .filter(|s| now - s.0 < self.cfg.fall_window)
+            .filter(|s| now - s.0 < self.cfg.overload_window)
             .map(|s| s.1)
             .sum();
-        let all = self.cfg.fall_multiple * warmth * speed * self.cfg.fall_window.secs();
+        let all =
+            self.cfg.overload_multiple * warmth * speed * self.cfg.overload_window.as_secs_f64();
         let before = if now < self.beside.2 {
             self.beside.1
         } else {
@@ -1241,7 +1291,7 @@
         };
         // What a process before this one had sent weighs still, and falls out of the window evenly.
         let own = self.born.map_or(0.0, |born| {
-            (now - born).secs() / self.cfg.fall_window.secs().max(1e-6)
+            (now - born).as_secs_f64() / self.cfg.overload_window.as_secs_f64().max(1e-6)
         });
         // One request of all proxies together is chance, however little that is. Else a process that begins
         // among cold backends alone would refuse its first ones.
@@ -1252,7 +1302,7 @@
     /// Requests of mean work a second that a warm backend of the kind surely serves. As the speed in `solve`,
     /// but by what is carried there: in a flood what is asked of it is more than it can do.
     fn sure(&self, kind: KindId) -> f64 {
-        let proxies = f64::from(self.cfg.proxies);
+        let proxies = f64::from(self.cfg.proxy_count);
         let known = |k: &Kind| {
             let carried = k.served.per_s().unwrap_or(0.0) * proxies;
             // One over a mean of few samples lies above 1/T: by one in their number, scattered as work is.
@@ -1269,30 +1319,32 @@
                 .min()
                 .unwrap_or_default();
             let fair = self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
-            fair.min(slowest.unwrap_or(1.0 / least.secs()))
+            fair.min(slowest.unwrap_or(1.0 / least.as_secs_f64()))
         })
     }
 
     fn may_send(&self, now: Time, r: &Request) -> bool {
-        let safe = |s: &Sent| match self.cfg.classes[r.class].effect {
-            Effect::Free => true,
-            Effect::Keyed(_, window) => s.never_ran || now + self.cfg.tick < s.at + window,
-            Effect::Unsafe => s.never_ran,
+        let safe = |s: &Sent| match self.cfg.classes[r.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { window, .. } => {
+                s.never_ran || now + self.cfg.timer_resolution < s.at + window
+            }
+            Idempotency::NonIdempotent => s.never_ran,
         };
-        let alone = self.cfg.second_copies || !r.out();
+        let alone = self.cfg.hedging || !r.out();
         alone && r.sent.len() < r.most && r.sent.iter().all(safe)
     }
 
     /// A backend for the request: kind by share, backend inside it by readiness, both at random.
     fn draw(&mut self, now: Time, r: &Request) -> Option<BackendId> {
-        let effect = self.cfg.classes[r.class].effect;
+        let effect = self.cfg.classes[r.class].idempotency;
         let (work, low) = (self.work(r.class), r.value < LOW);
         self.backends.settle(now, &self.cfg);
         let mut sure = BTreeMap::new();
         let mut cold = |at: usize| {
             self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].coin)
         };
-        if r.sent.is_empty() && (effect == Effect::Free || self.free == 0) {
+        if r.sent.is_empty() && (effect == Idempotency::Idempotent || self.free == 0) {
             // Its term is over: one request at a time that may fail without harm tries it.
             let mut tries = |at: usize| {
                 let (p, l) = (self.backends.record(at), &self.backends.loads[at]);
@@ -1327,14 +1379,20 @@
         );
         // A repeat outside the scope that knows the key would run twice.
         let knows = |s: &Sent, p: &Record| match effect {
-            Effect::Keyed(KeyScope::Zone, _) => s.to.zone == p.entry.zone,
-            Effect::Keyed(KeyScope::Cell, _) => s.to.cell == p.entry.cell,
+            Idempotency::Keyed {
+                scope: KeyScope::Zone,
+                ..
+            } => s.to.zone == p.entry.zone,
+            Idempotency::Keyed {
+                scope: KeyScope::Cell,
+                ..
+            } => s.to.cell == p.entry.cell,
             _ => true,
         };
         for s in r
             .sent
             .iter()
-            .filter(|s| !s.never_ran && matches!(effect, Effect::Keyed(..)))
+            .filter(|s| !s.never_ran && matches!(effect, Idempotency::Keyed { .. }))
         {
             let all = self.backends.records().enumerate();
             weights.extend(
@@ -1354,7 +1412,7 @@
     /// How many times an even part of all traffic comes here, one at least: the front spreads it unevenly.
     /// What the fleet is meant to carry, the quotas' sum, is the one figure on all of it that it is told.
     fn busy(&self) -> f64 {
-        let even = self.cfg.quota_sum() / f64::from(self.cfg.proxies);
+        let even = self.cfg.quota_sum_per_s() / f64::from(self.cfg.proxy_count);
         self.firsts
             .per_s()
             .filter(|_| even > 0.0)
@@ -1383,7 +1441,7 @@
     /// Whether all proxies together hold more than so many on each ready backend, as far as one tells that
     /// has no room to count: it takes the others to be like itself, but for its part of the traffic.
     fn fuller(&self, limit: f64) -> bool {
-        let proxies = f64::from(self.cfg.proxies);
+        let proxies = f64::from(self.cfg.proxy_count);
         let ready: f64 = self.kinds.values().map(|k| k.ready).sum();
         let held = self.crowd.per_s().unwrap_or(0.0) * proxies / (self.busy() / BURST).max(1.0);
         proxies > HOLD && self.crowd.seen() > CROWD_KNOWN && held > limit * ready
@@ -1403,11 +1461,11 @@
     fn gain(&self, class: usize, (all, worst): (f64, f64)) -> f64 {
         let (c, s) = (&self.cfg.classes[class], &self.classes[class]);
         let own = if s.live && s.served() <= worst {
-            self.cfg.goal_worst_class / s.asked.max(1e-9)
+            self.cfg.worst_class_objective_weight / s.asked.max(1e-9)
         } else {
             0.0
         };
-        c.worth * (self.cfg.goal_whole / all.max(1e-9) + own)
+        c.priority_weight * (self.cfg.overall_objective_weight / all.max(1e-9) + own)
     }
 
     /// Sends what is held, the densest worth first and the newest first inside it.
@@ -1445,18 +1503,21 @@
             let backend = if sendable { self.draw(now, &r) } else { None };
             if let Some(p) = backend.and_then(|b| self.backends.get_mut(b)) {
                 self.extra -= f64::from(extra);
-                let (no, backend) = (AttemptNo(r.sent.len() as u32), p.entry.id);
+                let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
                 r.sent.push(Sent::new(p.entry.clone(), now));
                 p.out += 1;
-                p.spent.retain(|s| now - s.0 < self.cfg.fall_window);
+                p.spent.retain(|s| now - s.0 < self.cfg.overload_window);
                 p.spent.push((now, work));
                 self.attempts.insert((id, no), (backend, r.class, now));
                 self.actions.push(Action::Dispatch {
                     request: id,
                     backend,
                 });
-                let quiet = now + self.usual(r.class).times(SILENT_AFTER);
-                self.look_at = self.look_at.min(quiet).min(r.deadline - self.cfg.tick);
+                let quiet = now + self.usual(r.class).mul_f64(SILENT_AFTER);
+                self.look_at = self
+                    .look_at
+                    .min(quiet)
+                    .min(r.deadline - self.cfg.timer_resolution);
             } else if sendable {
                 if !again {
                     self.blocked = self.blocked.max(if r.value < LOW { LOW } else { f64::MAX });
@@ -1475,19 +1536,23 @@
             return;
         };
         let free = matches!(
-            self.cfg.classes[r.class].effect,
-            Effect::Free | Effect::Keyed(KeyScope::All, _)
+            self.cfg.classes[r.class].idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: KeyScope::All,
+                    ..
+                }
         );
         let harmless = free || r.sent.iter().all(|s| s.never_ran);
         // By then what is out now has made room, or an ejected backend is tried again.
         let ready = self.kinds.values().any(|k| k.ready > 0.0);
         let retry_after = if ready {
-            self.usual(r.class).times(2.0)
+            self.usual(r.class).mul_f64(2.0)
         } else {
-            Micros::from_secs(EJECT_TERM)
+            Micros::from_secs_f64(EJECT_TERM)
         };
         let (refused, failed) = (
-            Action::Refuse {
+            Action::Reject {
                 request: id,
                 retry_after,
             },
@@ -1506,11 +1571,11 @@
             .sent
             .iter()
             .enumerate()
-            .filter(|(_, s)| s.out && self.cfg.cancel)
+            .filter(|(_, s)| s.out && self.cfg.cancellation)
         {
             self.actions.push(Action::Cancel {
                 request: id,
-                attempt: AttemptNo(no as u32),
+                attempt: AttemptNumber(no as u32),
             });
         }
     }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -64,15 +64,15 @@
         (self.count > 0.0).then_some(self.value)
     }
 
-    pub fn sampled(&self) -> Sampled {
-        Sampled {
+    pub fn sampled(&self) -> SampledMean {
+        SampledMean {
             value: self.value,
             count: self.count,
         }
     }
 
     /// A kept mean whose samples count `weight` each; none where the numbers make no sense, as they come from outside.
-    pub fn recalled(kept: Sampled, weight: f64) -> Mean {
+    pub fn recalled(kept: SampledMean, weight: f64) -> Mean {
         let count = kept.count * weight;
         let sound = kept.value > 0.0 && kept.value.is_finite() && count > 0.0 && count.is_finite();
         if sound {
@@ -87,47 +87,52 @@
 }
 
 impl Kind {
-    pub fn memory(&self) -> KindMemory {
+    pub fn memory(&self) -> LearnedKind {
         let (latency, quick) = (self.latency.sampled(), self.quick.sampled());
-        KindMemory {
+        LearnedKind {
             latency,
-            quick,
-            alone: self.alone,
-            hold: self.hold,
+            recent_latency: quick,
+            uncontended_latency_s: self.alone,
+            concurrency_limit: self.hold,
         }
     }
 
     /// Takes a memory whose samples count `weight` each, with the hold or without it.
-    pub fn recall(&mut self, m: &KindMemory, weight: f64, hold: bool) {
+    pub fn recall(&mut self, m: &LearnedKind, weight: f64, hold: bool) {
         (self.latency, self.quick) = (
             Mean::recalled(m.latency, weight),
-            Mean::recalled(m.quick, weight),
+            Mean::recalled(m.recent_latency, weight),
         );
-        if hold && m.alone > 0.0 && m.alone.is_finite() && m.hold > 0.0 && m.hold.is_finite() {
-            (self.alone, self.hold) = (m.alone, m.hold);
+        if hold
+            && m.uncontended_latency_s > 0.0
+            && m.uncontended_latency_s.is_finite()
+            && m.concurrency_limit > 0.0
+            && m.concurrency_limit.is_finite()
+        {
+            (self.alone, self.hold) = (m.uncontended_latency_s, m.concurrency_limit);
         }
     }
 }
 
 impl Record {
     /// What outlives a second, with spans counted back from `now`.
-    pub fn memory(&self, now: Time) -> BackendMemory {
+    pub fn memory(&self, now: Time) -> LearnedBackend {
         let ejected_for = self.ejected.map(|until| until - now);
-        BackendMemory {
+        LearnedBackend {
             ejected_for,
-            strikes: self.strikes,
-            back_ago: self.back.map(|back| now - back),
+            consecutive_ejections: self.strikes,
+            enabled_ago: self.back.map(|back| now - back),
         }
     }
 
     /// Takes a memory `age` old. A term that ran out meanwhile leaves it to its trials, as at the end of any term.
-    pub fn recall(&mut self, m: &BackendMemory, now: Time, age: Micros) {
+    pub fn recall(&mut self, m: &LearnedBackend, now: Time, age: Micros) {
         self.ejected = m
             .ejected_for
             .map(|left| now + Micros(left.0.saturating_sub(age.0)));
-        self.strikes = m.strikes;
+        self.strikes = m.consecutive_ejections;
         self.back = m
-            .back_ago
+            .enabled_ago
             .map(|ago| now - Micros(ago.0.saturating_add(age.0)));
     }
 }
@@ -160,7 +165,7 @@
 
     /// Counts `level` for each second since the last call.
     pub fn pass(&mut self, now: Time, level: f64) {
-        let gap = self.at.map_or(0.0, |at| (now - at).secs());
+        let gap = self.at.map_or(0.0, |at| (now - at).as_secs_f64());
         self.add(
             now,
             level * (1.0 - (-gap / self.memory).exp()) * self.memory,
@@ -169,7 +174,7 @@
 
     /// Counts `events` at `now`; none just lets time pass.
     pub fn add(&mut self, now: Time, events: f64) {
-        let gap = self.at.map_or(0.0, |at| (now - at).secs());
+        let gap = self.at.map_or(0.0, |at| (now - at).as_secs_f64());
         let fade = (-gap / self.memory).exp();
         self.events = self.events * fade + events;
         self.seen = self.seen * fade + (1.0 - fade) * self.memory;
@@ -211,7 +216,7 @@
         let due = rate * self.memory;
         let left = match self.used.get(&tenant) {
             None => due.max(1.0),
-            Some((left, at)) => (left + rate * (now - *at).secs()).min(due.max(self.least)),
+            Some((left, at)) => (left + rate * (now - *at).as_secs_f64()).min(due.max(self.least)),
         };
         let within = left >= 1.0;
         self.used.insert(tenant, (left - f64::from(within), now));
@@ -276,7 +281,7 @@
     /// When this proxy last found it failing.
     pub failed: Time,
     /// Other proxies that found it out, and when: one verdict each.
-    pub heard: Vec<(OriginId, Time)>,
+    pub heard: Vec<(PeerId, Time)>,
     /// The newest verdict: when it was born, and when this proxy's turn to try comes by it.
     pub word: (Time, Time),
     /// When it was ejected on their word alone.
@@ -386,7 +391,7 @@
     }
 }
 
-/// What is known of a zone as a whole (see [`Locality`]).
+/// What is known of a zone as a whole (see [`ZoneFailover`]).
 #[derive(Default)]
 pub(crate) struct Zone {
     /// Out of use as a whole.
--- a/src/bin/meadowproxy-adapter/wire.rs
+++ b/src/bin/meadowproxy-adapter/wire.rs
@@ -80,12 +80,12 @@
         Ok(match self.whole(at, "an outcome code from 0 to 7")? {
             0 => Outcome::Error,
             1 => Outcome::Ok,
-            2 => Outcome::Full,
+            2 => Outcome::Overloaded,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::NeverSent,
+            7 => Outcome::NotSent,
             _ => return Err(self.bad(at, "an outcome code from 0 to 7")),
         })
     }
@@ -219,14 +219,14 @@
     Ok(Some(match f.name {
         "VIEW" => {
             let update = match f.text(3, "a list kind")? {
-                "incr" => ListUpdate::Changes,
-                "total" => ListUpdate::Full,
-                "warm_copy" => ListUpdate::Cached,
-                "lost" => ListUpdate::Lost,
+                "incr" => EndpointUpdate::Incremental,
+                "total" => EndpointUpdate::Full,
+                "warm_copy" => EndpointUpdate::Cached,
+                "lost" => EndpointUpdate::Failed,
                 _ => return Err(f.bad(3, "incr, total, warm_copy or lost")),
             };
             let mut backends = Vec::new();
-            if update != ListUpdate::Lost {
+            if update != EndpointUpdate::Failed {
                 let id = f.whole(1, "a roster number")?;
                 for (address, row) in rosters
                     .get(&id)
@@ -236,14 +236,14 @@
                     backends.push(to.names.entry(row, id));
                 }
             }
-            Event::Members { update, backends }
+            Event::EndpointsUpdated { update, backends }
         }
         "JOB_IN" => {
             let flags = f.values[6].as_u64().unwrap_or(0);
-            Event::Request(Arrival {
+            Event::RequestArrived(RequestArrival {
                 request: f.request(1)?,
                 work_hint: f.values[2].as_u64().filter(|_| flags & 1 == 1).map(Micros),
-                repeat: flags & 2 == 2,
+                client_retry: flags & 2 == 2,
                 time_left: Micros(f.whole(3, "the time left in microseconds")?),
                 tenant: match &f.values[5] {
                     Value::String(name) => Some(
@@ -259,24 +259,24 @@
                     .ok_or_else(|| f.bad(7, "a known class"))?,
             })
         }
-        "ESTABLISHED" => Event::StreamStarted {
+        "ESTABLISHED" => Event::ResponseStarted {
             request: f.request(1)?,
-            attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
+            attempt: AttemptNumber(f.whole(2, "an attempt")? as u32),
         },
         "RETURNED" => {
             f.text(3, "a backend")?;
             Event::AttemptEnded(AttemptEnd {
                 request: f.request(1)?,
-                attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
+                attempt: AttemptNumber(f.whole(2, "an attempt")? as u32),
                 outcome: f.outcome(4)?,
                 latency: Micros(f.whole(5, "a time in microseconds")?),
-                settled: f.flag(6, "true or false")?,
+                answered: f.flag(6, "true or false")?,
             })
         }
-        "VANISHED" => Event::ClientGone {
+        "VANISHED" => Event::ClientDisconnected {
             request: f.request(1)?,
         },
-        "TIMEOUT_FIRED" => Event::Timer {
+        "TIMEOUT_FIRED" => Event::TimerFired {
             token: TimerToken(f.whole(1, "a token")?),
         },
         // MEMO, STATUS_BACK: peers are told nothing and no backend is probed, so neither is ever heard.
@@ -300,7 +300,7 @@
     let state = match text(4, "IN, LAME or OUT")? {
         "IN" => BackendState::Ready,
         "LAME" => BackendState::Draining,
-        "OUT" => BackendState::Gone,
+        "OUT" => BackendState::Removed,
         _ => return Err(bad("IN, LAME or OUT")),
     };
     let booted = match &row[6] {
@@ -310,7 +310,7 @@
     let entry = Backend {
         cell: CellId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
         state,
-        booted: booted.filter(|t| *t > 0).map(Time),
+        started_at: booted.filter(|t| *t > 0).map(Time),
         ..Backend::default()
     };
     let row = Row::new(address, text(0, "a zone")?, text(2, "a kind")?, entry);
@@ -333,7 +333,7 @@
                 request.0
             )
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => {
@@ -354,8 +354,8 @@
         Action::SetTimer { token, after } => {
             writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0)
         }
-        Action::Follow => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
-        Action::Tell { .. } => Ok(()), // no state is shared there
+        Action::PollDiscovery => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
+        Action::PublishVerdict { .. } => Ok(()), // no state is shared there
         Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", who, text])),
     };
 }
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -130,7 +130,7 @@
                 write!(
                     f,
                     "term: expected above 0 and up to a day, not {} s",
-                    term.secs()
+                    term.as_secs_f64()
                 )
             }
             RulesError::Drift => f.write_str("drift: expected from 0 to below 0.5"),
--- a/src/fleet/membership/lists.rs
+++ b/src/fleet/membership/lists.rs
@@ -59,7 +59,7 @@
     /// Tells a member drawn at random the sums over those known here.
     pub(super) fn compare(&mut self, now: Now, out: &mut Out) {
         self.compare_at = now.time + self.pause;
-        self.pause = self.pause.times(LONGER).min(SELDOM);
+        self.pause = self.pause.mul_f64(LONGER).min(SELDOM);
         let known = self.swim.num_members();
         if known == 0 {
             return;
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -13,7 +13,7 @@
 mod snapshots;
 pub mod wire;
 
-use crate::interface::{BackendId, Heard, Micros, OriginId, Time, Verdict};
+use crate::interface::{BackendId, Micros, PeerId, PeerVerdict, Time, Verdict};
 use facts::{Board, Fact, Facts};
 use foca::{Foca, Message, OwnedNotification, PeriodicParams, State, Timer};
 use member::{Clock, Member};
@@ -121,7 +121,7 @@
         members: usize,
     },
     /// A verdict on the backend of that name, with this proxy's turn; its number is left to the host.
-    Heard(String, Heard),
+    Heard(String, PeerVerdict),
     /// A message on duties, with its sender.
     Duty(SocketAddr, Vec<u8>),
     /// A member wants a snapshot: [`Membership::give`] sends one under that number.
@@ -165,7 +165,7 @@
     gate: Gate,
     counts: Counts,
     complained: BTreeMap<&'static str, u64>,
-    origins: HashMap<SocketAddr, OriginId>,
+    origins: HashMap<SocketAddr, PeerId>,
     /// The live members with the text of their addresses, while no change came since.
     live: Option<Vec<(SocketAddr, String)>>,
     asking: Option<Asking>,
@@ -446,7 +446,7 @@
 
     /// A fact as the module hears it. Its turn is this proxy's place among the live ones, drawn by the fact, so that
     /// all agree on the order; the origin comes last, as it has only just tried.
-    fn turn(&mut self, fact: &Fact) -> Heard {
+    fn turn(&mut self, fact: &Fact) -> PeerVerdict {
         let mut drawn = crc32fast::Hasher::new_with_initial((fact.born_us >> 8) as u32);
         drawn.update(&fact.born_us.to_le_bytes());
         let mark = |text: &str| {
@@ -466,18 +466,18 @@
         } else {
             live.iter().filter(before).count() as u32
         };
-        let next = OriginId(self.origins.len() as u32);
+        let next = PeerId(self.origins.len() as u32);
         let origin = (!own).then(|| *self.origins.entry(fact.origin).or_insert(next));
         let age = Micros(self.clock.wall_us().saturating_sub(fact.born_us));
         let (bound, verdict) = (self.rules.max_age, fact.verdict);
-        Heard {
+        PeerVerdict {
             backend: BackendId::default(),
             origin,
             verdict,
             age,
-            bound,
-            others,
-            turn,
+            max_age: bound,
+            live_peers: others,
+            health_check_turn: turn,
         }
     }
 
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -37,12 +37,12 @@
             .unwrap()
             .is_some()
     };
-    let out = Verdict::Out {
-        term: Micros(1_000_000),
-        strikes: 1,
+    let out = Verdict::Ejected {
+        duration: Micros(1_000_000),
+        consecutive_ejections: 1,
     };
     assert!(hear(2, now - 100, out));
-    assert!(hear(2, now - 50, Verdict::Back), "the later");
+    assert!(hear(2, now - 50, Verdict::Readmitted), "the later");
     assert!(
         !hear(2, now - 100, out) && !hear(2, now - 50, out),
         "replayed, in any order"
--- /dev/null
+++ b/src/interface/validated_config.rs
@@ -0,0 +1,131 @@
+//! Configurations that are valid by their type, and how they are amended entry by entry.
+
+use super::config::{Config, ConfigError, RequestClass, Tenant};
+use super::ids::{ClassId, RegionId, TenantId, ZoneId};
+use imbl::Vector;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Deref;
+
+/// A configuration with every field in its range, and what follows from its tables as a whole.
+///
+/// Made by [`Config::validated`]; an amendment checks only what it changes. A clone shares the tables.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ValidatedConfig {
+    config: Config,
+    quotas: QuotaSum,
+}
+
+impl Config {
+    /// This configuration as a valid one, or the first field that is out of its range. Looks at every class and tenant.
+    pub fn validated(self) -> Result<ValidatedConfig, ConfigError> {
+        match self.errors().into_iter().next() {
+            Some(error) => Err(error),
+            None => Ok(ValidatedConfig {
+                quotas: QuotaSum::of(&self.tenants),
+                config: self,
+            }),
+        }
+    }
+}
+
+impl Deref for ValidatedConfig {
+    type Target = Config;
+
+    fn deref(&self) -> &Config {
+        &self.config
+    }
+}
+
+impl ValidatedConfig {
+    /// Sum of all tenants' quotas, in requests a second.
+    pub fn quota_sum_per_s(&self) -> f64 {
+        self.quotas.sum_per_s
+    }
+
+    /// Replaces a class, or adds it under the next number.
+    pub fn set_class(&mut self, id: ClassId, class: RequestClass) -> Result<(), ConfigError> {
+        class.validate()?;
+        set_or_append(&mut self.config.classes, id.0, class, "classes")
+    }
+
+    /// Replaces tenants, or adds them under the next numbers: all of them or none.
+    pub fn set_tenants(
+        &mut self,
+        tenants: impl IntoIterator<Item = (TenantId, Tenant)>,
+    ) -> Result<(), ConfigError> {
+        let mut table = self.config.tenants.clone();
+        let mut chunks = BTreeSet::new();
+        for (id, tenant) in tenants {
+            tenant.validate()?;
+            set_or_append(&mut table, id.0, tenant, "tenants")?;
+            chunks.insert(id.0 / QuotaSum::CHUNK_TENANTS);
+        }
+        self.config.tenants = table;
+        for chunk in chunks {
+            self.quotas.update_chunk(&self.config.tenants, chunk);
+        }
+        Ok(())
+    }
+
+    /// Moves this proxy into another zone, and zones into other regions.
+    pub fn set_location(&mut self, zone: ZoneId, regions: BTreeMap<ZoneId, RegionId>) {
+        self.config.zone = zone;
+        self.config.regions = regions;
+    }
+}
+
+/// Replaces the item at `index`, or appends it where that is the next index.
+fn set_or_append<T: Clone>(
+    table: &mut Vector<T>,
+    index: usize,
+    item: T,
+    field: &'static str,
+) -> Result<(), ConfigError> {
+    match table.len() {
+        length if index < length => drop(table.set(index, item)),
+        length if index == length => table.push_back(item),
+        _ => {
+            return Err(ConfigError {
+                field,
+                expected: "a number in use, or the next",
+            })
+        }
+    }
+    Ok(())
+}
+
+/// The sum of all quotas, kept by chunks of tenants: a change sums up its own chunk only.
+///
+/// The same tenants give the same sum to the last bit, whichever way they came about.
+#[derive(Clone, Debug, PartialEq)]
+struct QuotaSum {
+    chunk_sums_per_s: Vec<f64>,
+    sum_per_s: f64,
+}
+
+impl QuotaSum {
+    const CHUNK_TENANTS: usize = 4096;
+
+    fn of(tenants: &Vector<Tenant>) -> QuotaSum {
+        let mut quotas = QuotaSum {
+            chunk_sums_per_s: Vec::new(),
+            sum_per_s: 0.0,
+        };
+        for chunk in 0..tenants.len().div_ceil(QuotaSum::CHUNK_TENANTS) {
+            quotas.update_chunk(tenants, chunk);
+        }
+        quotas
+    }
+
+    fn update_chunk(&mut self, tenants: &Vector<Tenant>, chunk: usize) {
+        let start = chunk * QuotaSum::CHUNK_TENANTS;
+        let end = tenants.len().min(start + QuotaSum::CHUNK_TENANTS);
+        let members = tenants.focus().narrow(start..end);
+        let sum = members.into_iter().map(|tenant| tenant.quota_per_s).sum();
+        match self.chunk_sums_per_s.get_mut(chunk) {
+            Some(previous) => *previous = sum,
+            None => self.chunk_sums_per_s.push(sum),
+        }
+        self.sum_per_s = self.chunk_sums_per_s.iter().sum();
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,6 @@
 #![warn(missing_docs)]
 
 mod balancer;
-mod checked;
 pub mod fleet;
 mod interface;
 pub mod settings;
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use cli::{Cli, Command, LogFormat, Run};
 use meadowproxy::settings::InForce;
-use meadowproxy::{Balancer, ListUpdate};
+use meadowproxy::{Balancer, EndpointUpdate};
 use net::config::{self, Node, Source};
 use net::control::{DutiesDoor, Keepers};
 use net::discovery::Pace;
@@ -149,11 +149,11 @@
     let config = &in_force.config;
     let pool = Rc::new(Pool::new(&in_force.network, room / 2));
     let rules = Rules::new(config, &in_force.network);
-    let balancer = Balancer::of(config.clone(), node.seed);
+    let balancer = Balancer::from_validated(config.clone(), node.seed);
     let host = Host::new(balancer, in_force.names.clone(), clock, pool.clone());
     // The list from before the restart is in place before anything is served, and before what was learned.
     let known = std::mem::take(&mut node.known);
-    host.take(ListUpdate::Cached, &known.lines);
+    host.take(EndpointUpdate::Cached, &known.lines);
     let (index, listed) = (known.index, known.lines.len());
     // It may be long.
     aside.discard(known);
@@ -204,7 +204,7 @@
     tokio::task::spawn_local(pool.sweep());
     let watched = node.discovery.map(|to| {
         let (moved, at) = watch::channel(to);
-        let pace = Pace::new(config.discovery, config.proxies, node.seed);
+        let pace = Pace::new(config.discovery, config.proxy_count, node.seed);
         tokio::task::spawn_local(discovery::watch(host.clone(), at, index, pace));
         moved
     });
@@ -212,7 +212,7 @@
     let peers = match node.peers {
         Some(rules) => {
             let socket = claimed("peers: ", rules.listen, UdpSocket::bind).await?;
-            let fleet = config.proxies;
+            let fleet = config.proxy_count;
             let peers = Peers::start(
                 host.clone(),
                 socket,
@@ -233,7 +233,7 @@
                 host.clone(),
                 peers,
                 rules,
-                config.ramp,
+                config.slow_start,
                 overlay.clone(),
                 copies,
             );
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
 use hyper::Request;
-use meadowproxy::{in_line, Discovery, ListUpdate, CALL_PATIENCE};
+use meadowproxy::{in_line, Discovery, EndpointUpdate, CALL_PATIENCE};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -93,7 +93,9 @@
     pub fn new(mode: Discovery, proxies: u32, seed: u64) -> Pace {
         let most = (f64::from(proxies) / CALLS).clamp(LEAST_WAIT, MOST_WAIT);
         let in_full_line = match mode {
-            Discovery::Subscribe(within) => Duration::from_micros(in_line(proxies, within).0),
+            Discovery::Poll {
+                staleness_limit: within,
+            } => Duration::from_micros(in_line(proxies, within).0),
             Discovery::Push => IN_LINE, // an agent has one caller
         };
         Pace {
@@ -209,9 +211,9 @@
         self.index.set(list.index);
         self.host.take(
             if list.snapshot {
-                ListUpdate::Full
+                EndpointUpdate::Full
             } else {
-                ListUpdate::Changes
+                EndpointUpdate::Incremental
             },
             &list.lines,
         );
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -24,10 +24,12 @@
 impl Caller {
     /// Its watch has just ended.
     fn new(proxies: u32, position: u32, within: f64) -> Caller {
-        let discovery = Discovery::Subscribe(Micros::from_secs(within));
+        let discovery = Discovery::Poll {
+            staleness_limit: Micros::from_secs_f64(within),
+        };
         let cfg = Config {
-            proxies,
-            position,
+            proxy_count: proxies,
+            proxy_index: position,
             discovery,
             ..Config::example()
         };
@@ -38,8 +40,8 @@
             timers: BinaryHeap::new(),
             calls: Vec::new(),
         };
-        caller.tell(Event::Members {
-            update: ListUpdate::Full,
+        caller.tell(Event::EndpointsUpdated {
+            update: EndpointUpdate::Full,
             backends: Vec::new(),
         });
         caller.calls.clear();
@@ -50,8 +52,8 @@
     }
 
     fn lost(&mut self) {
-        self.tell(Event::Members {
-            update: ListUpdate::Lost,
+        self.tell(Event::EndpointsUpdated {
+            update: EndpointUpdate::Failed,
             backends: Vec::new(),
         });
     }
@@ -64,7 +66,7 @@
                 Action::SetTimer { token, after } => {
                     self.timers.push(Reverse((self.now + after.0, token.0)))
                 }
-                Action::Follow => self.calls.push(self.now),
+                Action::PollDiscovery => self.calls.push(self.now),
                 _ => {}
             }
         }
@@ -78,7 +80,7 @@
                 return;
             };
             self.now = at;
-            self.tell(Event::Timer {
+            self.tell(Event::TimerFired {
                 token: meadowproxy::TimerToken(token),
             });
         }
@@ -146,7 +148,7 @@
 fn a_call_that_keeps_its_place_in_a_line_leaves_the_bound_as_it_was() {
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for within in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
-            let in_line = Duration::from_micros(in_line(proxies, Micros::from_secs(within)).0);
+            let in_line = Duration::from_micros(in_line(proxies, Micros::from_secs_f64(within)).0);
             assert!(in_line >= IN_LINE, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
                 let takes = |n| if refused(n) { Duration::ZERO } else { in_line };
@@ -163,9 +165,9 @@
             }
         }
     }
-    let line = in_line(32, Micros::from_secs(9.0));
+    let line = in_line(32, Micros::from_secs_f64(9.0));
     assert!(
-        line > Micros::from_secs(3.0),
+        line > Micros::from_secs_f64(3.0),
         "a few dozen proxies can wait for the end of discovery's line"
     );
 }
@@ -297,17 +299,19 @@
         }
     };
     let play = async || {
-        let mode = Discovery::Subscribe(Micros(10 * SECOND));
+        let mode = Discovery::Poll {
+            staleness_limit: Micros(10 * SECOND),
+        };
         let host = asking(mode);
         let (old, failed) = discovery(503);
         let (new, asked) = discovery(503);
         let (moves, at) = watch::channel(old);
-        host.members(ListUpdate::Cached, &List::default()); // calls at once
+        host.members(EndpointUpdate::Cached, &List::default()); // calls at once
         let task = tokio::task::spawn_local(watch(host.clone(), at, 7, Pace::new(mode, 3, 1)));
         calls(&failed).await;
         tokio::time::sleep(Duration::from_millis(30)).await; // the module hears of it
         std::thread::sleep(Duration::from_millis(150)); // the pause is over, and nothing runs meanwhile
-        host.members(ListUpdate::Cached, &List::default()); // which has the module look
+        host.members(EndpointUpdate::Cached, &List::default()); // which has the module look
         moves.send(new).unwrap();
         let first = calls(&asked).await;
         task.abort();
--- a/src/net/duties/config.rs
+++ b/src/net/duties/config.rs
@@ -5,7 +5,7 @@
 use super::leases::{Leases, Mail};
 use super::message::{Duties, Duty};
 use super::tables::Tables;
-use super::{mono, wall, Effect};
+use super::{mono, wall, Idempotency};
 use crate::net::overlay::{Newest, Overlay};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{
@@ -177,7 +177,7 @@
             .outbox
             .lock()
             .effects
-            .try_send(Effect::Config(version, list))
+            .try_send(Idempotency::Config(version, list))
             .is_err()
         {
             config.untold = Some((version, entries));
@@ -375,7 +375,7 @@
     metrics::gauge!("meadowproxy_config_entries").set(config.replica.table().len() as f64);
     let heard = config.leases.heard();
     if heard.0 < u64::MAX {
-        metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.secs());
+        metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
     }
 }
 
--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -61,7 +61,7 @@
 const KEPT: Micros = Micros(1_000_000);
 
 /// What the workers ask of the request loop.
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing new to that backend: a window has it.
     Out(String),
     /// No window has it any more.
@@ -272,13 +272,13 @@
 /// Carries out what the workers ask.
 async fn apply(
     host: Rc<Host>,
-    mut told: mpsc::Receiver<Effect>,
+    mut told: mpsc::Receiver<Idempotency>,
     applied: Rc<Applied>,
     ready: watch::Sender<bool>,
 ) {
     while let Some(effect) = told.recv().await {
         match effect {
-            Effect::Out(name) => {
+            Idempotency::Out(name) => {
                 host.withdraw_unheard(&name, Why::Window);
                 info!(
                     event = "window_out",
@@ -288,7 +288,7 @@
                 );
                 applied.out.borrow_mut().insert(name);
             }
-            Effect::Back(name) => {
+            Idempotency::Back(name) => {
                 host.restore(&name, Why::Window, host.clock.now());
                 info!(
                     event = "window_back",
@@ -298,8 +298,8 @@
                 );
                 applied.out.borrow_mut().remove(&name);
             }
-            Effect::Config(version, entries) => applied.overlay.add(version, entries),
-            Effect::Ready => {
+            Idempotency::Config(version, entries) => applied.overlay.add(version, entries),
+            Idempotency::Ready => {
                 applied.overlay.hear();
                 ready.send_replace(true);
             }
--- a/src/net/duties/wire.rs
+++ b/src/net/duties/wire.rs
@@ -235,7 +235,7 @@
     use super::super::door::{answer, Call};
     use super::super::message::tests::message;
     use super::super::tables::Windows;
-    use super::super::Effect;
+    use super::super::Idempotency;
     use super::*;
     use bytes::Bytes;
     use hyper::{Method, StatusCode};
@@ -399,7 +399,7 @@
                 &mut Mail::new(),
             )
             .unwrap();
-            matches!(told.try_recv(), Ok(Effect::Ready))
+            matches!(told.try_recv(), Ok(Idempotency::Ready))
         };
         assert!(!hear(true));
         assert!(hear(false));
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -21,7 +21,7 @@
         let Some(live) = s.requests.get_mut(&request) else {
             return;
         };
-        let attempt = AttemptNo(live.attempts);
+        let attempt = AttemptNumber(live.attempts);
         live.attempts += 1;
         s.counts.attempts += 1;
         let call = live.call.clone();
@@ -58,7 +58,7 @@
     pub(super) fn may_send(
         self: &Rc<Self>,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         backend: BackendId,
         to: SocketAddr,
     ) -> bool {
@@ -83,7 +83,7 @@
 
     /// When the last byte of a keyed request must be out that goes out from now on: a copy that is sent later than
     /// this may run first, and it then is the repeat.
-    pub(super) fn whole_by(&self, request: RequestId, attempt: AttemptNo) -> Option<Time> {
+    pub(super) fn whole_by(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let s = self.state.borrow();
         let window = s.window(s.requests.get(&request)?).filter(|w| w.0 > 0)?;
         let alone = self.clock.now() + window;
@@ -102,7 +102,7 @@
             .map_or(UNKNOWN, |r| r.deadline)
     }
 
-    pub(super) fn uploaded(self: &Rc<Self>, request: RequestId, attempt: AttemptNo) {
+    pub(super) fn uploaded(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber) {
         let now = self.clock.now();
         let time_left = {
             let mut s = self.state.borrow_mut();
@@ -120,7 +120,7 @@
             live.deadline = now + Micros(coming.left.0.saturating_sub(self.margin().0));
             live.deadline - now
         };
-        self.tell(Event::Uploaded {
+        self.tell(Event::UploadFinished {
             request,
             attempt,
             time_left,
@@ -128,8 +128,13 @@
     }
 
     /// A long answer begins: it is the client's from here on, and no other attempt is of use.
-    pub(super) fn streams(self: &Rc<Self>, request: RequestId, attempt: AttemptNo, served: Served) {
-        let others: Vec<AttemptNo> = self
+    pub(super) fn streams(
+        self: &Rc<Self>,
+        request: RequestId,
+        attempt: AttemptNumber,
+        served: Served,
+    ) {
+        let others: Vec<AttemptNumber> = self
             .attempts_of(request)
             .into_iter()
             .filter(|no| *no != attempt)
@@ -142,7 +147,7 @@
             s.counts.served += 1;
             let _ = live.answer.send(Answer::Served(served));
         }
-        self.tell(Event::StreamStarted { request, attempt });
+        self.tell(Event::ResponseStarted { request, attempt });
         others
             .into_iter()
             .for_each(|no| self.attempt_ended(request, no, (Outcome::Cancelled, None)));
@@ -151,7 +156,7 @@
     pub(super) fn attempt_ended(
         self: &Rc<Self>,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         (outcome, served): Ended,
     ) {
         let end = {
@@ -161,11 +166,11 @@
             };
             flight.task.abort(); // closes its connection, if it is still on one
             match outcome {
-                Outcome::Full => s.counts.full += 1,
+                Outcome::Overloaded => s.counts.full += 1,
                 Outcome::Error => s.counts.errors += 1,
                 Outcome::Reset => s.counts.resets += 1,
                 Outcome::ConnectFailed => s.counts.unconnected += 1,
-                Outcome::NeverSent => s.counts.unsent += 1,
+                Outcome::NotSent => s.counts.unsent += 1,
                 Outcome::TimedOut => self
                     .pool
                     .unanswered(flight.backend, self.clock.instant(flight.sent)),
@@ -174,7 +179,7 @@
             if let Some(live) = s
                 .requests
                 .get_mut(&request)
-                .filter(|_| !outcome.never_ran())
+                .filter(|_| !outcome.proves_not_run())
             {
                 live.ran = Some(live.ran.map_or(flight.sent, |at| at.min(flight.sent)));
             }
@@ -196,24 +201,24 @@
                 attempt,
                 outcome,
                 latency: self.clock.now() - flight.sent,
-                settled,
+                answered: settled,
             }
         };
         self.tell(Event::AttemptEnded(end));
     }
 
-    pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNo> {
+    pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNumber> {
         let s = self.state.borrow();
         let count = s.requests.get(&id).map_or(0, |r| r.attempts);
         (0..count)
-            .map(AttemptNo)
+            .map(AttemptNumber)
             .filter(|no| s.attempts.contains_key(&(id, *no)))
             .collect()
     }
 
     /// For a module that may not cancel: nothing goes on for a client that left.
     pub(super) fn drop_attempts(self: &Rc<Self>, id: RequestId) {
-        let left: Vec<AttemptNo> = {
+        let left: Vec<AttemptNumber> = {
             let s = self.state.borrow();
             s.attempts
                 .keys()
@@ -230,7 +235,7 @@
 struct Leg {
     host: Rc<Host>,
     request: RequestId,
-    attempt: AttemptNo,
+    attempt: AttemptNumber,
     backend: BackendId,
     to: SocketAddr,
 }
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -4,8 +4,8 @@
 use tokio::sync::oneshot;
 
 const B: BackendId = BackendId(0);
-const FIRST: AttemptNo = AttemptNo(0);
-const SECOND: AttemptNo = AttemptNo(1);
+const FIRST: AttemptNumber = AttemptNumber(0);
+const SECOND: AttemptNumber = AttemptNumber(1);
 const WINDOW: Micros = Micros(500_000);
 
 fn at(port: u16) -> SocketAddr {
@@ -15,7 +15,7 @@
 fn news(host: &Rc<Host>, index: u64, status: &str, port: u16) {
     let entry = serde_json::json!({"name": "b", "address": at(port).to_string(), "status": status});
     host.members(
-        ListUpdate::Changes,
+        EndpointUpdate::Incremental,
         &List {
             index,
             snapshot: false,
@@ -37,7 +37,13 @@
     let (answer, wait) = oneshot::channel();
     let deadline = host.clock.now() + Micros(60_000_000);
     let attempts = ago.len() as u32;
-    let (class, effect) = (ClassId(0), Effect::Keyed(KeyScope::All, WINDOW));
+    let (class, effect) = (
+        ClassId(0),
+        Idempotency::Keyed {
+            scope: KeyScope::All,
+            window: WINDOW,
+        },
+    );
     s.requests.insert(
         id,
         Live {
@@ -57,7 +63,7 @@
             sent: host.clock.now() - Micros(*ago),
             task,
         };
-        s.attempts.insert((id, AttemptNo(no as u32)), flight);
+        s.attempts.insert((id, AttemptNumber(no as u32)), flight);
     }
     drop(s);
     (id, wait)
@@ -127,13 +133,25 @@
         assert!(host.whole_by(id, SECOND).unwrap() <= host.clock.now() + Micros(100_000));
         // Settings that came meanwhile shorten the window, or allow no copy at all; longer ones change nothing.
         for (effect, allowed) in [
-            (Effect::Keyed(KeyScope::All, Micros(300_000)), false),
-            (Effect::Unsafe, false),
-            (Effect::Keyed(KeyScope::All, Micros(900_000)), true),
-            (Effect::Free, true),
+            (
+                Idempotency::Keyed {
+                    scope: KeyScope::All,
+                    window: Micros(300_000),
+                },
+                false,
+            ),
+            (Idempotency::NonIdempotent, false),
+            (
+                Idempotency::Keyed {
+                    scope: KeyScope::All,
+                    window: Micros(900_000),
+                },
+                true,
+            ),
+            (Idempotency::Idempotent, true),
         ] {
-            host.state.borrow_mut().classes = vec![Class {
-                effect,
+            host.state.borrow_mut().classes = vec![RequestClass {
+                idempotency: effect,
                 ..Config::example().classes[0].clone()
             }]
             .into();
--- a/src/net/host/backends.rs
+++ b/src/net/host/backends.rs
@@ -81,9 +81,9 @@
             let entry = known
                 .entry
                 .as_mut()
-                .filter(|e| e.state != BackendState::Gone);
+                .filter(|e| e.state != BackendState::Removed);
             if let Some(entry) = entry.filter(|_| held.peek() != Some(&id)) {
-                entry.state = BackendState::Gone;
+                entry.state = BackendState::Removed;
                 changed.push(id);
             }
         }
@@ -101,12 +101,12 @@
 impl Host {
     /// News of the list. Of several lines on one backend the last counts. One that is known and whose line does not
     /// make sense gets nothing new: whatever the line means, it does not say that the backend serves.
-    pub fn members(self: &Rc<Self>, update: ListUpdate, list: &List) {
+    pub fn members(self: &Rc<Self>, update: EndpointUpdate, list: &List) {
         self.take(update, &list.lines());
     }
 
     /// The same with the lines read before.
-    pub fn take(self: &Rc<Self>, update: ListUpdate, lines: &Pieces) {
+    pub fn take(self: &Rc<Self>, update: EndpointUpdate, lines: &Pieces) {
         let backends = {
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
@@ -118,20 +118,20 @@
                 Line::Unclear(name) => s.unclear(name, &mut changed),
             };
             let backends = last_of_each(lines.iter().filter_map(entry).collect());
-            if update != ListUpdate::Cached {
+            if update != EndpointUpdate::Cached {
                 backends
                     .iter()
                     .for_each(|b| debug!("backend {} is {:?}", b.id.0, b.state));
             }
-            if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+            if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
                 s.drop_absent(&backends, &mut changed);
             }
             changed.into_iter().for_each(|id| self.shut(s, id));
             backends
         };
-        self.tell(Event::Members { update, backends });
+        self.tell(Event::EndpointsUpdated { update, backends });
         self.forget();
-        if matches!(update, ListUpdate::Full | ListUpdate::Changes) {
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Incremental) {
             self.listed.send_replace(true);
         }
     }
@@ -139,7 +139,7 @@
     /// A call to discovery failed. What the module said before, of when to call again, was of earlier ones.
     pub fn lost(self: &Rc<Self>) {
         std::pin::pin!(self.follow.notified()).as_mut().enable();
-        self.members(ListUpdate::Lost, &List::default());
+        self.members(EndpointUpdate::Failed, &List::default());
     }
 
     /// No connection is kept to a backend that is to get nothing new. Called after each change of its line or reasons.
@@ -154,7 +154,7 @@
         }
         known.shut = !known.open();
         match known.state() {
-            BackendState::Gone => s.unlisted.insert(id),
+            BackendState::Removed => s.unlisted.insert(id),
             _ => s.unlisted.remove(&id),
         };
     }
@@ -230,7 +230,7 @@
             self.shut(s, id);
             id
         };
-        self.tell(Event::Withdraw { backend });
+        self.tell(Event::BackendDisabled { backend });
     }
 
     /// That reason is over. With the last one the backend is used again, as one that may have started as late as
@@ -264,7 +264,7 @@
             self.shut(&mut s, id);
             id
         };
-        self.tell(Event::Restore { backend, since });
+        self.tell(Event::BackendEnabled { backend, since });
     }
 
     /// Every backend that a list held, by what this proxy knows of it.
@@ -284,7 +284,7 @@
                 zone: s.names.zone_name(entry.zone).unwrap_or_default().into(),
                 kind: s.names.kind_name(entry.kind).unwrap_or_default().into(),
                 cell: entry.cell.0,
-                listed: entry.state != BackendState::Gone,
+                listed: entry.state != BackendState::Removed,
                 serving: entry.state == BackendState::Ready,
                 ready: part,
                 by_hand: known.reasons.contains(Why::Hand),
@@ -318,9 +318,9 @@
     }
 
     /// What is worth keeping over a crash, under the names of kinds, classes and backends.
-    pub fn recollect(&self) -> Saved {
+    pub fn learned_state(&self) -> Saved {
         let s = self.state.borrow();
-        let memory = s.balancer.recollect(self.clock.now());
+        let memory = s.balancer.learned_state(self.clock.now());
         let backend = |id: BackendId| s.backends.get(&id).map(|b| b.name.to_string());
         Saved {
             kinds: memory
@@ -333,7 +333,7 @@
                 .iter()
                 .filter_map(|(c, m)| Some((s.names.class_name(*c)?.into(), *m)))
                 .collect(),
-            overall: memory.overall,
+            overall: memory.overall_latency,
             backends: memory
                 .backends
                 .iter()
@@ -358,7 +358,7 @@
             .for_each(|name| self.withdraw_unheard(name, Why::Hand));
         let memory = {
             let s = self.state.borrow();
-            Memory {
+            LearnedState {
                 kinds: saved
                     .kinds
                     .iter()
@@ -369,7 +369,7 @@
                     .iter()
                     .filter_map(|(n, m)| Some((s.names.class(n)?, *m)))
                     .collect(),
-                overall: saved.overall,
+                overall_latency: saved.overall,
                 backends: saved
                     .backends
                     .iter()
@@ -377,17 +377,17 @@
                     .collect(),
             }
         };
-        self.tell(Event::Recall {
-            memory: Box::new(memory),
+        self.tell(Event::StateRestored {
+            state: Box::new(memory),
             age,
         });
     }
 
     /// A shared verdict; one on a backend that no list named here is nothing to this proxy.
-    pub fn heard(self: &Rc<Self>, name: &str, word: Heard) {
+    pub fn heard(self: &Rc<Self>, name: &str, word: PeerVerdict) {
         let backend = self.state.borrow().numbers.get(name).copied();
         if let Some(backend) = backend {
-            self.tell(Event::Heard(Heard { backend, ..word }));
+            self.tell(Event::VerdictReceived(PeerVerdict { backend, ..word }));
         }
     }
 }
--- a/src/net/host/backends/tests.rs
+++ b/src/net/host/backends/tests.rs
@@ -8,7 +8,7 @@
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
     host.members(
-        ListUpdate::Full,
+        EndpointUpdate::Full,
         &List {
             index: 1,
             snapshot: true,
@@ -56,7 +56,7 @@
         };
         assert_eq!(row(&host), out, "{last:?} holds");
         assert_eq!(
-            host.recollect().withdrawn,
+            host.learned_state().withdrawn,
             if out.by_hand { vec!["b"] } else { vec![] }
         );
         assert!(host.restore("b", last, host.clock.now()));
@@ -89,12 +89,12 @@
     ];
     for (bad, update) in bad
         .iter()
-        .flat_map(|b| [(b, ListUpdate::Full), (b, ListUpdate::Changes)])
+        .flat_map(|b| [(b, EndpointUpdate::Full), (b, EndpointUpdate::Incremental)])
     {
         let host = host();
         let list = |endpoints| List {
             index: 2,
-            snapshot: update == ListUpdate::Full,
+            snapshot: update == EndpointUpdate::Full,
             endpoints,
         };
         let other = line(serde_json::json!({"name": "never", "status": "LAME"}));
@@ -129,13 +129,13 @@
         }
     };
     let host = host();
-    host.members(ListUpdate::Full, &lines(["SERVING", "DRAINING"]));
+    host.members(EndpointUpdate::Full, &lines(["SERVING", "DRAINING"]));
     assert!(
         !row(&host).serving && row(&host).ready == 0.0,
         "{:?}",
         row(&host)
     );
-    host.members(ListUpdate::Full, &lines(["DRAINING", "SERVING"]));
+    host.members(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
     assert!(
         row(&host).serving && row(&host).ready > 0.0,
         "{:?}",
@@ -143,7 +143,7 @@
     );
     let withdrawn = host.withdraw("b", Why::Hand) && host.restore("b", Why::Hand, host.clock.now());
     let cold = row(&host).ready;
-    host.members(ListUpdate::Full, &lines(["DRAINING", "SERVING"]));
+    host.members(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
     assert!(
         withdrawn && cold < 1.0 && row(&host).ready < 1.0,
         "the slow start goes on: {:?}",
@@ -162,7 +162,7 @@
             snapshot: true,
             endpoints: vec![line(serde_json::json!({"since_ms": at}))],
         };
-        host.members(ListUpdate::Full, &list);
+        host.members(EndpointUpdate::Full, &list);
         row(&host).ready
     };
     assert_eq!(started(0.0), 1.0);
@@ -196,15 +196,18 @@
     let mut numbers = BTreeSet::new();
     for n in 0..500 {
         let (old, new) = (format!("r{n}"), format!("r{}", n + 1));
-        host.members(ListUpdate::Changes, &lines([named(&old, "SERVING")], false));
+        host.members(
+            EndpointUpdate::Incremental,
+            &lines([named(&old, "SERVING")], false),
+        );
         assert!(numbers.insert(host.state.borrow().numbers[old.as_str()]) || n > 0);
         match n % 2 {
             0 => host.members(
-                ListUpdate::Changes,
+                EndpointUpdate::Incremental,
                 &lines([named(&old, "DELETED"), named(&new, "SERVING")], false),
             ),
             _ => host.members(
-                ListUpdate::Full,
+                EndpointUpdate::Full,
                 &lines([named("b", "SERVING"), named(&new, "SERVING")], true),
             ),
         }
@@ -224,13 +227,19 @@
     for why in [Why::Hand, Why::Window] {
         let host = host();
         assert!(host.withdraw("b", why));
-        host.members(ListUpdate::Full, &lines([], true));
+        host.members(EndpointUpdate::Full, &lines([], true));
         assert_eq!(kept(&host), vec!["b"]);
-        host.members(ListUpdate::Changes, &lines([named("b", "SERVING")], false));
+        host.members(
+            EndpointUpdate::Incremental,
+            &lines([named("b", "SERVING")], false),
+        );
         assert_eq!(row(&host).ready, 0.0);
-        host.members(ListUpdate::Changes, &lines([named("b", "DELETED")], false));
+        host.members(
+            EndpointUpdate::Incremental,
+            &lines([named("b", "DELETED")], false),
+        );
         assert!(host.restore("b", why, host.clock.now()));
-        host.members(ListUpdate::Changes, &lines([], false));
+        host.members(EndpointUpdate::Incremental, &lines([], false));
         assert!(kept(&host).is_empty());
     }
 }
@@ -250,21 +259,24 @@
                     0.0
                 };
                 let serving = line(serde_json::json!({"since_ms": started}));
-                host.members(ListUpdate::Changes, &lines([serving.clone()], false));
+                host.members(
+                    EndpointUpdate::Incremental,
+                    &lines([serving.clone()], false),
+                );
                 let number = host.state.borrow().numbers["b"];
                 let (id, _wait) = host.example_request();
                 assert_eq!(host.state.borrow().attempts.len(), 1);
-                host.members(ListUpdate::Full, &lines([], true));
+                host.members(EndpointUpdate::Full, &lines([], true));
                 assert_eq!(kept(&host), vec!["b"], "its attempt is open");
                 host.client_gone(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
-                host.members(ListUpdate::Changes, &lines([], false));
+                host.members(EndpointUpdate::Incremental, &lines([], false));
                 assert_eq!(
                     kept(&host).len(),
                     usize::from(cold),
                     "what it was sent cold weighs still"
                 );
-                host.members(ListUpdate::Changes, &lines([serving], false));
+                host.members(EndpointUpdate::Incremental, &lines([serving], false));
                 let after = host.state.borrow().numbers["b"];
                 assert_eq!(after == number, cold, "a number is never given again");
             }
@@ -284,8 +296,8 @@
     };
     let (whole, changes) = (host(), host());
     let mut list: BTreeMap<u64, serde_json::Value> = BTreeMap::new();
-    whole.members(ListUpdate::Full, &lines([], true));
-    changes.members(ListUpdate::Full, &lines([], true));
+    whole.members(EndpointUpdate::Full, &lines([], true));
+    changes.members(EndpointUpdate::Full, &lines([], true));
     for _ in 0..300 {
         let mut changed = Vec::new();
         for _ in 0..=draw(4) {
@@ -301,12 +313,12 @@
             }
             changed.push(new);
         }
-        changes.members(ListUpdate::Changes, &lines(changed, false));
+        changes.members(EndpointUpdate::Incremental, &lines(changed, false));
         let mut all: Vec<serde_json::Value> = list.values().cloned().collect();
         if draw(2) == 0 {
             all.reverse();
         }
-        whole.members(ListUpdate::Full, &lines(all, true));
+        whole.members(EndpointUpdate::Full, &lines(all, true));
         let rows = |host: &Host| {
             let mut rows = host.roster();
             rows.retain(|r| r.listed); // what is gone had no line of its own in a whole list
@@ -330,20 +342,20 @@
             let body = Content::Whole(bytes::Bytes::new());
             host.streams(
                 id,
-                AttemptNo(0),
+                AttemptNumber(0),
                 Served {
                     headers: hyper::HeaderMap::new(),
                     body,
                 },
             );
-            host.members(ListUpdate::Full, &lines([], true));
+            host.members(EndpointUpdate::Full, &lines([], true));
             assert!(
                 !host.state.borrow().balancer.knows(BackendId(0)),
                 "its work is done"
             );
             assert_eq!(kept(&host), vec!["b"]);
-            host.attempt_ended(id, AttemptNo(0), (Outcome::Ok, None));
-            host.members(ListUpdate::Full, &lines([], true));
+            host.attempt_ended(id, AttemptNumber(0), (Outcome::Ok, None));
+            host.members(EndpointUpdate::Full, &lines([], true));
             assert!(kept(&host).is_empty());
         })
         .await;
--- a/src/net/host/gone_tests.rs
+++ b/src/net/host/gone_tests.rs
@@ -24,11 +24,11 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            host.members(ListUpdate::Full, &list);
+            host.members(EndpointUpdate::Full, &list);
             let (id, _wait) = host.example_request_of(Some(client.peer()));
-            assert!(host.may_send(id, AttemptNo(0), BackendId(0), at));
+            assert!(host.may_send(id, AttemptNumber(0), BackendId(0), at));
             drop(peer);
-            assert!(!host.may_send(id, AttemptNo(0), BackendId(0), at));
+            assert!(!host.may_send(id, AttemptNumber(0), BackendId(0), at));
             let s = host.state.borrow();
             assert!(
                 s.requests.is_empty() && s.attempts.is_empty(),
--- a/src/net/host/known.rs
+++ b/src/net/host/known.rs
@@ -75,7 +75,9 @@
     }
 
     pub fn state(&self) -> BackendState {
-        self.entry.as_ref().map_or(BackendState::Gone, |e| e.state)
+        self.entry
+            .as_ref()
+            .map_or(BackendState::Removed, |e| e.state)
     }
 
     pub fn open(&self) -> bool {
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -97,15 +97,15 @@
             body: Payload::Whole(bytes::Bytes::new()),
             client,
         };
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             request: RequestId(0),
             class: ClassId(0),
             tenant: None,
             time_left: Micros(60_000_000),
             work_hint: None,
-            repeat: false,
+            client_retry: false,
         };
-        self.request(arrival, &Rc::new(call), Effect::Free)
+        self.request(arrival, &Rc::new(call), Idempotency::Idempotent)
     }
 
     pub fn class(&self, name: &str) -> Option<ClassId> {
@@ -124,9 +124,9 @@
     /// Takes a request; `arrival.request` is given here.
     pub fn request(
         self: &Rc<Self>,
-        mut arrival: Arrival,
+        mut arrival: RequestArrival,
         call: &Rc<Call>,
-        effect: Effect,
+        effect: Idempotency,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, wait) = oneshot::channel();
         let id = {
@@ -152,7 +152,7 @@
             id
         };
         arrival.request = id;
-        self.tell(Event::Request(arrival));
+        self.tell(Event::RequestArrived(arrival));
         (id, wait)
     }
 
@@ -165,7 +165,7 @@
             }
             s.counts.gone += 1;
         }
-        self.tell(Event::ClientGone { request: id });
+        self.tell(Event::ClientDisconnected { request: id });
         self.drop_attempts(id);
     }
 
@@ -183,7 +183,7 @@
             );
             self.state.borrow_mut().counts.timed_out += 1;
             let _ = live.answer.send(Answer::TimedOut);
-            self.tell(Event::ClientGone { request: id });
+            self.tell(Event::ClientDisconnected { request: id });
             self.drop_attempts(id);
         }
     }
@@ -203,8 +203,8 @@
         let Change {
             to,
             retired,
-            revived,
-            heirs,
+            reinstated,
+            successors,
             ..
         } = change;
         let config = to.config;
@@ -212,17 +212,17 @@
             let mut s = self.state.borrow_mut();
             (s.names, s.classes) = (to.names, config.classes.clone());
         }
-        self.tell(Event::Settings {
+        self.tell(Event::ConfigChanged {
             config: Box::new(config),
             retired,
-            revived,
-            heirs,
+            reinstated,
+            successors,
         });
     }
 
     /// So many processes are this proxy now.
     pub fn beside(self: &Rc<Self>, processes: u32) {
-        self.tell(Event::Beside { processes });
+        self.tell(Event::ProcessCountChanged { processes });
     }
 
     /// Until the module asks discovery for changes.
@@ -249,7 +249,7 @@
     fn carry_out(self: &Rc<Self>, s: &mut State, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(s, now, request, backend),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -272,7 +272,7 @@
                     attempt,
                     outcome: Outcome::Cancelled,
                     latency: now - flight.sent,
-                    settled: !s.requests.contains_key(&request),
+                    answered: !s.requests.contains_key(&request),
                 }));
             }
             Action::SetTimer { token, after } => {
@@ -282,8 +282,8 @@
                 }
                 s.timers.push(Reverse((at, token)));
             }
-            Action::Follow => self.follow.notify_one(),
-            Action::Tell { backend, verdict } => {
+            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PublishVerdict { backend, verdict } => {
                 let known = s.backends.get(&backend);
                 if let Some((tell, b)) = self.tell.borrow().as_ref().zip(known) {
                     // A full queue drops the newest: a verdict late by so many is of no use.
@@ -323,7 +323,7 @@
             };
             if let Some(Reverse((at, token))) = due {
                 self.lag.set((now - at).0.max(self.lag.get() * 15 / 16));
-                self.tell(Event::Timer { token });
+                self.tell(Event::TimerFired { token });
             }
         }
     }
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -9,7 +9,7 @@
     pub fn report_holds(&self) {
         let s = self.state.borrow();
         let of = |(kind, hold)| Some(format!("{}={hold:.2}", s.names.kind_name(kind)?));
-        let holds: Vec<String> = s.balancer.holds().filter_map(of).collect();
+        let holds: Vec<String> = s.balancer.concurrency_limits().filter_map(of).collect();
         debug!(event = "holds", holds = holds.join(" "), "holds");
     }
 
@@ -53,7 +53,7 @@
         metrics::gauge!("meadowproxy_requests_open").set(s.requests.len() as f64);
         metrics::gauge!("meadowproxy_clients").set(clients as f64);
         metrics::gauge!("meadowproxy_upstreams").set(self.pool.open() as f64);
-        metrics::gauge!("meadowproxy_timer_lag_seconds").set(Micros(self.lag.get()).secs());
+        metrics::gauge!("meadowproxy_timer_lag_seconds").set(Micros(self.lag.get()).as_secs_f64());
     }
 }
 
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -27,7 +27,7 @@
     pub call: Rc<Call>,
     pub class: ClassId,
     /// What a second run would do, by the settings that it came under.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// When the first attempt that may have run was sent, of those that have ended.
     pub ran: Option<Time>,
     pub answer: oneshot::Sender<Answer>,
@@ -86,7 +86,7 @@
     pub balancer: Balancer,
     pub names: Names,
     /// The classes as they stand now, once settings have changed.
-    pub classes: Vector<Class>,
+    pub classes: Vector<RequestClass>,
     pub numbers: HashMap<Rc<str>, BackendId>,
     /// By number. No number is ever given again, so that what comes late on one that was forgotten names nothing.
     pub backends: Directory,
@@ -95,7 +95,7 @@
     /// Those that the list does not hold.
     pub unlisted: BTreeSet<BackendId>,
     pub requests: HashMap<RequestId, Live>,
-    pub attempts: HashMap<(RequestId, AttemptNo), Flight>,
+    pub attempts: HashMap<(RequestId, AttemptNumber), Flight>,
     pub timers: BinaryHeap<Reverse<(Time, TimerToken)>>,
     pub events: VecDeque<Event>,
     pub actions: Vec<Action>,
@@ -109,12 +109,15 @@
     /// How long after the first send that may have run a copy may be sent: for ever, as long as a keyed one is
     /// dropped, or not at all. Settings that changed meanwhile can only take from that.
     pub fn window(&self, live: &Live) -> Option<Micros> {
-        let window = |effect: &Effect| match effect {
-            Effect::Free => None,
-            Effect::Keyed(_, window) => Some(*window),
-            Effect::Unsafe => Some(Micros(0)),
+        let window = |effect: &Idempotency| match effect {
+            Idempotency::Idempotent => None,
+            Idempotency::Keyed { window, .. } => Some(*window),
+            Idempotency::NonIdempotent => Some(Micros(0)),
         };
-        let now = self.classes.get(live.class.0).map(|class| &class.effect);
+        let now = self
+            .classes
+            .get(live.class.0)
+            .map(|class| &class.idempotency);
         [Some(&live.effect), now]
             .into_iter()
             .flatten()
@@ -125,10 +128,10 @@
     /// Until when a copy of a keyed request is still dropped, where any other copy may have run or may yet. That one
     /// counts from its dispatch, which is before it can have begun; and a later one counts as well as an earlier, as
     /// it may have been faster.
-    pub fn repeat_until(&self, request: RequestId, attempt: AttemptNo) -> Option<Time> {
+    pub fn repeat_until(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let live = self.requests.get(&request)?;
         let others = (0..live.attempts)
-            .map(AttemptNo)
+            .map(AttemptNumber)
             .filter(|no| *no != attempt);
         let sent = others
             .filter_map(|no| self.attempts.get(&(request, no)))
--- a/src/net/keeper.rs
+++ b/src/net/keeper.rs
@@ -44,13 +44,13 @@
     /// Takes the snapshot in the folder if it holds; one line says what was taken or why not. Whether it did.
     pub fn recall(&self) -> bool {
         let (dir, owner) = (&self.kept.dir, self.owner.borrow());
-        let most = Micros::from_secs(self.kept.max_age_s);
+        let most = Micros::from_secs_f64(self.kept.max_age_s);
         let taken = snapshot::read(dir, &owner).and_then(|s| s.checked(&self.stands.get(), most));
         let file = snapshot::path(dir, &owner);
         snapshot::sweep(dir, &owner);
         match taken {
             Ok((s, age)) => {
-                info!(event = "snapshot_taken", age_s = age.secs(), program = %s.header.program,
+                info!(event = "snapshot_taken", age_s = age.as_secs_f64(), program = %s.header.program,
                     kinds = s.saved.kinds.len(), backends = s.saved.backends.len(), "snapshot taken: warm start");
                 self.host.recall(s.saved, age);
                 return true;
@@ -69,7 +69,7 @@
     pub fn write(&self) {
         let whole = Snapshot {
             header: Header::now(self.stands.get()),
-            saved: self.host.recollect(),
+            saved: self.host.learned_state(),
         };
         self.writer.give(self.owner.borrow().clone(), whole);
     }
--- a/src/net/list.rs
+++ b/src/net/list.rs
@@ -49,7 +49,7 @@
         let state = match e.status.as_str() {
             "SERVING" => BackendState::Ready,
             "DRAINING" => BackendState::Draining,
-            "DELETED" => BackendState::Gone,
+            "DELETED" => BackendState::Removed,
             other => return Err(format!("unknown status {other:?}")),
         };
         let address = e
@@ -60,7 +60,7 @@
         let entry = Backend {
             cell: CellId(e.group),
             state,
-            booted,
+            started_at: booted,
             ..Backend::default()
         };
         // The name is the same at every proxy; the address may not be.
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -62,7 +62,7 @@
                 this.host.returned(name, *since);
             }
         }
-        let banned = this.host.recollect().withdrawn;
+        let banned = this.host.learned_state().withdrawn;
         banned
             .iter()
             .filter(|name| !found.out.contains(*name))
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -66,7 +66,7 @@
         let own = rules.advertise.unwrap_or(socket.local_addr()?);
         let cluster = wire::cluster(&rules.cluster);
         let post = Arc::new(Post::new(sending, cluster, own));
-        let max_age = Micros::from_secs(rules.max_age_s);
+        let max_age = Micros::from_secs_f64(rules.max_age_s);
         let started = Instant::now();
         let machine_rules = Rules {
             cluster,
@@ -183,7 +183,7 @@
 
     /// Gives a member what this proxy learned; while that is nothing it stays silent, so that another is asked.
     fn give(&self, to: SocketAddr, nonce: u64) {
-        let mut saved = self.host.recollect();
+        let mut saved = self.host.learned_state();
         saved.withdrawn.clear(); // said by operators to this proxy, not to that one
         if saved.overall.count == 0.0 {
             return;
@@ -212,7 +212,7 @@
             Ok((s, age)) => {
                 info!(
                     event = "peer_snapshot_taken",
-                    age_s = age.secs(),
+                    age_s = age.as_secs_f64(),
                     bytes = bytes.len(),
                     kinds = s.saved.kinds.len(),
                     "snapshot taken from a peer: warm start"
@@ -251,7 +251,7 @@
 
     /// Past this shared state is too old.
     pub fn max_age(&self) -> Micros {
-        Micros::from_secs(self.rules.max_age_s)
+        Micros::from_secs_f64(self.rules.max_age_s)
     }
 
     /// The sending side of its socket.
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -65,7 +65,7 @@
 
 /// What requests are checked against.
 pub struct Rules {
-    pub classes: Vector<Class>,
+    pub classes: Vector<RequestClass>,
     pub deadlines: Vector<Micros>,
     pub max_retry_after: Micros,
 }
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -39,10 +39,10 @@
         }
         // A class that is taken for safer than the request says would be repeated to its harm.
         let keyed = headers.contains_key("idempotency-key");
-        let fits = match rules.classes[class.0].effect {
-            Effect::Free => head.method == Method::GET || head.method == Method::HEAD,
-            Effect::Keyed(..) => head.method == Method::POST && keyed,
-            Effect::Unsafe => head.method == Method::POST,
+        let fits = match rules.classes[class.0].idempotency {
+            Idempotency::Idempotent => head.method == Method::GET || head.method == Method::HEAD,
+            Idempotency::Keyed { .. } => head.method == Method::POST && keyed,
+            Idempotency::NonIdempotent => head.method == Method::POST,
         };
         if !fits {
             return Err(bad(
@@ -51,7 +51,7 @@
         }
         let most = rules.deadlines[class.0];
         let left = number(&headers, "x-time-left")
-            .map_or(most, Micros::from_secs)
+            .map_or(most, Micros::from_secs_f64)
             .min(most);
         let body = receive(Upload::new(body, client.peer(), from), left)
             .await
@@ -65,13 +65,13 @@
         // Its time counts from its last byte.
         let time_left = Micros(left.0.saturating_sub(self.host.margin().0));
         let tenant = headers.get("x-account").and_then(|v| v.to_str().ok());
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             request: RequestId(0),
             class,
             tenant: tenant.and_then(|name| self.host.tenant(name)),
             time_left,
             work_hint: number(&headers, "x-weight-hint").map(|us| Micros(us as u64)),
-            repeat: headers.get("x-repeat").is_some_and(|v| v == "1"),
+            client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
         };
         strip_hop_by_hop(&mut headers);
         let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
@@ -88,7 +88,7 @@
         });
         let (id, answer) = self
             .host
-            .request(arrival, &call, rules.classes[class.0].effect);
+            .request(arrival, &call, rules.classes[class.0].idempotency);
         let mut owed = Owed {
             host: &self.host,
             id,
@@ -127,7 +127,7 @@
             }
             Ok(Answer::Refused(retry_after)) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-                let advice = retry_after.min(rules.max_retry_after).secs();
+                let advice = retry_after.min(rules.max_retry_after).as_secs_f64();
                 if let Ok(text) = format!("{advice:.3}").parse() {
                     response.headers_mut().insert(RETRY_AFTER, text);
                 }
--- a/src/net/snapshot.rs
+++ b/src/net/snapshot.rs
@@ -6,7 +6,7 @@
 
 pub mod writer;
 
-use meadowproxy::{BackendMemory, KindMemory, Micros, Sampled};
+use meadowproxy::{LearnedBackend, LearnedKind, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::fs::{self, File};
@@ -105,13 +105,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Saved {
     /// By kind name.
-    pub kinds: Vec<(String, KindMemory)>,
+    pub kinds: Vec<(String, LearnedKind)>,
     /// Latency of served requests in seconds, by class name.
-    pub classes: Vec<(String, Sampled)>,
+    pub classes: Vec<(String, SampledMean)>,
     /// The same over all classes.
-    pub overall: Sampled,
+    pub overall: SampledMean,
     /// By backend name.
-    pub backends: Vec<(String, BackendMemory)>,
+    pub backends: Vec<(String, LearnedBackend)>,
     /// Backends out by hand, by name.
     pub withdrawn: Vec<String>,
 }
@@ -181,9 +181,14 @@
             Refused::Owner => write!(f, "written by another proxy"),
             Refused::Settings => write!(f, "written under other settings"),
             Refused::Stale { age, most } => {
-                write!(f, "{:.1} s old, over {:.1} s", age.secs(), most.secs())
+                write!(
+                    f,
+                    "{:.1} s old, over {:.1} s",
+                    age.as_secs_f64(),
+                    most.as_secs_f64()
+                )
             }
-            Refused::Ahead(by) => write!(f, "written {:.1} s in the future", by.secs()),
+            Refused::Ahead(by) => write!(f, "written {:.1} s in the future", by.as_secs_f64()),
         }
     }
 }
@@ -263,7 +268,7 @@
     }
     // A clock set back by a little after a power cut is no reason to refuse; one far ahead is.
     let ahead = Micros(header.written_us.saturating_sub(now_us));
-    if ahead > Micros::from_secs(1.0) {
+    if ahead > Micros::from_secs_f64(1.0) {
         return Err(Refused::Ahead(ahead));
     }
     let age = Micros(now_us.saturating_sub(header.written_us));
--- a/src/net/snapshot/tests.rs
+++ b/src/net/snapshot/tests.rs
@@ -3,22 +3,22 @@
 use super::*;
 use proptest::prelude::*;
 
-fn sampled() -> impl Strategy<Value = Sampled> {
-    (any::<f64>(), any::<f64>()).prop_map(|(value, count)| Sampled { value, count })
+fn sampled() -> impl Strategy<Value = SampledMean> {
+    (any::<f64>(), any::<f64>()).prop_map(|(value, count)| SampledMean { value, count })
 }
 
 fn snapshot() -> impl Strategy<Value = Snapshot> {
-    let kind = (sampled(), sampled(), any::<f64>(), any::<f64>()).prop_map(|k| KindMemory {
+    let kind = (sampled(), sampled(), any::<f64>(), any::<f64>()).prop_map(|k| LearnedKind {
         latency: k.0,
-        quick: k.1,
-        alone: k.2,
-        hold: k.3,
+        recent_latency: k.1,
+        uncontended_latency_s: k.2,
+        concurrency_limit: k.3,
     });
     let micros = proptest::option::of(any::<u64>().prop_map(Micros));
-    let backend = (micros.clone(), any::<i32>(), micros).prop_map(|b| BackendMemory {
+    let backend = (micros.clone(), any::<i32>(), micros).prop_map(|b| LearnedBackend {
         ejected_for: b.0,
-        strikes: b.1,
-        back_ago: b.2,
+        consecutive_ejections: b.1,
+        enabled_ago: b.2,
     });
     let saved = (
         proptest::collection::vec((".{0,12}", kind), 0..4),
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -181,7 +181,7 @@
             heard: RefCell::default(),
             open: Rc::default(),
             max: Cell::new(max),
-            keep: Cell::new(span(network.conn_idle.times(IDLE_PART))),
+            keep: Cell::new(span(network.conn_idle.mul_f64(IDLE_PART))),
             connect_timeout: Cell::new(span(network.connect_timeout)),
             opened: Cell::new(0),
         }
@@ -193,7 +193,7 @@
 
     /// The settings changed.
     pub fn retune(&self, network: &Network) {
-        self.keep.set(span(network.conn_idle.times(IDLE_PART)));
+        self.keep.set(span(network.conn_idle.mul_f64(IDLE_PART)));
         self.connect_timeout.set(span(network.connect_timeout));
     }
 
@@ -291,7 +291,7 @@
     async fn connect(&self, to: SocketAddr) -> Result<Conn, Outcome> {
         // At the bound an idle connection makes room; where there is none the backend is not to blame.
         if self.open.get() >= self.max.get() && !self.close_oldest() {
-            return Err(Outcome::NeverSent);
+            return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let slot = Slot(self.open.clone());
@@ -301,7 +301,7 @@
             Ok(Ok(tcp)) => tcp,
             // Out of descriptors: that is this proxy's own trouble, and no sign of the backend's.
             Ok(Err(e)) if matches!(e.raw_os_error(), Some(23 | 24)) => {
-                return Err(Outcome::NeverSent)
+                return Err(Outcome::NotSent)
             }
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
@@ -345,7 +345,7 @@
         };
         let Some(body) = body else {
             self.put(id, c); // an unused connection stays warm
-            return (Outcome::NeverSent, None);
+            return (Outcome::NotSent, None);
         };
         let mut request = Request::new(body);
         *request.method_mut() = call.method.clone();
@@ -395,7 +395,7 @@
             debug!(event = "attempt_broken", backend = id.0, %to, cause, "no answer that can be used");
         };
         match exchanged {
-            Some(Ok(Got::Early(Outcome::Full))) => (Outcome::Full, None),
+            Some(Ok(Got::Early(Outcome::Overloaded))) => (Outcome::Overloaded, None),
             Some(Ok(Got::Early(_))) => {
                 broken("it answered before the request's last byte".into());
                 (Outcome::ConnectFailed, None)
@@ -454,7 +454,7 @@
             // The client's body broke off, or the backend's connection before it was all written: the backend
             // begins with the last byte, and never before it.
             Some(Err(e)) if e.is_user() && passed.as_ref().is_some_and(|p| !p.ended()) => {
-                (Outcome::NeverSent, None)
+                (Outcome::NotSent, None)
             }
             other => {
                 // What cannot be read as an answer is an answer all the same, and no break.
--- a/src/net/upstream/answer.rs
+++ b/src/net/upstream/answer.rs
@@ -107,7 +107,7 @@
     match answer.status() {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
-            Outcome::Full
+            Outcome::Overloaded
         }
         _ => Outcome::Error,
     }
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -49,7 +49,7 @@
     let ended = pool
         .attempt(BackendId(0), to, &call(), soon(), &Rc::new(Drains))
         .await;
-    assert_eq!(ended.0, Outcome::NeverSent);
+    assert_eq!(ended.0, Outcome::NotSent);
     let mut peer = listener.accept().unwrap().0;
     drop(pool);
     let mut got = Vec::new();
@@ -64,7 +64,7 @@
     let (pool, to) = (pool(1), listener.local_addr().unwrap());
     let busy = pool.connect(to).await.ok().unwrap();
     let refused = pool.connect(to).await.err();
-    assert_eq!((refused, pool.open()), (Some(Outcome::NeverSent), 1));
+    assert_eq!((refused, pool.open()), (Some(Outcome::NotSent), 1));
     pool.put(BackendId(0), busy);
     let other = pool.connect(to).await;
     assert!(other.is_ok() && pool.open() == 1);
@@ -125,7 +125,7 @@
     for (head, outcome) in [
         ("200 OK", Outcome::ConnectFailed),
         ("500 Oops", Outcome::ConnectFailed),
-        ("503 Full\r\nX-Unprocessed: 1", Outcome::Full),
+        ("503 Full\r\nX-Unprocessed: 1", Outcome::Overloaded),
     ] {
         let pool = pool(4);
         let (to, mut peer) = narrow(&pool).await;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InForce {
     /// The module's part.
-    pub config: Checked,
+    pub config: ValidatedConfig,
     /// Names for all its numbers.
     pub names: Names,
     /// The sockets' part.
@@ -54,7 +54,7 @@
         let (config, names) = settings.config()?;
         let network = settings.network()?;
         Ok(InForce {
-            config: config.checked().map_err(|e| e.to_string())?,
+            config: config.validated().map_err(|e| e.to_string())?,
             names,
             network,
         })
@@ -91,9 +91,9 @@
     /// Numbers of classes that were in use and are no more.
     pub retired: Vec<ClassId>,
     /// Numbers of classes that were out of use and are in it again.
-    pub revived: Vec<ClassId>,
+    pub reinstated: Vec<ClassId>,
     /// New numbers of classes that were there under other rules, each with the old number.
-    pub heirs: Vec<(ClassId, ClassId)>,
+    pub successors: Vec<ClassSuccessor>,
     /// What became of the classes, in words.
     pub told: String,
     /// How many zones and kinds had numbers when these settings were read.
--- a/src/settings/change.rs
+++ b/src/settings/change.rs
@@ -36,26 +36,36 @@
             .map(|(zone, region)| (to(zone), *region))
             .collect();
         let zone = to(&config.zone);
-        self.to.config.place(zone, regions);
+        self.to.config.set_location(zone, regions);
         self.places = (zones.len(), kinds.len());
         (self.to.names.zones, self.to.names.kinds) = (zones, kinds);
     }
 }
 
 /// What may be done with a request that came under one effect while another is in force.
-fn stricter(came: Effect, now: Effect) -> Effect {
+fn stricter(came: Idempotency, now: Idempotency) -> Idempotency {
     let reach = |scope| match scope {
         KeyScope::Cell => 0,
         KeyScope::Zone => 1,
         KeyScope::All => 2,
     };
     match (came, now) {
-        (came, Effect::Free) => came,
-        (Effect::Keyed(a, long), Effect::Keyed(b, short)) => {
-            Effect::Keyed(if reach(a) <= reach(b) { a } else { b }, long.min(short))
-        }
+        (came, Idempotency::Idempotent) => came,
+        (
+            Idempotency::Keyed {
+                scope: a,
+                window: long,
+            },
+            Idempotency::Keyed {
+                scope: b,
+                window: short,
+            },
+        ) => Idempotency::Keyed {
+            scope: if reach(a) <= reach(b) { a } else { b },
+            window: long.min(short),
+        },
         // One that came as free has no key by which a repeat would be dropped.
-        _ => Effect::Unsafe,
+        _ => Idempotency::NonIdempotent,
     }
 }
 
@@ -70,8 +80,8 @@
     tenants: usize,
     to: InForce,
     retired: BTreeSet<ClassId>,
-    revived: BTreeSet<ClassId>,
-    heirs: Vec<(ClassId, ClassId)>,
+    reinstated: BTreeSet<ClassId>,
+    successors: Vec<ClassSuccessor>,
     quotas: BTreeMap<TenantId, Tenant>,
     told: Vec<String>,
 }
@@ -79,14 +89,14 @@
 impl Draft {
     fn new(base: &InForce, to: InForce) -> Draft {
         let (classes, tenants) = (base.config.classes.len(), base.config.tenants.len());
-        let (retired, revived, heirs) = Default::default();
+        let (retired, reinstated, successors) = Default::default();
         Draft {
             classes,
             tenants,
             to,
             retired,
-            revived,
-            heirs,
+            reinstated,
+            successors,
             quotas: BTreeMap::new(),
             told: Vec::new(),
         }
@@ -104,10 +114,12 @@
             }
             None => {
                 let number = to.names.classes.add(name);
-                to.config.put_class(ClassId(number), route.class.clone())?;
+                to.config.set_class(ClassId(number), route.class.clone())?;
                 to.network.deadlines.push_back(route.deadline);
-                self.heirs
-                    .extend(old.map(|old| (ClassId(number), ClassId(old))));
+                self.successors.extend(old.map(|old| ClassSuccessor {
+                    class: ClassId(number),
+                    predecessor: ClassId(old),
+                }));
                 number
             }
         };
@@ -120,13 +132,13 @@
             .collect();
         for n in old_numbers {
             let class = &to.config.classes[n];
-            let effect = stricter(class.effect, route.class.effect);
-            if effect != class.effect {
-                let class = Class {
-                    effect,
+            let effect = stricter(class.idempotency, route.class.idempotency);
+            if effect != class.idempotency {
+                let class = RequestClass {
+                    idempotency: effect,
                     ..class.clone()
                 };
-                to.config.put_class(ClassId(n), class)?;
+                to.config.set_class(ClassId(n), class)?;
             }
         }
         if old != Some(number) {
@@ -135,7 +147,7 @@
                 if old.is_some() { "changed" } else { "new" }
             ));
             self.retired.extend(old.map(ClassId));
-            self.revived
+            self.reinstated
                 .extend((number < self.classes).then_some(ClassId(number)));
         }
         Ok(())
@@ -178,7 +190,7 @@
     }
 
     fn finish(mut self, base: &InForce) -> Result<Change, ConfigError> {
-        self.to.config.put_tenants(self.quotas)?;
+        self.to.config.set_tenants(self.quotas)?;
         let more = self.told.len().saturating_sub(TOLD);
         self.told.truncate(TOLD);
         let rest = (more > 0).then(|| format!("{more} more"));
@@ -191,8 +203,8 @@
         Ok(Change {
             to: self.to,
             retired: self.retired.into_iter().collect(),
-            revived: self.revived.into_iter().collect(),
-            heirs: self.heirs,
+            reinstated: self.reinstated.into_iter().collect(),
+            successors: self.successors,
             told,
             places: (base.names.zones.len(), base.names.kinds.len()),
         })
@@ -302,7 +314,7 @@
             ..(*rest.config).clone()
         };
         let to = InForce {
-            config: tables.checked()?,
+            config: tables.validated()?,
             names: Names {
                 classes: names.classes,
                 tenants: self.customers.to.names.tenants,
@@ -341,7 +353,7 @@
     } = settings.sound(&mut names)?;
     let network = settings.network()?;
     let rest = InForce {
-        config: config.checked().map_err(bound)?,
+        config: config.validated().map_err(bound)?,
         names,
         network,
     };
@@ -402,16 +414,16 @@
         of.network.deadlines.get(number)?,
     );
     let mut entry = json!({
-        "name": name, "aim_us": class.aim.0, "aim_stretch": class.aim_stretch, "deadline_us": deadline.0,
-        "gain": class.worth, "late_worth": class.late_worth,
+        "name": name, "aim_us": class.latency_objective.0, "aim_stretch": class.objective_per_work, "deadline_us": deadline.0,
+        "gain": class.priority_weight, "late_worth": class.late_weight,
     });
-    entry["effect"] = match class.effect {
-        Effect::Free => "free",
-        Effect::Keyed(..) => "guarded",
-        Effect::Unsafe => "single_shot",
+    entry["effect"] = match class.idempotency {
+        Idempotency::Idempotent => "free",
+        Idempotency::Keyed { .. } => "guarded",
+        Idempotency::NonIdempotent => "single_shot",
     }
     .into();
-    if let Effect::Keyed(scope, window) = class.effect {
+    if let Idempotency::Keyed { scope, window } = class.idempotency {
         let scope = match scope {
             KeyScope::All => "all",
             KeyScope::Zone => "zone",
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Route {
     pub name: CompactString,
-    pub class: Class,
+    pub class: RequestClass,
     pub deadline: Micros,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Default)]
 pub(super) struct Routes {
     pub names: Numbered,
-    pub classes: Vector<Class>,
+    pub classes: Vector<RequestClass>,
     pub deadlines: Vector<Micros>,
 }
 
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -208,7 +208,10 @@
     pub fn new(same: &str, zone: &str, kind: &str, entry: Backend) -> Row {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         let mark = same.bytes().fold(0xcbf2_9ce4_8422_2325, fold) >> 20;
-        let entry = Backend { mark, ..entry };
+        let entry = Backend {
+            address_hash: mark,
+            ..entry
+        };
         Row {
             zone: zone.into(),
             kind: kind.into(),
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -190,31 +190,33 @@
         let must_ask = rules.get("must_ask_in_us");
         let discovery = match root.get("discovery").text() {
             "automatic" => Discovery::Push,
-            "subscribe" => Discovery::Subscribe(must_ask.micros()),
+            "subscribe" => Discovery::Poll {
+                staleness_limit: must_ask.micros(),
+            },
             _ => root
                 .get("discovery")
                 .want(None, "automatic or subscribe", Discovery::Push),
         };
         let config = Config {
-            proxies: root.get("group_size").count(u32::MAX),
-            position: root.get("position").count(0),
+            proxy_count: root.get("group_size").count(u32::MAX),
+            proxy_index: root.get("position").count(0),
             zone: ZoneId(zone.unwrap_or(0)),
             classes: routes.classes.clone(),
             tenants: customers.tenants.clone(),
-            over_quota_worth: root.get("over_share_worth").real(),
-            goal_whole: goal.get("whole").real(),
-            goal_worst_class: goal.get("worst_class").real(),
+            over_quota_weight: root.get("over_share_worth").real(),
+            overall_objective_weight: goal.get("whole").real(),
+            worst_class_objective_weight: goal.get("worst_class").real(),
             cross_zone_cost: root.get("costs").get("cross_zone").real(),
             discovery,
             max_attempts: limits.get("max_attempts").count(1),
-            cancel: limits.get("cancel").flag(),
-            second_copies: limits.get("parallel_tries").flag(),
-            tick: root.get("granularity_us").micros(),
-            cold_from: rules.get("cold_from").real(),
-            ramp: rules.get("ramp_time_us").micros(),
-            fall_multiple: rules.get("fall_multiple").real(),
-            fall_window: rules.get("tip_after_us").micros(),
-            locality: locality(&root.get("locality")),
+            cancellation: limits.get("cancel").flag(),
+            hedging: limits.get("parallel_tries").flag(),
+            timer_resolution: root.get("granularity_us").micros(),
+            slow_start_min_readiness: rules.get("cold_from").real(),
+            slow_start: rules.get("ramp_time_us").micros(),
+            overload_multiple: rules.get("fall_multiple").real(),
+            overload_window: rules.get("tip_after_us").micros(),
+            zone_failover: locality(&root.get("locality")),
             regions: regions(&root.get("locality").get("regions"), names),
         };
         Read {
@@ -256,7 +258,7 @@
     }
     let (scope, window) = (key.get("key_scope"), key.get("window_us"));
     let effect = match key.get("effect").text() {
-        "free" => Effect::Free,
+        "free" => Idempotency::Idempotent,
         "guarded" => {
             let scope = match scope.text() {
                 "all" => KeyScope::All,
@@ -264,12 +266,17 @@
                 "cell" => KeyScope::Cell,
                 _ => scope.want(None, "all, zone or cell", KeyScope::All),
             };
-            Effect::Keyed(scope, window.micros())
+            Idempotency::Keyed {
+                scope,
+                window: window.micros(),
+            }
         }
-        "single_shot" => Effect::Unsafe,
-        _ => key
-            .get("effect")
-            .want(None, "free, guarded or single_shot", Effect::Free),
+        "single_shot" => Idempotency::NonIdempotent,
+        _ => key.get("effect").want(
+            None,
+            "free, guarded or single_shot",
+            Idempotency::Idempotent,
+        ),
     };
     let stretch = key.get("aim_stretch");
     let (aim, deadline) = (key.get("aim_us"), key.get("deadline_us"));
@@ -282,16 +289,16 @@
     {
         aim.wrong("expected no more than deadline_us".into());
     }
-    let class = Class {
-        aim: aim.micros(),
-        aim_stretch: if stretch.value.is_some() {
+    let class = RequestClass {
+        latency_objective: aim.micros(),
+        objective_per_work: if stretch.value.is_some() {
             stretch.real()
         } else {
             0.0
         },
-        effect,
-        worth: key.get("gain").real(),
-        late_worth: key.get("late_worth").real(),
+        idempotency: effect,
+        priority_weight: key.get("gain").real(),
+        late_weight: key.get("late_worth").real(),
     };
     Route {
         name: name.text().into(),
@@ -312,11 +319,11 @@
 }
 
 /// `locality`, where it stands: both keys, or an error that names the missing one.
-fn locality(key: &Key) -> Option<Locality> {
+fn locality(key: &Key) -> Option<ZoneFailover> {
     key.value?;
-    Some(Locality {
-        leave_share: key.get("leave_share").real(),
-        ramp: key.get("ramp_us").micros(),
+    Some(ZoneFailover {
+        unhealthy_threshold: key.get("leave_share").real(),
+        recovery_ramp: key.get("ramp_us").micros(),
     })
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,7 +16,7 @@
 impl Try {
     /// No outcome proves yet that it did not run.
     pub fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_ran())
+        self.outcome.is_none_or(|o| !o.proves_not_run())
     }
 }
 
@@ -48,22 +48,22 @@
 pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
     Backend {
         id: BackendId(id),
-        mark: u64::from(id),
+        address_hash: u64::from(id),
         zone: ZoneId(zone),
         cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
         kind: KindId(kind),
         state: BackendState::Ready,
-        booted: None,
+        started_at: None,
     }
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class {
-        aim: Micros(400_000),
-        aim_stretch: 0.0,
-        effect,
-        worth: 1.0,
-        late_worth: 0.0,
+pub fn class(effect: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: Micros(400_000),
+        objective_per_work: 0.0,
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight: 0.0,
     }
 }
 
@@ -116,14 +116,14 @@
                     "too many attempts"
                 );
                 assert!(
-                    self.cfg.second_copies || r.tries.iter().all(|t| t.outcome.is_some()),
+                    self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()),
                     "two at once"
                 );
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
-                    match self.cfg.classes[r.class].effect {
-                        Effect::Free => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent twice"),
-                        Effect::Keyed(scope, window) => {
+                    match self.cfg.classes[r.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::Keyed { scope, window } => {
                             assert!(
                                 self.now <= t.at + window,
                                 "a key was repeated after its window"
@@ -146,7 +146,7 @@
                     outcome: None,
                 });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -154,8 +154,12 @@
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let ran = r.tries.iter().any(Try::may_have_run);
                 let free = matches!(
-                    self.cfg.classes[r.class].effect,
-                    Effect::Free | Effect::Keyed(KeyScope::All, _)
+                    self.cfg.classes[r.class].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: KeyScope::All,
+                            ..
+                        }
                 );
                 assert!(free || !ran, "refused what may have run");
                 assert!(r.answer.replace("refused").is_none(), "answered twice");
@@ -165,7 +169,7 @@
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.cancel, "cancel is not allowed");
+                assert!(self.cfg.cancellation, "cancel is not allowed");
                 let r = &self.requests[&request];
                 assert!(
                     (attempt.0 as usize) < r.tries.len(),
@@ -177,25 +181,25 @@
                 self.timers_set += 1;
                 self.timers.push((self.now + after, token));
             }
-            Action::Follow => {
+            Action::PollDiscovery => {
                 assert_ne!(self.cfg.discovery, Discovery::Push);
                 self.follows += 1;
             }
-            Action::Tell { backend, verdict } => self.told.push((backend, verdict)),
+            Action::PublishVerdict { backend, verdict } => self.told.push((backend, verdict)),
             Action::Log(text) => self.logs.push(text),
         }
     }
 
-    pub fn members(&mut self, update: ListUpdate, backends: Vec<Backend>) {
-        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+    pub fn members(&mut self, update: EndpointUpdate, backends: Vec<Backend>) {
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
             self.list
                 .values_mut()
-                .for_each(|b| b.state = BackendState::Gone);
+                .for_each(|b| b.state = BackendState::Removed);
         }
         for b in &backends {
             self.list.insert(b.id, b.clone());
         }
-        self.event(Event::Members { update, backends });
+        self.event(Event::EndpointsUpdated { update, backends });
     }
 
     pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
@@ -214,13 +218,13 @@
             answer: None,
         };
         self.requests.insert(id, open);
-        self.event(Event::Request(Arrival {
+        self.event(Event::RequestArrived(RequestArrival {
             request: id,
             class: ClassId(class),
             tenant,
             time_left: Micros(left),
             work_hint: None,
-            repeat: self.repeat,
+            client_retry: self.repeat,
         }));
         id
     }
@@ -231,17 +235,17 @@
     }
 
     /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
+    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
-        self.event(Event::Timer { token });
-        self.event(Event::ClientGone { request });
-        self.event(Event::StreamStarted { request, attempt });
+        self.event(Event::TimerFired { token });
+        self.event(Event::ClientDisconnected { request });
+        self.event(Event::ResponseStarted { request, attempt });
         self.event(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             outcome,
             latency,
-            settled: false,
+            answered: false,
         }));
     }
 
@@ -260,13 +264,13 @@
             r.answer = Some("served");
         }
         let settled = r.answer.is_some();
-        let attempt = AttemptNo(no as u32);
+        let attempt = AttemptNumber(no as u32);
         self.event(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             outcome,
             latency,
-            settled,
+            answered: settled,
         }));
     }
 
@@ -280,9 +284,9 @@
         };
         if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
-            self.event(Event::StreamStarted {
+            self.event(Event::ResponseStarted {
                 request: id,
-                attempt: AttemptNo(no as u32),
+                attempt: AttemptNumber(no as u32),
             });
         }
     }
@@ -291,14 +295,14 @@
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
-            self.now = (self.now + self.cfg.tick).min(until);
+            self.now = (self.now + self.cfg.timer_resolution).min(until);
             let (due, rest) = std::mem::take(&mut self.timers)
                 .into_iter()
                 .partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
             for (_, token) in due {
-                self.event(Event::Timer { token });
+                self.event(Event::TimerFired { token });
             }
             for (id, no) in std::mem::take(&mut self.cancelled) {
                 self.end(id, no, Outcome::Cancelled);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -8,7 +8,7 @@
     (0..count).map(|i| backend(i, 0, 0)).collect()
 }
 
-fn config(classes: Vec<Class>) -> Config {
+fn config(classes: Vec<RequestClass>) -> Config {
     Config {
         classes: classes.into(),
         ..Config::example()
@@ -17,7 +17,7 @@
 
 fn host(cfg: Config, list: Vec<Backend>) -> Host {
     let mut host = Host::new(cfg, 11);
-    host.members(ListUpdate::Full, list);
+    host.members(EndpointUpdate::Full, list);
     host
 }
 
@@ -40,20 +40,29 @@
         change(&mut cfg);
         Balancer::new(cfg, 1).err().map(|e| e.field)
     };
-    assert_eq!(bad(|c| c.proxies = 0), Some("proxies"));
+    assert_eq!(bad(|c| c.proxy_count = 0), Some("proxies"));
     assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
-    assert_eq!(bad(|c| c.classes[0].aim = Micros(0)), Some("aim"));
-    assert_eq!(bad(|c| c.classes[0].worth = f64::NAN), Some("worth"));
-    assert_eq!(bad(|c| c.classes[0].late_worth = 1.5), Some("late_worth"));
+    assert_eq!(
+        bad(|c| c.classes[0].latency_objective = Micros(0)),
+        Some("aim")
+    );
+    assert_eq!(
+        bad(|c| c.classes[0].priority_weight = f64::NAN),
+        Some("worth")
+    );
+    assert_eq!(bad(|c| c.classes[0].late_weight = 1.5), Some("late_worth"));
     assert_eq!(
         bad(|c| c.tenants.push_back(Tenant { quota_per_s: -1.0 })),
         Some("quota_per_s")
     );
     assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
-    assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.cold_from = -0.1), Some("cold_from"));
+    assert_eq!(bad(|c| c.timer_resolution = Micros(0)), Some("tick"));
     assert_eq!(
-        bad(|c| c.fall_multiple = f64::INFINITY),
+        bad(|c| c.slow_start_min_readiness = -0.1),
+        Some("cold_from")
+    );
+    assert_eq!(
+        bad(|c| c.overload_multiple = f64::INFINITY),
         Some("fall_multiple")
     );
     assert_eq!(bad(|_| ()), None);
@@ -62,7 +71,10 @@
 #[test]
 fn an_empty_fleet_refuses_in_time() {
     let mut host = host(
-        config(vec![class(Effect::Free), class(Effect::Unsafe)]),
+        config(vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+        ]),
         Vec::new(),
     );
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
@@ -87,7 +99,7 @@
     let list = (0..6).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         list,
@@ -103,7 +115,7 @@
 fn inside_a_kind_the_draw_is_even() {
     let mut host = host(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         fleet(4),
@@ -117,7 +129,7 @@
 
 #[test]
 fn a_silent_backend_gets_nothing_new() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
+    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let hung = host.sent_to(id)[0];
@@ -135,14 +147,14 @@
 fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
     for copies in [true, false] {
         let cfg = Config {
-            second_copies: copies,
-            proxies: 1,
-            ..config(vec![class(Effect::Free)])
+            hedging: copies,
+            proxy_count: 1,
+            ..config(vec![class(Idempotency::Idempotent)])
         };
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-        host.members(ListUpdate::Full, fleet(6));
+        host.members(EndpointUpdate::Full, fleet(6));
         host.advance(20_000);
         host.end(two[0], 0, Outcome::Reset);
         host.advance(20_000);
@@ -162,8 +174,8 @@
     for position in 0..3 {
         let mut host = host(
             Config {
-                proxies: 3,
-                position,
+                proxy_count: 3,
+                proxy_index: position,
                 ..Config::example()
             },
             fleet(6),
@@ -181,7 +193,7 @@
     let tenants = vec![Tenant { quota_per_s: 50.0 }].into();
     let mut host = host(
         Config {
-            proxies: 100,
+            proxy_count: 100,
             tenants,
             ..Config::example()
         },
@@ -207,7 +219,7 @@
 #[test]
 fn an_idle_proxy_sets_hardly_a_timer() {
     // Standing days, ibb5992, ifde279, i0dce2b: a timer every tick at each of a thousand proxies used up the CPU.
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(100));
+    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(100));
     serve(&mut host, 20, 0, |_| 10_000);
     host.timers_set = 0;
     host.advance(10_000_000);
@@ -225,8 +237,8 @@
     for position in 0..300 {
         let mut host = host(
             Config {
-                proxies: 300,
-                position,
+                proxy_count: 300,
+                proxy_index: position,
                 ..Config::example()
             },
             fleet(30),
@@ -249,11 +261,11 @@
 #[test]
 fn a_full_backend_is_left_alone_for_a_moment_and_not_ejected() {
     // Full size: busy backends were ejected by the hundred, and the rest took their load and filled up too.
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(4));
+    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let full = host.sent_to(id)[0];
-    host.end(id, 0, Outcome::Full);
+    host.end(id, 0, Outcome::Overloaded);
     let retried = host.sent_to(id).len();
     host.end(id, retried - 1, Outcome::Ok);
     assert!(
@@ -276,7 +288,7 @@
 fn many_proxies_refuse_low_worth_first_and_at_once_when_the_fleet_is_crowded() {
     // Full size: without a room of its own a proxy sent all it had, and the machines tipped into the slow state.
     let mut cfg = Config {
-        proxies: 100,
+        proxy_count: 100,
         tenants: vec![Tenant { quota_per_s: 1e6 }].into(),
         ..Config::example()
     };
@@ -319,7 +331,7 @@
 fn who_has_no_time_left_for_an_answer_takes_no_room_in_a_crowd() {
     let mut host = host(
         Config {
-            proxies: 100,
+            proxy_count: 100,
             ..Config::example()
         },
         fleet(20),
@@ -355,7 +367,7 @@
 #[test]
 fn repeats_take_nothing_of_the_quota_that_first_tries_need() {
     let cfg = Config {
-        proxies: 100,
+        proxy_count: 100,
         tenants: vec![Tenant {
             quota_per_s: 1_000.0,
         }]
@@ -384,7 +396,7 @@
 fn a_full_backend_is_drawn_again_and_the_rest_waits() {
     let mut host = host(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         fleet(2),
@@ -405,7 +417,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
-    let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
+    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     host.end(id, 0, Outcome::Error);
@@ -417,7 +429,10 @@
 
 #[test]
 fn a_keyed_repeat_stays_in_its_zone_and_window() {
-    let keyed = class(Effect::Keyed(KeyScope::Zone, Micros(200_000)));
+    let keyed = class(Idempotency::Keyed {
+        scope: KeyScope::Zone,
+        window: Micros(200_000),
+    });
     let mut host = host(
         config(vec![keyed]),
         (0..6).map(|i| backend(i, i % 2, 0)).collect(),
@@ -454,7 +469,10 @@
 #[test]
 fn an_erring_backend_is_ejected_and_tried_by_free_requests_only() {
     let mut host = host(
-        config(vec![class(Effect::Free), class(Effect::Unsafe)]),
+        config(vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+        ]),
         fleet(6),
     );
     let bad = eject_one(&mut host);
@@ -476,7 +494,7 @@
 
 #[test]
 fn when_most_backends_err_they_are_used_after_all() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(4));
+    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
@@ -496,18 +514,18 @@
 #[test]
 fn a_cold_backend_gets_less_than_its_budget() {
     let cfg = Config {
-        proxies: 1,
-        cold_from: 0.1,
-        fall_multiple: 2.0,
+        proxy_count: 1,
+        slow_start_min_readiness: 0.1,
+        overload_multiple: 2.0,
         ..Config::example()
     };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend {
-        booted: Some(host.now),
+        started_at: Some(host.now),
         ..backend(9, 0, 0)
     };
-    host.members(ListUpdate::Changes, vec![cold]);
+    host.members(EndpointUpdate::Incremental, vec![cold]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
     let sent = chosen.iter().filter(|b| **b == 9).count();
     // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
@@ -520,9 +538,9 @@
 #[test]
 fn a_burst_cannot_push_a_cold_backend_over() {
     let cfg = Config {
-        proxies: 3,
-        cold_from: 0.1,
-        fall_multiple: 2.0,
+        proxy_count: 3,
+        slow_start_min_readiness: 0.1,
+        overload_multiple: 2.0,
         ..Config::example()
     };
     let mut host = host(cfg, fleet(12));
@@ -530,11 +548,11 @@
     let booted = Some(host.now);
     let list = (0..12)
         .map(|i| Backend {
-            booted,
+            started_at: booted,
             ..backend(i, 0, 0)
         })
         .collect();
-    host.members(ListUpdate::Full, list);
+    host.members(EndpointUpdate::Full, list);
     let mut sent = 0;
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
@@ -565,7 +583,7 @@
     // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
     let mut host = host(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         fleet(1),
@@ -596,7 +614,7 @@
     .into();
     let mut host = host(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             tenants,
             ..Config::example()
         },
@@ -620,14 +638,14 @@
 
 #[test]
 fn in_overload_the_densest_worth_is_served() {
-    let rich = Class {
-        worth: 8.0,
-        ..class(Effect::Free)
+    let rich = RequestClass {
+        priority_weight: 8.0,
+        ..class(Idempotency::Idempotent)
     };
     let mut host = host(
         Config {
-            proxies: 1,
-            ..config(vec![class(Effect::Free), rich])
+            proxy_count: 1,
+            ..config(vec![class(Idempotency::Idempotent), rich])
         },
         fleet(1),
     );
@@ -679,8 +697,8 @@
         let zone = ZoneId(position);
         let cfg = Config {
             cross_zone_cost: 0.05,
-            proxies: 2,
-            position,
+            proxy_count: 2,
+            proxy_index: position,
             zone,
             ..Config::example()
         };
@@ -719,20 +737,22 @@
 #[test]
 fn discovery_is_followed_at_once_and_again_after_a_loss() {
     let cfg = Config {
-        discovery: Discovery::Subscribe(Micros(10_000_000)),
+        discovery: Discovery::Poll {
+            staleness_limit: Micros(10_000_000),
+        },
         ..Config::example()
     };
     let mut host = Host::new(cfg, 3);
-    host.members(ListUpdate::Cached, fleet(2));
+    host.members(EndpointUpdate::Cached, fleet(2));
     assert_eq!(host.follows, 1);
-    host.members(ListUpdate::Changes, fleet(3));
+    host.members(EndpointUpdate::Incremental, fleet(3));
     host.advance(8_000_000);
     assert_eq!(
         host.follows, 1,
         "a living subscription is not asked for again"
     );
-    host.event(Event::Members {
-        update: ListUpdate::Lost,
+    host.event(Event::EndpointsUpdated {
+        update: EndpointUpdate::Failed,
         backends: Vec::new(),
     });
     host.advance(400_000);
@@ -743,7 +763,7 @@
 
 #[test]
 fn a_stream_once_begun_is_left_alone() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(2));
+    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(2));
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
     host.advance(2_000_000);
@@ -754,9 +774,9 @@
 #[test]
 fn events_of_unknown_things_change_nothing() {
     let run = |noise: bool| {
-        let mut host = host(config(vec![class(Effect::Free)]), fleet(3));
+        let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(3));
         if noise {
-            host.nonsense(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
+            host.nonsense(RequestId(77), AttemptNumber(3), TimerToken(u64::MAX));
         }
         serve(&mut host, 50, 0, |_| 10_000)
     };
@@ -768,8 +788,8 @@
 fn held_on_each(cores: usize) -> f64 {
     let mut host = host(
         Config {
-            proxies: 1,
-            ..config(vec![class(Effect::Free)])
+            proxy_count: 1,
+            ..config(vec![class(Idempotency::Idempotent)])
         },
         fleet(3),
     );
@@ -817,15 +837,15 @@
 
 /// Of 20 rounds in which far more of a dense and of a thin class come than find room: how many were served.
 fn served_of_each(goal_whole: f64, goal_worst_class: f64) -> [usize; 2] {
-    let dense = Class {
-        worth: 2.0,
-        ..class(Effect::Free)
+    let dense = RequestClass {
+        priority_weight: 2.0,
+        ..class(Idempotency::Idempotent)
     };
-    let classes = vec![dense, class(Effect::Free)];
+    let classes = vec![dense, class(Idempotency::Idempotent)];
     let cfg = Config {
-        proxies: 1,
-        goal_whole,
-        goal_worst_class,
+        proxy_count: 1,
+        overall_objective_weight: goal_whole,
+        worst_class_objective_weight: goal_worst_class,
         ..config(classes)
     };
     let mut host = host(cfg, fleet(1));
@@ -864,8 +884,8 @@
     // Found in service (day 3): each broken connection took a healthy backend out of use for a second.
     let mut host = host(
         Config {
-            proxies: 1,
-            ..config(vec![class(Effect::Free)])
+            proxy_count: 1,
+            ..config(vec![class(Idempotency::Idempotent)])
         },
         fleet(1),
     );
@@ -892,8 +912,8 @@
     // Found in service (day 3): one attempt in twelve was reset, or could not connect, wherever it went.
     let mut host = host(
         Config {
-            proxies: 1,
-            ..config(vec![class(Effect::Free)])
+            proxy_count: 1,
+            ..config(vec![class(Idempotency::Idempotent)])
         },
         fleet(2),
     );
@@ -922,12 +942,15 @@
 fn an_upload_is_bound_to_one_backend_and_timed_from_its_end() {
     let mut host = Host::new(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         8,
     );
-    host.members(ListUpdate::Full, (0..3).map(|n| backend(n, 0, 0)).collect());
+    host.members(
+        EndpointUpdate::Full,
+        (0..3).map(|n| backend(n, 0, 0)).collect(),
+    );
     for _ in 0..30 {
         host.burst(3, 0, 500_000);
         host.serve_all(20_000);
@@ -936,16 +959,16 @@
         let id = host.arrive(0, 500_000);
         host.event(Event::UploadStarted {
             request: id,
-            attempt: AttemptNo(0),
+            attempt: AttemptNumber(0),
         });
         // The harness, which knows no uploads, looks on its own clock only.
         host.requests.get_mut(&id).unwrap().deadline = host.now + Micros(60_000_000);
         host.advance(5_000_000);
         assert_eq!(host.requests[&id].answer, None);
         let time_left = Micros(500_000);
-        host.event(Event::Uploaded {
+        host.event(Event::UploadFinished {
             request: id,
-            attempt: AttemptNo(0),
+            attempt: AttemptNumber(0),
             time_left,
         });
         host.requests.get_mut(&id).unwrap().deadline = host.now + time_left;
@@ -961,12 +984,12 @@
 fn an_answer_that_streams_takes_no_room_at_its_backend() {
     let mut host = Host::new(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         9,
     );
-    host.members(ListUpdate::Full, vec![backend(0, 0, 0)]);
+    host.members(EndpointUpdate::Full, vec![backend(0, 0, 0)]);
     let ids = host.burst(20, 0, 500_000);
     let held = |host: &Host, ids: &[RequestId]| {
         ids.iter()
@@ -985,29 +1008,29 @@
 #[test]
 fn a_copys_end_leaves_the_streaming_answer_alone() {
     let cfg = Config {
-        proxies: 1,
-        ..config(vec![class(Effect::Free)])
+        proxy_count: 1,
+        ..config(vec![class(Idempotency::Idempotent)])
     };
     let mut host = host(cfg, fleet(1));
     serve(&mut host, 100, 0, |_| 10_000);
     let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-    host.members(ListUpdate::Full, fleet(6));
+    host.members(EndpointUpdate::Full, fleet(6));
     host.advance(20_000);
     host.end(two[0], 0, Outcome::Reset); // the backend is ejected, and the other one there gets a copy
     host.advance(20_000);
     let copied = two[1];
     assert_eq!(host.sent_to(copied).len(), 2);
     host.start_stream(copied, 0);
-    let (attempt, outcome, latency) = (AttemptNo(1), Outcome::Cancelled, Micros(5_000));
+    let (attempt, outcome, latency) = (AttemptNumber(1), Outcome::Cancelled, Micros(5_000));
     host.event(Event::AttemptEnded(AttemptEnd {
         request: copied,
         attempt,
         outcome,
         latency,
-        settled: true,
+        answered: true,
     }));
     assert!(!host.cancelled.contains(&(copied, 0)));
-    host.event(Event::ClientGone { request: copied });
+    host.event(Event::ClientDisconnected { request: copied });
     assert!(
         host.cancelled.contains(&(copied, 0)),
         "it ends with its client"
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
 /// What falls due at a proxy.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Arrival,
+    RequestArrival,
     Timer(u64),
     /// A call to discovery has failed.
     Lost,
@@ -41,8 +41,8 @@
     fn new(cfg: &Config, count: u32, serve: fn(u32) -> (u64, Outcome)) -> Fleet {
         let proxy = |position| {
             let cfg = Config {
-                proxies: count,
-                position,
+                proxy_count: count,
+                proxy_index: position,
                 ..cfg.clone()
             };
             Balancer::new(cfg, 7 + u64::from(position)).expect("sound")
@@ -79,8 +79,8 @@
                     self.due
                         .push(Reverse((self.now + after.0, proxy, Due::Timer(token.0))));
                 }
-                Action::Refuse { .. } => self.refused += 1,
-                Action::Follow => {
+                Action::Reject { .. } => self.refused += 1,
+                Action::PollDiscovery => {
                     self.follows.push(self.now);
                     self.due
                         .push(Reverse((self.now + 2 * SECOND, proxy, Due::Lost)));
@@ -90,11 +90,11 @@
         }
     }
 
-    fn members(&mut self, update: ListUpdate, backends: &[Backend]) {
+    fn members(&mut self, update: EndpointUpdate, backends: &[Backend]) {
         for proxy in 0..self.proxies.len() {
             self.tell(
                 proxy,
-                Event::Members {
+                Event::EndpointsUpdated {
                     update,
                     backends: backends.to_vec(),
                 },
@@ -110,7 +110,7 @@
             self.due.push(Reverse((
                 self.now + gap * proxy / count,
                 proxy as usize,
-                Due::Arrival,
+                Due::RequestArrival,
             )));
         }
         while self.due.peek().is_some_and(|d| d.0 .0 < until) {
@@ -119,58 +119,59 @@
             };
             self.now = at;
             match due {
-                Due::Arrival => {
+                Due::RequestArrival => {
                     self.next += 1;
                     let (request, class, time_left) =
                         (RequestId(self.next), ClassId(0), Micros(SECOND));
                     let tenant = Some(TenantId(self.next as usize % 2)); // of those there are, if any
                     let (work_hint, repeat) = (None, self.repeat);
-                    let arrival = Arrival {
+                    let arrival = RequestArrival {
                         request,
                         class,
                         tenant,
                         time_left,
                         work_hint,
-                        repeat,
+                        client_retry: repeat,
                     };
-                    self.tell(proxy, Event::Request(arrival));
+                    self.tell(proxy, Event::RequestArrived(arrival));
                     let gap = match (self.uneven, proxy % 10) {
                         (false, _) => gap,
                         (true, 0) => gap * 2 / 11,
                         (true, _) => gap * 2,
                     };
-                    self.due.push(Reverse((at + gap, proxy, Due::Arrival)));
+                    self.due
+                        .push(Reverse((at + gap, proxy, Due::RequestArrival)));
                 }
                 Due::Timer(token) => self.tell(
                     proxy,
-                    Event::Timer {
+                    Event::TimerFired {
                         token: TimerToken(token),
                     },
                 ),
                 Due::Lost => {
                     self.tell(
                         proxy,
-                        Event::Members {
-                            update: ListUpdate::Lost,
+                        Event::EndpointsUpdated {
+                            update: EndpointUpdate::Failed,
                             backends: Vec::new(),
                         },
                     );
                 }
                 Due::End(request, attempt, backend, sent) => {
-                    let (attempt, outcome) = (AttemptNo(attempt), (self.serve)(backend).1);
+                    let (attempt, outcome) = (AttemptNumber(attempt), (self.serve)(backend).1);
                     let latency = Micros(at - sent);
                     let end = AttemptEnd {
                         request,
                         attempt,
                         outcome,
                         latency,
-                        settled: outcome == Outcome::Ok,
+                        answered: outcome == Outcome::Ok,
                     };
                     self.tell(proxy, Event::AttemptEnded(end));
                 }
             }
         }
-        self.due.retain(|d| d.0 .2 != Due::Arrival);
+        self.due.retain(|d| d.0 .2 != Due::RequestArrival);
         self.now = until;
     }
 
@@ -187,9 +188,9 @@
     let mark = |id: u32| u64::from(id.wrapping_mul(2_654_435_761)) >> 4;
     let one = |id| Backend {
         id: BackendId(id),
-        mark: mark(id),
+        address_hash: mark(id),
         state: BackendState::Ready,
-        booted,
+        started_at: booted,
         ..Backend::default()
     };
     ids.map(one).collect()
@@ -201,19 +202,19 @@
 fn many_proxies_together_send_cold_backends_what_they_can_do_and_not_more() {
     let ramp = 23 * SECOND;
     let cfg = Config {
-        cold_from: 0.13,
-        ramp: Micros(ramp),
-        fall_window: Micros(3 * SECOND),
+        slow_start_min_readiness: 0.13,
+        slow_start: Micros(ramp),
+        overload_window: Micros(3 * SECOND),
         ..Config::example()
     };
     let mut fleet = Fleet::new(&cfg, 100, |_| (120_000, Outcome::Ok));
-    fleet.members(ListUpdate::Full, &backends(0..60, None));
+    fleet.members(EndpointUpdate::Full, &backends(0..60, None));
     fleet.play(15.0, 10 * SECOND);
     let warm = 15.0 * 100.0 / 60.0; // what one backend was sent a second
     let boot = fleet.now;
     let mut list = backends(36..60, None);
     list.extend(backends(100..136, Some(Time(boot))));
-    fleet.members(ListUpdate::Full, &list);
+    fleet.members(EndpointUpdate::Full, &list);
     fleet.play(15.0, 12 * SECOND);
     let warmth = |age: u64| 0.13 + 0.87 * age as f64 / ramp as f64;
     for id in 100..136 {
@@ -247,7 +248,7 @@
 fn repeats_find_room_while_answers_come_well_inside_their_aim() {
     let refused = |takes: fn(u32) -> (u64, Outcome)| {
         let mut fleet = Fleet::new(&Config::example(), 100, takes);
-        fleet.members(ListUpdate::Full, &backends(0..60, None));
+        fleet.members(EndpointUpdate::Full, &backends(0..60, None));
         fleet.repeat = true;
         fleet.play(15.0, 12 * SECOND);
         (fleet.refused, fleet.sent.len())
@@ -273,7 +274,7 @@
         100,
         |_| (150_000, Outcome::Ok),
     );
-    fleet.members(ListUpdate::Full, &backends(0..60, None));
+    fleet.members(EndpointUpdate::Full, &backends(0..60, None));
     fleet.uneven = true;
     fleet.play(15.0, 12 * SECOND);
     // 25 a second on each backend, nearly four held.
@@ -286,10 +287,10 @@
 #[test]
 fn a_shrunk_fleet_is_not_left_idle_for_what_was_held_before() {
     let mut fleet = Fleet::new(&Config::example(), 100, |_| (200_000, Outcome::Ok));
-    fleet.members(ListUpdate::Full, &backends(0..60, None));
+    fleet.members(EndpointUpdate::Full, &backends(0..60, None));
     fleet.play(15.0, 10 * SECOND);
     let shrunk = fleet.now;
-    fleet.members(ListUpdate::Full, &backends(0..24, None));
+    fleet.members(EndpointUpdate::Full, &backends(0..24, None));
     fleet.play(15.0, 8 * SECOND);
     // Held: up to eight on each of 24, 200 ms each, 960 a second.
     let sent = |from: u64| {
@@ -310,7 +311,9 @@
 /// which failed, and not one new call was answered in 23 s.
 #[test]
 fn an_overbooked_discovery_is_not_called_faster_by_many_proxies() {
-    let discovery = Discovery::Subscribe(Micros(10 * SECOND));
+    let discovery = Discovery::Poll {
+        staleness_limit: Micros(10 * SECOND),
+    };
     let mut fleet = Fleet::new(
         &Config {
             discovery,
@@ -319,7 +322,7 @@
         100,
         |_| (100_000, Outcome::Ok),
     );
-    fleet.members(ListUpdate::Cached, &backends(0..60, None));
+    fleet.members(EndpointUpdate::Cached, &backends(0..60, None));
     let start = fleet.now;
     fleet.play(5.0, 40 * SECOND);
     let calls = |from: u64, to: u64| {
