--- a/tests/golden/encoding.rs
+++ b/tests/golden/encoding.rs
@@ -7,55 +7,59 @@
 pub fn encode_action(action: &Action) -> Vec<u64> {
     match action {
         Action::Dispatch { request, backend } => vec![1, request.0, backend.0.into()],
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => vec![2, request.0, retry_after.0],
         Action::Fail { request } => vec![3, request.0],
         Action::Cancel { request, attempt } => vec![4, request.0, attempt.0.into()],
         Action::SetTimer { token, after } => vec![5, token.0, after.0],
-        Action::Follow => vec![6],
-        Action::Tell {
+        Action::PollDiscovery => vec![6],
+        Action::PublishVerdict {
             backend,
-            verdict: Verdict::Out { term, strikes },
+            verdict:
+                Verdict::Ejected {
+                    duration: term,
+                    consecutive_ejections: strikes,
+                },
         } => {
             vec![7, backend.0.into(), term.0, (*strikes).into()]
         }
-        Action::Tell {
+        Action::PublishVerdict {
             backend,
-            verdict: Verdict::Back,
+            verdict: Verdict::Readmitted,
         } => vec![8, backend.0.into()],
         Action::Log(_) => vec![9],
     }
 }
 
 /// Every list by its length, then its items; floating-point numbers by their bits.
-pub fn encode_memory(memory: &Memory) -> Vec<u64> {
+pub fn encode_memory(memory: &LearnedState) -> Vec<u64> {
     let mut words = vec![memory.kinds.len() as u64];
     for (id, kind) in &memory.kinds {
         words.push(id.0.into());
         words.extend(encode_mean(&kind.latency));
-        words.extend(encode_mean(&kind.quick));
-        words.push(kind.alone.to_bits());
-        words.push(kind.hold.to_bits());
+        words.extend(encode_mean(&kind.recent_latency));
+        words.push(kind.uncontended_latency_s.to_bits());
+        words.push(kind.concurrency_limit.to_bits());
     }
     words.push(memory.classes.len() as u64);
     for (id, latency) in &memory.classes {
         words.push(id.0 as u64);
         words.extend(encode_mean(latency));
     }
-    words.extend(encode_mean(&memory.overall));
+    words.extend(encode_mean(&memory.overall_latency));
     words.push(memory.backends.len() as u64);
     for (id, backend) in &memory.backends {
         words.push(id.0.into());
         words.extend(encode_optional(backend.ejected_for));
-        words.push(i64::from(backend.strikes) as u64);
-        words.extend(encode_optional(backend.back_ago));
+        words.push(i64::from(backend.consecutive_ejections) as u64);
+        words.extend(encode_optional(backend.enabled_ago));
     }
     words
 }
 
-fn encode_mean(mean: &Sampled) -> [u64; 2] {
+fn encode_mean(mean: &SampledMean) -> [u64; 2] {
     [mean.value.to_bits(), mean.count.to_bits()]
 }
 
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -94,30 +94,39 @@
 
 const BASE: [u64; 5] = [8_000, 20_000, 35_000, 60_000, 90_000];
 
-fn classes(count: usize) -> Vec<Class> {
+fn classes(count: usize) -> Vec<RequestClass> {
     let window = Micros(300_000);
     let effects = [
-        Effect::Free,
-        Effect::Unsafe,
-        Effect::Keyed(KeyScope::Zone, window),
-        Effect::Keyed(KeyScope::Cell, window),
-        Effect::Keyed(KeyScope::All, window),
-        Effect::Free,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed {
+            scope: KeyScope::Zone,
+            window,
+        },
+        Idempotency::Keyed {
+            scope: KeyScope::Cell,
+            window,
+        },
+        Idempotency::Keyed {
+            scope: KeyScope::All,
+            window,
+        },
+        Idempotency::Idempotent,
     ];
-    let class = |n: usize| Class {
-        aim: Micros(120_000 + 70_000 * (n as u64 % 7)),
-        aim_stretch: 0.25 * (n % 3) as f64,
-        effect: effects[n % effects.len()],
-        worth: 1.0 + (n % 4) as f64,
-        late_worth: 0.1 * (n % 5) as f64,
+    let class = |n: usize| RequestClass {
+        latency_objective: Micros(120_000 + 70_000 * (n as u64 % 7)),
+        objective_per_work: 0.25 * (n % 3) as f64,
+        idempotency: effects[n % effects.len()],
+        priority_weight: 1.0 + (n % 4) as f64,
+        late_weight: 0.1 * (n % 5) as f64,
     };
     (0..count).map(class).collect()
 }
 
 fn config(s: &Stream) -> Config {
     let mut cfg = Config::example();
-    cfg.proxies = s.proxies;
-    cfg.position = s.proxies / 3;
+    cfg.proxy_count = s.proxies;
+    cfg.proxy_index = s.proxies / 3;
     cfg.classes = classes(s.classes).into_iter().collect();
     let share = 1e6 / s.gap_us as f64 * f64::from(s.proxies) / s.tenants as f64;
     cfg.tenants = (0..s.tenants)
@@ -125,21 +134,23 @@
             quota_per_s: share * (0.3 + 0.4 * (n % 4) as f64),
         })
         .collect();
-    cfg.goal_worst_class = 0.3;
-    cfg.second_copies = s.copies;
-    cfg.cancel = s.cancel;
+    cfg.worst_class_objective_weight = 0.3;
+    cfg.hedging = s.copies;
+    cfg.cancellation = s.cancel;
     cfg.cross_zone_cost = if s.near { 0.05 } else { 0.0 };
     if s.ask {
-        cfg.discovery = Discovery::Subscribe(Micros(2_000_000));
+        cfg.discovery = Discovery::Poll {
+            staleness_limit: Micros(2_000_000),
+        };
     }
     if s.locality {
-        cfg.locality = Some(Locality {
-            leave_share: 0.5,
-            ramp: Micros(2_000_000),
+        cfg.zone_failover = Some(ZoneFailover {
+            unhealthy_threshold: 0.5,
+            recovery_ramp: Micros(2_000_000),
         });
         cfg.regions = (0..s.zones).map(|z| (ZoneId(z), RegionId(z % 3))).collect();
     }
-    cfg.ramp = Micros(4_000_000);
+    cfg.slow_start = Micros(4_000_000);
     cfg
 }
 
@@ -169,7 +180,7 @@
             did: BTreeMap::new(),
         };
         (0..stream.backends).for_each(|_| world.add_backend());
-        world.tell_whole(ListUpdate::Full);
+        world.tell_whole(EndpointUpdate::Full);
         world.plan(0, Due::Arrive);
         world.plan(1_500_000, Due::Churn);
         world
@@ -191,7 +202,7 @@
 
     /// Of all actions so far, and of what was learned by now.
     pub fn digest(&mut self) -> u32 {
-        let memory = self.balancer.recollect(Time(self.now));
+        let memory = self.balancer.learned_state(Time(self.now));
         self.fold(&encode_memory(&memory));
         (self.hash >> 32) as u32 ^ self.hash as u32
     }
@@ -234,16 +245,16 @@
                 Some(self.arrive(class, tenant, false))
             }
             Due::Again(class, tenant) => Some(self.arrive(class, tenant, true)),
-            Due::Timer(token) => Some(Event::Timer {
+            Due::Timer(token) => Some(Event::TimerFired {
                 token: TimerToken(token),
             }),
             Due::Begin(request, no) => {
                 let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
                 r.tries.get(no as usize).filter(|t| t.out)?;
                 r.settled = true;
-                Some(Event::StreamStarted {
+                Some(Event::ResponseStarted {
                     request: RequestId(request),
-                    attempt: AttemptNo(no),
+                    attempt: AttemptNumber(no),
                 })
             }
             Due::Uploaded(request, no) => {
@@ -252,9 +263,9 @@
                 t.sent = self.now;
                 let time_left = Micros(400_000);
                 r.deadline = self.now + time_left.0;
-                Some(Event::Uploaded {
+                Some(Event::UploadFinished {
                     request: RequestId(request),
-                    attempt: AttemptNo(no),
+                    attempt: AttemptNumber(no),
                     time_left,
                 })
             }
@@ -275,14 +286,14 @@
                     self.plan(0, Due::Deadline(request));
                     return self.end(request, no as u32, None);
                 }
-                (!std::mem::replace(&mut r.settled, true)).then_some(Event::ClientGone {
+                (!std::mem::replace(&mut r.settled, true)).then_some(Event::ClientDisconnected {
                     request: RequestId(request),
                 })
             }
             Due::Leave(request) => {
                 let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
                 r.settled = true;
-                Some(Event::ClientGone {
+                Some(Event::ClientDisconnected {
                     request: RequestId(request),
                 })
             }
@@ -319,13 +330,13 @@
             self.plan(at, Due::Leave(id));
         }
         let hint = self.below(200_000);
-        Event::Request(Arrival {
+        Event::RequestArrived(RequestArrival {
             request: RequestId(id),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
             time_left: Micros(left),
             work_hint: (hint > 100_000).then_some(Micros(hint)),
-            repeat,
+            client_retry: repeat,
         })
     }
 
@@ -337,13 +348,13 @@
         let outcome = outcome.unwrap_or(t.outcome);
         let latency = Micros(now - t.sent);
         r.settled |= outcome == Outcome::Ok;
-        let (request, attempt, settled) = (RequestId(request), AttemptNo(no), r.settled);
+        let (request, attempt, settled) = (RequestId(request), AttemptNumber(no), r.settled);
         Some(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             outcome,
             latency,
-            settled,
+            answered: settled,
         }))
     }
 
@@ -363,7 +374,7 @@
                 self.count("Dispatch");
                 self.dispatch(request.0, backend.0);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -392,11 +403,11 @@
                 self.count("SetTimer");
                 self.plan(after.0, Due::Timer(token.0));
             }
-            Action::Follow => {
+            Action::PollDiscovery => {
                 self.count("Follow");
                 self.plan(30_000, Due::Churn); // discovery answers, or something else goes on
             }
-            Action::Tell { .. } => self.count("Tell"),
+            Action::PublishVerdict { .. } => self.count("Tell"),
             Action::Log(text) => {
                 self.count("Log");
                 let words = [
@@ -432,10 +443,10 @@
             Mood::Silent => (Outcome::TimedOut, u64::MAX),
             Mood::Failing if c < 60 => (Outcome::Error, work / 2),
             Mood::Breaking if c < 40 => (Outcome::Reset, work / 2),
-            Mood::Full if c < 50 => (Outcome::Full, 500),
+            Mood::Full if c < 50 => (Outcome::Overloaded, 500),
             Mood::Slow => (Outcome::Ok, work * 20),
             _ if c == 0 => (Outcome::Error, work),
-            _ if c == 1 => (Outcome::NeverSent, 100),
+            _ if c == 1 => (Outcome::NotSent, 100),
             _ => (Outcome::Ok, work),
         };
         let now = self.now;
@@ -464,7 +475,7 @@
             (Outcome::Ok, 85..) => {
                 self.plan(after, Due::Uploaded(request, no));
                 self.plan(after * 2, Due::End(request, no));
-                let (request, attempt) = (RequestId(request), AttemptNo(no));
+                let (request, attempt) = (RequestId(request), AttemptNumber(no));
                 self.tell(Event::UploadStarted { request, attempt });
             }
             _ => self.plan(after, Due::End(request, no)),
@@ -484,12 +495,12 @@
         };
         let entry = Backend {
             id: BackendId(id),
-            mark: u64::from(self.draw.next_u32()) << 12 | u64::from(id),
+            address_hash: u64::from(self.draw.next_u32()) << 12 | u64::from(id),
             zone: ZoneId(zone),
             cell: CellId(u64::from(zone) * 3 + u64::from(id % 3)),
             kind: KindId(kind),
             state: BackendState::Ready,
-            booted,
+            started_at: booted,
         };
         self.list.insert(id, (entry, Mood::Good));
     }
@@ -497,7 +508,7 @@
     /// The whole list but what is gone, and sometimes two lines less.
     fn whole(&mut self) -> Vec<Backend> {
         let mut lines: Vec<Backend> = self.list.values().map(|(b, _)| b.clone()).collect();
-        lines.retain(|b| b.state != BackendState::Gone);
+        lines.retain(|b| b.state != BackendState::Removed);
         if self.one_in(3) {
             for _ in 0..2.min(lines.len()) {
                 let at = self.below(lines.len() as u64) as usize;
@@ -505,7 +516,7 @@
                 self.list
                     .get_mut(&id)
                     .into_iter()
-                    .for_each(|b| b.0.state = BackendState::Gone);
+                    .for_each(|b| b.0.state = BackendState::Removed);
             }
         }
         if self.one_in(4) {
@@ -514,9 +525,9 @@
         lines
     }
 
-    fn tell_whole(&mut self, update: ListUpdate) {
+    fn tell_whole(&mut self, update: EndpointUpdate) {
         let backends = self.whole();
-        self.tell(Event::Members { update, backends });
+        self.tell(Event::EndpointsUpdated { update, backends });
     }
 
     fn any(&mut self) -> u32 {
@@ -537,38 +548,38 @@
                 self.word()
             }
             7..=11 => self.lines(),
-            12 => Event::Members {
-                update: ListUpdate::Full,
+            12 => Event::EndpointsUpdated {
+                update: EndpointUpdate::Full,
                 backends: self.whole(),
             },
             13 => match self.below(6) {
-                0 => Event::Members {
-                    update: ListUpdate::Cached,
+                0 => Event::EndpointsUpdated {
+                    update: EndpointUpdate::Cached,
                     backends: self.whole(),
                 },
-                1 => Event::Beside {
+                1 => Event::ProcessCountChanged {
                     processes: 1 + self.below(2) as u32,
                 },
-                _ => Event::Members {
-                    update: ListUpdate::Lost,
+                _ => Event::EndpointsUpdated {
+                    update: EndpointUpdate::Failed,
                     backends: Vec::new(),
                 },
             },
-            14 => Event::Withdraw {
+            14 => Event::BackendDisabled {
                 backend: BackendId(self.any()),
             },
             15 | 16 => {
                 let (backend, ago) = (BackendId(self.any()), self.below(3_000_000));
-                Event::Restore {
+                Event::BackendEnabled {
                     backend,
                     since: Time(self.now - ago),
                 }
             }
             17 | 18 => self.retune(),
             19 => {
-                let memory = Box::new(self.balancer.recollect(Time(self.now)));
-                Event::Recall {
-                    memory,
+                let memory = Box::new(self.balancer.learned_state(Time(self.now)));
+                Event::StateRestored {
+                    state: memory,
                     age: Micros(self.below(20_000_000)),
                 }
             }
@@ -622,22 +633,22 @@
                 // Whatever has another name is another backend: only those that start anew have another mark.
                 (b.zone, b.kind) = (ZoneId(zone), KindId(kind));
                 if (2..=4).contains(&what) {
-                    b.mark = u64::from(mark) << 12 | u64::from(id);
+                    b.address_hash = u64::from(mark) << 12 | u64::from(id);
                 }
             }
             match what {
                 0 => b.state = BackendState::Draining,
-                1 => b.state = BackendState::Gone,
+                1 => b.state = BackendState::Removed,
                 2..=4 => {
-                    (b.state, b.booted, *mood) =
+                    (b.state, b.started_at, *mood) =
                         (BackendState::Ready, Some(Time(now - ago)), Mood::Good);
                 }
                 _ => b.state = BackendState::Ready,
             }
             changed.push(b.clone());
         }
-        Event::Members {
-            update: ListUpdate::Changes,
+        Event::EndpointsUpdated {
+            update: EndpointUpdate::Incremental,
             backends: changed,
         }
     }
@@ -653,28 +664,31 @@
         let term = Micros(500_000 + self.below(2_000_000));
         let strikes = 1 + self.below(3) as u8;
         let verdict = if self.one_in(3) {
-            Verdict::Back
+            Verdict::Readmitted
         } else {
-            Verdict::Out { term, strikes }
+            Verdict::Ejected {
+                duration: term,
+                consecutive_ejections: strikes,
+            }
         };
-        Event::Heard(Heard {
+        Event::VerdictReceived(PeerVerdict {
             backend,
-            origin: (origin > 0).then_some(OriginId(origin)),
+            origin: (origin > 0).then_some(PeerId(origin)),
             verdict,
             age: Micros(self.below(800_000)),
-            bound: Micros(700_000 + self.below(5_000_000)),
-            others: self.stream.proxies - 1,
-            turn: self.below(u64::from(self.stream.proxies.min(4))) as u32,
+            max_age: Micros(700_000 + self.below(5_000_000)),
+            live_peers: self.stream.proxies - 1,
+            health_check_turn: self.below(u64::from(self.stream.proxies.min(4))) as u32,
         })
     }
 
     /// Other settings, and such as forget a number.
     fn retune(&mut self) -> Event {
         let mut cfg = self.cfg.clone();
-        let (mut retired, mut heirs) = (Vec::new(), Vec::new());
+        let (mut retired, mut successors) = (Vec::new(), Vec::new());
         match self.below(7) {
-            0 => cfg.ramp = Micros(1_000_000 + self.below(8_000_000)),
-            1 => cfg.fall_window = Micros(500_000 + self.below(3_000_000)),
+            0 => cfg.slow_start = Micros(1_000_000 + self.below(8_000_000)),
+            1 => cfg.overload_window = Micros(500_000 + self.below(3_000_000)),
             2 => cfg.cross_zone_cost = 0.02 * self.below(3) as f64,
             3 => {
                 let at = self.below(cfg.tenants.len() as u64) as usize;
@@ -686,32 +700,40 @@
             4 => {
                 let old = self.skewed(cfg.classes.len());
                 let class = cfg.classes[old].clone();
-                let aim = class.aim.times(0.75 + 0.25 * self.below(3) as f64);
-                cfg.classes.push_back(Class { aim, ..class });
+                let aim = class
+                    .latency_objective
+                    .mul_f64(0.75 + 0.25 * self.below(3) as f64);
+                cfg.classes.push_back(RequestClass {
+                    latency_objective: aim,
+                    ..class
+                });
                 self.live.push(true);
                 if old > 0 {
                     self.live[old] = false;
                     retired.push(ClassId(old));
                 }
-                heirs.push((ClassId(cfg.classes.len() - 1), ClassId(old)));
+                successors.push(ClassSuccessor {
+                    class: ClassId(cfg.classes.len() - 1),
+                    predecessor: ClassId(old),
+                });
             }
             5 => {
                 cfg.tenants.pop_back();
-                return settings(cfg, retired, heirs);
+                return settings(cfg, retired, successors);
             }
             _ => cfg.max_attempts = 2 + self.below(2) as u32,
         }
         self.cfg = cfg.clone();
-        settings(cfg, retired, heirs)
+        settings(cfg, retired, successors)
     }
 }
 
-fn settings(cfg: Config, retired: Vec<ClassId>, heirs: Vec<(ClassId, ClassId)>) -> Event {
-    let config = Box::new(cfg.checked().expect("sound"));
-    Event::Settings {
+fn settings(cfg: Config, retired: Vec<ClassId>, successors: Vec<ClassSuccessor>) -> Event {
+    let config = Box::new(cfg.validated().expect("sound"));
+    Event::ConfigChanged {
         config,
         retired,
-        revived: Vec::new(),
-        heirs,
+        reinstated: Vec::new(),
+        successors,
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -14,7 +14,7 @@
     Gone(usize),
     Pass(u64),
     Member(u32, BackendState, bool),
-    Relist(u32, ListUpdate),
+    Relist(u32, EndpointUpdate),
     Nonsense(u64, u32, u64),
 }
 
@@ -22,11 +22,11 @@
     prop_oneof![
         8 => Just(Outcome::Ok),
         1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Overloaded),
         1 => Just(Outcome::TimedOut),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
-        1 => Just(Outcome::NeverSent),
+        1 => Just(Outcome::NotSent),
     ]
 }
 
@@ -34,12 +34,12 @@
     let state = prop_oneof![
         3 => Just(BackendState::Ready),
         1 => Just(BackendState::Draining),
-        1 => Just(BackendState::Gone)
+        1 => Just(BackendState::Removed)
     ];
     let update = prop_oneof![
-        Just(ListUpdate::Full),
-        Just(ListUpdate::Cached),
-        Just(ListUpdate::Lost)
+        Just(EndpointUpdate::Full),
+        Just(EndpointUpdate::Cached),
+        Just(EndpointUpdate::Failed)
     ];
     prop_oneof![
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
@@ -57,29 +57,40 @@
     let window = Micros(300_000);
     let mut cfg = Config::example();
     cfg.classes = vec![
-        class(Effect::Free),
-        Class {
-            late_worth: 0.3,
-            worth: 5.0,
-            ..class(Effect::Unsafe)
+        class(Idempotency::Idempotent),
+        RequestClass {
+            late_weight: 0.3,
+            priority_weight: 5.0,
+            ..class(Idempotency::NonIdempotent)
         },
-        class(Effect::Keyed(KeyScope::Zone, window)),
-        class(Effect::Keyed(KeyScope::Cell, window)),
-        class(Effect::Keyed(KeyScope::All, window)),
-        Class {
-            aim: Micros(100_000),
-            ..class(Effect::Free)
+        class(Idempotency::Keyed {
+            scope: KeyScope::Zone,
+            window,
+        }),
+        class(Idempotency::Keyed {
+            scope: KeyScope::Cell,
+            window,
+        }),
+        class(Idempotency::Keyed {
+            scope: KeyScope::All,
+            window,
+        }),
+        RequestClass {
+            latency_objective: Micros(100_000),
+            ..class(Idempotency::Idempotent)
         },
     ]
     .into();
     cfg.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }].into();
-    cfg.goal_worst_class = 0.3;
-    cfg.second_copies = bits & 1 == 0;
-    cfg.proxies = if bits & 2 == 0 { 3 } else { 40 };
-    cfg.cancel = bits & 4 == 0;
+    cfg.worst_class_objective_weight = 0.3;
+    cfg.hedging = bits & 1 == 0;
+    cfg.proxy_count = if bits & 2 == 0 { 3 } else { 40 };
+    cfg.cancellation = bits & 4 == 0;
     cfg.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
     if bits & 8 == 0 {
-        cfg.discovery = Discovery::Subscribe(Micros(2_000_000));
+        cfg.discovery = Discovery::Poll {
+            staleness_limit: Micros(2_000_000),
+        };
     }
     cfg
 }
@@ -94,7 +105,7 @@
             .map(|i| backend(i, i % 3, i % 2))
             .collect()
     };
-    host.members(ListUpdate::Cached, fleet(0b0111_1011));
+    host.members(EndpointUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
             Step::Arrive(c, left, t) => {
@@ -119,25 +130,27 @@
                     .collect();
                 if let Some(id) = nth(&open, n) {
                     host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientGone { request: id });
+                    host.event(Event::ClientDisconnected { request: id });
                 }
             }
             Step::Pass(span) => host.advance(span),
             Step::Member(b, state, restarted) => {
                 let booted = restarted.then_some(host.now);
                 host.members(
-                    ListUpdate::Changes,
+                    EndpointUpdate::Incremental,
                     vec![Backend {
                         state,
-                        booted,
+                        started_at: booted,
                         ..backend(b, b % 3, b % 2)
                     }],
                 );
             }
-            Step::Relist(_, ListUpdate::Lost) => host.members(ListUpdate::Lost, Vec::new()),
+            Step::Relist(_, EndpointUpdate::Failed) => {
+                host.members(EndpointUpdate::Failed, Vec::new())
+            }
             Step::Relist(mask, update) => host.members(update, fleet(mask)),
             Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNo(a), TimerToken(t));
+                host.nonsense(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
             }
         }
         trace.push(format!("{:?}", host.last));
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -24,13 +24,13 @@
     let state = prop_oneof![
         4 => Just(BackendState::Ready),
         1 => Just(BackendState::Draining),
-        3 => Just(BackendState::Gone)
+        3 => Just(BackendState::Removed)
     ];
     let outcome = prop_oneof![
         6 => Just(Outcome::Ok),
         1 => Just(Outcome::Error),
         1 => Just(Outcome::ConnectFailed),
-        1 => Just(Outcome::Full)
+        1 => Just(Outcome::Overloaded)
     ];
     prop_oneof![
         6 => (0..12u32, state, 0..4u64).prop_map(|(b, s, boot)| Step::Line(b, s, boot)),
@@ -48,24 +48,27 @@
 struct State {
     readiness: Vec<(BackendId, f64)>,
     holds: Vec<(KindId, f64)>,
-    memory: Memory,
+    memory: LearnedState,
 }
 
 /// One balancer, its clock and what it has out.
 struct Side {
     balancer: Balancer,
-    out: Vec<(RequestId, AttemptNo, Time)>,
+    out: Vec<(RequestId, AttemptNumber, Time)>,
     tries: BTreeMap<RequestId, u32>,
 }
 
 impl Side {
     fn new(proxies: u32) -> Side {
         let mut cfg = Config::example();
-        cfg.proxies = proxies;
-        cfg.classes = [class(Effect::Free), class(Effect::Unsafe)]
-            .into_iter()
-            .collect();
-        (cfg.cross_zone_cost, cfg.ramp) = (0.1, Micros(600_000));
+        cfg.proxy_count = proxies;
+        cfg.classes = [
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+        ]
+        .into_iter()
+        .collect();
+        (cfg.cross_zone_cost, cfg.slow_start) = (0.1, Micros(600_000));
         let balancer = Balancer::new(cfg, 5).expect("sound");
         Side {
             balancer,
@@ -80,7 +83,7 @@
         for action in &actions {
             if let Action::Dispatch { request, .. } = action {
                 let no = self.tries.entry(*request).or_default();
-                self.out.push((*request, AttemptNo(*no), now));
+                self.out.push((*request, AttemptNumber(*no), now));
                 *no += 1;
             }
         }
@@ -98,18 +101,18 @@
             attempt,
             outcome,
             latency: now - sent,
-            settled,
+            answered: settled,
         };
         self.tell(now, Event::AttemptEnded(end))
     }
 
     fn state(&self, now: Time) -> State {
         let b = &self.balancer;
-        let (readiness, holds) = (b.readiness(now).collect(), b.holds().collect());
+        let (readiness, holds) = (b.readiness(now).collect(), b.concurrency_limits().collect());
         State {
             readiness,
             holds,
-            memory: b.recollect(now),
+            memory: b.learned_state(now),
         }
     }
 }
@@ -127,10 +130,10 @@
                 let booted = (*boot > 0).then(|| Time(now.0 - boot * 100_000));
                 let line = Backend {
                     state: *state,
-                    booted,
+                    started_at: booted,
                     ..backend(*b, b % 3 + (boot / 3) as u32, b % 2)
                 };
-                if *state == BackendState::Gone {
+                if *state == BackendState::Removed {
                     // The line of its end is its last one, as a whole list says no more than that it is gone.
                     list.remove(&line.id);
                     let last = told.get(&line.id).cloned();
@@ -158,7 +161,7 @@
                 // A whole list does not name what is gone.
                 let mut all: Vec<Backend> = list
                     .values()
-                    .filter(|b| b.state != BackendState::Gone)
+                    .filter(|b| b.state != BackendState::Removed)
                     .cloned()
                     .collect();
                 if reverse {
@@ -167,15 +170,15 @@
                 (
                     whole.tell(
                         now,
-                        Event::Members {
-                            update: ListUpdate::Full,
+                        Event::EndpointsUpdated {
+                            update: EndpointUpdate::Full,
                             backends: all,
                         },
                     ),
                     changes.tell(
                         now,
-                        Event::Members {
-                            update: ListUpdate::Changes,
+                        Event::EndpointsUpdated {
+                            update: EndpointUpdate::Incremental,
                             backends: changed,
                         },
                     ),
@@ -183,26 +186,26 @@
             }
             Step::Request(left) => {
                 next += 1;
-                let arrival = Arrival {
+                let arrival = RequestArrival {
                     request: RequestId(next),
                     class: ClassId(usize::from(next % 4 == 0)),
                     tenant: None,
                     time_left: Micros(*left),
                     work_hint: None,
-                    repeat: next % 7 == 0,
+                    client_retry: next % 7 == 0,
                 };
-                let event = Event::Request(arrival);
+                let event = Event::RequestArrived(arrival);
                 (whole.tell(now, event.clone()), changes.tell(now, event))
             }
             Step::End(n, outcome) => (whole.end(now, *n, *outcome), changes.end(now, *n, *outcome)),
             Step::Withdraw(b) => {
-                let event = Event::Withdraw {
+                let event = Event::BackendDisabled {
                     backend: BackendId(*b),
                 };
                 (whole.tell(now, event.clone()), changes.tell(now, event))
             }
             Step::Restore(b) => {
-                let event = Event::Restore {
+                let event = Event::BackendEnabled {
                     backend: BackendId(*b),
                     since: now,
                 };
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -250,9 +250,9 @@
     fleet.play(10 * SECOND);
     fleet.ones.remove(&5);
     fleet.play(20 * SECOND);
-    let verdict = Verdict::Out {
-        term: Micros(SECOND),
-        strikes: 1,
+    let verdict = Verdict::Ejected {
+        duration: Micros(SECOND),
+        consecutive_ejections: 1,
     };
     let born_us = WALL + fleet.now;
     fleet.turn(3, |m, now, out| m.tell("b7".into(), verdict, now, out));
@@ -268,9 +268,12 @@
     order.push(3);
     for (turn, n) in order.into_iter().enumerate() {
         let heard = fleet.ones[&n].news.iter().filter_map(|news| match news {
-            News::Heard(backend, heard) => {
-                Some((backend.as_str(), heard.verdict, heard.turn, heard.others))
-            }
+            News::Heard(backend, heard) => Some((
+                backend.as_str(),
+                heard.verdict,
+                heard.health_check_turn,
+                heard.live_peers,
+            )),
             _ => None,
         });
         assert_eq!(
@@ -289,9 +292,9 @@
     fleet.play(20 * SECOND);
     assert!(fleet.whole());
     let begin = fleet.bytes.clone();
-    let verdict = Verdict::Out {
-        term: Micros(SECOND),
-        strikes: 1,
+    let verdict = Verdict::Ejected {
+        duration: Micros(SECOND),
+        consecutive_ejections: 1,
     };
     for second in 1..=8 {
         for n in 0..60 {
@@ -318,9 +321,9 @@
     assert!(fleet.whole());
     let (begin, verdict) = (
         fleet.bytes.clone(),
-        Verdict::Out {
-            term: Micros(SECOND),
-            strikes: 1,
+        Verdict::Ejected {
+            duration: Micros(SECOND),
+            consecutive_ejections: 1,
         },
     );
     for n in 0..100 {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -297,38 +297,40 @@
     let must_ask = rules.get("must_ask_in_us");
     let discovery = match root.get("discovery").text() {
         "automatic" => Discovery::Push,
-        "subscribe" => Discovery::Subscribe(must_ask.micros()),
+        "subscribe" => Discovery::Poll {
+            staleness_limit: must_ask.micros(),
+        },
         _ => root
             .get("discovery")
             .want(None, "automatic or subscribe", Discovery::Push),
     };
     let config = Config {
-        proxies: root.get("group_size").count(u32::MAX),
-        position: root.get("position").count(0),
+        proxy_count: root.get("group_size").count(u32::MAX),
+        proxy_index: root.get("position").count(0),
         zone: ZoneId(zone.unwrap_or(0) as u32),
         classes,
         tenants: tenants.into(),
-        over_quota_worth: root.get("over_share_worth").real(),
-        goal_whole: goal.get("whole").real(),
-        goal_worst_class: goal.get("worst_class").real(),
+        over_quota_weight: root.get("over_share_worth").real(),
+        overall_objective_weight: goal.get("whole").real(),
+        worst_class_objective_weight: goal.get("worst_class").real(),
         cross_zone_cost: root.get("costs").get("cross_zone").real(),
         discovery,
         max_attempts: limits.get("max_attempts").count(1),
-        cancel: limits.get("cancel").flag(),
-        second_copies: limits.get("parallel_tries").flag(),
-        tick: root.get("granularity_us").micros(),
-        cold_from: rules.get("cold_from").real(),
-        ramp: rules.get("ramp_time_us").micros(),
-        fall_multiple: rules.get("fall_multiple").real(),
-        fall_window: rules.get("tip_after_us").micros(),
-        locality: locality(&root.get("locality")),
+        cancellation: limits.get("cancel").flag(),
+        hedging: limits.get("parallel_tries").flag(),
+        timer_resolution: root.get("granularity_us").micros(),
+        slow_start_min_readiness: rules.get("cold_from").real(),
+        slow_start: rules.get("ramp_time_us").micros(),
+        overload_multiple: rules.get("fall_multiple").real(),
+        overload_window: rules.get("tip_after_us").micros(),
+        zone_failover: locality(&root.get("locality")),
         regions: regions(&root.get("locality").get("regions"), &mut names),
     };
     (config, names)
 }
 
 /// One of `profiles`; its name gets the next number.
-fn class(class: &Key, names: &mut Names) -> Class {
+fn class(class: &Key, names: &mut Names) -> RequestClass {
     let name = class.get("name");
     if Named::find(&names.classes, name.text()).is_some() {
         name.wrong("the name stands twice".into());
@@ -336,7 +338,7 @@
     names.classes.push(Named::new(name.text()));
     let (scope, window) = (class.get("key_scope"), class.get("window_us"));
     let effect = match class.get("effect").text() {
-        "free" => Effect::Free,
+        "free" => Idempotency::Idempotent,
         "guarded" => {
             let scope = match scope.text() {
                 "all" => KeyScope::All,
@@ -344,12 +346,17 @@
                 "cell" => KeyScope::Cell,
                 _ => scope.want(None, "all, zone or cell", KeyScope::All),
             };
-            Effect::Keyed(scope, window.micros())
+            Idempotency::Keyed {
+                scope,
+                window: window.micros(),
+            }
         }
-        "single_shot" => Effect::Unsafe,
-        _ => class
-            .get("effect")
-            .want(None, "free, guarded or single_shot", Effect::Free),
+        "single_shot" => Idempotency::NonIdempotent,
+        _ => class.get("effect").want(
+            None,
+            "free, guarded or single_shot",
+            Idempotency::Idempotent,
+        ),
     };
     let stretch = class.get("aim_stretch");
     let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
@@ -362,25 +369,25 @@
     {
         aim.wrong("expected no more than deadline_us".into());
     }
-    Class {
-        aim: aim.micros(),
-        aim_stretch: if stretch.value.is_some() {
+    RequestClass {
+        latency_objective: aim.micros(),
+        objective_per_work: if stretch.value.is_some() {
             stretch.real()
         } else {
             0.0
         },
-        effect,
-        worth: class.get("gain").real(),
-        late_worth: class.get("late_worth").real(),
+        idempotency: effect,
+        priority_weight: class.get("gain").real(),
+        late_weight: class.get("late_worth").real(),
     }
 }
 
 /// `locality`, where it stands: both keys, or an error that names the missing one.
-fn locality(key: &Key) -> Option<Locality> {
+fn locality(key: &Key) -> Option<ZoneFailover> {
     key.value?;
-    Some(Locality {
-        leave_share: key.get("leave_share").real(),
-        ramp: key.get("ramp_us").micros(),
+    Some(ZoneFailover {
+        unhealthy_threshold: key.get("leave_share").real(),
+        recovery_ramp: key.get("ramp_us").micros(),
     })
 }
 
@@ -437,12 +444,12 @@
 /// Settings that take the place of others while requests are open.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The module's part, for [`Event::Settings`].
+    /// The module's part, for [`Event::ConfigChanged`].
     pub config: Config,
     /// Which numbers of classes are in use.
     pub live: Vec<bool>,
     /// New numbers of classes that were there under other rules, each with the old number.
-    pub heirs: Vec<(ClassId, ClassId)>,
+    pub successors: Vec<ClassSuccessor>,
     /// Names for all numbers.
     pub names: Names,
     /// The sockets' part.
@@ -452,19 +459,29 @@
 }
 
 /// What may be done with a request that came under one effect while another is in force.
-fn stricter(came: Effect, now: Effect) -> Effect {
+fn stricter(came: Idempotency, now: Idempotency) -> Idempotency {
     let reach = |scope| match scope {
         KeyScope::Cell => 0,
         KeyScope::Zone => 1,
         KeyScope::All => 2,
     };
     match (came, now) {
-        (came, Effect::Free) => came,
-        (Effect::Keyed(a, long), Effect::Keyed(b, short)) => {
-            Effect::Keyed(if reach(a) <= reach(b) { a } else { b }, long.min(short))
-        }
+        (came, Idempotency::Idempotent) => came,
+        (
+            Idempotency::Keyed {
+                scope: a,
+                window: long,
+            },
+            Idempotency::Keyed {
+                scope: b,
+                window: short,
+            },
+        ) => Idempotency::Keyed {
+            scope: if reach(a) <= reach(b) { a } else { b },
+            window: long.min(short),
+        },
         // One that came as free has no key by which a repeat would be dropped.
-        _ => Effect::Unsafe,
+        _ => Idempotency::NonIdempotent,
     }
 }
 
@@ -484,7 +501,7 @@
     let read = read_with(&root, places);
     let (fresh, fresh_names) = root.notes.sound(read)?;
     let fresh_network = network(settings)?;
-    fresh.clone().checked().map_err(|e| e.to_string())?;
+    fresh.clone().validated().map_err(|e| e.to_string())?;
     if fresh.discovery != config.discovery {
         return Err("discovery: expected as before, it changes only with a restart".into());
     }
@@ -494,7 +511,7 @@
     );
     let mut named = names.classes.clone();
     named.iter_mut().for_each(|n| n.live = false);
-    let (mut heirs, mut told) = (Vec::new(), Vec::new());
+    let (mut successors, mut told) = (Vec::new(), Vec::new());
     for ((class, new), deadline) in fresh
         .classes
         .iter()
@@ -509,7 +526,10 @@
             classes.push(class.clone());
             deadlines.push(*deadline);
             named.push(new.clone());
-            heirs.extend(old.map(|old| (ClassId(classes.len() - 1), ClassId(old))));
+            successors.extend(old.map(|old| ClassSuccessor {
+                class: ClassId(classes.len() - 1),
+                predecessor: ClassId(old),
+            }));
             classes.len() - 1
         });
         named[number].live = true;
@@ -531,8 +551,8 @@
             .classes
             .iter()
             .position(|new| new.name == named[number].name);
-        class.effect = now.map_or(class.effect, |at| {
-            stricter(class.effect, fresh.classes[at].effect)
+        class.idempotency = now.map_or(class.idempotency, |at| {
+            stricter(class.idempotency, fresh.classes[at].idempotency)
         });
     }
     let dropped = |n: &&Named| n.live && Named::find(&named, &n.name).is_none();
@@ -576,7 +596,7 @@
     Ok(Change {
         config,
         live,
-        heirs,
+        successors,
         names,
         network: Network {
             deadlines,
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -8,13 +8,13 @@
 fn fleet() -> Host {
     let mut host = Host::new(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         5,
     );
     host.members(
-        ListUpdate::Full,
+        EndpointUpdate::Full,
         (0..4).map(|id| backend(id, 0, 0)).collect(),
     );
     host
@@ -35,13 +35,13 @@
     host.out().len()
 }
 
-fn recalled(memory: &Memory, beside: bool) -> Host {
+fn recalled(memory: &LearnedState, beside: bool) -> Host {
     let mut host = fleet();
     if beside {
-        host.event(Event::Beside { processes: 2 });
+        host.event(Event::ProcessCountChanged { processes: 2 });
     }
-    host.event(Event::Recall {
-        memory: Box::new(memory.clone()),
+    host.event(Event::StateRestored {
+        state: Box::new(memory.clone()),
         age: Micros(2_000_000),
     });
     host
@@ -54,8 +54,11 @@
     let mut first = fleet();
     let cold = taken(&mut fleet());
     learn(&mut first);
-    let memory = first.balancer.recollect(first.now);
-    assert!(memory.kinds[0].1.hold > 8.0, "nothing learned: {memory:?}");
+    let memory = first.balancer.learned_state(first.now);
+    assert!(
+        memory.kinds[0].1.concurrency_limit > 8.0,
+        "nothing learned: {memory:?}"
+    );
     let (alone, beside) = (
         taken(&mut recalled(&memory, false)),
         taken(&mut recalled(&memory, true)),
@@ -65,9 +68,9 @@
     for wrong in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         let mut bad = memory.clone();
         (
-            bad.kinds[0].1.hold,
+            bad.kinds[0].1.concurrency_limit,
             bad.kinds[0].1.latency.value,
-            bad.overall.value,
+            bad.overall_latency.value,
         ) = (wrong, wrong, wrong);
         assert_eq!(taken(&mut recalled(&bad, false)), cold, "{wrong}");
     }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -190,7 +190,7 @@
             }
             Event::Asked(at, from) if self.alive[at] => self.send(Event::Sent(from)),
             Event::Sent(at) if self.alive[at] => {
-                drop(self.proxies[at].step.get_or_insert(self.now))
+                self.proxies[at].step.get_or_insert(self.now);
             }
             _ => {}
         }
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -6,9 +6,13 @@
 use meadowproxy::*;
 
 fn config() -> Config {
-    let classes = vec![class(Effect::Free), class(Effect::Unsafe)].into();
+    let classes = vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+    ]
+    .into();
     Config {
-        proxies: 1,
+        proxy_count: 1,
         classes,
         max_attempts: 3,
         ..Config::example()
@@ -18,9 +22,9 @@
 /// The second class becomes free to repeat, under a number of its own; attempts get fewer.
 fn changed() -> Config {
     let classes = vec![
-        class(Effect::Free),
-        class(Effect::Unsafe),
-        class(Effect::Free),
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+        class(Idempotency::Idempotent),
     ]
     .into();
     Config {
@@ -33,19 +37,28 @@
 fn change(host: &mut Host) {
     host.cfg = changed();
     host.cfg.max_attempts = 3; // the harness checks the most that any open request may have
-    let config = Box::new(changed().checked().unwrap());
-    let (retired, heirs) = (vec![ClassId(1)], vec![(ClassId(2), ClassId(1))]);
-    host.event(Event::Settings {
+    let config = Box::new(changed().validated().unwrap());
+    let (retired, successors) = (
+        vec![ClassId(1)],
+        vec![ClassSuccessor {
+            class: ClassId(2),
+            predecessor: ClassId(1),
+        }],
+    );
+    host.event(Event::ConfigChanged {
         config,
         retired,
-        revived: Vec::new(),
-        heirs,
+        reinstated: Vec::new(),
+        successors,
     });
 }
 
 fn host(seed: u64) -> Host {
     let mut host = Host::new(config(), seed);
-    host.members(ListUpdate::Full, (0..6).map(|n| backend(n, 0, 0)).collect());
+    host.members(
+        EndpointUpdate::Full,
+        (0..6).map(|n| backend(n, 0, 0)).collect(),
+    );
     for _ in 0..30 {
         host.burst(3, 0, 400_000);
         host.burst(3, 1, 400_000);
@@ -87,7 +100,7 @@
     assert_eq!(host.requests[&last].answer, Some("served"));
     // Its usual time is known: held past that, it is refused while refusing is still harmless.
     let fleet: Vec<_> = host.list.values().cloned().collect();
-    host.members(ListUpdate::Full, Vec::new());
+    host.members(EndpointUpdate::Full, Vec::new());
     let held = host.arrive(2, 400_000);
     host.advance(365_000);
     assert_eq!(
@@ -96,7 +109,7 @@
     );
     host.advance(35_000);
     assert_eq!(host.requests[&held].answer, Some("refused"));
-    host.members(ListUpdate::Full, fleet);
+    host.members(EndpointUpdate::Full, fleet);
     let ids = host.burst(4, 2, 400_000);
     host.serve_all(20_000);
     assert!(ids
@@ -109,30 +122,40 @@
 #[test]
 fn sums_over_classes_follow_those_that_come_and_go() {
     let mut host = Host::new(config(), 6);
-    host.members(ListUpdate::Full, (0..6).map(|n| backend(n, 0, 0)).collect());
+    host.members(
+        EndpointUpdate::Full,
+        (0..6).map(|n| backend(n, 0, 0)).collect(),
+    );
     for _ in 0..10 {
         host.burst(3, 1, 400_000);
         host.serve_all(300_000);
     }
-    let taken = |retired: usize, revived: usize, heirs| Event::Settings {
+    let taken = |retired: usize, reinstated: usize, successors| Event::ConfigChanged {
         config: Box::new(
             Config {
                 max_attempts: 3,
                 ..changed()
             }
-            .checked()
+            .validated()
             .unwrap(),
         ),
         retired: vec![ClassId(retired)],
-        revived: if revived < 2 {
-            vec![ClassId(revived)]
+        reinstated: if reinstated < 2 {
+            vec![ClassId(reinstated)]
         } else {
             Vec::new()
         },
-        heirs,
+        successors,
     };
     host.cfg = changed();
-    host.event(taken(1, 2, vec![(ClassId(2), ClassId(1))]));
+    host.event(taken(
+        1,
+        2,
+        vec![ClassSuccessor {
+            class: ClassId(2),
+            predecessor: ClassId(1),
+        }],
+    ));
     host.event(taken(2, 1, Vec::new()));
     host.event(taken(1, 2, Vec::new()));
     host.event(taken(0, 1, Vec::new()));
@@ -147,18 +170,24 @@
 fn settings_that_forget_a_number_are_not_taken() {
     let mut host = host(5);
     let short = Config {
-        classes: vec![class(Effect::Free)].into(),
+        classes: vec![class(Idempotency::Idempotent)].into(),
         ..config()
     }
-    .checked()
+    .validated()
     .unwrap();
-    let (retired, heirs) = (vec![ClassId(1)], vec![(ClassId(9), ClassId(7))]);
+    let (retired, successors) = (
+        vec![ClassId(1)],
+        vec![ClassSuccessor {
+            class: ClassId(9),
+            predecessor: ClassId(7),
+        }],
+    );
     let config = Box::new(short);
-    host.event(Event::Settings {
+    host.event(Event::ConfigChanged {
         config,
         retired,
-        revived: vec![ClassId(8)],
-        heirs,
+        reinstated: vec![ClassId(8)],
+        successors,
     });
     let id = host.arrive(1, 400_000);
     host.serve_all(20_000);
@@ -168,7 +197,7 @@
 /// Unsound settings never come as far as the module: the type that it takes cannot be made of them.
 #[test]
 fn unsound_settings_do_not_become_checked_ones() {
-    let field = |config: Config| config.checked().err().map(|e| e.field);
+    let field = |config: Config| config.validated().err().map(|e| e.field);
     assert_eq!(
         field(Config {
             max_attempts: 0,
@@ -183,19 +212,19 @@
         }),
         Some("classes")
     );
-    let mut config = changed().checked().unwrap();
+    let mut config = changed().validated().unwrap();
     let before = config.clone();
-    let bad = Class {
-        worth: f64::INFINITY,
-        ..class(Effect::Free)
+    let bad = RequestClass {
+        priority_weight: f64::INFINITY,
+        ..class(Idempotency::Idempotent)
     };
     assert_eq!(
-        config.put_class(ClassId(1), bad).map_err(|e| e.field),
+        config.set_class(ClassId(1), bad).map_err(|e| e.field),
         Err("worth")
     );
     assert_eq!(
         config
-            .put_class(ClassId(4), class(Effect::Free))
+            .set_class(ClassId(4), class(Idempotency::Idempotent))
             .map_err(|e| e.field),
         Err("classes")
     );
@@ -204,7 +233,7 @@
         let bad = (TenantId(bad.0), Tenant { quota_per_s: bad.1 });
         assert_eq!(
             config
-                .put_tenants([first.clone(), bad])
+                .set_tenants([first.clone(), bad])
                 .map_err(|e| e.field),
             Err(field)
         );
@@ -224,23 +253,23 @@
             tenants: tenants.into(),
             ..config()
         }
-        .checked()
+        .validated()
         .unwrap()
     };
     let mut tenants: Vec<Tenant> = (0..10_000).map(quota).collect();
     let plain = |tenants: &[Tenant]| tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
     let first = whole(tenants.clone());
     assert_eq!(
-        whole(tenants[..4096].to_vec()).quota_sum(),
+        whole(tenants[..4096].to_vec()).quota_sum_per_s(),
         plain(&tenants[..4096]),
         "in their order"
     );
-    assert!((first.quota_sum() / plain(&tenants) - 1.0).abs() < 1e-12);
+    assert!((first.quota_sum_per_s() / plain(&tenants) - 1.0).abs() < 1e-12);
     let mut amended = first.clone();
     for n in (0..10_040).step_by(40) {
         let (tenant, at) = (quota(n as u64 + 77), n.min(tenants.len()));
         assert_eq!(
-            amended.put_tenants([(TenantId(at), tenant.clone())]),
+            amended.set_tenants([(TenantId(at), tenant.clone())]),
             Ok(())
         );
         match tenants.get_mut(at) {
@@ -248,16 +277,22 @@
             None => tenants.push(tenant),
         }
     }
-    assert_eq!(amended.put_class(ClassId(2), class(Effect::Unsafe)), Ok(()));
-    assert_eq!(amended.put_class(ClassId(0), class(Effect::Unsafe)), Ok(()));
-    let classes = vec![class(Effect::Unsafe); 3].into();
+    assert_eq!(
+        amended.set_class(ClassId(2), class(Idempotency::NonIdempotent)),
+        Ok(())
+    );
+    assert_eq!(
+        amended.set_class(ClassId(0), class(Idempotency::NonIdempotent)),
+        Ok(())
+    );
+    let classes = vec![class(Idempotency::NonIdempotent); 3].into();
     assert_eq!(
         amended,
         Config {
             classes,
             ..(*whole(tenants)).clone()
         }
-        .checked()
+        .validated()
         .unwrap()
     );
     assert_eq!(first, whole((0..10_000).map(quota).collect()));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -53,9 +53,9 @@
 
 /// What falls due.
 enum Due {
-    Arrival,
+    RequestArrival,
     Timer(usize, TimerToken),
-    End(usize, RequestId, AttemptNo, u64, Outcome),
+    End(usize, RequestId, AttemptNumber, u64, Outcome),
     Told(usize),
     Gone(usize, RequestId),
     /// The first has ended, the second is alone.
@@ -100,19 +100,19 @@
 }
 
 fn config(case: &Case, position: u32) -> Config {
-    let class = |aim| Class {
-        aim: Micros(aim),
+    let class = |aim| RequestClass {
+        latency_objective: Micros(aim),
         ..Config::example().classes[0].clone()
     };
     Config {
-        proxies: case.proxies,
-        position,
+        proxy_count: case.proxies,
+        proxy_index: position,
         zone: ZoneId(position % 3),
         classes: vec![class(300_000), class(SECOND)].into(),
         cross_zone_cost: if case.near { 0.05 } else { 0.0 },
-        cold_from: COLD_FROM,
-        ramp: Micros(RAMP),
-        fall_window: Micros(WINDOW),
+        slow_start_min_readiness: COLD_FROM,
+        slow_start: Micros(RAMP),
+        overload_window: Micros(WINDOW),
         ..Config::example()
     }
 }
@@ -148,7 +148,7 @@
             let weight = if place.is_multiple_of(10) { high } else { low };
             fleet.start(position, weight);
         }
-        fleet.at(fleet.now, Due::Arrival);
+        fleet.at(fleet.now, Due::RequestArrival);
         fleet
     }
 
@@ -172,8 +172,8 @@
         let backends = self.list(told.is_some());
         self.tell(
             process,
-            Event::Members {
-                update: ListUpdate::Full,
+            Event::EndpointsUpdated {
+                update: EndpointUpdate::Full,
                 backends,
             },
         );
@@ -183,10 +183,10 @@
     fn list(&self, restarted: bool) -> Vec<Backend> {
         let one = |id: u32| Backend {
             id: BackendId(id),
-            mark: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
+            address_hash: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
             zone: ZoneId(id % 3),
             state: BackendState::Ready,
-            booted: (restarted && id < self.case.cold).then_some(Time(self.boot)),
+            started_at: (restarted && id < self.case.cold).then_some(Time(self.boot)),
             ..Backend::default()
         };
         let lost = if restarted { self.case.lost } else { 0 };
@@ -197,20 +197,20 @@
     fn replace(&mut self, old: usize, how: Start) {
         let (position, weight) = (self.processes[old].position, self.processes[old].weight);
         let new = self.start(position, weight);
-        let memory = Box::new(self.processes[old].balancer.recollect(Time(self.now)));
+        let memory = Box::new(self.processes[old].balancer.learned_state(Time(self.now)));
         if how != Start::Blank {
             self.tell(
                 new,
-                Event::Recall {
-                    memory,
+                Event::StateRestored {
+                    state: memory,
                     age: Micros(0),
                 },
             );
         }
         self.processes[old].weight = 0.0;
         if how == Start::Beside {
-            self.tell(old, Event::Beside { processes: 2 });
-            self.tell(new, Event::Beside { processes: 2 });
+            self.tell(old, Event::ProcessCountChanged { processes: 2 });
+            self.tell(new, Event::ProcessCountChanged { processes: 2 });
             (self.processes[old].weight, self.processes[new].weight) = (weight / 2.0, weight / 2.0);
             self.at(self.now + 4 * SECOND, Due::Alone(old, new));
         }
@@ -262,7 +262,7 @@
         let Some((work, tries)) = self.requests.get_mut(&request) else {
             return;
         };
-        let (work, attempt) = (*work, AttemptNo(*tries));
+        let (work, attempt) = (*work, AttemptNumber(*tries));
         *tries += 1;
         self.sent.push((
             self.now,
@@ -303,15 +303,15 @@
         self.requests.insert(request, (work, 0));
         let time_left = Micros([750_000, 3 * SECOND][class.0]);
         let (tenant, work_hint, repeat) = (None, None, false);
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             request,
             class,
             tenant,
             time_left,
             work_hint,
-            repeat,
+            client_retry: repeat,
         };
-        self.tell(process, Event::Request(arrival));
+        self.tell(process, Event::RequestArrived(arrival));
         let patience = if self.now < self.boot {
             3 * SECOND
         } else {
@@ -326,7 +326,7 @@
         };
         let rate = load * f64::from(self.case.backends) * self.case.speed;
         let gap = -(1.0 - self.chance.unit()).ln() / rate * SECOND as f64;
-        self.at(self.now + gap as u64, Due::Arrival);
+        self.at(self.now + gap as u64, Due::RequestArrival);
     }
 
     fn play(&mut self, span: u64) {
@@ -341,8 +341,8 @@
             };
             self.now = at;
             match due {
-                Due::Arrival => self.arrival(),
-                Due::Timer(process, token) => self.tell(process, Event::Timer { token }),
+                Due::RequestArrival => self.arrival(),
+                Due::Timer(process, token) => self.tell(process, Event::TimerFired { token }),
                 Due::End(process, request, attempt, sent, outcome) => {
                     let (latency, settled) = (Micros(at - sent), true);
                     let end = AttemptEnd {
@@ -350,22 +350,24 @@
                         attempt,
                         outcome,
                         latency,
-                        settled,
+                        answered: settled,
                     };
                     self.tell(process, Event::AttemptEnded(end));
                 }
-                Due::Gone(process, request) => self.tell(process, Event::ClientGone { request }),
+                Due::Gone(process, request) => {
+                    self.tell(process, Event::ClientDisconnected { request })
+                }
                 Due::Alone(old, new) => {
                     self.processes[new].weight += std::mem::take(&mut self.processes[old].weight);
-                    self.tell(new, Event::Beside { processes: 1 });
+                    self.tell(new, Event::ProcessCountChanged { processes: 1 });
                 }
                 Due::Told(process) => {
                     self.processes[process].told.get_or_insert(at);
                     let backends = self.list(true);
                     self.tell(
                         process,
-                        Event::Members {
-                            update: ListUpdate::Full,
+                        Event::EndpointsUpdated {
+                            update: EndpointUpdate::Full,
                             backends,
                         },
                     );
@@ -402,7 +404,8 @@
                 if age >= RAMP {
                     break;
                 }
-                let allowed = Config::example().fall_multiple * warmth(age) * self.case.speed * 3.0;
+                let allowed =
+                    Config::example().overload_multiple * warmth(age) * self.case.speed * 3.0;
                 let most = allowed + 2.0 * allowed.sqrt() + 2.0;
                 windows.count += 1;
                 windows.over_told += usize::from(told > most);
@@ -574,20 +577,20 @@
                 let whole = fleet.list(true);
                 let backends = whole
                     .iter()
-                    .filter(|b| b.booted.is_none())
+                    .filter(|b| b.started_at.is_none())
                     .cloned()
                     .collect();
                 fleet.tell(
                     process,
-                    Event::Members {
-                        update: ListUpdate::Full,
+                    Event::EndpointsUpdated {
+                        update: EndpointUpdate::Full,
                         backends,
                     },
                 );
                 fleet.tell(
                     process,
-                    Event::Members {
-                        update: ListUpdate::Full,
+                    Event::EndpointsUpdated {
+                        update: EndpointUpdate::Full,
                         backends: whole,
                     },
                 );
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -200,7 +200,7 @@
     fn same(&self, tables: &InForce) {
         assert_eq!(self.config, *tables.config);
         let sum: f64 = self.config.tenants.iter().map(|t| t.quota_per_s).sum();
-        assert_eq!(tables.config.quota_sum(), sum);
+        assert_eq!(tables.config.quota_sum_per_s(), sum);
         let network = (
             self.network.connect_timeout,
             self.network.conn_idle,
@@ -250,7 +250,10 @@
                 return;
             }
         };
-        assert_eq!((&plain.heirs, &plain.told), (&change.heirs, &change.told));
+        assert_eq!(
+            (&plain.successors, &plain.told),
+            (&change.successors, &change.told)
+        );
         let mut live = self.live.clone();
         live.resize(plain.live.len(), true);
         change
@@ -258,7 +261,7 @@
             .iter()
             .for_each(|id| assert!(std::mem::replace(&mut live[id.0], false), "{id:?} was out"));
         change
-            .revived
+            .reinstated
             .iter()
             .for_each(|id| assert!(!std::mem::replace(&mut live[id.0], true), "{id:?} was in"));
         assert_eq!(live, plain.live);
@@ -435,8 +438,8 @@
                 }
                 assert_eq!(whole.to.config.tenants, by_difference.config.tenants);
                 assert_eq!(
-                    whole.to.config.quota_sum(),
-                    by_difference.config.quota_sum()
+                    whole.to.config.quota_sum_per_s(),
+                    by_difference.config.quota_sum_per_s()
                 );
                 (tables, file) = (whole.to, next);
             }
--- a/tests/withdraw.rs
+++ b/tests/withdraw.rs
@@ -12,12 +12,12 @@
 fn host(seed: u64) -> Host {
     let mut host = Host::new(
         Config {
-            proxies: 1,
+            proxy_count: 1,
             ..Config::example()
         },
         seed,
     );
-    host.members(ListUpdate::Full, fleet());
+    host.members(EndpointUpdate::Full, fleet());
     host
 }
 
@@ -41,33 +41,33 @@
 fn nothing_undoes_a_ban_but_the_call_back() {
     let mut host = host(5);
     assert!(sent_to_first(&mut host, 20) > 0);
-    host.event(Event::Withdraw {
+    host.event(Event::BackendDisabled {
         backend: BackendId(0),
     });
-    host.event(Event::Withdraw {
+    host.event(Event::BackendDisabled {
         backend: BackendId(0),
     });
     assert_eq!(sent_to_first(&mut host, 20), 0);
-    host.members(ListUpdate::Full, fleet());
+    host.members(EndpointUpdate::Full, fleet());
     assert_eq!(sent_to_first(&mut host, 20), 0, "a whole list");
     let booted = Some(host.now);
     host.members(
-        ListUpdate::Changes,
+        EndpointUpdate::Incremental,
         vec![Backend {
-            booted,
+            started_at: booted,
             ..backend(0, 0, 0)
         }],
     );
     assert_eq!(sent_to_first(&mut host, 20), 0, "a new start");
-    host.members(ListUpdate::Full, fleet().split_off(1));
-    host.members(ListUpdate::Full, fleet());
+    host.members(EndpointUpdate::Full, fleet().split_off(1));
+    host.members(EndpointUpdate::Full, fleet());
     assert_eq!(sent_to_first(&mut host, 20), 0, "gone and listed again");
-    host.members(ListUpdate::Full, fleet().drain(..1).collect());
+    host.members(EndpointUpdate::Full, fleet().drain(..1).collect());
     let id = host.arrive(0, 500_000);
     host.advance(600_000);
     assert!(host.sent_to(id).is_empty(), "the only one left");
-    host.members(ListUpdate::Full, fleet());
-    host.event(Event::Restore {
+    host.members(EndpointUpdate::Full, fleet());
+    host.event(Event::BackendEnabled {
         backend: BackendId(0),
         since: host.now,
     });
@@ -79,7 +79,7 @@
 #[test]
 fn a_request_that_waits_goes_elsewhere() {
     let mut host = host(6);
-    host.members(ListUpdate::Full, fleet().drain(..1).collect());
+    host.members(EndpointUpdate::Full, fleet().drain(..1).collect());
     let ids = host.burst(40, 0, 500_000);
     let waiting: Vec<_> = ids
         .iter()
@@ -87,12 +87,12 @@
         .copied()
         .collect();
     assert!(!waiting.is_empty() && waiting.len() < ids.len());
-    host.event(Event::Withdraw {
+    host.event(Event::BackendDisabled {
         backend: BackendId(0),
     });
     host.serve_all(20_000);
     assert!(waiting.iter().all(|id| host.sent_to(*id).is_empty()));
-    host.members(ListUpdate::Changes, fleet().split_off(1));
+    host.members(EndpointUpdate::Incremental, fleet().split_off(1));
     host.serve_all(20_000);
     assert!(waiting.iter().any(|id| !host.sent_to(*id).is_empty()));
     assert!(waiting.iter().all(|id| !host.sent_to(*id).contains(&0)));
@@ -122,11 +122,11 @@
         drop(ids);
     }
     assert!(sent_to_first(&mut host, 3) <= 1, "ejected");
-    host.event(Event::Withdraw {
+    host.event(Event::BackendDisabled {
         backend: BackendId(0),
     });
     host.advance(500_000);
-    host.event(Event::Restore {
+    host.event(Event::BackendEnabled {
         backend: BackendId(0),
         since: host.now,
     });
--- a/tests/words.rs
+++ b/tests/words.rs
@@ -11,13 +11,13 @@
 fn proxy() -> Host {
     let mut host = Host::new(
         Config {
-            proxies: 12,
+            proxy_count: 12,
             ..Config::example()
         },
         3,
     );
     host.members(
-        ListUpdate::Full,
+        EndpointUpdate::Full,
         (0..4).map(|id| backend(id, 0, 0)).collect(),
     );
     play(&mut host, 1_000);
@@ -41,21 +41,21 @@
 
 /// Another proxy's verdict on backend 0.
 fn hear(host: &mut Host, origin: u32, verdict: Verdict, age_ms: u64, turn: u32) {
-    let (backend, origin, age) = (BackendId(0), Some(OriginId(origin)), Micros(age_ms * 1_000));
-    host.event(Event::Heard(Heard {
+    let (backend, origin, age) = (BackendId(0), Some(PeerId(origin)), Micros(age_ms * 1_000));
+    host.event(Event::VerdictReceived(PeerVerdict {
         backend,
         origin,
         verdict,
         age,
-        bound: BOUND,
-        others: 11,
-        turn,
+        max_age: BOUND,
+        live_peers: 11,
+        health_check_turn: turn,
     }));
 }
 
-const OUT: Verdict = Verdict::Out {
-    term: Micros(1_000_000),
-    strikes: 1,
+const OUT: Verdict = Verdict::Ejected {
+    duration: Micros(1_000_000),
+    consecutive_ejections: 1,
 };
 
 #[test]
@@ -70,7 +70,7 @@
     hear(&mut host, 1, OUT, 0, 3);
     hear(&mut host, 2, OUT, 0, 3);
     assert_eq!(play(&mut host, 800)[0], 0, "two words, and it was used");
-    hear(&mut host, 2, Verdict::Back, 0, 0);
+    hear(&mut host, 2, Verdict::Readmitted, 0, 0);
     assert!(play(&mut host, 800)[0] > 0, "not back on a peer's word");
 }
 
@@ -109,7 +109,7 @@
         assert!(tried > 0, "turn {turn}: not tried by {until_ms} ms");
         assert_eq!(
             host.told,
-            [(BackendId(0), Verdict::Back)],
+            [(BackendId(0), Verdict::Readmitted)],
             "turn {turn}: good trials are told once"
         );
     }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -7,18 +7,18 @@
 
 /// One proxy, three zones of four backends each, zones left at half of a zone out.
 fn fleet() -> Host {
-    let locality = Some(Locality {
-        leave_share: 0.5,
-        ramp: Micros(4_000_000),
+    let locality = Some(ZoneFailover {
+        unhealthy_threshold: 0.5,
+        recovery_ramp: Micros(4_000_000),
     });
     let cfg = Config {
-        proxies: 1,
-        locality,
+        proxy_count: 1,
+        zone_failover: locality,
         ..Config::example()
     };
     let mut host = Host::new(cfg, 7);
     host.members(
-        ListUpdate::Full,
+        EndpointUpdate::Full,
         (0..12).map(|id| backend(id, id / 4, 0)).collect(),
     );
     host
@@ -132,15 +132,15 @@
 }
 
 /// Where a proxy's attempts go, of zones with so many backends each, all well: parts of a thousand and more.
-fn parts(sizes: [u32; 4], regions: &[(u32, u32)], locality: Option<Locality>) -> [f64; 4] {
+fn parts(sizes: [u32; 4], regions: &[(u32, u32)], locality: Option<ZoneFailover>) -> [f64; 4] {
     let regions = regions
         .iter()
         .map(|(zone, region)| (ZoneId(*zone), RegionId(*region)))
         .collect();
     let mut host = Host::new(
         Config {
-            proxies: 4,
-            locality,
+            proxy_count: 4,
+            zone_failover: locality,
             regions,
             ..Config::example()
         },
@@ -150,7 +150,7 @@
         .flat_map(|z| std::iter::repeat_n(z, sizes[z as usize] as usize))
         .collect();
     host.members(
-        ListUpdate::Full,
+        EndpointUpdate::Full,
         zones
             .iter()
             .enumerate()
@@ -173,9 +173,9 @@
 /// A proxy in zone 0, which is due half of what it brings; zone 3 is as short, zones 1 and 2 have the room.
 #[test]
 fn surplus_stays_in_the_region_that_has_room_and_calm_traffic_stays_in_its_zone() {
-    let locality = Some(Locality {
-        leave_share: 0.5,
-        ramp: Micros(4_000_000),
+    let locality = Some(ZoneFailover {
+        unhealthy_threshold: 0.5,
+        recovery_ramp: Micros(4_000_000),
     });
     let flat = parts([2, 6, 6, 2], &[], locality);
     assert!(
