--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -4,7 +4,7 @@
 
 use super as rules;
 use super::state::{Dice, Record};
-use crate::interface::*;
+use crate::interface::{Backend, BackendId, BackendState, Config, KindId, Micros, Time, ZoneId};
 use std::collections::BTreeSet;
 
 /// What each look over all backends reads of one: what its record says, and what was last solved for it.
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,6 +1,8 @@
 //! What a proxy remembers: running estimates and plain records. No decisions.
 
-use crate::interface::*;
+use crate::interface::{
+    Backend, LearnedBackend, LearnedKind, Micros, PeerId, SampledMean, TenantId, Time,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::HashMap;
