--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -21,12 +21,14 @@
 mod learned;
 /// The codec of what is said about duties is the program's.
 #[allow(dead_code)] // the program uses more of it
-#[path = "../../src/net/duties/message.rs"]
+#[path = "../../src/net/cluster/coordination/message.rs"]
 mod message;
 /// What that takes from the program is the library's there as well.
 mod net {
-    pub mod peers {
-        pub use meadowproxy::fleet::membership::wire;
+    pub mod cluster {
+        pub mod gossip {
+            pub use meadowproxy::fleet::membership::wire;
+        }
     }
 }
 mod phases;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of the proxy. Its whole interface (events, actions, settings) is `src/interface.rs`;
+//! Every decision of the proxy. Its whole interface (events, actions, settings) is `src/interface/`;
 //! what it remembers of backends, kinds, classes and requests is in `state.rs` and `endpoints.rs` beside it.
 //!
 //! Ordinary path: `solve` turns the arrival rate and the learned speeds into a share per kind (HALB),
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,23 +8,24 @@
 use cli::{Cli, Command, LogFormat, Run};
 use meadowproxy::settings::InForce;
 use meadowproxy::{Balancer, EndpointUpdate};
+use net::admin::disabled_backends::Maintenance;
+use net::admin::prometheus::Figures;
+use net::admin::{DutiesDoor, Keepers};
+use net::cluster::coordination::{copy::Kept, Duties};
+use net::cluster::gossip::Peers;
+use net::config::overlay::Overlay;
+use net::config::reload::{Aside, Door, Reload};
 use net::config::{self, Node, Source};
-use net::control::{DutiesDoor, Keepers};
+use net::descriptor_limits::{room, share};
 use net::discovery::Pace;
-use net::duties::{copy::Kept, Duties};
-use net::figures::Figures;
-use net::handover::{self, Presence};
+use net::downstream::server;
+use net::downstream::server::{Rules, Server};
 use net::host::Host;
-use net::keeper::Keeper;
-use net::maintenance::Maintenance;
-use net::overlay::Overlay;
-use net::peers::Peers;
-use net::reload::{Aside, Door, Reload};
-use net::room::{room, share};
-use net::server::{Rules, Server};
-use net::snapshot::Owner;
+use net::state::hot_restart::{self, Presence};
+use net::state::snapshot::Owner;
+use net::state::snapshot_keeper::Keeper;
 use net::upstream::Pool;
-use net::{discovery, server, Clock};
+use net::{discovery, Clock};
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -105,7 +106,7 @@
 }
 
 fn serve(source: Source) -> Result<(), String> {
-    let passed = handover::inherited()?;
+    let passed = hot_restart::inherited()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/src/net/maintenance.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,8 +1,8 @@
 //! Backends that operators took out by hand, kept in `$TMPDIR` for the next process and for one beside this.
 //! One empty file a ban: names appear and go whole, and two processes never overwrite each other's.
 
-use super::host::{Host, Why};
-use super::keeper::Keeper;
+use crate::net::host::{Host, Why};
+use crate::net::state::snapshot_keeper::Keeper;
 use meadowproxy::Time;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/src/net/control.rs
+++ b/src/net/admin/mod.rs
@@ -2,13 +2,16 @@
 //! same turn of the loop, a ban once it is on disk; calls on windows, duties and the configuration go to those who keep
 //! them, and come back later.
 
-use super::figures::Figures;
-use super::host::Host;
-use super::maintenance::Maintenance;
-use super::peers::Peers;
-use super::server::Server;
-use super::stream::Stream;
-use super::MAX_BODY;
+pub mod disabled_backends;
+pub mod prometheus;
+
+use crate::net::admin::disabled_backends::Maintenance;
+use crate::net::admin::prometheus::Figures;
+use crate::net::cluster::gossip::Peers;
+use crate::net::downstream::server::Server;
+use crate::net::host::Host;
+use crate::net::observed_stream::Stream;
+use crate::net::MAX_BODY;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
--- a/src/net/control/tests.rs
+++ b/src/net/admin/tests.rs
@@ -1,7 +1,7 @@
 //! What the door answers.
 
 use super::*;
-use crate::net::server::Rules;
+use crate::net::downstream::server::Rules;
 use meadowproxy::settings::Network;
 use meadowproxy::{Config, Micros};
 use std::io::{Read, Write};
--- a/src/net/duties/clock/tests.rs
+++ b/src/net/cluster/coordination/clock/tests.rs
@@ -1,7 +1,7 @@
 //! When the listed backends are asked of the request loop, and what waits for them.
 
 use super::super::tables::{Roster, Tables};
-use super::super::{Idempotency, Rows};
+use super::super::{Effect, Rows};
 use super::*;
 use crate::net::host::RosterRow;
 use meadowproxy::fleet::calendar::{Mark, Spec, Stamp, Step, Wall};
@@ -13,7 +13,7 @@
 struct One {
     clock: Clock,
     need: watch::Receiver<Need>,
-    told: tokio::sync::mpsc::Receiver<Idempotency>,
+    told: tokio::sync::mpsc::Receiver<Effect>,
 }
 
 impl One {
@@ -113,8 +113,8 @@
     fn moved(&mut self) -> Vec<(char, String)> {
         self.tables().derive();
         let of = |effect| match effect {
-            Idempotency::Out(name) => ('-', name),
-            Idempotency::Back(name) => ('+', name),
+            Effect::Out(name) => ('-', name),
+            Effect::Back(name) => ('+', name),
             _ => unreachable!("nothing else is asked here"),
         };
         std::iter::from_fn(|| self.told.try_recv().ok())
--- a/src/net/duties/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -5,8 +5,8 @@
 use super::leases::{Leases, Mail};
 use super::message::{Duties, Duty};
 use super::tables::Tables;
-use super::{mono, wall, Idempotency};
-use crate::net::overlay::{Newest, Overlay};
+use super::{mono, wall, Effect};
+use crate::net::config::overlay::{Newest, Overlay};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{
     Edit, Entry, Event, Key, Kind, Message, Refused, Rejected, Replica, Rules, Submission,
@@ -177,7 +177,7 @@
             .outbox
             .lock()
             .effects
-            .try_send(Idempotency::Config(version, list))
+            .try_send(Effect::Config(version, list))
             .is_err()
         {
             config.untold = Some((version, entries));
--- a/src/net/duties/copy.rs
+++ b/src/net/cluster/coordination/copy.rs
@@ -7,7 +7,7 @@
 //! memory for votes.
 
 use super::tables::Tables;
-use crate::net::snapshot::replace;
+use crate::net::state::snapshot::replace;
 use meadowproxy::fleet::config::{Digest, Entry, Refused as Unsound, Table};
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/net/duties/leases.rs
+++ b/src/net/cluster/coordination/leases.rs
@@ -411,5 +411,5 @@
 }
 
 fn wall_ms() -> u64 {
-    crate::net::snapshot::wall_us() / 1000
+    crate::net::state::snapshot::wall_us() / 1000
 }
--- a/src/net/duties/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -1,7 +1,7 @@
 //! What proxies say to each other about duties, windows and the configuration: a version byte and one message in postcard, as the body
-//! [`Body::Duty`](crate::net::peers::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
+//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
 
-use crate::net::peers::wire::MOST_BODY;
+use crate::net::cluster::gossip::wire::MOST_BODY;
 use meadowproxy::fleet::calendar::Digest;
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
--- a/src/net/duties/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -18,11 +18,11 @@
 mod tables;
 mod wire;
 
-use super::config::Voting;
-use super::control::{DutiesDoor, Later};
-use super::host::{Host, RosterRow, Why};
-use super::overlay::Overlay;
-use super::peers::Peers;
+use crate::net::admin::{DutiesDoor, Later};
+use crate::net::cluster::gossip::Peers;
+use crate::net::config::overlay::Overlay;
+use crate::net::config::Voting;
+use crate::net::host::{Host, RosterRow, Why};
 use bytes::Bytes;
 use clock::{Clock, Command};
 use config::Configuring;
@@ -61,7 +61,7 @@
 const KEPT: Micros = Micros(1_000_000);
 
 /// What the workers ask of the request loop.
-pub enum Idempotency {
+pub enum Effect {
     /// Nothing new to that backend: a window has it.
     Out(String),
     /// No window has it any more.
@@ -113,7 +113,7 @@
 }
 
 fn wall() -> Wall {
-    Wall(super::snapshot::wall_us())
+    Wall(crate::net::state::snapshot::wall_us())
 }
 
 /// This proxy's part in the fleet's duties.
@@ -276,13 +276,13 @@
 /// Carries out what the workers ask.
 async fn apply(
     host: Rc<Host>,
-    mut told: mpsc::Receiver<Idempotency>,
+    mut told: mpsc::Receiver<Effect>,
     applied: Rc<Applied>,
     ready: watch::Sender<bool>,
 ) {
     while let Some(effect) = told.recv().await {
         match effect {
-            Idempotency::Out(name) => {
+            Effect::Out(name) => {
                 host.withdraw_unheard(&name, Why::Window);
                 info!(
                     event = "window_out",
@@ -292,7 +292,7 @@
                 );
                 applied.out.borrow_mut().insert(name);
             }
-            Idempotency::Back(name) => {
+            Effect::Back(name) => {
                 host.restore(&name, Why::Window, host.clock.now());
                 info!(
                     event = "window_back",
@@ -302,8 +302,8 @@
                 );
                 applied.out.borrow_mut().remove(&name);
             }
-            Idempotency::Config(version, entries) => applied.overlay.add(version, entries),
-            Idempotency::Ready => {
+            Effect::Config(version, entries) => applied.overlay.add(version, entries),
+            Effect::Ready => {
                 applied.overlay.hear();
                 ready.send_replace(true);
             }
--- a/src/net/duties/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -4,10 +4,10 @@
 use super::leases::{Leases, Mail};
 use super::message::{self, Duties, Refused, Said};
 use super::ranked::Ranked;
-use super::{mono, wall, Idempotency, Rows, Seen};
+use super::{mono, wall, Effect, Rows, Seen};
+use crate::net::cluster::gossip::post::Post;
+use crate::net::cluster::gossip::wire::Body;
 use crate::net::host::RosterRow;
-use crate::net::peers::post::Post;
-use crate::net::peers::wire::Body;
 use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
 use meadowproxy::fleet::relay::{Header, Relay};
 use meadowproxy::{Micros, Time};
@@ -60,7 +60,7 @@
 /// What goes out of the workers, and the counts of what came in.
 pub struct Outbox {
     /// To the request loop.
-    pub effects: mpsc::Sender<Idempotency>,
+    pub effects: mpsc::Sender<Effect>,
     /// What is said to all again, in the order of the times, as a datagram may be lost.
     pub again: BTreeMap<Time, Vec<Said>>,
     pub sent: u64,
@@ -70,7 +70,7 @@
 }
 
 impl Outbox {
-    pub fn new(effects: mpsc::Sender<Idempotency>) -> Outbox {
+    pub fn new(effects: mpsc::Sender<Effect>) -> Outbox {
         let (again, refused, complained) = Default::default();
         Outbox {
             effects,
@@ -285,10 +285,7 @@
         let outbox = self.outbox.lock();
         for name in &out {
             if !windows.out.contains(name)
-                && outbox
-                    .effects
-                    .try_send(Idempotency::Out(name.clone()))
-                    .is_ok()
+                && outbox.effects.try_send(Effect::Out(name.clone())).is_ok()
             {
                 windows.out.insert(name.clone());
             }
@@ -296,11 +293,7 @@
         // One that left the list stays out, as it may be listed again before its window is over.
         windows.out.retain(|name| {
             let back = !out.contains(name) && fleet.contains_key(name);
-            !back
-                || outbox
-                    .effects
-                    .try_send(Idempotency::Back(name.clone()))
-                    .is_err()
+            !back || outbox.effects.try_send(Effect::Back(name.clone())).is_err()
         });
     }
 
@@ -316,7 +309,7 @@
     pub fn welcome(&self) {
         let new = self.config.lock().replica.is_new();
         if !new && self.calendar.lock().covered.is_none() {
-            let _ = self.outbox.lock().effects.try_send(Idempotency::Ready);
+            let _ = self.outbox.lock().effects.try_send(Effect::Ready);
         }
     }
 }
@@ -324,7 +317,7 @@
 #[cfg(test)]
 impl Tables {
     /// The tables of a voter that serves, and what the request loop is asked.
-    pub fn example() -> (Tables, mpsc::Receiver<Idempotency>) {
+    pub fn example() -> (Tables, mpsc::Receiver<Effect>) {
         use super::message::Duty;
         use meadowproxy::fleet::calendar::{Budget, Rules};
         use meadowproxy::fleet::lease;
--- a/src/net/duties/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -5,7 +5,7 @@
 use super::message::{self, sound, Duties, Duty, Refused, Said, Word};
 use super::tables::Tables;
 use super::wall;
-use crate::net::peers::Passed;
+use crate::net::cluster::gossip::Passed;
 use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::fleet::relay::Header;
@@ -235,7 +235,7 @@
     use super::super::door::{answer, Call};
     use super::super::message::tests::message;
     use super::super::tables::Windows;
-    use super::super::Idempotency;
+    use super::super::Effect;
     use super::*;
     use bytes::Bytes;
     use hyper::{Method, StatusCode};
@@ -403,7 +403,7 @@
                 &mut Mail::new(),
             )
             .unwrap();
-            matches!(told.try_recv(), Ok(Idempotency::Ready))
+            matches!(told.try_recv(), Ok(Effect::Ready))
         };
         assert!(!hear(true));
         assert!(hear(false));
--- a/src/net/peers/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -5,9 +5,9 @@
 
 pub use meadowproxy::fleet::membership::wire;
 
-use super::config::Sharing;
-use super::host::Host;
-use super::snapshot::{self, wall_us, Header, Snapshot, Stands};
+use crate::net::config::Sharing;
+use crate::net::host::Host;
+use crate::net::state::snapshot::{self, wall_us, Header, Snapshot, Stands};
 use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
 use meadowproxy::{Micros, Time, Verdict};
 use post::Post;
--- a/src/net/peers/post.rs
+++ b/src/net/cluster/gossip/post.rs
@@ -2,7 +2,7 @@
 //! sending times.
 
 use super::wire::{Body, Cluster, Seal};
-use crate::net::snapshot::wall_us;
+use crate::net::state::snapshot::wall_us;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
--- a/src/net/config.rs
+++ b/src/net/config/mod.rs
@@ -1,7 +1,10 @@
 //! The configuration: what this proxy is told at its start, as JSON by the platform or as TOML by operators.
 
-use super::list::{Lines, List, Pieces};
-use super::snapshot;
+pub mod overlay;
+pub mod reload;
+
+use crate::net::discovery::endpoint_list::{Lines, List, Pieces};
+use crate::net::state::snapshot;
 use meadowproxy::fleet::config::MOST_NUMBER;
 use meadowproxy::fleet::lease;
 use meadowproxy::settings::{sift, Change, InForce, Lists, Reading, Settings, Sink};
--- a/src/net/reload.rs
+++ b/src/net/config/reload.rs
@@ -1,14 +1,14 @@
 //! The configuration read again: off the request loop as far as it takes time, and put in force on it in one step.
 
-use super::config::{Again, Node, Source};
-use super::control::{Control, Keepers};
-use super::duties::mono;
-use super::host::Host;
-use super::keeper::Keeper;
-use super::overlay::{self, Overlay};
-use super::room::room;
-use super::server::{self, Rules, Server};
-use super::snapshot::Owner;
+use crate::net::admin::{Control, Keepers};
+use crate::net::cluster::coordination::mono;
+use crate::net::config::overlay::{self, Overlay};
+use crate::net::config::{Again, Node, Source};
+use crate::net::descriptor_limits::room;
+use crate::net::downstream::server::{self, Rules, Server};
+use crate::net::host::Host;
+use crate::net::state::snapshot::Owner;
+use crate::net::state::snapshot_keeper::Keeper;
 use meadowproxy::settings::{Change, InForce};
 use std::cell::Cell;
 use std::collections::BTreeSet;
--- a/src/net/room.rs
+++ b/src/net/descriptor_limits.rs
@@ -1,9 +1,9 @@
 //! How the descriptors that a process may hold are parted: between clients and upstreams, and between two processes
 //! that are one proxy.
 
-use super::handover::{Held, Presence};
-use super::host::Host;
-use super::server::Server;
+use crate::net::downstream::server::Server;
+use crate::net::host::Host;
+use crate::net::state::hot_restart::{Held, Presence};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/discovery.rs
+++ b/src/net/discovery/mod.rs
@@ -1,9 +1,11 @@
 //! Discovery: the watch that keeps the backend list up to date.
 
-use super::host::Host;
-use super::list::{Answer, Unread};
-use super::stream::Stream;
-use super::upstream::driven;
+pub mod endpoint_list;
+
+use crate::net::discovery::endpoint_list::{Answer, Unread};
+use crate::net::host::Host;
+use crate::net::observed_stream::Stream;
+use crate::net::upstream::driven;
 use bytes::{Buf, Bytes};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,7 +1,7 @@
 //! The watch's arithmetic (docs/design.md, "One clock for the list of servers"), with the module's own pauses.
 
-use super::super::list::{Line, List};
 use super::*;
+use crate::net::discovery::endpoint_list::{Line, List};
 use meadowproxy::{Action, Balancer, Config, Event, Micros, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
--- a/src/net/body.rs
+++ b/src/net/downstream/body.rs
@@ -1,6 +1,6 @@
 //! Bodies on their way: a client's as it comes, and a backend's as it goes on to the client.
 
-use super::stream::Peer;
+use crate::net::observed_stream::Peer;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::Cell;
--- a/src/net/body/gone_tests.rs
+++ b/src/net/downstream/body/gone_tests.rs
@@ -1,7 +1,7 @@
 //! Bodies of clients that have left.
 
-use super::super::stream::Stream;
 use super::*;
+use crate::net::observed_stream::Stream;
 use http_body_util::{BodyExt, Empty};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
--- /dev/null
+++ b/src/net/downstream/mod.rs
@@ -0,0 +1,4 @@
+//! The clients' side: listener, connections, requests and bodies on their way.
+
+pub mod body;
+pub mod server;
--- a/src/net/server.rs
+++ b/src/net/downstream/server.rs
@@ -2,10 +2,10 @@
 
 mod request;
 
-use super::body::Flow;
-use super::host::Host;
-use super::stream::Stream;
-use super::{span, MAX_BODY};
+use crate::net::downstream::body::Flow;
+use crate::net::host::Host;
+use crate::net::observed_stream::Stream;
+use crate::net::{span, MAX_BODY};
 use bytes::Bytes;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Incoming};
--- a/src/net/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -1,11 +1,11 @@
 //! One request, from its head to its final answer.
 
-use super::super::body::{Broken, Upload};
-use super::super::host::{Answer, Host};
-use super::super::stream::Stream;
-use super::super::upstream::{Call, Coming, Content, Payload};
-use super::super::{strip_hop_by_hop, MAX_BODY};
 use super::{plain, Outward, Server};
+use crate::net::downstream::body::{Broken, Upload};
+use crate::net::host::{Answer, Host};
+use crate::net::observed_stream::Stream;
+use crate::net::upstream::{Call, Coming, Content, Payload};
+use crate::net::{strip_hop_by_hop, MAX_BODY};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::Incoming;
--- a/src/net/server/tests.rs
+++ b/src/net/downstream/server/tests.rs
@@ -1,7 +1,7 @@
 //! What meets between two steps of the server that no other process can part.
 
-use super::super::stream::tests::ASKED;
 use super::*;
+use crate::net::observed_stream::tests::ASKED;
 use std::io::{Read, Write};
 
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -1,9 +1,9 @@
 //! Attempts at backends, from their dispatch to their end.
 
-use super::super::stream::Peer;
-use super::super::upstream::{Ended, Payload, Progress, Served};
 use super::state::{Answer, Flight, Live, State, UNKNOWN};
 use super::Host;
+use crate::net::observed_stream::Peer;
+use crate::net::upstream::{Ended, Payload, Progress, Served};
 use meadowproxy::{AttemptEnd, AttemptNumber, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -1,5 +1,5 @@
-use super::super::super::list::List;
 use super::*;
+use crate::net::discovery::endpoint_list::List;
 use crate::net::host::state::{Flight, Live};
 use meadowproxy::{ClassId, Config, EndpointUpdate, Idempotency, KeyScope, RequestClass};
 use tokio::sync::oneshot;
@@ -164,8 +164,7 @@
 }
 
 fn served(text: &'static str) -> Ended {
-    let body =
-        super::super::super::upstream::Content::Whole(bytes::Bytes::from_static(text.as_bytes()));
+    let body = crate::net::upstream::Content::Whole(bytes::Bytes::from_static(text.as_bytes()));
     (
         Outcome::Ok,
         Some(Served {
@@ -178,7 +177,7 @@
 /// What crosses in one turn of the loop gives one final answer: the first.
 #[tokio::test]
 async fn of_outcomes_in_one_turn_the_first_is_the_answer() {
-    use super::super::super::upstream::Content;
+    use crate::net::upstream::Content;
     let text = |answer: Answer| match answer {
         Answer::Served(Served {
             body: Content::Whole(body),
--- a/src/net/host/backends.rs
+++ b/src/net/host/backends.rs
@@ -1,10 +1,10 @@
 //! The backends as the list, operators and earlier processes name them.
 
-use super::super::list::{Endpoint, Line, List, Pieces};
-use super::super::snapshot::Saved;
 use super::known::{Known, Why};
 use super::state::State;
 use super::Host;
+use crate::net::discovery::endpoint_list::{Endpoint, Line, List, Pieces};
+use crate::net::state::snapshot::Saved;
 use meadowproxy::{
     Backend, BackendId, BackendState, EndpointUpdate, Event, LearnedState, Micros, PeerVerdict,
     Time,
--- a/src/net/host/backends/tests.rs
+++ b/src/net/host/backends/tests.rs
@@ -1,7 +1,7 @@
 //! Lines of the list, and reasons for which backends are out.
 
-use super::super::super::upstream::{Content, Served};
 use super::*;
+use crate::net::upstream::{Content, Served};
 use meadowproxy::{AttemptNumber, Outcome};
 
 fn host() -> Rc<Host> {
--- a/src/net/host/gone_tests.rs
+++ b/src/net/host/gone_tests.rs
@@ -1,7 +1,7 @@
 //! Clients that leave between two looks of the event loop.
 
-use super::super::stream::Stream;
 use super::*;
+use crate::net::observed_stream::Stream;
 use meadowproxy::{AttemptNumber, BackendId, EndpointUpdate};
 
 /// The client leaves as the first byte is about to go out: the kernel knows, the event loop has not come round.
@@ -17,7 +17,7 @@
         std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
     );
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING"});
-    let list = super::super::list::List {
+    let list = crate::net::discovery::endpoint_list::List {
         index: 1,
         snapshot: true,
         endpoints: vec![entry],
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -14,8 +14,8 @@
 use meadowproxy::Config;
 pub use state::Answer;
 
-use super::upstream::{Call, Payload, Pool};
-use super::Clock;
+use crate::net::upstream::{Call, Payload, Pool};
+use crate::net::Clock;
 use meadowproxy::settings::{Change, Names};
 use meadowproxy::{
     Action, AttemptEnd, Balancer, ClassId, Event, Idempotency, Micros, Outcome, RequestArrival,
@@ -93,7 +93,7 @@
     #[cfg(test)]
     fn example_request_of(
         self: &Rc<Self>,
-        client: Option<super::stream::Peer>,
+        client: Option<crate::net::observed_stream::Peer>,
     ) -> (RequestId, oneshot::Receiver<Answer>) {
         let call = Call {
             method: hyper::Method::GET,
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -60,7 +60,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::figures::Figures;
+    use crate::net::admin::prometheus::Figures;
 
     /// A line tells what is new since the last, the figures tell of all.
     #[test]
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -1,7 +1,7 @@
 //! What the host keeps between events: requests, attempts, backends, timers and counts.
 
-use super::super::upstream::{Call, Served};
 use super::known::Directory;
+use crate::net::upstream::{Call, Served};
 use imbl::Vector;
 use meadowproxy::settings::Names;
 use meadowproxy::{
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,23 +1,18 @@
-//! The proxy on real sockets. It translates between sockets and the decision module, and decides nothing.
+//! The proxy on real sockets: translates between sockets and the decisions of [`meadowproxy::Balancer`].
+//!
+//! A request comes in through [`downstream`], is decided on by way of [`host`] and goes out through [`upstream`]. The
+//! endpoint list comes from [`discovery`], the configuration from [`config`], what operators call from [`admin`]. What
+//! the proxies of a fleet share goes through [`cluster`], what outlives the process through [`state`].
 
-pub mod body;
+pub mod admin;
+pub mod cluster;
 pub mod config;
-pub mod control;
+pub mod descriptor_limits;
 pub mod discovery;
-pub mod duties;
-pub mod figures;
-pub mod handover;
+pub mod downstream;
 pub mod host;
-pub mod keeper;
-pub mod list;
-pub mod maintenance;
-pub mod overlay;
-pub mod peers;
-pub mod reload;
-pub mod room;
-pub mod server;
-pub mod snapshot;
-pub mod stream;
+pub mod observed_stream;
+pub mod state;
 pub mod upstream;
 
 use meadowproxy::Time;
--- a/src/net/keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -1,9 +1,9 @@
 //! Keeps what the module learned in a snapshot, and takes it back at the start.
 
-use super::config::Snapshots;
-use super::host::Host;
-use super::snapshot::writer::Writer;
-use super::snapshot::{self, Header, Owner, Refused, Snapshot, Stands};
+use crate::net::config::Snapshots;
+use crate::net::host::Host;
+use crate::net::state::snapshot::writer::Writer;
+use crate::net::state::snapshot::{self, Header, Owner, Refused, Snapshot, Stands};
 use meadowproxy::Micros;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/net/upstream/answer.rs
+++ b/src/net/upstream/answer.rs
@@ -1,8 +1,8 @@
 //! A backend's answer: what it says, how much of it is held, and how a long one goes on.
 
-use super::super::body::Piece;
-use super::super::{strip_hop_by_hop, MAX_BODY};
 use super::BoxError;
+use crate::net::downstream::body::Piece;
+use crate::net::{strip_hop_by_hop, MAX_BODY};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
--- a/src/net/upstream.rs
+++ b/src/net/upstream/mod.rs
@@ -4,9 +4,9 @@
 #[cfg(test)]
 mod tests;
 
-use super::body::{Flow, Upload};
-use super::stream::{Peer, Stream};
-use super::{span, MAX_BODY};
+use crate::net::downstream::body::{Flow, Upload};
+use crate::net::observed_stream::{Peer, Stream};
+use crate::net::{span, MAX_BODY};
 use answer::{cause, cleaned, judge, pass_on, Got, BACKEND_STALL};
 use bytes::Bytes;
 use http_body_util::{Either, Full};
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -24,11 +24,13 @@
 #[path = "../benches/scale/learned.rs"]
 mod learned;
 #[allow(dead_code)]
-#[path = "../src/net/duties/message.rs"]
+#[path = "../src/net/cluster/coordination/message.rs"]
 mod message;
 mod net {
-    pub mod peers {
-        pub use meadowproxy::fleet::membership::wire;
+    pub mod cluster {
+        pub mod gossip {
+            pub use meadowproxy::fleet::membership::wire;
+        }
     }
 }
 #[allow(dead_code)]
