--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -522,3 +522,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,9 @@
 mod ask;
 mod backends;
 mod checked;
+#[cfg(test)]
+#[path = "../tests/fixtures/mod.rs"]
+mod fixtures;
 pub mod fleet;
 mod interface;
 mod rules;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,6 +2,9 @@
 #![forbid(unsafe_code)]
 
 mod cli;
+#[cfg(test)]
+#[path = "../tests/fixtures/mod.rs"]
+mod fixtures;
 mod net;
 
 use clap::Parser;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -596,3 +596,6 @@
         Ok((node, settings))
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/duties/copy.rs
+++ b/src/net/duties/copy.rs
@@ -248,3 +248,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -276,3 +276,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/duties/stored_formats.rs
@@ -0,0 +1,191 @@
+//! One message of every kind on duties, windows and the configuration, byte for byte.
+
+use super::message::{decode, encode, Duties, Duty, Said, Word};
+use crate::fixtures::assert_bytes;
+use shaletide::fleet::calendar::Digest;
+use shaletide::fleet::config::{
+    self, Change, Edit, Entry, Invalid, Key, Kind, Memory, Node, Paxos, Rejected, Submission, Value,
+};
+use shaletide::fleet::lease::{Ballot, Message, Token};
+use shaletide::fleet::relay::{Header, Part};
+
+fn token(number: u64) -> Token {
+    Ballot { number, by: 0x0123_4567_89ab_cdef }
+}
+
+fn edits() -> Vec<Edit> {
+    let edit = |kind, name: &str, value| Edit { key: Key { kind, name: name.into() }, value };
+    vec![
+        edit(Kind::Route, "/read/*", Value::Set(br#"{"name":"/read/*"}"#.to_vec())),
+        edit(Kind::Tenant, "größer", Value::Removed),
+        edit(Kind::Tenant, "acme", Value::AsFile),
+        Edit::contains(77),
+    ]
+}
+
+fn change(number: u64) -> Change {
+    Change { number, after: number - 1, id: 0xfedc_ba98, edits: edits() }
+}
+
+fn digest() -> config::Digest {
+    config::Digest { version: 1_764_748_800_123, root: u64::MAX - 1 }
+}
+
+/// A value's name; whoever adds a kind has to name it here and to give one of it below.
+fn lease_name(message: &Message) -> &'static str {
+    match message {
+        Message::Ask { .. } => "lease ask",
+        Message::Free { .. } => "lease free",
+        Message::Propose { .. } => "lease propose",
+        Message::Accepted { .. } => "lease accepted",
+        Message::Refused { .. } => "lease refused",
+        Message::Release { .. } => "lease release",
+    }
+}
+
+fn paxos_name(message: &Paxos) -> &'static str {
+    match message {
+        Paxos::Prepare { .. } => "paxos prepare",
+        Paxos::Promise { accepted: Some(_), .. } => "paxos promise",
+        Paxos::Promise { accepted: None, .. } => "paxos promise of none accepted",
+        Paxos::Accept { .. } => "paxos accept",
+        Paxos::Accepted { .. } => "paxos accepted",
+        Paxos::Behind { .. } => "paxos behind",
+        Paxos::Refused { .. } => "paxos refused",
+        Paxos::Recover { .. } => "paxos recover",
+        Paxos::Known { .. } => "paxos known",
+    }
+}
+
+fn outcome_name(result: &Result<u64, Rejected>) -> &'static str {
+    match result {
+        Ok(_) => "config outcome taken",
+        Err(Rejected::Conflict { .. }) => "config outcome conflict",
+        Err(Rejected::Invalid(_)) => "config outcome invalid",
+        Err(Rejected::Full) => "config outcome full",
+        Err(Rejected::Busy) => "config outcome busy",
+        Err(Rejected::NoHolder) => "config outcome no holder",
+        Err(Rejected::Unknown) => "config outcome unknown",
+    }
+}
+
+fn config_name(message: &config::Message) -> &'static str {
+    match message {
+        config::Message::Paxos(message) => paxos_name(message),
+        config::Message::Changes { .. } => "config changes",
+        config::Message::Digest { .. } => "config digest",
+        config::Message::Since { .. } => "config since",
+        config::Message::Hashes { .. } => "config hashes",
+        config::Message::Children { .. } => "config children",
+        config::Message::Range { .. } => "config range",
+        config::Message::Part { .. } => "config part",
+        config::Message::Submit(_) => "config submit",
+        config::Message::Outcome { result, .. } => outcome_name(result),
+    }
+}
+
+fn name(message: &Duties) -> &'static str {
+    match message {
+        Duties::Lease { message, .. } => lease_name(message),
+        Duties::Digest { .. } => "windows digest",
+        Duties::Ask { .. } => "windows ask",
+        Duties::Entries { .. } => "windows entries",
+        Duties::Broadcast(..) => "broadcast",
+        Duties::Fenced { .. } => "fenced",
+        Duties::Report { .. } => "report",
+        Duties::Config(message) => config_name(message),
+    }
+}
+
+fn lease_messages() -> Vec<Duties> {
+    let (ballot, highest) = (token(1_764_748_800_123), token(1_764_748_800_456));
+    let messages = [
+        (Duty::Calendar, Message::Ask { ballot }),
+        (Duty::Config, Message::Free { ballot }),
+        (Duty::Calendar, Message::Propose { ballot, round: 3 }),
+        (Duty::Config, Message::Accepted { ballot, round: 300 }),
+        (Duty::Calendar, Message::Refused { ballot, round: 4, highest }),
+        (Duty::Config, Message::Release { ballot }),
+    ];
+    messages.map(|(duty, message)| Duties::Lease { duty, message }).to_vec()
+}
+
+fn paxos_messages() -> Vec<Paxos> {
+    let (token, highest, round, version) = (token(5), token(9), 70_000, 1_764_748_800_123);
+    let accepted = Some((highest, change(6)));
+    let memory = Memory { promised: highest, version, accepted: accepted.clone(), floor: 12 };
+    vec![
+        Paxos::Prepare { token, round },
+        Paxos::Promise { token, round, version, accepted, floor: 11 },
+        Paxos::Promise { token, round, version, accepted: None, floor: 0 },
+        Paxos::Accept { token, round, change: change(7) },
+        Paxos::Accepted { token, round },
+        Paxos::Behind { token, round, version },
+        Paxos::Refused { token, highest },
+        Paxos::Recover { nonce: u64::MAX },
+        Paxos::Known { nonce: 1 << 40, memory, remembers: true },
+    ]
+}
+
+fn outcomes() -> Vec<config::Message> {
+    let key = "tenants.acme".to_string();
+    let invalid = Invalid { key: key.clone(), why: "expected an object".into() };
+    let results = [
+        Ok(1_764_748_800_124),
+        Err(Rejected::Conflict { key, number: 8 }),
+        Err(Rejected::Invalid(invalid)),
+        Err(Rejected::Full),
+        Err(Rejected::Busy),
+        Err(Rejected::NoHolder),
+        Err(Rejected::Unknown),
+    ];
+    results.map(|result| config::Message::Outcome { id: 0xabcd, result }).to_vec()
+}
+
+fn config_messages() -> Vec<config::Message> {
+    let (version, node) = (digest().version, Node { level: 3, index: 4095 });
+    let entries = change(9).entries();
+    let last = Entry { number: 3, ..entries[0].clone() };
+    let mut messages = vec![
+        config::Message::Changes { changes: vec![change(8), change(9)], version, push: true },
+        config::Message::Digest { digest: digest(), new: true, ask: false },
+        config::Message::Since { version },
+        config::Message::Hashes { node },
+        config::Message::Children { digest: digest(), node, hashes: vec![0, 1, u64::MAX] },
+        config::Message::Range { from: 1, to: u64::MAX },
+        config::Message::Part { digest: digest(), from: 2, to: 3, entries: [entries, vec![last]].concat() },
+        config::Message::Submit(Submission { id: 0x1234, base: 8, edits: edits() }),
+    ];
+    messages.extend(outcomes());
+    messages.extend(paxos_messages().into_iter().map(config::Message::Paxos));
+    messages
+}
+
+fn messages() -> Vec<Duties> {
+    let word = |duty, age_ms| Word { duty, token: token(5), age_ms };
+    let words = vec![word(Duty::Calendar, Some(1500)), word(Duty::Config, None)];
+    let windows = Digest { from: 1, to: u64::MAX, rows: vec![(2, 3), (1 << 63, 0)] };
+    let part = Part { from: 7, to: u32::MAX, hops: 2 };
+    let origin = "10.1.2.3:7000".parse().unwrap();
+    let header = Header { origin, incarnation: 0x55aa, said_us: 1_764_748_800_123_456, part };
+    let tokens = vec![(Duty::Calendar, token(5)), (Duty::Config, token(6))];
+    let entries = vec![vec![1, 2, 3], vec![], vec![255]];
+    let open = vec![("s-1".to_string(), 0), ("größer".to_string(), 70_000)];
+    let mut messages = vec![
+        Duties::Digest { words, digest: windows, new: false, ask: true },
+        Duties::Ask { ids: vec![0, 300, u64::MAX] },
+        Duties::Entries { entries: entries.clone() },
+        Duties::Broadcast(header, Said { tokens, entries }),
+        Duties::Fenced { duty: Duty::Config, highest: token(1 << 52) },
+        Duties::Report { open },
+    ];
+    messages.extend(lease_messages());
+    messages.extend(config_messages().into_iter().map(Duties::Config));
+    messages
+}
+
+#[test]
+fn every_kind_of_message_on_duties_keeps_its_bytes() {
+    let forms: Vec<_> = messages().into_iter().map(|message| (name(&message), message)).collect();
+    assert_bytes("duties.txt", &forms, encode, |bytes| decode(bytes).unwrap());
+}
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -117,3 +117,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/handover/stored_formats.rs
@@ -0,0 +1,48 @@
+//! The file by which one process of a proxy sees the other.
+
+use super::*;
+use crate::fixtures::assert_lines;
+
+fn folder(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("fixtures-{name}-{}", std::process::id()))
+}
+
+/// The one file of a folder: its name with digits in place of time and process, and its content.
+fn only_file(dir: &Path) -> (String, String) {
+    let entries: Vec<_> = std::fs::read_dir(dir).unwrap().map(|e| e.unwrap().path()).collect();
+    let [path] = &entries[..] else { panic!("{entries:?}") };
+    let name = path.file_name().unwrap().to_string_lossy().into_owned();
+    let (start, process) = name.rsplit_once('-').unwrap();
+    assert_eq!(process, std::process::id().to_string());
+    let (prefix, time) = start.rsplit_once('-').unwrap();
+    assert!(time.bytes().all(|b| b.is_ascii_digit()));
+    let pattern = format!("{prefix}-TIME{}-PROCESS", time.len());
+    (pattern, std::fs::read_to_string(path).unwrap())
+}
+
+#[test]
+fn presence_keeps_its_names_and_content() {
+    let dir = folder("presence");
+    let presence = Presence::new(&dir).unwrap();
+    let (hidden, _) = only_file(&dir);
+    presence.publish().unwrap();
+    presence.tell(Held { clients: 128, upstreams: 7 });
+    let (shown, content) = only_file(&dir);
+    drop(presence);
+    std::fs::remove_dir_all(&dir).unwrap();
+    let forms = [("not yet published", hidden), ("published", shown), ("content", format!("[{content}]"))];
+    let stored = assert_lines("presence.txt", &forms);
+
+    // Read as an older process wrote it.
+    let dir = folder("presence-read");
+    let this = Presence::new(&dir).unwrap();
+    this.publish().unwrap();
+    let older = dir.join(stored[1].replace("TIME20", "00000000000000000001").replace("PROCESS", "9"));
+    std::fs::write(&older, stored[2].trim_matches(['[', ']'])).unwrap();
+    let lock = File::open(&older).unwrap();
+    flock(&lock, FlockOperation::NonBlockingLockExclusive).unwrap();
+    let held = Held { clients: 128, upstreams: 7 };
+    assert_eq!(this.others(), Others { older: true, younger: false, held });
+    drop((this, lock));
+    std::fs::remove_dir_all(&dir).unwrap();
+}
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -185,3 +185,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/maintenance/stored_formats.rs
@@ -0,0 +1,61 @@
+//! The files by which the processes of a proxy tell each other of bans.
+
+use super::*;
+use crate::fixtures::assert_lines;
+use crate::net::list::List;
+use shaletide::ListUpdate;
+
+fn host() -> Rc<Host> {
+    let host = Host::example();
+    let entry = |name: &str| {
+        serde_json::json!({"name": name, "address": "127.0.0.1:9", "status": "SERVING", "zone": "east",
+            "type": "small", "group": 7})
+    };
+    let endpoints = ["s-1", "größer/2", "s 3"].map(entry).to_vec();
+    host.members(ListUpdate::Full, &List { index: 1, snapshot: true, endpoints });
+    host
+}
+
+fn folder(name: &str) -> PathBuf {
+    let dir = std::env::temp_dir().join(format!("fixtures-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).unwrap();
+    dir
+}
+
+/// Names and contents, by name.
+fn files(dir: &Path) -> Vec<String> {
+    let of = |entry: io::Result<std::fs::DirEntry>| {
+        let path = entry.unwrap().path();
+        let name = path.file_name().unwrap().to_string_lossy().into_owned();
+        format!("{name}={}", std::fs::read_to_string(path).unwrap())
+    };
+    let mut files: Vec<String> = std::fs::read_dir(dir).unwrap().map(of).collect();
+    files.sort();
+    files
+}
+
+/// They are written so, and another process takes them so.
+#[test]
+fn bans_keep_the_names_of_their_files() {
+    let dir = folder("bans");
+    let writer = Maintenance::new(host(), Some(dir.clone()), None);
+    assert!(writer.enter("s-1") && writer.enter("größer/2") && writer.enter("s 3"));
+    let out = files(&dir).join(" ");
+    assert!(writer.exit("s 3"));
+    let back = files(&dir).join(" ");
+    std::fs::remove_dir_all(&dir).unwrap();
+    let stored = assert_lines("bans.txt", &[("three out", out), ("one of them back", back)]);
+
+    let dir = folder("bans-read");
+    for file in stored[1].split(' ') {
+        let (name, content) = file.split_once('=').unwrap();
+        std::fs::write(dir.join(name), content).unwrap();
+    }
+    let reader = Maintenance::new(host(), Some(dir.clone()), None);
+    let mut banned = reader.host.recollect().withdrawn;
+    banned.sort();
+    assert_eq!(banned, ["größer/2", "s-1"]);
+    let came_back = reader.host.recollect().backends.into_iter().find(|(name, _)| name == "s 3");
+    assert!(came_back.is_some_and(|(_, memory)| memory.back_ago.is_some()), "it is in slow start");
+    std::fs::remove_dir_all(&dir).unwrap();
+}
--- a/src/net/snapshot.rs
+++ b/src/net/snapshot.rs
@@ -319,3 +319,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/snapshot/stored_formats.rs
@@ -0,0 +1,54 @@
+//! The snapshot's file, byte for byte, and the names of files and folders.
+
+use super::*;
+use crate::fixtures::{assert_bytes, assert_lines};
+
+fn owner() -> Owner {
+    let discovery = Some("127.0.0.1:7001".parse().unwrap());
+    Owner { name: "proxy-1".into(), listen: "127.0.0.1:8080".parse().unwrap(), discovery }
+}
+
+fn header(owner: Option<[u8; 32]>) -> Header {
+    let settings = std::array::from_fn(|n| n as u8);
+    Header { program: "0.1.0".into(), written_us: 1_764_748_800_123_456, stands: Stands { owner, settings } }
+}
+
+fn saved() -> Saved {
+    let sampled = |value, count| Sampled { value, count };
+    let kind = |base: f64| KindMemory {
+        latency: sampled(base + 0.125, base + 1.5),
+        quick: sampled(base + 0.25, base + 2.5),
+        alone: base + 0.0625,
+        hold: base + 7.75,
+    };
+    let ejected = BackendMemory { ejected_for: Some(Micros(2_500_000)), strikes: 3, back_ago: None };
+    let returned = BackendMemory { ejected_for: None, strikes: -1, back_ago: Some(Micros(40)) };
+    Saved {
+        kinds: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
+        classes: vec![("read".into(), sampled(0.03125, 100.0)), ("write".into(), sampled(0.5, 0.1))],
+        overall: sampled(0.046875, 1234.5),
+        backends: vec![("s-1".into(), ejected), ("s-2".into(), returned)],
+        withdrawn: vec!["s-3".into(), "s-4".into()],
+    }
+}
+
+#[test]
+fn the_file_of_learned_state_keeps_its_bytes() {
+    let own = Snapshot { header: header(Some(owner().hash())), saved: saved() };
+    let fleet = Snapshot { header: header(None), saved: saved() };
+    let empty = Snapshot { header: header(None), saved: Saved::default() };
+    let forms = [("of its owner", own), ("for another proxy", fleet), ("nothing learned", empty)];
+    assert_bytes("snapshot.txt", &forms, |s| encode(s).unwrap(), |bytes| decode(bytes).unwrap());
+}
+
+#[test]
+fn files_and_folders_keep_their_names() {
+    let alone = Owner { discovery: None, ..owner() };
+    let forms = [
+        ("file", name(&owner())),
+        ("file without discovery", name(&alone)),
+        ("folder", owner().folder()),
+        ("folder without discovery", alone.folder()),
+    ];
+    assert_lines("snapshot-names.txt", &forms);
+}
