--- a/src/net/duties/config.rs
+++ b/src/net/duties/config.rs
@@ -458,3 +458,6 @@
         Err(why) => Err(wrong(vec![(why.key, why.why)])),
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/duties/door.rs
+++ b/src/net/duties/door.rs
@@ -91,3 +91,6 @@
 pub fn line(value: &serde_json::Value) -> String {
     format!("{value}\n")
 }
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/duties/door/stored_formats.rs
@@ -0,0 +1,71 @@
+//! The answers to operators' calls on duties and windows: status and JSON.
+
+use super::super::leases::Mail;
+use super::*;
+use crate::fixtures::assert_lines;
+use shaletide::fleet::lease::Ballot;
+use std::net::SocketAddr;
+
+fn call(tables: &Tables, call: &str, body: &str) -> String {
+    let (method, path) = call.split_once(" /").unwrap();
+    let path = path.split('/').map(String::from).collect();
+    let method = method.parse().unwrap();
+    let (status, text) = answer(tables, &Call { method, path, body: Bytes::from(body.to_string()) });
+    format!("{} {text}", status.as_u16())
+}
+
+const WINDOW: &str =
+    r#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"ops"}"#;
+const OTHER: &str = r#"{"zone":"e","begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"ops"}"#;
+
+#[test]
+fn calls_on_windows_keep_their_answers() {
+    let (tables, _told) = Tables::example();
+    let calls = [
+        ("none yet", "GET /windows", ""),
+        ("put", "PUT /windows/w", WINDOW),
+        ("put again", "PUT /windows/w", WINDOW),
+        ("put another", "PUT /windows/w", OTHER),
+        ("put garbage", "PUT /windows/x", "{"),
+        ("listed", "GET /windows", ""),
+        ("extend", "POST /windows/w/extend", r#"{"until":"2099-01-01T02:00:00Z"}"#),
+        ("extend to before its end", "POST /windows/w/extend", r#"{"until":"2099-01-01T01:30:00Z"}"#),
+        ("extend without until", "POST /windows/w/extend", "{}"),
+        ("extend to no time", "POST /windows/w/extend", r#"{"until":"soon"}"#),
+        ("extended", "GET /windows", ""),
+        ("cancel", "DELETE /windows/w", ""),
+        ("cancel again", "DELETE /windows/w", ""),
+        ("begin what is cancelled", "POST /windows/w/begin", ""),
+        ("cancel an unknown one", "DELETE /windows/y", ""),
+        ("cancelled", "GET /windows", ""),
+        ("no such call", "GET /nothing", ""),
+    ];
+    let forms = calls.map(|(name, of, body)| (name, call(&tables, of, body)));
+    assert_lines("window-calls.txt", &forms);
+}
+
+/// The answer to `GET /duties` without what the clock says.
+fn state(tables: &Tables) -> String {
+    let mut status = duties(tables);
+    if status["heard_ms"].is_u64() {
+        status["heard_ms"] = 0.into();
+    }
+    assert!(status["silent"].is_boolean());
+    status["silent"] = true.into();
+    status.to_string()
+}
+
+#[test]
+fn the_state_of_duties_keeps_its_json() {
+    let (tables, _told) = Tables::example();
+    let before = state(&tables);
+    assert!(call(&tables, "GET /duties", "").starts_with("200 {"));
+    call(&tables, "PUT /windows/w", WINDOW);
+    tables.calendar.lock().out.insert("a".into());
+    let from = SocketAddr::from(([127, 0, 0, 1], 10));
+    let token = Ballot { number: 1_764_748_800_000, by: 0x55aa };
+    tables.leases.lock().effect(from, token, true, &mut Mail::new()).unwrap();
+    tables.outbox.lock().refused.insert("token", 3);
+    let forms = [("at the start", before), ("with a holder", state(&tables))];
+    assert_lines("duties-status.txt", &forms);
+}
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -233,3 +233,6 @@
 fn now_since(started: Instant) -> Now {
     Now { time: Time(started.elapsed().as_micros() as u64), wall_us: wall_us() }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/tests/stored_formats.rs
@@ -0,0 +1,281 @@
+//! Forms that proxies of different versions exchange, and texts that operators' tools read, against what the program wrote
+//! when the fixtures were recorded.
+
+#[path = "fixtures/mod.rs"]
+mod fixtures;
+
+use fixtures::{assert_bytes, assert_lines, assert_text};
+use shaletide::fleet::calendar::{
+    Budget, Calendar, Change, Entry, Mark, Put, Rejected, Rules, Span, Spec, Stamp, Stamped, Step, Targets,
+    Wall, When,
+};
+use shaletide::fleet::lease::Ballot;
+use shaletide::fleet::relay::{Header, Part, Relay};
+use shaletide::Micros;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// 2025-12-03T08:00:00Z.
+const NOW: Wall = Wall(1_764_748_800_000_000);
+
+fn at(seconds: u64) -> Wall {
+    NOW + Micros(seconds * 1_000_000)
+}
+
+fn stamp(by: u64) -> Stamp {
+    Stamp { at: at(1), by }
+}
+
+fn once() -> When {
+    When::Once(Span { begin: at(600), end: at(4200) })
+}
+
+fn recurring() -> When {
+    When::Recurring { days: 0b001_0011, minute: 150, zone: "Africa/Lagos".into(), lasts_s: 3600 }
+}
+
+/// A name for each kind; whoever adds one has to name it here and to give one of it below.
+fn targets_name(targets: &Targets) -> &'static str {
+    match targets {
+        Targets::Ids(_) => "ids",
+        Targets::Zone(_) => "zone",
+        Targets::Kind(_) => "kind",
+        Targets::Cell(_) => "cell",
+    }
+}
+
+fn when_name(when: &When) -> &'static str {
+    match when {
+        When::Once(_) => "once",
+        When::Recurring { .. } => "recurring",
+    }
+}
+
+/// All steps, by the one that follows.
+fn next(step: Step) -> Option<Step> {
+    match step {
+        Step::Planned => Some(Step::Draining),
+        Step::Draining => Some(Step::Drained),
+        Step::Drained => Some(Step::Open),
+        Step::Open => Some(Step::Restoring),
+        Step::Restoring => Some(Step::Done),
+        Step::Done => Some(Step::Cancelled),
+        Step::Cancelled => Some(Step::Overrun),
+        Step::Overrun => Some(Step::Refused),
+        Step::Refused => None,
+    }
+}
+
+fn steps() -> Vec<Step> {
+    std::iter::successors(Some(Step::Planned), |step| next(*step)).collect()
+}
+
+fn window(targets: Targets, when: When, step: Step) -> Entry {
+    let id = format!("{}-{}-{}", targets_name(&targets), when_name(&when), step.name());
+    let begin = match &when {
+        When::Once(span) => span.begin,
+        // 02:30 in Lagos, the first Thursday, Monday or Tuesday after now.
+        When::Recurring { .. } => Wall(1_765_157_400_000_000),
+    };
+    let change = |by, at| Some(Stamped { stamp: stamp(by), value: Change { occurrence: begin, at } });
+    let token = Ballot { number: 1_764_748_800_123, by: 0x0123_4567_89ab_cdef };
+    Entry {
+        id,
+        spec: Stamped {
+            stamp: stamp(1),
+            value: Spec { targets, when, lead_s: 45, overrun_s: 900, by: "größer@ops".into() },
+        },
+        extended: change(2, begin + Micros(7_200_000_000)),
+        begun: change(3, at(300)),
+        cancelled: (step == Step::Cancelled).then(|| stamp(4)),
+        mark: Some(Mark { occurrence: begin, token, step, at: at(30), why: "zone east: 2 of 3 out".into() }),
+    }
+}
+
+fn windows() -> Vec<Entry> {
+    let ids = Targets::Ids(["s-1", "größer"].map(String::from).into());
+    let others = [Targets::Zone("east".into()), Targets::Kind("small".into()), Targets::Cell(u64::MAX)];
+    let mut windows: Vec<Entry> = steps().into_iter().map(|step| window(ids.clone(), once(), step)).collect();
+    windows.extend(others.map(|targets| window(targets, recurring(), Step::Open)));
+    let plain = window(ids, once(), Step::Planned);
+    windows.push(Entry { id: "bare".into(), extended: None, begun: None, mark: None, ..plain });
+    windows
+}
+
+fn calendar() -> Calendar {
+    let budget = Budget { kind: 0.5, zone: 0.5 };
+    Calendar::new(Rules { budget, ramp: Micros(1_000_000), max_age: Micros(5_000_000) })
+}
+
+#[test]
+fn windows_keep_their_bytes() {
+    let windows = windows();
+    let forms: Vec<(&str, Entry)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
+    assert_bytes("windows.txt", &forms, Entry::encode, |bytes| Entry::decode(bytes, NOW).unwrap());
+}
+
+/// Digests name windows by hashes, which have to be the same at every proxy.
+#[test]
+fn digests_of_windows_keep_their_bytes() {
+    let mut calendar = calendar();
+    windows().iter().for_each(|w| assert!(calendar.merge(w, NOW).unwrap()));
+    let digests = calendar.digests(NOW);
+    let forms = [("all windows", digests[0].clone())];
+    assert_eq!(digests.len(), 1);
+    let encode = |digest: &_| postcard::to_stdvec(digest).unwrap();
+    assert_bytes("window-digest.txt", &forms, encode, |bytes| postcard::from_bytes(bytes).unwrap());
+}
+
+#[test]
+fn the_list_of_windows_keeps_its_json() {
+    let mut calendar = calendar();
+    windows().iter().for_each(|w| assert!(calendar.merge(w, NOW).unwrap()));
+    let views = calendar.list(NOW);
+    assert_eq!(views.len(), windows().len());
+    let text = |view| serde_json::to_string(view).unwrap();
+    let forms: Vec<_> = views.iter().map(|view| (view.id.as_str(), text(view))).collect();
+    assert_lines("window-list.txt", &forms);
+}
+
+const ONCE: &str = r#"{"ids":["s-2","s-1"],"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00+01:00[Africa/Lagos]","by":"ops"}"#;
+const BODIES: [(&str, &str); 6] = [
+    (
+        "once",
+        r#"{"ids":["s-2","s-1"],"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T11:00:00+01:00[Africa/Lagos]","lead_s":60,"overrun_s":120,"by":"ops"}"#,
+    ),
+    ("zone", r#"{"zone":"east","begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#),
+    ("kind", r#"{"kind":"small","begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#),
+    ("cell", r#"{"cell":7,"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#),
+    (
+        "daily",
+        r#"{"zone":"east","recurring":{"days":"daily","at":"02:30","zone":"Africa/Lagos","lasts_s":3600},"by":"ops"}"#,
+    ),
+    (
+        "days",
+        r#"{"zone":"east","recurring":{"days":["mon","sun"],"at":"23:59","zone":"Europe/Berlin","lasts_s":60},"by":"ops"}"#,
+    ),
+];
+const BAD_BODIES: [(&str, &str); 6] = [
+    ("cut short", "{"),
+    ("unknown key", r#"{"zones":"east"}"#),
+    ("nobody asks", r#"{"zone":"east"}"#),
+    ("label", r#"{"label":{"a":"b"},"by":"ops"}"#),
+    ("two targets", r#"{"zone":"east","cell":1,"by":"ops"}"#),
+    ("ends before it begins", ONCE),
+];
+
+/// The body of a call is read to the window that it was read to.
+#[test]
+fn bodies_of_calls_on_windows_are_read_the_same() {
+    let read = |body: &str| Spec::from_json(body.as_bytes());
+    let forms: Vec<(&str, Spec)> = BODIES.iter().map(|(name, body)| (*name, read(body).unwrap())).collect();
+    let encode = |spec: &Spec| postcard::to_stdvec(spec).unwrap();
+    assert_bytes("window-bodies.txt", &forms, encode, |bytes| postcard::from_bytes(bytes).unwrap());
+    let refused = |body| serde_json::to_string(&read(body).unwrap_err()).unwrap();
+    let forms: Vec<_> = BAD_BODIES.iter().map(|(name, body)| (*name, refused(body))).collect();
+    assert_lines("window-bodies-refused.txt", &forms);
+}
+
+fn rejected_name(rejected: &Rejected) -> &'static str {
+    match rejected {
+        Rejected::Invalid(_) => "invalid",
+        Rejected::Conflict(_) => "conflict",
+        Rejected::Unknown => "unknown",
+        Rejected::Full => "full",
+    }
+}
+
+#[test]
+fn refusals_of_calls_on_windows_keep_their_status_and_json() {
+    let mut calendar = calendar();
+    let put = |calendar: &mut Calendar, id: &str, body: &str| {
+        calendar.put(id, Spec::from_json(body.as_bytes()).unwrap(), stamp(1), NOW)
+    };
+    assert_eq!(put(&mut calendar, "w", BODIES[0].1), Ok(Put::New));
+    let invalid = put(&mut calendar, "a b", BODIES[0].1).unwrap_err();
+    let conflict = put(&mut calendar, "w", BODIES[1].1).unwrap_err();
+    let unknown = calendar.cancel("x", stamp(1), NOW).unwrap_err();
+    let forms = [invalid, conflict, unknown, Rejected::Full];
+    let text = |r: &Rejected| format!("{} {}", r.status(), serde_json::to_string(&r.why()).unwrap());
+    let forms: Vec<_> = forms.iter().map(|r| (rejected_name(r), text(r))).collect();
+    assert_lines("window-refusals.txt", &forms);
+}
+
+/// Proxies of one fleet cut a broadcast's range alike: whom a broadcast goes to is said by nobody.
+#[test]
+fn broadcasts_are_passed_on_by_the_same_tree() {
+    let v4 = (1..=40).map(|n| SocketAddr::from(([10, 0, 0, n], 7000)));
+    let v6 = (1..=3).map(|n| SocketAddr::from(([0x2001, 0xdb8, 0, 0, 0, 0, 0, n], 7000)));
+    let members: Vec<SocketAddr> = v4.chain(v6).collect();
+    let mut origin = Relay::new(members[0], 0x55aa, Micros(5_000_000));
+    let first = origin.begin(NOW.0);
+    let told = origin.pass_on(&first, &members);
+    let part = Part { from: 5, to: u32::MAX / 2, hops: 1 };
+    let relayed = Relay::new(members[7], 9, Micros(5_000_000)).pass_on(&Header { part, ..first }, &members);
+    let forms = [("by its origin", told), ("by another", relayed)];
+    let encode = |told: &Vec<(SocketAddr, Header)>| postcard::to_stdvec(told).unwrap();
+    assert_bytes("broadcast-tree.txt", &forms, encode, |bytes| postcard::from_bytes(bytes).unwrap());
+}
+
+const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml");
+
+fn program() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
+    for name in ["NODE_CONFIG", "NODE_CONTROL", "NODE_SOCKET_FD", "NODE_SNAPSHOT", "NODE_LOG_FORMAT"] {
+        command.env_remove(name);
+    }
+    command
+}
+
+#[test]
+fn show_config_keeps_its_text() {
+    let output = program().args(["show-config", EXAMPLE]).output().unwrap();
+    assert!(output.status.success(), "{output:?}");
+    assert_text("show-config.txt", &String::from_utf8(output.stdout).unwrap());
+}
+
+/// All files below a folder, digits of times and processes aside.
+fn files(below: &Path, folder: &Path, found: &mut Vec<String>) {
+    for entry in std::fs::read_dir(folder).into_iter().flatten() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            files(below, &path, found);
+        } else {
+            let name = path.strip_prefix(below).unwrap().to_string_lossy().into_owned();
+            let pattern = name.split_once("process-").map(|(before, _)| format!("{before}process-"));
+            found.push(pattern.unwrap_or(name));
+        }
+    }
+}
+
+/// Another version that runs beside or after this one looks there.
+#[test]
+fn the_running_program_keeps_its_files_where_it_did() {
+    let folder = std::env::temp_dir().join(format!("fixtures-files-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let mut command = program();
+    command.arg("run");
+    let snapshots = format!("snapshot.dir={}", folder.join("kept").display());
+    let sets = ["listen=127.0.0.1:0", "control=127.0.0.1:0", "snapshot.every_ms=50", &snapshots];
+    for set in sets {
+        command.args(["--set", set]);
+    }
+    command.args(["--config", EXAMPLE]).env("TMPDIR", &folder);
+    let mut child = command.stderr(Stdio::null()).spawn().unwrap();
+    let (begun, mut found) = (Instant::now(), Vec::new());
+    let whole = |found: &[String]| {
+        found.len() == 2 && !found.iter().any(|f| f.contains("/.process") || f.ends_with(".part"))
+    };
+    while !whole(&found) && begun.elapsed() < Duration::from_secs(20) {
+        std::thread::sleep(Duration::from_millis(20));
+        found.clear();
+        files(&folder, &folder, &mut found);
+    }
+    child.kill().unwrap();
+    child.wait().unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
+    found.sort();
+    assert_text("files.txt", &(found.join("\n") + "\n"));
+}
