--- a/src/fleet/membership/stored_formats.rs
+++ b/src/fleet/membership/stored_formats.rs
@@ -144,3 +144,27 @@
     let forms: Vec<(&str, String)> = said.map(|(name, (_, hex))| (name.as_str(), hex.clone())).collect();
     assert_lines("membership-dialogue.txt", &forms);
 }
+
+/// The parts into which members fall, and the sums over them, have to be the same at all proxies.
+#[test]
+fn comparisons_and_lists_of_members_keep_their_bytes() {
+    let rules =
+        Rules { cluster: cluster("lagos"), seeds: Vec::new(), max_age: Micros(5_000_000), fleet: 120 };
+    let now = Pair::now(0);
+    let mut proxy = Membership::new(rules, at(1), 1, false, now);
+    let others = (2..=120).map(|n| foca::Member::alive(Member::new(at(n), WALL_US + u64::from(n))));
+    proxy.list(others.collect(), now).unwrap();
+    let mut out = Vec::new();
+    proxy.compare(now, &mut out);
+    proxy.compared(at(2), &[0; 12], now, &mut out).unwrap();
+    let mut forms = Vec::new();
+    for output in out {
+        let Output::Send(to, body) = output else { continue };
+        let envelope = Envelope { cluster: cluster("lagos"), from: to, sent_us: WALL_US, body };
+        forms.push((format!("{} {}", name(&envelope.body), forms.len()), envelope));
+    }
+    assert!(forms.iter().any(|(name, _)| name.starts_with("compare")));
+    assert!(forms.iter().any(|(name, _)| name.starts_with("members")));
+    let forms: Vec<_> = forms.iter().map(|(name, envelope)| (name.as_str(), envelope.clone())).collect();
+    assert_bytes("member-lists.txt", &forms, |e| encode(e).unwrap(), |bytes| decode(bytes).unwrap());
+}
