--- a/src/net/control/tests.rs
+++ b/src/net/control/tests.rs
@@ -1,6 +1,7 @@
 //! What the door answers.
 
 use super::*;
+use crate::fixtures::assert_lines;
 use crate::net::server::Rules;
 use shaletide::settings::Network;
 use shaletide::{Config, Micros};
@@ -116,6 +117,32 @@
         .await;
 }
 
+#[tokio::test]
+async fn calls_that_this_process_answers_keep_their_answers() {
+    let lines = [
+        "GET /status",
+        "GET /peers",
+        "PUT /status",
+        "GET /nothing",
+        "PUT /maintenance/enter",
+        "PUT /maintenance/enter?who=never",
+        "PUT /maintenance/exit?who=never",
+        "GET /maintenance/enter?who=never",
+        "GET /config",
+    ];
+    let calls = lines.map(|line| call(line, "", b""));
+    let scope = tokio::task::LocalSet::new();
+    let got = scope.run_until(answers(None, &calls)).await;
+    let shown = |answer: &String| {
+        let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+        let kept = |line: &&str| !line.starts_with("date: ");
+        let head: Vec<&str> = head.split("\r\n").filter(kept).collect();
+        format!("{} | {body}", head.join(" | "))
+    };
+    let forms: Vec<_> = lines.into_iter().zip(got.iter().map(shown)).collect();
+    assert_lines("control-answers.txt", &forms);
+}
+
 #[test]
 fn an_id_is_taken_only_from_a_sound_query() {
     for (query, id) in [("who=a-1", "a-1"), ("x=1&who=a%2F%c3%a9+b&y", "a/é b")] {
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -236,6 +236,32 @@
     assert_text("show-config.txt", &String::from_utf8(output.stdout).unwrap());
 }
 
+/// The sections of a proxy in a fleet, with their defaults.
+#[test]
+fn show_config_of_a_proxy_in_a_fleet_keeps_its_text() {
+    let sets = [
+        "version=1764748800123",
+        "discovery=127.0.0.1:8500",
+        "limits.cores=2.0",
+        "limits.memory_mb=512.0",
+        "snapshot.dir=/var/lib/proxy",
+        "peers.listen=127.0.0.1:7000",
+        "peers.advertise=10.0.0.1:7000",
+        "peers.cluster=lagos",
+        r#"peers.seeds=["10.0.0.2:7000"]"#,
+        r#"duties.voters=["10.0.0.1:7000","10.0.0.2:7000","10.0.0.3:7000"]"#,
+        "duties.zone_floor=0.25",
+    ];
+    let mut command = program();
+    command.args(["show-config", EXAMPLE]);
+    for set in sets {
+        command.args(["--set", set]);
+    }
+    let output = command.output().unwrap();
+    assert!(output.status.success(), "{output:?}");
+    assert_text("show-config-fleet.txt", &String::from_utf8(output.stdout).unwrap());
+}
+
 /// All files below a folder, digits of times and processes aside.
 fn files(below: &Path, folder: &Path, found: &mut Vec<String>) {
     for entry in std::fs::read_dir(folder).into_iter().flatten() {
