--- a/src/net/cluster/coordination/copy.rs
+++ b/src/net/cluster/coordination/copy.rs
@@ -283,3 +283,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -356,3 +356,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
