--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -200,7 +200,7 @@
     assert_eq!(of(r#"{"version":9}"#), None);
     let call = |path: &[&str]| Call {
         method: Method::GET,
-        path: path.iter().map(|part| part.to_string()).collect(),
+        path: path.iter().map(ToString::to_string).collect(),
         body: Bytes::new(),
     };
     let (tables, _told) = Tables::example();
