--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,7 +1,7 @@
 //! Which requests are admitted and which load is shed.
 
 use super::{
-    Balancer, Micros, Request, RequestArrival, Tenant, Time, HOLD, KIND_SAMPLES, RETRY_RATIO,
+    Balancer, Micros, PendingRequest, RequestArrival, Tenant, Time, HOLD, KIND_SAMPLES, RETRY_RATIO,
 };
 
 /// What a proxy holds tells it nothing of the others before it has watched for so long, s.
@@ -59,7 +59,7 @@
         let most = self.cfg.max_attempts as usize;
         self.requests.insert(
             new.request,
-            Request {
+            PendingRequest {
                 class,
                 came,
                 aim,
@@ -99,7 +99,7 @@
     /// Whether it has less time left than its answer usually takes, where others wait for that room: a
     /// client that came again brings what is left of its time, and its attempt would mostly be called back
     /// unfinished.
-    pub(super) fn hopeless(&self, now: Time, r: &Request) -> bool {
+    pub(super) fn hopeless(&self, now: Time, r: &PendingRequest) -> bool {
         now + self.usual(r.class) > r.deadline && !r.uploading && self.fuller(HOLD / 2.0)
     }
 
--- a/src/balancer/class_stats.rs
+++ b/src/balancer/class_stats.rs
@@ -1,10 +1,34 @@
 //! What is learned of request classes.
 
+use super::state::Mean;
 use super::{Balancer, Idempotency, Micros, RequestClass};
 
 /// A class whose usual answer takes this many times less than its aim has time to spare.
 pub(super) const WELL_INSIDE: f64 = 2.0;
 
+/// What is learned of a class.
+#[derive(Default)]
+pub(crate) struct ClassState {
+    /// The settings hold it still.
+    pub live: bool,
+    pub latency: Mean,
+    /// Worth that was asked for, and that was earned.
+    pub asked: f64,
+    /// See `asked`.
+    pub earned: f64,
+}
+
+impl ClassState {
+    /// The part of what was asked that was earned.
+    pub fn served(&self) -> f64 {
+        if self.asked > 0.0 {
+            self.earned / self.asked
+        } else {
+            1.0
+        }
+    }
+}
+
 impl Balancer {
     /// How many of these classes, as far as in use, may be repeated at will, and how many are tight: kept of
     /// all together, so that no request has to go through them.
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -1,6 +1,6 @@
 //! What time alone brings about: silent backends, expired requests, hedged requests.
 
-use super::{Action, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Sent, Time};
+use super::{Action, Attempt, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Time};
 
 /// An idle proxy looks about so often, s.
 pub(super) const IDLE_LOOK: f64 = 5.0;
@@ -47,7 +47,7 @@
             let usual = self.usual(r.class);
             let late_pays = self.cfg.classes[r.class].late_weight > 0.0 && !r.sent.is_empty();
             let last_start = if late_pays { r.deadline } else { r.aim };
-            let lost = |s: &Sent| {
+            let lost = |s: &Attempt| {
                 s.out
                     && self
                         .backends
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for dispatch, in order of their value.
 
 use super::{
-    Action, AttemptNumber, Balancer, ClassState, RequestId, Sent, Time, LOW, SILENT_AFTER,
+    Action, Attempt, AttemptNumber, Balancer, ClassState, RequestId, Time, LOW, SILENT_AFTER,
 };
 
 impl Balancer {
@@ -62,7 +62,7 @@
             if let Some(p) = backend.and_then(|b| self.backends.get_mut(b)) {
                 self.extra -= f64::from(extra);
                 let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
-                r.sent.push(Sent::new(p.entry.clone(), now));
+                r.sent.push(Attempt::new(p.entry.clone(), now));
                 p.out += 1;
                 p.spent.retain(|s| now - s.0 < self.cfg.overload_window);
                 p.spent.push((now, work));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -17,7 +17,9 @@
 mod locality;
 mod outlier_detection;
 mod peer_verdicts;
+mod quota;
 mod reconfiguration;
+mod requests;
 mod retry;
 mod selection;
 mod slow_start;
@@ -33,16 +35,19 @@
     TimerToken, ValidatedConfig, Verdict, ZoneId,
 };
 use admission::{LOW, PART_MEMORY};
+use class_stats::ClassState;
 use concurrency_limit::HOLD;
 use deadline::SILENT_AFTER;
 use discovery_polling::Ask;
 use endpoints::{Backends, Group, Load};
 use locality::spill;
 use outlier_detection::EJECT_TERM;
+use quota::TenantQuotas;
+use requests::{Attempt, PendingRequest};
 use retry::RETRY_RATIO;
 use selection::{crowding, fits, weight};
 use slow_start::{from_cold, warmth};
-use state::{Buckets, ClassState, Dice, Kind, Mean, Rate, Record, Request, Sent, Zone};
+use state::{Dice, Kind, Mean, Rate, Record, Zone};
 use std::collections::BTreeMap;
 use subset::coin;
 pub use traffic_split::halb_shares;
@@ -72,8 +77,8 @@
     overall: Mean,
     /// The part of all answers and breaks that were errors or breaks.
     errors: Mean,
-    buckets: Buckets,
-    requests: BTreeMap<RequestId, Request>,
+    buckets: TenantQuotas,
+    requests: BTreeMap<RequestId, PendingRequest>,
     held: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     blocked: f64,
@@ -124,7 +129,7 @@
             tight: 0,
             overall: Mean::default(),
             errors: Mean::default(),
-            buckets: Buckets::new(RATE_MEMORY, FEW),
+            buckets: TenantQuotas::new(RATE_MEMORY, FEW),
             requests: BTreeMap::new(),
             held: Vec::new(),
             blocked: 0.0,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,7 +1,8 @@
 //! The draw of a backend for a request.
 
 use super::{
-    BTreeMap, BackendId, Balancer, Idempotency, KeyScope, Load, Record, Request, Sent, Time, LOW,
+    Attempt, BTreeMap, BackendId, Balancer, Idempotency, KeyScope, Load, PendingRequest, Record,
+    Time, LOW,
 };
 
 /// Whether it may hold one more, of half of its room or all.
@@ -30,7 +31,7 @@
         clippy::too_many_lines,
         reason = "issue 32: code that reads as well as it works"
     )]
-    pub(super) fn draw(&mut self, now: Time, r: &Request) -> Option<BackendId> {
+    pub(super) fn draw(&mut self, now: Time, r: &PendingRequest) -> Option<BackendId> {
         let effect = self.cfg.classes[r.class].idempotency;
         let (work, low) = (self.work(r.class), r.value < LOW);
         self.backends.settle(now, &self.cfg);
@@ -72,7 +73,7 @@
                 .filter_map(|s| Some((self.backends.find(s.to.id)?, 0.0))),
         );
         // A repeat outside the scope that knows the key would run twice.
-        let knows = |s: &Sent, p: &Record| match effect {
+        let knows = |s: &Attempt, p: &Record| match effect {
             Idempotency::Keyed {
                 scope: KeyScope::Zone,
                 ..
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,11 +1,8 @@
 //! What a proxy remembers: running estimates and plain records. No decisions.
 
-use crate::interface::{
-    Backend, LearnedBackend, LearnedKind, Micros, PeerId, SampledMean, TenantId, Time,
-};
+use crate::interface::{Backend, LearnedBackend, LearnedKind, Micros, PeerId, SampledMean, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use std::collections::HashMap;
 use std::ops::{Deref, DerefMut};
 
 /// The proxy's own random numbers, the same on every machine for the same seed.
@@ -194,38 +191,6 @@
     }
 }
 
-/// The tenants' quotas, of those that had traffic: each holds what it is due over `memory` seconds, and starts
-/// with that; where that is less than `least` it may gather so much, as chance alone brings a few at once. One that
-/// is full again stays: a small quota's fresh start holds less.
-pub(crate) struct Buckets {
-    memory: f64,
-    least: f64,
-    /// By tenant: what is left, and when that was.
-    used: HashMap<TenantId, (f64, Time)>,
-}
-
-impl Buckets {
-    pub fn new(memory: f64, least: f64) -> Buckets {
-        Buckets {
-            memory,
-            least,
-            used: HashMap::new(),
-        }
-    }
-
-    /// Takes a tenant's token if there is one, at so many a second.
-    pub fn take(&mut self, tenant: TenantId, now: Time, rate: f64) -> bool {
-        let due = rate * self.memory;
-        let left = match self.used.get(&tenant) {
-            None => due.max(1.0),
-            Some((left, at)) => (left + rate * (now - *at).as_secs_f64()).min(due.max(self.least)),
-        };
-        let within = left >= 1.0;
-        self.used.insert(tenant, (left - f64::from(within), now));
-        within
-    }
-}
-
 /// What is learned of a kind of machine.
 #[derive(Default)]
 pub(crate) struct Kind {
@@ -319,80 +284,6 @@
     }
 }
 
-/// What is learned of a class.
-#[derive(Default)]
-pub(crate) struct ClassState {
-    /// The settings hold it still.
-    pub live: bool,
-    pub latency: Mean,
-    /// Worth that was asked for, and that was earned.
-    pub asked: f64,
-    /// See `asked`.
-    pub earned: f64,
-}
-
-impl ClassState {
-    /// The part of what was asked that was earned.
-    pub fn served(&self) -> f64 {
-        if self.asked > 0.0 {
-            self.earned / self.asked
-        } else {
-            1.0
-        }
-    }
-}
-
-/// An attempt of a request.
-pub(crate) struct Sent {
-    pub to: Backend,
-    pub at: Time,
-    /// It has not ended yet.
-    pub out: bool,
-    /// Its outcome proves that it did not run.
-    pub never_ran: bool,
-    /// It was not sent as its backend had left meanwhile: the next try takes its place, and costs no extra attempt.
-    pub withheld: bool,
-    /// Its answer has begun to stream: its backend has done the work.
-    pub begun: bool,
-}
-
-impl Sent {
-    /// One that goes out now.
-    pub fn new(to: Backend, at: Time) -> Sent {
-        Sent {
-            to,
-            at,
-            out: true,
-            never_ran: false,
-            withheld: false,
-            begun: false,
-        }
-    }
-}
-
-/// A request that is owed an answer.
-pub(crate) struct Request {
-    pub class: usize,
-    pub came: Time,
-    pub aim: Time,
-    pub deadline: Time,
-    /// Its worth beside a first try within quota.
-    pub value: f64,
-    pub streaming: bool,
-    /// Its body goes to one backend as it comes.
-    pub uploading: bool,
-    /// Attempts allowed when it came.
-    pub most: usize,
-    pub sent: Vec<Sent>,
-}
-
-impl Request {
-    /// Some attempt has not ended yet.
-    pub fn out(&self) -> bool {
-        self.sent.iter().any(|s| s.out)
-    }
-}
-
 /// What is known of a zone as a whole (see [`ZoneFailover`]).
 #[derive(Default)]
 pub(crate) struct Zone {
