--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -107,7 +107,7 @@
     /// has no room to count: it takes the others to be like itself, but for its part of the traffic.
     pub(super) fn fuller(&self, limit: f64) -> bool {
         let proxies = f64::from(self.cfg.proxy_count);
-        let ready: f64 = self.kinds.values().map(|k| k.ready).sum();
+        let ready: f64 = self.kinds.values().map(|k| k.ready_endpoints).sum();
         let held = self.crowd.per_s().unwrap_or(0.0) * proxies / (self.busy() / BURST).max(1.0);
         proxies > HOLD && self.crowd.seen() > CROWD_KNOWN && held > limit * ready
     }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -59,7 +59,7 @@
             // It was counted as served with its first bytes, and gave more until now: the break comes on top.
             let peer = self.backends.get_mut(backend);
             peer.into_iter()
-                .for_each(|p| (p.out, p.answered) = (p.out + 1, now));
+                .for_each(|p| (p.in_flight, p.last_response_at) = (p.in_flight + 1, now));
         }
         if !begun || matches!(end.outcome, Outcome::Error | Outcome::Reset) {
             self.learn(now, backend, class, sent, &end);
@@ -67,7 +67,7 @@
         let gone = self
             .backends
             .get(backend)
-            .is_none_or(|p| !self.backends.offered(p));
+            .is_none_or(|p| !self.backends.is_available(p));
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
@@ -105,7 +105,7 @@
         );
         let harmless = free || r.sent.iter().all(|s| s.never_ran);
         // By then what is out now has made room, or an ejected backend is tried again.
-        let ready = self.kinds.values().any(|k| k.ready > 0.0);
+        let ready = self.kinds.values().any(|k| k.ready_endpoints > 0.0);
         let retry_after = if ready {
             self.usual(r.class).mul_f64(2.0)
         } else {
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -22,30 +22,39 @@
     pub(super) fn learn_holds(&mut self, gap: Micros) {
         let gap = gap.as_secs_f64().min(1.0);
         let mut crowds = vec![(0.0, 0.0); self.backends.groups.len()];
-        for l in self.backends.loads.iter().filter(|l| l.ready > 0.0) {
-            let (out, room) = &mut crowds[l.group as usize];
-            (*out, *room) = (*out + f64::from(l.out), *room + l.room);
+        for l in self.backends.loads.iter().filter(|l| l.readiness > 0.0) {
+            let (out, room) = &mut crowds[l.group_index as usize];
+            (*out, *room) = (*out + f64::from(l.in_flight), *room + l.capacity);
         }
         for (kind, k) in &mut self.kinds {
-            k.hold = k.hold.max(HOLD);
-            let Some(quick) = k.quick.get().filter(|_| k.quick.count >= QUICK_SAMPLES) else {
+            k.concurrency_limit = k.concurrency_limit.max(HOLD);
+            let Some(quick) = k
+                .recent_latency
+                .get()
+                .filter(|_| k.recent_latency.count >= QUICK_SAMPLES)
+            else {
                 continue;
             };
-            let (out, room) = self.backends.group(*kind).map_or((0.0, 0.0), |g| crowds[g]);
-            k.alone = if k.alone > 0.0 {
-                quick.min(k.alone * (1.0 + FORGET * gap))
+            let (out, room) = self
+                .backends
+                .group_index(*kind)
+                .map_or((0.0, 0.0), |g| crowds[g]);
+            k.uncontended_latency_s = if k.uncontended_latency_s > 0.0 {
+                quick.min(k.uncontended_latency_s * (1.0 + FORGET * gap))
             } else {
                 quick
             };
             if out < room * 0.8 {
                 continue; // not the hold's doing
             }
-            if k.hold <= HOLD && quick > k.alone * CROWDED {
-                k.alone = quick; // not its crowd makes it slow: this is what it takes now
+            if k.concurrency_limit <= HOLD && quick > k.uncontended_latency_s * CROWDED {
+                k.uncontended_latency_s = quick; // not its crowd makes it slow: this is what it takes now
             }
-            k.learned += gap;
-            let off = (CROWDED - quick / k.alone).clamp(-OFF_MOST, OFF_MOST);
-            k.hold = (k.hold * (off * gap * HOLD_PACE / (1.0 + k.learned)).exp()).max(HOLD);
+            k.limit_learned_s += gap;
+            let off = (CROWDED - quick / k.uncontended_latency_s).clamp(-OFF_MOST, OFF_MOST);
+            k.concurrency_limit = (k.concurrency_limit
+                * (off * gap * HOLD_PACE / (1.0 + k.limit_learned_s)).exp())
+            .max(HOLD);
         }
     }
 }
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -32,7 +32,7 @@
                 && self
                     .backends
                     .get(backend)
-                    .is_some_and(|p| p.answered <= sent)
+                    .is_some_and(|p| p.last_response_at <= sent)
             {
                 silent.push(backend);
             }
@@ -52,7 +52,7 @@
                     && self
                         .backends
                         .get(s.to.id)
-                        .is_none_or(|p| p.ejected.is_some())
+                        .is_none_or(|p| p.ejected_until.is_some())
             };
             let lost = matches!(&r.sent[..], [only] if lost(only));
             // The deadline's own tick would be too late to answer; a request that was held so long
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -63,9 +63,10 @@
                 self.extra -= f64::from(extra);
                 let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
                 r.sent.push(Sent::new(p.entry.clone(), now));
-                p.out += 1;
-                p.spent.retain(|s| now - s.0 < self.cfg.overload_window);
-                p.spent.push((now, work));
+                p.in_flight += 1;
+                p.recent_work
+                    .retain(|s| now - s.0 < self.cfg.overload_window);
+                p.recent_work.push((now, work));
                 self.attempts.insert((id, no), (backend, r.class, now));
                 self.actions.push(Action::Dispatch {
                     request: id,
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list.
 
-use super::{warmth, Backend, Balancer, Discovery, EndpointUpdate, Record, Time};
+use super::{warmth, Backend, Balancer, Discovery, EndpointRecord, EndpointUpdate, Time};
 
 impl Balancer {
     pub(super) fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<Backend>) {
@@ -22,9 +22,9 @@
         }
         // What a cold one was sent weighs still if it is back within the fall window.
         let (cfg, window) = (&self.cfg, self.cfg.overload_window);
-        let recent = |p: &Record| p.spent.last().is_some_and(|s| now - s.0 < window);
-        let kept = |p: &Record| p.out > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
-        self.backends.take(
+        let recent = |p: &EndpointRecord| p.recent_work.last().is_some_and(|s| now - s.0 < window);
+        let kept = |p: &EndpointRecord| p.in_flight > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
+        self.backends.apply_update(
             matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached),
             list,
             kept,
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -1,6 +1,6 @@
 //! What is kept over a restart.
 
-use super::{Balancer, ClassId, LearnedState, Mean, Micros, Time};
+use super::{Balancer, ClassId, LearnedState, Micros, RunningMean, Time};
 
 /// Seconds in which a recalled memory loses half its weight: a minute is some hundred answers per kind.
 pub(super) const RECALL_HALF_LIFE: f64 = 60.0;
@@ -31,7 +31,7 @@
         for (id, m) in memory
             .kinds
             .into_iter()
-            .filter(|(id, _)| self.backends.group(*id).is_some())
+            .filter(|(id, _)| self.backends.group_index(*id).is_some())
         {
             // Beside the process that learned it, which goes on holding as much, a hold would count twice.
             self.kinds
@@ -40,14 +40,14 @@
                 .recall(&m, weight, self.beside.0 == 1);
         }
         // A class's work is its latency over the overall one: the two come together or not at all.
-        let overall = Mean::recalled(memory.overall_latency, weight);
+        let overall = RunningMean::recalled(memory.overall_latency, weight);
         if overall.count > 0.0 {
             self.overall = overall;
             for (id, s) in memory.classes {
                 self.classes
                     .get_mut(id.0)
                     .into_iter()
-                    .for_each(|c| c.latency = Mean::recalled(s, weight));
+                    .for_each(|c| c.latency = RunningMean::recalled(s, weight));
             }
         }
         for (id, m) in memory.backends {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -36,13 +36,16 @@
 use concurrency_limit::HOLD;
 use deadline::SILENT_AFTER;
 use discovery_polling::Ask;
-use endpoints::{Backends, Group, Load};
+use endpoints::{ClassGroup, EndpointLoad, EndpointTable};
 use locality::spill;
 use outlier_detection::EJECT_TERM;
 use retry::RETRY_RATIO;
 use selection::{crowding, fits, weight};
 use slow_start::{from_cold, warmth};
-use state::{Buckets, ClassState, Dice, Kind, Mean, Rate, Record, Request, Sent, Zone};
+use state::{
+    Buckets, ClassState, EndpointRecord, EventRate, HardwareClass, RandomSource, Request,
+    RunningMean, Sent, ZoneHealth,
+};
 use std::collections::BTreeMap;
 use subset::coin;
 pub use traffic_split::halb_shares;
@@ -60,29 +63,29 @@
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
     cfg: ValidatedConfig,
-    dice: Dice,
-    backends: Backends,
-    kinds: BTreeMap<KindId, Kind>,
-    zones: BTreeMap<ZoneId, Zone>,
+    dice: RandomSource,
+    backends: EndpointTable,
+    kinds: BTreeMap<KindId, HardwareClass>,
+    zones: BTreeMap<ZoneId, ZoneHealth>,
     classes: Vec<ClassState>,
     /// Classes in use that are free to repeat.
     free: usize,
     /// Classes in use whose usual answer is not well inside its aim.
     tight: usize,
-    overall: Mean,
+    overall: RunningMean,
     /// The part of all answers and breaks that were errors or breaks.
-    errors: Mean,
+    errors: RunningMean,
     buckets: Buckets,
     requests: BTreeMap<RequestId, Request>,
     held: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     blocked: f64,
     attempts: BTreeMap<(RequestId, AttemptNumber), (BackendId, usize, Time)>,
-    rate: Rate,
+    rate: EventRate,
     /// First tries that came: clients' repeats swell in a crowd, what the front sends here does not.
-    firsts: Rate,
+    firsts: EventRate,
     /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
-    crowd: Rate,
+    crowd: EventRate,
     extra: f64,
     solve_at: Time,
     solved_at: Time,
@@ -108,8 +111,8 @@
     /// The same with one that was checked before.
     pub fn from_validated(cfg: ValidatedConfig, seed: u64) -> Balancer {
         let mut balancer = Balancer {
-            dice: Dice::new(seed),
-            backends: Backends::default(),
+            dice: RandomSource::new(seed),
+            backends: EndpointTable::default(),
             kinds: BTreeMap::new(),
             zones: BTreeMap::new(),
             classes: cfg
@@ -122,16 +125,16 @@
                 .collect(),
             free: 0,
             tight: 0,
-            overall: Mean::default(),
-            errors: Mean::default(),
+            overall: RunningMean::default(),
+            errors: RunningMean::default(),
             buckets: Buckets::new(RATE_MEMORY, FEW),
             requests: BTreeMap::new(),
             held: Vec::new(),
             blocked: 0.0,
             attempts: BTreeMap::new(),
-            rate: Rate::new(RATE_MEMORY),
-            firsts: Rate::new(PART_MEMORY),
-            crowd: Rate::new(RATE_MEMORY),
+            rate: EventRate::new(RATE_MEMORY),
+            firsts: EventRate::new(PART_MEMORY),
+            crowd: EventRate::new(RATE_MEMORY),
             extra: 0.0,
             solve_at: Time(0),
             solved_at: Time(0),
@@ -159,7 +162,8 @@
             self.blocked = 0.0; // those two make no room, and trying a long line in vain costs too much CPU
         }
         // What is out on backends that drain, are gone or out of use crowds none of the others.
-        self.crowd.pass(now, self.backends.in_use(now, &self.cfg));
+        self.crowd
+            .pass(now, self.backends.in_flight(now, &self.cfg));
         if now >= self.solve_at
             && (matches!(event, Event::RequestArrived(_)) || !self.held.is_empty())
         {
@@ -200,11 +204,11 @@
             Event::AttemptEnded(end) => self.ended(now, end),
             Event::ClientDisconnected { request } => self.close(request),
             Event::BackendDisabled { backend } => {
-                self.backends.withdraw(backend);
+                self.backends.disable(backend);
                 self.solve_at = now;
             }
             Event::BackendEnabled { backend, since } => {
-                self.backends.restore(backend, since);
+                self.backends.enable(backend, since);
                 self.solve_at = now;
             }
             Event::ProcessCountChanged { processes } => {
@@ -249,7 +253,7 @@
         }
         actions.append(&mut self.actions);
         debug_assert!(
-            self.backends.len() > 200 || self.backends.sound(),
+            self.backends.len() > 200 || self.backends.is_consistent(),
             "what is kept of the backends went astray"
         );
         debug_assert_eq!(
@@ -261,18 +265,19 @@
 
     /// Whether it remembers anything of the backend.
     pub fn knows(&self, backend: BackendId) -> bool {
-        self.backends.find(backend).is_some()
+        self.backends.position(backend).is_some()
     }
 
     /// The hold of each kind: requests that all proxies together keep on one of its backends.
     pub fn concurrency_limits(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
-        self.kinds.iter().map(|(id, k)| (*id, k.hold))
+        self.kinds.iter().map(|(id, k)| (*id, k.concurrency_limit))
     }
 
     /// The part of its capacity that each backend is good for: 0 where it drains, is out by hand or ejected.
     pub fn readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
-        let usable = |p: &Record| self.backends.offered(p) && p.ejected.is_none();
-        let part = move |p: &Record| {
+        let usable =
+            |p: &EndpointRecord| self.backends.is_available(p) && p.ejected_until.is_none();
+        let part = move |p: &EndpointRecord| {
             if usable(p) {
                 warmth(&self.cfg, now, p)
             } else {
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -61,10 +61,10 @@
             self.zones
                 .entry(p.entry.zone)
                 .or_default()
-                .fails
+                .unanswered_share
                 .add(f, QUICK_SAMPLES);
         });
-        p.out = p.out.saturating_sub(1);
+        p.in_flight = p.in_flight.saturating_sub(1);
         match end.outcome {
             Outcome::Ok => {
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
@@ -74,40 +74,50 @@
                 let plain = secs * self.overall.value / self.classes[class].latency.value;
                 let k = self.kinds.entry(p.entry.kind).or_default();
                 k.latency.add(plain, KIND_SAMPLES);
-                k.served.add(now, 1.0 / k.ready.max(1.0));
-                k.quick.add(plain, QUICK_SAMPLES);
-                p.answered = now;
-                p.errors *= 1.0 - ERROR_STEP;
-                p.trials += 1;
-                if p.ejected.is_none() {
-                    p.strikes = 0;
-                } else if p.trials >= TRIALS {
-                    (p.ejected, p.hearsay, p.errors) = (None, None, 0.0);
+                k.served_per_endpoint
+                    .add(now, 1.0 / k.ready_endpoints.max(1.0));
+                k.recent_latency.add(plain, QUICK_SAMPLES);
+                p.last_response_at = now;
+                p.error_share *= 1.0 - ERROR_STEP;
+                p.health_checks_passed += 1;
+                if p.ejected_until.is_none() {
+                    p.consecutive_ejections = 0;
+                } else if p.health_checks_passed >= TRIALS {
+                    (
+                        p.ejected_until,
+                        p.ejected_on_peer_verdicts_at,
+                        p.error_share,
+                    ) = (None, None, 0.0);
                     self.actions.push(Action::PublishVerdict {
                         backend: id,
                         verdict: Verdict::Readmitted,
                     });
                     self.log(now, format!("backend {} is back", id.0));
-                } else if p.hearsay.is_some_and(|since| sent <= since) {
+                } else if p
+                    .ejected_on_peer_verdicts_at
+                    .is_some_and(|since| sent <= since)
+                {
                     // It answers what it was sent before the others' word came: they are cut off from it.
-                    (p.ejected, p.hearsay) = (None, None);
+                    (p.ejected_until, p.ejected_on_peer_verdicts_at) = (None, None);
                 }
             }
             // A full backend answers, and is left alone for a moment: busy is not ill.
-            Outcome::Overloaded => p.full_until = now + Micros::from_secs_f64(EJECT_TERM / 2.0),
+            Outcome::Overloaded => {
+                p.overloaded_until = now + Micros::from_secs_f64(EJECT_TERM / 2.0);
+            }
             Outcome::Cancelled | Outcome::NotSent => {}
             // A heavy request alone is no illness: other answers came back meanwhile.
-            Outcome::TimedOut if p.answered >= sent => {}
+            Outcome::TimedOut if p.last_response_at >= sent => {}
             // A break while answers come is one connection's end, not the process's: like an error it takes
             // more of them.
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
-                if end.outcome == Outcome::Error || now < p.answered + alive =>
+                if end.outcome == Outcome::Error || now < p.last_response_at + alive =>
             {
                 if end.outcome == Outcome::Error {
-                    p.answered = now;
+                    p.last_response_at = now;
                 }
-                p.errors += (1.0 - p.errors) * ERROR_STEP;
-                if p.errors > limit || p.ejected.is_some() {
+                p.error_share += (1.0 - p.error_share) * ERROR_STEP;
+                if p.error_share > limit || p.ejected_until.is_some() {
                     self.eject(now, id, end.outcome);
                 }
             }
@@ -123,13 +133,14 @@
         let Some(p) = self.backends.get_mut(id) else {
             return;
         };
-        p.failed = now;
-        if p.ejected.is_none_or(|until| now >= until) {
-            let term = Micros::from_secs_f64(term * f64::from(p.strikes.min(2)).exp2());
-            (p.ejected, p.hearsay) = (Some(now + term), None);
-            (p.strikes, p.trials) = (p.strikes + 1, 0);
-            let strikes = p.strikes.clamp(0, 255) as u8;
-            self.backends.rest(id);
+        p.last_failure_at = now;
+        if p.ejected_until.is_none_or(|until| now >= until) {
+            let term =
+                Micros::from_secs_f64(term * f64::from(p.consecutive_ejections.min(2)).exp2());
+            (p.ejected_until, p.ejected_on_peer_verdicts_at) = (Some(now + term), None);
+            (p.consecutive_ejections, p.health_checks_passed) = (p.consecutive_ejections + 1, 0);
+            let strikes = p.consecutive_ejections.clamp(0, 255) as u8;
+            self.backends.suspend(id);
             self.actions.push(Action::PublishVerdict {
                 backend: id,
                 verdict: Verdict::Ejected {
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -18,37 +18,50 @@
         else {
             return;
         };
-        p.heard
+        p.peer_ejections
             .retain(|h| Some(h.0) != word.origin && now - h.1 <= word.max_age);
         let Verdict::Ejected {
             duration: term,
             consecutive_ejections: strikes,
         } = word.verdict
         else {
-            if p.ejected.is_some() && born > p.failed {
-                (p.ejected, p.hearsay, p.errors, p.strikes) = (None, None, 0.0, 0);
-                p.heard.clear();
+            if p.ejected_until.is_some() && born > p.last_failure_at {
+                (
+                    p.ejected_until,
+                    p.ejected_on_peer_verdicts_at,
+                    p.error_share,
+                    p.consecutive_ejections,
+                ) = (None, None, 0.0, 0);
+                p.peer_ejections.clear();
                 self.solve_at = now;
                 self.log(now, format!("backend {} is back, as a peer says", id.0));
             }
             return;
         };
-        if born < p.answered.max(p.failed) {
+        if born < p.last_response_at.max(p.last_failure_at) {
             return;
         }
-        p.heard.extend(word.origin.map(|origin| (origin, born)));
-        if born >= p.word.0 {
+        p.peer_ejections
+            .extend(word.origin.map(|origin| (origin, born)));
+        if born >= p.latest_peer_verdict.0 {
             let defer = Micros::from_secs_f64(EJECT_TERM * f64::from(word.health_check_turn))
                 .min(word.max_age);
-            p.word = (born, born + term + defer); // the newest verdict says to all whose turn it is
+            p.latest_peer_verdict = (born, born + term + defer); // the newest verdict says to all whose turn it is
         }
-        if p.ejected.is_some() {
-            (p.ejected, p.strikes) = (Some(p.word.1), p.strikes.max(i32::from(strikes)));
-        } else if p.heard.len() >= WORDS.min(word.live_peers) as usize {
-            (p.ejected, p.hearsay, p.strikes) = (Some(p.word.1), Some(now), i32::from(strikes));
-            (p.trials, self.look_at) = (0, now);
-            let words = p.heard.len();
-            self.backends.rest(id);
+        if p.ejected_until.is_some() {
+            (p.ejected_until, p.consecutive_ejections) = (
+                Some(p.latest_peer_verdict.1),
+                p.consecutive_ejections.max(i32::from(strikes)),
+            );
+        } else if p.peer_ejections.len() >= WORDS.min(word.live_peers) as usize {
+            (
+                p.ejected_until,
+                p.ejected_on_peer_verdicts_at,
+                p.consecutive_ejections,
+            ) = (Some(p.latest_peer_verdict.1), Some(now), i32::from(strikes));
+            (p.health_checks_passed, self.look_at) = (0, now);
+            let words = p.peer_ejections.len();
+            self.backends.suspend(id);
             self.log(
                 now,
                 format!("backend {} ejected on the word of {words} peers", id.0),
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -47,7 +47,7 @@
         }
         if (cfg.slow_start, cfg.overload_window) != (self.cfg.slow_start, self.cfg.overload_window)
         {
-            self.backends.retune();
+            self.backends.mark_all_outdated();
         }
         (self.cfg, self.solve_at, self.look_at) = (cfg, now, now);
         let (free, tight) = self.sums(&touched);
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,13 +1,18 @@
 //! The draw of a backend for a request.
 
 use super::{
-    BTreeMap, BackendId, Balancer, Idempotency, KeyScope, Load, Record, Request, Sent, Time, LOW,
+    BTreeMap, BackendId, Balancer, EndpointLoad, EndpointRecord, Idempotency, KeyScope, Request,
+    Sent, Time, LOW,
 };
 
 /// Whether it may hold one more, of half of its room or all.
-pub(super) fn fits(l: &Load, half: bool) -> bool {
-    let room = if half { (l.room / 2.0).ceil() } else { l.room };
-    l.offered && !l.silent && l.ready > 0.0 && f64::from(l.out) < room
+pub(super) fn fits(l: &EndpointLoad, half: bool) -> bool {
+    let room = if half {
+        (l.capacity / 2.0).ceil()
+    } else {
+        l.capacity
+    };
+    l.available && !l.silent && l.readiness > 0.0 && f64::from(l.in_flight) < room
 }
 
 /// What a backend weighs in a draw: its slice, and for the rest a last resort.
@@ -16,9 +21,9 @@
 }
 
 /// The attempts on it that crowd the others: what is out where it is in use.
-pub(super) fn crowding(l: &Load) -> u32 {
-    if l.ready > 0.0 && !l.silent {
-        l.out
+pub(super) fn crowding(l: &EndpointLoad) -> u32 {
+    if l.readiness > 0.0 && !l.silent {
+        l.in_flight
     } else {
         0
     }
@@ -33,18 +38,19 @@
     pub(super) fn draw(&mut self, now: Time, r: &Request) -> Option<BackendId> {
         let effect = self.cfg.classes[r.class].idempotency;
         let (work, low) = (self.work(r.class), r.value < LOW);
-        self.backends.settle(now, &self.cfg);
+        self.backends.refresh(now, &self.cfg);
         let mut sure = BTreeMap::new();
         let mut cold = |at: usize| {
-            self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].coin)
+            self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].rotation_offset)
         };
         if r.sent.is_empty() && (effect == Idempotency::Idempotent || self.free == 0) {
             // Its term is over: one request at a time that may fail without harm tries it.
             let mut tries = |at: usize| {
-                let (p, l) = (self.backends.record(at), &self.backends.loads[at]);
-                let over =
-                    p.ejected.is_some_and(|until| now >= until) && l.ready == 0.0 && p.out == 0;
-                over && l.offered && !p.silent && now >= p.full_until && !cold(at)
+                let (p, l) = (self.backends.record_at(at), &self.backends.loads[at]);
+                let over = p.ejected_until.is_some_and(|until| now >= until)
+                    && l.readiness == 0.0
+                    && p.in_flight == 0;
+                over && l.available && !p.silent && now >= p.overloaded_until && !cold(at)
             };
             if let Some(at) = self.backends.ejected.iter().find(|at| tries(**at as usize)) {
                 return Some(self.backends.id(*at as usize));
@@ -53,14 +59,14 @@
         // Never overfill: a crowded backend slows for long, so a full one is drawn again. What may hold one
         // more of any request has its weight; the rest is as time, its worth and its past attempts say.
         let mut weights: Vec<(usize, f64)> = Vec::new();
-        for at in self.backends.odd.iter().map(|at| *at as usize) {
-            let may = now >= self.backends.record(at).full_until
+        for at in self.backends.restricted.iter().map(|at| *at as usize) {
+            let may = now >= self.backends.record_at(at).overloaded_until
                 && self.backends.fits(at, low)
                 && !cold(at);
             weights.push((at, if may { self.backends.weight(at) } else { 0.0 }));
         }
         if low {
-            let busy = self.backends.busy.iter().map(|at| *at as usize);
+            let busy = self.backends.with_in_flight.iter().map(|at| *at as usize);
             weights.extend(
                 busy.filter(|at| !self.backends.fits(*at, true))
                     .map(|at| (at, 0.0)),
@@ -69,10 +75,10 @@
         weights.extend(
             r.sent
                 .iter()
-                .filter_map(|s| Some((self.backends.find(s.to.id)?, 0.0))),
+                .filter_map(|s| Some((self.backends.position(s.to.id)?, 0.0))),
         );
         // A repeat outside the scope that knows the key would run twice.
-        let knows = |s: &Sent, p: &Record| match effect {
+        let knows = |s: &Sent, p: &EndpointRecord| match effect {
             Idempotency::Keyed {
                 scope: KeyScope::Zone,
                 ..
@@ -96,10 +102,10 @@
         }
         weights
             .into_iter()
-            .for_each(|(at, weight)| self.backends.weigh_once(at, weight));
-        let pull = |(group, kind)| Some((group, self.kinds.get(&kind)?.pull));
-        let kinds: Vec<(usize, f64)> = self.backends.open_kinds().filter_map(pull).collect();
+            .for_each(|(at, weight)| self.backends.override_weight(at, weight));
+        let pull = |(group, kind)| Some((group, self.kinds.get(&kind)?.proxy_share));
+        let kinds: Vec<(usize, f64)> = self.backends.drawable_kinds().filter_map(pull).collect();
         let kind = self.dice.pick(&kinds)?;
-        self.backends.pick(kind, &mut self.dice)
+        self.backends.draw(kind, &mut self.dice)
     }
 }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -9,11 +9,11 @@
 use std::ops::{Deref, DerefMut};
 
 /// The proxy's own random numbers, the same on every machine for the same seed.
-pub(crate) struct Dice(Pcg32);
+pub(crate) struct RandomSource(Pcg32);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed))
+impl RandomSource {
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(Pcg32::seed_from_u64(seed))
     }
 
     /// Even from 0 up to 1.
@@ -51,12 +51,12 @@
 
 /// A mean over about the last `cap` samples.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mean {
+pub(crate) struct RunningMean {
     pub value: f64,
     pub count: f64,
 }
 
-impl Mean {
+impl RunningMean {
     pub fn add(&mut self, sample: f64, cap: f64) {
         self.count = (self.count + 1.0).min(cap);
         self.value += (sample - self.value) / self.count;
@@ -74,36 +74,36 @@
     }
 
     /// A kept mean whose samples count `weight` each; none where the numbers make no sense, as they come from outside.
-    pub fn recalled(kept: SampledMean, weight: f64) -> Mean {
+    pub fn recalled(kept: SampledMean, weight: f64) -> RunningMean {
         let count = kept.count * weight;
         let sound = kept.value > 0.0 && kept.value.is_finite() && count > 0.0 && count.is_finite();
         if sound {
-            Mean {
+            RunningMean {
                 value: kept.value,
                 count,
             }
         } else {
-            Mean::default()
+            RunningMean::default()
         }
     }
 }
 
-impl Kind {
+impl HardwareClass {
     pub fn memory(&self) -> LearnedKind {
-        let (latency, quick) = (self.latency.sampled(), self.quick.sampled());
+        let (latency, quick) = (self.latency.sampled(), self.recent_latency.sampled());
         LearnedKind {
             latency,
             recent_latency: quick,
-            uncontended_latency_s: self.alone,
-            concurrency_limit: self.hold,
+            uncontended_latency_s: self.uncontended_latency_s,
+            concurrency_limit: self.concurrency_limit,
         }
     }
 
     /// Takes a memory whose samples count `weight` each, with the hold or without it.
     pub fn recall(&mut self, m: &LearnedKind, weight: f64, hold: bool) {
-        (self.latency, self.quick) = (
-            Mean::recalled(m.latency, weight),
-            Mean::recalled(m.recent_latency, weight),
+        (self.latency, self.recent_latency) = (
+            RunningMean::recalled(m.latency, weight),
+            RunningMean::recalled(m.recent_latency, weight),
         );
         if hold
             && m.uncontended_latency_s > 0.0
@@ -111,29 +111,30 @@
             && m.concurrency_limit > 0.0
             && m.concurrency_limit.is_finite()
         {
-            (self.alone, self.hold) = (m.uncontended_latency_s, m.concurrency_limit);
+            (self.uncontended_latency_s, self.concurrency_limit) =
+                (m.uncontended_latency_s, m.concurrency_limit);
         }
     }
 }
 
-impl Record {
+impl EndpointRecord {
     /// What outlives a second, with spans counted back from `now`.
     pub fn memory(&self, now: Time) -> LearnedBackend {
-        let ejected_for = self.ejected.map(|until| until - now);
+        let ejected_for = self.ejected_until.map(|until| until - now);
         LearnedBackend {
             ejected_for,
-            consecutive_ejections: self.strikes,
-            enabled_ago: self.back.map(|back| now - back),
+            consecutive_ejections: self.consecutive_ejections,
+            enabled_ago: self.enabled_at.map(|back| now - back),
         }
     }
 
     /// Takes a memory `age` old. A term that ran out meanwhile leaves it to its trials, as at the end of any term.
     pub fn recall(&mut self, m: &LearnedBackend, now: Time, age: Micros) {
-        self.ejected = m
+        self.ejected_until = m
             .ejected_for
             .map(|left| now + Micros(left.0.saturating_sub(age.0)));
-        self.strikes = m.consecutive_ejections;
-        self.back = m
+        self.consecutive_ejections = m.consecutive_ejections;
+        self.enabled_at = m
             .enabled_ago
             .map(|ago| now - Micros(ago.0.saturating_add(age.0)));
     }
@@ -141,23 +142,23 @@
 
 /// Events a second over about the last `memory` seconds, unbiased from the start on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rate {
+pub(crate) struct EventRate {
     memory: f64,
     events: f64,
     seen: f64,
     at: Option<Time>,
 }
 
-impl Default for Rate {
+impl Default for EventRate {
     /// With a memory of five seconds: some ten of the requests of a proxy that sees few.
-    fn default() -> Rate {
-        Rate::new(5.0)
+    fn default() -> EventRate {
+        EventRate::new(5.0)
     }
 }
 
-impl Rate {
-    pub fn new(memory: f64) -> Rate {
-        Rate {
+impl EventRate {
+    pub fn new(memory: f64) -> EventRate {
+        EventRate {
             memory,
             events: 0.0,
             seen: 0.0,
@@ -228,94 +229,95 @@
 
 /// What is learned of a kind of machine.
 #[derive(Default)]
-pub(crate) struct Kind {
+pub(crate) struct HardwareClass {
     /// Seconds from dispatch to answer, of served requests only, with the class mix taken out.
-    pub latency: Mean,
+    pub latency: RunningMean,
     /// The same over few samples.
-    pub quick: Mean,
+    pub recent_latency: RunningMean,
     /// The same while nothing crowds it: the least lately, slowly forgotten.
-    pub alone: f64,
+    pub uncontended_latency_s: f64,
     /// Requests that all proxies together hold on one of its backends.
-    pub hold: f64,
+    pub concurrency_limit: f64,
     /// Seconds that went into that number: the more, the slower it moves, as cores do not come and go.
-    pub learned: f64,
+    pub limit_learned_s: f64,
     /// Sum of its backends' readiness.
-    pub ready: f64,
+    pub ready_endpoints: f64,
     /// Requests a second that one backend could serve.
-    pub speed: f64,
+    pub speed_per_s: f64,
     /// Part of all proxies' traffic.
-    pub share: f64,
+    pub traffic_share: f64,
     /// Part of this proxy's traffic.
-    pub pull: f64,
+    pub proxy_share: f64,
     /// Requests that this proxy had served there, each as a part of its ready backends.
-    pub served: Rate,
+    pub served_per_endpoint: EventRate,
 }
 
 /// What is known of a backend, but for what is solved over all of them (`endpoints.rs`). What only one in trouble has
 /// is reached through it as its own, and takes no room before.
 #[derive(Default)]
-pub(crate) struct Record {
+pub(crate) struct EndpointRecord {
     pub entry: Backend,
     /// How many attempts of this proxy it holds.
-    pub out: u32,
+    pub in_flight: u32,
     /// Running share of error answers.
-    pub errors: f64,
+    pub error_share: f64,
     /// When it last answered anything.
-    pub answered: Time,
+    pub last_response_at: Time,
     /// It owes an answer for suspiciously long.
     pub silent: bool,
     /// Ejections without a good answer between them.
-    pub strikes: i32,
+    pub consecutive_ejections: i32,
     /// Good answers since the ejection.
-    pub trials: u32,
+    pub health_checks_passed: u32,
     /// Work sent inside the fall window.
-    pub spent: Vec<(Time, f64)>,
+    pub recent_work: Vec<(Time, f64)>,
     /// Made by the first write to what is in it.
-    pub trouble: Option<Box<Trouble>>,
+    pub faults: Option<Box<EndpointFaults>>,
 }
 
 /// What is known of a backend that failed, was full or was taken out by hand.
-pub(crate) struct Trouble {
+pub(crate) struct EndpointFaults {
     /// When operators gave it back: it may have started as late as that, unless the list tells of a start since.
-    pub back: Option<Time>,
+    pub enabled_at: Option<Time>,
     /// Out of use, until this time at least.
-    pub ejected: Option<Time>,
+    pub ejected_until: Option<Time>,
     /// When this proxy last found it failing.
-    pub failed: Time,
+    pub last_failure_at: Time,
     /// Other proxies that found it out, and when: one verdict each.
-    pub heard: Vec<(PeerId, Time)>,
+    pub peer_ejections: Vec<(PeerId, Time)>,
     /// The newest verdict: when it was born, and when this proxy's turn to try comes by it.
-    pub word: (Time, Time),
+    pub latest_peer_verdict: (Time, Time),
     /// When it was ejected on their word alone.
-    pub hearsay: Option<Time>,
+    pub ejected_on_peer_verdicts_at: Option<Time>,
     /// It was full and is left alone until then.
-    pub full_until: Time,
+    pub overloaded_until: Time,
 }
 
-impl Trouble {
-    const NONE: Trouble = Trouble {
-        back: None,
-        ejected: None,
-        failed: Time(0),
-        heard: Vec::new(),
-        word: (Time(0), Time(0)),
-        hearsay: None,
-        full_until: Time(0),
+impl EndpointFaults {
+    const NONE: EndpointFaults = EndpointFaults {
+        enabled_at: None,
+        ejected_until: None,
+        last_failure_at: Time(0),
+        peer_ejections: Vec::new(),
+        latest_peer_verdict: (Time(0), Time(0)),
+        ejected_on_peer_verdicts_at: None,
+        overloaded_until: Time(0),
     };
 }
 
-impl Deref for Record {
-    type Target = Trouble;
-    fn deref(&self) -> &Trouble {
-        static NONE: Trouble = Trouble::NONE;
-        self.trouble.as_deref().unwrap_or(&NONE)
+impl Deref for EndpointRecord {
+    type Target = EndpointFaults;
+    fn deref(&self) -> &EndpointFaults {
+        static NONE: EndpointFaults = EndpointFaults::NONE;
+        self.faults.as_deref().unwrap_or(&NONE)
     }
 }
 
-impl DerefMut for Record {
+impl DerefMut for EndpointRecord {
     /// Only for writing what differs from none: this makes room for it.
-    fn deref_mut(&mut self) -> &mut Trouble {
-        self.trouble.get_or_insert_with(|| Box::new(Trouble::NONE))
+    fn deref_mut(&mut self) -> &mut EndpointFaults {
+        self.faults
+            .get_or_insert_with(|| Box::new(EndpointFaults::NONE))
     }
 }
 
@@ -324,7 +326,7 @@
 pub(crate) struct ClassState {
     /// The settings hold it still.
     pub live: bool,
-    pub latency: Mean,
+    pub latency: RunningMean,
     /// Worth that was asked for, and that was earned.
     pub asked: f64,
     /// See `asked`.
@@ -395,15 +397,15 @@
 
 /// What is known of a zone as a whole (see [`ZoneFailover`]).
 #[derive(Default)]
-pub(crate) struct Zone {
+pub(crate) struct ZoneHealth {
     /// Out of use as a whole.
-    pub left: bool,
+    pub out_of_use: bool,
     /// The part of the last attempts there that got no answer.
-    pub fails: Mean,
+    pub unanswered_share: RunningMean,
     /// Since when as much of it was out as leaves it.
-    pub bad: Option<Time>,
+    pub unhealthy_since: Option<Time>,
     /// When it began to return; `None` while it has never been left, or after its ramp.
-    pub since: Option<Time>,
+    pub recovering_since: Option<Time>,
     /// When it was left, within the last minute.
-    pub lefts: Vec<Time>,
+    pub failovers: Vec<Time>,
 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,6 +1,6 @@
 //! Each proxy's subset of the endpoints, and the capacity it may use there.
 
-use super::{spill, BTreeMap, Balancer, Group, Load, ZoneId, HOLD};
+use super::{spill, BTreeMap, Balancer, ClassGroup, EndpointLoad, ZoneId, HOLD};
 
 /// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
 /// only, as a backend takes few and each costs it. The load of so many still evens out, to a fifth of one's.
@@ -22,17 +22,23 @@
     )]
     pub(super) fn allot(&mut self) {
         let (proxies, backends) = (f64::from(self.cfg.proxy_count), &mut self.backends);
-        let kind = |g: &Group| {
-            self.kinds
-                .get(&g.kind)
-                .map_or((0.0, 1e-9, HOLD), |k| (k.share, k.ready.max(1e-9), k.hold))
+        let kind = |g: &ClassGroup| {
+            self.kinds.get(&g.kind).map_or((0.0, 1e-9, HOLD), |k| {
+                (
+                    k.traffic_share,
+                    k.ready_endpoints.max(1e-9),
+                    k.concurrency_limit,
+                )
+            })
         };
         let kinds: Vec<(f64, f64, f64)> = backends.groups.iter().map(kind).collect();
-        let part = |l: &Load| kinds[l.group as usize].0 * l.ready / kinds[l.group as usize].1;
+        let part = |l: &EndpointLoad| {
+            kinds[l.group_index as usize].0 * l.readiness / kinds[l.group_index as usize].1
+        };
         // A zone that is out brings its traffic all the same.
         let mut sums = vec![self.cfg.zone_failover.map(|_| 0.0); backends.zones.len()];
-        for l in backends.loads.iter().filter(|l| l.ready > 0.0) {
-            *sums[l.place as usize].get_or_insert(0.0) += part(l);
+        for l in backends.loads.iter().filter(|l| l.readiness > 0.0) {
+            *sums[l.zone_index as usize].get_or_insert(0.0) += part(l);
         }
         let due = backends
             .zones
@@ -57,22 +63,24 @@
         };
         let biases: Vec<f64> = backends.zones.iter().map(bias).collect();
         let (mut reached, mut pulled) = (0u32, vec![0.0; kinds.len()]);
-        backends.seat(self.cfg.proxy_index, self.cfg.proxy_count);
-        for (l, p_pull) in backends.loads.iter_mut().zip(&mut backends.pull) {
-            let bias = biases[l.place as usize];
+        backends.assign_rotation_offsets(self.cfg.proxy_index, self.cfg.proxy_count);
+        for (l, p_pull) in backends.loads.iter_mut().zip(&mut backends.traffic_share) {
+            let bias = biases[l.zone_index as usize];
             // Half of the room for all goes by that part, half evenly; each has a room of one at least, as
             // more proxies than the hold would wait for turns. There `crowded` keeps the hold.
-            let fair = kinds[l.group as usize].2.max(HOLD) / proxies * l.ready;
-            l.room = (fair * (0.5 + 0.5 * bias) + l.coin).floor().max(1.0);
+            let fair = kinds[l.group_index as usize].2.max(HOLD) / proxies * l.readiness;
+            l.capacity = (fair * (0.5 + 0.5 * bias) + l.rotation_offset)
+                .floor()
+                .max(1.0);
             // The trace takes the overflow where all that have a part are full.
             let drawn = part(l) * bias;
-            *p_pull = drawn + l.ready * 1e-6;
+            *p_pull = drawn + l.readiness * 1e-6;
             reached += u32::from(drawn > 0.0);
-            pulled[l.group as usize] += *p_pull;
+            pulled[l.group_index as usize] += *p_pull;
         }
-        self.kinds.values_mut().for_each(|k| k.pull = 0.0);
+        self.kinds.values_mut().for_each(|k| k.proxy_share = 0.0);
         for (g, pull) in backends.groups.iter().zip(&pulled) {
-            self.kinds.entry(g.kind).or_default().pull = *pull;
+            self.kinds.entry(g.kind).or_default().proxy_share = *pull;
         }
         // This proxy's slice of each kind: the same width for all, begun at evenly spread places, so that all
         // slices together cover every backend by its pull.
@@ -80,16 +88,16 @@
             (SHARED_BY / proxies * backends.len() as f64 / f64::from(reached.max(1))).min(1.0);
         let start = (f64::from(self.cfg.proxy_index) * 0.618_033_988_749_895).fract();
         let mut walked = vec![(0.0, 0.0); kinds.len()];
-        for &at in &backends.order {
+        for &at in &backends.by_address_hash {
             let (at, l) = (at as usize, &mut backends.loads[at as usize]);
-            let (sum, from) = walked[l.group as usize];
-            let sum = sum + backends.pull[at];
-            let to = sum / pulled[l.group as usize].max(1e-9);
-            walked[l.group as usize] = (sum, to);
+            let (sum, from) = walked[l.group_index as usize];
+            let sum = sum + backends.traffic_share[at];
+            let to = sum / pulled[l.group_index as usize].max(1e-9);
+            walked[l.group_index as usize] = (sum, to);
             let inside = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
             let slice = inside(start) + inside(start - 1.0);
-            backends.slice[at] = slice;
-            l.due = if slice > 0.0 {
+            backends.subset_share[at] = slice;
+            l.proxy_share = if slice > 0.0 {
                 slice / ((to - from) * width * proxies).max(1e-9)
             } else {
                 0.0
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -58,18 +58,18 @@
         reason = "issue 32: code that reads as well as it works"
     )]
     pub(super) fn solve(&mut self, now: Time) {
-        self.backends.settle(now, &self.cfg);
+        self.backends.refresh(now, &self.cfg);
         self.learn_holds(now - self.solved_at);
         self.solved_at = now;
         let few = FEW / self.rate.per_s().unwrap_or(FEW / SOLVE_EVERY).max(1.0);
         self.solve_at = now + Micros::from_secs_f64(SOLVE_EVERY.max(few));
         self.blocked = 0.0;
-        let listed = self.backends.loads.iter().filter(|l| l.offered);
+        let listed = self.backends.loads.iter().filter(|l| l.available);
         let (all, out) = listed.fold((0u32, 0u32), |n, l| (n.0 + 1, n.1 + u32::from(l.ejected)));
         let proxies = f64::from(self.cfg.proxy_count);
         self.kinds.values_mut().for_each(|k| {
-            k.ready = 0.0;
-            k.served.add(now, 0.0);
+            k.ready_endpoints = 0.0;
+            k.served_per_endpoint.add(now, 0.0);
         });
         let zones = self.zones(now);
         let zones = self
@@ -80,51 +80,55 @@
         let (zones, warm): (Vec<f64>, f64) = (zones.collect(), from_cold(&self.cfg, 1.0));
         let ill = f64::from(f64::from(out) > f64::from(all) * PANIC);
         let mut ready = vec![0.0; self.backends.groups.len()];
-        for (l, p) in self.backends.each() {
+        for (l, p) in self.backends.loads_and_records() {
             let health = match l.ejected {
-                _ if !l.offered => 0.0,
+                _ if !l.available => 0.0,
                 true => ill,
-                false => l.health,
+                false => l.success_share,
             };
-            let warmth = if now >= l.warm_at {
+            let warmth = if now >= l.slow_start_ends_at {
                 warm
             } else {
                 warmth(&self.cfg, now, p)
             };
-            l.ready = zones[l.place as usize] * health * warmth;
-            ready[l.group as usize] += l.ready;
+            l.readiness = zones[l.zone_index as usize] * health * warmth;
+            ready[l.group_index as usize] += l.readiness;
         }
         for (g, ready) in self.backends.groups.iter().zip(ready) {
-            self.kinds.entry(g.kind).or_default().ready = ready;
+            self.kinds.entry(g.kind).or_default().ready_endpoints = ready;
         }
         self.rate.add(now, 0.0);
         let rate = self.rate.per_s().map(|r| r * proxies);
         for k in self.kinds.values_mut() {
-            let flow = if k.ready > 0.0 {
-                rate.unwrap_or(0.0) * k.share / k.ready
+            let flow = if k.ready_endpoints > 0.0 {
+                rate.unwrap_or(0.0) * k.traffic_share / k.ready_endpoints
             } else {
                 0.0
             };
-            k.speed = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
+            k.speed_per_s = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
         }
         let speeds = self
             .kinds
             .values()
-            .filter(|k| k.speed > 0.0)
-            .map(|k| k.speed);
+            .filter(|k| k.speed_per_s > 0.0)
+            .map(|k| k.speed_per_s);
         let (sum, count) = speeds.fold((0.0, 0.0), |n, s| (n.0 + s, n.1 + 1.0));
         let mean = if count > 0.0 { sum / count } else { 1.0 }; // kinds without data: as fast as the others
         self.kinds
             .values_mut()
-            .filter(|k| k.speed == 0.0)
-            .for_each(|k| k.speed = mean);
-        let table: Vec<(f64, f64)> = self.kinds.values().map(|k| (k.ready, k.speed)).collect();
+            .filter(|k| k.speed_per_s == 0.0)
+            .for_each(|k| k.speed_per_s = mean);
+        let table: Vec<(f64, f64)> = self
+            .kinds
+            .values()
+            .map(|k| (k.ready_endpoints, k.speed_per_s))
+            .collect();
         let shares = halb_shares(&table, rate.filter(|_| count > 0.0));
         self.kinds
             .values_mut()
             .zip(shares)
-            .for_each(|(k, share)| k.share = share);
+            .for_each(|(k, share)| k.traffic_share = share);
         self.allot();
-        self.backends.reckon_all(now);
+        self.backends.update_weights(now);
     }
 }
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -1,7 +1,8 @@
 //! Zones taken out of use as a whole, and their recovery ramp.
 
 use super::{
-    from_cold, Action, BTreeMap, Balancer, Mean, Micros, Time, ZoneId, EJECT_TERM, QUICK_SAMPLES,
+    from_cold, Action, BTreeMap, Balancer, Micros, RunningMean, Time, ZoneId, EJECT_TERM,
+    QUICK_SAMPLES,
 };
 
 /// A zone is left once its share has been out for so long, s: a silence that ends sooner was a hiccup.
@@ -19,56 +20,58 @@
             return BTreeMap::new();
         };
         let mut counts = vec![(0.0, 0.0); self.backends.zones.len()];
-        for l in self.backends.loads.iter().filter(|l| l.offered) {
-            let c = &mut counts[l.place as usize];
+        for l in self.backends.loads.iter().filter(|l| l.available) {
+            let c = &mut counts[l.zone_index as usize];
             *c = (c.0 + 1.0, c.1 + f64::from(l.ejected || l.silent));
         }
         let counts = self.backends.zones.iter().copied().zip(counts);
         for (id, (all, out)) in counts.filter(|c| c.1 .0 > 0.0) {
             let z = self.zones.entry(id).or_default();
-            z.lefts.retain(|at| now - *at < Micros::from_secs_f64(60.0));
-            let again = f64::from(1u32 << z.lefts.len().clamp(1, 6)) / 2.0; // doubles with each time
+            z.failovers
+                .retain(|at| now - *at < Micros::from_secs_f64(60.0));
+            let again = f64::from(1u32 << z.failovers.len().clamp(1, 6)) / 2.0; // doubles with each time
             let ramp = rules.recovery_ramp.mul_f64(again);
-            let failing =
-                z.fails.count >= QUICK_SAMPLES / 2.0 && z.fails.value >= rules.unhealthy_threshold;
+            let failing = z.unanswered_share.count >= QUICK_SAMPLES / 2.0
+                && z.unanswered_share.value >= rules.unhealthy_threshold;
             let bad = failing || out / all >= rules.unhealthy_threshold;
-            z.bad = z.bad.filter(|_| bad).or(bad.then_some(now));
+            z.unhealthy_since = z.unhealthy_since.filter(|_| bad).or(bad.then_some(now));
             let lasted = z
-                .bad
+                .unhealthy_since
                 .is_some_and(|since| (now - since).as_secs_f64() >= LEAVE_AFTER);
             let term = Micros::from_secs_f64(EJECT_TERM * again);
-            let rested = z.lefts.last().is_none_or(|at| now - *at >= term);
-            let said = match (z.left, out / all) {
+            let rested = z.failovers.last().is_none_or(|at| now - *at >= term);
+            let said = match (z.out_of_use, out / all) {
                 (false, _) if lasted => {
-                    let lost = z.fails.value * 100.0;
-                    (z.left, z.since, z.fails) = (true, None, Mean::default());
-                    z.lefts.push(now);
+                    let lost = z.unanswered_share.value * 100.0;
+                    (z.out_of_use, z.recovering_since, z.unanswered_share) =
+                        (true, None, RunningMean::default());
+                    z.failovers.push(now);
                     Some(format!(
                         "zone {} left: {out} of {all} out, {lost:.0}% unanswered",
                         id.0
                     ))
                 }
                 (true, part) if part < rules.unhealthy_threshold / 2.0 && rested => {
-                    (z.left, z.since) = (false, Some(now));
+                    (z.out_of_use, z.recovering_since) = (false, Some(now));
                     Some(format!(
                         "zone {} returning over {:.1} s",
                         id.0,
                         ramp.as_secs_f64()
                     ))
                 }
-                (false, _) if z.since.is_some_and(|since| now - since >= ramp) => {
-                    z.since = None;
+                (false, _) if z.recovering_since.is_some_and(|since| now - since >= ramp) => {
+                    z.recovering_since = None;
                     Some(format!("zone {} back", id.0))
                 }
                 _ => None,
             };
             self.actions.extend(said.map(Action::Log));
-            let age = z.since.map_or(1.0, |since| {
+            let age = z.recovering_since.map_or(1.0, |since| {
                 (now - since).as_secs_f64() / ramp.as_secs_f64().max(1e-6)
             });
             factors.insert(
                 id,
-                if z.left {
+                if z.out_of_use {
                     0.0
                 } else {
                     from_cold(&self.cfg, age)
