--- a/src/balancer/class_stats.rs
+++ b/src/balancer/class_stats.rs
@@ -1,6 +1,6 @@
 //! What is learned of request classes.
 
-use super::state::Mean;
+use super::state::RunningMean;
 use super::{Balancer, Idempotency, Micros, RequestClass};
 
 /// A class whose usual answer takes this many times less than its aim has time to spare.
@@ -11,7 +11,7 @@
 pub(crate) struct ClassState {
     /// The settings hold it still.
     pub live: bool,
-    pub latency: Mean,
+    pub latency: RunningMean,
     /// Worth that was asked for, and that was earned.
     pub asked: f64,
     /// See `asked`.
