--- /dev/null
+++ b/src/bin/meadowproxy-adapter/message.rs
@@ -0,0 +1,195 @@
+//! One line of the simulator's wire: a message's kind and its values.
+
+use crate::error::MessageError;
+use meadowproxy::{AttemptNumber, Micros, Outcome, RequestId};
+use serde_json::Value;
+
+const REQUEST_ID_HEX_DIGITS: usize = 16;
+const OUTCOME_CODE: &str = "an outcome code from 0 to 7";
+
+/// The messages that the simulator sends, by their names on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MessageKind {
+    /// `TICK`: a batch begins, with the clock.
+    BatchStarted,
+    /// `END`: the batch is complete and a reply is due.
+    BatchEnded,
+    /// `SNAPSHOT_ROWS`: an endpoint list under a number.
+    Roster,
+    /// `CREATE`: a proxy starts.
+    InstanceCreated,
+    /// `KILLED`: a proxy ends.
+    InstanceKilled,
+    /// `VIEW`: an endpoint list, or its loss, for one proxy.
+    EndpointsUpdated,
+    /// `JOB_IN`: a client's request.
+    RequestArrived,
+    /// `ESTABLISHED`: a response begins to stream.
+    ResponseStarted,
+    /// `RETURNED`: an attempt ended.
+    AttemptEnded,
+    /// `VANISHED`: a client disconnected.
+    ClientDisconnected,
+    /// `TIMEOUT_FIRED`: a timer fell due.
+    TimerFired,
+    /// `MEMO`: another proxy's message; this program sends none.
+    PeerMessage,
+    /// `STATUS_BACK`: the result of a health check; this program asks for none.
+    HealthCheckResult,
+}
+
+impl MessageKind {
+    const ALL: [MessageKind; 13] = [
+        MessageKind::BatchStarted,
+        MessageKind::BatchEnded,
+        MessageKind::Roster,
+        MessageKind::InstanceCreated,
+        MessageKind::InstanceKilled,
+        MessageKind::EndpointsUpdated,
+        MessageKind::RequestArrived,
+        MessageKind::ResponseStarted,
+        MessageKind::AttemptEnded,
+        MessageKind::ClientDisconnected,
+        MessageKind::TimerFired,
+        MessageKind::PeerMessage,
+        MessageKind::HealthCheckResult,
+    ];
+
+    /// The name on the wire.
+    pub fn wire_name(self) -> &'static str {
+        match self {
+            MessageKind::BatchStarted => "TICK",
+            MessageKind::BatchEnded => "END",
+            MessageKind::Roster => "SNAPSHOT_ROWS",
+            MessageKind::InstanceCreated => "CREATE",
+            MessageKind::InstanceKilled => "KILLED",
+            MessageKind::EndpointsUpdated => "VIEW",
+            MessageKind::RequestArrived => "JOB_IN",
+            MessageKind::ResponseStarted => "ESTABLISHED",
+            MessageKind::AttemptEnded => "RETURNED",
+            MessageKind::ClientDisconnected => "VANISHED",
+            MessageKind::TimerFired => "TIMEOUT_FIRED",
+            MessageKind::PeerMessage => "MEMO",
+            MessageKind::HealthCheckResult => "STATUS_BACK",
+        }
+    }
+
+    /// How many values follow the name.
+    fn value_count(self) -> usize {
+        match self {
+            MessageKind::BatchEnded => 0,
+            MessageKind::BatchStarted | MessageKind::InstanceKilled => 1,
+            MessageKind::Roster | MessageKind::ClientDisconnected | MessageKind::TimerFired => 2,
+            MessageKind::InstanceCreated | MessageKind::PeerMessage => 3,
+            MessageKind::EndpointsUpdated => 4,
+            MessageKind::ResponseStarted | MessageKind::HealthCheckResult => 5,
+            MessageKind::RequestArrived | MessageKind::AttemptEnded => 8,
+        }
+    }
+
+    fn from_wire_name(name: &str) -> Option<MessageKind> {
+        let mut all = MessageKind::ALL.into_iter();
+        all.find(|kind| kind.wire_name() == name)
+    }
+}
+
+/// A message with as many values as its kind has. The values are checked as they are read.
+#[derive(Debug)]
+pub struct Message {
+    /// Which message it is.
+    pub kind: MessageKind,
+    values: Vec<Value>,
+}
+
+impl Message {
+    /// Reads a line.
+    pub fn parse(line: &str) -> Result<Message, MessageError> {
+        let Value::Array(mut values) = serde_json::from_str(line)? else {
+            return Err(MessageError::NoArray);
+        };
+        let name = values.first().and_then(Value::as_str);
+        let name = name.ok_or(MessageError::NoName)?;
+        let kind = MessageKind::from_wire_name(name)
+            .ok_or_else(|| MessageError::UnknownMessage(name.into()))?;
+        values.remove(0);
+        if values.len() != kind.value_count() {
+            return Err(MessageError::ValueCount {
+                message: kind.wire_name(),
+                expected: kind.value_count(),
+                found: values.len(),
+            });
+        }
+        Ok(Message { kind, values })
+    }
+
+    /// The value at `index` as JSON.
+    pub fn json(&self, index: usize) -> &Value {
+        &self.values[index]
+    }
+
+    /// The error that the value at `index` is not what was `expected`.
+    pub fn unexpected(&self, index: usize, expected: &'static str) -> MessageError {
+        MessageError::Value {
+            message: self.kind.wire_name(),
+            index,
+            expected,
+            found: self.values[index].to_string(),
+        }
+    }
+
+    /// A text.
+    pub fn text(&self, index: usize, expected: &'static str) -> Result<&str, MessageError> {
+        let text = self.values[index].as_str();
+        text.ok_or_else(|| self.unexpected(index, expected))
+    }
+
+    /// A whole number.
+    pub fn integer(&self, index: usize, expected: &'static str) -> Result<u64, MessageError> {
+        let number = self.values[index].as_u64();
+        number.ok_or_else(|| self.unexpected(index, expected))
+    }
+
+    /// A truth value.
+    pub fn flag(&self, index: usize) -> Result<bool, MessageError> {
+        let flag = self.values[index].as_bool();
+        flag.ok_or_else(|| self.unexpected(index, "true or false"))
+    }
+
+    /// A span in microseconds.
+    pub fn micros(&self, index: usize, expected: &'static str) -> Result<Micros, MessageError> {
+        self.integer(index, expected).map(Micros)
+    }
+
+    /// The number of an attempt.
+    pub fn attempt(&self, index: usize) -> Result<AttemptNumber, MessageError> {
+        let number = self.integer(index, "an attempt")?;
+        Ok(AttemptNumber(number as u32))
+    }
+
+    /// A request id: 16 lower-case hex digits.
+    pub fn request(&self, index: usize) -> Result<RequestId, MessageError> {
+        let text = self.text(index, "a request id of 16 hex digits")?;
+        let is_digit = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
+        if text.len() != REQUEST_ID_HEX_DIGITS || !text.bytes().all(is_digit) {
+            return Err(self.unexpected(index, "a request id of 16 lower-case hex digits"));
+        }
+        let id = u64::from_str_radix(text, 16);
+        id.map(RequestId)
+            .map_err(|_| self.unexpected(index, "a request id of 16 lower-case hex digits"))
+    }
+
+    /// The outcome of an attempt, by its code.
+    pub fn outcome(&self, index: usize) -> Result<Outcome, MessageError> {
+        Ok(match self.integer(index, OUTCOME_CODE)? {
+            0 => Outcome::Error,
+            1 => Outcome::Ok,
+            2 => Outcome::Overloaded,
+            3 => Outcome::TimedOut,
+            4 => Outcome::ConnectFailed,
+            5 => Outcome::Reset,
+            6 => Outcome::Cancelled,
+            7 => Outcome::NotSent,
+            _ => return Err(self.unexpected(index, OUTCOME_CODE)),
+        })
+    }
+}
--- /dev/null
+++ b/src/bin/meadowproxy-adapter/roster.rs
@@ -0,0 +1,111 @@
+//! The endpoint lists that the simulator gives out under numbers, for all instances of the process.
+
+use crate::error::MessageError;
+use crate::message::Message;
+use meadowproxy::settings::Row;
+use meadowproxy::{Backend, BackendState, CellId, Time};
+use serde_json::Value;
+use std::collections::HashMap;
+
+const LARGEST_ROSTER_NUMBER: u64 = 15;
+const ROSTER_NUMBER: &str = "a roster number from 0 to 15";
+
+/// Values of an entry, in the order of the wire.
+const ZONE: usize = 0;
+const CELL: usize = 1;
+const KIND: usize = 2;
+const ADDRESS: usize = 3;
+const STATE: usize = 4;
+const STARTED_AT_US: usize = 6;
+const ENTRY_VALUES: usize = 7;
+
+/// One backend of a list.
+#[derive(Clone, Debug)]
+pub struct RosterEntry {
+    /// Its address.
+    pub address: String,
+    /// Its entry, under the names of its zone and kind.
+    pub row: Row,
+}
+
+/// The lists by their numbers. A new list takes over its number from the one before.
+#[derive(Default)]
+pub struct Rosters {
+    by_number: HashMap<u64, Vec<RosterEntry>>,
+}
+
+impl Rosters {
+    /// Takes a list.
+    pub fn insert(&mut self, message: &Message) -> Result<(), MessageError> {
+        let number = message.integer(0, ROSTER_NUMBER)?;
+        if number > LARGEST_ROSTER_NUMBER {
+            return Err(message.unexpected(0, ROSTER_NUMBER));
+        }
+        let entries = message.json(1).as_array();
+        let entries = entries.ok_or_else(|| message.unexpected(1, "an array of entries"))?;
+        let entries: Result<Vec<RosterEntry>, MessageError> =
+            entries.iter().map(parse_entry).collect();
+        self.by_number.insert(number, entries?);
+        Ok(())
+    }
+
+    /// The list of that number, if there is one.
+    pub fn get(&self, number: u64) -> Option<&[RosterEntry]> {
+        self.by_number.get(&number).map(Vec::as_slice)
+    }
+}
+
+fn parse_entry(entry: &Value) -> Result<RosterEntry, MessageError> {
+    let error = |expected| MessageError::RosterEntry {
+        entry: entry.to_string(),
+        expected,
+    };
+    let values = entry
+        .as_array()
+        .filter(|values| values.len() == ENTRY_VALUES);
+    let values = values.ok_or_else(|| error("an array of 7 values"))?;
+    let text = |index: usize, expected| values[index].as_str().ok_or_else(|| error(expected));
+    let address = text(ADDRESS, "an address")?;
+    if !is_plain(address) {
+        return Err(error("a plain address"));
+    }
+    let state = match text(STATE, "IN, LAME or OUT")? {
+        "IN" => BackendState::Ready,
+        "LAME" => BackendState::Draining,
+        "OUT" => BackendState::Removed,
+        _ => return Err(error("IN, LAME or OUT")),
+    };
+    let started_at_us = match &values[STARTED_AT_US] {
+        Value::Null => None,
+        value => Some(
+            value
+                .as_u64()
+                .ok_or_else(|| error("a start time or null"))?,
+        ),
+    };
+    let cell = values[CELL]
+        .as_u64()
+        .ok_or_else(|| error("a cell number"))?;
+    let backend = Backend {
+        cell: CellId(cell),
+        state,
+        started_at: started_at_us.filter(|at| *at > 0).map(Time),
+        ..Backend::default()
+    };
+    let row = Row::new(
+        address,
+        text(ZONE, "a zone")?,
+        text(KIND, "a kind")?,
+        backend,
+    );
+    Ok(RosterEntry {
+        address: address.into(),
+        row,
+    })
+}
+
+/// Whether the address can be written into a reply as it is: without anything that JSON escapes.
+fn is_plain(address: &str) -> bool {
+    let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
+    !address.is_empty() && address.bytes().all(plain)
+}
