--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -79,7 +79,7 @@
     pub ejected: BTreeSet<u32>,
     /// Those that each draw has to look at anew, as time alone may change their weight: cold or full of late.
     pub restricted: BTreeSet<u32>,
-    /// Backends that were silent at the last look.
+    /// EndpointTable that were silent at the last look.
     silent: Vec<BackendId>,
     /// Gone from the list, but still weighing.
     removed: Vec<BackendId>,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,8 +1,8 @@
 //! The draw of a backend for a request.
 
 use super::{
-    BTreeMap, BackendId, Balancer, EndpointLoad, EndpointRecord, Idempotency, KeyScope, Request,
-    Sent, Time, LOW,
+    Attempt, BTreeMap, BackendId, Balancer, EndpointLoad, EndpointRecord, Idempotency, KeyScope,
+    PendingRequest, Time, LOW,
 };
 
 /// Whether it may hold one more, of half of its room or all.
@@ -35,7 +35,7 @@
         clippy::too_many_lines,
         reason = "issue 32: code that reads as well as it works"
     )]
-    pub(super) fn draw(&mut self, now: Time, r: &Request) -> Option<BackendId> {
+    pub(super) fn draw(&mut self, now: Time, r: &PendingRequest) -> Option<BackendId> {
         let effect = self.cfg.classes[r.class].idempotency;
         let (work, low) = (self.work(r.class), r.value < LOW);
         self.backends.refresh(now, &self.cfg);
@@ -78,7 +78,7 @@
                 .filter_map(|s| Some((self.backends.position(s.to.id)?, 0.0))),
         );
         // A repeat outside the scope that knows the key would run twice.
-        let knows = |s: &Sent, p: &EndpointRecord| match effect {
+        let knows = |s: &Attempt, p: &EndpointRecord| match effect {
             Idempotency::Keyed {
                 scope: KeyScope::Zone,
                 ..
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! Backends that warm up: their readiness and the budget of work that they may be sent.
+//! EndpointTable that warm up: their readiness and the budget of work that they may be sent.
 
 use super::{BTreeMap, Balancer, Config, EndpointRecord, HardwareClass, KindId, Time};
 
