--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,7 +1,8 @@
 //! Which requests are admitted and which load is shed.
 
 use super::{
-    Balancer, Micros, PendingRequest, RequestArrival, Tenant, Time, HOLD, KIND_SAMPLES, RETRY_RATIO,
+    Balancer, Micros, PendingRequest, RequestArrival, Tenant, Time, KIND_SAMPLES,
+    MIN_CONCURRENCY_LIMIT, RETRY_RATIO,
 };
 
 /// What a proxy holds tells it nothing of the others before it has watched for so long, s.
@@ -90,9 +91,9 @@
     /// away at once does no harm; waiting here would make no room.
     pub(super) fn crowded(&self, value: f64) -> bool {
         self.fuller(match value < LOW && self.tight > 0 {
-            true => HOLD / 2.0,
-            false if value < LOW => HOLD * 1.5,
-            false => HOLD * 2.0,
+            true => MIN_CONCURRENCY_LIMIT / 2.0,
+            false if value < LOW => MIN_CONCURRENCY_LIMIT * 1.5,
+            false => MIN_CONCURRENCY_LIMIT * 2.0,
         })
     }
 
@@ -100,7 +101,9 @@
     /// client that came again brings what is left of its time, and its attempt would mostly be called back
     /// unfinished.
     pub(super) fn hopeless(&self, now: Time, r: &PendingRequest) -> bool {
-        now + self.usual(r.class) > r.deadline && !r.uploading && self.fuller(HOLD / 2.0)
+        now + self.usual(r.class) > r.deadline
+            && !r.uploading
+            && self.fuller(MIN_CONCURRENCY_LIMIT / 2.0)
     }
 
     /// Whether all proxies together hold more than so many on each ready backend, as far as one tells that
@@ -109,6 +112,8 @@
         let proxies = f64::from(self.cfg.proxy_count);
         let ready: f64 = self.kinds.values().map(|k| k.ready_endpoints).sum();
         let held = self.crowd.per_s().unwrap_or(0.0) * proxies / (self.busy() / BURST).max(1.0);
-        proxies > HOLD && self.crowd.seen() > CROWD_KNOWN && held > limit * ready
+        proxies > MIN_CONCURRENCY_LIMIT
+            && self.crowd.observed_s() > CROWD_KNOWN
+            && held > limit * ready
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, AttemptEnd, AttemptNumber, Balancer, Idempotency, KeyScope, Micros, Outcome, RequestId,
-    Time, EJECT_TERM,
+    Time, BASE_EJECTION_S,
 };
 
 impl Balancer {
@@ -109,7 +109,7 @@
         let retry_after = if ready {
             self.usual(r.class).mul_f64(2.0)
         } else {
-            Micros::from_secs_f64(EJECT_TERM)
+            Micros::from_secs_f64(BASE_EJECTION_S)
         };
         let (refused, failed) = (
             Action::Reject {
--- a/src/balancer/class_stats.rs
+++ b/src/balancer/class_stats.rs
@@ -1,6 +1,6 @@
 //! What is learned of request classes.
 
-use super::state::RunningMean;
+use super::estimators::RunningMean;
 use super::{Balancer, Idempotency, Micros, RequestClass};
 
 /// A class whose usual answer takes this many times less than its aim has time to spare.
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -1,5 +1,6 @@
 //! What time alone brings about: silent backends, expired requests, hedged requests.
 
+use super::endpoints::EndpointRecord;
 use super::{Action, Attempt, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Time};
 
 /// An idle proxy looks about so often, s.
@@ -52,7 +53,7 @@
                     && self
                         .backends
                         .get(s.to.id)
-                        .is_none_or(|p| p.ejected_until.is_some())
+                        .is_none_or(EndpointRecord::is_ejected)
             };
             let lost = matches!(&r.sent[..], [only] if lost(only));
             // The deadline's own tick would be too late to answer; a request that was held so long
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -63,10 +63,7 @@
                 self.extra -= f64::from(extra);
                 let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
                 r.sent.push(Attempt::new(p.entry.clone(), now));
-                p.in_flight += 1;
-                p.recent_work
-                    .retain(|s| now - s.0 < self.cfg.overload_window);
-                p.recent_work.push((now, work));
+                p.record_dispatch(now, work, self.cfg.overload_window);
                 self.attempts.insert((id, no), (backend, r.class, now));
                 self.actions.push(Action::Dispatch {
                     request: id,
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list.
 
-use super::{warmth, Backend, Balancer, Discovery, EndpointRecord, EndpointUpdate, Time};
+use super::{Backend, Balancer, Discovery, EndpointRecord, EndpointUpdate, SlowStart, Time};
 
 impl Balancer {
     pub(super) fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<Backend>) {
@@ -21,9 +21,11 @@
             _ => {}
         }
         // What a cold one was sent weighs still if it is back within the fall window.
-        let (cfg, window) = (&self.cfg, self.cfg.overload_window);
-        let recent = |p: &EndpointRecord| p.recent_work.last().is_some_and(|s| now - s.0 < window);
-        let kept = |p: &EndpointRecord| p.in_flight > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
+        let slow_start = SlowStart::new(&self.cfg);
+        let window = self.cfg.overload_window;
+        let is_cold = |p: &EndpointRecord| slow_start.readiness(now, p.slow_start_began_at()) < 1.0;
+        let kept =
+            |p: &EndpointRecord| p.in_flight > 0 || p.has_recent_work(now, window) && is_cold(p);
         self.backends.apply_update(
             matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached),
             list,
--- /dev/null
+++ b/src/balancer/endpoints/groups.rs
@@ -0,0 +1,99 @@
+//! The endpoints of one hardware class with their weights in a draw, and the zones that have endpoints.
+
+use super::{EndpointTable, RandomSource};
+use crate::interface::KindId;
+
+/// The endpoints of one kind.
+pub struct EndpointGroup {
+    pub kind: KindId,
+    /// Their indices in the table, in order.
+    pub(super) members: Vec<u32>,
+    /// The weight of each member in a draw; 0 for one that may not be drawn.
+    pub(super) weights: Vec<f64>,
+    /// Members with a weight.
+    pub(super) drawable: usize,
+}
+
+impl EndpointGroup {
+    fn new(kind: KindId) -> EndpointGroup {
+        EndpointGroup {
+            kind,
+            members: Vec::new(),
+            weights: Vec::new(),
+            drawable: 0,
+        }
+    }
+
+    /// Adds an endpoint without a weight; returns its place among the weights.
+    fn push(&mut self, member: u32) -> u32 {
+        self.members.push(member);
+        self.weights.push(0.0);
+        self.weights.len() as u32 - 1
+    }
+
+    pub(super) fn set_weight(&mut self, place: u32, weight: f64) {
+        let old = &mut self.weights[place as usize];
+        self.drawable = self.drawable + usize::from(weight > 0.0) - usize::from(*old > 0.0);
+        *old = weight;
+    }
+
+    /// Draws a member by weight; returns its index in the table.
+    pub(super) fn draw(&self, random: &mut RandomSource) -> Option<u32> {
+        let place = random.choose_index(&self.weights)?;
+        Some(self.members[place])
+    }
+}
+
+impl EndpointTable {
+    /// Finds the groups, the zones and the order by address anew, after endpoints were added, removed or moved.
+    pub(super) fn regroup(&mut self) {
+        self.sort_by_address_hash();
+        self.groups = distinct(self.loads.iter().map(|load| load.kind))
+            .into_iter()
+            .map(EndpointGroup::new)
+            .collect();
+        self.zones = distinct(self.loads.iter().map(|load| load.zone));
+        self.assign_members();
+        self.in_flight = 0;
+        self.with_in_flight.clear();
+        self.ejected.clear();
+        self.restricted.clear();
+        self.mark_all_outdated();
+    }
+
+    fn sort_by_address_hash(&mut self) {
+        let hashes = &self.address_hashes;
+        let ids = &self.ids;
+        self.by_address_hash
+            .sort_by_key(|at| (hashes[*at as usize], ids[*at as usize]));
+    }
+
+    fn assign_members(&mut self) {
+        let mut group = 0;
+        let mut zone = 0;
+        for (at, load) in self.loads.iter_mut().enumerate() {
+            if self.groups[group].kind != load.kind {
+                group = self.groups.partition_point(|g| g.kind < load.kind);
+            }
+            if self.zones[zone] != load.zone {
+                zone = self.zones.partition_point(|z| *z < load.zone);
+            }
+            load.group_index = group as u32;
+            load.zone_index = zone as u32;
+            load.weight_index = self.groups[group].push(at as u32);
+            // Not yet in the table's sums and sets, which are made anew.
+            load.counted_in_flight = 0;
+            load.in_flight = 0;
+            load.ejected = false;
+            load.restricted = false;
+        }
+    }
+}
+
+/// Each of the values once, in order.
+fn distinct<T: Ord>(values: impl Iterator<Item = T>) -> Vec<T> {
+    let mut distinct: Vec<T> = values.collect();
+    distinct.sort_unstable();
+    distinct.dedup();
+    distinct
+}
--- /dev/null
+++ b/src/balancer/endpoints/mod.rs
@@ -0,0 +1,288 @@
+//! The table of endpoints: a record of each, and beside it the values that decisions read for all endpoints at once.
+//!
+//! Its columns stand in the order of ids, which is the order of every sum over endpoints: rounding, and with it
+//! decisions, depends on that order. The table decides nothing.
+//!
+//! A change of a record marks its endpoint as outdated; [`EndpointTable::refresh`] brings the derived values up to date.
+
+mod consistency;
+mod groups;
+mod load;
+mod record;
+mod update;
+
+pub(super) use groups::EndpointGroup;
+pub(super) use load::{EndpointLoad, ProxyPosition};
+pub(super) use record::{EndpointRecord, LatestPeerVerdict, PeerEjection};
+
+use super::random::RandomSource;
+use crate::interface::{BackendId, BackendState, Config, KindId, Micros, Time, ZoneId};
+use load::draw_weight;
+use std::collections::BTreeSet;
+
+/// All endpoints.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    ids: Vec<BackendId>,
+    records: Vec<EndpointRecord>,
+    pub loads: Vec<EndpointLoad>,
+    /// Each endpoint's part of this proxy's traffic.
+    pub traffic_share: Vec<f64>,
+    /// Each endpoint's part of this proxy's subset of its kind.
+    pub subset_share: Vec<f64>,
+    address_hashes: Vec<u64>,
+    /// All endpoints by address hash, an order that all proxies have in common.
+    pub by_address_hash: Vec<u32>,
+    /// The kinds that have endpoints, in order.
+    pub groups: Vec<EndpointGroup>,
+    /// The zones that have endpoints, in order.
+    pub zones: Vec<ZoneId>,
+    /// Disabled by operators, whatever lists and health checks say.
+    disabled: BTreeSet<BackendId>,
+    /// Endpoints whose record may have changed since their load was read from it.
+    outdated: Vec<u32>,
+    /// Endpoints with attempts in flight.
+    pub with_in_flight: BTreeSet<u32>,
+    pub ejected: BTreeSet<u32>,
+    /// Endpoints whose weight time alone may change, as they are in slow start or were overloaded of late.
+    pub restricted: BTreeSet<u32>,
+    /// Endpoints that were silent at the last check.
+    silent: Vec<BackendId>,
+    /// Removed from the list, but still of account.
+    removed: Vec<BackendId>,
+    /// Attempts in flight at endpoints in use.
+    in_flight: u64,
+    /// The position for which rotation offsets were assigned.
+    offsets_assigned_for: ProxyPosition,
+}
+
+impl EndpointTable {
+    pub fn len(&self) -> usize {
+        self.ids.len()
+    }
+
+    /// Its index in the table.
+    pub fn position(&self, id: BackendId) -> Option<usize> {
+        self.ids.binary_search(&id).ok()
+    }
+
+    pub fn id(&self, at: usize) -> BackendId {
+        self.ids[at]
+    }
+
+    pub fn record_at(&self, at: usize) -> &EndpointRecord {
+        &self.records[at]
+    }
+
+    pub fn get(&self, id: BackendId) -> Option<&EndpointRecord> {
+        self.position(id).map(|at| &self.records[at])
+    }
+
+    /// The record to change, which marks the endpoint as outdated.
+    pub fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
+        self.position(id).map(|at| self.record_at_mut(at))
+    }
+
+    fn record_at_mut(&mut self, at: usize) -> &mut EndpointRecord {
+        self.outdated.push(at as u32);
+        &mut self.records[at]
+    }
+
+    pub fn records(&self) -> impl Iterator<Item = (BackendId, &EndpointRecord)> {
+        self.ids.iter().copied().zip(self.records.iter())
+    }
+
+    pub fn loads_and_records(
+        &mut self,
+    ) -> impl Iterator<Item = (&mut EndpointLoad, &EndpointRecord)> {
+        self.loads.iter_mut().zip(self.records.iter())
+    }
+
+    /// The index of the group of that kind, if it has endpoints.
+    pub fn group_index(&self, kind: KindId) -> Option<usize> {
+        self.groups
+            .binary_search_by_key(&kind, |group| group.kind)
+            .ok()
+    }
+
+    /// Listed as ready, and not disabled by operators.
+    pub fn is_available(&self, record: &EndpointRecord) -> bool {
+        record.entry.state == BackendState::Ready && !self.disabled.contains(&record.entry.id)
+    }
+
+    /// Takes an endpoint out of use until shares are next solved.
+    pub fn suspend(&mut self, id: BackendId) {
+        if let Some(at) = self.position(id) {
+            self.loads[at].readiness = 0.0;
+            self.outdated.push(at as u32);
+        }
+    }
+
+    /// Forgets all of an endpoint but its entry, its attempts in flight and the work dispatched to it.
+    fn reset(&mut self, id: BackendId) {
+        if let Some(at) = self.position(id) {
+            self.record_at_mut(at).reset();
+            self.loads[at].reset_solution();
+            self.traffic_share[at] = 0.0;
+            self.subset_share[at] = 0.0;
+        }
+    }
+
+    /// Operators take it out of use.
+    pub fn disable(&mut self, id: BackendId) {
+        self.disabled.insert(id);
+        self.suspend(id);
+    }
+
+    /// Operators put it back into use: its slow start counts from `enabled_at`.
+    pub fn enable(&mut self, id: BackendId, enabled_at: Time) {
+        self.disabled.remove(&id);
+        self.reset(id);
+        if let Some(record) = self.get_mut(id) {
+            record.faults_mut().enabled_at = Some(enabled_at);
+        }
+    }
+
+    /// Marks these endpoints as silent, and no others.
+    pub fn set_silent(&mut self, silent: Vec<BackendId>) {
+        for id in std::mem::take(&mut self.silent) {
+            self.mark_silent(id, false);
+        }
+        for id in &silent {
+            self.mark_silent(*id, true);
+        }
+        self.silent = silent;
+    }
+
+    fn mark_silent(&mut self, id: BackendId, silent: bool) {
+        if let Some(record) = self.get_mut(id) {
+            record.silent = silent;
+        }
+    }
+
+    /// Attempts in flight at endpoints in use.
+    pub fn in_flight(&mut self, now: Time, cfg: &Config) -> f64 {
+        self.refresh(now, cfg);
+        self.in_flight as f64
+    }
+
+    /// Assigns rotation offsets, to all endpoints for a new position and else to those that have none.
+    pub fn assign_rotation_offsets(&mut self, position: ProxyPosition) {
+        let has_changed = self.offsets_assigned_for != position;
+        self.offsets_assigned_for = position;
+        for (load, address_hash) in self.loads.iter_mut().zip(&self.address_hashes) {
+            if has_changed || load.rotation_offset == 0.0 {
+                load.rotation_offset = position.rotation_offset(*address_hash);
+            }
+        }
+    }
+
+    /// The configuration changed, on which loads depend.
+    pub fn mark_all_outdated(&mut self) {
+        self.outdated = (0..self.len() as u32).collect();
+    }
+
+    /// Brings the loads and weights of outdated endpoints up to date.
+    pub fn refresh(&mut self, now: Time, cfg: &Config) {
+        while let Some(at) = self.outdated.pop() {
+            self.refresh_load(at as usize, cfg);
+            self.update_weight(at as usize, now);
+        }
+    }
+
+    /// Updates all weights, after shares were solved.
+    pub fn update_weights(&mut self, now: Time) {
+        for at in 0..self.len() {
+            self.update_weight(at, now);
+        }
+    }
+
+    /// Reads the load of an endpoint from its record.
+    fn refresh_load(&mut self, at: usize, cfg: &Config) {
+        let record = &self.records[at];
+        let available = self.is_available(record);
+        let ejected = record.is_ejected();
+        let load = &mut self.loads[at];
+        load.success_share = 1.0 - record.error_share;
+        load.silent = record.silent;
+        load.available = available;
+        let began_at = record.slow_start_began_at();
+        let duration = Micros(cfg.slow_start.0.max(1));
+        load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
+        let warm_for_window =
+            began_at.map_or(Time(0), |_| load.slow_start_ends_at + cfg.overload_window);
+        load.unrestricted_at = record.faults().overloaded_until.max(warm_for_window);
+        let index = at as u32;
+        let is_busy = record.in_flight > 0;
+        set_membership(&mut self.with_in_flight, index, load.in_flight > 0, is_busy);
+        set_membership(&mut self.ejected, index, load.ejected, ejected);
+        load.in_flight = record.in_flight;
+        load.ejected = ejected;
+    }
+
+    /// Updates what follows from the load of an endpoint.
+    fn update_weight(&mut self, at: usize, now: Time) {
+        let load = &mut self.loads[at];
+        let in_flight = load.contending_in_flight();
+        self.in_flight = self.in_flight + u64::from(in_flight) - u64::from(load.counted_in_flight);
+        load.counted_in_flight = in_flight;
+        let restricted = now < load.unrestricted_at;
+        set_membership(&mut self.restricted, at as u32, load.restricted, restricted);
+        load.restricted = restricted;
+        self.set_weight(at, self.weight_without_time(at));
+    }
+
+    /// The weight of an endpoint while time alone doesn't change it; 0 for one that is restricted or full.
+    fn weight_without_time(&self, at: usize) -> f64 {
+        if !self.loads[at].restricted && self.has_capacity(at, false) {
+            self.weight(at)
+        } else {
+            0.0
+        }
+    }
+
+    /// Whether it may have one more attempt in flight, of all its capacity or of half of it.
+    pub fn has_capacity(&self, at: usize, half_only: bool) -> bool {
+        self.loads[at].has_capacity(half_only)
+    }
+
+    /// What an endpoint that may be drawn weighs: its share of the subset, and for all others a last resort.
+    pub fn weight(&self, at: usize) -> f64 {
+        draw_weight(self.subset_share[at], self.traffic_share[at])
+    }
+
+    fn set_weight(&mut self, at: usize, weight: f64) {
+        let load = &self.loads[at];
+        self.groups[load.group_index as usize].set_weight(load.weight_index, weight);
+    }
+
+    /// Sets the weight of an endpoint for the next draw only.
+    pub fn override_weight(&mut self, at: usize, weight: f64) {
+        self.set_weight(at, weight);
+        self.outdated.push(at as u32);
+    }
+
+    /// The groups with an endpoint that may be drawn: their index and kind.
+    pub fn drawable_kinds(&self) -> impl Iterator<Item = (usize, KindId)> + '_ {
+        self.groups
+            .iter()
+            .enumerate()
+            .filter(|(_, group)| group.drawable > 0)
+            .map(|(index, group)| (index, group.kind))
+    }
+
+    /// Draws an endpoint of the group by weight.
+    pub fn draw(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
+        let at = self.groups[group].draw(random)?;
+        Some(self.ids[at as usize])
+    }
+}
+
+/// Adds an index to a set or removes it, where it changes.
+fn set_membership(set: &mut BTreeSet<u32>, index: u32, was_member: bool, is_member: bool) {
+    if is_member && !was_member {
+        set.insert(index);
+    } else if was_member && !is_member {
+        set.remove(&index);
+    }
+}
--- /dev/null
+++ b/src/balancer/endpoints/update.rs
@@ -0,0 +1,223 @@
+//! Updates of the endpoint list, applied to the table.
+
+use super::{EndpointLoad, EndpointRecord, EndpointTable};
+use crate::interface::{Backend, BackendId, BackendState};
+
+/// What the entries of a list did to the endpoints that the table has.
+struct UpdatedEntries {
+    /// Entries of endpoints that the table does not have.
+    unknown: Vec<Backend>,
+    /// Some endpoint has another kind, zone or address than before.
+    moved: bool,
+}
+
+impl EndpointTable {
+    /// Applies entries of a list; what a `complete` list doesn't name is removed. Then drops the removed endpoints, but
+    /// for those to `keep`.
+    pub fn apply_update(
+        &mut self,
+        complete: bool,
+        list: Vec<Backend>,
+        keep: impl Fn(&EndpointRecord) -> bool,
+    ) {
+        if complete {
+            self.mark_unlisted_removed(&list);
+        }
+        let UpdatedEntries { unknown, moved } = self.update_known(list);
+        let added = newest_entries(unknown);
+        let dropped = self.take_removed(keep);
+        if moved || !dropped.is_empty() || !added.is_empty() {
+            self.drop_endpoints(&dropped);
+            self.add(added);
+            self.regroup();
+        }
+    }
+
+    fn mark_unlisted_removed(&mut self, list: &[Backend]) {
+        let mut listed: Vec<BackendId> = list.iter().map(|entry| entry.id).collect();
+        listed.sort_unstable();
+        let mut listed = listed.into_iter().peekable();
+        for at in 0..self.len() {
+            let id = self.ids[at];
+            while listed.next_if(|next| *next < id).is_some() {}
+            let is_listed = listed.peek() == Some(&id);
+            if !is_listed && self.records[at].entry.state != BackendState::Removed {
+                self.record_at_mut(at).entry.state = BackendState::Removed;
+                self.removed.push(id);
+            }
+        }
+    }
+
+    fn update_known(&mut self, list: Vec<Backend>) -> UpdatedEntries {
+        let mut updated = UpdatedEntries {
+            unknown: Vec::new(),
+            moved: false,
+        };
+        let mut next = 0; // lists mostly stand in the order of ids
+        for entry in list {
+            let at = match self.ids.get(next) {
+                Some(id) if *id == entry.id => Some(next),
+                _ => self.position(entry.id),
+            };
+            if let Some(at) = at {
+                updated.moved |= self.update_entry(at, entry);
+                next = at + 1;
+            } else {
+                updated.unknown.push(entry);
+            }
+        }
+        updated
+    }
+
+    /// Replaces the entry of an endpoint; returns whether its kind, zone or address changed.
+    fn update_entry(&mut self, at: usize, entry: Backend) -> bool {
+        if self.records[at].entry == entry {
+            return false;
+        }
+        if self.records[at].entry.started_at != entry.started_at {
+            // A restarted process has nothing in common with the old one but its address.
+            self.reset(entry.id);
+        }
+        if entry.state == BackendState::Removed {
+            self.removed.push(entry.id);
+        }
+        let load = &mut self.loads[at];
+        let readdressed = self.address_hashes[at] != entry.address_hash;
+        let moved = readdressed || load.kind != entry.kind || load.zone != entry.zone;
+        if readdressed {
+            load.rotation_offset = 0.0;
+        }
+        load.kind = entry.kind;
+        load.zone = entry.zone;
+        self.address_hashes[at] = entry.address_hash;
+        self.record_at_mut(at).entry = entry;
+        moved
+    }
+
+    /// Takes the indices of the removed endpoints that need not be kept.
+    fn take_removed(&mut self, keep: impl Fn(&EndpointRecord) -> bool) -> Vec<usize> {
+        let mut kept = Vec::new();
+        let mut dropped = Vec::new();
+        for id in std::mem::take(&mut self.removed) {
+            let Some(at) = self.position(id) else {
+                continue;
+            };
+            let record = &self.records[at];
+            if record.entry.state != BackendState::Removed {
+                continue;
+            }
+            if keep(record) {
+                kept.push(id);
+            } else {
+                dropped.push(at);
+            }
+        }
+        kept.sort_unstable();
+        kept.dedup();
+        self.removed = kept;
+        dropped
+    }
+
+    fn drop_endpoints(&mut self, dropped: &[usize]) {
+        if dropped.is_empty() {
+            return;
+        }
+        let mut stays = vec![true; self.len()];
+        for at in dropped {
+            stays[*at] = false;
+        }
+        let new_positions = positions_after_removal(&stays);
+        retain_marked(&mut self.ids, &stays);
+        retain_marked(&mut self.records, &stays);
+        retain_marked(&mut self.loads, &stays);
+        retain_marked(&mut self.traffic_share, &stays);
+        retain_marked(&mut self.subset_share, &stays);
+        retain_marked(&mut self.address_hashes, &stays);
+        self.by_address_hash.retain(|at| stays[*at as usize]);
+        for at in &mut self.by_address_hash {
+            *at = new_positions[*at as usize];
+        }
+    }
+
+    fn add(&mut self, added: Vec<Backend>) {
+        let last = self.ids.last().copied();
+        let all_behind = added.first().map(|entry| entry.id) > last;
+        self.reserve_exactly_enough(added.len());
+        for entry in added {
+            self.by_address_hash.push(self.ids.len() as u32);
+            self.ids.push(entry.id);
+            self.address_hashes.push(entry.address_hash);
+            self.loads.push(EndpointLoad::new(entry.kind, entry.zone));
+            self.traffic_share.push(0.0);
+            self.subset_share.push(0.0);
+            self.records.push(EndpointRecord::new(entry));
+        }
+        if !all_behind {
+            self.sort_by_id();
+        }
+    }
+
+    /// Reserves once for all: growth by push takes up to twice as much memory for a fleet that comes at once.
+    fn reserve_exactly_enough(&mut self, added: usize) {
+        self.ids.reserve(added);
+        self.records.reserve(added);
+        self.loads.reserve(added);
+        self.traffic_share.reserve(added);
+        self.subset_share.reserve(added);
+        self.address_hashes.reserve(added);
+        self.by_address_hash.reserve(added);
+    }
+
+    fn sort_by_id(&mut self) {
+        let mut old_positions: Vec<usize> = (0..self.len()).collect();
+        old_positions.sort_by_key(|at| self.ids[*at]);
+        let mut records: Vec<Option<EndpointRecord>> = std::mem::take(&mut self.records)
+            .into_iter()
+            .map(Some)
+            .collect();
+        self.records = old_positions
+            .iter()
+            .filter_map(|at| records[*at].take())
+            .collect();
+        reorder(&mut self.ids, &old_positions);
+        reorder(&mut self.loads, &old_positions);
+        reorder(&mut self.traffic_share, &old_positions);
+        reorder(&mut self.subset_share, &old_positions);
+        reorder(&mut self.address_hashes, &old_positions);
+        self.by_address_hash = (0..self.len() as u32).collect();
+    }
+}
+
+/// The last entry of each endpoint that is not removed, in the order of ids.
+fn newest_entries(mut entries: Vec<Backend>) -> Vec<Backend> {
+    entries.sort_by_key(|entry| entry.id);
+    entries.dedup_by(|later, earlier| {
+        let same = later.id == earlier.id;
+        if same {
+            std::mem::swap(later, earlier);
+        }
+        same
+    });
+    entries.retain(|entry| entry.state != BackendState::Removed);
+    entries
+}
+
+/// By old position: the new one, or where it would be.
+fn positions_after_removal(stays: &[bool]) -> Vec<u32> {
+    let mut next = 0;
+    let mut positions = Vec::with_capacity(stays.len());
+    for stays in stays {
+        positions.push(next);
+        next += u32::from(*stays);
+    }
+    positions
+}
+
+fn retain_marked<T>(column: &mut Vec<T>, stays: &[bool]) {
+    let mut stays = stays.iter();
+    column.retain(|_| stays.next().is_some_and(|stays| *stays));
+}
+
+fn reorder<T: Copy>(column: &mut Vec<T>, old_positions: &[usize]) {
+    *column = old_positions.iter().map(|at| column[*at]).collect();
+}
--- /dev/null
+++ b/src/balancer/estimators.rs
@@ -0,0 +1,105 @@
+//! Running estimates: the mean over the latest samples, and the rate of the latest events.
+
+use crate::interface::{SampledMean, Time};
+
+/// A rate is known once one part in so many of its memory has been observed.
+const MIN_OBSERVED_PARTS: f64 = 20.0;
+
+/// A mean over about the latest samples; how many, each call of [`RunningMean::add`] says.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RunningMean {
+    pub value: f64,
+    /// The number of samples that the value stands for.
+    pub count: f64,
+}
+
+impl RunningMean {
+    /// Adds a sample to a mean over about `max_count` of them.
+    pub fn add(&mut self, sample: f64, max_count: f64) {
+        self.count = (self.count + 1.0).min(max_count);
+        self.value += (sample - self.value) / self.count;
+    }
+
+    /// The mean, if there was a sample.
+    pub fn get(&self) -> Option<f64> {
+        (self.count > 0.0).then_some(self.value)
+    }
+
+    /// The mean as learned state.
+    pub fn sampled(&self) -> SampledMean {
+        SampledMean {
+            value: self.value,
+            count: self.count,
+        }
+    }
+
+    /// A mean from learned state whose samples count `weight` each. It comes from outside: without samples where its
+    /// numbers make no sense.
+    pub fn restored(learned: SampledMean, weight: f64) -> RunningMean {
+        let count = learned.count * weight;
+        let is_positive = |number: f64| number > 0.0 && number.is_finite();
+        if is_positive(learned.value) && is_positive(count) {
+            RunningMean {
+                value: learned.value,
+                count,
+            }
+        } else {
+            RunningMean::default()
+        }
+    }
+}
+
+/// Events a second over about the latest `memory_s` seconds, without bias from the first event on.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EventRate {
+    memory_s: f64,
+    /// Events, each discounted by its age.
+    events: f64,
+    /// Seconds observed, each discounted by its age.
+    observed_s: f64,
+    updated_at: Option<Time>,
+}
+
+impl EventRate {
+    pub fn new(memory_s: f64) -> EventRate {
+        EventRate {
+            memory_s,
+            events: 0.0,
+            observed_s: 0.0,
+            updated_at: None,
+        }
+    }
+
+    /// Counts `level` events for each second since the last call.
+    pub fn add_level(&mut self, now: Time, level: f64) {
+        let elapsed_s = self.elapsed_s(now);
+        self.add(
+            now,
+            level * (1.0 - (-elapsed_s / self.memory_s).exp()) * self.memory_s,
+        );
+    }
+
+    /// Counts `events` that happened at `now`; 0 only lets time pass.
+    pub fn add(&mut self, now: Time, events: f64) {
+        let discount = (-self.elapsed_s(now) / self.memory_s).exp();
+        self.events = self.events * discount + events;
+        self.observed_s = self.observed_s * discount + (1.0 - discount) * self.memory_s;
+        self.updated_at = Some(now);
+    }
+
+    /// The seconds observed, each discounted by its age.
+    pub fn observed_s(&self) -> f64 {
+        self.observed_s
+    }
+
+    /// The rate; `None` until enough has been observed.
+    pub fn per_s(&self) -> Option<f64> {
+        (self.observed_s > self.memory_s / MIN_OBSERVED_PARTS)
+            .then(|| self.events / self.observed_s)
+    }
+
+    fn elapsed_s(&self, now: Time) -> f64 {
+        self.updated_at
+            .map_or(0.0, |updated_at| (now - updated_at).as_secs_f64())
+    }
+}
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -1,51 +1,136 @@
-//! Traffic kept in the own zone and region as far as capacity allows.
+//! Locality-weighted shares: traffic stays in its own zone and region as far as capacity allows.
 
-use super::{BTreeMap, RegionId, ZoneId};
+use crate::interface::{RegionId, ZoneId};
+use std::collections::BTreeMap;
 
-/// The part of a proxy's traffic for each zone, of what each zone is due of all (sum 1). Every zone brings as
-/// much and keeps what it is due; its surplus goes to those due more, by their room, first inside its region,
-/// then to the room that other regions have left over. So all rooms are used exactly, and none beyond.
-pub(super) fn spill(
-    due: &BTreeMap<ZoneId, f64>,
-    own: ZoneId,
+/// What the zones of a region have too much of, relative to the traffic that one zone brings.
+#[derive(Clone, Copy, Debug, Default)]
+struct RegionBalance {
+    /// Traffic that its zones bring beyond their fair share.
+    surplus: f64,
+    /// Fair share beyond the traffic that its zones bring.
+    spare: f64,
+}
+
+impl RegionBalance {
+    /// Spare capacity that the region's own surplus leaves to others.
+    fn spare_for_others(&self) -> f64 {
+        (self.spare - self.surplus).max(0.0)
+    }
+
+    /// The part of its surplus that stays in the region.
+    fn kept_part(&self) -> f64 {
+        part(self.spare, self.surplus)
+    }
+}
+
+/// How the traffic of a proxy splits over the zones.
+struct LocalityWeights<'a> {
+    own_zone: ZoneId,
+    regions: &'a BTreeMap<ZoneId, RegionId>,
+    zone_count: f64,
+    balances: BTreeMap<RegionId, RegionBalance>,
+    /// Traffic that the own zone brings beyond its fair share.
+    surplus: f64,
+    /// Spare capacity of all other regions.
+    spare_elsewhere: f64,
+}
+
+/// The part of a proxy's traffic for each zone, given each zone's fair share of all traffic (sum 1).
+///
+/// Every zone brings as much traffic as any other and keeps it up to its fair share. Its surplus goes to the zones with
+/// spare capacity, in proportion to it: first to those in its own region, then to what other regions leave over. So all
+/// spare capacity is used and none is exceeded.
+pub(super) fn locality_weighted_shares(
+    fair_shares: &BTreeMap<ZoneId, f64>,
+    own_zone: ZoneId,
     regions: &BTreeMap<ZoneId, RegionId>,
 ) -> BTreeMap<ZoneId, f64> {
-    let zones = due.len() as f64;
-    let region = |zone: &ZoneId| regions.get(zone).copied().unwrap_or_default();
-    let over = |d: f64| (d * zones - 1.0).max(0.0);
-    // By region: what its zones have too much of, and how much room; the lesser of both stays inside.
-    let mut sums: BTreeMap<RegionId, (f64, f64)> = BTreeMap::new();
-    for (zone, d) in due {
-        let sum = sums.entry(region(zone)).or_default();
-        *sum = (sum.0 + (1.0 - d * zones).max(0.0), sum.1 + over(*d));
-    }
-    let part = |of: f64, all: f64| if all > 0.0 { (of / all).min(1.0) } else { 0.0 };
-    let home = region(&own);
-    let kept = sums
-        .get(&home)
-        .map_or(0.0, |(surplus, room)| part(*room, *surplus));
-    let outside: f64 = sums
+    let weights = LocalityWeights::new(fair_shares, own_zone, regions);
+    fair_shares
         .iter()
-        .filter(|s| *s.0 != home)
-        .map(|(_, (s, r))| (r - s).max(0.0))
-        .sum();
-    let surplus = (1.0 - due.get(&own).copied().unwrap_or(0.0) * zones).max(0.0);
-    let pull = |(zone, d): (&ZoneId, &f64)| {
-        let (to, (short, room)) = (
-            region(zone),
-            sums.get(&region(zone)).copied().unwrap_or_default(),
-        );
-        let share = match (*zone == own, to == home) {
-            (true, _) => (d * zones).min(1.0),
-            (_, true) => surplus * kept * part(over(*d), room),
-            _ => {
-                surplus
-                    * (1.0 - kept)
-                    * part((room - short).max(0.0), outside)
-                    * part(over(*d), room)
-            }
+        .map(|(zone, fair_share)| (*zone, weights.share(*zone, *fair_share)))
+        .collect()
+}
+
+impl LocalityWeights<'_> {
+    fn new<'a>(
+        fair_shares: &BTreeMap<ZoneId, f64>,
+        own_zone: ZoneId,
+        regions: &'a BTreeMap<ZoneId, RegionId>,
+    ) -> LocalityWeights<'a> {
+        let zone_count = fair_shares.len() as f64;
+        let own_share = fair_shares.get(&own_zone).copied().unwrap_or(0.0);
+        let mut weights = LocalityWeights {
+            own_zone,
+            regions,
+            zone_count,
+            balances: BTreeMap::new(),
+            surplus: (1.0 - own_share * zone_count).max(0.0),
+            spare_elsewhere: 0.0,
         };
-        (*zone, share)
-    };
-    due.iter().map(pull).collect()
+        for (zone, fair_share) in fair_shares {
+            let region = weights.region(*zone);
+            let spare = weights.spare(*fair_share);
+            let balance = weights.balances.entry(region).or_default();
+            balance.surplus += (1.0 - fair_share * zone_count).max(0.0);
+            balance.spare += spare;
+        }
+        let own_region = weights.region(own_zone);
+        weights.spare_elsewhere = weights
+            .balances
+            .iter()
+            .filter(|(region, _)| **region != own_region)
+            .map(|(_, balance)| balance.spare_for_others())
+            .sum();
+        weights
+    }
+
+    fn region(&self, zone: ZoneId) -> RegionId {
+        self.regions.get(&zone).copied().unwrap_or_default()
+    }
+
+    fn balance(&self, region: RegionId) -> RegionBalance {
+        self.balances.get(&region).copied().unwrap_or_default()
+    }
+
+    /// A zone's fair share beyond the traffic that it brings.
+    fn spare(&self, fair_share: f64) -> f64 {
+        (fair_share * self.zone_count - 1.0).max(0.0)
+    }
+
+    /// The part of the proxy's traffic for a zone.
+    fn share(&self, zone: ZoneId, fair_share: f64) -> f64 {
+        if zone == self.own_zone {
+            return (fair_share * self.zone_count).min(1.0);
+        }
+        let own_region = self.region(self.own_zone);
+        let region = self.region(zone);
+        let balance = self.balance(region);
+        let kept_part = self.kept_part(own_region);
+        let part_of_region = part(self.spare(fair_share), balance.spare);
+        if region == own_region {
+            return self.surplus * kept_part * part_of_region;
+        }
+        self.surplus
+            * (1.0 - kept_part)
+            * part(balance.spare_for_others(), self.spare_elsewhere)
+            * part_of_region
+    }
+
+    /// The part of a region's surplus that stays in it; none where the region has no zone.
+    fn kept_part(&self, region: RegionId) -> f64 {
+        self.balances
+            .get(&region)
+            .map_or(0.0, RegionBalance::kept_part)
+    }
+}
+
+/// The part of `all` that `some` is, at most all of it.
+fn part(some: f64, all: f64) -> f64 {
+    if all > 0.0 {
+        (some / all).min(1.0)
+    } else {
+        0.0
+    }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -13,44 +13,45 @@
 mod dispatch_queue;
 mod endpoint_updates;
 mod endpoints;
+mod estimators;
+mod hardware_class;
 mod learned_state;
 mod locality;
 mod outlier_detection;
 mod peer_verdicts;
 mod quota;
+mod random;
 mod reconfiguration;
 mod requests;
 mod retry;
 mod selection;
 mod slow_start;
-mod state;
 mod subset;
 mod traffic_split;
 mod zone_failover;
 
 use crate::interface::{
     Action, AttemptEnd, AttemptNumber, Backend, BackendId, ClassId, ClassSuccessor, Config,
-    ConfigError, Discovery, EndpointUpdate, Event, Idempotency, KeyScope, KindId, LearnedState,
-    Micros, Outcome, PeerVerdict, RegionId, RequestArrival, RequestClass, RequestId, Tenant, Time,
-    TimerToken, ValidatedConfig, Verdict, ZoneId,
+    ConfigError, Discovery, EndpointUpdate, Event, Idempotency, KeyScope, KindId, Micros, Outcome,
+    RequestArrival, RequestClass, RequestId, Tenant, Time, TimerToken, ValidatedConfig, ZoneId,
 };
 use admission::{LOW, PART_MEMORY};
 use class_stats::ClassState;
-use concurrency_limit::HOLD;
+use concurrency_limit::MIN_CONCURRENCY_LIMIT;
 use deadline::SILENT_AFTER;
 use discovery_polling::Ask;
-use endpoints::{ClassGroup, EndpointLoad, EndpointTable};
-use locality::spill;
-use outlier_detection::EJECT_TERM;
+use endpoints::{EndpointRecord, EndpointTable};
+use estimators::{EventRate, RunningMean};
+use hardware_class::HardwareClass;
+use outlier_detection::BASE_EJECTION_S;
 use quota::TenantQuotas;
+use random::{RandomSource, Weighted};
 use requests::{Attempt, PendingRequest};
 use retry::RETRY_RATIO;
-use selection::{crowding, fits, weight};
-use slow_start::{from_cold, warmth};
-use state::{EndpointRecord, EventRate, HardwareClass, RandomSource, RunningMean, ZoneHealth};
+use slow_start::SlowStart;
 use std::collections::BTreeMap;
-use subset::coin;
-pub use traffic_split::halb_shares;
+pub use traffic_split::{halb_shares, KindCapacity};
+use zone_failover::ZoneHealth;
 
 /// ... but not before so many requests have come, and a quota holds as many: fewer are chance alone.
 const FEW: f64 = 5.0;
@@ -59,8 +60,6 @@
 const RATE_MEMORY: f64 = 2.0;
 /// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
 const KIND_SAMPLES: f64 = 100.0;
-/// Samples in the mean that a hold follows.
-const QUICK_SAMPLES: f64 = 30.0;
 
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
@@ -165,7 +164,7 @@
         }
         // What is out on backends that drain, are gone or out of use crowds none of the others.
         self.crowd
-            .pass(now, self.backends.in_flight(now, &self.cfg));
+            .add_level(now, self.backends.in_flight(now, &self.cfg));
         if now >= self.solve_at
             && (matches!(event, Event::RequestArrived(_)) || !self.held.is_empty())
         {
@@ -233,8 +232,10 @@
                     &successors,
                 );
             }
-            Event::StateRestored { state: memory, age } => self.recall(now, *memory, age),
-            Event::VerdictReceived(word) => self.heard(now, &word),
+            Event::StateRestored { state: memory, age } => {
+                self.restore_learned_state(now, *memory, age);
+            }
+            Event::VerdictReceived(verdict) => self.apply_peer_verdict(now, &verdict),
             Event::TimerFired { token } if token != TimerToken(self.timer.0) => return,
             Event::TimerFired { .. } => self.timer.1 = Time(u64::MAX),
         }
@@ -272,16 +273,18 @@
 
     /// The hold of each kind: requests that all proxies together keep on one of its backends.
     pub fn concurrency_limits(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
-        self.kinds.iter().map(|(id, k)| (*id, k.concurrency_limit))
+        self.kinds
+            .iter()
+            .map(|(id, k)| (*id, k.concurrency_limit.get()))
     }
 
     /// The part of its capacity that each backend is good for: 0 where it drains, is out by hand or ejected.
     pub fn readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
-        let usable =
-            |p: &EndpointRecord| self.backends.is_available(p) && p.ejected_until.is_none();
+        let usable = |p: &EndpointRecord| self.backends.is_available(p) && !p.is_ejected();
+        let slow_start = SlowStart::new(&self.cfg);
         let part = move |p: &EndpointRecord| {
             if usable(p) {
-                warmth(&self.cfg, now, p)
+                slow_start.readiness(now, p.slow_start_began_at())
             } else {
                 0.0
             }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,155 +1,253 @@
-//! What outcomes tell of a backend: latency, error share, ejection and readmission.
+//! Outlier detection: what the outcomes of attempts say of an endpoint, its ejection, and its readmission once health
+//! checks pass.
 
-use super::{
-    Action, AttemptEnd, BackendId, Balancer, Micros, Outcome, Time, Verdict, KIND_SAMPLES,
-    QUICK_SAMPLES, SILENT_AFTER,
-};
+use super::endpoints::EndpointRecord;
+use super::{Balancer, KIND_SAMPLES, SILENT_AFTER};
+use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict};
 
-/// Error share from which a backend is ejected: two errors close together reach it where errors are rare.
-pub(super) const ERROR_LIMIT: f64 = 0.3;
-/// ... and by how many times the whole fleet's share a backend's must stand out beyond that: where every
-/// connection may break, two breaks close together are chance, and no backend is better than another.
-pub(super) const STAND_OUT: f64 = 3.0;
-/// Weight of the newest outcome in a backend's error share.
-pub(super) const ERROR_STEP: f64 = 0.2;
-/// A backend that answered within so many times the usual latency is alive, whatever one connection did.
-pub(super) const ALIVE: f64 = 2.0;
-/// First term of an ejection, s; it doubles with each failed return, twice at most.
-pub(super) const EJECT_TERM: f64 = 1.0;
-/// Good trials before an ejected backend is trusted again.
-pub(super) const TRIALS: u32 = 3;
+/// Error share from which an endpoint is ejected: two errors close together reach it where errors are rare.
+const EJECTION_ERROR_SHARE: f64 = 0.3;
+/// By how many times the fleet's error share an endpoint's has to exceed that: where every connection may break, two
+/// breaks close together are chance, and no endpoint is better than another.
+const FLEET_ERROR_MULTIPLE: f64 = 3.0;
+/// Weight of the latest outcome in an endpoint's error share.
+const ERROR_SHARE_STEP: f64 = 0.2;
+/// An endpoint that responded within so many times the expected latency is alive, whatever one connection did.
+const ALIVE_LATENCY_MULTIPLE: f64 = 2.0;
+/// Duration of a first ejection, s.
+pub(super) const BASE_EJECTION_S: f64 = 1.0;
+/// So many consecutive ejections at most double the duration.
+const MAX_EJECTION_DOUBLINGS: i32 = 2;
+/// The duration is drawn from this part of it ...
+const EJECTION_JITTER_MIN: f64 = 0.75;
+/// ... over a range of this part, so that proxies do not check an endpoint's health in step.
+const EJECTION_JITTER_RANGE: f64 = 0.5;
+/// An overloaded endpoint gets nothing for so long, s.
+const OVERLOADED_PAUSE_S: f64 = BASE_EJECTION_S / 2.0;
+/// Health checks that have to pass before an ejected endpoint is readmitted.
+const HEALTH_CHECKS_TO_PASS: u32 = 3;
+/// A response counts as no quicker than this, s.
+const MIN_LATENCY_S: f64 = 1e-6;
+
+/// What the end of an attempt says of its endpoint.
+enum Evidence {
+    /// It served the request.
+    Served,
+    /// It responds, but has no capacity.
+    Overloaded,
+    /// It responded with an error, or one connection broke while others work: several of these eject it.
+    Error,
+    /// It cannot be reached or does not respond: one of these ejects it.
+    Failure,
+    /// Nothing.
+    None,
+}
+
+impl Evidence {
+    /// `alive_within`: an endpoint that responded so recently is alive.
+    fn of(
+        outcome: Outcome,
+        record: &EndpointRecord,
+        now: Time,
+        sent_at: Time,
+        alive_within: Micros,
+    ) -> Evidence {
+        let is_alive = now < record.last_response_at + alive_within;
+        match outcome {
+            Outcome::Ok => Evidence::Served,
+            Outcome::Overloaded => Evidence::Overloaded,
+            Outcome::Cancelled | Outcome::NotSent => Evidence::None,
+            Outcome::Error => Evidence::Error,
+            // One heavy request: other responses came back meanwhile.
+            Outcome::TimedOut if record.last_response_at >= sent_at => Evidence::None,
+            Outcome::Reset | Outcome::ConnectFailed if is_alive => Evidence::Error,
+            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Evidence::Failure,
+        }
+    }
+}
+
+impl EndpointRecord {
+    /// It served an attempt that was sent at `sent_at`; returns whether that readmits it after an ejection.
+    fn record_served(&mut self, now: Time, sent_at: Time) -> bool {
+        self.last_response_at = now;
+        self.error_share *= 1.0 - ERROR_SHARE_STEP;
+        self.health_checks_passed += 1;
+        if !self.is_ejected() {
+            self.consecutive_ejections = 0;
+            return false;
+        }
+        if self.health_checks_passed >= HEALTH_CHECKS_TO_PASS {
+            self.end_ejection();
+            self.error_share = 0.0;
+            return true;
+        }
+        // It responds to what was sent before its peers' verdicts came: they are cut off from it.
+        let on_peer_verdicts_at = self.faults().ejected_on_peer_verdicts_at;
+        if on_peer_verdicts_at.is_some_and(|ejected_at| sent_at <= ejected_at) {
+            self.end_ejection();
+        }
+        false
+    }
+
+    /// An error of its own, or one broken connection; returns whether that ejects it.
+    fn record_error(&mut self, ejection_error_share: f64) -> bool {
+        self.error_share += (1.0 - self.error_share) * ERROR_SHARE_STEP;
+        self.error_share > ejection_error_share || self.is_ejected()
+    }
+
+    /// This proxy found it failing; returns for how long that ejects it, unless it is ejected already. `base` is the
+    /// duration without earlier ejections, in seconds.
+    fn record_failure(&mut self, now: Time, base_s: f64) -> Option<Micros> {
+        let earlier = self.consecutive_ejections;
+        let faults = self.faults_mut();
+        faults.last_failure_at = now;
+        if faults.ejected_until.is_some_and(|until| now < until) {
+            return None;
+        }
+        let doublings = f64::from(earlier.min(MAX_EJECTION_DOUBLINGS));
+        let duration = Micros::from_secs_f64(base_s * doublings.exp2());
+        faults.ejected_until = Some(now + duration);
+        faults.ejected_on_peer_verdicts_at = None;
+        self.consecutive_ejections = earlier + 1;
+        self.health_checks_passed = 0;
+        Some(duration)
+    }
+
+    /// Readmits it.
+    pub(super) fn end_ejection(&mut self) {
+        let faults = self.faults_mut();
+        faults.ejected_until = None;
+        faults.ejected_on_peer_verdicts_at = None;
+    }
+}
+
+/// Whether the attempt was answered, as far as its zone as a whole is concerned; `None` where that says nothing. A zone
+/// that is cut off may still answer some attempts.
+fn was_answered(outcome: Outcome, is_overdue: bool) -> Option<bool> {
+    match outcome {
+        Outcome::Ok => Some(true),
+        Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Some(false),
+        Outcome::Cancelled if is_overdue => Some(false),
+        _ => None,
+    }
+}
+
+/// Whether the outcome counts for the fleet's error share.
+fn is_error_sample(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
+    )
+}
 
 impl Balancer {
-    /// What an outcome says of the backend, its kind and its class.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
+    /// Learns from the end of an attempt what it says of the endpoint, its hardware class, its zone and the request class.
     pub(super) fn learn(
         &mut self,
         now: Time,
         id: BackendId,
         class: usize,
-        sent: Time,
+        sent_at: Time,
         end: &AttemptEnd,
     ) {
-        if matches!(
-            end.outcome,
-            Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
-        ) {
-            self.errors
-                .add(f64::from(end.outcome != Outcome::Ok), KIND_SAMPLES);
+        if is_error_sample(end.outcome) {
+            let is_error = end.outcome != Outcome::Ok;
+            self.errors.add(f64::from(is_error), KIND_SAMPLES);
         }
-        let (limit, alive) = (
-            ERROR_LIMIT + STAND_OUT * self.errors.value,
-            self.usual(class).mul_f64(ALIVE),
-        );
-        let long = end.latency > self.usual(class).mul_f64(SILENT_AFTER);
-        let was_tight = !self.quick(class);
-        let Some(p) = self.backends.get_mut(id) else {
+        let expected_latency = self.usual(class);
+        let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        // A zone that is cut off may answer some: what it leaves unanswered counts for the zone as a whole.
-        let unanswered = match end.outcome {
-            Outcome::Ok => Some(0.0),
-            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Some(1.0),
-            Outcome::Cancelled if long => Some(1.0),
-            _ => None,
-        };
-        let zone = unanswered.filter(|_| self.cfg.zone_failover.is_some());
-        zone.into_iter().for_each(|f| {
-            self.zones
-                .entry(p.entry.zone)
-                .or_default()
-                .unanswered_share
-                .add(f, QUICK_SAMPLES);
-        });
-        p.in_flight = p.in_flight.saturating_sub(1);
-        match end.outcome {
-            Outcome::Ok => {
-                // Served requests only: errors, time-outs and refusals stay out of the speeds.
-                let secs = end.latency.as_secs_f64().max(1e-6);
-                self.classes[class].latency.add(secs, KIND_SAMPLES);
-                self.overall.add(secs, KIND_SAMPLES);
-                let plain = secs * self.overall.value / self.classes[class].latency.value;
-                let k = self.kinds.entry(p.entry.kind).or_default();
-                k.latency.add(plain, KIND_SAMPLES);
-                k.served_per_endpoint
-                    .add(now, 1.0 / k.ready_endpoints.max(1.0));
-                k.recent_latency.add(plain, QUICK_SAMPLES);
-                p.last_response_at = now;
-                p.error_share *= 1.0 - ERROR_STEP;
-                p.health_checks_passed += 1;
-                if p.ejected_until.is_none() {
-                    p.consecutive_ejections = 0;
-                } else if p.health_checks_passed >= TRIALS {
-                    (
-                        p.ejected_until,
-                        p.ejected_on_peer_verdicts_at,
-                        p.error_share,
-                    ) = (None, None, 0.0);
-                    self.actions.push(Action::PublishVerdict {
-                        backend: id,
-                        verdict: Verdict::Readmitted,
-                    });
-                    self.log(now, format!("backend {} is back", id.0));
-                } else if p
-                    .ejected_on_peer_verdicts_at
-                    .is_some_and(|since| sent <= since)
-                {
-                    // It answers what it was sent before the others' word came: they are cut off from it.
-                    (p.ejected_until, p.ejected_on_peer_verdicts_at) = (None, None);
-                }
-            }
-            // A full backend answers, and is left alone for a moment: busy is not ill.
-            Outcome::Overloaded => {
-                p.overloaded_until = now + Micros::from_secs_f64(EJECT_TERM / 2.0);
-            }
-            Outcome::Cancelled | Outcome::NotSent => {}
-            // A heavy request alone is no illness: other answers came back meanwhile.
-            Outcome::TimedOut if p.last_response_at >= sent => {}
-            // A break while answers come is one connection's end, not the process's: like an error it takes
-            // more of them.
-            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
-                if end.outcome == Outcome::Error || now < p.last_response_at + alive =>
-            {
-                if end.outcome == Outcome::Error {
-                    p.last_response_at = now;
-                }
-                p.error_share += (1.0 - p.error_share) * ERROR_STEP;
-                if p.error_share > limit || p.ejected_until.is_some() {
-                    self.eject(now, id, end.outcome);
-                }
-            }
-            _ => self.eject(now, id, end.outcome),
+        record.in_flight = record.in_flight.saturating_sub(1);
+        let alive_within = expected_latency.mul_f64(ALIVE_LATENCY_MULTIPLE);
+        let evidence = Evidence::of(end.outcome, record, now, sent_at, alive_within);
+        let zone = record.entry.zone;
+        let is_overdue = end.latency > expected_latency.mul_f64(SILENT_AFTER);
+        let answered = was_answered(end.outcome, is_overdue);
+        if let Some(answered) = answered.filter(|_| self.cfg.zone_failover.is_some()) {
+            self.zones.entry(zone).or_default().record_attempt(answered);
         }
-        if self.classes[class].live {
-            self.tight = self.tight + usize::from(!self.quick(class)) - usize::from(was_tight);
+        match evidence {
+            Evidence::Served => self.record_served(now, id, class, sent_at, end.latency),
+            Evidence::Overloaded => {
+                let pause = Micros::from_secs_f64(OVERLOADED_PAUSE_S);
+                record.faults_mut().overloaded_until = now + pause;
+            }
+            Evidence::Error => self.record_error(now, id, end.outcome),
+            Evidence::Failure => self.eject(now, id, end.outcome),
+            Evidence::None => {}
         }
     }
 
-    pub(super) fn eject(&mut self, now: Time, id: BackendId, why: Outcome) {
-        let term = EJECT_TERM * (0.75 + 0.5 * self.dice.unit());
-        let Some(p) = self.backends.get_mut(id) else {
+    fn record_served(
+        &mut self,
+        now: Time,
+        id: BackendId,
+        class: usize,
+        sent_at: Time,
+        latency: Micros,
+    ) {
+        let latency_s = latency.as_secs_f64().max(MIN_LATENCY_S);
+        self.record_latency(class, latency_s);
+        let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        p.last_failure_at = now;
-        if p.ejected_until.is_none_or(|until| now >= until) {
-            let term =
-                Micros::from_secs_f64(term * f64::from(p.consecutive_ejections.min(2)).exp2());
-            (p.ejected_until, p.ejected_on_peer_verdicts_at) = (Some(now + term), None);
-            (p.consecutive_ejections, p.health_checks_passed) = (p.consecutive_ejections + 1, 0);
-            let strikes = p.consecutive_ejections.clamp(0, 255) as u8;
-            self.backends.suspend(id);
+        let mix_corrected_s = latency_s * self.overall.value / self.classes[class].latency.value;
+        self.kinds
+            .entry(record.entry.kind)
+            .or_default()
+            .record_served(now, mix_corrected_s);
+        if record.record_served(now, sent_at) {
             self.actions.push(Action::PublishVerdict {
                 backend: id,
-                verdict: Verdict::Ejected {
-                    duration: term,
-                    consecutive_ejections: strikes,
-                },
+                verdict: Verdict::Readmitted,
             });
-            self.look_at = now;
-            self.log(now, format!("backend {} ejected: {why:?}", id.0));
+            self.log(now, format!("backend {} readmitted", id.0));
         }
     }
+
+    /// A request of the class was served after `latency_s` seconds.
+    fn record_latency(&mut self, class: usize, latency_s: f64) {
+        let was_tight = !self.quick(class);
+        self.classes[class].latency.add(latency_s, KIND_SAMPLES);
+        self.overall.add(latency_s, KIND_SAMPLES);
+        if self.classes[class].live {
+            self.tight = self.tight + usize::from(!self.quick(class)) - usize::from(was_tight);
+        }
+    }
+
+    fn record_error(&mut self, now: Time, id: BackendId, outcome: Outcome) {
+        let ejection_error_share = EJECTION_ERROR_SHARE + FLEET_ERROR_MULTIPLE * self.errors.value;
+        let Some(record) = self.backends.get_mut(id) else {
+            return;
+        };
+        if outcome == Outcome::Error {
+            record.last_response_at = now;
+        }
+        if record.record_error(ejection_error_share) {
+            self.eject(now, id, outcome);
+        }
+    }
+
+    /// Ejects an endpoint that this proxy found failing, and announces it to the peers.
+    fn eject(&mut self, now: Time, id: BackendId, outcome: Outcome) {
+        let jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.dice.unit();
+        let Some(record) = self.backends.get_mut(id) else {
+            return;
+        };
+        let Some(duration) = record.record_failure(now, BASE_EJECTION_S * jitter) else {
+            return;
+        };
+        let consecutive_ejections = record.consecutive_ejections.clamp(0, 255) as u8;
+        self.backends.suspend(id);
+        self.actions.push(Action::PublishVerdict {
+            backend: id,
+            verdict: Verdict::Ejected {
+                duration,
+                consecutive_ejections,
+            },
+        });
+        self.look_at = now;
+        self.log(now, format!("backend {} ejected: {outcome:?}", id.0));
+    }
 }
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -1,70 +1,147 @@
-//! Other proxies' verdicts on backends as evidence.
+//! Peer verdicts: what other proxies found out about an endpoint counts as evidence, unless this proxy knows better from
+//! a response or a failure since.
 
-use super::{Balancer, Micros, PeerVerdict, Time, Verdict, EJECT_TERM};
+use super::endpoints::{EndpointRecord, LatestPeerVerdict, PeerEjection};
+use super::outlier_detection::BASE_EJECTION_S;
+use super::Balancer;
+use crate::interface::{Micros, PeerVerdict, Time, Verdict};
 
-/// Proxies whose word takes a backend out here: one may be on a broken link of its own, two rarely are.
-pub(super) const WORDS: u32 = 2;
+/// Peers whose verdicts eject an endpoint here: one may have a broken link of its own, two rarely do.
+const EJECTING_PEERS: u32 = 2;
+
+/// An ejection that a peer announced.
+struct AnnouncedEjection {
+    given_at: Time,
+    duration: Micros,
+    consecutive_ejections: i32,
+}
+
+impl EndpointRecord {
+    /// Forgets verdicts that are too old, and the one of the peer that now gives another.
+    fn forget_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
+        self.faults_mut().peer_ejections.retain(|ejection| {
+            Some(ejection.peer) != verdict.origin && now - ejection.at <= verdict.max_age
+        });
+    }
+
+    /// A peer readmitted it; returns whether that readmits it here.
+    fn readmit_on_peer_verdict(&mut self, given_at: Time) -> bool {
+        if !self.is_ejected() || given_at <= self.faults().last_failure_at {
+            return false;
+        }
+        self.end_ejection();
+        self.error_share = 0.0;
+        self.consecutive_ejections = 0;
+        self.faults_mut().peer_ejections.clear();
+        true
+    }
+
+    /// Keeps a peer's ejection. Health checks go round: with the newest verdict, which names to each proxy its turn, one
+    /// proxy's turn comes at the end of the ejection and the next one's a first ejection's duration later. So the result
+    /// of one reaches the others first, and no proxy with a broken link keeps an endpoint out for long.
+    fn keep_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
+        let given_at = ejection.given_at;
+        let faults = self.faults_mut();
+        if let Some(peer) = verdict.origin {
+            faults
+                .peer_ejections
+                .push(PeerEjection { peer, at: given_at });
+        }
+        if given_at >= faults.latest_peer_verdict.at {
+            let turn_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
+            let turn = Micros::from_secs_f64(turn_s).min(verdict.max_age);
+            faults.latest_peer_verdict = LatestPeerVerdict {
+                at: given_at,
+                health_check_at: given_at + ejection.duration + turn,
+            };
+        }
+    }
+
+    /// Ejects it if enough peers did; for one that is ejected it follows the peers' term. Returns whether it is ejected
+    /// only now.
+    fn eject_on_peer_verdicts(
+        &mut self,
+        now: Time,
+        verdict: &PeerVerdict,
+        ejection: &AnnouncedEjection,
+    ) -> bool {
+        let was_ejected = self.is_ejected();
+        let earlier = self.consecutive_ejections;
+        let faults = self.faults_mut();
+        let ejecting_peers = EJECTING_PEERS.min(verdict.live_peers) as usize;
+        if was_ejected {
+            faults.ejected_until = Some(faults.latest_peer_verdict.health_check_at);
+            self.consecutive_ejections = earlier.max(ejection.consecutive_ejections);
+            return false;
+        }
+        if faults.peer_ejections.len() < ejecting_peers {
+            return false;
+        }
+        faults.ejected_until = Some(faults.latest_peer_verdict.health_check_at);
+        faults.ejected_on_peer_verdicts_at = Some(now);
+        self.consecutive_ejections = ejection.consecutive_ejections;
+        self.health_checks_passed = 0;
+        true
+    }
+}
 
 impl Balancer {
-    /// A verdict of the fleet's, unless this proxy knows better from an answer or a failure since. Trials of
-    /// what is out go round: after each verdict one proxy's turn comes at the end of its term, the next's a
-    /// first term later, so that one's word reaches the others first, and no broken link holds it for long.
-    pub(super) fn heard(&mut self, now: Time, word: &PeerVerdict) {
-        let (born, id) = (now - word.age, word.backend);
-        let Some(p) = self
-            .backends
-            .get_mut(id)
-            .filter(|_| word.age <= word.max_age)
-        else {
+    /// A peer announced a verdict.
+    pub(super) fn apply_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict) {
+        if verdict.age > verdict.max_age {
+            return;
+        }
+        let given_at = now - verdict.age;
+        let Some(record) = self.backends.get_mut(verdict.backend) else {
             return;
         };
-        p.peer_ejections
-            .retain(|h| Some(h.0) != word.origin && now - h.1 <= word.max_age);
-        let Verdict::Ejected {
-            duration: term,
-            consecutive_ejections: strikes,
-        } = word.verdict
-        else {
-            if p.ejected_until.is_some() && born > p.last_failure_at {
-                (
-                    p.ejected_until,
-                    p.ejected_on_peer_verdicts_at,
-                    p.error_share,
-                    p.consecutive_ejections,
-                ) = (None, None, 0.0, 0);
-                p.peer_ejections.clear();
-                self.solve_at = now;
-                self.log(now, format!("backend {} is back, as a peer says", id.0));
+        record.forget_peer_ejections(now, verdict);
+        match verdict.verdict {
+            Verdict::Readmitted => self.readmit_on_peer_verdict(now, verdict, given_at),
+            Verdict::Ejected {
+                duration,
+                consecutive_ejections,
+            } => {
+                let ejection = AnnouncedEjection {
+                    given_at,
+                    duration,
+                    consecutive_ejections: i32::from(consecutive_ejections),
+                };
+                self.eject_on_peer_verdict(now, verdict, &ejection);
             }
+        }
+    }
+
+    fn readmit_on_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict, given_at: Time) {
+        let id = verdict.backend;
+        let record = self.backends.get_mut(id);
+        if record.is_some_and(|record| record.readmit_on_peer_verdict(given_at)) {
+            self.solve_at = now;
+            self.log(now, format!("backend {} readmitted by a peer", id.0));
+        }
+    }
+
+    fn eject_on_peer_verdict(
+        &mut self,
+        now: Time,
+        verdict: &PeerVerdict,
+        ejection: &AnnouncedEjection,
+    ) {
+        let id = verdict.backend;
+        let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        if born < p.last_response_at.max(p.last_failure_at) {
+        if ejection.given_at < record.last_response_at.max(record.faults().last_failure_at) {
             return;
         }
-        p.peer_ejections
-            .extend(word.origin.map(|origin| (origin, born)));
-        if born >= p.latest_peer_verdict.0 {
-            let defer = Micros::from_secs_f64(EJECT_TERM * f64::from(word.health_check_turn))
-                .min(word.max_age);
-            p.latest_peer_verdict = (born, born + term + defer); // the newest verdict says to all whose turn it is
-        }
-        if p.ejected_until.is_some() {
-            (p.ejected_until, p.consecutive_ejections) = (
-                Some(p.latest_peer_verdict.1),
-                p.consecutive_ejections.max(i32::from(strikes)),
-            );
-        } else if p.peer_ejections.len() >= WORDS.min(word.live_peers) as usize {
-            (
-                p.ejected_until,
-                p.ejected_on_peer_verdicts_at,
-                p.consecutive_ejections,
-            ) = (Some(p.latest_peer_verdict.1), Some(now), i32::from(strikes));
-            (p.health_checks_passed, self.look_at) = (0, now);
-            let words = p.peer_ejections.len();
+        record.keep_peer_ejection(verdict, ejection);
+        if record.eject_on_peer_verdicts(now, verdict, ejection) {
+            let peers = record.faults().peer_ejections.len();
+            self.look_at = now;
             self.backends.suspend(id);
             self.log(
                 now,
-                format!("backend {} ejected on the word of {words} peers", id.0),
+                format!("backend {} ejected on the verdicts of {peers} peers", id.0),
             );
         }
     }
--- /dev/null
+++ b/src/balancer/random.rs
@@ -0,0 +1,56 @@
+//! The random numbers of the decisions: the same sequence on every machine for the same seed.
+
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+
+/// The number of values of a `u32`.
+const U32_VALUES: f64 = 4_294_967_296.0;
+
+/// A seeded source of random numbers.
+pub(super) struct RandomSource(Pcg32);
+
+/// An item of a weighted draw.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Weighted<T> {
+    pub item: T,
+    pub weight: f64,
+}
+
+impl RandomSource {
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(Pcg32::seed_from_u64(seed))
+    }
+
+    /// Uniform from 0 up to, but without, 1.
+    pub fn unit(&mut self) -> f64 {
+        f64::from(self.0.next_u32()) / U32_VALUES
+    }
+
+    /// One of the items, with a probability in proportion to its weight; the last one where all weigh nothing.
+    pub fn choose<T: Copy>(&mut self, items: &[Weighted<T>]) -> Option<T> {
+        let total: f64 = items.iter().map(|entry| entry.weight).sum();
+        let mut remaining = self.unit() * total;
+        let mut is_drawn = |entry: &&Weighted<T>| {
+            remaining -= entry.weight;
+            remaining < 0.0
+        };
+        items
+            .iter()
+            .find(&mut is_drawn)
+            .or(items.last())
+            .map(|entry| entry.item)
+    }
+
+    /// The index of one of the weights, with a probability in proportion to it; never one of a weight of 0.
+    pub fn choose_index(&mut self, weights: &[f64]) -> Option<usize> {
+        let mut remaining = self.unit() * weights.iter().sum::<f64>();
+        let mut is_drawn = |weight: &f64| {
+            remaining -= weight;
+            remaining < 0.0
+        };
+        weights
+            .iter()
+            .position(&mut is_drawn)
+            .or_else(|| weights.iter().rposition(|weight| *weight > 0.0))
+    }
+}
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,34 +1,10 @@
 //! The draw of a backend for a request.
 
 use super::{
-    Attempt, BTreeMap, BackendId, Balancer, EndpointLoad, EndpointRecord, Idempotency, KeyScope,
-    PendingRequest, Time, LOW,
+    Attempt, BTreeMap, BackendId, Balancer, EndpointRecord, Idempotency, KeyScope, PendingRequest,
+    Time, Weighted, LOW,
 };
 
-/// Whether it may hold one more, of half of its room or all.
-pub(super) fn fits(l: &EndpointLoad, half: bool) -> bool {
-    let room = if half {
-        (l.capacity / 2.0).ceil()
-    } else {
-        l.capacity
-    };
-    l.available && !l.silent && l.readiness > 0.0 && f64::from(l.in_flight) < room
-}
-
-/// What a backend weighs in a draw: its slice, and for the rest a last resort.
-pub(super) fn weight(slice: f64, pull: f64) -> f64 {
-    slice + pull * 1e-6
-}
-
-/// The attempts on it that crowd the others: what is out where it is in use.
-pub(super) fn crowding(l: &EndpointLoad) -> u32 {
-    if l.readiness > 0.0 && !l.silent {
-        l.in_flight
-    } else {
-        0
-    }
-}
-
 impl Balancer {
     /// A backend for the request: kind by share, backend inside it by readiness, both at random.
     #[expect(
@@ -41,16 +17,17 @@
         self.backends.refresh(now, &self.cfg);
         let mut sure = BTreeMap::new();
         let mut cold = |at: usize| {
-            self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].rotation_offset)
+            self.remaining_warm_up_budget(now, at, &mut sure)
+                < work * (1.0 - self.backends.loads[at].rotation_offset)
         };
         if r.sent.is_empty() && (effect == Idempotency::Idempotent || self.free == 0) {
             // Its term is over: one request at a time that may fail without harm tries it.
             let mut tries = |at: usize| {
                 let (p, l) = (self.backends.record_at(at), &self.backends.loads[at]);
-                let over = p.ejected_until.is_some_and(|until| now >= until)
+                let over = p.faults().ejected_until.is_some_and(|until| now >= until)
                     && l.readiness == 0.0
                     && p.in_flight == 0;
-                over && l.available && !p.silent && now >= p.overloaded_until && !cold(at)
+                over && l.available && !p.silent && now >= p.faults().overloaded_until && !cold(at)
             };
             if let Some(at) = self.backends.ejected.iter().find(|at| tries(**at as usize)) {
                 return Some(self.backends.id(*at as usize));
@@ -60,15 +37,15 @@
         // more of any request has its weight; the rest is as time, its worth and its past attempts say.
         let mut weights: Vec<(usize, f64)> = Vec::new();
         for at in self.backends.restricted.iter().map(|at| *at as usize) {
-            let may = now >= self.backends.record_at(at).overloaded_until
-                && self.backends.fits(at, low)
+            let may = now >= self.backends.record_at(at).faults().overloaded_until
+                && self.backends.has_capacity(at, low)
                 && !cold(at);
             weights.push((at, if may { self.backends.weight(at) } else { 0.0 }));
         }
         if low {
             let busy = self.backends.with_in_flight.iter().map(|at| *at as usize);
             weights.extend(
-                busy.filter(|at| !self.backends.fits(*at, true))
+                busy.filter(|at| !self.backends.has_capacity(*at, true))
                     .map(|at| (at, 0.0)),
             );
         }
@@ -103,9 +80,14 @@
         weights
             .into_iter()
             .for_each(|(at, weight)| self.backends.override_weight(at, weight));
-        let pull = |(group, kind)| Some((group, self.kinds.get(&kind)?.proxy_share));
-        let kinds: Vec<(usize, f64)> = self.backends.drawable_kinds().filter_map(pull).collect();
-        let kind = self.dice.pick(&kinds)?;
+        let pull = |(group, kind)| {
+            Some(Weighted {
+                item: group,
+                weight: self.kinds.get(&kind)?.proxy_share,
+            })
+        };
+        let kinds: Vec<Weighted<usize>> = self.backends.drawable_kinds().filter_map(pull).collect();
+        let kind = self.dice.choose(&kinds)?;
         self.backends.draw(kind, &mut self.dice)
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,83 +1,146 @@
-//! EndpointTable that warm up: their readiness and the budget of work that they may be sent.
+//! Slow start: the readiness of an endpoint that warms up, and the budget of work that it may be sent so that it is not
+//! overloaded while it is cold.
 
-use super::{BTreeMap, Balancer, Config, EndpointRecord, HardwareClass, KindId, Time};
+use super::hardware_class::HardwareClass;
+use super::Balancer;
+use crate::interface::{Config, KindId, Micros, Time};
+use std::collections::BTreeMap;
 
-/// Part of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
-pub(super) const FALL_MARGIN: f64 = 0.8;
+/// The part of its warm-up budget that a proxy uses: the rest is for skew between proxies and for heavy requests.
+const BUDGET_MARGIN: f64 = 0.8;
+/// A span counts as at least this long where something is divided by it, s.
+const MIN_SPAN_S: f64 = 1e-6;
 
-/// The part of its capacity that a backend has at least.
-pub(super) fn warmth(cfg: &Config, now: Time, p: &EndpointRecord) -> f64 {
-    let age = p
-        .entry
-        .started_at
-        .max(p.enabled_at)
-        .map_or(f64::MAX, |boot| {
-            (now - boot).as_secs_f64() / cfg.slow_start.as_secs_f64().max(1e-6)
+/// The ramp of an endpoint, or of a whole zone, that starts cold.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SlowStart {
+    pub duration: Micros,
+    /// Readiness at the start, from 0 to 1.
+    pub min_readiness: f64,
+}
+
+impl SlowStart {
+    pub fn new(cfg: &Config) -> SlowStart {
+        SlowStart {
+            duration: cfg.slow_start,
+            min_readiness: cfg.slow_start_min_readiness,
+        }
+    }
+
+    /// The part of its capacity that an endpoint has at least, given when its slow start began; `None` means long ago.
+    pub fn readiness(&self, now: Time, began_at: Option<Time>) -> f64 {
+        let elapsed_part = began_at.map_or(f64::MAX, |began_at| {
+            (now - began_at).as_secs_f64() / self.duration.as_secs_f64().max(MIN_SPAN_S)
         });
-    from_cold(cfg, age)
+        self.ramp(elapsed_part)
+    }
+
+    /// Readiness after `elapsed_part` of a ramp: it grows evenly, up to 1 at its end and after.
+    pub fn ramp(&self, elapsed_part: f64) -> f64 {
+        self.min_readiness + (1.0 - self.min_readiness) * elapsed_part.min(1.0)
+    }
+}
+
+/// What a proxy may send to an endpoint in slow start within one overload window.
+#[derive(Clone, Copy, Debug)]
+struct WarmUpBudget {
+    /// The multiple of its present capacity at which an endpoint in slow start fails.
+    overload_multiple: f64,
+    overload_window: Micros,
+    /// Readiness when the window began, from 0 to 1.
+    readiness: f64,
+    /// Requests of mean work a second that the endpoint serves for certain once warm.
+    proven_capacity_per_s: f64,
+    /// For how long this process has run, in overload windows: what a process before it sent falls out of the window
+    /// evenly.
+    uptime_windows: f64,
+    /// This proxy's part of what all proxies send the endpoint.
+    proxy_share: f64,
+    /// Processes that share the budget of this proxy during a hot restart.
+    processes: u32,
 }
 
-/// Readiness after `part` of a ramp: from `cold_from` at its start to 1 at its end and after.
-pub(super) fn from_cold(cfg: &Config, part: f64) -> f64 {
-    cfg.slow_start_min_readiness + (1.0 - cfg.slow_start_min_readiness) * part.min(1.0)
+impl WarmUpBudget {
+    /// The work that may be sent within the window, in requests of mean work.
+    fn work(&self) -> f64 {
+        let fleet_work = self.overload_multiple
+            * self.readiness
+            * self.proven_capacity_per_s
+            * self.overload_window.as_secs_f64();
+        // One request of all proxies together is always allowed: else a process that starts among endpoints that are all
+        // in slow start would reject its first requests.
+        let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
+        fleet_work * self.proxy_share / f64::from(self.processes)
+    }
 }
 
 impl Balancer {
-    /// Work that this proxy may still send to a cold backend inside the present fall window: its part of what
-    /// all may, as those do not send there in whose slice the backend is not.
-    pub(super) fn budget(&self, now: Time, at: usize, sure: &mut BTreeMap<KindId, f64>) -> f64 {
-        let p = self.backends.record_at(at);
-        let warmth = warmth(&self.cfg, now - self.cfg.overload_window, p); // as the window began
-        if warmth >= 1.0 {
+    /// Work that this proxy may still send to an endpoint within the present overload window; unlimited for a warm one.
+    /// `proven_capacity` caches [`Balancer::proven_capacity_per_s`].
+    pub(super) fn remaining_warm_up_budget(
+        &self,
+        now: Time,
+        at: usize,
+        proven_capacity: &mut BTreeMap<KindId, f64>,
+    ) -> f64 {
+        let record = self.backends.record_at(at);
+        let overload_window = self.cfg.overload_window;
+        let window_began_at = now - overload_window;
+        let readiness =
+            SlowStart::new(&self.cfg).readiness(window_began_at, record.slow_start_began_at());
+        if readiness >= 1.0 {
             return f64::MAX;
         }
-        let speed = *sure
-            .entry(p.entry.kind)
-            .or_insert_with(|| self.sure(p.entry.kind));
-        let spent: f64 = p
-            .recent_work
-            .iter()
-            .filter(|s| now - s.0 < self.cfg.overload_window)
-            .map(|s| s.1)
-            .sum();
-        let all =
-            self.cfg.overload_multiple * warmth * speed * self.cfg.overload_window.as_secs_f64();
-        let before = if now < self.beside.2 {
-            self.beside.1
-        } else {
-            1
+        let kind = record.entry.kind;
+        let proven_capacity_per_s = *proven_capacity
+            .entry(kind)
+            .or_insert_with(|| self.proven_capacity_per_s(kind));
+        let budget = WarmUpBudget {
+            overload_multiple: self.cfg.overload_multiple,
+            overload_window,
+            readiness,
+            proven_capacity_per_s,
+            uptime_windows: self.uptime_windows(now),
+            proxy_share: self.backends.loads[at].proxy_share,
+            processes: self.processes_sharing_budgets(now),
         };
-        // What a process before this one had sent weighs still, and falls out of the window evenly.
-        let own = self.born.map_or(0.0, |born| {
-            (now - born).as_secs_f64() / self.cfg.overload_window.as_secs_f64().max(1e-6)
-        });
-        // One request of all proxies together is chance, however little that is. Else a process that begins
-        // among cold backends alone would refuse its first ones.
-        let all = (all * FALL_MARGIN * own.min(1.0)).max(1.0);
-        all * self.backends.loads[at].proxy_share / f64::from(self.beside.0.max(before)) - spent
+        budget.work() - record.work_within(now, overload_window)
     }
 
-    /// Requests of mean work a second that a warm backend of the kind surely serves. As the speed in `solve`,
-    /// but by what is carried there: in a flood what is asked of it is more than it can do.
-    pub(super) fn sure(&self, kind: KindId) -> f64 {
-        let proxies = f64::from(self.cfg.proxy_count);
-        let known = |k: &HardwareClass| {
-            let carried = k.served_per_endpoint.per_s().unwrap_or(0.0) * proxies;
-            // One over a mean of few samples lies above 1/T: by one in their number, scattered as work is.
-            let t = k.latency.get().map(|t| t * (1.0 + 1.0 / k.latency.count));
-            // Against few ready backends the sum overshoots; twice the bare 1/T is sure.
-            t.map(|t| (1.0 / t + carried).min(2.0 / t).max(carried))
-        };
-        self.kinds.get(&kind).and_then(known).unwrap_or_else(|| {
-            // Nothing answered: as the slowest that did, or else one core at what is taken for usual.
-            let slowest = self.kinds.values().filter_map(known).reduce(f64::min);
-            let least = self
-                .live()
-                .map(|(n, _)| self.usual(n))
-                .min()
-                .unwrap_or_default();
-            let fair = self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
-            fair.min(slowest.unwrap_or(1.0 / least.as_secs_f64()))
+    /// For how long this process has run, in overload windows.
+    fn uptime_windows(&self, now: Time) -> f64 {
+        let window_s = self.cfg.overload_window.as_secs_f64().max(MIN_SPAN_S);
+        self.born.map_or(0.0, |started_at| {
+            (now - started_at).as_secs_f64() / window_s
         })
     }
+
+    /// Processes among which this proxy's budgets are divided: no fewer than before within the overload window.
+    fn processes_sharing_budgets(&self, now: Time) -> u32 {
+        let (current, previous, previous_counts_until) = self.beside;
+        if now < previous_counts_until {
+            current.max(previous)
+        } else {
+            current.max(1)
+        }
+    }
+
+    /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response is
+    /// taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a class.
+    fn proven_capacity_per_s(&self, kind: KindId) -> f64 {
+        let proxies = f64::from(self.cfg.proxy_count);
+        let proven = |class: &HardwareClass| class.proven_capacity_per_s(proxies);
+        if let Some(capacity_per_s) = self.kinds.get(&kind).and_then(proven) {
+            return capacity_per_s;
+        }
+        let slowest = self.kinds.values().filter_map(proven).reduce(f64::min);
+        let shortest_latency = self
+            .live()
+            .map(|(class, _)| self.usual(class))
+            .min()
+            .unwrap_or_default();
+        let even_share_per_s =
+            self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
+        even_share_per_s.min(slowest.unwrap_or(1.0 / shortest_latency.as_secs_f64()))
+    }
 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,107 +1,233 @@
-//! Each proxy's subset of the endpoints, and the capacity it may use there.
+//! Each proxy's subset of the endpoints, and the capacity that it may use there.
 
-use super::{spill, BTreeMap, Balancer, ClassGroup, EndpointLoad, ZoneId, HOLD};
+use super::concurrency_limit::MIN_CONCURRENCY_LIMIT;
+use super::endpoints::{EndpointGroup, EndpointLoad, EndpointTable, ProxyPosition};
+use super::hardware_class::HardwareClass;
+use super::locality::locality_weighted_shares;
+use super::Balancer;
+use crate::interface::{Config, KindId, ZoneId};
+use std::collections::BTreeMap;
 
-/// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
-/// only, as a backend takes few and each costs it. The load of so many still evens out, to a fifth of one's.
-pub(super) const SHARED_BY: f64 = 20.0;
+/// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The load
+/// that so many give still evens out, to a fifth of what one gives.
+const PROXIES_PER_ENDPOINT: f64 = 20.0;
+/// The part of an endpoint's capacity that goes by traffic; the rest is spread evenly over the proxies.
+const CAPACITY_BY_TRAFFIC: f64 = 0.5;
+/// The part of its readiness that an endpoint weighs at least, so that overflow finds it once all others are full.
+const OVERFLOW_PART: f64 = 1e-6;
+/// A sum counts as at least this where something is divided by it.
+const MIN_DIVISOR: f64 = 1e-9;
+/// Multiples of the golden ratio's fraction spread evenly, however many there are.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// A backend's place in the turns that the proxies take where a part is less than one: evenly from 0 to 1.
-pub(super) fn coin(mark: u64, position: u32, proxies: u32) -> f64 {
-    let turn = mark.wrapping_add(u64::from(position));
-    ((turn % u64::from(proxies)) as f64 + 0.5) / f64::from(proxies)
+/// What a hardware class contributes to the split over its endpoints.
+#[derive(Clone, Copy, Debug)]
+struct GroupSplit {
+    /// Its part of the traffic of all proxies.
+    traffic_share: f64,
+    /// Sum of the readiness of its endpoints.
+    ready_endpoints: f64,
+    /// Requests that all proxies together keep in flight at one endpoint.
+    concurrency_limit: f64,
+}
+
+impl GroupSplit {
+    fn of(class: Option<&HardwareClass>) -> GroupSplit {
+        class.map_or(
+            GroupSplit {
+                traffic_share: 0.0,
+                ready_endpoints: MIN_DIVISOR,
+                concurrency_limit: MIN_CONCURRENCY_LIMIT,
+            },
+            |class| GroupSplit {
+                traffic_share: class.traffic_share,
+                ready_endpoints: class.ready_endpoints.max(MIN_DIVISOR),
+                concurrency_limit: class.concurrency_limit.get().max(MIN_CONCURRENCY_LIMIT),
+            },
+        )
+    }
+
+    /// An endpoint's part of the traffic of all proxies.
+    fn fair_share(&self, load: &EndpointLoad) -> f64 {
+        self.traffic_share * load.readiness / self.ready_endpoints
+    }
+
+    /// An even part of an endpoint's capacity for each proxy.
+    fn even_capacity(&self, load: &EndpointLoad, proxies: f64) -> f64 {
+        self.concurrency_limit / proxies * load.readiness
+    }
+}
+
+/// What this proxy sends, as far as its subset depends on it.
+struct ProxyTraffic {
+    /// By group: the sum of its endpoints' traffic shares.
+    group_shares: Vec<f64>,
+    /// Endpoints that get traffic.
+    reached: u32,
+}
+
+/// An arc of the ring of a group's endpoints, which has length 1.
+#[derive(Clone, Copy, Debug)]
+struct Arc {
+    start: f64,
+    width: f64,
+}
+
+impl Arc {
+    /// The length of the part of the ring from `from` to `to` that the arc covers.
+    fn overlap(&self, from: f64, to: f64) -> f64 {
+        let inside = |start: f64| (to.min(start + self.width) - from.max(start)).max(0.0);
+        inside(self.start) + inside(self.start - 1.0)
+    }
+}
+
+/// Where a walk over the ring of a group's endpoints has come to.
+#[derive(Clone, Copy, Debug, Default)]
+struct RingWalk {
+    /// Sum of the traffic shares of the endpoints passed.
+    traffic_share: f64,
+    /// That sum as a part of the group's.
+    position: f64,
 }
 
 impl Balancer {
-    /// Each backend's part of this proxy's traffic: its kind's share by readiness. Where crossing zones costs
-    /// traffic stays near so far as all proxies together still give every backend the same part: a zone
-    /// whose backends are due less than its proxies bring sends its surplus to the zones due more.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
-    pub(super) fn allot(&mut self) {
-        let (proxies, backends) = (f64::from(self.cfg.proxy_count), &mut self.backends);
-        let kind = |g: &ClassGroup| {
-            self.kinds.get(&g.kind).map_or((0.0, 1e-9, HOLD), |k| {
-                (
-                    k.traffic_share,
-                    k.ready_endpoints.max(1e-9),
-                    k.concurrency_limit,
-                )
-            })
+    /// Assigns each endpoint its part of this proxy's traffic, its capacity for this proxy and its part of the subset.
+    ///
+    /// A kind's share is divided by readiness. Where traffic between zones costs, it stays near as far as all proxies
+    /// together still give every endpoint its fair share.
+    pub(super) fn update_subset(&mut self) {
+        let groups = self.backends.groups.iter();
+        let splits: Vec<GroupSplit> = groups
+            .map(|group| GroupSplit::of(self.kinds.get(&group.kind)))
+            .collect();
+        let fair_shares = zone_fair_shares(&self.backends, &splits, &self.cfg);
+        let biases = zone_biases(&self.backends, &fair_shares, &self.cfg);
+        self.backends.assign_rotation_offsets(ProxyPosition {
+            index: self.cfg.proxy_index,
+            count: self.cfg.proxy_count,
+        });
+        let proxies = f64::from(self.cfg.proxy_count);
+        let traffic = assign_traffic(&mut self.backends, &splits, &biases, proxies);
+        update_proxy_shares(
+            &mut self.kinds,
+            &self.backends.groups,
+            &traffic.group_shares,
+        );
+        let reached = f64::from(traffic.reached.max(1));
+        let width = PROXIES_PER_ENDPOINT / proxies * self.backends.len() as f64 / reached;
+        // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its share.
+        let arc = Arc {
+            start: (f64::from(self.cfg.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
+            width: width.min(1.0),
         };
-        let kinds: Vec<(f64, f64, f64)> = backends.groups.iter().map(kind).collect();
-        let part = |l: &EndpointLoad| {
-            kinds[l.group_index as usize].0 * l.readiness / kinds[l.group_index as usize].1
-        };
-        // A zone that is out brings its traffic all the same.
-        let mut sums = vec![self.cfg.zone_failover.map(|_| 0.0); backends.zones.len()];
-        for l in backends.loads.iter().filter(|l| l.readiness > 0.0) {
-            *sums[l.zone_index as usize].get_or_insert(0.0) += part(l);
+        assign_subset(&mut self.backends, &traffic.group_shares, arc, proxies);
+    }
+}
+
+/// The part of all traffic that the endpoints of each zone are to get. With zone failover a zone that is out of use has
+/// one too, as its clients bring traffic all the same.
+fn zone_fair_shares(
+    endpoints: &EndpointTable,
+    splits: &[GroupSplit],
+    cfg: &Config,
+) -> BTreeMap<ZoneId, f64> {
+    let mut shares = vec![cfg.zone_failover.map(|_| 0.0); endpoints.zones.len()];
+    for load in endpoints.loads.iter().filter(|load| load.readiness > 0.0) {
+        let fair_share = splits[load.group_index as usize].fair_share(load);
+        *shares[load.zone_index as usize].get_or_insert(0.0) += fair_share;
+    }
+    let zones = endpoints.zones.iter().zip(&shares);
+    zones
+        .filter_map(|(zone, share)| Some((*zone, (*share)?)))
+        .collect()
+}
+
+/// By zone: how many times its endpoints' fair share this proxy sends them.
+fn zone_biases(
+    endpoints: &EndpointTable,
+    fair_shares: &BTreeMap<ZoneId, f64>,
+    cfg: &Config,
+) -> Vec<f64> {
+    // With fewer proxies than zones some zone has none, and no proxy knows which: keeping traffic near would leave that
+    // zone's endpoints idle and fill the others.
+    let is_local = (cfg.cross_zone_cost > 0.0 || cfg.zone_failover.is_some())
+        && f64::from(cfg.proxy_count) >= fair_shares.len() as f64;
+    let local_shares = locality_weighted_shares(fair_shares, cfg.zone, &cfg.regions);
+    let bias = |zone: &ZoneId| {
+        let fair_share = fair_shares.get(zone).map(|share| share.max(MIN_DIVISOR));
+        let local_share = local_shares.get(zone).copied().unwrap_or(0.0);
+        match fair_share {
+            Some(fair_share) if is_local => local_share / fair_share,
+            _ => 1.0,
         }
-        let due = backends
-            .zones
-            .iter()
-            .zip(&sums)
-            .filter_map(|(z, due)| Some((*z, (*due)?)));
-        let due: BTreeMap<ZoneId, f64> = due.collect();
-        let zones = due.len() as f64;
-        // With fewer proxies than zones some zone has none, and nobody is told which: whatever stays near
-        // leaves that zone's backends idle and fills the others.
-        let near = self.cfg.cross_zone_cost > 0.0 || self.cfg.zone_failover.is_some();
-        let local = near && proxies >= zones;
-        let pulls = spill(&due, self.cfg.zone, &self.cfg.regions);
-        let bias = |zone: &ZoneId| {
-            let here = due.get(zone).map_or(0.0, |d| d.max(1e-9));
-            let pull = pulls.get(zone).copied().unwrap_or(0.0);
-            if local && here > 0.0 {
-                pull / here
-            } else {
-                1.0
-            }
+    };
+    endpoints.zones.iter().map(bias).collect()
+}
+
+/// Assigns each endpoint its capacity for this proxy and its part of this proxy's traffic.
+fn assign_traffic(
+    endpoints: &mut EndpointTable,
+    splits: &[GroupSplit],
+    biases: &[f64],
+    proxies: f64,
+) -> ProxyTraffic {
+    let mut traffic = ProxyTraffic {
+        group_shares: vec![0.0; splits.len()],
+        reached: 0,
+    };
+    let shares = endpoints.traffic_share.iter_mut();
+    for (load, traffic_share) in endpoints.loads.iter_mut().zip(shares) {
+        let group = load.group_index as usize;
+        let split = &splits[group];
+        let bias = biases[load.zone_index as usize];
+        // At least one each: with more proxies than the limit they would wait for turns, and shedding load keeps the
+        // limit there.
+        let by_traffic = (1.0 - CAPACITY_BY_TRAFFIC) + CAPACITY_BY_TRAFFIC * bias;
+        let capacity = split.even_capacity(load, proxies) * by_traffic + load.rotation_offset;
+        load.capacity = capacity.floor().max(1.0);
+        let share = split.fair_share(load) * bias;
+        *traffic_share = share + load.readiness * OVERFLOW_PART;
+        traffic.reached += u32::from(share > 0.0);
+        traffic.group_shares[group] += *traffic_share;
+    }
+    traffic
+}
+
+/// Sets each hardware class's part of this proxy's traffic.
+fn update_proxy_shares(
+    kinds: &mut BTreeMap<KindId, HardwareClass>,
+    groups: &[EndpointGroup],
+    group_shares: &[f64],
+) {
+    for class in kinds.values_mut() {
+        class.proxy_share = 0.0;
+    }
+    for (group, share) in groups.iter().zip(group_shares) {
+        kinds.entry(group.kind).or_default().proxy_share = *share;
+    }
+}
+
+/// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring of a
+/// group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
+fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: Arc, proxies: f64) {
+    let mut walks = vec![RingWalk::default(); group_shares.len()];
+    for &at in &endpoints.by_address_hash {
+        let at = at as usize;
+        let load = &mut endpoints.loads[at];
+        let group = load.group_index as usize;
+        let from = walks[group].position;
+        let traffic_share = walks[group].traffic_share + endpoints.traffic_share[at];
+        let to = traffic_share / group_shares[group].max(MIN_DIVISOR);
+        walks[group] = RingWalk {
+            traffic_share,
+            position: to,
+        };
+        let subset_share = arc.overlap(from, to);
+        endpoints.subset_share[at] = subset_share;
+        load.proxy_share = if subset_share > 0.0 {
+            subset_share / ((to - from) * arc.width * proxies).max(MIN_DIVISOR)
+        } else {
+            0.0
         };
-        let biases: Vec<f64> = backends.zones.iter().map(bias).collect();
-        let (mut reached, mut pulled) = (0u32, vec![0.0; kinds.len()]);
-        backends.assign_rotation_offsets(self.cfg.proxy_index, self.cfg.proxy_count);
-        for (l, p_pull) in backends.loads.iter_mut().zip(&mut backends.traffic_share) {
-            let bias = biases[l.zone_index as usize];
-            // Half of the room for all goes by that part, half evenly; each has a room of one at least, as
-            // more proxies than the hold would wait for turns. There `crowded` keeps the hold.
-            let fair = kinds[l.group_index as usize].2.max(HOLD) / proxies * l.readiness;
-            l.capacity = (fair * (0.5 + 0.5 * bias) + l.rotation_offset)
-                .floor()
-                .max(1.0);
-            // The trace takes the overflow where all that have a part are full.
-            let drawn = part(l) * bias;
-            *p_pull = drawn + l.readiness * 1e-6;
-            reached += u32::from(drawn > 0.0);
-            pulled[l.group_index as usize] += *p_pull;
-        }
-        self.kinds.values_mut().for_each(|k| k.proxy_share = 0.0);
-        for (g, pull) in backends.groups.iter().zip(&pulled) {
-            self.kinds.entry(g.kind).or_default().proxy_share = *pull;
-        }
-        // This proxy's slice of each kind: the same width for all, begun at evenly spread places, so that all
-        // slices together cover every backend by its pull.
-        let width =
-            (SHARED_BY / proxies * backends.len() as f64 / f64::from(reached.max(1))).min(1.0);
-        let start = (f64::from(self.cfg.proxy_index) * 0.618_033_988_749_895).fract();
-        let mut walked = vec![(0.0, 0.0); kinds.len()];
-        for &at in &backends.by_address_hash {
-            let (at, l) = (at as usize, &mut backends.loads[at as usize]);
-            let (sum, from) = walked[l.group_index as usize];
-            let sum = sum + backends.traffic_share[at];
-            let to = sum / pulled[l.group_index as usize].max(1e-9);
-            walked[l.group_index as usize] = (sum, to);
-            let inside = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
-            let slice = inside(start) + inside(start - 1.0);
-            backends.subset_share[at] = slice;
-            l.proxy_share = if slice > 0.0 {
-                slice / ((to - from) * width * proxies).max(1e-9)
-            } else {
-                0.0
-            };
-        }
     }
 }
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -1,134 +1,208 @@
 //! The split of the traffic over hardware classes by HALB, and when it is solved anew.
 
-use super::{from_cold, warmth, Balancer, Micros, Time, FEW};
+use super::slow_start::SlowStart;
+use super::{Balancer, FEW};
+use crate::interface::{Micros, Time};
 
-/// The shares are solved this often, s: far faster than the rate's memory.
-pub(super) const SOLVE_EVERY: f64 = 0.1;
-/// Ejected backends beyond half of the fleet are used after all: then it is not they who are ill.
-pub(super) const PANIC: f64 = 0.5;
+/// The split is solved this often, s: far faster than the arrival rate's memory.
+const SOLVE_INTERVAL_S: f64 = 0.1;
+/// With more than this part of the available endpoints ejected, ejected ones are used after all: the fault is then not
+/// theirs.
+const PANIC_THRESHOLD: f64 = 0.5;
+/// Below this part of the capacity the arrival rate is taken for none, as the solution divides by it.
+const MIN_RATE_PART: f64 = 1e-6;
 
-/// HALB: the clamped M/G/1/PS optimum. For kinds of (ready count, speed of one backend) and the arrival
-/// rate, the part of the traffic for each kind; all zero when nothing is ready.
-pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
-    let split = |on: &dyn Fn(&(f64, f64)) -> bool| -> Vec<f64> {
-        let total: f64 = kinds.iter().filter(|k| on(k)).map(|k| k.0).sum();
-        kinds
-            .iter()
-            .map(|k| {
-                if on(k) && total > 0.0 {
-                    k.0 / total
-                } else {
-                    0.0
-                }
-            })
-            .collect()
+/// What a hardware class can serve.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KindCapacity {
+    /// Endpoints that are ready; fractional, as one in slow start counts in part.
+    pub ready: f64,
+    /// Requests a second that one ready endpoint can serve.
+    pub speed_per_s: f64,
+}
+
+impl KindCapacity {
+    /// Requests a second that all its endpoints can serve.
+    fn total_per_s(&self) -> f64 {
+        self.ready * self.speed_per_s
+    }
+
+    /// Its weight in the optimum: the square root of the speed of each endpoint.
+    fn root_weight(&self) -> f64 {
+        self.ready * self.speed_per_s.sqrt()
+    }
+}
+
+/// HALB: the part of the traffic for each hardware class that gives the least mean latency where every endpoint is an
+/// M/G/1 queue with processor sharing. All 0 when nothing is ready.
+///
+/// Without an arrival rate (requests a second of all proxies) the ready endpoints decide; close to a rate of 0 the
+/// fastest class takes all.
+///
+/// ```
+/// use meadowproxy::{halb_shares, KindCapacity};
+///
+/// let fast = KindCapacity { ready: 1.0, speed_per_s: 4.0 };
+/// let slow = KindCapacity { ready: 1.0, speed_per_s: 1.0 };
+/// assert_eq!(halb_shares(&[fast, slow], Some(1.0)), [1.0, 0.0]);
+/// ```
+pub fn halb_shares(kinds: &[KindCapacity], rate_per_s: Option<f64>) -> Vec<f64> {
+    let Some(rate_per_s) = rate_per_s else {
+        return shares_by_ready(kinds, |_| true);
     };
-    let Some(rate) = rate else {
-        return split(&|_| true);
-    }; // no rate yet: by ready counts
-    let mut live = kinds.to_vec();
+    let mut used = kinds.to_vec();
     loop {
-        let (roots, speeds) = live
-            .iter()
-            .fold((0.0, 0.0), |s, k| (s.0 + k.0 * k.1.sqrt(), s.1 + k.0 * k.1));
-        if rate <= speeds * 1e-6 || speeds <= 0.0 {
-            let best = live
-                .iter()
-                .filter(|k| k.0 > 0.0)
-                .map(|k| k.1)
-                .fold(0.0, f64::max);
-            return split(&|k| k.1 == best); // the limit: the fastest kind takes all
+        let root_weight = sum_over(&used, KindCapacity::root_weight);
+        let total_per_s = sum_over(&used, KindCapacity::total_per_s);
+        if rate_per_s <= total_per_s * MIN_RATE_PART || total_per_s <= 0.0 {
+            let fastest_per_s = fastest_ready(&used);
+            return shares_by_ready(kinds, |kind| kind.speed_per_s == fastest_per_s);
+        }
+        let flow_per_s = |kind: &KindCapacity| {
+            kind.total_per_s() - kind.root_weight() * (total_per_s - rate_per_s) / root_weight
+        };
+        let flows: Vec<f64> = used.iter().map(flow_per_s).collect();
+        if flows.iter().all(|flow| *flow >= 0.0) {
+            return flows.iter().map(|flow| flow / rate_per_s).collect();
         }
-        let flow = |k: &(f64, f64)| k.0 * k.1 - k.0 * k.1.sqrt() * (speeds - rate) / roots;
-        let flows: Vec<f64> = live.iter().map(flow).collect();
-        if flows.iter().all(|f| *f >= 0.0) {
-            return flows.iter().map(|f| f / rate).collect();
+        // A class that would get less than nothing gets nothing, and the others are solved without it.
+        for (kind, flow) in used.iter_mut().zip(&flows) {
+            if *flow <= 0.0 {
+                kind.ready = 0.0;
+            }
         }
-        live.iter_mut()
-            .zip(&flows)
-            .filter(|(_, f)| **f <= 0.0)
-            .for_each(|(k, _)| k.0 = 0.0);
     }
 }
 
+/// Shares in proportion to the ready endpoints of the `used` classes.
+fn shares_by_ready(kinds: &[KindCapacity], used: impl Fn(&KindCapacity) -> bool) -> Vec<f64> {
+    let total: f64 = kinds
+        .iter()
+        .filter(|kind| used(kind))
+        .map(|kind| kind.ready)
+        .sum();
+    let share = |kind: &KindCapacity| {
+        if used(kind) && total > 0.0 {
+            kind.ready / total
+        } else {
+            0.0
+        }
+    };
+    kinds.iter().map(share).collect()
+}
+
+fn sum_over(kinds: &[KindCapacity], value: impl Fn(&KindCapacity) -> f64) -> f64 {
+    kinds.iter().fold(0.0, |sum, kind| sum + value(kind))
+}
+
+/// The speed of the fastest class with ready endpoints.
+fn fastest_ready(kinds: &[KindCapacity]) -> f64 {
+    kinds
+        .iter()
+        .filter(|kind| kind.ready > 0.0)
+        .map(|kind| kind.speed_per_s)
+        .fold(0.0, f64::max)
+}
+
 impl Balancer {
-    /// Readiness of every backend, speed and share of every kind.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
+    /// Solves the split: the readiness of every endpoint, speed and share of every hardware class, and this proxy's
+    /// subset.
     pub(super) fn solve(&mut self, now: Time) {
         self.backends.refresh(now, &self.cfg);
-        self.learn_holds(now - self.solved_at);
+        self.update_concurrency_limits(now - self.solved_at);
         self.solved_at = now;
-        let few = FEW / self.rate.per_s().unwrap_or(FEW / SOLVE_EVERY).max(1.0);
-        self.solve_at = now + Micros::from_secs_f64(SOLVE_EVERY.max(few));
+        self.solve_at = now + self.solve_interval();
         self.blocked = 0.0;
-        let listed = self.backends.loads.iter().filter(|l| l.available);
-        let (all, out) = listed.fold((0u32, 0u32), |n, l| (n.0 + 1, n.1 + u32::from(l.ejected)));
-        let proxies = f64::from(self.cfg.proxy_count);
-        self.kinds.values_mut().for_each(|k| {
-            k.ready_endpoints = 0.0;
-            k.served_per_endpoint.add(now, 0.0);
-        });
-        let zones = self.zones(now);
-        let zones = self
-            .backends
-            .zones
-            .iter()
-            .map(|z| zones.get(z).copied().unwrap_or(1.0));
-        let (zones, warm): (Vec<f64>, f64) = (zones.collect(), from_cold(&self.cfg, 1.0));
-        let ill = f64::from(f64::from(out) > f64::from(all) * PANIC);
-        let mut ready = vec![0.0; self.backends.groups.len()];
-        for (l, p) in self.backends.loads_and_records() {
-            let health = match l.ejected {
-                _ if !l.available => 0.0,
-                true => ill,
-                false => l.success_share,
+        self.update_readiness(now);
+        self.rate.add(now, 0.0);
+        let rate_per_s = self
+            .rate
+            .per_s()
+            .map(|rate| rate * f64::from(self.cfg.proxy_count));
+        self.update_shares(rate_per_s);
+        self.update_subset();
+        self.backends.update_weights(now);
+    }
+
+    /// The time to the next solution, in which a few requests at least are to arrive.
+    fn solve_interval(&self) -> Micros {
+        let rate_per_s = self.rate.per_s().unwrap_or(FEW / SOLVE_INTERVAL_S);
+        let for_few_requests_s = FEW / rate_per_s.max(1.0);
+        Micros::from_secs_f64(SOLVE_INTERVAL_S.max(for_few_requests_s))
+    }
+
+    /// Sets the readiness of every endpoint: that of its zone times its health times its slow start.
+    fn update_readiness(&mut self, now: Time) {
+        let ejected_readiness = f64::from(self.is_in_panic());
+        for class in self.kinds.values_mut() {
+            class.ready_endpoints = 0.0;
+            class.served_per_endpoint.add(now, 0.0);
+        }
+        let zone_readiness = self.update_zones(now);
+        let slow_start = SlowStart::new(&self.cfg);
+        let warm = slow_start.ramp(1.0);
+        let mut ready_endpoints = vec![0.0; self.backends.groups.len()];
+        for (load, record) in self.backends.loads_and_records() {
+            let health = match load.ejected {
+                _ if !load.available => 0.0,
+                true => ejected_readiness,
+                false => load.success_share,
             };
-            let warmth = if now >= l.slow_start_ends_at {
+            let warmth = if now >= load.slow_start_ends_at {
                 warm
             } else {
-                warmth(&self.cfg, now, p)
+                slow_start.readiness(now, record.slow_start_began_at())
             };
-            l.readiness = zones[l.zone_index as usize] * health * warmth;
-            ready[l.group_index as usize] += l.readiness;
+            load.readiness = zone_readiness[load.zone_index as usize] * health * warmth;
+            ready_endpoints[load.group_index as usize] += load.readiness;
         }
-        for (g, ready) in self.backends.groups.iter().zip(ready) {
-            self.kinds.entry(g.kind).or_default().ready_endpoints = ready;
+        for (group, ready) in self.backends.groups.iter().zip(ready_endpoints) {
+            self.kinds.entry(group.kind).or_default().ready_endpoints = ready;
         }
-        self.rate.add(now, 0.0);
-        let rate = self.rate.per_s().map(|r| r * proxies);
-        for k in self.kinds.values_mut() {
-            let flow = if k.ready_endpoints > 0.0 {
-                rate.unwrap_or(0.0) * k.traffic_share / k.ready_endpoints
-            } else {
-                0.0
-            };
-            k.speed_per_s = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
+    }
+
+    /// Whether too many endpoints are ejected for that to be their fault.
+    fn is_in_panic(&self) -> bool {
+        let available = || self.backends.loads.iter().filter(|load| load.available);
+        let ejected = available().filter(|load| load.ejected).count();
+        ejected as f64 > available().count() as f64 * PANIC_THRESHOLD
+    }
+
+    /// Sets the speed and the share of every hardware class, given the requests a second of all proxies.
+    fn update_shares(&mut self, rate_per_s: Option<f64>) {
+        for class in self.kinds.values_mut() {
+            class.update_speed(rate_per_s.unwrap_or(0.0));
         }
-        let speeds = self
-            .kinds
-            .values()
-            .filter(|k| k.speed_per_s > 0.0)
-            .map(|k| k.speed_per_s);
-        let (sum, count) = speeds.fold((0.0, 0.0), |n, s| (n.0 + s, n.1 + 1.0));
-        let mean = if count > 0.0 { sum / count } else { 1.0 }; // kinds without data: as fast as the others
-        self.kinds
-            .values_mut()
-            .filter(|k| k.speed_per_s == 0.0)
-            .for_each(|k| k.speed_per_s = mean);
-        let table: Vec<(f64, f64)> = self
-            .kinds
-            .values()
-            .map(|k| (k.ready_endpoints, k.speed_per_s))
-            .collect();
-        let shares = halb_shares(&table, rate.filter(|_| count > 0.0));
-        self.kinds
-            .values_mut()
-            .zip(shares)
-            .for_each(|(k, share)| k.traffic_share = share);
-        self.allot();
-        self.backends.update_weights(now);
+        let mean_speed_per_s = self.mean_speed_per_s();
+        for class in self.kinds.values_mut() {
+            if class.speed_per_s == 0.0 {
+                class.speed_per_s = mean_speed_per_s.unwrap_or(1.0);
+            }
+        }
+        let capacities = self.kinds.values().map(|class| KindCapacity {
+            ready: class.ready_endpoints,
+            speed_per_s: class.speed_per_s,
+        });
+        let capacities: Vec<KindCapacity> = capacities.collect();
+        let shares = halb_shares(
+            &capacities,
+            rate_per_s.filter(|_| mean_speed_per_s.is_some()),
+        );
+        for (class, share) in self.kinds.values_mut().zip(shares) {
+            class.traffic_share = share;
+        }
+    }
+
+    /// The mean speed of the hardware classes whose speed is known, as which all others are taken.
+    fn mean_speed_per_s(&self) -> Option<f64> {
+        let known = || {
+            self.kinds
+                .values()
+                .map(|class| class.speed_per_s)
+                .filter(|speed| *speed > 0.0)
+        };
+        let count = known().count();
+        let total_per_s = known().fold(0.0, |sum, speed| sum + speed);
+        (count > 0).then(|| total_per_s / count as f64)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod settings;
 
 pub use balancer::discovery_polling::{in_line, CALL_PATIENCE};
-pub use balancer::{halb_shares, Balancer};
+pub use balancer::{halb_shares, Balancer, KindCapacity};
 pub use interface::*;
 
 /// The README's example, kept true by the documentation tests.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -489,7 +489,7 @@
         serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
         "no free request tried it"
     );
-    assert!(host.logs.iter().any(|l| l.contains("is back")));
+    assert!(host.logs.iter().any(|l| l.contains("readmitted")));
 }
 
 #[test]
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -234,9 +234,9 @@
         "Follow",
         "second attempts",
         "ejected",
-        "on the word",
-        "is back",
-        "zone left",
+        "on the verdicts",
+        "readmitted",
+        "zone taken out of use",
         "zone returning",
         "not taken",
     ] {
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -413,16 +413,16 @@
                 self.count("Log");
                 let words = [
                     "ejected: ",
-                    "on the word",
-                    "is back",
-                    "left:",
+                    "on the verdicts",
+                    "readmitted",
+                    "taken out of use:",
                     "returning",
                     "not taken",
-                    "recalled",
+                    "restored learned state",
                 ];
                 for word in words.into_iter().filter(|w| text.contains(w)) {
                     self.count(match word {
-                        "left:" => "zone left",
+                        "taken out of use:" => "zone taken out of use",
                         "returning" => "zone returning",
                         "ejected: " => "ejected",
                         other => other,
--- a/tests/halb.rs
+++ b/tests/halb.rs
@@ -1,6 +1,6 @@
 //! Shares against values worked by hand from the paper's formula.
 
-use meadowproxy::halb_shares;
+use meadowproxy::{halb_shares, KindCapacity};
 
 fn close(got: Vec<f64>, want: &[f64]) {
     assert_eq!(got.len(), want.len());
@@ -9,7 +9,11 @@
     }
 }
 
-const TWO: [(f64, f64); 2] = [(1.0, 4.0), (1.0, 1.0)];
+const fn kind(ready: f64, speed_per_s: f64) -> KindCapacity {
+    KindCapacity { ready, speed_per_s }
+}
+
+const TWO: [KindCapacity; 2] = [kind(1.0, 4.0), kind(1.0, 1.0)];
 
 #[test]
 fn both_kinds_serve_above_the_clamp() {
@@ -27,7 +31,7 @@
 fn a_clamped_kind_leaves_and_the_rest_is_solved_anew() {
     // Of all three: roots 6, speeds 14, the third flow 1 - 8.5 / 6 < 0.
     // Of the first two: roots 5, speeds 13: 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
-    let three = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
+    let three = [kind(1.0, 9.0), kind(1.0, 4.0), kind(1.0, 1.0)];
     close(halb_shares(&three, Some(5.5)), &[4.5 / 5.5, 1.0 / 5.5, 0.0]);
 }
 
@@ -35,12 +39,12 @@
 fn counts_weigh_and_may_be_parts() {
     // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
     close(
-        halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)),
+        halb_shares(&[kind(2.0, 4.0), kind(0.5, 1.0)], Some(4.0)),
         &[1.0, 0.0],
     );
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
     close(
-        halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(6.25)),
+        halb_shares(&[kind(2.0, 4.0), kind(0.5, 1.0)], Some(6.25)),
         &[0.96, 0.04],
     );
 }
@@ -54,7 +58,7 @@
 #[test]
 fn without_a_rate_ready_counts_decide() {
     close(
-        halb_shares(&[(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)], None),
+        halb_shares(&[kind(3.0, 4.0), kind(1.0, 1.0), kind(0.0, 9.0)], None),
         &[0.75, 0.25, 0.0],
     );
 }
@@ -63,24 +67,27 @@
 fn near_zero_rate_the_fastest_kind_takes_all() {
     close(halb_shares(&TWO, Some(0.0)), &[1.0, 0.0]);
     close(
-        halb_shares(&[(1.0, 4.0), (3.0, 4.0)], Some(0.0)),
+        halb_shares(&[kind(1.0, 4.0), kind(3.0, 4.0)], Some(0.0)),
         &[0.25, 0.75],
     );
     close(
-        halb_shares(&[(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)], Some(1e-12)),
+        halb_shares(
+            &[kind(0.0, 9.0), kind(1.0, 4.0), kind(1.0, 1.0)],
+            Some(1e-12),
+        ),
         &[0.0, 1.0, 0.0],
     );
 }
 
 #[test]
 fn one_kind_takes_all_and_none_ready_takes_nothing() {
-    close(halb_shares(&[(2.0, 3.0)], Some(1.0)), &[1.0]);
+    close(halb_shares(&[kind(2.0, 3.0)], Some(1.0)), &[1.0]);
     close(
-        halb_shares(&[(0.0, 3.0), (0.0, 1.0)], Some(1.0)),
+        halb_shares(&[kind(0.0, 3.0), kind(0.0, 1.0)], Some(1.0)),
         &[0.0, 0.0],
     );
     close(
-        halb_shares(&[(0.0, 3.0), (2.0, 1.0)], Some(1.0)),
+        halb_shares(&[kind(0.0, 3.0), kind(2.0, 1.0)], Some(1.0)),
         &[0.0, 1.0],
     );
     close(halb_shares(&[], Some(1.0)), &[]);
--- a/tests/locality.rs
+++ b/tests/locality.rs
@@ -195,7 +195,7 @@
     assert!(kept >= 57, "{kept} of 60 stayed in their zone");
     assert!(strayed < 40, "{strayed} of 60 without the setting");
     fleet.cut.store(true, Ordering::SeqCst);
-    let left = fleet.until("zone 1 left", "zone 1 left");
+    let left = fleet.until("zone 1 taken out of use", "zone 1 taken out of use");
     let (away, statuses) = fleet.load(2 * quarter);
     let refused = statuses.iter().filter(|s| **s != 200).count();
     assert!(
@@ -212,9 +212,9 @@
         "a left zone kept its traffic: {away:?}"
     );
     fleet.cut.store(false, Ordering::SeqCst);
-    let returned = fleet.until("zone 1 returning", "zone 1 left");
+    let returned = fleet.until("zone 1 returning", "zone 1 taken out of use");
     let (early, _) = fleet.load(quarter);
-    let back = fleet.until("zone 1 back", "zone 1 back");
+    let back = fleet.until("zone 1 recovered", "zone 1 recovered");
     fleet.load(second);
     let (late, _) = fleet.load(second);
     eprintln!("left after {left:.1?}, returning after {returned:.1?}, back after {back:.1?}; {early:?} early, {late:?} late");
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -75,7 +75,7 @@
         shared
             .proxies
             .iter()
-            .any(|p| p.logged("on the word of") > 0),
+            .any(|p| p.logged("on the verdicts of") > 0),
         "nobody took a peer's word"
     );
 }
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -685,6 +685,7 @@
         .filter(|life| life.proxy == asked.proxy);
     let words = [
         "ejected",
+        "readmitted",
         "is back",
         "window_out",
         "window_back",
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -62,10 +62,14 @@
         zones[1] > zones[0] / 2,
         "one bad backend of four moved its zone: {zones:?}"
     );
-    assert_eq!(said(&host, "left"), 0);
+    assert_eq!(said(&host, "taken out of use"), 0);
     play(&mut host, &[4, 5], 1_000);
     let zones = play(&mut host, &[4, 5], 1_000);
-    assert!(said(&host, "zone 1 left") == 1, "{:?}", host.logs);
+    assert!(
+        said(&host, "zone 1 taken out of use") == 1,
+        "{:?}",
+        host.logs
+    );
     // What it gets while left are trials of its ejected backends only, one at a time.
     assert!(
         zones[1] * 20 < zones[0],
@@ -86,7 +90,7 @@
             .for_each(|(id, no)| host.end(id, no, Outcome::Ok));
         play(&mut host, &[], 300);
     }
-    assert_eq!(said(&host, "left"), 0, "{:?}", host.logs);
+    assert_eq!(said(&host, "taken out of use"), 0, "{:?}", host.logs);
 }
 
 #[test]
