--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,142 +1,112 @@
-//! How attempts end, and the final answers of requests.
+//! What becomes of attempts: uploads, the start of a response, and the end.
 
-use super::{
-    Action, AttemptEnd, AttemptNumber, Balancer, Idempotency, KeyScope, Micros, Outcome, RequestId,
-    Time, EJECT_TERM,
-};
+use super::requests::AttemptKey;
+use super::Balancer;
+use crate::interface::{AttemptEnd, Micros, Outcome, Time};
 
 impl Balancer {
-    /// The first bytes of a long answer: from here on the client's pace holds it up, so what there is to
-    /// learn is learned now, and its backend has room again.
-    pub(super) fn stream_started(&mut self, now: Time, request: RequestId, attempt: AttemptNumber) {
-        let Some(r) = self.requests.get_mut(&request) else {
+    /// The last byte of a streamed body was sent: from now on the backend owes a response, and the request's time
+    /// counts from here.
+    pub(super) fn upload_finished(&mut self, now: Time, key: AttemptKey, time_left: Micros) {
+        if let Some(attempt) = self.requests.in_flight.get_mut(&key) {
+            attempt.awaiting_response_since = now;
+        }
+        if let Some(request) = self.requests.pending.get_mut(&key.request) {
+            let objective = self.cfg.classes[request.class].latency_objective;
+            request.upload_streaming = false;
+            request.arrived_at = now;
+            request.objective_until = now + objective.min(time_left);
+            request.deadline = now + time_left;
+        }
+        self.schedule.check_at(now);
+    }
+
+    /// A response began to stream. From here on the client's pace holds it up: what there is to learn is learned now,
+    /// and the backend has its capacity back.
+    pub(super) fn response_started(&mut self, now: Time, key: AttemptKey) {
+        let Some(request) = self.requests.pending.get_mut(&key.request) else {
             return;
         };
-        let Some(s) = r
-            .sent
-            .get_mut(attempt.0 as usize)
-            .filter(|s| s.out && !s.begun)
+        let Some(attempt) = request
+            .attempt_mut(key.attempt)
+            .filter(|attempt| attempt.in_flight && !attempt.response_started)
         else {
             return;
         };
-        (s.begun, r.streaming, r.uploading) = (true, true, false);
-        let part = if now <= r.aim {
-            1.0
-        } else {
-            self.cfg.classes[r.class].late_weight
-        };
-        self.classes[r.class].earned += self.cfg.classes[r.class].priority_weight * r.value * part;
-        let Some(&(backend, class, sent)) = self.attempts.get(&(request, attempt)) else {
+        attempt.response_started = true;
+        request.response_streaming = true;
+        request.upload_streaming = false;
+        let class = request.class;
+        self.classes[class].record_served(now, request, &self.cfg.classes[class]);
+        let Some(&in_flight) = self.requests.in_flight.get(&key) else {
             return;
         };
-        let (outcome, latency) = (Outcome::Ok, now - sent);
+        let served = AttemptEnd {
+            request: key.request,
+            attempt: key.attempt,
+            outcome: Outcome::Ok,
+            latency: now - in_flight.awaiting_response_since,
+            answered: true,
+        };
         self.learn(
             now,
-            backend,
-            class,
-            sent,
-            &AttemptEnd {
-                request,
-                attempt,
-                outcome,
-                latency,
-                answered: true,
-            },
+            in_flight.backend,
+            in_flight.class,
+            in_flight.awaiting_response_since,
+            &served,
         );
     }
 
-    pub(super) fn ended(&mut self, now: Time, end: AttemptEnd) {
-        let id = end.request;
-        let Some((backend, class, sent)) = self.attempts.remove(&(id, end.attempt)) else {
+    /// An attempt ended: its outcome is learned from, and its request is answered or waits for a further attempt.
+    pub(super) fn attempt_ended(&mut self, now: Time, end: &AttemptEnd) {
+        let key = AttemptKey {
+            request: end.request,
+            attempt: end.attempt,
+        };
+        let Some(in_flight) = self.requests.in_flight.remove(&key) else {
             return;
         };
-        let sent_as = self
-            .requests
-            .get(&id)
-            .and_then(|r| r.sent.get(end.attempt.0 as usize));
-        let begun = sent_as.is_some_and(|s| s.begun);
-        if begun && matches!(end.outcome, Outcome::Error | Outcome::Reset) {
-            // It was counted as served with its first bytes, and gave more until now: the break comes on top.
-            let peer = self.backends.get_mut(backend);
-            peer.into_iter()
-                .for_each(|p| (p.in_flight, p.last_response_at) = (p.in_flight + 1, now));
+        let response_started = self.requests.response_started(key);
+        let broke = matches!(end.outcome, Outcome::Error | Outcome::Reset);
+        if response_started && broke {
+            // It was counted as served when the response started: the fault comes on top.
+            if let Some(record) = self.backends.get_mut(in_flight.backend) {
+                record.in_flight += 1;
+                record.last_response_at = now;
+            }
         }
-        if !begun || matches!(end.outcome, Outcome::Error | Outcome::Reset) {
-            self.learn(now, backend, class, sent, &end);
+        if !response_started || broke {
+            self.learn(
+                now,
+                in_flight.backend,
+                in_flight.class,
+                in_flight.awaiting_response_since,
+                end,
+            );
         }
-        let gone = self
+        let removed = self
             .backends
-            .get(backend)
-            .is_none_or(|p| !self.backends.is_available(p));
-        let Some(r) = self.requests.get_mut(&id) else {
+            .get(in_flight.backend)
+            .is_none_or(|record| !self.backends.is_available(record));
+        let Some(request) = self.requests.pending.get_mut(&end.request) else {
             return;
         };
-        if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
-            (s.out, s.never_ran) = (false, end.outcome.proves_not_run());
-            s.withheld = gone && end.outcome == Outcome::NotSent;
+        if let Some(attempt) = request.attempt_mut(end.attempt) {
+            attempt.in_flight = false;
+            attempt.never_ran = end.outcome.proves_not_run();
+            attempt.replaceable = removed && end.outcome == Outcome::NotSent;
         }
-        if end.outcome == Outcome::Ok && !begun {
-            let c = &self.cfg.classes[class];
-            let part = if now <= r.aim { 1.0 } else { c.late_weight };
-            self.classes[class].earned += c.priority_weight * r.value * part;
+        if end.outcome == Outcome::Ok && !response_started {
+            let class = in_flight.class;
+            self.classes[class].record_served(now, request, &self.cfg.classes[class]);
         }
-        if r.streaming && !begun {
-            return; // a copy's end: the answer streams on from another backend
+        if request.response_streaming && !response_started {
+            return; // the other attempt of a hedged request streams its response
         }
         if end.answered || end.outcome == Outcome::Ok {
-            self.close(id);
-        } else if !r.out() && !self.held.contains(&id) {
-            self.held.push(id); // `pump` sends it again or gives it up
-        }
-    }
-
-    /// Final answer for a request that will not be served.
-    pub(super) fn give_up(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else {
-            return;
-        };
-        let free = matches!(
-            self.cfg.classes[r.class].idempotency,
-            Idempotency::Idempotent
-                | Idempotency::Keyed {
-                    scope: KeyScope::All,
-                    ..
-                }
-        );
-        let harmless = free || r.sent.iter().all(|s| s.never_ran);
-        // By then what is out now has made room, or an ejected backend is tried again.
-        let ready = self.kinds.values().any(|k| k.ready_endpoints > 0.0);
-        let retry_after = if ready {
-            self.usual(r.class).mul_f64(2.0)
-        } else {
-            Micros::from_secs_f64(EJECT_TERM)
-        };
-        let (refused, failed) = (
-            Action::Reject {
-                request: id,
-                retry_after,
-            },
-            Action::Fail { request: id },
-        );
-        self.actions.push(if harmless { refused } else { failed });
-        self.close(id);
-    }
-
-    pub(super) fn close(&mut self, id: RequestId) {
-        let Some(r) = self.requests.remove(&id) else {
-            return;
-        };
-        self.held.retain(|h| *h != id);
-        for (no, _) in r
-            .sent
-            .iter()
-            .enumerate()
-            .filter(|(_, s)| s.out && self.cfg.cancellation)
-        {
-            self.actions.push(Action::Cancel {
-                request: id,
-                attempt: AttemptNumber(no as u32),
-            });
+            self.close(end.request);
+        } else if !request.has_attempt_in_flight() && !self.dispatch_queue.contains(end.request) {
+            self.dispatch_queue.push(end.request);
         }
     }
 }
--- /dev/null
+++ b/src/balancer/classes.rs
@@ -0,0 +1,268 @@
+//! What is learned of the request classes: latencies, what requests were worth, and how much of it was served.
+
+use super::requests::PendingRequest;
+use super::state::RunningMean;
+use super::Balancer;
+use crate::interface::{Idempotency, Micros, RequestClass, Time};
+use imbl::Vector;
+use std::ops::{Index, IndexMut};
+
+/// Samples in a mean latency.
+pub(super) const LATENCY_SAMPLES: f64 = 100.0;
+/// A class whose expected latency is so many times below its objective is well within it.
+const WELL_WITHIN_OBJECTIVE: f64 = 2.0;
+/// The expected latency of a class without a response, as a part of its latency objective.
+const UNKNOWN_LATENCY_OF_OBJECTIVE: f64 = 0.25;
+/// A sum of weights counts as at least this where something is divided by it.
+const MIN_WEIGHT: f64 = 1e-9;
+
+/// What is learned of a class.
+#[derive(Default)]
+pub(super) struct ClassStats {
+    /// The settings have not retired it.
+    pub in_use: bool,
+    /// Seconds from dispatch to response, of served requests only.
+    pub latency: RunningMean,
+    /// Sum of the priority weights of all first attempts that arrived.
+    pub offered_weight: f64,
+    /// Sum of the priority weights that served requests earned.
+    pub earned_weight: f64,
+}
+
+impl ClassStats {
+    fn in_use() -> ClassStats {
+        ClassStats {
+            in_use: true,
+            ..ClassStats::default()
+        }
+    }
+
+    /// The part of the offered weight that was earned.
+    fn served_share(&self) -> f64 {
+        if self.offered_weight > 0.0 {
+            self.earned_weight / self.offered_weight
+        } else {
+            1.0
+        }
+    }
+
+    /// A request was served: it earns its weight, or the late weight after the latency objective.
+    pub fn record_served(&mut self, now: Time, request: &PendingRequest, class: &RequestClass) {
+        let part = if now <= request.objective_until {
+            1.0
+        } else {
+            class.late_weight
+        };
+        self.earned_weight += class.priority_weight * request.value * part;
+    }
+
+    /// What a served request of the class usually takes.
+    pub fn expected_latency(&self, class: &RequestClass) -> Micros {
+        let unknown = || {
+            class
+                .latency_objective
+                .mul_f64(UNKNOWN_LATENCY_OF_OBJECTIVE)
+        };
+        self.latency
+            .get()
+            .map_or_else(unknown, Micros::from_secs_f64)
+    }
+
+    /// Whether the expected latency is well within the latency objective.
+    fn is_well_within_objective(&self, class: &RequestClass) -> bool {
+        self.expected_latency(class).mul_f64(WELL_WITHIN_OBJECTIVE) <= class.latency_objective
+    }
+}
+
+/// How the operators' objective stands over all classes in use.
+#[derive(Clone, Copy, Default)]
+pub(super) struct ObjectiveStanding {
+    /// Sum of the classes' offered weights.
+    pub offered_weight: f64,
+    /// The least part of its offered weight that a class earned.
+    pub worst_served_share: f64,
+}
+
+/// Counts of classes in use, so that no request has to go through all of them.
+#[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
+struct ClassCounts {
+    idempotent: usize,
+    /// Those with a response whose expected latency is not well within the objective.
+    slow: usize,
+}
+
+impl ClassCounts {
+    fn subtract(&mut self, other: ClassCounts) {
+        self.idempotent -= other.idempotent;
+        self.slow -= other.slow;
+    }
+
+    fn add(&mut self, other: ClassCounts) {
+        self.idempotent += other.idempotent;
+        self.slow += other.slow;
+    }
+}
+
+/// All classes, by number.
+pub(super) struct ClassTable {
+    stats: Vec<ClassStats>,
+    /// Mean latency over all classes, in seconds.
+    pub overall_latency: RunningMean,
+    counts: ClassCounts,
+}
+
+impl Index<usize> for ClassTable {
+    type Output = ClassStats;
+
+    fn index(&self, class: usize) -> &ClassStats {
+        &self.stats[class]
+    }
+}
+
+impl IndexMut<usize> for ClassTable {
+    fn index_mut(&mut self, class: usize) -> &mut ClassStats {
+        &mut self.stats[class]
+    }
+}
+
+impl ClassTable {
+    /// Classes of which nothing is known yet, all in use.
+    pub fn new(classes: &Vector<RequestClass>) -> ClassTable {
+        let mut table = ClassTable {
+            stats: classes.iter().map(|_| ClassStats::in_use()).collect(),
+            overall_latency: RunningMean::default(),
+            counts: ClassCounts::default(),
+        };
+        table.recount(classes);
+        table
+    }
+
+    pub fn len(&self) -> usize {
+        self.stats.len()
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &ClassStats> {
+        self.stats.iter()
+    }
+
+    pub fn get_mut(&mut self, class: usize) -> Option<&mut ClassStats> {
+        self.stats.get_mut(class)
+    }
+
+    /// Whether some class in use is idempotent.
+    pub fn any_idempotent(&self) -> bool {
+        self.counts.idempotent > 0
+    }
+
+    /// Whether some class in use is not well within its latency objective.
+    pub fn any_slow(&self) -> bool {
+        self.counts.slow > 0
+    }
+
+    /// A request of the class was served after `latency_s` seconds.
+    pub fn record_latency(&mut self, class: usize, rules: &RequestClass, latency_s: f64) {
+        let stats = &mut self.stats[class];
+        let was_slow = !stats.is_well_within_objective(rules);
+        stats.latency.add(latency_s, LATENCY_SAMPLES);
+        self.overall_latency.add(latency_s, LATENCY_SAMPLES);
+        if stats.in_use {
+            let is_slow = !stats.is_well_within_objective(rules);
+            self.counts.slow = self.counts.slow + usize::from(is_slow) - usize::from(was_slow);
+        }
+    }
+
+    /// A class's work relative to the mean over all requests, as far as latency shows it.
+    pub fn relative_work(&self, class: usize) -> f64 {
+        self.stats[class]
+            .latency
+            .get()
+            .map_or(1.0, |latency_s| latency_s / self.overall_latency.value)
+    }
+
+    pub fn objective_standing(&self) -> ObjectiveStanding {
+        let in_use = || self.stats.iter().filter(|stats| stats.in_use);
+        ObjectiveStanding {
+            offered_weight: in_use().map(|stats| stats.offered_weight).sum(),
+            worst_served_share: in_use()
+                .map(ClassStats::served_share)
+                .fold(f64::MAX, f64::min),
+        }
+    }
+
+    /// Changes classes that the `affected` numbers name, and keeps the counts: `classes` are the rules before, and
+    /// `changed` those after.
+    pub fn change(
+        &mut self,
+        affected: &[usize],
+        classes: &Vector<RequestClass>,
+        changed: &Vector<RequestClass>,
+        apply: impl FnOnce(&mut Vec<ClassStats>),
+    ) {
+        let before = self.count(affected.iter().copied(), classes);
+        self.counts.subtract(before);
+        self.stats.resize_with(changed.len(), ClassStats::in_use);
+        apply(&mut self.stats);
+        let after = self.count(affected.iter().copied(), changed);
+        self.counts.add(after);
+    }
+
+    /// Counts all classes anew.
+    pub fn recount(&mut self, classes: &Vector<RequestClass>) {
+        self.counts = self.count(0..self.stats.len(), classes);
+    }
+
+    /// Whether the counts are those of the classes.
+    pub fn is_consistent(&self, classes: &Vector<RequestClass>) -> bool {
+        self.counts == self.count(0..self.stats.len(), classes)
+    }
+
+    fn count(
+        &self,
+        numbers: impl Iterator<Item = usize>,
+        classes: &Vector<RequestClass>,
+    ) -> ClassCounts {
+        let mut counts = ClassCounts::default();
+        for number in numbers {
+            let Some(stats) = self.stats.get(number).filter(|stats| stats.in_use) else {
+                continue;
+            };
+            let class = &classes[number];
+            let idempotent = class.idempotency == Idempotency::Idempotent;
+            let slow = stats.latency.count > 0.0 && !stats.is_well_within_objective(class);
+            counts.idempotent += usize::from(idempotent);
+            counts.slow += usize::from(slow);
+        }
+        counts
+    }
+}
+
+impl Balancer {
+    /// What a served request of the class usually takes; see [`ClassStats::expected_latency`].
+    pub(super) fn expected_latency(&self, class: usize) -> Micros {
+        self.classes[class].expected_latency(&self.cfg.classes[class])
+    }
+
+    /// The classes that the settings have not retired, with their numbers.
+    pub(super) fn classes_in_use(&self) -> impl Iterator<Item = (usize, &RequestClass)> {
+        self.cfg
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(number, _)| self.classes[*number].in_use)
+    }
+
+    /// What one more served request of the class adds to the operators' objective: its priority weight in all traffic
+    /// and, for the class that is served worst, its priority weight in that class.
+    pub(super) fn objective_gain(&self, class: usize, standing: ObjectiveStanding) -> f64 {
+        let stats = &self.classes[class];
+        let is_worst = stats.in_use && stats.served_share() <= standing.worst_served_share;
+        let in_worst_class = if is_worst {
+            self.cfg.worst_class_objective_weight / stats.offered_weight.max(MIN_WEIGHT)
+        } else {
+            0.0
+        };
+        let in_all_traffic =
+            self.cfg.overall_objective_weight / standing.offered_weight.max(MIN_WEIGHT);
+        self.cfg.classes[class].priority_weight * (in_all_traffic + in_worst_class)
+    }
+}
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -1,6 +1,10 @@
 //! The adaptive concurrency limit of each hardware class.
 
-use super::{Balancer, Micros, QUICK_SAMPLES};
+use super::Balancer;
+use crate::interface::Micros;
+
+/// Samples in a kind's mean recent latency.
+pub(super) const QUICK_SAMPLES: f64 = 30.0;
 
 /// Requests that all proxies together hold on one backend at least: a single shared processor at four
 /// fifths of its capacity holds four on average. How many cores a kind has nobody tells: `learn_holds` does.
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -1,93 +1,62 @@
-//! What time alone brings about: silent backends, expired requests, hedged requests.
+//! Deadlines: when a request is given up because no response can come in time any more.
 
-use super::{Action, Attempt, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Time};
+use super::requests::PendingRequest;
+use super::Balancer;
+use crate::interface::{Micros, RequestClass, RequestId, Time};
 
-/// An idle proxy looks about so often, s.
-pub(super) const IDLE_LOOK: f64 = 5.0;
-/// An unanswered attempt this many times older than usual, with no later answer, marks silence.
-pub(super) const SILENT_AFTER: f64 = 6.0;
+/// When a request is given up: shortly before its deadline while an attempt is in flight, as the deadline itself would
+/// be too late to answer. One that only waits is given up once a response can hardly come in time, which does no harm
+/// yet: in time for the latency objective, or for the deadline where a late response earns something for work that was
+/// already begun.
+fn give_up_at(
+    request: &PendingRequest,
+    class: &RequestClass,
+    expected_latency: Micros,
+    timer_resolution: Micros,
+) -> Time {
+    if request.has_attempt_in_flight() {
+        return request.deadline - timer_resolution;
+    }
+    let late_response_earns = class.late_weight > 0.0 && !request.attempts.is_empty();
+    let response_until = if late_response_earns {
+        request.deadline
+    } else {
+        request.objective_until.min(request.deadline)
+    };
+    response_until - expected_latency.max(timer_resolution)
+}
+
+/// What a look at all requests that wait for a response found.
+#[derive(Default)]
+pub(super) struct DueRequests {
+    /// To be given up.
+    pub expired: Vec<RequestId>,
+    /// To be hedged, see [`Balancer::needs_hedge`].
+    pub to_hedge: Vec<RequestId>,
+    /// When the next request is to be given up, if any.
+    pub next_give_up_at: Option<Time>,
+}
 
 impl Balancer {
-    /// What time alone brings about, and when to look again.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
-    pub(super) fn look_after(&mut self, now: Time) {
-        let mut next = now + Micros::from_secs_f64(IDLE_LOOK); // nothing else may be due
-        if let Discovery::Poll {
-            staleness_limit: within,
-        } = self.cfg.discovery
-        {
-            if self.ask.take_due(now, within) {
-                self.actions.push(Action::PollDiscovery);
+    /// Requests that are due to be given up or hedged. Streams take the time that they take.
+    pub(super) fn due_requests(&self, now: Time) -> DueRequests {
+        let mut due = DueRequests::default();
+        for (&id, request) in &self.requests.pending {
+            if request.response_streaming || request.upload_streaming {
+                continue;
             }
-        }
-        next = self.ask.next().map_or(next, |at| next.min(at));
-        let mut silent = Vec::new();
-        for &(backend, class, sent) in self.attempts.values() {
-            let quiet = sent + self.usual(class).mul_f64(SILENT_AFTER); // far off for what is still uploaded
-            next = if quiet > now { next.min(quiet) } else { next };
-            if now >= quiet
-                && self
-                    .backends
-                    .get(backend)
-                    .is_some_and(|p| p.last_response_at <= sent)
-            {
-                silent.push(backend);
-            }
-        }
-        self.backends.set_silent(silent);
-        let mut over = Vec::new();
-        for (&id, r) in self
-            .requests
-            .iter()
-            .filter(|(_, r)| !r.streaming && !r.uploading)
-        {
-            let usual = self.usual(r.class);
-            let late_pays = self.cfg.classes[r.class].late_weight > 0.0 && !r.sent.is_empty();
-            let last_start = if late_pays { r.deadline } else { r.aim };
-            let lost = |s: &Attempt| {
-                s.out
-                    && self
-                        .backends
-                        .get(s.to.id)
-                        .is_none_or(|p| p.ejected_until.is_some())
-            };
-            let lost = matches!(&r.sent[..], [only] if lost(only));
-            // The deadline's own tick would be too late to answer; a request that was held so long
-            // that it cannot make it is refused while that is still harmless.
-            let last_start = if r.out() {
-                r.deadline
-            } else {
-                last_start.min(r.deadline)
-            };
-            let margin = if r.out() {
-                self.cfg.timer_resolution
-            } else {
-                usual.max(self.cfg.timer_resolution)
-            };
-            if now + margin >= last_start {
-                over.push(id);
-            } else if lost && now + usual < r.aim && self.extra >= 1.0 {
-                // Age alone is no reason: copies of merely heavy requests crowd every backend.
-                if self.cfg.hedging {
-                    if self.may_send(now, r) && !self.held.contains(&id) {
-                        self.held.push(id);
-                    }
-                } else if self.cfg.cancellation
-                    && self.cfg.classes[r.class].idempotency != Idempotency::NonIdempotent
-                {
-                    // Where no copy may run beside it, the first is called back to make way for the next.
-                    self.actions.push(Action::Cancel {
-                        request: id,
-                        attempt: AttemptNumber(0),
-                    });
-                }
+            let class = &self.cfg.classes[request.class];
+            let expected_latency = self.classes[request.class].expected_latency(class);
+            let resolution = self.cfg.timer_resolution;
+            let at = give_up_at(request, class, expected_latency, resolution);
+            if now >= at {
+                due.expired.push(id);
+            } else if self.needs_hedge(now, request, expected_latency) {
+                due.to_hedge.push(id);
             }
-            next = next.min(last_start - margin);
+            let next = due.next_give_up_at.map_or(at, |next| next.min(at));
+            due.next_give_up_at = Some(next);
         }
-        self.look_at = next.max(now + self.cfg.timer_resolution);
-        over.into_iter().for_each(|id| self.give_up(id));
+        due
     }
 }
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -1,96 +1,127 @@
-//! When a proxy that has to ask discovery asks again, after calls that failed.
+//! Polling of discovery: when a proxy that has to poll for the endpoint list polls again, and how long it waits for a
+//! response.
+//!
+//! While polls fail the interval between the starts of two polls grows exponentially, with jitter, up to a maximum that
+//! depends on the size of the fleet. It runs from start to start and not from a failure on, so that a poll that hangs
+//! until its time-out delays the next one no more than one that is refused at once.
 
-use crate::interface::{Micros, Time};
+use super::Balancer;
+use crate::interface::{Action, Discovery, Micros, Time};
 
-/// While discovery fails: the first gap between the beginnings of two calls, s. It doubles with each that fails.
-const FIRST: f64 = 0.1;
-/// In the end all proxies together leave this gap between two calls, s, ...
-const TURN: f64 = 0.05;
-/// ... but one proxy no less than this, s, as a call costs a small fleet's discovery next to nothing, ...
-const LEAST: f64 = 1.0;
-/// ... and no more than this, s: one more call, heard to the end of its patience, then still tells within 6 s of
-/// the moment that discovery can be reached what it had by then, with 0.3 s to spare (docs/design.md).
-const MOST: f64 = 3.9;
-/// The least part of a gap that is drawn while it grows, which soon spreads evenly proxies that failed together, ...
-const GROWING: f64 = 0.25;
-/// ... and once it grows no more, which keeps them so.
-const GROWN: f64 = 0.75;
+/// The first interval after a failure; it doubles with each further one.
+const INITIAL_INTERVAL_S: f64 = 0.1;
+/// The maximum interval leaves all proxies together this interval between two polls, ...
+const FLEET_INTERVAL_S: f64 = 0.05;
+/// ... and one proxy no less than this, ...
+const MIN_MAX_INTERVAL_S: f64 = 1.0;
+/// ... and no more than this: a proxy knows the list within 6 s after discovery can be reached again, with one more
+/// poll that runs into its time-out (docs/design.md).
+const MAX_MAX_INTERVAL_S: f64 = 3.9;
+/// The part of an interval that is not jitter while it grows: proxies that failed together soon spread evenly.
+const GROWING_FIXED_PART: f64 = 0.25;
+/// The same at the maximum: they stay spread.
+const MAXIMUM_FIXED_PART: f64 = 0.75;
+/// A poll that is without a response for this part of the staleness limit is repeated.
+const LOST_AFTER_OF_STALENESS_LIMIT: f64 = 0.5;
 
-/// The patience with a call that waits for no news and may hang without a word, ...
-pub const CALL_PATIENCE: Micros = Micros(1_800_000);
-/// ... and with one that surely stands in a line, s: discovery ends by itself what has waited for 3 s there.
-const LINE: f64 = 3.2;
+/// How long to wait for the response of a poll that is answered at once.
+pub const POLL_TIMEOUT: Micros = Micros(1_800_000);
+/// How long to wait for the response of a poll in discovery's queue: discovery itself rejects what waits for 3 s.
+const QUEUED_POLL_TIMEOUT_S: f64 = 3.2;
 
-/// The gap between two calls in the end, s.
-fn longest(proxies: u32) -> f64 {
-    (f64::from(proxies) * TURN).clamp(LEAST, MOST)
+/// The interval to which polls back off.
+fn max_interval_s(proxies: u32) -> f64 {
+    (f64::from(proxies) * FLEET_INTERVAL_S).clamp(MIN_MAX_INTERVAL_S, MAX_MAX_INTERVAL_S)
 }
 
-/// How long to wait for a call after one that discovery refused. So it lives, and has a line as long as it lets one grow:
-/// what it took in since stands at the end, and another call of the same proxy costs both their places. In a large fleet it
-/// is less: should the call hang after all, what comes before the next one still fits into the 6 s. That is a pause
-/// of half the gap, or the gap where the module repeats its question meanwhile.
-pub fn in_line(proxies: u32, within: Micros) -> Micros {
-    let half = within.as_secs_f64() / 2.0;
-    let gap = longest(proxies).min(half);
-    let behind = if half < LINE {
-        gap
+/// How long to wait for the response of a poll after one that discovery rejected.
+///
+/// Discovery is then alive, with a queue as long as it allows. Another poll would stand at the queue's end, so that
+/// giving up early costs the place. In a large fleet the time is shorter: if the poll hangs after all, what comes
+/// before the next one still fits into the 6 s. That is a pause of half the interval, or the interval where the
+/// decisions repeat the poll meanwhile.
+pub fn queued_poll_timeout(proxies: u32, staleness_limit: Micros) -> Micros {
+    let repeated_after_s = staleness_limit.as_secs_f64() / 2.0;
+    let interval_s = max_interval_s(proxies).min(repeated_after_s);
+    let until_next_s = if repeated_after_s < QUEUED_POLL_TIMEOUT_S {
+        interval_s
     } else {
-        (FIRST + gap) / 2.0
+        (INITIAL_INTERVAL_S + interval_s) / 2.0
     };
-    Micros::from_secs_f64((MOST - behind).clamp(CALL_PATIENCE.as_secs_f64(), LINE))
+    let timeout_s = MAX_MAX_INTERVAL_S - until_next_s;
+    Micros::from_secs_f64(timeout_s.clamp(POLL_TIMEOUT.as_secs_f64(), QUEUED_POLL_TIMEOUT_S))
 }
 
-/// A proxy's calls. A gap runs from the beginning of one to the next and not from a failure on: so a call that hangs
-/// till its patience ends makes the next one no later than one that is refused at once.
+/// When a proxy polls discovery.
 #[derive(Debug)]
-pub struct Ask {
-    /// When the next call is due, if any is.
-    at: Option<Time>,
-    /// When the last one began.
-    begun: Time,
-    /// The last gap before it was drawn, s.
-    gap: f64,
+pub struct DiscoveryPolling {
+    /// When the next poll is due, if any is.
+    next_at: Option<Time>,
+    /// When the last one started.
+    started_at: Time,
+    /// The last interval before jitter; 0 while polls succeed.
+    interval_s: f64,
 }
 
-impl Ask {
-    /// Due at once, or never where lists come unasked.
-    pub fn new(asked: bool) -> Ask {
-        Ask {
-            at: asked.then_some(Time(0)),
-            begun: Time(0),
-            gap: 0.0,
+impl DiscoveryPolling {
+    /// A first poll is due at once; or never, where discovery pushes changes.
+    pub fn new(discovery: Discovery) -> DiscoveryPolling {
+        DiscoveryPolling {
+            next_at: (discovery != Discovery::Push).then_some(Time(0)),
+            started_at: Time(0),
+            interval_s: 0.0,
         }
     }
 
-    /// A call failed, at one of so many proxies of which each has to ask `within` so long; `drawn` is even in 0..1.
-    pub fn failed(&mut self, now: Time, proxies: u32, within: Micros, drawn: f64) {
-        let most = longest(proxies).min(within.as_secs_f64() / 2.0);
-        let next = (self.gap * 2.0).clamp(FIRST, most.max(FIRST));
-        let least = if self.gap < next { GROWING } else { GROWN };
-        self.gap = next;
-        let gap = Micros::from_secs_f64(self.gap * (least + (1.0 - least) * drawn));
-        // It may have hung for longer than the gap, at all proxies alike: they are not to stay in step.
-        let pause = Micros::from_secs_f64((FIRST + self.gap * drawn) / 2.0);
-        self.at = Some((self.begun + gap).max(now + pause));
+    /// A poll failed at one of `proxies`. `jitter`: a random number, even from 0 to 1.
+    pub fn failed(&mut self, now: Time, proxies: u32, staleness_limit: Micros, jitter: f64) {
+        let max_s = max_interval_s(proxies).min(staleness_limit.as_secs_f64() / 2.0);
+        let next_s =
+            (self.interval_s * 2.0).clamp(INITIAL_INTERVAL_S, max_s.max(INITIAL_INTERVAL_S));
+        let fixed_part = if self.interval_s < next_s {
+            GROWING_FIXED_PART
+        } else {
+            MAXIMUM_FIXED_PART
+        };
+        self.interval_s = next_s;
+        let interval =
+            Micros::from_secs_f64(self.interval_s * (fixed_part + (1.0 - fixed_part) * jitter));
+        // Polls may hang for longer than the interval at all proxies alike, which are not to stay in step.
+        let pause = Micros::from_secs_f64((INITIAL_INTERVAL_S + self.interval_s * jitter) / 2.0);
+        self.next_at = Some((self.started_at + interval).max(now + pause));
     }
 
-    /// Discovery has answered.
-    pub fn answered(&mut self) {
-        (self.at, self.gap) = (None, 0.0);
+    /// Discovery responded: none is due until it fails.
+    pub fn succeeded(&mut self) {
+        self.next_at = None;
+        self.interval_s = 0.0;
     }
 
-    pub fn next(&self) -> Option<Time> {
-        self.at
+    /// When the next poll is due, if any is.
+    pub fn next_at(&self) -> Option<Time> {
+        self.next_at
     }
 
-    /// Whether a call is due; from then on it counts as begun.
-    pub fn take_due(&mut self, now: Time, within: Micros) -> bool {
-        let due = self.at.is_some_and(|at| now >= at);
+    /// Whether a poll is due; it then counts as started.
+    pub fn take_due(&mut self, now: Time, staleness_limit: Micros) -> bool {
+        let due = self.next_at.is_some_and(|at| now >= at);
         if due {
-            // Unanswered so long, the call itself was lost.
-            (self.at, self.begun) = (Some(now + within.mul_f64(0.5)), now);
+            let lost_after = staleness_limit.mul_f64(LOST_AFTER_OF_STALENESS_LIMIT);
+            self.next_at = Some(now + lost_after);
+            self.started_at = now;
         }
         due
     }
 }
+
+impl Balancer {
+    /// Polls discovery if that is due.
+    pub(super) fn poll_discovery(&mut self, now: Time) {
+        let Discovery::Poll { staleness_limit } = self.cfg.discovery else {
+            return;
+        };
+        if self.polling.take_due(now, staleness_limit) {
+            self.actions.push(Action::PollDiscovery);
+        }
+    }
+}
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,91 +1,195 @@
-//! Requests that wait for dispatch, in order of their value.
+//! Requests that wait for dispatch, and the order in which they get capacity.
 
-use super::{
-    Action, Attempt, AttemptNumber, Balancer, ClassState, RequestId, Time, LOW, SILENT_AFTER,
-};
+use super::classes::ObjectiveStanding;
+use super::load_shedding::{FleetLoad, LOW_PRIORITY_VALUE};
+use super::requests::{Attempt, AttemptKey, InFlightAttempt, PendingRequest};
+use super::silence_detection::silent_at;
+use super::Balancer;
+use crate::interface::{Action, AttemptNumber, BackendId, RequestId, Time};
 
-impl Balancer {
-    /// What is asked of all classes, and how well the worst-served one fares.
-    pub(super) fn fared(&self) -> (f64, f64) {
-        let live = || self.classes.iter().filter(|c| c.live);
-        (
-            live().map(|c| c.asked).sum(),
-            live().map(ClassState::served).fold(f64::MAX, f64::min),
-        )
+/// More than any value: no first attempt finds capacity.
+const BLOCKS_ALL: f64 = f64::MAX;
+
+/// Requests that wait for dispatch.
+#[derive(Default)]
+pub(super) struct DispatchQueue {
+    waiting: Vec<RequestId>,
+    /// First attempts worth less than this found no capacity since the last event that could free some. They are not
+    /// tried again until then.
+    blocked_below: f64,
+}
+
+impl DispatchQueue {
+    pub fn is_empty(&self) -> bool {
+        self.waiting.is_empty()
+    }
+
+    pub fn contains(&self, request: RequestId) -> bool {
+        self.waiting.contains(&request)
+    }
+
+    pub fn push(&mut self, request: RequestId) {
+        self.waiting.push(request);
+    }
+
+    pub fn remove(&mut self, request: RequestId) {
+        self.waiting.retain(|waiting| *waiting != request);
+    }
+
+    /// Something happened that may have freed capacity.
+    pub fn unblock(&mut self) {
+        self.blocked_below = 0.0;
     }
 
-    /// What one more served request of the class adds to the operator's goal: its worth to the whole and, for
-    /// the class that was served worst so far, its worth to that class's own part.
-    pub(super) fn gain(&self, class: usize, (all, worst): (f64, f64)) -> f64 {
-        let (c, s) = (&self.cfg.classes[class], &self.classes[class]);
-        let own = if s.live && s.served() <= worst {
-            self.cfg.worst_class_objective_weight / s.asked.max(1e-9)
+    /// A first attempt of this value found no capacity.
+    fn block(&mut self, value: f64) {
+        let low_priority = value < LOW_PRIORITY_VALUE;
+        self.blocked_below = self.blocked_below.max(if low_priority {
+            LOW_PRIORITY_VALUE
         } else {
-            0.0
-        };
-        c.priority_weight * (self.cfg.overall_objective_weight / all.max(1e-9) + own)
+            BLOCKS_ALL
+        });
+    }
+
+    fn nothing_to_dispatch(&self) -> bool {
+        self.waiting.is_empty() || self.blocked_below == BLOCKS_ALL
     }
+}
 
-    /// Sends what is held, the densest worth first and the newest first inside it.
-    pub(super) fn pump(&mut self, now: Time) {
-        if self.held.is_empty() || self.blocked == f64::MAX {
+/// A request in the order of dispatch.
+struct QueuedRequest {
+    id: RequestId,
+    arrived_at: Time,
+    /// What it adds to the operators' objective for each unit of work.
+    priority: f64,
+    /// Compared with [`DispatchQueue::blocked_below`], which no retry waits for.
+    blocking_value: f64,
+}
+
+impl Balancer {
+    /// Dispatches what waits, the highest priority first and the newest first within a priority.
+    pub(super) fn dispatch_waiting(&mut self, now: Time) {
+        if self.dispatch_queue.nothing_to_dispatch() {
             return;
         }
-        // One alone stands first, whatever its worth.
-        let fared = if self.held.len() > 1 {
-            self.fared()
-        } else {
-            (1.0, 1.0)
-        };
-        let mut line: Vec<(f64, Time, RequestId, f64)> = Vec::new();
-        for id in std::mem::take(&mut self.held) {
-            if let Some(r) = self.requests.get(&id) {
-                let value = if r.sent.is_empty() { r.value } else { f64::MAX };
-                let density = self.gain(r.class, fared) / self.work(r.class);
-                line.push((density * r.value, r.came, id, value));
+        let load = self.fleet_load();
+        for queued in self.take_by_priority() {
+            if queued.blocking_value < self.dispatch_queue.blocked_below {
+                self.dispatch_queue.push(queued.id);
+            } else {
+                self.dispatch_or_reject(now, queued.id, load);
             }
         }
-        line.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then(a.2.cmp(&b.2)));
-        for (_, _, id, value) in line {
-            if value < self.blocked {
-                self.held.push(id); // nothing less urgent finds room either, and trying each costs CPU
-                continue;
-            }
-            let Some(mut r) = self.requests.remove(&id) else {
+    }
+
+    /// Takes all requests out of the queue, in the order of dispatch.
+    fn take_by_priority(&mut self) -> Vec<QueuedRequest> {
+        let waiting = std::mem::take(&mut self.dispatch_queue.waiting);
+        let standing = if waiting.len() > 1 {
+            self.classes.objective_standing()
+        } else {
+            ObjectiveStanding::default() // one request needs no order
+        };
+        let mut queue: Vec<QueuedRequest> = Vec::new();
+        for id in waiting {
+            let Some(request) = self.requests.pending.get(&id) else {
                 continue;
             };
-            let (again, work) = (!r.sent.is_empty(), self.work(r.class));
-            let extra = r.sent.last().is_some_and(|s| !s.withheld);
-            let refused = !again && (self.crowded(r.value) || self.hopeless(now, &r));
-            let sendable = self.may_send(now, &r) && (!extra || self.extra >= 1.0) && !refused;
-            let backend = if sendable { self.draw(now, &r) } else { None };
-            if let Some(p) = backend.and_then(|b| self.backends.get_mut(b)) {
-                self.extra -= f64::from(extra);
-                let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
-                r.sent.push(Attempt::new(p.entry.clone(), now));
-                p.in_flight += 1;
-                p.recent_work
-                    .retain(|s| now - s.0 < self.cfg.overload_window);
-                p.recent_work.push((now, work));
-                self.attempts.insert((id, no), (backend, r.class, now));
-                self.actions.push(Action::Dispatch {
-                    request: id,
-                    backend,
-                });
-                let quiet = now + self.usual(r.class).mul_f64(SILENT_AFTER);
-                self.look_at = self
-                    .look_at
-                    .min(quiet)
-                    .min(r.deadline - self.cfg.timer_resolution);
-            } else if sendable {
-                if !again {
-                    self.blocked = self.blocked.max(if r.value < LOW { LOW } else { f64::MAX });
-                }
-                self.held.push(id);
+            let gain = self.objective_gain(request.class, standing);
+            let priority = gain / self.classes.relative_work(request.class) * request.value;
+            let is_first = request.attempts.is_empty();
+            queue.push(QueuedRequest {
+                id,
+                arrived_at: request.arrived_at,
+                priority,
+                blocking_value: if is_first { request.value } else { BLOCKS_ALL },
+            });
+        }
+        queue.sort_by(|a, b| {
+            let by_priority = b.priority.total_cmp(&a.priority);
+            let newest_first = by_priority.then(b.arrived_at.cmp(&a.arrived_at));
+            newest_first.then(a.id.cmp(&b.id))
+        });
+        queue
+    }
+
+    /// Dispatches a request; or lets it wait for capacity; or gives it up if it may not be sent.
+    fn dispatch_or_reject(&mut self, now: Time, id: RequestId, load: FleetLoad) {
+        let Some(mut request) = self.requests.pending.remove(&id) else {
+            return;
+        };
+        let sendable = self.may_send(now, &request, load);
+        let backend = if sendable {
+            self.select_backend(now, &request)
+        } else {
+            None
+        };
+        let dispatched =
+            backend.is_some_and(|backend| self.dispatch(now, id, &mut request, backend));
+        if sendable && !dispatched {
+            if request.attempts.is_empty() {
+                self.dispatch_queue.block(request.value);
             }
-            let over = !sendable && !r.out();
-            self.requests.insert(id, r);
-            over.then(|| self.give_up(id));
+            self.dispatch_queue.push(id);
+        }
+        let gives_up = !sendable && !request.has_attempt_in_flight();
+        self.requests.pending.insert(id, request);
+        if gives_up {
+            self.give_up(id);
+        }
+    }
+
+    /// Whether the request may have an attempt now, wherever there is capacity.
+    fn may_send(&self, now: Time, request: &PendingRequest, load: FleetLoad) -> bool {
+        let is_first = request.attempts.is_empty();
+        let shed = is_first
+            && (load.sheds_value(request.value)
+                || load.sheds_hopeless(now, request, self.expected_latency(request.class)));
+        let within_budget = !request.next_attempt_is_retry() || self.retry_budget.allows_retry();
+        !shed && within_budget && self.allows_attempt(now, request)
+    }
+
+    /// Sends an attempt to the backend; whether the backend is known.
+    fn dispatch(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        request: &mut PendingRequest,
+        backend: BackendId,
+    ) -> bool {
+        let Some(record) = self.backends.get_mut(backend) else {
+            return false;
+        };
+        if request.next_attempt_is_retry() {
+            self.retry_budget.withdraw();
         }
+        let work = self.classes.relative_work(request.class);
+        record.in_flight += 1;
+        record
+            .recent_work
+            .retain(|s| now - s.0 < self.cfg.overload_window);
+        record.recent_work.push((now, work));
+        let key = AttemptKey {
+            request: id,
+            attempt: AttemptNumber(request.attempts.len() as u32),
+        };
+        request
+            .attempts
+            .push(Attempt::new(record.entry.clone(), now));
+        let in_flight = InFlightAttempt {
+            backend,
+            class: request.class,
+            awaiting_response_since: now,
+        };
+        self.requests.in_flight.insert(key, in_flight);
+        self.actions.push(Action::Dispatch {
+            request: id,
+            backend,
+        });
+        let expected_latency = self.expected_latency(request.class);
+        self.schedule.check_by(silent_at(now, expected_latency));
+        self.schedule
+            .check_by(request.deadline - self.cfg.timer_resolution);
+        true
     }
 }
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -1,34 +1,46 @@
-//! Updates of the endpoint list.
+//! Updates of the endpoint list, and failures to get one.
 
-use super::{warmth, Backend, Balancer, Discovery, EndpointRecord, EndpointUpdate, Time};
+use super::slow_start::warmth;
+use super::state::EndpointRecord;
+use super::Balancer;
+use crate::interface::{Backend, Discovery, EndpointUpdate, Time};
 
 impl Balancer {
-    pub(super) fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<Backend>) {
-        match (update, self.cfg.discovery) {
-            // Asked for again, later each time and not in step with others: discovery serves all in turn, and
-            // calls that come faster than it can answer make each other fail.
-            (
-                EndpointUpdate::Failed,
-                Discovery::Poll {
-                    staleness_limit: within,
-                },
-            ) => {
-                self.ask
-                    .failed(now, self.cfg.proxy_count, within, self.dice.unit());
-                self.log(now, "discovery lost, asking again".into());
-            }
-            (EndpointUpdate::Incremental | EndpointUpdate::Full, _) => self.ask.answered(),
-            _ => {}
+    pub(super) fn endpoints_updated(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        list: Vec<Backend>,
+    ) {
+        match update {
+            EndpointUpdate::Failed => self.discovery_failed(now),
+            EndpointUpdate::Incremental | EndpointUpdate::Full => self.polling.succeeded(),
+            EndpointUpdate::Cached => {}
         }
-        // What a cold one was sent weighs still if it is back within the fall window.
-        let (cfg, window) = (&self.cfg, self.cfg.overload_window);
-        let recent = |p: &EndpointRecord| p.recent_work.last().is_some_and(|s| now - s.0 < window);
-        let kept = |p: &EndpointRecord| p.in_flight > 0 || recent(p) && warmth(cfg, now, p) < 1.0;
-        self.backends.apply_update(
-            matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached),
-            list,
-            kept,
-        );
-        (self.solve_at, self.look_at) = (now, now);
+        // What a backend that warms up was sent still counts if it is listed again within the overload window.
+        let cfg = &self.cfg;
+        let has_recent_work = |record: &EndpointRecord| {
+            let latest = record.recent_work.last();
+            latest.is_some_and(|sent| now - sent.0 < cfg.overload_window)
+        };
+        let is_kept = |record: &EndpointRecord| {
+            let warming_up = || warmth(cfg, now, record) < 1.0;
+            record.in_flight > 0 || has_recent_work(record) && warming_up()
+        };
+        let complete = matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached);
+        self.backends.apply_update(complete, list, is_kept);
+        self.split.due_at = now;
+        self.schedule.check_at(now);
+    }
+
+    /// Discovery is polled again, later each time and not in step with the other proxies.
+    fn discovery_failed(&mut self, now: Time) {
+        let Discovery::Poll { staleness_limit } = self.cfg.discovery else {
+            return;
+        };
+        let jitter = self.dice.unit();
+        self.polling
+            .failed(now, self.cfg.proxy_count, staleness_limit, jitter);
+        self.log(now, "discovery poll failed, backing off".into());
     }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -221,7 +221,7 @@
             .zip(&self.address_hashes)
             .filter(|(l, _)| anew || l.rotation_offset == 0.0)
         {
-            l.rotation_offset = rules::coin(*mark, position, proxies);
+            l.rotation_offset = rules::subset::coin(*mark, position, proxies);
         }
     }
 
@@ -255,7 +255,7 @@
     /// What follows from its load.
     fn update_weight(&mut self, at: usize, now: Time) {
         let l = &mut self.loads[at];
-        let used = rules::crowding(l);
+        let used = rules::selection::counted_in_flight(l);
         self.in_flight = self.in_flight + u64::from(used) - u64::from(l.counted_in_flight);
         l.counted_in_flight = used;
         let odd = now < l.unrestricted_at;
@@ -271,12 +271,12 @@
 
     /// Whether it may hold one more, of half of its room or all.
     pub fn fits(&self, at: usize, half: bool) -> bool {
-        rules::fits(&self.loads[at], half)
+        rules::selection::has_capacity(&self.loads[at], half)
     }
 
     /// What it weighs in a draw: its slice, and for the rest a last resort.
     pub fn weight(&self, at: usize) -> f64 {
-        rules::weight(self.subset_share[at], self.traffic_share[at])
+        rules::selection::selection_weight(self.subset_share[at], self.traffic_share[at])
     }
 
     /// Lets it weigh so much.
@@ -317,7 +317,7 @@
                 l.ejected,
                 l.available,
                 l.success_share,
-            ) && l.counted_in_flight == rules::crowding(l)
+            ) && l.counted_in_flight == rules::selection::counted_in_flight(l)
                 && g.weights[l.weight_index as usize]
                     == if !l.restricted && self.fits(at, false) {
                         self.weight(at)
--- /dev/null
+++ b/src/balancer/final_answers.rs
@@ -0,0 +1,68 @@
+//! The final answers of requests that are not served, and the end of every request.
+
+use super::outlier_detection::EJECT_TERM;
+use super::requests::PendingRequest;
+use super::Balancer;
+use crate::interface::{Action, AttemptNumber, Idempotency, KeyScope, Micros, RequestId};
+
+/// A client may retry after so many times the expected latency: what is in flight now has freed its capacity by then.
+const RETRY_AFTER_LATENCIES: f64 = 2.0;
+
+/// Whether a client's retry of the request can do no harm.
+fn retry_is_harmless(request: &PendingRequest, idempotency: Idempotency) -> bool {
+    let repeatable = match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::Keyed { scope, .. } => scope == KeyScope::All,
+        Idempotency::NonIdempotent => false,
+    };
+    repeatable || request.attempts.iter().all(|attempt| attempt.never_ran)
+}
+
+impl Balancer {
+    /// Final answer for a request that will not be served: rejected where a retry is harmless, failed elsewhere.
+    pub(super) fn give_up(&mut self, id: RequestId) {
+        let Some(request) = self.requests.pending.get(&id) else {
+            return;
+        };
+        let idempotency = self.cfg.classes[request.class].idempotency;
+        let answer = if retry_is_harmless(request, idempotency) {
+            Action::Reject {
+                request: id,
+                retry_after: self.retry_after(request.class),
+            }
+        } else {
+            Action::Fail { request: id }
+        };
+        self.actions.push(answer);
+        self.close(id);
+    }
+
+    /// When a client should retry; without a ready backend, when an ejected one has its next health check.
+    fn retry_after(&self, class: usize) -> Micros {
+        let mut kinds = self.kinds.values();
+        if kinds.any(|kind| kind.ready_endpoints > 0.0) {
+            self.expected_latency(class).mul_f64(RETRY_AFTER_LATENCIES)
+        } else {
+            Micros::from_secs_f64(EJECT_TERM)
+        }
+    }
+
+    /// No answer is owed any more: attempts that are still in flight are cancelled.
+    pub(super) fn close(&mut self, id: RequestId) {
+        let Some(request) = self.requests.pending.remove(&id) else {
+            return;
+        };
+        self.dispatch_queue.remove(id);
+        if !self.cfg.cancellation {
+            return;
+        }
+        for (number, attempt) in request.attempts.iter().enumerate() {
+            if attempt.in_flight {
+                self.actions.push(Action::Cancel {
+                    request: id,
+                    attempt: AttemptNumber(number as u32),
+                });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/hedging.rs
@@ -0,0 +1,52 @@
+//! Hedged requests: a second attempt while the first is still in flight, on a backend that was ejected or removed.
+//!
+//! Age alone is no reason for one: hedges of requests that are merely heavy would load every backend.
+
+use super::requests::{Attempt, PendingRequest};
+use super::Balancer;
+use crate::interface::{Action, AttemptNumber, Idempotency, Micros, RequestId, Time};
+
+impl Balancer {
+    /// Whether the request's only attempt is in flight on a backend from which no response is expected, and another
+    /// could still meet the latency objective.
+    pub(super) fn needs_hedge(
+        &self,
+        now: Time,
+        request: &PendingRequest,
+        expected_latency: Micros,
+    ) -> bool {
+        let [only] = &request.attempts[..] else {
+            return false;
+        };
+        self.is_lost(only)
+            && now + expected_latency < request.objective_until
+            && self.retry_budget.allows_retry()
+    }
+
+    fn is_lost(&self, attempt: &Attempt) -> bool {
+        let ejected_or_removed = || {
+            self.backends
+                .get(attempt.backend.id)
+                .is_none_or(|record| record.ejected_until.is_some())
+        };
+        attempt.in_flight && ejected_or_removed()
+    }
+
+    /// Queues a second attempt. Where no two may run at once, the first is cancelled to make way for it.
+    pub(super) fn hedge(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.pending.get(&id) else {
+            return;
+        };
+        let idempotency = self.cfg.classes[request.class].idempotency;
+        if self.cfg.hedging {
+            if self.allows_attempt(now, request) && !self.dispatch_queue.contains(id) {
+                self.dispatch_queue.push(id);
+            }
+        } else if self.cfg.cancellation && idempotency != Idempotency::NonIdempotent {
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt: AttemptNumber(0),
+            });
+        }
+    }
+}
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -1,6 +1,8 @@
 //! What is kept over a restart.
 
-use super::{Balancer, ClassId, LearnedState, Micros, RunningMean, Time};
+use super::state::RunningMean;
+use super::Balancer;
+use crate::interface::{ClassId, LearnedState, Micros, Time};
 
 /// Seconds in which a recalled memory loses half its weight: a minute is some hundred answers per kind.
 pub(super) const RECALL_HALF_LIFE: f64 = 60.0;
@@ -12,14 +14,14 @@
             .classes
             .iter()
             .enumerate()
-            .filter(|(_, c)| c.live && c.latency.count > 0.0);
+            .filter(|(_, c)| c.in_use && c.latency.count > 0.0);
         let backends = self.backends.records().map(|(id, p)| (id, p.memory(now)));
         LearnedState {
             kinds: self.kinds.iter().map(|(id, k)| (*id, k.memory())).collect(),
             classes: live
                 .map(|(n, c)| (ClassId(n), c.latency.sampled()))
                 .collect(),
-            overall_latency: self.overall.sampled(),
+            overall_latency: self.classes.overall_latency.sampled(),
             backends: backends.filter(|(_, m)| *m != Default::default()).collect(),
         }
     }
@@ -37,12 +39,12 @@
             self.kinds
                 .entry(id)
                 .or_default()
-                .recall(&m, weight, self.beside.0 == 1);
+                .recall(&m, weight, self.processes.is_single());
         }
         // A class's work is its latency over the overall one: the two come together or not at all.
         let overall = RunningMean::recalled(memory.overall_latency, weight);
         if overall.count > 0.0 {
-            self.overall = overall;
+            self.classes.overall_latency = overall;
             for (id, s) in memory.classes {
                 self.classes
                     .get_mut(id.0)
@@ -56,8 +58,9 @@
                 .into_iter()
                 .for_each(|p| p.recall(&m, now, age));
         }
-        self.sum_up();
-        (self.solve_at, self.look_at) = (now, now);
+        self.classes.recount(&self.cfg.classes);
+        self.split.due_at = now;
+        self.schedule.check_at(now);
         self.log(
             now,
             format!(
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -1,6 +1,7 @@
 //! Traffic kept in the own zone and region as far as capacity allows.
 
-use super::{BTreeMap, RegionId, ZoneId};
+use crate::interface::{RegionId, ZoneId};
+use std::collections::BTreeMap;
 
 /// The part of a proxy's traffic for each zone, of what each zone is due of all (sum 1). Every zone brings as
 /// much and keeps what it is due; its surplus goes to those due more, by their room, first inside its region,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,9 +1,10 @@
 //! What outcomes tell of a backend: latency, error share, ejection and readmission.
 
-use super::{
-    Action, AttemptEnd, BackendId, Balancer, Micros, Outcome, Time, Verdict, KIND_SAMPLES,
-    QUICK_SAMPLES, SILENT_AFTER,
-};
+use super::classes::LATENCY_SAMPLES;
+use super::concurrency_limit::QUICK_SAMPLES;
+use super::silence_detection::silence_limit;
+use super::Balancer;
+use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict};
 
 /// Error share from which a backend is ejected: two errors close together reach it where errors are rare.
 pub(super) const ERROR_LIMIT: f64 = 0.3;
@@ -37,15 +38,14 @@
             end.outcome,
             Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed
         ) {
-            self.errors
-                .add(f64::from(end.outcome != Outcome::Ok), KIND_SAMPLES);
+            self.error_share
+                .add(f64::from(end.outcome != Outcome::Ok), LATENCY_SAMPLES);
         }
         let (limit, alive) = (
-            ERROR_LIMIT + STAND_OUT * self.errors.value,
-            self.usual(class).mul_f64(ALIVE),
+            ERROR_LIMIT + STAND_OUT * self.error_share.value,
+            self.expected_latency(class).mul_f64(ALIVE),
         );
-        let long = end.latency > self.usual(class).mul_f64(SILENT_AFTER);
-        let was_tight = !self.quick(class);
+        let long = end.latency > silence_limit(self.expected_latency(class));
         let Some(p) = self.backends.get_mut(id) else {
             return;
         };
@@ -69,11 +69,12 @@
             Outcome::Ok => {
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
                 let secs = end.latency.as_secs_f64().max(1e-6);
-                self.classes[class].latency.add(secs, KIND_SAMPLES);
-                self.overall.add(secs, KIND_SAMPLES);
-                let plain = secs * self.overall.value / self.classes[class].latency.value;
+                self.classes
+                    .record_latency(class, &self.cfg.classes[class], secs);
+                let plain =
+                    secs * self.classes.overall_latency.value / self.classes[class].latency.value;
                 let k = self.kinds.entry(p.entry.kind).or_default();
-                k.latency.add(plain, KIND_SAMPLES);
+                k.latency.add(plain, LATENCY_SAMPLES);
                 k.served_per_endpoint
                     .add(now, 1.0 / k.ready_endpoints.max(1.0));
                 k.recent_latency.add(plain, QUICK_SAMPLES);
@@ -123,9 +124,6 @@
             }
             _ => self.eject(now, id, end.outcome),
         }
-        if self.classes[class].live {
-            self.tight = self.tight + usize::from(!self.quick(class)) - usize::from(was_tight);
-        }
     }
 
     pub(super) fn eject(&mut self, now: Time, id: BackendId, why: Outcome) {
@@ -148,7 +146,7 @@
                     consecutive_ejections: strikes,
                 },
             });
-            self.look_at = now;
+            self.schedule.check_at(now);
             self.log(now, format!("backend {} ejected: {why:?}", id.0));
         }
     }
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -1,6 +1,8 @@
 //! Other proxies' verdicts on backends as evidence.
 
-use super::{Balancer, Micros, PeerVerdict, Time, Verdict, EJECT_TERM};
+use super::outlier_detection::EJECT_TERM;
+use super::Balancer;
+use crate::interface::{Micros, PeerVerdict, Time, Verdict};
 
 /// Proxies whose word takes a backend out here: one may be on a broken link of its own, two rarely are.
 pub(super) const WORDS: u32 = 2;
@@ -33,7 +35,7 @@
                     p.consecutive_ejections,
                 ) = (None, None, 0.0, 0);
                 p.peer_ejections.clear();
-                self.solve_at = now;
+                self.split.due_at = now;
                 self.log(now, format!("backend {} is back, as a peer says", id.0));
             }
             return;
@@ -59,7 +61,8 @@
                 p.ejected_on_peer_verdicts_at,
                 p.consecutive_ejections,
             ) = (Some(p.latest_peer_verdict.1), Some(now), i32::from(strikes));
-            (p.health_checks_passed, self.look_at) = (0, now);
+            p.health_checks_passed = 0;
+            self.schedule.check_at(now);
             let words = p.peer_ejections.len();
             self.backends.suspend(id);
             self.log(
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -1,56 +1,76 @@
 //! A new configuration at run time.
 
-use super::{Balancer, ClassId, ClassState, ClassSuccessor, Time, ValidatedConfig};
+use super::Balancer;
+use crate::interface::{ClassId, ClassSuccessor, Time, ValidatedConfig};
+
+/// A new configuration, and what became of the classes.
+pub(super) struct ConfigChange {
+    pub config: ValidatedConfig,
+    /// Classes that are no longer in use.
+    pub retired: Vec<ClassId>,
+    /// Retired classes that are in use again.
+    pub reinstated: Vec<ClassId>,
+    /// Classes that take over another's latency estimate.
+    pub successors: Vec<ClassSuccessor>,
+}
+
+impl ConfigChange {
+    /// The classes that come into use or go out of it, each once, where `classes_before` were known. A class that
+    /// stays keeps its rules.
+    fn affected_classes(&self, classes_before: usize) -> Vec<usize> {
+        let classes = self.config.classes.len();
+        let named = self.retired.iter().chain(&self.reinstated);
+        let mut affected: Vec<usize> = named
+            .map(|id| id.0)
+            .filter(|number| *number < classes)
+            .chain(classes_before..classes)
+            .collect();
+        affected.sort_unstable();
+        affected.dedup();
+        affected
+    }
+}
 
 impl Balancer {
-    /// Classes and tenants keep their numbers, so that all that is open and learned goes on. The host sees to
-    /// that; a configuration that forgets a number all the same changes nothing.
-    pub(super) fn settings(
-        &mut self,
-        now: Time,
-        cfg: ValidatedConfig,
-        turned: [(&Vec<ClassId>, bool); 2],
-        successors: &[ClassSuccessor],
-    ) {
-        let (classes, tenants) = (cfg.classes.len(), cfg.tenants.len());
-        if classes < self.classes.len() || tenants < self.cfg.tenants.len() {
-            return self.log(now, "settings not taken".into());
+    /// Takes a new configuration. Classes and tenants keep their numbers, so that all that is open and learned goes
+    /// on. The host sees to that; a configuration that lacks a number all the same changes nothing.
+    pub(super) fn reconfigure(&mut self, now: Time, change: ConfigChange) {
+        let lacks_classes = change.config.classes.len() < self.classes.len();
+        let lacks_tenants = change.config.tenants.len() < self.cfg.tenants.len();
+        if lacks_classes || lacks_tenants {
+            return self.log(
+                now,
+                "configuration rejected: classes or tenants are missing".into(),
+            );
         }
-        // A class in use keeps its rules under its number: only those that come or go change the sums.
-        let come_or_go = turned.iter().flat_map(|(ids, _)| ids.iter().map(|id| id.0));
-        let new = self.classes.len()..classes;
-        let mut touched: Vec<usize> = come_or_go.filter(|n| *n < classes).chain(new).collect();
-        touched.sort_unstable();
-        touched.dedup();
-        let (free, tight) = self.sums(&touched);
-        (self.free, self.tight) = (self.free - free, self.tight - tight);
-        self.classes.resize_with(classes, || ClassState {
-            live: true,
-            ..Default::default()
-        });
-        for successor in successors {
-            let latency = self.classes.get(successor.predecessor.0).map(|s| s.latency);
-            self.classes
-                .get_mut(successor.class.0)
-                .zip(latency)
-                .into_iter()
-                .for_each(|(s, latency)| s.latency = latency);
-        }
-        for (id, live) in turned
-            .into_iter()
-            .flat_map(|(ids, live)| ids.iter().map(move |id| (id, live)))
-        {
-            self.classes
-                .get_mut(id.0)
-                .into_iter()
-                .for_each(|s| s.live = live);
-        }
-        if (cfg.slow_start, cfg.overload_window) != (self.cfg.slow_start, self.cfg.overload_window)
-        {
+        self.change_classes(&change);
+        let slow_start_changed = change.config.slow_start != self.cfg.slow_start
+            || change.config.overload_window != self.cfg.overload_window;
+        if slow_start_changed {
             self.backends.mark_all_outdated();
         }
-        (self.cfg, self.solve_at, self.look_at) = (cfg, now, now);
-        let (free, tight) = self.sums(&touched);
-        (self.free, self.tight) = (self.free + free, self.tight + tight);
+        self.cfg = change.config;
+        self.split.due_at = now;
+        self.schedule.check_at(now);
+    }
+
+    fn change_classes(&mut self, change: &ConfigChange) {
+        let affected = change.affected_classes(self.classes.len());
+        let (before, after) = (&self.cfg.classes, &change.config.classes);
+        self.classes.change(&affected, before, after, |stats| {
+            for successor in &change.successors {
+                let latency = stats.get(successor.predecessor.0).map(|s| s.latency);
+                if let (Some(heir), Some(latency)) = (stats.get_mut(successor.class.0), latency) {
+                    heir.latency = latency;
+                }
+            }
+            for (ids, in_use) in [(&change.retired, false), (&change.reinstated, true)] {
+                for id in ids {
+                    if let Some(class) = stats.get_mut(id.0) {
+                        class.in_use = in_use;
+                    }
+                }
+            }
+        });
     }
 }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,20 +1,81 @@
-//! When a request may have a further attempt, and the retry budget.
+//! Retries: when a request may have a further attempt, and the budget that bounds them all.
 
-use super::{Attempt, Balancer, Idempotency, PendingRequest, Time};
+use super::requests::{Attempt, PendingRequest};
+use super::Balancer;
+use crate::interface::{Idempotency, Micros, Time};
 
-/// Extra attempts for each request: the usual tenth, doubled for the time until a failure is seen.
-pub(super) const RETRY_RATIO: f64 = 0.2;
+/// Retries that the budget allows for each request.
+const RETRY_BUDGET_RATIO: f64 = 0.2;
+/// The budget gathers what so many requests bring.
+const RETRY_BUDGET_MAX_REQUESTS: f64 = 100.0;
 
-impl Balancer {
-    pub(super) fn may_send(&self, now: Time, r: &PendingRequest) -> bool {
-        let safe = |s: &Attempt| match self.cfg.classes[r.class].idempotency {
+/// Bounds retries and hedged requests to a part of all requests, so that they cannot multiply an overload.
+#[derive(Default)]
+pub(super) struct RetryBudget {
+    /// Retries that may be sent now.
+    balance: f64,
+}
+
+impl RetryBudget {
+    /// A request arrived.
+    pub fn deposit(&mut self) {
+        self.balance =
+            (self.balance + RETRY_BUDGET_RATIO).min(RETRY_BUDGET_RATIO * RETRY_BUDGET_MAX_REQUESTS);
+    }
+
+    /// Whether a retry may be sent.
+    pub fn allows_retry(&self) -> bool {
+        self.balance >= 1.0
+    }
+
+    /// A retry was sent.
+    pub fn withdraw(&mut self) {
+        self.balance -= 1.0;
+    }
+}
+
+/// The rules on further attempts of one request.
+struct RetryPolicy {
+    idempotency: Idempotency,
+    /// Whether two attempts may be in flight at once.
+    hedging: bool,
+    /// The shortest time between two rounds of events.
+    timer_resolution: Micros,
+}
+
+impl RetryPolicy {
+    /// Whether the request may have a further attempt, its first one included.
+    fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
+        let alone = self.hedging || !request.has_attempt_in_flight();
+        alone
+            && request.attempts.len() < request.max_attempts
+            && request
+                .attempts
+                .iter()
+                .all(|attempt| self.may_repeat(now, attempt))
+    }
+
+    /// Whether the attempt may be repeated without the risk of a second run that does harm.
+    fn may_repeat(&self, now: Time, attempt: &Attempt) -> bool {
+        match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
-                s.never_ran || now + self.cfg.timer_resolution < s.at + window
+                let key_known_until = attempt.dispatched_at + window;
+                attempt.never_ran || now + self.timer_resolution < key_known_until
             }
-            Idempotency::NonIdempotent => s.never_ran,
+            Idempotency::NonIdempotent => attempt.never_ran,
+        }
+    }
+}
+
+impl Balancer {
+    /// Whether the rules of the request's class allow a further attempt, its first one included.
+    pub(super) fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
+        let policy = RetryPolicy {
+            idempotency: self.cfg.classes[request.class].idempotency,
+            hedging: self.cfg.hedging,
+            timer_resolution: self.cfg.timer_resolution,
         };
-        let alone = self.cfg.hedging || !r.out();
-        alone && r.sent.len() < r.most && r.sent.iter().all(safe)
+        policy.allows_attempt(now, request)
     }
 }
--- /dev/null
+++ b/src/balancer/schedule.rs
@@ -0,0 +1,69 @@
+//! What the proxy does at set times: solve the traffic split, and check what time alone brings about, for which it sets
+//! the one timer at its host.
+
+use crate::interface::{Action, Micros, Time, TimerToken};
+
+/// No timer is set.
+const NOT_SET: Time = Time(u64::MAX);
+
+/// The next scheduled check, and the timer that wakes the proxy for it.
+pub(super) struct CheckSchedule {
+    next_check_at: Time,
+    /// Only the latest timer counts.
+    timer: TimerToken,
+    timer_due_at: Time,
+}
+
+impl CheckSchedule {
+    /// A check is due at once, and no timer is set.
+    pub fn new() -> CheckSchedule {
+        CheckSchedule {
+            next_check_at: Time(0),
+            timer: TimerToken(0),
+            timer_due_at: NOT_SET,
+        }
+    }
+
+    pub fn is_due(&self, now: Time) -> bool {
+        now >= self.next_check_at
+    }
+
+    /// Schedules the next check, in place of the one that was scheduled.
+    pub fn check_at(&mut self, at: Time) {
+        self.next_check_at = at;
+    }
+
+    /// Schedules the next check unless one is scheduled before.
+    pub fn check_by(&mut self, at: Time) {
+        self.next_check_at = self.next_check_at.min(at);
+    }
+
+    /// A timer fell due; whether it is the latest.
+    pub fn timer_fired(&mut self, token: TimerToken) -> bool {
+        let latest = token == self.timer;
+        if latest {
+            self.timer_due_at = NOT_SET;
+        }
+        latest
+    }
+
+    /// Sets a new timer where the present one would fall due after the next check.
+    pub fn set_timer(&mut self, now: Time, resolution: Micros) -> Option<Action> {
+        if self.next_check_at >= self.timer_due_at {
+            return None;
+        }
+        self.timer = TimerToken(self.timer.0 + 1);
+        self.timer_due_at = self.next_check_at;
+        Some(Action::SetTimer {
+            token: self.timer,
+            after: (self.next_check_at - now).max(resolution),
+        })
+    }
+}
+
+/// When the traffic split was last solved, and when it is due again. It is solved only while requests arrive or wait.
+#[derive(Default)]
+pub(super) struct SplitSchedule {
+    pub solved_at: Time,
+    pub due_at: Time,
+}
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,111 +1,193 @@
-//! The draw of a backend for a request.
+//! Selection of a backend for a request: a hardware class by its share of the traffic, then a backend of it by its
+//! weight, both at random.
 
-use super::{
-    Attempt, BTreeMap, BackendId, Balancer, EndpointLoad, EndpointRecord, Idempotency, KeyScope,
-    PendingRequest, Time, LOW,
-};
+use super::endpoints::EndpointLoad;
+use super::load_shedding::LOW_PRIORITY_VALUE;
+use super::requests::{Attempt, PendingRequest};
+use super::Balancer;
+use crate::interface::{Backend, BackendId, Idempotency, KeyScope, KindId, Time};
+use std::collections::BTreeMap;
 
-/// Whether it may hold one more, of half of its room or all.
-pub(super) fn fits(l: &EndpointLoad, half: bool) -> bool {
-    let room = if half {
-        (l.capacity / 2.0).ceil()
+/// The part of its share of this proxy's traffic that a backend outside the proxy's subset weighs: a last resort.
+const OUTSIDE_SUBSET_WEIGHT: f64 = 1e-6;
+
+/// Whether the backend may hold one more attempt: of all its capacity, or of half of it.
+pub(super) fn has_capacity(load: &EndpointLoad, half_only: bool) -> bool {
+    let limit = if half_only {
+        (load.capacity / 2.0).ceil()
     } else {
-        l.capacity
+        load.capacity
     };
-    l.available && !l.silent && l.readiness > 0.0 && f64::from(l.in_flight) < room
+    let usable = load.available && !load.silent && load.readiness > 0.0;
+    usable && f64::from(load.in_flight) < limit
 }
 
-/// What a backend weighs in a draw: its slice, and for the rest a last resort.
-pub(super) fn weight(slice: f64, pull: f64) -> f64 {
-    slice + pull * 1e-6
+/// A backend's weight, of its part of this proxy's subset and its part of this proxy's traffic.
+pub(super) fn selection_weight(subset_share: f64, traffic_share: f64) -> f64 {
+    subset_share + traffic_share * OUTSIDE_SUBSET_WEIGHT
 }
 
-/// The attempts on it that crowd the others: what is out where it is in use.
-pub(super) fn crowding(l: &EndpointLoad) -> u32 {
-    if l.readiness > 0.0 && !l.silent {
-        l.in_flight
+/// The attempts in flight on a backend that count as load of the fleet: those where it is in use.
+pub(super) fn counted_in_flight(load: &EndpointLoad) -> u32 {
+    if load.readiness > 0.0 && !load.silent {
+        load.in_flight
     } else {
         0
     }
 }
 
+/// Whether the second backend discards a repeat of a keyed request that the first may have run.
+fn shares_keys(scope: KeyScope, first: &Backend, second: &Backend) -> bool {
+    match scope {
+        KeyScope::All => true,
+        KeyScope::Zone => first.zone == second.zone,
+        KeyScope::Cell => first.cell == second.cell,
+    }
+}
+
+/// Requests a second that a warm backend of each hardware class surely serves: worked out once a draw.
+type SafeRates = BTreeMap<KindId, f64>;
+
+/// The weight of an endpoint for one draw only.
+struct WeightOverride {
+    endpoint_index: usize,
+    weight: f64,
+}
+
+/// An endpoint that one draw leaves out.
+fn exclude(endpoint_index: usize) -> WeightOverride {
+    WeightOverride {
+        endpoint_index,
+        weight: 0.0,
+    }
+}
+
 impl Balancer {
-    /// A backend for the request: kind by share, backend inside it by readiness, both at random.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
-    pub(super) fn draw(&mut self, now: Time, r: &PendingRequest) -> Option<BackendId> {
-        let effect = self.cfg.classes[r.class].idempotency;
-        let (work, low) = (self.work(r.class), r.value < LOW);
+    /// A backend for the request's next attempt, if one has capacity.
+    pub(super) fn select_backend(
+        &mut self,
+        now: Time,
+        request: &PendingRequest,
+    ) -> Option<BackendId> {
         self.backends.refresh(now, &self.cfg);
-        let mut sure = BTreeMap::new();
-        let mut cold = |at: usize| {
-            self.budget(now, at, &mut sure) < work * (1.0 - self.backends.loads[at].rotation_offset)
+        let mut safe_rates = SafeRates::new();
+        if self.may_serve_as_health_check(request) {
+            let candidate = self.health_check_candidate(now, request, &mut safe_rates);
+            if candidate.is_some() {
+                return candidate;
+            }
+        }
+        for weight in self.weight_overrides(now, request, &mut safe_rates) {
+            self.backends
+                .override_weight(weight.endpoint_index, weight.weight);
+        }
+        let share = |(group, kind)| Some((group, self.kinds.get(&kind)?.proxy_share));
+        let shares: Vec<(usize, f64)> = self.backends.drawable_kinds().filter_map(share).collect();
+        let group = self.dice.pick(&shares)?;
+        self.backends.draw(group, &mut self.dice)
+    }
+
+    /// Whether the request may be sent to an ejected backend: one that can be repeated without harm, or any where no
+    /// class can.
+    fn may_serve_as_health_check(&self, request: &PendingRequest) -> bool {
+        let idempotency = self.cfg.classes[request.class].idempotency;
+        let repeatable = idempotency == Idempotency::Idempotent || !self.classes.any_idempotent();
+        request.attempts.is_empty() && repeatable
+    }
+
+    /// An ejected backend whose ejection is over and that has nothing in flight: it is tried with one request at a time.
+    fn health_check_candidate(
+        &self,
+        now: Time,
+        request: &PendingRequest,
+        safe_rates: &mut SafeRates,
+    ) -> Option<BackendId> {
+        let mut is_candidate = |index: usize| {
+            let record = self.backends.record_at(index);
+            let load = &self.backends.loads[index];
+            let ejection_over = record.ejected_until.is_some_and(|until| now >= until);
+            let idle = load.readiness == 0.0 && record.in_flight == 0;
+            let usable = load.available && !record.silent && now >= record.overloaded_until;
+            ejection_over
+                && idle
+                && usable
+                && self.fits_slow_start(now, index, request.class, safe_rates)
         };
-        if r.sent.is_empty() && (effect == Idempotency::Idempotent || self.free == 0) {
-            // Its term is over: one request at a time that may fail without harm tries it.
-            let mut tries = |at: usize| {
-                let (p, l) = (self.backends.record_at(at), &self.backends.loads[at]);
-                let over = p.ejected_until.is_some_and(|until| now >= until)
-                    && l.readiness == 0.0
-                    && p.in_flight == 0;
-                over && l.available && !p.silent && now >= p.overloaded_until && !cold(at)
+        let mut ejected = self.backends.ejected.iter().map(|index| *index as usize);
+        let index = ejected.find(|index| is_candidate(*index))?;
+        Some(self.backends.id(index))
+    }
+
+    /// The weights of this draw that differ from those kept: a full backend is left out rather than overfilled, as
+    /// a crowded one stays slow for long.
+    fn weight_overrides(
+        &self,
+        now: Time,
+        request: &PendingRequest,
+        safe_rates: &mut SafeRates,
+    ) -> Vec<WeightOverride> {
+        let low_priority = request.value < LOW_PRIORITY_VALUE;
+        let mut overrides = Vec::new();
+        for index in self.backends.restricted.iter().map(|index| *index as usize) {
+            let drawable = now >= self.backends.record_at(index).overloaded_until
+                && self.backends.fits(index, low_priority)
+                && self.fits_slow_start(now, index, request.class, safe_rates);
+            let weight = if drawable {
+                self.backends.weight(index)
+            } else {
+                0.0
             };
-            if let Some(at) = self.backends.ejected.iter().find(|at| tries(**at as usize)) {
-                return Some(self.backends.id(*at as usize));
-            }
+            overrides.push(WeightOverride {
+                endpoint_index: index,
+                weight,
+            });
         }
-        // Never overfill: a crowded backend slows for long, so a full one is drawn again. What may hold one
-        // more of any request has its weight; the rest is as time, its worth and its past attempts say.
-        let mut weights: Vec<(usize, f64)> = Vec::new();
-        for at in self.backends.restricted.iter().map(|at| *at as usize) {
-            let may = now >= self.backends.record_at(at).overloaded_until
-                && self.backends.fits(at, low)
-                && !cold(at);
-            weights.push((at, if may { self.backends.weight(at) } else { 0.0 }));
+        if low_priority {
+            let loaded = self.backends.with_in_flight.iter();
+            let half_full = loaded
+                .map(|index| *index as usize)
+                .filter(|index| !self.backends.fits(*index, true));
+            overrides.extend(half_full.map(exclude));
         }
-        if low {
-            let busy = self.backends.with_in_flight.iter().map(|at| *at as usize);
-            weights.extend(
-                busy.filter(|at| !self.backends.fits(*at, true))
-                    .map(|at| (at, 0.0)),
-            );
+        for attempt in &request.attempts {
+            overrides.extend(self.backends.position(attempt.backend.id).map(exclude));
+            self.exclude_foreign_key_scopes(request, attempt, &mut overrides);
         }
-        weights.extend(
-            r.sent
-                .iter()
-                .filter_map(|s| Some((self.backends.position(s.to.id)?, 0.0))),
-        );
-        // A repeat outside the scope that knows the key would run twice.
-        let knows = |s: &Attempt, p: &EndpointRecord| match effect {
-            Idempotency::Keyed {
-                scope: KeyScope::Zone,
-                ..
-            } => s.to.zone == p.entry.zone,
-            Idempotency::Keyed {
-                scope: KeyScope::Cell,
-                ..
-            } => s.to.cell == p.entry.cell,
-            _ => true,
+        overrides
+    }
+
+    /// Leaves out the backends that would run a repeat of a keyed attempt a second time.
+    fn exclude_foreign_key_scopes(
+        &self,
+        request: &PendingRequest,
+        attempt: &Attempt,
+        overrides: &mut Vec<WeightOverride>,
+    ) {
+        let idempotency = self.cfg.classes[request.class].idempotency;
+        let Idempotency::Keyed { scope, .. } = idempotency else {
+            return;
         };
-        for s in r
-            .sent
-            .iter()
-            .filter(|s| !s.never_ran && matches!(effect, Idempotency::Keyed { .. }))
-        {
-            let all = self.backends.records().enumerate();
-            weights.extend(
-                all.filter(|(_, (_, p))| !knows(s, p))
-                    .map(|(at, _)| (at, 0.0)),
-            );
+        if attempt.never_ran || scope == KeyScope::All {
+            return;
+        }
+        for (index, (_, record)) in self.backends.records().enumerate() {
+            if !shares_keys(scope, &attempt.backend, &record.entry) {
+                overrides.push(exclude(index));
+            }
         }
-        weights
-            .into_iter()
-            .for_each(|(at, weight)| self.backends.override_weight(at, weight));
-        let pull = |(group, kind)| Some((group, self.kinds.get(&kind)?.proxy_share));
-        let kinds: Vec<(usize, f64)> = self.backends.drawable_kinds().filter_map(pull).collect();
-        let kind = self.dice.pick(&kinds)?;
-        self.backends.draw(kind, &mut self.dice)
+    }
+
+    /// Whether the backend is warm, or may still be sent the work of such a request while it warms up.
+    fn fits_slow_start(
+        &self,
+        now: Time,
+        index: usize,
+        class: usize,
+        safe_rates: &mut SafeRates,
+    ) -> bool {
+        let work = self.classes.relative_work(class);
+        let offset = self.backends.loads[index].rotation_offset;
+        let exceeded = self.budget(now, index, safe_rates) < work * (1.0 - offset);
+        !exceeded
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,6 +1,9 @@
 //! Backends that warm up: their readiness and the budget of work that they may be sent.
 
-use super::{BTreeMap, Balancer, Config, EndpointRecord, HardwareClass, KindId, Time};
+use super::state::{EndpointRecord, HardwareClass};
+use super::Balancer;
+use crate::interface::{Config, KindId, Time};
+use std::collections::BTreeMap;
 
 /// Part of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
 pub(super) const FALL_MARGIN: f64 = 0.8;
@@ -42,19 +45,15 @@
             .sum();
         let all =
             self.cfg.overload_multiple * warmth * speed * self.cfg.overload_window.as_secs_f64();
-        let before = if now < self.beside.2 {
-            self.beside.1
-        } else {
-            1
-        };
         // What a process before this one had sent weighs still, and falls out of the window evenly.
-        let own = self.born.map_or(0.0, |born| {
+        let own = self.first_event_at.map_or(0.0, |born| {
             (now - born).as_secs_f64() / self.cfg.overload_window.as_secs_f64().max(1e-6)
         });
         // One request of all proxies together is chance, however little that is. Else a process that begins
         // among cold backends alone would refuse its first ones.
         let all = (all * FALL_MARGIN * own.min(1.0)).max(1.0);
-        all * self.backends.loads[at].proxy_share / f64::from(self.beside.0.max(before)) - spent
+        all * self.backends.loads[at].proxy_share / f64::from(self.processes.sharing_budgets(now))
+            - spent
     }
 
     /// Requests of mean work a second that a warm backend of the kind surely serves. As the speed in `solve`,
@@ -72,11 +71,11 @@
             // Nothing answered: as the slowest that did, or else one core at what is taken for usual.
             let slowest = self.kinds.values().filter_map(known).reduce(f64::min);
             let least = self
-                .live()
-                .map(|(n, _)| self.usual(n))
+                .classes_in_use()
+                .map(|(n, _)| self.expected_latency(n))
                 .min()
                 .unwrap_or_default();
-            let fair = self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
+            let fair = self.arrivals.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
             fair.min(slowest.unwrap_or(1.0 / least.as_secs_f64()))
         })
     }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,6 +1,11 @@
 //! Each proxy's subset of the endpoints, and the capacity it may use there.
 
-use super::{spill, BTreeMap, Balancer, ClassGroup, EndpointLoad, ZoneId, HOLD};
+use super::concurrency_limit::HOLD;
+use super::endpoints::{ClassGroup, EndpointLoad};
+use super::locality::spill;
+use super::Balancer;
+use crate::interface::ZoneId;
+use std::collections::BTreeMap;
 
 /// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
 /// only, as a backend takes few and each costs it. The load of so many still evens out, to a fifth of one's.
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -1,6 +1,11 @@
 //! The split of the traffic over hardware classes by HALB, and when it is solved anew.
 
-use super::{from_cold, warmth, Balancer, Micros, Time, FEW};
+use super::slow_start::{from_cold, warmth};
+use super::Balancer;
+use crate::interface::{Micros, Time};
+
+/// The split is not solved again before so many requests arrived: fewer are chance alone.
+const MIN_ARRIVALS_PER_SPLIT: f64 = 5.0;
 
 /// The shares are solved this often, s: far faster than the rate's memory.
 pub(super) const SOLVE_EVERY: f64 = 0.1;
@@ -59,11 +64,16 @@
     )]
     pub(super) fn solve(&mut self, now: Time) {
         self.backends.refresh(now, &self.cfg);
-        self.learn_holds(now - self.solved_at);
-        self.solved_at = now;
-        let few = FEW / self.rate.per_s().unwrap_or(FEW / SOLVE_EVERY).max(1.0);
-        self.solve_at = now + Micros::from_secs_f64(SOLVE_EVERY.max(few));
-        self.blocked = 0.0;
+        self.learn_holds(now - self.split.solved_at);
+        self.split.solved_at = now;
+        let few = MIN_ARRIVALS_PER_SPLIT
+            / self
+                .arrivals
+                .per_s()
+                .unwrap_or(MIN_ARRIVALS_PER_SPLIT / SOLVE_EVERY)
+                .max(1.0);
+        self.split.due_at = now + Micros::from_secs_f64(SOLVE_EVERY.max(few));
+        self.dispatch_queue.unblock();
         let listed = self.backends.loads.iter().filter(|l| l.available);
         let (all, out) = listed.fold((0u32, 0u32), |n, l| (n.0 + 1, n.1 + u32::from(l.ejected)));
         let proxies = f64::from(self.cfg.proxy_count);
@@ -97,8 +107,8 @@
         for (g, ready) in self.backends.groups.iter().zip(ready) {
             self.kinds.entry(g.kind).or_default().ready_endpoints = ready;
         }
-        self.rate.add(now, 0.0);
-        let rate = self.rate.per_s().map(|r| r * proxies);
+        self.arrivals.add(now, 0.0);
+        let rate = self.arrivals.per_s().map(|r| r * proxies);
         for k in self.kinds.values_mut() {
             let flow = if k.ready_endpoints > 0.0 {
                 rate.unwrap_or(0.0) * k.traffic_share / k.ready_endpoints
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -1,9 +1,12 @@
 //! Zones taken out of use as a whole, and their recovery ramp.
 
-use super::{
-    from_cold, Action, BTreeMap, Balancer, Micros, RunningMean, Time, ZoneId, EJECT_TERM,
-    QUICK_SAMPLES,
-};
+use super::concurrency_limit::QUICK_SAMPLES;
+use super::outlier_detection::EJECT_TERM;
+use super::slow_start::from_cold;
+use super::state::RunningMean;
+use super::Balancer;
+use crate::interface::{Action, Micros, Time, ZoneId};
+use std::collections::BTreeMap;
 
 /// A zone is left once its share has been out for so long, s: a silence that ends sooner was a hiccup.
 pub(super) const LEAVE_AFTER: f64 = EJECT_TERM / 2.0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 mod interface;
 pub mod settings;
 
-pub use balancer::discovery_polling::{in_line, CALL_PATIENCE};
+pub use balancer::discovery_polling::{queued_poll_timeout, POLL_TIMEOUT};
 pub use balancer::{halb_shares, Balancer};
 pub use interface::*;
 
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
 use hyper::Request;
-use meadowproxy::{in_line, Discovery, EndpointUpdate, CALL_PATIENCE};
+use meadowproxy::{queued_poll_timeout, Discovery, EndpointUpdate, POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -34,7 +34,7 @@
 /// What an answer may take beyond its wait before discovery counts as silent.
 const PROMPT: Duration = Duration::from_secs(1);
 /// ... and one that waits for no news: it may stand in a line, where each call given up and made again makes it longer.
-const IN_LINE: Duration = Duration::from_micros(CALL_PATIENCE.0);
+const IN_LINE: Duration = Duration::from_micros(POLL_TIMEOUT.0);
 /// Where lists are pushed a connection to the agent comes up at once or not at all: what it has counts from the moment
 /// it is back, when a call that began before would still wait to be repeated.
 const DIAL: Duration = Duration::from_millis(250);
@@ -97,7 +97,7 @@
         let in_full_line = match mode {
             Discovery::Poll {
                 staleness_limit: within,
-            } => Duration::from_micros(in_line(proxies, within).0),
+            } => Duration::from_micros(queued_poll_timeout(proxies, within).0),
             Discovery::Push => IN_LINE, // an agent has one caller
         };
         Pace {
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -148,7 +148,9 @@
 fn a_call_that_keeps_its_place_in_a_line_leaves_the_bound_as_it_was() {
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for within in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
-            let in_line = Duration::from_micros(in_line(proxies, Micros::from_secs_f64(within)).0);
+            let in_line = Duration::from_micros(
+                queued_poll_timeout(proxies, Micros::from_secs_f64(within)).0,
+            );
             assert!(in_line >= IN_LINE, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
                 let takes = |n| if refused(n) { Duration::ZERO } else { in_line };
@@ -165,7 +167,7 @@
             }
         }
     }
-    let line = in_line(32, Micros::from_secs_f64(9.0));
+    let line = queued_poll_timeout(32, Micros::from_secs_f64(9.0));
     assert!(
         line > Micros::from_secs_f64(3.0),
         "a few dozen proxies can wait for the end of discovery's line"
--- a/src/net/host/backends.rs
+++ b/src/net/host/backends.rs
@@ -176,7 +176,7 @@
             let free = backends
                 .get(id)
                 .is_none_or(|known| known.reasons.is_empty());
-            free && !open.contains(id) && !balancer.knows(*id)
+            free && !open.contains(id) && !balancer.contains_backend(*id)
         };
         let over: Vec<BackendId> = s.unlisted.iter().copied().filter(over).collect();
         for id in &over {
--- a/src/net/host/backends/tests.rs
+++ b/src/net/host/backends/tests.rs
@@ -351,7 +351,7 @@
             );
             host.members(EndpointUpdate::Full, &lines([], true));
             assert!(
-                !host.state.borrow().balancer.knows(BackendId(0)),
+                !host.state.borrow().balancer.contains_backend(BackendId(0)),
                 "its work is done"
             );
             assert_eq!(kept(&host), vec!["b"]);
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -238,7 +238,7 @@
         "is back",
         "zone left",
         "zone returning",
-        "not taken",
+        "configuration rejected",
     ] {
         assert!(
             all.get(what).is_some_and(|n| *n >= 2),
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -417,7 +417,7 @@
                     "is back",
                     "left:",
                     "returning",
-                    "not taken",
+                    "configuration rejected",
                     "recalled",
                 ];
                 for word in words.into_iter().filter(|w| text.contains(w)) {
