--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -1,8 +1,8 @@
 //! What is learned of a hardware class: its latencies, its concurrency limit and its capacity.
 
+use super::classes::LATENCY_SAMPLES;
 use super::concurrency_limit::{ConcurrencyLimit, RECENT_LATENCY_SAMPLES};
 use super::estimators::{EventRate, RunningMean};
-use super::KIND_SAMPLES;
 use crate::interface::{LearnedKind, Time};
 
 /// Memory of the rate of served requests, s: some ten requests of a proxy that sees few.
@@ -47,7 +47,7 @@
 impl HardwareClass {
     /// A request was served after `latency_s` seconds, corrected for the mix of request classes.
     pub fn record_served(&mut self, now: Time, latency_s: f64) {
-        self.latency.add(latency_s, KIND_SAMPLES);
+        self.latency.add(latency_s, LATENCY_SAMPLES);
         self.served_per_endpoint
             .add(now, 1.0 / self.ready_endpoints.max(1.0));
         self.recent_latency.add(latency_s, RECENT_LATENCY_SAMPLES);
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -46,7 +46,7 @@
         LearnedState {
             kinds: kinds.map(|(id, class)| (*id, class.learned())).collect(),
             classes: self.learned_classes(),
-            overall_latency: self.overall.sampled(),
+            overall_latency: self.classes.overall_latency.sampled(),
             backends: self.learned_backends(now),
         }
     }
@@ -56,7 +56,7 @@
         self.classes
             .iter()
             .enumerate()
-            .filter(|(_, stats)| stats.live && stats.latency.count > 0.0)
+            .filter(|(_, stats)| stats.in_use && stats.latency.count > 0.0)
             .map(|(number, stats)| (ClassId(number), stats.latency.sampled()))
             .collect()
     }
@@ -81,8 +81,8 @@
                 record.restore(learned, now, age);
             }
         }
-        self.solve_at = now;
-        self.look_at = now;
+        self.split.due_at = now;
+        self.schedule.check_at(now);
         let age_s = age.as_secs_f64();
         self.log(
             now,
@@ -92,7 +92,7 @@
 
     fn restore_kinds(&mut self, kinds: &[(KindId, LearnedKind)], weight: f64) {
         // While the process that learned a concurrency limit goes on using it, the limit would count twice.
-        let with_limit = self.beside.0 == 1;
+        let with_limit = self.processes.is_single();
         for (id, learned) in kinds {
             if self.backends.group_index(*id).is_some() {
                 let class = self.kinds.entry(*id).or_default();
@@ -105,13 +105,13 @@
     fn restore_classes(&mut self, state: &LearnedState, weight: f64) {
         let overall = RunningMean::restored(state.overall_latency, weight);
         if overall.count > 0.0 {
-            self.overall = overall;
+            self.classes.overall_latency = overall;
             for (id, latency) in &state.classes {
                 if let Some(stats) = self.classes.get_mut(id.0) {
                     stats.latency = RunningMean::restored(*latency, weight);
                 }
             }
         }
-        self.sum_up();
+        self.classes.recount(&self.cfg.classes);
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,8 +1,10 @@
 //! Outlier detection: what the outcomes of attempts say of an endpoint, its ejection, and its readmission once health
 //! checks pass.
 
+use super::classes::LATENCY_SAMPLES;
 use super::endpoints::EndpointRecord;
-use super::{Balancer, KIND_SAMPLES, SILENT_AFTER};
+use super::silence_detection::silence_limit;
+use super::Balancer;
 use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict};
 
 /// Error share from which an endpoint is ejected: two errors close together reach it where errors are rare.
@@ -152,9 +154,9 @@
     ) {
         if is_error_sample(end.outcome) {
             let is_error = end.outcome != Outcome::Ok;
-            self.errors.add(f64::from(is_error), KIND_SAMPLES);
+            self.error_share.add(f64::from(is_error), LATENCY_SAMPLES);
         }
-        let expected_latency = self.usual(class);
+        let expected_latency = self.expected_latency(class);
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
@@ -162,7 +164,7 @@
         let alive_within = expected_latency.mul_f64(ALIVE_LATENCY_MULTIPLE);
         let evidence = Evidence::of(end.outcome, record, now, sent_at, alive_within);
         let zone = record.entry.zone;
-        let is_overdue = end.latency > expected_latency.mul_f64(SILENT_AFTER);
+        let is_overdue = end.latency > silence_limit(expected_latency);
         let answered = was_answered(end.outcome, is_overdue);
         if let Some(answered) = answered.filter(|_| self.cfg.zone_failover.is_some()) {
             self.zones.entry(zone).or_default().record_attempt(answered);
@@ -188,11 +190,13 @@
         latency: Micros,
     ) {
         let latency_s = latency.as_secs_f64().max(MIN_LATENCY_S);
-        self.record_latency(class, latency_s);
+        self.classes
+            .record_latency(class, &self.cfg.classes[class], latency_s);
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        let mix_corrected_s = latency_s * self.overall.value / self.classes[class].latency.value;
+        let mix_corrected_s =
+            latency_s * self.classes.overall_latency.value / self.classes[class].latency.value;
         self.kinds
             .entry(record.entry.kind)
             .or_default()
@@ -206,18 +210,9 @@
         }
     }
 
-    /// A request of the class was served after `latency_s` seconds.
-    fn record_latency(&mut self, class: usize, latency_s: f64) {
-        let was_tight = !self.quick(class);
-        self.classes[class].latency.add(latency_s, KIND_SAMPLES);
-        self.overall.add(latency_s, KIND_SAMPLES);
-        if self.classes[class].live {
-            self.tight = self.tight + usize::from(!self.quick(class)) - usize::from(was_tight);
-        }
-    }
-
     fn record_error(&mut self, now: Time, id: BackendId, outcome: Outcome) {
-        let ejection_error_share = EJECTION_ERROR_SHARE + FLEET_ERROR_MULTIPLE * self.errors.value;
+        let ejection_error_share =
+            EJECTION_ERROR_SHARE + FLEET_ERROR_MULTIPLE * self.error_share.value;
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
@@ -247,7 +242,7 @@
                 consecutive_ejections,
             },
         });
-        self.look_at = now;
+        self.schedule.check_at(now);
         self.log(now, format!("backend {} ejected: {outcome:?}", id.0));
     }
 }
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -116,7 +116,7 @@
         let id = verdict.backend;
         let record = self.backends.get_mut(id);
         if record.is_some_and(|record| record.readmit_on_peer_verdict(given_at)) {
-            self.solve_at = now;
+            self.split.due_at = now;
             self.log(now, format!("backend {} readmitted by a peer", id.0));
         }
     }
@@ -137,7 +137,7 @@
         record.keep_peer_ejection(verdict, ejection);
         if record.eject_on_peer_verdicts(now, verdict, ejection) {
             let peers = record.faults().peer_ejections.len();
-            self.look_at = now;
+            self.schedule.check_at(now);
             self.backends.suspend(id);
             self.log(
                 now,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -102,7 +102,7 @@
             proven_capacity_per_s,
             uptime_windows: self.uptime_windows(now),
             proxy_share: self.backends.loads[at].proxy_share,
-            processes: self.processes_sharing_budgets(now),
+            processes: self.processes.sharing_budgets(now),
         };
         budget.work() - record.work_within(now, overload_window)
     }
@@ -110,21 +110,11 @@
     /// For how long this process has run, in overload windows.
     fn uptime_windows(&self, now: Time) -> f64 {
         let window_s = self.cfg.overload_window.as_secs_f64().max(MIN_SPAN_S);
-        self.born.map_or(0.0, |started_at| {
+        self.first_event_at.map_or(0.0, |started_at| {
             (now - started_at).as_secs_f64() / window_s
         })
     }
 
-    /// Processes among which this proxy's budgets are divided: no fewer than before within the overload window.
-    fn processes_sharing_budgets(&self, now: Time) -> u32 {
-        let (current, previous, previous_counts_until) = self.beside;
-        if now < previous_counts_until {
-            current.max(previous)
-        } else {
-            current.max(1)
-        }
-    }
-
     /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response is
     /// taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a class.
     fn proven_capacity_per_s(&self, kind: KindId) -> f64 {
@@ -135,12 +125,12 @@
         }
         let slowest = self.kinds.values().filter_map(proven).reduce(f64::min);
         let shortest_latency = self
-            .live()
-            .map(|(class, _)| self.usual(class))
+            .classes_in_use()
+            .map(|(class, _)| self.expected_latency(class))
             .min()
             .unwrap_or_default();
         let even_share_per_s =
-            self.rate.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
+            self.arrivals.per_s().unwrap_or(1.0) * proxies / self.backends.len() as f64;
         even_share_per_s.min(slowest.unwrap_or(1.0 / shortest_latency.as_secs_f64()))
     }
 }
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -1,11 +1,13 @@
 //! The split of the traffic over hardware classes by HALB, and when it is solved anew.
 
 use super::slow_start::SlowStart;
-use super::{Balancer, FEW};
+use super::Balancer;
 use crate::interface::{Micros, Time};
 
 /// The split is solved this often, s: far faster than the arrival rate's memory.
 const SOLVE_INTERVAL_S: f64 = 0.1;
+/// The split is not solved again before so many requests arrived: fewer are chance alone.
+const MIN_ARRIVALS_PER_SPLIT: f64 = 5.0;
 /// With more than this part of the available endpoints ejected, ejected ones are used after all: the fault is then not
 /// theirs.
 const PANIC_THRESHOLD: f64 = 0.5;
@@ -109,14 +111,14 @@
     /// subset.
     pub(super) fn solve(&mut self, now: Time) {
         self.backends.refresh(now, &self.cfg);
-        self.update_concurrency_limits(now - self.solved_at);
-        self.solved_at = now;
-        self.solve_at = now + self.solve_interval();
-        self.blocked = 0.0;
+        self.update_concurrency_limits(now - self.split.solved_at);
+        self.split.solved_at = now;
+        self.split.due_at = now + self.solve_interval();
+        self.dispatch_queue.unblock();
         self.update_readiness(now);
-        self.rate.add(now, 0.0);
+        self.arrivals.add(now, 0.0);
         let rate_per_s = self
-            .rate
+            .arrivals
             .per_s()
             .map(|rate| rate * f64::from(self.cfg.proxy_count));
         self.update_shares(rate_per_s);
@@ -126,9 +128,12 @@
 
     /// The time to the next solution, in which a few requests at least are to arrive.
     fn solve_interval(&self) -> Micros {
-        let rate_per_s = self.rate.per_s().unwrap_or(FEW / SOLVE_INTERVAL_S);
-        let for_few_requests_s = FEW / rate_per_s.max(1.0);
-        Micros::from_secs_f64(SOLVE_INTERVAL_S.max(for_few_requests_s))
+        let rate_per_s = self
+            .arrivals
+            .per_s()
+            .unwrap_or(MIN_ARRIVALS_PER_SPLIT / SOLVE_INTERVAL_S);
+        let for_enough_arrivals_s = MIN_ARRIVALS_PER_SPLIT / rate_per_s.max(1.0);
+        Micros::from_secs_f64(SOLVE_INTERVAL_S.max(for_enough_arrivals_s))
     }
 
     /// Sets the readiness of every endpoint: that of its zone times its health times its slow start.
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -417,7 +417,7 @@
                     "readmitted",
                     "taken out of use:",
                     "returning",
-                    "not taken",
+                    "configuration rejected",
                     "restored learned state",
                 ];
                 for word in words.into_iter().filter(|w| text.contains(w)) {
