--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -79,7 +79,7 @@
     /// A request arrived: it waits for dispatch with the value that it has.
     pub(super) fn admit(&mut self, now: Time, arrival: &RequestArrival) {
         let id = arrival.request;
-        let known_class = arrival.class.0 < self.cfg.classes.len();
+        let known_class = arrival.class.0 < self.config.classes.len();
         if !known_class || self.requests.pending.contains_key(&id) {
             return;
         }
@@ -89,7 +89,7 @@
             self.admission.record_first_attempt(now);
         }
         let quota_weight = self.quota_weight(now, arrival);
-        let class = &self.cfg.classes[arrival.class.0];
+        let class = &self.config.classes[arrival.class.0];
         if !arrival.client_retry {
             self.classes[arrival.class.0].offered_weight += class.priority_weight * quota_weight;
         }
@@ -102,7 +102,7 @@
             value: retry_weight(class, arrival.client_retry) * quota_weight,
             response_streaming: false,
             upload_streaming: false,
-            max_attempts: self.cfg.max_attempts as usize,
+            max_attempts: self.config.max_attempts as usize,
             attempts: Vec::new(),
         };
         self.requests.pending.insert(id, request);
@@ -115,22 +115,22 @@
         let traffic_multiple = self.traffic_multiple();
         let tenant = arrival
             .tenant
-            .and_then(|id| Some((id, self.cfg.tenants.get(id.0)?)));
+            .and_then(|id| Some((id, self.config.tenants.get(id.0)?)));
         let Some((id, tenant)) = tenant.filter(|_| !arrival.client_retry) else {
             return 1.0;
         };
-        let proxies = f64::from(self.cfg.proxy_count);
+        let proxies = f64::from(self.config.proxy_count);
         let rate_per_s = tenant.quota_per_s / proxies * traffic_multiple;
         if self.quotas.take(id, now, rate_per_s) {
             1.0
         } else {
-            self.cfg.over_quota_weight
+            self.config.over_quota_weight
         }
     }
 
     /// See [`AdmissionControl::traffic_multiple`]. The sum of the quotas is what the fleet is meant to carry.
     pub(super) fn traffic_multiple(&self) -> f64 {
-        let even_share_per_s = self.cfg.quota_sum_per_s() / f64::from(self.cfg.proxy_count);
+        let even_share_per_s = self.config.quota_sum_per_s() / f64::from(self.config.proxy_count);
         self.admission.traffic_multiple(even_share_per_s)
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -12,7 +12,7 @@
             attempt.awaiting_response_since = now;
         }
         if let Some(request) = self.requests.pending.get_mut(&key.request) {
-            let objective = self.cfg.classes[request.class].latency_objective;
+            let objective = self.config.classes[request.class].latency_objective;
             request.upload_streaming = false;
             request.arrived_at = now;
             request.objective_until = now + objective.min(time_left);
@@ -37,7 +37,7 @@
         request.response_streaming = true;
         request.upload_streaming = false;
         let class = request.class;
-        self.classes[class].record_served(now, request, &self.cfg.classes[class]);
+        self.classes[class].record_served(now, request, &self.config.classes[class]);
         let Some(&in_flight) = self.requests.in_flight.get(&key) else {
             return;
         };
@@ -48,13 +48,7 @@
             latency: now - in_flight.awaiting_response_since,
             answered: true,
         };
-        self.learn(
-            now,
-            in_flight.backend,
-            in_flight.class,
-            in_flight.awaiting_response_since,
-            &served,
-        );
+        self.learn(now, in_flight, &served);
     }
 
     /// An attempt ended: its outcome is learned from, and its request is answered or waits for a further attempt.
@@ -76,13 +70,7 @@
             }
         }
         if !response_started || broke {
-            self.learn(
-                now,
-                in_flight.backend,
-                in_flight.class,
-                in_flight.awaiting_response_since,
-                end,
-            );
+            self.learn(now, in_flight, end);
         }
         let removed = self
             .backends
@@ -98,7 +86,7 @@
         }
         if end.outcome == Outcome::Ok && !response_started {
             let class = in_flight.class;
-            self.classes[class].record_served(now, request, &self.cfg.classes[class]);
+            self.classes[class].record_served(now, request, &self.config.classes[class]);
         }
         if request.response_streaming && !response_started {
             return; // the other attempt of a hedged request streams its response
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -239,12 +239,12 @@
 impl Balancer {
     /// What a served request of the class usually takes; see [`ClassStats::expected_latency`].
     pub(super) fn expected_latency(&self, class: usize) -> Micros {
-        self.classes[class].expected_latency(&self.cfg.classes[class])
+        self.classes[class].expected_latency(&self.config.classes[class])
     }
 
     /// The classes that the settings have not retired, with their numbers.
     pub(super) fn classes_in_use(&self) -> impl Iterator<Item = (usize, &RequestClass)> {
-        self.cfg
+        self.config
             .classes
             .iter()
             .enumerate()
@@ -257,12 +257,12 @@
         let stats = &self.classes[class];
         let is_worst = stats.in_use && stats.served_share() <= standing.worst_served_share;
         let in_worst_class = if is_worst {
-            self.cfg.worst_class_objective_weight / stats.offered_weight.max(MIN_WEIGHT)
+            self.config.worst_class_objective_weight / stats.offered_weight.max(MIN_WEIGHT)
         } else {
             0.0
         };
         let in_all_traffic =
-            self.cfg.overall_objective_weight / standing.offered_weight.max(MIN_WEIGHT);
-        self.cfg.classes[class].priority_weight * (in_all_traffic + in_worst_class)
+            self.config.overall_objective_weight / standing.offered_weight.max(MIN_WEIGHT);
+        self.config.classes[class].priority_weight * (in_all_traffic + in_worst_class)
     }
 }
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -45,9 +45,9 @@
             if request.response_streaming || request.upload_streaming {
                 continue;
             }
-            let class = &self.cfg.classes[request.class];
+            let class = &self.config.classes[request.class];
             let expected_latency = self.classes[request.class].expected_latency(class);
-            let resolution = self.cfg.timer_resolution;
+            let resolution = self.config.timer_resolution;
             let at = give_up_at(request, class, expected_latency, resolution);
             if now >= at {
                 due.expired.push(id);
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -117,7 +117,7 @@
 impl Balancer {
     /// Polls discovery if that is due.
     pub(super) fn poll_discovery(&mut self, now: Time) {
-        let Discovery::Poll { staleness_limit } = self.cfg.discovery else {
+        let Discovery::Poll { staleness_limit } = self.config.discovery else {
             return;
         };
         if self.polling.take_due(now, staleness_limit) {
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -164,7 +164,7 @@
             self.retry_budget.withdraw();
         }
         let work = self.classes.relative_work(request.class);
-        record.record_dispatch(now, work, self.cfg.overload_window);
+        record.record_dispatch(now, work, self.config.overload_window);
         let key = AttemptKey {
             request: id,
             attempt: AttemptNumber(request.attempts.len() as u32),
@@ -185,7 +185,7 @@
         let expected_latency = self.expected_latency(request.class);
         self.schedule.check_by(silent_at(now, expected_latency));
         self.schedule
-            .check_by(request.deadline - self.cfg.timer_resolution);
+            .check_by(request.deadline - self.config.timer_resolution);
         true
     }
 }
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -18,8 +18,8 @@
             EndpointUpdate::Cached => {}
         }
         // What a backend that warms up was sent still counts if it is listed again within the overload window.
-        let slow_start = SlowStart::new(&self.cfg);
-        let window = self.cfg.overload_window;
+        let slow_start = SlowStart::new(&self.config);
+        let window = self.config.overload_window;
         let is_kept = |record: &EndpointRecord| {
             let is_cold = || slow_start.readiness(now, record.slow_start_began_at()) < 1.0;
             record.in_flight > 0 || record.has_recent_work(now, window) && is_cold()
@@ -32,12 +32,12 @@
 
     /// Discovery is polled again, later each time and not in step with the other proxies.
     fn discovery_failed(&mut self, now: Time) {
-        let Discovery::Poll { staleness_limit } = self.cfg.discovery else {
+        let Discovery::Poll { staleness_limit } = self.config.discovery else {
             return;
         };
-        let jitter = self.dice.unit();
+        let jitter = self.random.unit();
         self.polling
-            .failed(now, self.cfg.proxy_count, staleness_limit, jitter);
+            .failed(now, self.config.proxy_count, staleness_limit, jitter);
         self.log(now, "discovery poll failed, backing off".into());
     }
 }
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -161,8 +161,8 @@
     }
 
     /// Attempts in flight at endpoints in use.
-    pub fn in_flight(&mut self, now: Time, cfg: &Config) -> f64 {
-        self.refresh(now, cfg);
+    pub fn in_flight(&mut self, now: Time, config: &Config) -> f64 {
+        self.refresh(now, config);
         self.in_flight as f64
     }
 
@@ -183,9 +183,9 @@
     }
 
     /// Brings the loads and weights of outdated endpoints up to date.
-    pub fn refresh(&mut self, now: Time, cfg: &Config) {
+    pub fn refresh(&mut self, now: Time, config: &Config) {
         while let Some(at) = self.outdated.pop() {
-            self.refresh_load(at as usize, cfg);
+            self.refresh_load(at as usize, config);
             self.update_weight(at as usize, now);
         }
     }
@@ -198,7 +198,7 @@
     }
 
     /// Reads the load of an endpoint from its record.
-    fn refresh_load(&mut self, at: usize, cfg: &Config) {
+    fn refresh_load(&mut self, at: usize, config: &Config) {
         let record = &self.records[at];
         let available = self.is_available(record);
         let ejected = record.is_ejected();
@@ -207,10 +207,11 @@
         load.silent = record.silent;
         load.available = available;
         let began_at = record.slow_start_began_at();
-        let duration = Micros(cfg.slow_start.0.max(1));
+        let duration = Micros(config.slow_start.0.max(1));
         load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
-        let warm_for_window =
-            began_at.map_or(Time(0), |_| load.slow_start_ends_at + cfg.overload_window);
+        let warm_for_window = began_at.map_or(Time(0), |_| {
+            load.slow_start_ends_at + config.overload_window
+        });
         load.unrestricted_at = record.faults().overloaded_until.max(warm_for_window);
         let index = at as u32;
         let is_busy = record.in_flight > 0;
--- a/src/balancer/final_answers.rs
+++ b/src/balancer/final_answers.rs
@@ -24,7 +24,7 @@
         let Some(request) = self.requests.pending.get(&id) else {
             return;
         };
-        let idempotency = self.cfg.classes[request.class].idempotency;
+        let idempotency = self.config.classes[request.class].idempotency;
         let answer = if retry_is_harmless(request, idempotency) {
             Action::Reject {
                 request: id,
@@ -53,7 +53,7 @@
             return;
         };
         self.dispatch_queue.remove(id);
-        if !self.cfg.cancellation {
+        if !self.config.cancellation {
             return;
         }
         for (number, attempt) in request.attempts.iter().enumerate() {
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -38,12 +38,12 @@
         let Some(request) = self.requests.pending.get(&id) else {
             return;
         };
-        let idempotency = self.cfg.classes[request.class].idempotency;
-        if self.cfg.hedging {
+        let idempotency = self.config.classes[request.class].idempotency;
+        if self.config.hedging {
             if self.allows_attempt(now, request) && !self.dispatch_queue.contains(id) {
                 self.dispatch_queue.push(id);
             }
-        } else if self.cfg.cancellation && idempotency != Idempotency::NonIdempotent {
+        } else if self.config.cancellation && idempotency != Idempotency::NonIdempotent {
             self.actions.push(Action::Cancel {
                 request: id,
                 attempt: AttemptNumber(0),
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -112,6 +112,6 @@
                 }
             }
         }
-        self.classes.recount(&self.cfg.classes);
+        self.classes.recount(&self.config.classes);
     }
 }
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -66,7 +66,7 @@
 
 impl Balancer {
     pub(super) fn fleet_load(&self) -> FleetLoad {
-        let proxies = f64::from(self.cfg.proxy_count);
+        let proxies = f64::from(self.config.proxy_count);
         let in_flight = self
             .admission
             .fleet_in_flight(proxies, self.traffic_multiple());
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -73,8 +73,8 @@
 
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
-    cfg: ValidatedConfig,
-    dice: RandomSource,
+    config: ValidatedConfig,
+    random: RandomSource,
     backends: EndpointTable,
     kinds: BTreeMap<KindId, HardwareClass>,
     zones: BTreeMap<ZoneId, ZoneHealth>,
@@ -100,19 +100,19 @@
 
 impl Balancer {
     /// A proxy that knows nothing yet but its configuration. `seed`: of its random numbers.
-    pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
-        let cfg = cfg.validated()?;
-        Ok(Balancer::from_validated(cfg, seed))
+    pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
+        let config = config.validated()?;
+        Ok(Balancer::from_validated(config, seed))
     }
 
     /// The same with a configuration that was validated before.
-    pub fn from_validated(cfg: ValidatedConfig, seed: u64) -> Balancer {
+    pub fn from_validated(config: ValidatedConfig, seed: u64) -> Balancer {
         Balancer {
-            dice: RandomSource::new(seed),
+            random: RandomSource::new(seed),
             backends: EndpointTable::default(),
             kinds: BTreeMap::new(),
             zones: BTreeMap::new(),
-            classes: ClassTable::new(&cfg.classes),
+            classes: ClassTable::new(&config.classes),
             error_share: RunningMean::default(),
             arrivals: EventRate::new(ARRIVAL_RATE_MEMORY_S),
             admission: AdmissionControl::new(),
@@ -122,12 +122,12 @@
             dispatch_queue: DispatchQueue::default(),
             split: SplitSchedule::default(),
             schedule: CheckSchedule::new(),
-            polling: DiscoveryPolling::new(cfg.discovery),
+            polling: DiscoveryPolling::new(config.discovery),
             processes: ProcessCount::new(),
             first_event_at: None,
             log_limiter: LogLimiter::default(),
             actions: Vec::new(),
-            cfg,
+            config,
         }
     }
 
@@ -137,7 +137,7 @@
         if may_free_capacity(&event) {
             self.dispatch_queue.unblock();
         }
-        let in_flight = self.backends.in_flight(now, &self.cfg);
+        let in_flight = self.backends.in_flight(now, &self.config);
         self.admission.record_in_flight(now, in_flight);
         let has_work = matches!(event, Event::RequestArrived(_)) || !self.dispatch_queue.is_empty();
         if has_work && now >= self.split.due_at {
@@ -173,7 +173,7 @@
 
     /// The part of its capacity that each backend is good for: 0 where it drains, is disabled or ejected.
     pub fn readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
-        let slow_start = SlowStart::new(&self.cfg);
+        let slow_start = SlowStart::new(&self.config);
         let readiness = move |record: &EndpointRecord| {
             let usable = self.backends.is_available(record) && !record.is_ejected();
             if usable {
@@ -218,7 +218,7 @@
             }
             Event::ProcessCountChanged { processes } => {
                 self.processes
-                    .change(now, processes, self.cfg.overload_window);
+                    .change(now, processes, self.config.overload_window);
             }
             Event::ConfigChanged {
                 config,
@@ -249,7 +249,7 @@
         let next = [self.polling.next_at(), next_silence_at, due.next_give_up_at];
         let next_at = next.into_iter().flatten().fold(idle_check_at, Time::min);
         self.schedule
-            .check_at(next_at.max(now + self.cfg.timer_resolution));
+            .check_at(next_at.max(now + self.config.timer_resolution));
         for id in due.to_hedge {
             self.hedge(now, id);
         }
@@ -260,7 +260,7 @@
 
     /// Sets the timer for the next check; soon while requests wait for capacity.
     fn set_timer(&mut self, now: Time) {
-        let resolution = self.cfg.timer_resolution;
+        let resolution = self.config.timer_resolution;
         if !self.dispatch_queue.is_empty() {
             self.schedule.check_by(now + resolution);
         }
@@ -281,7 +281,7 @@
             "the table of backends is inconsistent"
         );
         debug_assert!(
-            self.classes.is_consistent(&self.cfg.classes),
+            self.classes.is_consistent(&self.config.classes),
             "the counts of classes are wrong"
         );
     }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -3,6 +3,7 @@
 
 use super::classes::LATENCY_SAMPLES;
 use super::endpoints::EndpointRecord;
+use super::requests::InFlightAttempt;
 use super::silence_detection::silence_limit;
 use super::Balancer;
 use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict};
@@ -144,14 +145,10 @@
 
 impl Balancer {
     /// Learns from the end of an attempt what it says of the endpoint, its hardware class, its zone and the request class.
-    pub(super) fn learn(
-        &mut self,
-        now: Time,
-        id: BackendId,
-        class: usize,
-        sent_at: Time,
-        end: &AttemptEnd,
-    ) {
+    pub(super) fn learn(&mut self, now: Time, attempt: InFlightAttempt, end: &AttemptEnd) {
+        let id = attempt.backend;
+        let class = attempt.class;
+        let sent_at = attempt.awaiting_response_since;
         if is_error_sample(end.outcome) {
             let is_error = end.outcome != Outcome::Ok;
             self.error_share.add(f64::from(is_error), LATENCY_SAMPLES);
@@ -166,7 +163,7 @@
         let zone = record.entry.zone;
         let is_overdue = end.latency > silence_limit(expected_latency);
         let answered = was_answered(end.outcome, is_overdue);
-        if let Some(answered) = answered.filter(|_| self.cfg.zone_failover.is_some()) {
+        if let Some(answered) = answered.filter(|_| self.config.zone_failover.is_some()) {
             self.zones.entry(zone).or_default().record_attempt(answered);
         }
         match evidence {
@@ -191,7 +188,7 @@
     ) {
         let latency_s = latency.as_secs_f64().max(MIN_LATENCY_S);
         self.classes
-            .record_latency(class, &self.cfg.classes[class], latency_s);
+            .record_latency(class, &self.config.classes[class], latency_s);
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
@@ -226,7 +223,7 @@
 
     /// Ejects an endpoint that this proxy found failing, and announces it to the peers.
     fn eject(&mut self, now: Time, id: BackendId, outcome: Outcome) {
-        let jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.dice.unit();
+        let jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.random.unit();
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -36,7 +36,7 @@
     /// on. The host sees to that; a configuration that lacks a number all the same changes nothing.
     pub(super) fn reconfigure(&mut self, now: Time, change: ConfigChange) {
         let lacks_classes = change.config.classes.len() < self.classes.len();
-        let lacks_tenants = change.config.tenants.len() < self.cfg.tenants.len();
+        let lacks_tenants = change.config.tenants.len() < self.config.tenants.len();
         if lacks_classes || lacks_tenants {
             return self.log(
                 now,
@@ -44,19 +44,19 @@
             );
         }
         self.change_classes(&change);
-        let slow_start_changed = change.config.slow_start != self.cfg.slow_start
-            || change.config.overload_window != self.cfg.overload_window;
+        let slow_start_changed = change.config.slow_start != self.config.slow_start
+            || change.config.overload_window != self.config.overload_window;
         if slow_start_changed {
             self.backends.mark_all_outdated();
         }
-        self.cfg = change.config;
+        self.config = change.config;
         self.split.due_at = now;
         self.schedule.check_at(now);
     }
 
     fn change_classes(&mut self, change: &ConfigChange) {
         let affected = change.affected_classes(self.classes.len());
-        let (before, after) = (&self.cfg.classes, &change.config.classes);
+        let (before, after) = (&self.config.classes, &change.config.classes);
         self.classes.change(&affected, before, after, |stats| {
             for successor in &change.successors {
                 let latency = stats.get(successor.predecessor.0).map(|s| s.latency);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -72,9 +72,9 @@
     /// Whether the rules of the request's class allow a further attempt, its first one included.
     pub(super) fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
         let policy = RetryPolicy {
-            idempotency: self.cfg.classes[request.class].idempotency,
-            hedging: self.cfg.hedging,
-            timer_resolution: self.cfg.timer_resolution,
+            idempotency: self.config.classes[request.class].idempotency,
+            hedging: self.config.hedging,
+            timer_resolution: self.config.timer_resolution,
         };
         policy.allows_attempt(now, request)
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Requests a second that a warm backend of each hardware class surely serves: worked out once a draw.
-type SafeRates = BTreeMap<KindId, f64>;
+/// Requests a second that a warm backend of each hardware class serves for certain: worked out once a draw.
+type ProvenCapacities = BTreeMap<KindId, f64>;
 
 /// The weight of an endpoint for one draw only.
 struct WeightOverride {
@@ -41,20 +41,20 @@
         now: Time,
         request: &PendingRequest,
     ) -> Option<BackendId> {
-        self.backends.refresh(now, &self.cfg);
-        let mut safe_rates = SafeRates::new();
+        self.backends.refresh(now, &self.config);
+        let mut proven_capacities = ProvenCapacities::new();
         if self.may_serve_as_health_check(request) {
-            let candidate = self.health_check_candidate(now, request, &mut safe_rates);
+            let candidate = self.health_check_candidate(now, request, &mut proven_capacities);
             if candidate.is_some() {
                 return candidate;
             }
         }
-        for weight in self.weight_overrides(now, request, &mut safe_rates) {
+        for change in self.weight_overrides(now, request, &mut proven_capacities) {
             self.backends
-                .override_weight(weight.endpoint_index, weight.weight);
+                .override_weight(change.endpoint_index, change.weight);
         }
         let group = self.select_group()?;
-        self.backends.draw(group, &mut self.dice)
+        self.backends.draw(group, &mut self.random)
     }
 
     /// A hardware class with a backend that may be drawn: the index of its group.
@@ -67,13 +67,13 @@
             })
         });
         let weighted: Vec<Weighted<usize>> = weighted.collect();
-        self.dice.choose(&weighted)
+        self.random.choose(&weighted)
     }
 
     /// Whether the request may be sent to an ejected backend: one that can be repeated without harm, or any where no
     /// class can.
     fn may_serve_as_health_check(&self, request: &PendingRequest) -> bool {
-        let idempotency = self.cfg.classes[request.class].idempotency;
+        let idempotency = self.config.classes[request.class].idempotency;
         let repeatable = idempotency == Idempotency::Idempotent || !self.classes.any_idempotent();
         request.attempts.is_empty() && repeatable
     }
@@ -83,7 +83,7 @@
         &self,
         now: Time,
         request: &PendingRequest,
-        safe_rates: &mut SafeRates,
+        proven_capacities: &mut ProvenCapacities,
     ) -> Option<BackendId> {
         let mut is_candidate = |index: usize| {
             let record = self.backends.record_at(index);
@@ -98,27 +98,27 @@
             ejection_over
                 && idle
                 && usable
-                && self.fits_slow_start(now, index, request.class, safe_rates)
+                && self.fits_slow_start(now, index, request.class, proven_capacities)
         };
         let mut ejected = self.backends.ejected.iter().map(|index| *index as usize);
         let index = ejected.find(|index| is_candidate(*index))?;
         Some(self.backends.id(index))
     }
 
-    /// The weights of this draw that differ from those kept: a full backend is left out rather than overfilled, as
-    /// a crowded one stays slow for long.
+    /// The weights of this draw that differ from those kept. A full backend is left out rather than overfilled, as one
+    /// with too much in flight stays slow for long.
     fn weight_overrides(
         &self,
         now: Time,
         request: &PendingRequest,
-        safe_rates: &mut SafeRates,
+        proven_capacities: &mut ProvenCapacities,
     ) -> Vec<WeightOverride> {
         let low_priority = request.value < LOW_PRIORITY_VALUE;
         let mut overrides = Vec::new();
         for index in self.backends.restricted.iter().map(|index| *index as usize) {
             let drawable = now >= self.backends.record_at(index).faults().overloaded_until
                 && self.backends.has_capacity(index, low_priority)
-                && self.fits_slow_start(now, index, request.class, safe_rates);
+                && self.fits_slow_start(now, index, request.class, proven_capacities);
             let weight = if drawable {
                 self.backends.weight(index)
             } else {
@@ -150,7 +150,7 @@
         attempt: &Attempt,
         overrides: &mut Vec<WeightOverride>,
     ) {
-        let idempotency = self.cfg.classes[request.class].idempotency;
+        let idempotency = self.config.classes[request.class].idempotency;
         let Idempotency::Keyed { scope, .. } = idempotency else {
             return;
         };
@@ -170,12 +170,12 @@
         now: Time,
         index: usize,
         class: usize,
-        safe_rates: &mut SafeRates,
+        proven_capacities: &mut ProvenCapacities,
     ) -> bool {
         let work = self.classes.relative_work(class);
         let offset = self.backends.loads[index].rotation_offset;
         let exceeded =
-            self.remaining_warm_up_budget(now, index, safe_rates) < work * (1.0 - offset);
+            self.remaining_warm_up_budget(now, index, proven_capacities) < work * (1.0 - offset);
         !exceeded
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -20,10 +20,10 @@
 }
 
 impl SlowStart {
-    pub fn new(cfg: &Config) -> SlowStart {
+    pub fn new(config: &Config) -> SlowStart {
         SlowStart {
-            duration: cfg.slow_start,
-            min_readiness: cfg.slow_start_min_readiness,
+            duration: config.slow_start,
+            min_readiness: config.slow_start_min_readiness,
         }
     }
 
@@ -84,10 +84,10 @@
         proven_capacity: &mut BTreeMap<KindId, f64>,
     ) -> f64 {
         let record = self.backends.record_at(at);
-        let overload_window = self.cfg.overload_window;
+        let overload_window = self.config.overload_window;
         let window_began_at = now - overload_window;
         let readiness =
-            SlowStart::new(&self.cfg).readiness(window_began_at, record.slow_start_began_at());
+            SlowStart::new(&self.config).readiness(window_began_at, record.slow_start_began_at());
         if readiness >= 1.0 {
             return f64::MAX;
         }
@@ -96,7 +96,7 @@
             .entry(kind)
             .or_insert_with(|| self.proven_capacity_per_s(kind));
         let budget = WarmUpBudget {
-            overload_multiple: self.cfg.overload_multiple,
+            overload_multiple: self.config.overload_multiple,
             overload_window,
             readiness,
             proven_capacity_per_s,
@@ -109,7 +109,7 @@
 
     /// For how long this process has run, in overload windows.
     fn uptime_windows(&self, now: Time) -> f64 {
-        let window_s = self.cfg.overload_window.as_secs_f64().max(MIN_SPAN_S);
+        let window_s = self.config.overload_window.as_secs_f64().max(MIN_SPAN_S);
         self.first_event_at.map_or(0.0, |started_at| {
             (now - started_at).as_secs_f64() / window_s
         })
@@ -118,7 +118,7 @@
     /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response is
     /// taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a class.
     fn proven_capacity_per_s(&self, kind: KindId) -> f64 {
-        let proxies = f64::from(self.cfg.proxy_count);
+        let proxies = f64::from(self.config.proxy_count);
         let proven = |class: &HardwareClass| class.proven_capacity_per_s(proxies);
         if let Some(capacity_per_s) = self.kinds.get(&kind).and_then(proven) {
             return capacity_per_s;
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -100,13 +100,13 @@
         let splits: Vec<GroupSplit> = groups
             .map(|group| GroupSplit::of(self.kinds.get(&group.kind)))
             .collect();
-        let fair_shares = zone_fair_shares(&self.backends, &splits, &self.cfg);
-        let biases = zone_biases(&self.backends, &fair_shares, &self.cfg);
+        let fair_shares = zone_fair_shares(&self.backends, &splits, &self.config);
+        let biases = zone_biases(&self.backends, &fair_shares, &self.config);
         self.backends.assign_rotation_offsets(ProxyPosition {
-            index: self.cfg.proxy_index,
-            count: self.cfg.proxy_count,
+            index: self.config.proxy_index,
+            count: self.config.proxy_count,
         });
-        let proxies = f64::from(self.cfg.proxy_count);
+        let proxies = f64::from(self.config.proxy_count);
         let traffic = assign_traffic(&mut self.backends, &splits, &biases, proxies);
         update_proxy_shares(
             &mut self.kinds,
@@ -117,7 +117,7 @@
         let width = PROXIES_PER_ENDPOINT / proxies * self.backends.len() as f64 / reached;
         // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its share.
         let arc = Arc {
-            start: (f64::from(self.cfg.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
+            start: (f64::from(self.config.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
             width: width.min(1.0),
         };
         assign_subset(&mut self.backends, &traffic.group_shares, arc, proxies);
@@ -129,9 +129,9 @@
 fn zone_fair_shares(
     endpoints: &EndpointTable,
     splits: &[GroupSplit],
-    cfg: &Config,
+    config: &Config,
 ) -> BTreeMap<ZoneId, f64> {
-    let mut shares = vec![cfg.zone_failover.map(|_| 0.0); endpoints.zones.len()];
+    let mut shares = vec![config.zone_failover.map(|_| 0.0); endpoints.zones.len()];
     for load in endpoints.loads.iter().filter(|load| load.readiness > 0.0) {
         let fair_share = splits[load.group_index as usize].fair_share(load);
         *shares[load.zone_index as usize].get_or_insert(0.0) += fair_share;
@@ -146,13 +146,13 @@
 fn zone_biases(
     endpoints: &EndpointTable,
     fair_shares: &BTreeMap<ZoneId, f64>,
-    cfg: &Config,
+    config: &Config,
 ) -> Vec<f64> {
     // With fewer proxies than zones some zone has none, and no proxy knows which: keeping traffic near would leave that
     // zone's endpoints idle and fill the others.
-    let is_local = (cfg.cross_zone_cost > 0.0 || cfg.zone_failover.is_some())
-        && f64::from(cfg.proxy_count) >= fair_shares.len() as f64;
-    let local_shares = locality_weighted_shares(fair_shares, cfg.zone, &cfg.regions);
+    let is_local = (config.cross_zone_cost > 0.0 || config.zone_failover.is_some())
+        && f64::from(config.proxy_count) >= fair_shares.len() as f64;
+    let local_shares = locality_weighted_shares(fair_shares, config.zone, &config.regions);
     let bias = |zone: &ZoneId| {
         let fair_share = fair_shares.get(zone).map(|share| share.max(MIN_DIVISOR));
         let local_share = local_shares.get(zone).copied().unwrap_or(0.0);
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -110,7 +110,7 @@
     /// Solves the split: the readiness of every endpoint, speed and share of every hardware class, and this proxy's
     /// subset.
     pub(super) fn solve(&mut self, now: Time) {
-        self.backends.refresh(now, &self.cfg);
+        self.backends.refresh(now, &self.config);
         self.update_concurrency_limits(now - self.split.solved_at);
         self.split.solved_at = now;
         self.split.due_at = now + self.solve_interval();
@@ -120,7 +120,7 @@
         let rate_per_s = self
             .arrivals
             .per_s()
-            .map(|rate| rate * f64::from(self.cfg.proxy_count));
+            .map(|rate| rate * f64::from(self.config.proxy_count));
         self.update_shares(rate_per_s);
         self.update_subset();
         self.backends.update_weights(now);
@@ -144,7 +144,7 @@
             class.served_per_endpoint.add(now, 0.0);
         }
         let zone_readiness = self.update_zones(now);
-        let slow_start = SlowStart::new(&self.cfg);
+        let slow_start = SlowStart::new(&self.config);
         let warm = slow_start.ramp(1.0);
         let mut ready_endpoints = vec![0.0; self.backends.groups.len()];
         for (load, record) in self.backends.loads_and_records() {
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -154,7 +154,7 @@
 impl Balancer {
     /// The factor of each zone on the readiness of its endpoints, in the order of the table's zones.
     pub(super) fn update_zones(&mut self, now: Time) -> Vec<f64> {
-        let readiness = match self.cfg.zone_failover {
+        let readiness = match self.config.zone_failover {
             Some(rules) => self.update_zone_health(now, &rules),
             None => BTreeMap::new(),
         };
@@ -165,7 +165,7 @@
     }
 
     fn update_zone_health(&mut self, now: Time, rules: &ZoneFailover) -> BTreeMap<ZoneId, f64> {
-        let slow_start = SlowStart::new(&self.cfg);
+        let slow_start = SlowStart::new(&self.config);
         let mut readiness = BTreeMap::new();
         for (id, counts) in self.count_zones() {
             let zone = self.zones.entry(id).or_default();
