--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,8 +1,8 @@
 //! What becomes of attempts: uploads, the start of a response, and the end.
 
-use super::requests::AttemptKey;
+use super::requests::{AttemptKey, InFlightAttempt};
 use super::Balancer;
-use crate::interface::{AttemptEnd, Micros, Outcome, Time};
+use crate::interface::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Time};
 
 impl Balancer {
     /// The last byte of a streamed body was sent: from now on the backend owes a response, and the request's time
@@ -37,7 +37,7 @@
         request.response_streaming = true;
         request.upload_streaming = false;
         let class = request.class;
-        self.classes[class].record_served(now, request, &self.config.classes[class]);
+        self.record_earned_weight(now, key.request, class);
         let Some(&in_flight) = self.requests.in_flight.get(&key) else {
             return;
         };
@@ -63,31 +63,51 @@
         let response_started = self.requests.response_started(key);
         let broke = matches!(end.outcome, Outcome::Error | Outcome::Reset);
         if response_started && broke {
-            // It was counted as served when the response started: the fault comes on top.
-            if let Some(record) = self.backends.get_mut(in_flight.backend) {
-                record.in_flight += 1;
-                record.last_response_at = now;
-            }
+            self.count_again(now, in_flight.backend);
         }
         if !response_started || broke {
             self.learn(now, in_flight, end);
         }
+        self.mark_ended(in_flight, end);
+        if end.outcome == Outcome::Ok && !response_started {
+            self.record_earned_weight(now, end.request, in_flight.class);
+        }
+        self.answer_or_retry(end, response_started);
+    }
+
+    /// The response broke off after its attempt was counted as served: the fault is counted on top, for an attempt that
+    /// has been in flight until now.
+    fn count_again(&mut self, now: Time, backend: BackendId) {
+        if let Some(record) = self.backends.get_mut(backend) {
+            record.in_flight += 1;
+            record.last_response_at = now;
+        }
+    }
+
+    fn mark_ended(&mut self, in_flight: InFlightAttempt, end: &AttemptEnd) {
         let removed = self
             .backends
             .get(in_flight.backend)
             .is_none_or(|record| !self.backends.is_available(record));
-        let Some(request) = self.requests.pending.get_mut(&end.request) else {
-            return;
-        };
-        if let Some(attempt) = request.attempt_mut(end.attempt) {
+        let request = self.requests.pending.get_mut(&end.request);
+        if let Some(attempt) = request.and_then(|request| request.attempt_mut(end.attempt)) {
             attempt.in_flight = false;
             attempt.never_ran = end.outcome.proves_not_run();
             attempt.replaceable = removed && end.outcome == Outcome::NotSent;
         }
-        if end.outcome == Outcome::Ok && !response_started {
-            let class = in_flight.class;
+    }
+
+    fn record_earned_weight(&mut self, now: Time, id: RequestId, class: usize) {
+        if let Some(request) = self.requests.pending.get(&id) {
             self.classes[class].record_served(now, request, &self.config.classes[class]);
         }
+    }
+
+    /// Closes the request if it was answered, and queues it for a further attempt if none is left in flight.
+    fn answer_or_retry(&mut self, end: &AttemptEnd, response_started: bool) {
+        let Some(request) = self.requests.pending.get(&end.request) else {
+            return;
+        };
         if request.response_streaming && !response_started {
             return; // the other attempt of a hedged request streams its response
         }
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -13,8 +13,6 @@
 const WELL_WITHIN_OBJECTIVE: f64 = 2.0;
 /// The expected latency of a class without a response, as a part of its latency objective.
 const UNKNOWN_LATENCY_OF_OBJECTIVE: f64 = 0.25;
-/// A sum of weights counts as at least this where something is divided by it.
-const MIN_WEIGHT: f64 = 1e-9;
 
 /// What is learned of a class.
 #[derive(Default)]
@@ -37,8 +35,8 @@
         }
     }
 
-    /// The part of the offered weight that was earned.
-    fn served_share(&self) -> f64 {
+    /// The part (0 to 1) of the offered weight that was earned.
+    pub fn served_share(&self) -> f64 {
         if self.offered_weight > 0.0 {
             self.earned_weight / self.offered_weight
         } else {
@@ -74,15 +72,6 @@
     }
 }
 
-/// How the operators' objective stands over all classes in use.
-#[derive(Clone, Copy, Default)]
-pub(super) struct ObjectiveStanding {
-    /// Sum of the classes' offered weights.
-    pub offered_weight: f64,
-    /// The least part of its offered weight that a class earned.
-    pub worst_served_share: f64,
-}
-
 /// Counts of classes in use, so that no request has to go through all of them.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 struct ClassCounts {
@@ -179,16 +168,6 @@
             .map_or(1.0, |latency_s| latency_s / self.overall_latency.value)
     }
 
-    pub fn objective_standing(&self) -> ObjectiveStanding {
-        let in_use = || self.stats.iter().filter(|stats| stats.in_use);
-        ObjectiveStanding {
-            offered_weight: in_use().map(|stats| stats.offered_weight).sum(),
-            worst_served_share: in_use()
-                .map(ClassStats::served_share)
-                .fold(f64::MAX, f64::min),
-        }
-    }
-
     /// Changes classes that the `affected` numbers name, and keeps the counts: `classes` are the rules before, and
     /// `changed` those after.
     pub fn change(
@@ -250,19 +229,4 @@
             .enumerate()
             .filter(|(number, _)| self.classes[*number].in_use)
     }
-
-    /// What one more served request of the class adds to the operators' objective: its priority weight in all traffic
-    /// and, for the class that is served worst, its priority weight in that class.
-    pub(super) fn objective_gain(&self, class: usize, standing: ObjectiveStanding) -> f64 {
-        let stats = &self.classes[class];
-        let is_worst = stats.in_use && stats.served_share() <= standing.worst_served_share;
-        let in_worst_class = if is_worst {
-            self.config.worst_class_objective_weight / stats.offered_weight.max(MIN_WEIGHT)
-        } else {
-            0.0
-        };
-        let in_all_traffic =
-            self.config.overall_objective_weight / standing.offered_weight.max(MIN_WEIGHT);
-        self.config.classes[class].priority_weight * (in_all_traffic + in_worst_class)
-    }
 }
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,11 +1,12 @@
 //! Requests that wait for dispatch, and the order in which they get capacity.
 
-use super::classes::ObjectiveStanding;
 use super::load_shedding::{FleetLoad, LOW_PRIORITY_VALUE};
-use super::requests::{Attempt, AttemptKey, InFlightAttempt, PendingRequest};
+use super::objective::ObjectiveStanding;
+use super::requests::PendingRequest;
 use super::silence_detection::silent_at;
 use super::Balancer;
-use crate::interface::{Action, AttemptNumber, BackendId, RequestId, Time};
+use crate::interface::{Action, BackendId, RequestId, Time};
+use std::cmp::Ordering;
 
 /// More than any value: no first attempt finds capacity.
 const BLOCKS_ALL: f64 = f64::MAX;
@@ -66,8 +67,17 @@
     blocking_value: f64,
 }
 
+impl QueuedRequest {
+    /// The highest priority first, and the newest first within a priority.
+    fn dispatch_order(&self, other: &QueuedRequest) -> Ordering {
+        let by_priority = other.priority.total_cmp(&self.priority);
+        let newest_first = by_priority.then(other.arrived_at.cmp(&self.arrived_at));
+        newest_first.then(self.id.cmp(&other.id))
+    }
+}
+
 impl Balancer {
-    /// Dispatches what waits, the highest priority first and the newest first within a priority.
+    /// Dispatches what waits, see [`QueuedRequest::dispatch_order`].
     pub(super) fn dispatch_waiting(&mut self, now: Time) {
         if self.dispatch_queue.nothing_to_dispatch() {
             return;
@@ -86,33 +96,30 @@
     fn take_by_priority(&mut self) -> Vec<QueuedRequest> {
         let waiting = std::mem::take(&mut self.dispatch_queue.waiting);
         let standing = if waiting.len() > 1 {
-            self.classes.objective_standing()
+            ObjectiveStanding::of(&self.classes)
         } else {
             ObjectiveStanding::default() // one request needs no order
         };
-        let mut queue: Vec<QueuedRequest> = Vec::new();
-        for id in waiting {
-            let Some(request) = self.requests.pending.get(&id) else {
-                continue;
-            };
-            let gain = self.objective_gain(request.class, standing);
-            let priority = gain / self.classes.relative_work(request.class) * request.value;
-            let is_first = request.attempts.is_empty();
-            queue.push(QueuedRequest {
-                id,
-                arrived_at: request.arrived_at,
-                priority,
-                blocking_value: if is_first { request.value } else { BLOCKS_ALL },
-            });
-        }
-        queue.sort_by(|a, b| {
-            let by_priority = b.priority.total_cmp(&a.priority);
-            let newest_first = by_priority.then(b.arrived_at.cmp(&a.arrived_at));
-            newest_first.then(a.id.cmp(&b.id))
-        });
+        let queued = waiting
+            .into_iter()
+            .filter_map(|id| self.queued(id, standing));
+        let mut queue: Vec<QueuedRequest> = queued.collect();
+        queue.sort_by(QueuedRequest::dispatch_order);
         queue
     }
 
+    fn queued(&self, id: RequestId, standing: ObjectiveStanding) -> Option<QueuedRequest> {
+        let request = self.requests.pending.get(&id)?;
+        let gain = self.objective_gain(request.class, standing);
+        let is_first = request.attempts.is_empty();
+        Some(QueuedRequest {
+            id,
+            arrived_at: request.arrived_at,
+            priority: gain / self.classes.relative_work(request.class) * request.value,
+            blocking_value: if is_first { request.value } else { BLOCKS_ALL },
+        })
+    }
+
     /// Dispatches a request; or lets it wait for capacity; or gives it up if it may not be sent.
     fn dispatch_or_reject(&mut self, now: Time, id: RequestId, load: FleetLoad) {
         let Some(mut request) = self.requests.pending.remove(&id) else {
@@ -165,19 +172,8 @@
         }
         let work = self.classes.relative_work(request.class);
         record.record_dispatch(now, work, self.config.overload_window);
-        let key = AttemptKey {
-            request: id,
-            attempt: AttemptNumber(request.attempts.len() as u32),
-        };
-        request
-            .attempts
-            .push(Attempt::new(record.entry.clone(), now));
-        let in_flight = InFlightAttempt {
-            backend,
-            class: request.class,
-            awaiting_response_since: now,
-        };
-        self.requests.in_flight.insert(key, in_flight);
+        self.requests
+            .start_attempt(now, id, request, record.entry.clone());
         self.actions.push(Action::Dispatch {
             request: id,
             backend,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -26,6 +26,7 @@
 mod load_shedding;
 mod locality;
 mod log_limiter;
+mod objective;
 mod outlier_detection;
 mod peer_verdicts;
 mod quota;
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -97,6 +97,27 @@
 }
 
 impl RequestTable {
+    /// A further attempt of the request goes to the backend.
+    pub fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        request: &mut PendingRequest,
+        backend: Backend,
+    ) {
+        let key = AttemptKey {
+            request: id,
+            attempt: AttemptNumber(request.attempts.len() as u32),
+        };
+        let in_flight = InFlightAttempt {
+            backend: backend.id,
+            class: request.class,
+            awaiting_response_since: now,
+        };
+        self.in_flight.insert(key, in_flight);
+        request.attempts.push(Attempt::new(backend, now));
+    }
+
     /// The body of a request streams to the attempt's backend, which owes no response until it is complete.
     pub fn upload_started(&mut self, key: AttemptKey) {
         if let Some(request) = self.pending.get_mut(&key.request) {
