--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -60,3 +60,6 @@
         due
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/hot_restart.rs
+++ b/src/balancer/hot_restart.rs
@@ -42,3 +42,6 @@
         self.current.max(before)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -77,3 +77,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/quota.rs
+++ b/src/balancer/quota.rs
@@ -49,3 +49,6 @@
         within_quota
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -79,3 +79,6 @@
         policy.allows_attempt(now, request)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/schedule.rs
+++ b/src/balancer/schedule.rs
@@ -67,3 +67,6 @@
     pub solved_at: Time,
     pub due_at: Time,
 }
+
+#[cfg(test)]
+mod tests;
