--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -48,7 +48,7 @@
             latency: now - in_flight.awaiting_response_since,
             answered: true,
         };
-        self.learn(now, in_flight, &served);
+        self.record_outcome(now, in_flight, &served);
     }
 
     /// An attempt ended: its outcome is learned from, and its request is answered or waits for a further attempt.
@@ -70,7 +70,7 @@
             }
         }
         if !response_started || broke {
-            self.learn(now, in_flight, end);
+            self.record_outcome(now, in_flight, end);
         }
         let removed = self
             .backends
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -13,8 +13,8 @@
 const CONTENDED_LATENCY_MULTIPLE: f64 = 1.4;
 /// The furthest from that multiple that one update counts, either way.
 const MAX_LATENCY_DEVIATION: f64 = 0.25;
-/// How fast a limit moves at first, a second; after n seconds of adaptation it moves 1 + n times slower, as the cores of
-/// a machine do not come and go while its speed may.
+/// How fast a limit moves at first, a second; after n seconds of adaptation it moves 1 + n times slower, as the cores
+/// of a machine do not come and go while its speed may.
 const ADAPTATION_PER_S: f64 = 5.0;
 /// How fast the uncontended latency grows while nothing confirms it, a second.
 const UNCONTENDED_GROWTH_PER_S: f64 = 0.005;
--- a/src/balancer/endpoints/consistency.rs
+++ b/src/balancer/endpoints/consistency.rs
@@ -7,30 +7,30 @@
     /// Whether loads, groups, sets and sums say what the records do, but for records that are to be read again.
     pub fn is_consistent(&self) -> bool {
         let outdated: BTreeSet<u32> = self.outdated.iter().copied().collect();
-        let are_endpoints_consistent = (0..self.len()).all(|at| {
-            let is_current = self.is_load_current(at) && self.is_weight_current(at);
-            let is_outdated = outdated.contains(&(at as u32));
-            self.is_placed(at) && self.is_in_its_sets(at) && (is_current || is_outdated)
+        let are_endpoints_consistent = (0..self.len()).all(|index| {
+            let is_current = self.is_load_current(index) && self.is_weight_current(index);
+            let is_outdated = outdated.contains(&(index as u32));
+            self.is_placed(index) && self.is_in_its_sets(index) && (is_current || is_outdated)
         });
         are_endpoints_consistent && self.are_sums_consistent() && self.is_sorted_by_address_hash()
     }
 
-    fn is_placed(&self, at: usize) -> bool {
-        let entry = &self.records[at].entry;
-        let load = &self.loads[at];
+    fn is_placed(&self, index: usize) -> bool {
+        let entry = &self.records[index].entry;
+        let load = &self.loads[index];
         let group = &self.groups[load.group_index as usize];
-        entry.id == self.ids[at]
+        entry.id == self.ids[index]
             && entry.kind == load.kind
             && entry.zone == load.zone
-            && entry.address_hash == self.address_hashes[at]
+            && entry.address_hash == self.address_hashes[index]
             && group.kind == load.kind
             && self.zones[load.zone_index as usize] == load.zone
-            && group.members[load.weight_index as usize] == at as u32
+            && group.members[load.weight_index as usize] == index as u32
     }
 
-    fn is_load_current(&self, at: usize) -> bool {
-        let record = &self.records[at];
-        let load = &self.loads[at];
+    fn is_load_current(&self, index: usize) -> bool {
+        let record = &self.records[index];
+        let load = &self.loads[index];
         record.in_flight == load.in_flight
             && record.silent == load.silent
             && record.is_ejected() == load.ejected
@@ -38,19 +38,19 @@
             && 1.0 - record.error_share == load.success_share
     }
 
-    fn is_weight_current(&self, at: usize) -> bool {
-        let load = &self.loads[at];
+    fn is_weight_current(&self, index: usize) -> bool {
+        let load = &self.loads[index];
         let weight = self.groups[load.group_index as usize].weights[load.weight_index as usize];
         load.counted_in_flight == load.contending_in_flight()
-            && weight == self.weight_without_time(at)
+            && weight == self.weight_without_time(index)
     }
 
-    fn is_in_its_sets(&self, at: usize) -> bool {
-        let load = &self.loads[at];
-        let at = at as u32;
-        self.with_in_flight.contains(&at) == (load.in_flight > 0)
-            && self.ejected.contains(&at) == load.ejected
-            && self.restricted.contains(&at) == load.restricted
+    fn is_in_its_sets(&self, index: usize) -> bool {
+        let load = &self.loads[index];
+        let index = index as u32;
+        self.with_in_flight.contains(&index) == (load.in_flight > 0)
+            && self.ejected.contains(&index) == load.ejected
+            && self.restricted.contains(&index) == load.restricted
     }
 
     fn are_sums_consistent(&self) -> bool {
@@ -68,7 +68,7 @@
     fn is_sorted_by_address_hash(&self) -> bool {
         self.by_address_hash
             .iter()
-            .map(|at| (self.address_hashes[*at as usize], *at))
+            .map(|index| (self.address_hashes[*index as usize], *index))
             .is_sorted()
     }
 }
--- a/src/balancer/endpoints/groups.rs
+++ b/src/balancer/endpoints/groups.rs
@@ -65,13 +65,13 @@
         let hashes = &self.address_hashes;
         let ids = &self.ids;
         self.by_address_hash
-            .sort_by_key(|at| (hashes[*at as usize], ids[*at as usize]));
+            .sort_by_key(|index| (hashes[*index as usize], ids[*index as usize]));
     }
 
     fn assign_members(&mut self) {
         let mut group = 0;
         let mut zone = 0;
-        for (at, load) in self.loads.iter_mut().enumerate() {
+        for (index, load) in self.loads.iter_mut().enumerate() {
             if self.groups[group].kind != load.kind {
                 group = self.groups.partition_point(|g| g.kind < load.kind);
             }
@@ -80,7 +80,7 @@
             }
             load.group_index = group as u32;
             load.zone_index = zone as u32;
-            load.weight_index = self.groups[group].push(at as u32);
+            load.weight_index = self.groups[group].push(index as u32);
             // Not yet in the table's sums and sets, which are made anew.
             load.counted_in_flight = 0;
             load.in_flight = 0;
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::{KindId, Time, ZoneId};
 
-/// The part of its traffic share that an endpoint weighs beyond its share of the subset: a last resort where all of the
-/// subset is full.
+/// The part of its traffic share that an endpoint weighs beyond its share of the subset: a last resort where all of
+/// the subset is full.
 const LAST_RESORT_PART: f64 = 1e-6;
 
 /// What each pass over all endpoints reads of one: what its record says, and what was last solved for it.
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -3,7 +3,8 @@
 //! Its columns stand in the order of ids, which is the order of every sum over endpoints: rounding, and with it
 //! decisions, depends on that order. The table decides nothing.
 //!
-//! A change of a record marks its endpoint as outdated; [`EndpointTable::refresh`] brings the derived values up to date.
+//! A change of a record marks its endpoint as outdated; [`EndpointTable::refresh`] brings the derived values up to
+//! date.
 
 mod consistency;
 mod groups;
@@ -66,26 +67,26 @@
         self.ids.binary_search(&id).ok()
     }
 
-    pub fn id(&self, at: usize) -> BackendId {
-        self.ids[at]
+    pub fn id(&self, index: usize) -> BackendId {
+        self.ids[index]
     }
 
-    pub fn record_at(&self, at: usize) -> &EndpointRecord {
-        &self.records[at]
+    pub fn record_at(&self, index: usize) -> &EndpointRecord {
+        &self.records[index]
     }
 
     pub fn get(&self, id: BackendId) -> Option<&EndpointRecord> {
-        self.position(id).map(|at| &self.records[at])
+        self.position(id).map(|index| &self.records[index])
     }
 
     /// The record to change, which marks the endpoint as outdated.
     pub fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
-        self.position(id).map(|at| self.record_at_mut(at))
+        self.position(id).map(|index| self.record_at_mut(index))
     }
 
-    fn record_at_mut(&mut self, at: usize) -> &mut EndpointRecord {
-        self.outdated.push(at as u32);
-        &mut self.records[at]
+    fn record_at_mut(&mut self, index: usize) -> &mut EndpointRecord {
+        self.outdated.push(index as u32);
+        &mut self.records[index]
     }
 
     pub fn records(&self) -> impl Iterator<Item = (BackendId, &EndpointRecord)> {
@@ -112,19 +113,19 @@
 
     /// Takes an endpoint out of use until shares are next solved.
     pub fn suspend(&mut self, id: BackendId) {
-        if let Some(at) = self.position(id) {
-            self.loads[at].readiness = 0.0;
-            self.outdated.push(at as u32);
+        if let Some(index) = self.position(id) {
+            self.loads[index].readiness = 0.0;
+            self.outdated.push(index as u32);
         }
     }
 
     /// Forgets all of an endpoint but its entry, its attempts in flight and the work dispatched to it.
     fn reset(&mut self, id: BackendId) {
-        if let Some(at) = self.position(id) {
-            self.record_at_mut(at).reset();
-            self.loads[at].reset_solution();
-            self.traffic_share[at] = 0.0;
-            self.subset_share[at] = 0.0;
+        if let Some(index) = self.position(id) {
+            self.record_at_mut(index).reset();
+            self.loads[index].reset_solution();
+            self.traffic_share[index] = 0.0;
+            self.subset_share[index] = 0.0;
         }
     }
 
@@ -184,25 +185,25 @@
 
     /// Brings the loads and weights of outdated endpoints up to date.
     pub fn refresh(&mut self, now: Time, config: &Config) {
-        while let Some(at) = self.outdated.pop() {
-            self.refresh_load(at as usize, config);
-            self.update_weight(at as usize, now);
+        while let Some(index) = self.outdated.pop() {
+            self.refresh_load(index as usize, config);
+            self.update_weight(index as usize, now);
         }
     }
 
     /// Updates all weights, after shares were solved.
     pub fn update_weights(&mut self, now: Time) {
-        for at in 0..self.len() {
-            self.update_weight(at, now);
+        for index in 0..self.len() {
+            self.update_weight(index, now);
         }
     }
 
     /// Reads the load of an endpoint from its record.
-    fn refresh_load(&mut self, at: usize, config: &Config) {
-        let record = &self.records[at];
+    fn refresh_load(&mut self, index: usize, config: &Config) {
+        let record = &self.records[index];
         let available = self.is_available(record);
         let ejected = record.is_ejected();
-        let load = &mut self.loads[at];
+        let load = &mut self.loads[index];
         load.success_share = 1.0 - record.error_share;
         load.silent = record.silent;
         load.available = available;
@@ -213,7 +214,7 @@
             load.slow_start_ends_at + config.overload_window
         });
         load.unrestricted_at = record.faults().overloaded_until.max(warm_for_window);
-        let index = at as u32;
+        let index = index as u32;
         let is_busy = record.in_flight > 0;
         set_membership(&mut self.with_in_flight, index, load.in_flight > 0, is_busy);
         set_membership(&mut self.ejected, index, load.ejected, ejected);
@@ -222,45 +223,50 @@
     }
 
     /// Updates what follows from the load of an endpoint.
-    fn update_weight(&mut self, at: usize, now: Time) {
-        let load = &mut self.loads[at];
+    fn update_weight(&mut self, index: usize, now: Time) {
+        let load = &mut self.loads[index];
         let in_flight = load.contending_in_flight();
         self.in_flight = self.in_flight + u64::from(in_flight) - u64::from(load.counted_in_flight);
         load.counted_in_flight = in_flight;
         let restricted = now < load.unrestricted_at;
-        set_membership(&mut self.restricted, at as u32, load.restricted, restricted);
+        set_membership(
+            &mut self.restricted,
+            index as u32,
+            load.restricted,
+            restricted,
+        );
         load.restricted = restricted;
-        self.set_weight(at, self.weight_without_time(at));
+        self.set_weight(index, self.weight_without_time(index));
     }
 
     /// The weight of an endpoint while time alone doesn't change it; 0 for one that is restricted or full.
-    fn weight_without_time(&self, at: usize) -> f64 {
-        if !self.loads[at].restricted && self.has_capacity(at, false) {
-            self.weight(at)
+    fn weight_without_time(&self, index: usize) -> f64 {
+        if !self.loads[index].restricted && self.has_capacity(index, false) {
+            self.weight(index)
         } else {
             0.0
         }
     }
 
     /// Whether it may have one more attempt in flight, of all its capacity or of half of it.
-    pub fn has_capacity(&self, at: usize, half_only: bool) -> bool {
-        self.loads[at].has_capacity(half_only)
+    pub fn has_capacity(&self, index: usize, half_only: bool) -> bool {
+        self.loads[index].has_capacity(half_only)
     }
 
     /// What an endpoint that may be drawn weighs: its share of the subset, and for all others a last resort.
-    pub fn weight(&self, at: usize) -> f64 {
-        draw_weight(self.subset_share[at], self.traffic_share[at])
+    pub fn weight(&self, index: usize) -> f64 {
+        draw_weight(self.subset_share[index], self.traffic_share[index])
     }
 
-    fn set_weight(&mut self, at: usize, weight: f64) {
-        let load = &self.loads[at];
+    fn set_weight(&mut self, index: usize, weight: f64) {
+        let load = &self.loads[index];
         self.groups[load.group_index as usize].set_weight(load.weight_index, weight);
     }
 
     /// Sets the weight of an endpoint for the next draw only.
-    pub fn override_weight(&mut self, at: usize, weight: f64) {
-        self.set_weight(at, weight);
-        self.outdated.push(at as u32);
+    pub fn override_weight(&mut self, index: usize, weight: f64) {
+        self.set_weight(index, weight);
+        self.outdated.push(index as u32);
     }
 
     /// The groups with an endpoint that may be drawn: their index and kind.
@@ -274,8 +280,8 @@
 
     /// Draws an endpoint of the group by weight.
     pub fn draw(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
-        let at = self.groups[group].draw(random)?;
-        Some(self.ids[at as usize])
+        let index = self.groups[group].draw(random)?;
+        Some(self.ids[index as usize])
     }
 }
 
--- a/src/balancer/endpoints/record.rs
+++ b/src/balancer/endpoints/record.rs
@@ -28,7 +28,7 @@
 /// Work that was dispatched to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchedWork {
-    pub at: Time,
+    pub dispatched_at: Time,
     /// Relative to the mean over all requests.
     pub work: f64,
 }
@@ -55,15 +55,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PeerEjection {
     pub peer: PeerId,
-    /// When the peer gave it.
-    pub at: Time,
+    pub given_at: Time,
 }
 
 /// The newest ejection that a peer announced.
 #[derive(Clone, Copy, Debug)]
 pub struct LatestPeerVerdict {
-    /// When the peer gave it.
-    pub at: Time,
+    pub given_at: Time,
     /// When this proxy's turn to check the endpoint's health comes.
     pub health_check_at: Time,
 }
@@ -75,7 +73,7 @@
         last_failure_at: Time(0),
         peer_ejections: Vec::new(),
         latest_peer_verdict: LatestPeerVerdict {
-            at: Time(0),
+            given_at: Time(0),
             health_check_at: Time(0),
         },
         ejected_on_peer_verdicts_at: None,
@@ -118,14 +116,14 @@
     pub fn has_recent_work(&self, now: Time, window: Micros) -> bool {
         self.recent_work
             .last()
-            .is_some_and(|dispatched| now - dispatched.at < window)
+            .is_some_and(|dispatched| now - dispatched.dispatched_at < window)
     }
 
     /// Work that was dispatched to it within the last `window`.
     pub fn work_within(&self, now: Time, window: Micros) -> f64 {
         self.recent_work
             .iter()
-            .filter(|dispatched| now - dispatched.at < window)
+            .filter(|dispatched| now - dispatched.dispatched_at < window)
             .map(|dispatched| dispatched.work)
             .sum()
     }
@@ -134,8 +132,11 @@
     pub fn record_dispatch(&mut self, now: Time, work: f64, window: Micros) {
         self.in_flight += 1;
         self.recent_work
-            .retain(|dispatched| now - dispatched.at < window);
-        self.recent_work.push(DispatchedWork { at: now, work });
+            .retain(|dispatched| now - dispatched.dispatched_at < window);
+        self.recent_work.push(DispatchedWork {
+            dispatched_at: now,
+            work,
+        });
     }
 
     /// Forgets all but its entry, its attempts in flight and the work dispatched to it.
--- a/src/balancer/endpoints/update.rs
+++ b/src/balancer/endpoints/update.rs
@@ -12,8 +12,8 @@
 }
 
 impl EndpointTable {
-    /// Applies entries of a list; what a `complete` list doesn't name is removed. Then drops the removed endpoints, but
-    /// for those to `keep`.
+    /// Applies entries of a list; what a `complete` list doesn't name is removed. Then drops the removed endpoints,
+    /// but for those to `keep`.
     pub fn apply_update(
         &mut self,
         complete: bool,
@@ -37,12 +37,12 @@
         let mut listed: Vec<BackendId> = list.iter().map(|entry| entry.id).collect();
         listed.sort_unstable();
         let mut listed = listed.into_iter().peekable();
-        for at in 0..self.len() {
-            let id = self.ids[at];
+        for index in 0..self.len() {
+            let id = self.ids[index];
             while listed.next_if(|next| *next < id).is_some() {}
             let is_listed = listed.peek() == Some(&id);
-            if !is_listed && self.records[at].entry.state != BackendState::Removed {
-                self.record_at_mut(at).entry.state = BackendState::Removed;
+            if !is_listed && self.records[index].entry.state != BackendState::Removed {
+                self.record_at_mut(index).entry.state = BackendState::Removed;
                 self.removed.push(id);
             }
         }
@@ -55,13 +55,13 @@
         };
         let mut next = 0; // lists mostly stand in the order of ids
         for entry in list {
-            let at = match self.ids.get(next) {
+            let index = match self.ids.get(next) {
                 Some(id) if *id == entry.id => Some(next),
                 _ => self.position(entry.id),
             };
-            if let Some(at) = at {
-                updated.moved |= self.update_entry(at, entry);
-                next = at + 1;
+            if let Some(index) = index {
+                updated.moved |= self.update_entry(index, entry);
+                next = index + 1;
             } else {
                 updated.unknown.push(entry);
             }
@@ -70,27 +70,27 @@
     }
 
     /// Replaces the entry of an endpoint; returns whether its kind, zone or address changed.
-    fn update_entry(&mut self, at: usize, entry: Backend) -> bool {
-        if self.records[at].entry == entry {
+    fn update_entry(&mut self, index: usize, entry: Backend) -> bool {
+        if self.records[index].entry == entry {
             return false;
         }
-        if self.records[at].entry.started_at != entry.started_at {
+        if self.records[index].entry.started_at != entry.started_at {
             // A restarted process has nothing in common with the old one but its address.
             self.reset(entry.id);
         }
         if entry.state == BackendState::Removed {
             self.removed.push(entry.id);
         }
-        let load = &mut self.loads[at];
-        let readdressed = self.address_hashes[at] != entry.address_hash;
+        let load = &mut self.loads[index];
+        let readdressed = self.address_hashes[index] != entry.address_hash;
         let moved = readdressed || load.kind != entry.kind || load.zone != entry.zone;
         if readdressed {
             load.rotation_offset = 0.0;
         }
         load.kind = entry.kind;
         load.zone = entry.zone;
-        self.address_hashes[at] = entry.address_hash;
-        self.record_at_mut(at).entry = entry;
+        self.address_hashes[index] = entry.address_hash;
+        self.record_at_mut(index).entry = entry;
         moved
     }
 
@@ -99,17 +99,17 @@
         let mut kept = Vec::new();
         let mut dropped = Vec::new();
         for id in std::mem::take(&mut self.removed) {
-            let Some(at) = self.position(id) else {
+            let Some(index) = self.position(id) else {
                 continue;
             };
-            let record = &self.records[at];
+            let record = &self.records[index];
             if record.entry.state != BackendState::Removed {
                 continue;
             }
             if keep(record) {
                 kept.push(id);
             } else {
-                dropped.push(at);
+                dropped.push(index);
             }
         }
         kept.sort_unstable();
@@ -123,8 +123,8 @@
             return;
         }
         let mut stays = vec![true; self.len()];
-        for at in dropped {
-            stays[*at] = false;
+        for index in dropped {
+            stays[*index] = false;
         }
         let new_positions = positions_after_removal(&stays);
         retain_marked(&mut self.ids, &stays);
@@ -133,9 +133,9 @@
         retain_marked(&mut self.traffic_share, &stays);
         retain_marked(&mut self.subset_share, &stays);
         retain_marked(&mut self.address_hashes, &stays);
-        self.by_address_hash.retain(|at| stays[*at as usize]);
-        for at in &mut self.by_address_hash {
-            *at = new_positions[*at as usize];
+        self.by_address_hash.retain(|index| stays[*index as usize]);
+        for index in &mut self.by_address_hash {
+            *index = new_positions[*index as usize];
         }
     }
 
@@ -170,14 +170,14 @@
 
     fn sort_by_id(&mut self) {
         let mut old_positions: Vec<usize> = (0..self.len()).collect();
-        old_positions.sort_by_key(|at| self.ids[*at]);
+        old_positions.sort_by_key(|index| self.ids[*index]);
         let mut records: Vec<Option<EndpointRecord>> = std::mem::take(&mut self.records)
             .into_iter()
             .map(Some)
             .collect();
         self.records = old_positions
             .iter()
-            .filter_map(|at| records[*at].take())
+            .filter_map(|index| records[*index].take())
             .collect();
         reorder(&mut self.ids, &old_positions);
         reorder(&mut self.loads, &old_positions);
@@ -219,5 +219,5 @@
 }
 
 fn reorder<T: Copy>(column: &mut Vec<T>, old_positions: &[usize]) {
-    *column = old_positions.iter().map(|at| column[*at]).collect();
+    *column = old_positions.iter().map(|index| column[*index]).collect();
 }
--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -74,9 +74,9 @@
             .map_or(0.0, |latency_s| 1.0 / latency_s + served_per_s);
     }
 
-    /// Requests of mean work a second that a warm endpoint serves for certain; `None` while there is no latency. Unlike
-    /// [`HardwareClass::speed_per_s`] it counts what was served and not what was asked for, which in an overload is
-    /// more than the endpoint can do.
+    /// Requests of mean work a second that a warm endpoint serves for certain; `None` while there is no latency.
+    /// Unlike [`HardwareClass::speed_per_s`] it counts what was served and not what was asked for, which in an
+    /// overload is more than the endpoint can do.
     pub fn proven_capacity_per_s(&self, proxies: f64) -> Option<f64> {
         let served_per_s = self.served_per_endpoint.per_s().unwrap_or(0.0) * proxies;
         // The inverse of a mean of n scattered samples overestimates by about one part in n.
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -38,9 +38,9 @@
 
 /// The part of a proxy's traffic for each zone, given each zone's fair share of all traffic (sum 1).
 ///
-/// Every zone brings as much traffic as any other and keeps it up to its fair share. Its surplus goes to the zones with
-/// spare capacity, in proportion to it: first to those in its own region, then to what other regions leave over. So all
-/// spare capacity is used and none is exceeded.
+/// Every zone brings as much traffic as any other and keeps it up to its fair share. Its surplus goes to the zones
+/// with spare capacity, in proportion to it: first to those in its own region, then to what other regions leave over.
+/// So all spare capacity is used and none is exceeded.
 pub(super) fn locality_weighted_shares(
     fair_shares: &BTreeMap<ZoneId, f64>,
     own_zone: ZoneId,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -6,7 +6,7 @@
 use super::requests::InFlightAttempt;
 use super::silence_detection::silence_limit;
 use super::Balancer;
-use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict};
+use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict, ZoneId};
 
 /// Error share from which an endpoint is ejected: two errors close together reach it where errors are rare.
 const EJECTION_ERROR_SHARE: f64 = 0.3;
@@ -19,7 +19,7 @@
 const ALIVE_LATENCY_MULTIPLE: f64 = 2.0;
 /// Duration of a first ejection, s.
 pub(super) const BASE_EJECTION_S: f64 = 1.0;
-/// So many consecutive ejections at most double the duration.
+/// The duration doubles with each consecutive ejection, so often at most.
 const MAX_EJECTION_DOUBLINGS: i32 = 2;
 /// The duration is drawn from this part of it ...
 const EJECTION_JITTER_MIN: f64 = 0.75;
@@ -124,8 +124,8 @@
     }
 }
 
-/// Whether the attempt was answered, as far as its zone as a whole is concerned; `None` where that says nothing. A zone
-/// that is cut off may still answer some attempts.
+/// Whether the attempt was answered, as far as its zone as a whole is concerned; `None` where that says nothing. A
+/// zone that is cut off may still answer some attempts.
 fn was_answered(outcome: Outcome, is_overdue: bool) -> Option<bool> {
     match outcome {
         Outcome::Ok => Some(true),
@@ -144,48 +144,57 @@
 }
 
 impl Balancer {
-    /// Learns from the end of an attempt what it says of the endpoint, its hardware class, its zone and the request class.
-    pub(super) fn learn(&mut self, now: Time, attempt: InFlightAttempt, end: &AttemptEnd) {
+    /// Learns from the end of an attempt what it says of the endpoint, its hardware class, its zone and the request
+    /// class.
+    pub(super) fn record_outcome(&mut self, now: Time, attempt: InFlightAttempt, end: &AttemptEnd) {
+        self.record_fleet_error(end.outcome);
         let id = attempt.backend;
-        let class = attempt.class;
         let sent_at = attempt.awaiting_response_since;
-        if is_error_sample(end.outcome) {
-            let is_error = end.outcome != Outcome::Ok;
-            self.error_share.add(f64::from(is_error), LATENCY_SAMPLES);
-        }
-        let expected_latency = self.expected_latency(class);
+        let expected_latency = self.expected_latency(attempt.class);
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
         record.in_flight = record.in_flight.saturating_sub(1);
+        let zone = record.entry.zone;
         let alive_within = expected_latency.mul_f64(ALIVE_LATENCY_MULTIPLE);
         let evidence = Evidence::of(end.outcome, record, now, sent_at, alive_within);
-        let zone = record.entry.zone;
         let is_overdue = end.latency > silence_limit(expected_latency);
-        let answered = was_answered(end.outcome, is_overdue);
-        if let Some(answered) = answered.filter(|_| self.config.zone_failover.is_some()) {
-            self.zones.entry(zone).or_default().record_attempt(answered);
-        }
+        self.record_zone_attempt(zone, was_answered(end.outcome, is_overdue));
         match evidence {
-            Evidence::Served => self.record_served(now, id, class, sent_at, end.latency),
-            Evidence::Overloaded => {
-                let pause = Micros::from_secs_f64(OVERLOADED_PAUSE_S);
-                record.faults_mut().overloaded_until = now + pause;
-            }
+            Evidence::Served => self.record_served(now, attempt, end.latency),
+            Evidence::Overloaded => self.record_overloaded(now, id),
             Evidence::Error => self.record_error(now, id, end.outcome),
             Evidence::Failure => self.eject(now, id, end.outcome),
             Evidence::None => {}
         }
     }
 
-    fn record_served(
-        &mut self,
-        now: Time,
-        id: BackendId,
-        class: usize,
-        sent_at: Time,
-        latency: Micros,
-    ) {
+    fn record_fleet_error(&mut self, outcome: Outcome) {
+        if is_error_sample(outcome) {
+            let is_error = outcome != Outcome::Ok;
+            self.error_share.add(f64::from(is_error), LATENCY_SAMPLES);
+        }
+    }
+
+    fn record_zone_attempt(&mut self, zone: ZoneId, answered: Option<bool>) {
+        if self.config.zone_failover.is_none() {
+            return;
+        }
+        if let Some(answered) = answered {
+            self.zones.entry(zone).or_default().record_attempt(answered);
+        }
+    }
+
+    fn record_overloaded(&mut self, now: Time, id: BackendId) {
+        if let Some(record) = self.backends.get_mut(id) {
+            let pause = Micros::from_secs_f64(OVERLOADED_PAUSE_S);
+            record.faults_mut().overloaded_until = now + pause;
+        }
+    }
+
+    fn record_served(&mut self, now: Time, attempt: InFlightAttempt, latency: Micros) {
+        let id = attempt.backend;
+        let class = attempt.class;
         let latency_s = latency.as_secs_f64().max(MIN_LATENCY_S);
         self.classes
             .record_latency(class, &self.config.classes[class], latency_s);
@@ -198,7 +207,7 @@
             .entry(record.entry.kind)
             .or_default()
             .record_served(now, mix_corrected_s);
-        if record.record_served(now, sent_at) {
+        if record.record_served(now, attempt.awaiting_response_since) {
             self.actions.push(Action::PublishVerdict {
                 backend: id,
                 verdict: Verdict::Readmitted,
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -1,5 +1,5 @@
-//! Peer verdicts: what other proxies found out about an endpoint counts as evidence, unless this proxy knows better from
-//! a response or a failure since.
+//! Peer verdicts: what other proxies found out about an endpoint counts as evidence, unless this proxy knows better
+//! from a response or a failure since.
 
 use super::endpoints::{EndpointRecord, LatestPeerVerdict, PeerEjection};
 use super::outlier_detection::BASE_EJECTION_S;
@@ -20,7 +20,7 @@
     /// Forgets verdicts that are too old, and the one of the peer that now gives another.
     fn forget_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
         self.faults_mut().peer_ejections.retain(|ejection| {
-            Some(ejection.peer) != verdict.origin && now - ejection.at <= verdict.max_age
+            Some(ejection.peer) != verdict.origin && now - ejection.given_at <= verdict.max_age
         });
     }
 
@@ -36,29 +36,27 @@
         true
     }
 
-    /// Keeps a peer's ejection. Health checks go round: with the newest verdict, which names to each proxy its turn, one
-    /// proxy's turn comes at the end of the ejection and the next one's a first ejection's duration later. So the result
-    /// of one reaches the others first, and no proxy with a broken link keeps an endpoint out for long.
+    /// Keeps a peer's ejection. Health checks go round: with the newest verdict, which names to each proxy its turn,
+    /// one proxy's turn comes at the end of the ejection and the next one's a first ejection's duration later. So the
+    /// result of one reaches the others first, and no proxy with a broken link keeps an endpoint out for long.
     fn keep_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
         let given_at = ejection.given_at;
         let faults = self.faults_mut();
         if let Some(peer) = verdict.origin {
-            faults
-                .peer_ejections
-                .push(PeerEjection { peer, at: given_at });
+            faults.peer_ejections.push(PeerEjection { peer, given_at });
         }
-        if given_at >= faults.latest_peer_verdict.at {
+        if given_at >= faults.latest_peer_verdict.given_at {
             let turn_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
             let turn = Micros::from_secs_f64(turn_s).min(verdict.max_age);
             faults.latest_peer_verdict = LatestPeerVerdict {
-                at: given_at,
+                given_at,
                 health_check_at: given_at + ejection.duration + turn,
             };
         }
     }
 
-    /// Ejects it if enough peers did; for one that is ejected it follows the peers' term. Returns whether it is ejected
-    /// only now.
+    /// Ejects it if enough peers did; for one that is ejected it follows the peers' term. Returns whether it is
+    /// ejected only now.
     fn eject_on_peer_verdicts(
         &mut self,
         now: Time,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: the readiness of an endpoint that warms up, and the budget of work that it may be sent so that it is not
-//! overloaded while it is cold.
+//! Slow start: the readiness of an endpoint that warms up, and the budget of work that it may be sent so that it is
+//! not overloaded while it is cold.
 
 use super::hardware_class::HardwareClass;
 use super::Balancer;
@@ -67,23 +67,23 @@
             * self.readiness
             * self.proven_capacity_per_s
             * self.overload_window.as_secs_f64();
-        // One request of all proxies together is always allowed: else a process that starts among endpoints that are all
-        // in slow start would reject its first requests.
+        // One request of all proxies together is always allowed: else a process that starts among endpoints that are
+        // all in slow start would reject its first requests.
         let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
         fleet_work * self.proxy_share / f64::from(self.processes)
     }
 }
 
 impl Balancer {
-    /// Work that this proxy may still send to an endpoint within the present overload window; unlimited for a warm one.
-    /// `proven_capacity` caches [`Balancer::proven_capacity_per_s`].
+    /// Work that this proxy may still send to an endpoint within the present overload window; unlimited for a warm
+    /// one. `proven_capacity` caches [`Balancer::proven_capacity_per_s`].
     pub(super) fn remaining_warm_up_budget(
         &self,
         now: Time,
-        at: usize,
+        index: usize,
         proven_capacity: &mut BTreeMap<KindId, f64>,
     ) -> f64 {
-        let record = self.backends.record_at(at);
+        let record = self.backends.record_at(index);
         let overload_window = self.config.overload_window;
         let window_began_at = now - overload_window;
         let readiness =
@@ -101,7 +101,7 @@
             readiness,
             proven_capacity_per_s,
             uptime_windows: self.uptime_windows(now),
-            proxy_share: self.backends.loads[at].proxy_share,
+            proxy_share: self.backends.loads[index].proxy_share,
             processes: self.processes.sharing_budgets(now),
         };
         budget.work() - record.work_within(now, overload_window)
@@ -115,8 +115,9 @@
         })
     }
 
-    /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response is
-    /// taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a class.
+    /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response
+    /// is taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a
+    /// class.
     fn proven_capacity_per_s(&self, kind: KindId) -> f64 {
         let proxies = f64::from(self.config.proxy_count);
         let proven = |class: &HardwareClass| class.proven_capacity_per_s(proxies);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -8,8 +8,8 @@
 use crate::interface::{Config, KindId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The load
-/// that so many give still evens out, to a fifth of what one gives.
+/// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The
+/// load that so many give still evens out, to a fifth of what one gives.
 const PROXIES_PER_ENDPOINT: f64 = 20.0;
 /// The part of an endpoint's capacity that goes by traffic; the rest is spread evenly over the proxies.
 const CAPACITY_BY_TRAFFIC: f64 = 0.5;
@@ -115,7 +115,8 @@
         );
         let reached = f64::from(traffic.reached.max(1));
         let width = PROXIES_PER_ENDPOINT / proxies * self.backends.len() as f64 / reached;
-        // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its share.
+        // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its
+        // share.
         let arc = Arc {
             start: (f64::from(self.config.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
             width: width.min(1.0),
@@ -124,8 +125,8 @@
     }
 }
 
-/// The part of all traffic that the endpoints of each zone are to get. With zone failover a zone that is out of use has
-/// one too, as its clients bring traffic all the same.
+/// The part of all traffic that the endpoints of each zone are to get. With zone failover a zone that is out of use
+/// has one too, as its clients bring traffic all the same.
 fn zone_fair_shares(
     endpoints: &EndpointTable,
     splits: &[GroupSplit],
@@ -148,8 +149,8 @@
     fair_shares: &BTreeMap<ZoneId, f64>,
     config: &Config,
 ) -> Vec<f64> {
-    // With fewer proxies than zones some zone has none, and no proxy knows which: keeping traffic near would leave that
-    // zone's endpoints idle and fill the others.
+    // With fewer proxies than zones some zone has none, and no proxy knows which: keeping traffic near would leave
+    // that zone's endpoints idle and fill the others.
     let is_local = (config.cross_zone_cost > 0.0 || config.zone_failover.is_some())
         && f64::from(config.proxy_count) >= fair_shares.len() as f64;
     let local_shares = locality_weighted_shares(fair_shares, config.zone, &config.regions);
@@ -207,23 +208,23 @@
     }
 }
 
-/// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring of a
-/// group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
+/// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring
+/// of a group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
 fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: Arc, proxies: f64) {
     let mut walks = vec![RingWalk::default(); group_shares.len()];
-    for &at in &endpoints.by_address_hash {
-        let at = at as usize;
-        let load = &mut endpoints.loads[at];
+    for &index in &endpoints.by_address_hash {
+        let index = index as usize;
+        let load = &mut endpoints.loads[index];
         let group = load.group_index as usize;
         let from = walks[group].position;
-        let traffic_share = walks[group].traffic_share + endpoints.traffic_share[at];
+        let traffic_share = walks[group].traffic_share + endpoints.traffic_share[index];
         let to = traffic_share / group_shares[group].max(MIN_DIVISOR);
         walks[group] = RingWalk {
             traffic_share,
             position: to,
         };
         let subset_share = arc.overlap(from, to);
-        endpoints.subset_share[at] = subset_share;
+        endpoints.subset_share[index] = subset_share;
         load.proxy_share = if subset_share > 0.0 {
             subset_share / ((to - from) * arc.width * proxies).max(MIN_DIVISOR)
         } else {
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -1,5 +1,5 @@
-//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts remain without a response, is taken out
-//! of use as a whole, and returns over a recovery ramp. Applies where the settings have `locality`.
+//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts remain without a response, is taken
+//! out of use as a whole, and returns over a recovery ramp. Applies where the settings have `locality`.
 
 use super::estimators::RunningMean;
 use super::outlier_detection::BASE_EJECTION_S;
@@ -18,8 +18,8 @@
 const RETURN_PART_OF_THRESHOLD: f64 = 0.5;
 /// Failovers within so long make the next recovery longer.
 const FLAP_MEMORY: Micros = Micros(60_000_000);
-/// So many failovers at most double the recovery.
-const MAX_DOUBLINGS: usize = 6;
+/// Failovers beyond so many make the next recovery no longer.
+const MAX_COUNTED_FAILOVERS: usize = 6;
 /// A ramp counts as at least this long where something is divided by it, s.
 const MIN_RAMP_S: f64 = 1e-6;
 
@@ -67,7 +67,7 @@
 
     /// Doubles with each failover within [`FLAP_MEMORY`], from 1 with the first.
     fn flap_multiple(&self) -> f64 {
-        f64::from(1u32 << self.failovers.len().clamp(1, MAX_DOUBLINGS)) / 2.0
+        f64::from(1u32 << self.failovers.len().clamp(1, MAX_COUNTED_FAILOVERS)) / 2.0
     }
 
     fn recovery_ramp(&self, rules: &ZoneFailover) -> Micros {
@@ -207,7 +207,8 @@
     let id = zone.0;
     match transition {
         ZoneTransition::TakenOutOfUse { unanswered_percent } => format!(
-            "zone {id} taken out of use: {} of {} endpoints ejected or silent, {unanswered_percent:.0}% of attempts without a response",
+            "zone {id} taken out of use: {} of {} endpoints ejected or silent, \
+             {unanswered_percent:.0}% of attempts without a response",
             counts.unhealthy, counts.available
         ),
         ZoneTransition::Returning => format!(
