--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -48,7 +48,7 @@
             latency: now - in_flight.awaiting_response_since,
             answered: true,
         };
-        self.learn(now, in_flight, &served);
+        self.record_outcome(now, in_flight, &served);
     }
 
     /// An attempt ended: its outcome is learned from, and its request is answered or waits for a further attempt.
@@ -66,7 +66,7 @@
             self.count_again(now, in_flight.backend);
         }
         if !response_started || broke {
-            self.learn(now, in_flight, end);
+            self.record_outcome(now, in_flight, end);
         }
         self.mark_ended(in_flight, end);
         if end.outcome == Outcome::Ok && !response_started {
