--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -68,12 +68,12 @@
 
 /// An arc of the ring of a group's endpoints, which has length 1.
 #[derive(Clone, Copy, Debug)]
-struct Arc {
+struct RingArc {
     start: f64,
     width: f64,
 }
 
-impl Arc {
+impl RingArc {
     /// The length of the part of the ring from `from` to `to` that the arc covers.
     fn overlap(&self, from: f64, to: f64) -> f64 {
         let inside = |start: f64| (to.min(start + self.width) - from.max(start)).max(0.0);
@@ -117,7 +117,7 @@
         let width = PROXIES_PER_ENDPOINT / proxies * self.backends.len() as f64 / reached;
         // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its
         // share.
-        let arc = Arc {
+        let arc = RingArc {
             start: (f64::from(self.config.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
             width: width.min(1.0),
         };
@@ -210,7 +210,7 @@
 
 /// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring
 /// of a group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
-fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: Arc, proxies: f64) {
+fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: RingArc, proxies: f64) {
     let mut walks = vec![RingWalk::default(); group_shares.len()];
     for &index in &endpoints.by_address_hash {
         let index = index as usize;
