--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -114,3 +114,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -134,3 +134,6 @@
         0.0
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -135,3 +135,6 @@
         even_share_per_s.min(slowest.unwrap_or(1.0 / shortest_latency.as_secs_f64()))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/balancer/slow_start/tests.rs
@@ -0,0 +1,72 @@
+use super::*;
+
+const SLOW_START: SlowStart = SlowStart {
+    duration: Micros(10_000_000),
+    min_readiness: 0.2,
+};
+const BEGAN_AT: Time = Time(1_000_000);
+
+fn readiness_after(elapsed: Micros) -> f64 {
+    SLOW_START.readiness(BEGAN_AT + elapsed, Some(BEGAN_AT))
+}
+
+#[test]
+fn readiness_grows_evenly_from_the_least_to_all() {
+    assert_eq!(readiness_after(Micros(0)), 0.2);
+    assert!((readiness_after(Micros(5_000_000)) - 0.6).abs() < 1e-12);
+    assert_eq!(readiness_after(Micros(10_000_000)), 1.0);
+    assert_eq!(readiness_after(Micros(60_000_000)), 1.0);
+}
+
+#[test]
+fn an_endpoint_that_started_long_ago_is_ready() {
+    assert_eq!(SLOW_START.readiness(BEGAN_AT, None), 1.0);
+}
+
+#[test]
+fn a_slow_start_without_a_duration_ends_at_once() {
+    let at_once = SlowStart {
+        duration: Micros(0),
+        ..SLOW_START
+    };
+    assert_eq!(at_once.readiness(BEGAN_AT + Micros(1), Some(BEGAN_AT)), 1.0);
+}
+
+/// 20 requests of work for each window and endpoint, half of them by this proxy.
+const BUDGET: WarmUpBudget = WarmUpBudget {
+    overload_multiple: 1.0,
+    overload_window: Micros(1_000_000),
+    readiness: 0.5,
+    proven_capacity_per_s: 50.0,
+    uptime_windows: 3.0,
+    proxy_share: 0.5,
+    processes: 1,
+};
+
+#[test]
+fn the_budget_is_this_proxys_part_of_what_the_endpoint_can_do() {
+    assert!((BUDGET.work() - 10.0).abs() < 1e-12);
+    let two_processes = WarmUpBudget {
+        processes: 2,
+        ..BUDGET
+    };
+    assert!((two_processes.work() - 5.0).abs() < 1e-12);
+}
+
+#[test]
+fn the_budget_of_a_young_process_grows_over_a_window() {
+    let young = WarmUpBudget {
+        uptime_windows: 0.25,
+        ..BUDGET
+    };
+    assert!((young.work() - 2.5).abs() < 1e-12);
+}
+
+#[test]
+fn one_request_of_the_fleet_is_always_in_the_budget() {
+    let cold = WarmUpBudget {
+        readiness: 0.0,
+        ..BUDGET
+    };
+    assert!((cold.work() - 0.5).abs() < 1e-12);
+}
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -218,3 +218,6 @@
         ZoneTransition::Recovered => format!("zone {id} recovered"),
     }
 }
+
+#[cfg(test)]
+mod tests;
