--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,216 +1,283 @@
-//! Backends that operators took out by hand, kept in `$TMPDIR` for the next process and for one beside this.
-//! One empty file a ban: names appear and go whole, and two processes never overwrite each other's.
+//! Backends that operators disabled, kept in a folder under `$TMPDIR` for the next process and for the other process of a
+//! hot restart.
+//!
+//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each other's.
+//! `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
 
-use crate::net::host::{Host, Why};
-use crate::net::state::snapshot_keeper::Keeper;
+use crate::net::host::{DisableReason, Host};
+use crate::net::state::snapshot_keeper::SnapshotKeeper;
 use meadowproxy::Time;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
-use std::fs::File;
+use std::fs::{DirEntry, File};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// Well inside the grace in which a change made at the other process has to reach this one.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const OUT: &str = "out-";
-const BACK: &str = "back-";
+/// Well within the time in which a change made at the other process has to reach this one.
+const FOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const DISABLED_PREFIX: &str = "out-";
+const ENABLED_PREFIX: &str = "back-";
 
-pub struct Maintenance {
+/// Disables and enables backends for operators.
+pub struct DisabledBackends {
     host: Rc<Host>,
-    dir: Option<PathBuf>,
-    /// Writes with each change, so that what operators were told outlives a crash.
-    keeper: Option<Rc<Keeper>>,
-    /// The bans that the folder held at the last look, or that were put there since.
-    kept: RefCell<BTreeSet<String>>,
-    /// What was complained of, to be told once.
-    told: RefCell<BTreeSet<String>>,
+    folder: Option<PathBuf>,
+    /// Writes a snapshot with each change, so that an acknowledged call survives a crash.
+    keeper: Option<Rc<SnapshotKeeper>>,
+    /// Ids whose files the folder held at the last check, or that were put there since.
+    on_disk: RefCell<BTreeSet<String>>,
+    /// Warnings that were logged, each once.
+    logged: RefCell<BTreeSet<String>>,
 }
 
-/// What the folder holds: bans, and backends that came back, each with the time of its file.
+/// A backend that operators enabled again.
+struct EnabledBackend {
+    id: String,
+    /// The time of its file.
+    since: Time,
+}
+
+/// What the folder holds.
 #[derive(Default)]
-struct Kept {
-    out: BTreeSet<String>,
-    back: Vec<(String, Time)>,
+struct FolderContents {
+    disabled: BTreeSet<String>,
+    enabled: Vec<EnabledBackend>,
+}
+
+/// What the name of a file in the folder says.
+enum FileName {
+    Disabled(String),
+    Enabled(String),
+    Malformed,
+    /// It belongs to another part of the program.
+    Other,
+}
+
+impl FileName {
+    fn parse(text: &str) -> FileName {
+        if let Some(hex) = text.strip_prefix(DISABLED_PREFIX) {
+            return decode_id(hex).map_or(FileName::Malformed, FileName::Disabled);
+        }
+        if let Some(hex) = text.strip_prefix(ENABLED_PREFIX) {
+            return decode_id(hex).map_or(FileName::Malformed, FileName::Enabled);
+        }
+        FileName::Other
+    }
 }
 
-impl Maintenance {
-    /// Carries out the bans that are kept already. Of one that a snapshot brought, the folder knows better whether it
-    /// is over; what it does not know of is put there, so that the other process hears of its end.
+impl DisabledBackends {
+    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins; where
+    /// there is none, the backend's file is created, so that the other process learns of its end too.
     pub fn new(
         host: Rc<Host>,
-        dir: Option<PathBuf>,
-        keeper: Option<Rc<Keeper>>,
-    ) -> Rc<Maintenance> {
-        let (kept, told) = (RefCell::default(), RefCell::default());
-        let this = Maintenance {
+        folder: Option<PathBuf>,
+        keeper: Option<Rc<SnapshotKeeper>>,
+    ) -> Rc<DisabledBackends> {
+        let this = DisabledBackends {
             host,
-            dir,
+            folder,
             keeper,
-            kept,
-            told,
+            on_disk: RefCell::default(),
+            logged: RefCell::default(),
         };
-        let found = this.look().unwrap_or_default(); // told of below
-        for (name, since) in found
-            .back
-            .iter()
-            .filter(|(name, _)| !found.out.contains(name))
-        {
-            if !this.host.restore(name, Why::Hand, *since) {
-                this.host.returned(name, *since);
+        this.reconcile_with_snapshot();
+        this.follow_folder_once();
+        Rc::new(this)
+    }
+
+    fn reconcile_with_snapshot(&self) {
+        let found = self.read_folder().unwrap_or_default(); // the check that follows logs the error
+        for backend in &found.enabled {
+            if !found.disabled.contains(&backend.id) {
+                self.enable_in_host(&backend.id, backend.since);
+            }
+        }
+        for id in self.host.learned_state().disabled {
+            if !found.disabled.contains(&id) {
+                self.create_disabled_file(&id);
             }
         }
-        let banned = this.host.learned_state().withdrawn;
-        banned
-            .iter()
-            .filter(|name| !found.out.contains(*name))
-            .for_each(|name| this.put(name));
-        this.follow_once();
-        Rc::new(this)
     }
 
-    /// Puts a ban into the folder.
-    fn put(&self, name: &str) {
-        let Some(dir) = &self.dir else { return };
-        match File::create(dir.join(file(OUT, name))) {
-            Ok(_) => drop(self.kept.borrow_mut().insert(name.into())),
-            Err(e) => warn!("TMPDIR: the ban of {name} holds in this process only: {e}"),
+    /// Enables the backend here. One that this process had not disabled still counts as started at `since`.
+    fn enable_in_host(&self, id: &str, since: Time) {
+        let reason = DisableReason::Operator;
+        if !self.host.enable_backend(id, reason, since) {
+            self.host.backend_returned(id, since);
         }
-        let _ = std::fs::remove_file(dir.join(file(BACK, name)));
     }
 
-    fn write(&self) {
-        self.keeper.iter().for_each(|k| k.write());
+    fn create_disabled_file(&self, id: &str) {
+        let Some(folder) = &self.folder else {
+            return;
+        };
+        match File::create(folder.join(file_name(DISABLED_PREFIX, id))) {
+            Ok(_) => {
+                self.on_disk.borrow_mut().insert(id.into());
+            }
+            Err(error) => warn!(
+                backend = id,
+                "TMPDIR: {id} is disabled in this process only: {error}"
+            ),
+        }
+        let _ = std::fs::remove_file(folder.join(file_name(ENABLED_PREFIX, id)));
+    }
+
+    fn write_snapshot(&self) {
+        if let Some(keeper) = &self.keeper {
+            keeper.write();
+        }
     }
 
-    /// Until a crash takes away nothing of what was done, or the disk has had its time.
-    pub async fn settled(&self) {
+    /// Waits until a crash would lose nothing that was done so far, or the disk takes too long.
+    pub async fn flushed(&self) {
         if let Some(keeper) = &self.keeper {
-            keeper.settled().await;
+            keeper.flushed().await;
         }
     }
 
-    /// Nothing more to that backend; false where none of that name is known.
-    pub fn enter(&self, name: &str) -> bool {
-        if !self.host.withdraw(name, Why::Hand) {
+    /// Sends the backend nothing more; false for an unknown id.
+    pub fn disable(&self, id: &str) -> bool {
+        if !self.host.disable_backend(id, DisableReason::Operator) {
             return false;
         }
-        info!("control: {name} is out");
-        self.put(name);
-        self.write();
+        info!(backend = id, "control: {id} is disabled");
+        self.create_disabled_file(id);
+        self.write_snapshot();
         true
     }
 
-    /// Use it again; false where none of that name is known.
-    pub fn exit(&self, name: &str) -> bool {
-        if !self.host.knows(name) {
+    /// Uses the backend again; false for an unknown id. A repeated call changes nothing: it is no fresh start.
+    pub fn enable(&self, id: &str) -> bool {
+        if !self.host.knows(id) {
             return false;
         }
-        let at = self.dir.as_ref().map(|dir| dir.join(file(OUT, name)));
-        let kept = at.as_ref().is_some_and(|at| at.exists());
-        if !kept && !self.host.withdrawn(name, Why::Hand) {
-            return true; // a repeated call changes nothing: it is no fresh start
+        let is_on_disk = self.disabled_file(id).is_some_and(|file| file.exists());
+        if !is_on_disk && !self.host.is_disabled(id, DisableReason::Operator) {
+            return true;
         }
-        if let Some((dir, at)) = self.dir.as_ref().zip(at).filter(|_| kept) {
-            let marked = File::create(dir.join(file(BACK, name))).map(drop);
-            if let Err(e) = marked.and_then(|()| gone(std::fs::remove_file(at))) {
-                warn!("TMPDIR: the end of the ban of {name} holds in this process only: {e}");
+        if is_on_disk {
+            if let Err(error) = self.replace_disabled_file(id) {
+                warn!(
+                    backend = id,
+                    "TMPDIR: {id} is enabled in this process only: {error}"
+                );
             }
         }
-        self.kept.borrow_mut().remove(name);
-        let now = self.host.clock.now();
-        if !self.host.restore(name, Why::Hand, now) {
-            self.host.returned(name, now); // the other process's ban, which was not carried out here yet
-        }
-        info!("control: {name} is back");
-        self.write();
+        self.on_disk.borrow_mut().remove(id);
+        // The file may be the other process's, and not followed here yet.
+        self.enable_in_host(id, self.host.clock.now());
+        info!(backend = id, "control: {id} is enabled");
+        self.write_snapshot();
         true
     }
 
-    /// Carries out what the other process kept or removed, for as long as the program runs.
-    pub async fn follow(self: Rc<Self>) {
-        while self.dir.is_some() {
-            tokio::time::sleep(LOOK_EVERY).await;
-            self.follow_once();
+    fn disabled_file(&self, id: &str) -> Option<PathBuf> {
+        let folder = self.folder.as_ref()?;
+        Some(folder.join(file_name(DISABLED_PREFIX, id)))
+    }
+
+    /// Records on disk that the backend is enabled.
+    fn replace_disabled_file(&self, id: &str) -> io::Result<()> {
+        let Some(folder) = &self.folder else {
+            return Ok(());
+        };
+        File::create(folder.join(file_name(ENABLED_PREFIX, id)))?;
+        match std::fs::remove_file(folder.join(file_name(DISABLED_PREFIX, id))) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
+            _ => Ok(()),
         }
     }
 
-    fn follow_once(&self) {
-        let now = match self.look() {
-            Ok(kept) => kept.out,
-            Err(e) => {
-                return self.tell(format!(
-                    "TMPDIR: bans kept before hold, others are not seen: {e}"
-                ))
+    /// Carries out what the other process records in the folder, for as long as the program runs.
+    pub async fn follow_folder(self: Rc<Self>) {
+        while self.folder.is_some() {
+            tokio::time::sleep(FOLDER_CHECK_INTERVAL).await;
+            self.follow_folder_once();
+        }
+    }
+
+    fn follow_folder_once(&self) {
+        let now = match self.read_folder() {
+            Ok(contents) => contents.disabled,
+            Err(error) => {
+                self.warn_once(format!(
+                    "TMPDIR: backends stay disabled as before, and changes of another process are not seen: {error}"
+                ));
+                return;
             }
         };
-        let before = std::mem::replace(&mut *self.kept.borrow_mut(), now.clone());
-        for name in now.difference(&before) {
-            info!("{name} is out, as kept in TMPDIR");
-            self.host.withdraw_unheard(name, Why::Hand);
+        let before = self.on_disk.replace(now.clone());
+        for id in now.difference(&before) {
+            info!(backend = id, "{id} is disabled by its file in TMPDIR");
+            self.host
+                .disable_even_if_unlisted(id, DisableReason::Operator);
         }
-        for name in before.difference(&now) {
-            info!("{name} is back, as TMPDIR keeps it no more");
-            self.host.restore(name, Why::Hand, self.host.clock.now());
+        for id in before.difference(&now) {
+            info!(
+                backend = id,
+                "{id} is enabled: its file in TMPDIR was removed"
+            );
+            let now = self.host.clock.now();
+            self.host.enable_backend(id, DisableReason::Operator, now);
         }
         if now != before {
-            self.write();
+            self.write_snapshot();
         }
     }
 
-    /// The whole folder, or nothing of it: a ban that a broken look leaves out would be taken for one that is over.
-    fn look(&self) -> io::Result<Kept> {
-        let mut kept = Kept::default();
-        let Some(dir) = &self.dir else {
-            return Ok(kept);
+    /// Reads the whole folder or fails: a file that a broken reading left out would be taken for a removed one.
+    fn read_folder(&self) -> io::Result<FolderContents> {
+        let mut contents = FolderContents::default();
+        let Some(folder) = &self.folder else {
+            return Ok(contents);
         };
-        for entry in std::fs::read_dir(dir)? {
+        for entry in std::fs::read_dir(folder)? {
             let entry = entry?;
             let name = entry.file_name();
             let text = name.to_string_lossy();
-            let of = |prefix| text.strip_prefix(prefix).map(decode);
-            match (of(OUT), of(BACK)) {
-                (Some(Some(id)), _) => drop(kept.out.insert(id)),
-                (_, Some(Some(id))) => {
-                    let since = entry.metadata().and_then(|m| m.modified()).ok();
-                    let since = since.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-                    kept.back
-                        .push((id, Time(since.map_or(0, |at| at.as_micros() as u64))));
+            match FileName::parse(&text) {
+                FileName::Disabled(id) => {
+                    contents.disabled.insert(id);
+                }
+                FileName::Enabled(id) => {
+                    let since = modified_at(&entry);
+                    contents.enabled.push(EnabledBackend { id, since });
                 }
-                (Some(None), _) | (_, Some(None)) => {
-                    self.tell(format!("TMPDIR: {text}: no ban, skipped"));
+                FileName::Malformed => {
+                    self.warn_once(format!("TMPDIR: {text}: not a backend's id, skipped"));
                 }
-                (None, None) => {} // another part's
+                FileName::Other => {}
             }
         }
-        Ok(kept)
+        Ok(contents)
     }
 
-    fn tell(&self, what: String) {
-        if self.told.borrow_mut().insert(what.clone()) {
-            warn!("{what}");
+    fn warn_once(&self, text: String) {
+        if self.logged.borrow_mut().insert(text.clone()) {
+            warn!("{text}");
         }
     }
 }
 
-fn gone(removed: io::Result<()>) -> io::Result<()> {
-    removed.or_else(|e| {
-        if e.kind() == io::ErrorKind::NotFound {
-            Ok(())
-        } else {
-            Err(e)
-        }
-    })
+/// When the file was last written; the beginning of time where that is not known.
+fn modified_at(entry: &DirEntry) -> Time {
+    let modified = entry.metadata().and_then(|metadata| metadata.modified());
+    let since_epoch = modified
+        .ok()
+        .and_then(|at| at.duration_since(UNIX_EPOCH).ok());
+    Time(since_epoch.map_or(0, |at| at.as_micros() as u64))
 }
 
-/// Ids may hold anything: in hex they are plain names of files.
-fn file(prefix: &str, id: &str) -> PathBuf {
+/// Ids may hold any character; in hex they are plain names of files.
+fn file_name(prefix: &str, id: &str) -> PathBuf {
     Path::new(&format!("{prefix}{}", hex::encode(id))).into()
 }
 
-fn decode(text: &str) -> Option<String> {
+fn decode_id(text: &str) -> Option<String> {
     let bytes = hex::decode(text).ok().filter(|bytes| !bytes.is_empty())?;
     String::from_utf8(bytes).ok()
 }
--- a/src/net/admin/prometheus.rs
+++ b/src/net/admin/prometheus.rs
@@ -19,12 +19,12 @@
 
 /// Counters and gauges by their names and labels; clones share them.
 #[derive(Clone, Default)]
-pub struct Figures(Arc<Mutex<Table>>);
+pub struct PrometheusRecorder(Arc<Mutex<Table>>);
 
-impl Figures {
+impl PrometheusRecorder {
     /// The recorder of the whole process from now on, if there is none yet.
-    pub fn install() -> Figures {
-        let figures = Figures::default();
+    pub fn install() -> PrometheusRecorder {
+        let figures = PrometheusRecorder::default();
         let _ = metrics::set_global_recorder(figures.clone());
         figures
     }
@@ -73,7 +73,7 @@
     (key.name().into(), labels)
 }
 
-impl Recorder for Figures {
+impl Recorder for PrometheusRecorder {
     fn describe_counter(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
     fn describe_gauge(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
     fn describe_histogram(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
@@ -100,26 +100,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn figures_are_written_in_prometheus_form() {
-        let figures = Figures::default();
-        metrics::with_local_recorder(&figures, || {
-            metrics::gauge!("b").set(1.5);
-            metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(2);
-            metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(1);
-            metrics::counter!("a_total", "cause" => "z").absolute(7);
-            metrics::counter!("b").increment(9); // not what it is
-        });
-        let lines = [
-            "# TYPE a_total counter",
-            r#"a_total{cause="a \"b\"\\\n"} 3"#,
-            r#"a_total{cause="z"} 7"#,
-            "# TYPE b gauge",
-            "b 1.5",
-        ];
-        assert_eq!(figures.render().lines().collect::<Vec<_>>(), lines);
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/net/admin/prometheus/tests.rs
@@ -0,0 +1,23 @@
+//! The metrics' text form.
+
+use super::*;
+
+#[test]
+fn figures_are_written_in_prometheus_form() {
+    let figures = PrometheusRecorder::default();
+    metrics::with_local_recorder(&figures, || {
+        metrics::gauge!("b").set(1.5);
+        metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(2);
+        metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(1);
+        metrics::counter!("a_total", "cause" => "z").absolute(7);
+        metrics::counter!("b").increment(9); // not what it is
+    });
+    let lines = [
+        "# TYPE a_total counter",
+        r#"a_total{cause="a \"b\"\\\n"} 3"#,
+        r#"a_total{cause="z"} 7"#,
+        "# TYPE b gauge",
+        "b 1.5",
+    ];
+    assert_eq!(figures.render().lines().collect::<Vec<_>>(), lines);
+}
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -1,7 +1,11 @@
 //! What the door answers.
 
 use super::*;
-use crate::net::downstream::server::Rules;
+use crate::net::admin::disabled_backends::DisabledBackends;
+use crate::net::admin::prometheus::PrometheusRecorder;
+use crate::net::admin::AdminReply;
+use crate::net::downstream::server::{RequestRules, Server};
+use crate::net::host::Host;
 use meadowproxy::settings::Network;
 use meadowproxy::{Config, Micros};
 use std::io::{Read, Write};
@@ -10,8 +14,8 @@
 /// Says what it heard; of the window `late` nothing.
 struct Echo;
 
-impl DutiesDoor for Echo {
-    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> Later {
+impl FleetAdmin for Echo {
+    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
         let (late, length) = (path.get(1) == Some(&"late"), body.len());
         let heard = format!("{method} {} {length}", path.join("|"));
         Box::pin(async move {
@@ -25,7 +29,7 @@
 }
 
 /// A door's answers, whole, each to the bytes of one call.
-async fn answers(duties: Option<Rc<dyn DutiesDoor>>, calls: &[Vec<u8>]) -> Vec<String> {
+async fn answers(fleet: Option<Rc<dyn FleetAdmin>>, calls: &[Vec<u8>]) -> Vec<String> {
     let second = Micros(1_000_000);
     let network = Network {
         connect_timeout: second,
@@ -34,20 +38,24 @@
         deadlines: vec![second].into(),
     };
     let host = Host::example();
-    let server = Server::new(host.clone(), Rules::new(&Config::example(), &network), 4);
-    let maintenance = Maintenance::new(host.clone(), None, None);
-    let figures = Figures::default();
-    let control = Control::new(Keepers {
+    let server = Server::new(
+        host.clone(),
+        RequestRules::new(&Config::example(), &network),
+        4,
+    );
+    let disabled_backends = DisabledBackends::new(host.clone(), None, None);
+    let metrics = PrometheusRecorder::default();
+    let admin = AdminServer::new(AdminContext {
         host,
         server,
-        maintenance,
+        disabled_backends,
         peers: None,
-        duties,
-        figures,
+        fleet,
+        metrics,
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    let door = tokio::task::spawn_local(control.run(listener));
+    let running = tokio::task::spawn_local(admin.run(listener));
     let calls = calls.to_vec();
     let (tell, told) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
@@ -61,7 +69,7 @@
         let _ = tell.send(calls.iter().map(ask).collect());
     });
     let answers = told.await.expect("an answer to each");
-    door.abort();
+    running.abort();
     answers
 }
 
@@ -87,16 +95,12 @@
     call(line, "Transfer-Encoding: chunked\r\n", &body)
 }
 
-/// Whole bodies and decoded paths reach the keepers; all that makes no sense gets one refusal that says why.
-#[tokio::test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "issue 32: code that reads as well as it works"
-)]
-async fn calls_on_windows_reach_their_keepers_or_are_refused() {
+/// A call, and the status and text that answer it.
+type Case = (Vec<u8>, &'static str, &'static str);
+
+fn carried_out_fleet_calls() -> Vec<Case> {
     let most = vec![b'x'; MAX_BODY];
-    let over = vec![b'x'; MAX_BODY + 1];
-    let cases = [
+    vec![
         (
             with_body("PUT /windows/a%2Fb%20c+d", b"{}"),
             "202",
@@ -124,6 +128,12 @@
             "202",
             "PUT windows|w 65536",
         ),
+    ]
+}
+
+fn refused_fleet_calls() -> Vec<Case> {
+    let over = vec![b'x'; MAX_BODY + 1];
+    vec![
         (
             with_body("PUT /windows/w", &over),
             "413",
@@ -170,7 +180,13 @@
             "503",
             "no answer in time, ask again\n",
         ),
-    ];
+    ]
+}
+
+/// Whole bodies and decoded paths reach the keepers; all that makes no sense gets one refusal that says why.
+#[tokio::test]
+async fn calls_on_windows_reach_their_keepers_or_are_refused() {
+    let cases = [carried_out_fleet_calls(), refused_fleet_calls()].concat();
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -191,24 +207,3 @@
         })
         .await;
 }
-
-#[test]
-fn an_id_is_taken_only_from_a_sound_query() {
-    for (query, id) in [("who=a-1", "a-1"), ("x=1&who=a%2F%c3%a9+b&y", "a/é b")] {
-        assert_eq!(who(Some(query)).as_deref(), Ok(id), "{query}");
-    }
-    for bad in [
-        "",
-        "who",
-        "who=",
-        "whom=a",
-        "who=a&who=a",
-        "who=%",
-        "who=%4",
-        "who=%zz",
-        "who=%ff",
-    ] {
-        assert!(who(Some(bad)).is_err(), "{bad}");
-    }
-    assert!(who(None).is_err());
-}
--- a/src/net/cluster/coordination/clock/tests.rs
+++ b/src/net/cluster/coordination/clock/tests.rs
@@ -3,7 +3,7 @@
 use super::super::tables::{Roster, Tables};
 use super::super::{Effect, Rows};
 use super::*;
-use crate::net::host::RosterRow;
+use crate::net::host::BackendStatus;
 use meadowproxy::fleet::calendar::{Mark, Spec, Stamp, Step, Wall};
 use meadowproxy::fleet::lease::Ballot;
 
@@ -33,7 +33,7 @@
 
     /// Whatever is asked for is shown, as it is at that time.
     fn show(&self, at: Time) {
-        let row = |name: &str| RosterRow {
+        let row = |name: &str| BackendStatus {
             name: name.into(),
             zone: "z".into(),
             kind: "k".into(),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -18,11 +18,11 @@
 mod tables;
 mod wire;
 
-use crate::net::admin::{DutiesDoor, Later};
+use crate::net::admin::{AdminReply, FleetAdmin};
 use crate::net::cluster::gossip::Peers;
 use crate::net::config::overlay::Overlay;
 use crate::net::config::Voting;
-use crate::net::host::{Host, RosterRow, Why};
+use crate::net::host::{BackendStatus, DisableReason, Host};
 use bytes::Bytes;
 use clock::{Clock, Command};
 use config::Configuring;
@@ -85,7 +85,7 @@
 /// The backends as the request loop sees them.
 pub struct Rows {
     pub at: Time,
-    pub rows: Vec<RosterRow>,
+    pub rows: Vec<BackendStatus>,
 }
 
 /// What the request loop sees.
@@ -236,8 +236,8 @@
     }
 }
 
-impl DutiesDoor for Duties {
-    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> Later {
+impl FleetAdmin for Duties {
+    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
         let (answer, wait) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
         let call = door::Call {
@@ -283,7 +283,7 @@
     while let Some(effect) = told.recv().await {
         match effect {
             Effect::Out(name) => {
-                host.withdraw_unheard(&name, Why::Window);
+                host.disable_even_if_unlisted(&name, DisableReason::MaintenanceWindow);
                 info!(
                     event = "window_out",
                     backend = name,
@@ -293,7 +293,7 @@
                 applied.out.borrow_mut().insert(name);
             }
             Effect::Back(name) => {
-                host.restore(&name, Why::Window, host.clock.now());
+                host.enable_backend(&name, DisableReason::MaintenanceWindow, host.clock.now());
                 info!(
                     event = "window_back",
                     backend = name,
@@ -331,10 +331,10 @@
         if rows.is_none() && asked != Need::Nothing {
             rows = Some(Arc::new(Rows {
                 at,
-                rows: host.roster(),
+                rows: host.backend_statuses(),
             }));
         }
-        let (open, overlay) = (host.open_at(&applied.out.borrow()), &applied.overlay);
+        let (open, overlay) = (host.in_flight_at(&applied.out.borrow()), &applied.overlay);
         let (config, file) = (overlay.version(), overlay.file_version());
         let seen = Seen {
             rows: rows.clone(),
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -7,7 +7,7 @@
 use super::{mono, wall, Effect, Rows, Seen};
 use crate::net::cluster::gossip::post::Post;
 use crate::net::cluster::gossip::wire::Body;
-use crate::net::host::RosterRow;
+use crate::net::host::BackendStatus;
 use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
 use meadowproxy::fleet::relay::{Header, Relay};
 use meadowproxy::{Micros, Time};
@@ -156,7 +156,7 @@
         if let Some((.., fleet)) = self.fleet.as_ref().filter(same) {
             return Some(fleet.clone());
         }
-        let backend = |row: &RosterRow| Backend {
+        let backend = |row: &BackendStatus| Backend {
             zone: row.zone.clone(),
             kind: row.kind.clone(),
             cell: row.cell,
--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::net::config::Sharing;
 use crate::net::host::Host;
-use crate::net::state::snapshot::{self, wall_us, Header, Snapshot, Stands};
+use crate::net::state::snapshot::{self, wall_us, Header, Snapshot, SnapshotScope};
 use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
 use meadowproxy::{Micros, Time, Verdict};
 use post::Post;
@@ -76,7 +76,7 @@
         };
         let membership = Membership::new(machine_rules, own, seed, cold, now_since(started));
         let (tell, told) = mpsc::channel(QUEUE);
-        host.share(tell);
+        host.publish_verdicts_to(tell);
         info!(event = "peers_start", listen = %socket.local_addr()?, advertise = %own,
             cluster = rules.cluster, seeds = rules.seeds.len(), "shares state with its peers");
         let (membership, duties) = (RefCell::new(membership), RefCell::new(None));
@@ -146,7 +146,7 @@
                     members, "taken for down, joined again"
                 );
             }
-            News::Heard(backend, heard) => self.host.heard(&backend, heard), // the host knows its number
+            News::Heard(backend, heard) => self.host.receive_verdict(&backend, heard), // the host knows its number
             News::Duty(from, bytes) => self.duty((from, bytes)),
             News::Wanted { to, nonce } => self.give(to, nonce),
             News::Snapshot(bytes) => self.take(&bytes),
@@ -184,11 +184,11 @@
     /// Gives a member what this proxy learned; while that is nothing it stays silent, so that another is asked.
     fn give(&self, to: SocketAddr, nonce: u64) {
         let mut saved = self.host.learned_state();
-        saved.withdrawn.clear(); // said by operators to this proxy, not to that one
+        saved.disabled.clear(); // said by operators to this proxy, not to that one
         if saved.overall.count == 0.0 {
             return;
         }
-        let header = Header::now(Stands::fleet(self.settings.get()));
+        let header = Header::now(SnapshotScope::for_fleet(self.settings.get()));
         let Ok(bytes) = snapshot::encode(&Snapshot { header, saved }) else {
             return;
         };
@@ -207,7 +207,7 @@
     fn take(&self, bytes: &[u8]) {
         let most = self.max_age();
         match snapshot::decode(bytes)
-            .and_then(|s| s.checked(&Stands::fleet(self.settings.get()), most))
+            .and_then(|s| s.checked(&SnapshotScope::for_fleet(self.settings.get()), most))
         {
             Ok((s, age)) => {
                 info!(
@@ -217,7 +217,7 @@
                     kinds = s.saved.kinds.len(),
                     "snapshot taken from a peer: warm start"
                 );
-                self.host.recall(s.saved, age);
+                self.host.restore_learned_state(s.saved, age);
             }
             Err(e) => {
                 warn!(
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -3,7 +3,7 @@
 pub mod overlay;
 pub mod reload;
 
-use crate::net::discovery::endpoint_list::{Lines, List, Pieces};
+use crate::net::discovery::endpoint_list::{EntryChunks, List, ParsedEntries};
 use crate::net::state::snapshot;
 use meadowproxy::fleet::config::MOST_NUMBER;
 use meadowproxy::fleet::lease;
@@ -81,7 +81,7 @@
 #[derive(Default)]
 pub struct Known {
     pub index: u64,
-    pub lines: Pieces,
+    pub lines: EntryChunks,
 }
 
 /// Everything that the program starts with.
@@ -464,7 +464,7 @@
 struct Long {
     settings: Lists,
     /// `known.endpoints`, where they are wanted.
-    endpoints: Option<Lines>,
+    endpoints: Option<ParsedEntries>,
 }
 
 impl Long {
@@ -483,7 +483,7 @@
             None => self
                 .endpoints
                 .iter_mut()
-                .for_each(|lines| *lines = Lines::default()),
+                .for_each(|lines| *lines = ParsedEntries::default()),
         }
     }
     fn item(&mut self, list: &'static str, item: Value) {
@@ -530,7 +530,7 @@
     };
     let mut long = Long {
         settings: lists,
-        endpoints: matches!(want, Want::Start).then(Lines::default),
+        endpoints: matches!(want, Want::Start).then(ParsedEntries::default),
     };
     let slim = match strict {
         true => {
@@ -545,7 +545,9 @@
     let mut file = shape(slim, path, &mut unknown)?;
     let known = Known {
         index: file.known.index,
-        lines: long.endpoints.map_or_else(Pieces::default, Lines::told),
+        lines: long
+            .endpoints
+            .map_or_else(EntryChunks::default, ParsedEntries::into_entries),
     };
     let settings = Settings::new(std::mem::take(&mut file.settings), long.settings);
     if strict {
@@ -685,7 +687,7 @@
             sockets: file.limits.sockets.max(64),
             known,
             settings: settings.digest(&[]),
-            shared: settings.digest(&snapshot::OWN),
+            shared: settings.digest(&snapshot::PER_PROXY_SETTINGS),
             version: file.version.unwrap_or_default(),
             keys,
             snapshot,
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -1,298 +1,260 @@
-//! The configuration read again: off the request loop as far as it takes time, and put in force on it in one step.
+//! Reloading the configuration while the proxy serves.
+//!
+//! On SIGHUP the file is read, checked and compared on the background thread, and put in force on the event loop in one
+//! step. Changes to the fleet's configuration are put in force the same way.
 
-use crate::net::admin::{Control, Keepers};
+use crate::net::admin::listener::{AdminListenError, AdminListener};
+use crate::net::background_thread::{BackgroundError, BackgroundThread};
 use crate::net::cluster::coordination::mono;
 use crate::net::config::overlay::{self, Overlay};
-use crate::net::config::{Again, Node, Source};
-use crate::net::descriptor_limits::room;
-use crate::net::downstream::server::{self, Rules, Server};
+use crate::net::config::{Again, Node, NodeError, Source};
+use crate::net::descriptor_limits::ConnectionLimits;
+use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
-use crate::net::state::snapshot::Owner;
-use crate::net::state::snapshot_keeper::Keeper;
+use crate::net::state::snapshot::ProxyIdentity;
+use crate::net::state::snapshot_keeper::SnapshotKeeper;
+use meadowproxy::fleet::config::FileRefused;
 use meadowproxy::settings::{Change, InForce};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::{mpsc, Arc};
+use std::sync::Arc;
 use std::time::Instant;
-use tokio::net::TcpListener;
+use thiserror::Error;
 use tokio::signal::unix::Signal;
-use tokio::sync::{oneshot, watch};
-use tokio::task::AbortHandle;
+use tokio::sync::watch;
 use tracing::{info, warn};
 
-type Job = Box<dyn FnOnce() + Send>;
-
-/// A thread for long work, while the loop that waits for it goes on. One, for as long as the program runs: what a second
-/// one allocates and frees would lie in memory of its own, which the allocator does not give back.
-#[derive(Clone)]
-pub struct Aside(mpsc::Sender<Job>);
-
-impl Aside {
-    pub fn start() -> Result<Aside, String> {
-        let (give, jobs) = mpsc::channel::<Job>();
-        let each = move || {
-            for job in jobs {
-                // What broke in one job is told to who waits for it, and ends no other.
-                let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(job));
-            }
-        };
-        let thread = std::thread::Builder::new().name("aside".into()).spawn(each);
-        thread
-            .map(|_| Aside(give))
-            .map_err(|e| format!("no thread to read the configuration on: {e}"))
-    }
-
-    /// Does the work there.
-    pub async fn run<T: Send + 'static>(
-        &self,
-        work: impl FnOnce() -> T + Send + 'static,
-    ) -> Result<T, String> {
-        let (tell, told) = oneshot::channel();
-        let _ = self.0.send(Box::new(move || drop(tell.send(work())))); // unsent, it tells nothing
-        told.await
-            .map_err(|_| "the reading of the configuration broke off".into())
-    }
-
-    /// Gives something up there: there may be a hundred thousand entries to free.
-    pub fn discard(&self, old: impl Send + 'static) {
-        let _ = self.0.send(Box::new(move || drop(old)));
-    }
-}
-
-/// The operators' door, which the configuration may move.
-pub struct Door {
-    at: Option<SocketAddr>,
-    running: Option<AbortHandle>,
-    keepers: Keepers,
-}
-
-impl Door {
-    /// One that is not open yet.
-    pub fn closed(keepers: Keepers) -> Door {
-        Door {
-            at: None,
-            running: None,
-            keepers,
-        }
-    }
-
-    /// Opens it there; where that cannot be, it stays where it was.
-    fn open(&mut self, at: SocketAddr) -> Result<(), String> {
-        let listener =
-            server::listen(at).map_err(|e| format!("control: cannot listen on {at}: {e}"))?;
-        self.answer(at, listener);
-        Ok(())
-    }
-
-    pub fn answer(&mut self, at: SocketAddr, listener: TcpListener) {
-        info!("control on {}", listener.local_addr().unwrap_or(at));
-        let control = Control::new(self.keepers.clone());
-        self.close();
-        self.at = Some(at);
-        self.running = Some(tokio::task::spawn_local(control.run(listener)).abort_handle());
-    }
-
-    fn close(&mut self) {
-        self.running
-            .take()
-            .into_iter()
-            .for_each(|task| task.abort());
-        self.at = None;
-    }
-
-    fn move_to(&mut self, at: Option<SocketAddr>) -> Result<(), String> {
-        match at {
-            _ if at == self.at => Ok(()),
-            Some(at) => self.open(at),
-            None => {
-                self.close();
-                Ok(())
-            }
-        }
-    }
+/// Why a configuration is not taken; everything stays as it was.
+#[derive(Debug, Error)]
+enum ReloadError {
+    /// It was not read to its end.
+    #[error(transparent)]
+    Background(#[from] BackgroundError),
+    /// The file is wrong.
+    #[error(transparent)]
+    Node(#[from] NodeError),
+    /// The file is older than the fleet's configuration in force, or newer than any known.
+    #[error(transparent)]
+    FleetVersion(#[from] FileRefused),
+    /// The settings do not fit those in force.
+    #[error("{0}")]
+    Settings(String),
+    /// Discovery was added or removed.
+    #[error("discovery: expected as before, it comes and goes only with a restart")]
+    DiscoveryToggled,
+    /// The operators' new address cannot be listened at.
+    #[error(transparent)]
+    Admin(#[from] AdminListenError),
 }
 
-/// What the fleet changed, over a file that was read.
-struct Entries {
+/// The fleet's changes on top of a file that was read.
+struct FleetChanges {
     change: Option<Change>,
-    /// The configuration's version where it has all of them.
+    /// The fleet's version, where the change contains all of it.
     version: Option<u64>,
 }
 
-/// What a new configuration may change, and what it is checked against.
-pub struct Reload {
+/// A file that was read and checked.
+struct ReadConfig {
+    file: Again,
+    fleet: FleetChanges,
+}
+
+/// Everything that a new configuration may change, and what it is checked against.
+pub struct ConfigReloader {
     pub host: Rc<Host>,
     pub server: Rc<Server>,
-    /// Where it may move to; `None` where none is watched.
+    /// Moves discovery to another address; `None` without discovery.
     pub discovery: Option<watch::Sender<SocketAddr>>,
     pub source: Source,
-    pub aside: Aside,
-    /// Its zones and kinds are those of the last reading: the host's names know of later ones.
+    pub background: BackgroundThread,
+    /// Its zones and kinds are those of the last reading: the host's names include later ones.
     pub in_force: InForce,
-    /// What the fleet's configuration changes in them.
+    /// The fleet's changes on top of the file.
     pub overlay: Rc<Overlay>,
-    /// Digest of the settings that the fleet shares, for what peers learned under them.
-    pub shared: Rc<Cell<[u8; 32]>>,
-    pub keeper: Option<Rc<Keeper>>,
-    pub owner: Owner,
-    pub door: Door,
-    pub sockets: Rc<Cell<usize>>,
+    /// Digest of the settings that all proxies of the fleet have in common: state learned under them can be shared.
+    pub shared_settings: Rc<Cell<[u8; 32]>>,
+    pub keeper: Option<Rc<SnapshotKeeper>>,
+    pub identity: ProxyIdentity,
+    pub admin: AdminListener,
+    /// File descriptors that the process may hold.
+    pub descriptors: Rc<Cell<usize>>,
+    /// All keys of the file but those inside lists.
     pub keys: Arc<BTreeSet<String>>,
     pub listen: SocketAddr,
 }
 
-impl Reload {
-    /// On each SIGHUP reads the configuration again. It is taken as a whole, or nothing of it is. Of signals that come
-    /// while one reading goes on, one more follows it: so the last file counts, and never two are read at once.
-    pub async fn run(mut self, mut hangup: Signal) {
+impl ConfigReloader {
+    /// Reads the configuration again on each SIGHUP, and puts the fleet's changes in force as they come. Signals that
+    /// arrive during a reading are followed by one more reading: the last file counts, and never two are read at once.
+    pub async fn run(mut self, mut reload_signal: Signal) {
         loop {
             let overlay = self.overlay.clone();
             tokio::select! {
-                hung_up = hangup.recv() => if hung_up.is_none() { return },
-                () = overlay.news() => {
-                    self.amend().await;
-                    continue;
-                }
-            }
-            let begun = Instant::now();
-            let read = self.read().await;
-            let (read_ms, step) = (begun.elapsed().as_millis(), Instant::now());
-            let taken = read.and_then(|(again, over)| self.take(again, over));
-            let step_us = step.elapsed().as_micros(); // so long nothing else ran
-            match taken {
-                Ok(told) => {
-                    info!(
-                        event = "configuration_taken",
-                        read_ms, step_us, "configuration taken: {told}"
-                    );
-                }
-                Err(e) => warn!("configuration not taken, all stays as it was: {e}"),
+                signal = reload_signal.recv() => match signal {
+                    Some(()) => self.reload().await,
+                    None => return,
+                },
+                () = overlay.news() => self.apply_fleet_changes().await,
             }
         }
     }
 
-    /// Reads, checks and compares, while requests go on. Nothing but [`Reload::take`] changes what it compares with,
-    /// apart from places and kinds that lists name meanwhile, which that sees to.
-    async fn read(&self) -> Result<(Again, Entries), String> {
-        let (source, keys, over) = (self.source.clone(), self.keys.clone(), self.overlay.over());
-        let in_force = InForce {
-            names: self.host.names(),
-            ..self.in_force.clone()
-        };
+    /// Reads the file and puts it in force as a whole, or not at all.
+    async fn reload(&mut self) {
+        let started = Instant::now();
+        let read = self.read().await;
+        let read_ms = started.elapsed().as_millis();
+        let step = Instant::now();
+        let taken = read.and_then(|config| self.put_in_force(config));
+        let step_us = step.elapsed().as_micros(); // nothing else ran for so long
+        match taken {
+            Ok(summary) => info!(
+                event = "configuration_taken",
+                read_ms, step_us, "configuration taken: {summary}"
+            ),
+            Err(error) => warn!("configuration not taken, all stays as it was: {error}"),
+        }
+    }
+
+    /// Reads, checks and compares the file while requests go on. Only [`ConfigReloader::put_in_force`] changes what it
+    /// is compared with, apart from zones and kinds that endpoint lists add meanwhile, which that step accounts for.
+    async fn read(&self) -> Result<ReadConfig, ReloadError> {
+        let source = self.source.clone();
+        let keys = self.keys.clone();
+        let fleet = self.overlay.over();
+        let in_force = self.in_force_with_current_names();
         let read = move || {
-            let again = Node::read_again(&source, &keys, &in_force).map_err(|e| e.to_string())?;
-            let version = again.node.version;
-            over.check(version).map_err(|e| e.to_string())?;
-            let file = again.change.as_ref().ok().map(|change| &change.to);
-            let (change, all) = file.map_or((None, true), |file| {
-                overlay::over(file, version, &over.overrides)
-            });
-            Ok((
-                again,
-                Entries {
-                    change,
-                    version: all.then_some(over.version),
-                },
-            ))
+            let file = Node::read_again(&source, &keys, &in_force)?;
+            let file_version = file.node.version;
+            fleet.check(file_version)?;
+            let (change, is_complete) = match &file.change {
+                Ok(change) => overlay::over(&change.to, file_version, &fleet.overrides),
+                Err(_) => (None, true),
+            };
+            let fleet = FleetChanges {
+                change,
+                version: is_complete.then_some(fleet.version),
+            };
+            Ok(ReadConfig { file, fleet })
         };
-        self.aside.run(read).await?
+        self.background.run(read).await?
+    }
+
+    fn in_force_with_current_names(&self) -> InForce {
+        InForce {
+            names: self.host.names(),
+            ..self.in_force.clone()
+        }
     }
 
     /// Puts the entries that the fleet changed in force, all in one step: none of them where one does not fit.
-    async fn amend(&mut self) {
+    async fn apply_fleet_changes(&mut self) {
         let (version, entries) = match self.overlay.fresh() {
             Ok(fresh) => fresh,
-            Err(why) => {
+            Err(error) => {
                 warn!(
                     event = "config_file_old",
-                    "not in force until a newer file is read, all stays as it was: {why}"
+                    "not in force until a newer file is read, all stays as it was: {error}"
                 );
                 return;
             }
         };
-        let base = InForce {
-            names: self.host.names(),
-            ..self.in_force.clone()
+        let in_force = self.in_force_with_current_names();
+        let file = self.overlay.file();
+        let entry_count = entries.len();
+        let amend = move || {
+            overlay::amended(&in_force, &file, &entries)
+                .map_err(|errors| ReloadError::Settings(errors.join("; ")))
         };
-        let (file, count) = (self.overlay.file(), entries.len());
-        let amended =
-            move || overlay::amended(&base, &file, &entries).map_err(|why| why.join("; "));
-        let amended = self.aside.run(amended).await;
-        match amended.and_then(|change| change) {
-            Ok(change) => {
-                let step = Instant::now();
-                self.put(change);
-                self.overlay.took(Some(version), self.in_force.clone());
-                let step_us = step.elapsed().as_micros();
-                info!(
-                    event = "config_in_force",
-                    version,
-                    entries = count,
-                    step_us,
-                    mono_us = mono().0,
-                    "another version of the configuration"
-                );
-            }
-            Err(why) => warn!(
+        let amended = self.background.run(amend).await;
+        match amended.map_err(ReloadError::from).and_then(|change| change) {
+            Ok(change) => self.put_fleet_changes_in_force(change, version, entry_count),
+            Err(error) => warn!(
                 event = "config_refused",
-                version, "not in force, all stays as it was: {why}"
+                version, "not in force, all stays as it was: {error}"
             ),
         }
     }
 
-    /// Settings in place of others, in one step.
-    fn put(&mut self, mut change: Change) {
+    fn put_fleet_changes_in_force(&mut self, change: Change, version: u64, entry_count: usize) {
+        let step = Instant::now();
+        self.apply_settings(change);
+        self.overlay.took(Some(version), self.in_force.clone());
+        let step_us = step.elapsed().as_micros();
+        info!(
+            event = "config_in_force",
+            version,
+            entries = entry_count,
+            step_us,
+            mono_us = mono().0,
+            "another version of the configuration"
+        );
+    }
+
+    /// Replaces the settings in force, in one step.
+    fn apply_settings(&mut self, mut change: Change) {
         change.place(&self.host.names());
         let before = std::mem::replace(&mut self.in_force, change.to.clone());
-        self.host.pool.retune(&self.in_force.network);
-        self.server
-            .retune(Rules::new(&self.in_force.config, &self.in_force.network));
-        self.host.retune(change);
-        self.aside.discard(before); // by now nobody else holds what is only there
+        let network = &self.in_force.network;
+        self.host.pool.apply_settings(network);
+        let rules = RequestRules::new(&self.in_force.config, network);
+        self.server.apply_rules(rules);
+        self.host.apply_settings(change);
+        self.background.discard(before); // nobody else refers to what is only there
     }
 
-    /// Puts it in force: one step, in which nothing else runs, and none that takes time by the size of the tables.
-    fn take(&mut self, again: Again, over: Entries) -> Result<String, String> {
-        let Again { node, change } = again;
+    /// Puts a file in force: in one step in which nothing else runs, and whose parts take no time by the size of the
+    /// tables. Returns a summary of what changed, for the log.
+    fn put_in_force(&mut self, config: ReadConfig) -> Result<String, ReloadError> {
+        let Again { node, change } = config.file;
         if node.discovery.is_some() != self.discovery.is_some() {
-            return Err(
-                "discovery: expected as before, it comes and goes only with a restart".into(),
-            );
-        }
-        let change = change?;
-        // The last that can fail; from here on nothing does.
-        self.door.move_to(node.control)?;
-        let mut told = change.told.clone();
-        if let Some(at) = node.discovery {
-            told += &format!(", discovery at {at}");
-        }
-        if node.listen != self.listen {
-            told += &format!(", clients still at {}", self.listen);
+            return Err(ReloadError::DiscoveryToggled);
         }
+        let change = change.map_err(ReloadError::Settings)?;
+        // The last step that can fail; from here on nothing does.
+        self.admin.move_to(node.control)?;
+        let summary = self.summary(&node, &change);
         if *self.keys != node.keys {
             self.keys = Arc::new(node.keys.clone());
         }
-        self.sockets.set(node.sockets);
-        let room = room(node.sockets);
-        self.host.pool.limit(room / 2);
-        self.server.limit(room - room / 2);
-        self.put(change);
+        self.apply_descriptor_limit(node.sockets);
+        self.apply_settings(change);
         self.overlay.took_file(self.in_force.clone(), node.version);
-        if let Some(amended) = over.change {
-            self.put(amended);
+        if let Some(change) = config.fleet.change {
+            self.apply_settings(change);
+        }
+        self.overlay
+            .took(config.fleet.version, self.in_force.clone());
+        self.shared_settings.set(node.shared);
+        self.identity.discovery = node.discovery;
+        if let Some(keeper) = &self.keeper {
+            keeper.change_scope(self.identity.clone(), node.settings);
         }
-        self.overlay.took(over.version, self.in_force.clone());
-        self.shared.set(node.shared);
-        self.owner.discovery = node.discovery;
-        self.keeper
-            .iter()
-            .for_each(|k| k.stand(self.owner.clone(), node.settings));
-        if let Some((moved, to)) = self.discovery.as_ref().zip(node.discovery) {
-            moved.send_if_modified(|at| std::mem::replace(at, to) != to);
+        if let (Some(moved), Some(address)) = (&self.discovery, node.discovery) {
+            moved.send_if_modified(|current| std::mem::replace(current, address) != address);
         }
-        self.aside.discard(node);
-        Ok(told)
+        self.background.discard(node);
+        Ok(summary)
+    }
+
+    fn summary(&self, node: &Node, change: &Change) -> String {
+        let mut summary = change.told.clone();
+        if let Some(address) = node.discovery {
+            summary += &format!(", discovery at {address}");
+        }
+        if node.listen != self.listen {
+            summary += &format!(", clients still at {}", self.listen);
+        }
+        summary
+    }
+
+    fn apply_descriptor_limit(&self, descriptors: usize) {
+        self.descriptors.set(descriptors);
+        let limits = ConnectionLimits::for_single_process(descriptors);
+        self.host.pool.limit(limits.upstreams);
+        self.server.limit(limits.clients);
     }
 }
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -1,77 +1,121 @@
-//! How the descriptors that a process may hold are parted: between clients and upstreams, and between two processes
-//! that are one proxy.
+//! How many client and backend connections a process may hold within its limit of file descriptors.
+//!
+//! A single process takes its limits from [`ConnectionLimits::for_single_process`]. During a hot restart two processes
+//! are one proxy and share its descriptors; [`follow_other_process`] keeps their limits in step.
 
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
-use crate::net::state::hot_restart::{Held, Presence};
+use crate::net::state::hot_restart::{ConnectionCounts, Presence};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::info;
 
-/// Descriptors that are kept for all but clients and upstreams.
-const RESERVE: usize = 64;
-/// How often a process looks for another one.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const LOOK_BESIDE: Duration = Duration::from_millis(20);
-/// Clients, and as many upstreams, that a process may have whatever the other one holds; out of the reserve.
-const LEAST_PART: usize = 8;
-/// What a second process needs for all else, and for clients over its bound.
-const BOTH: usize = 40;
-/// Upstreams that a process may open between two looks.
-const MORE_UPSTREAMS: usize = 16;
+/// Descriptors reserved for everything but client and backend connections.
+const RESERVED_DESCRIPTORS: usize = 64;
+/// How often a process that is the only one looks for another.
+const SINGLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often one of two processes looks at the other.
+const SHARED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Client connections, and as many to backends, that a process may have whatever the other one holds. They come out of
+/// the reserve.
+const MIN_CONNECTIONS: usize = 8;
+/// Descriptors that a second process needs for everything else, and for clients over its limit.
+const SECOND_PROCESS_DESCRIPTORS: usize = 40;
+/// Backend connections that a process may open between two checks.
+const UPSTREAM_HEADROOM: usize = 16;
 
-/// While two processes are this proxy they share its descriptors and what cold backends may get. What one holds
-/// the other may not: the clients of the old one come over one by one, and each side's part follows them.
-pub async fn share(
+/// How many connections a process may hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionLimits {
+    /// From clients.
+    pub clients: usize,
+    /// To backends.
+    pub upstreams: usize,
+}
+
+impl ConnectionLimits {
+    /// Half of the capacity each, for a process with that many descriptors to itself.
+    pub fn for_single_process(descriptors: usize) -> ConnectionLimits {
+        let capacity = connection_capacity(descriptors);
+        let upstreams = capacity / 2;
+        ConnectionLimits {
+            clients: capacity - upstreams,
+            upstreams,
+        }
+    }
+
+    /// For one of two processes, where `other` holds so much of the common capacity: backend connections a little
+    /// above those it has, and clients out of all else, as those of the old process still wait when the new one's come.
+    fn for_shared_capacity(
+        descriptors: usize,
+        open_upstreams: usize,
+        other: ConnectionCounts,
+    ) -> ConnectionLimits {
+        let capacity = connection_capacity(descriptors).saturating_sub(SECOND_PROCESS_DESCRIPTORS);
+        let upstreams = (open_upstreams + UPSTREAM_HEADROOM).min(capacity / 2);
+        let clients = capacity.saturating_sub(other.clients + other.upstreams + upstreams);
+        ConnectionLimits {
+            clients: clients.max(MIN_CONNECTIONS),
+            upstreams: upstreams.max(MIN_CONNECTIONS),
+        }
+    }
+}
+
+/// Connections that fit into that many descriptors.
+fn connection_capacity(descriptors: usize) -> usize {
+    descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2)
+}
+
+/// Watches for another process of this proxy, for as long as the program runs. While there are two they share the
+/// proxy's descriptors and the request rate that backends in slow start may get: what one process holds the other may
+/// not. The old process's clients come over one by one, and the limits of each side follow them.
+pub async fn follow_other_process(
     presence: Rc<Presence>,
     host: Rc<Host>,
     server: Rc<Server>,
-    sockets: Rc<Cell<usize>>,
+    descriptors: Rc<Cell<usize>>,
 ) {
-    let mut shared = false;
+    let mut is_shared = false;
     loop {
-        let (room, others) = (room(sockets.get()), presence.others());
-        presence.tell(Held {
+        let others = presence.others();
+        let own = ConnectionCounts {
             clients: server.clients(),
             upstreams: host.pool.open(),
-        });
-        let beside = others.older || others.younger;
-        let (clients, upstreams) = if beside {
-            parts(room, host.pool.open(), others.held)
+        };
+        presence.write_counts(own);
+        let limits = if others.any() {
+            ConnectionLimits::for_shared_capacity(
+                descriptors.get(),
+                own.upstreams,
+                others.connections,
+            )
         } else {
-            (room - room / 2, room / 2)
+            ConnectionLimits::for_single_process(descriptors.get())
         };
-        host.pool.limit(upstreams);
-        server.limit(clients);
-        if shared != beside {
-            shared = !shared;
-            info!(
-                "{}",
-                if shared {
-                    "beside another process"
-                } else {
-                    "alone again"
-                }
-            );
-            host.beside(if shared { 2 } else { 1 });
+        host.pool.limit(limits.upstreams);
+        server.limit(limits.clients);
+        if is_shared != others.any() {
+            is_shared = others.any();
+            process_count_changed(&host, is_shared);
         }
-        tokio::time::sleep(if shared { LOOK_BESIDE } else { LOOK_EVERY }).await;
+        let interval = if is_shared {
+            SHARED_CHECK_INTERVAL
+        } else {
+            SINGLE_CHECK_INTERVAL
+        };
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// What a process may have of the room beside one that holds so much: upstreams a little above those it has, and
-/// clients out of all else, as those of the old one are still waiting when the new one's come.
-fn parts(room: usize, upstreams: usize, held: Held) -> (usize, usize) {
-    let room = room.saturating_sub(BOTH);
-    let upstreams = (upstreams + MORE_UPSTREAMS).min(room / 2);
-    let clients = room.saturating_sub(held.clients + held.upstreams + upstreams);
-    (clients.max(LEAST_PART), upstreams.max(LEAST_PART))
-}
-
-/// Descriptors for clients and upstreams, of so many.
-pub fn room(sockets: usize) -> usize {
-    sockets.saturating_sub(RESERVE).max(2)
+fn process_count_changed(host: &Rc<Host>, is_shared: bool) {
+    if is_shared {
+        info!("hot restart: sharing connection limits with another process of this proxy");
+        host.set_process_count(2);
+    } else {
+        info!("hot restart is over: this is the only process of this proxy");
+        host.set_process_count(1);
+    }
 }
 
 #[cfg(test)]
--- a/src/net/descriptor_limits/tests.rs
+++ b/src/net/descriptor_limits/tests.rs
@@ -1,32 +1,31 @@
-//! Two processes in one limit.
+//! Two processes within one limit.
 
 use super::*;
 
-/// With the clients of the old process still waiting there is room for as many at the new one, where the
-/// descriptors allow it, and both together never have more than those.
+const DESCRIPTORS: usize = 384;
+
+/// While the clients of the old process still wait, the new one can take as many where the descriptors allow it, and
+/// both together never have more than those.
 #[test]
-fn two_processes_share_the_room_by_what_each_holds() {
-    let room = room(384);
-    let held = Held {
+fn two_processes_share_the_capacity_by_what_each_holds() {
+    let capacity = connection_capacity(DESCRIPTORS);
+    let other = ConnectionCounts {
         clients: 128,
         upstreams: 40,
     };
-    let (clients, upstreams) = parts(room, 0, held);
-    assert!(clients >= 90 && upstreams >= 16, "{clients} {upstreams}");
+    let limits = ConnectionLimits::for_shared_capacity(DESCRIPTORS, 0, other);
+    assert!(limits.clients >= 90 && limits.upstreams >= 16, "{limits:?}");
     for open in [0, 20, 60, 200] {
-        let (clients, upstreams) = parts(room, open, held);
+        let limits = ConnectionLimits::for_shared_capacity(DESCRIPTORS, open, other);
         assert!(
-            clients + upstreams + held.clients + held.upstreams <= room,
+            limits.clients + limits.upstreams + other.clients + other.upstreams <= capacity,
             "{open}"
         );
     }
-    let (clients, upstreams) = parts(
-        room,
-        0,
-        Held {
-            clients: 300,
-            upstreams: 300,
-        },
-    );
-    assert!(clients > 0 && upstreams > 0, "never shut out");
+    let crowded = ConnectionCounts {
+        clients: 300,
+        upstreams: 300,
+    };
+    let limits = ConnectionLimits::for_shared_capacity(DESCRIPTORS, 0, crowded);
+    assert!(limits.clients > 0 && limits.upstreams > 0, "never shut out");
 }
--- /dev/null
+++ b/src/net/discovery/client.rs
@@ -0,0 +1,144 @@
+//! Calls to discovery over HTTP.
+
+use super::endpoint_list::{AnswerError, ListAnswer};
+use crate::net::connection_driver::{drive_until_closed, BoxError};
+use crate::net::observed_stream::ObservedStream;
+use bytes::{Buf, Bytes};
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper::client::conn::http1;
+use hyper::{Request, StatusCode};
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpStream;
+
+/// A list may be longer than a request's body, but not without bound: four times that of 25,000 backends.
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+/// Longer lists are read off the event loop: this much takes it half a millisecond.
+pub const MAX_INLINE_READ_BYTES: usize = 32 * 1024;
+
+/// Why a call to discovery brought nothing.
+#[derive(Debug, Error)]
+pub enum DiscoveryError {
+    #[error("no connection: {0}")]
+    Connect(#[source] io::Error),
+    #[error("call broken: {0}")]
+    Http(#[source] BoxError),
+    #[error("answered {0}")]
+    Status(StatusCode),
+    #[error(transparent)]
+    Answer(#[from] AnswerError),
+    /// Only changes, in answer to a call for the full list.
+    #[error("changes in answer to a call for the whole list")]
+    ChangesOnly,
+    #[error("connection ended")]
+    ConnectionEnded,
+    #[error("silent")]
+    Timeout,
+}
+
+impl DiscoveryError {
+    fn http(error: impl Into<BoxError>) -> DiscoveryError {
+        DiscoveryError::Http(error.into())
+    }
+}
+
+/// A connection to discovery between two calls.
+pub struct DiscoveryConnection {
+    sender: http1::SendRequest<Empty<Bytes>>,
+    connection: http1::Connection<ObservedStream, Empty<Bytes>>,
+}
+
+/// What a call came to.
+pub struct CallResult {
+    /// Its connection, where that can be used again.
+    pub connection: Option<DiscoveryConnection>,
+    pub answer: Result<ListAnswer, DiscoveryError>,
+}
+
+/// Calls discovery, on the connection of an earlier call if that is still open.
+pub async fn call(
+    connection: Option<DiscoveryConnection>,
+    address: SocketAddr,
+    connect_timeout: Duration,
+    uri: String,
+) -> CallResult {
+    let reusable = connection.filter(|connection| !connection.sender.is_closed());
+    let connected = match reusable {
+        Some(connection) => Ok(connection),
+        None => connect(address, connect_timeout).await,
+    };
+    let mut connection = match connected {
+        Ok(connection) => connection,
+        Err(error) => return failed(error),
+    };
+    match exchange(&mut connection, address, &uri).await {
+        Ok(list) => CallResult {
+            connection: Some(connection),
+            answer: Ok(list),
+        },
+        Err(error) => failed(error),
+    }
+}
+
+fn failed(error: DiscoveryError) -> CallResult {
+    CallResult {
+        connection: None,
+        answer: Err(error),
+    }
+}
+
+async fn connect(
+    address: SocketAddr,
+    timeout: Duration,
+) -> Result<DiscoveryConnection, DiscoveryError> {
+    let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
+    let tcp = connected
+        .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+        .map_err(DiscoveryError::Connect)?;
+    let (sender, connection) = http1::handshake(ObservedStream::new(tcp))
+        .await
+        .map_err(DiscoveryError::http)?;
+    Ok(DiscoveryConnection { sender, connection })
+}
+
+async fn exchange(
+    connection: &mut DiscoveryConnection,
+    address: SocketAddr,
+    uri: &str,
+) -> Result<ListAnswer, DiscoveryError> {
+    let request = Request::get(uri)
+        .header("host", address.to_string())
+        .body(Empty::new())
+        .map_err(DiscoveryError::http)?;
+    let DiscoveryConnection { sender, connection } = connection;
+    let work = async {
+        sender.ready().await.map_err(DiscoveryError::http)?;
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(DiscoveryError::http)?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
+            .collect()
+            .await
+            .map_err(DiscoveryError::Http)?;
+        Ok((status, body.aggregate()))
+    };
+    let exchanged = drive_until_closed(connection, work).await;
+    let (status, body) = exchanged.unwrap_or(Err(DiscoveryError::ConnectionEnded))?;
+    if status != StatusCode::OK {
+        return Err(DiscoveryError::Status(status));
+    }
+    read_list(body).await
+}
+
+/// Reads a list, off the event loop if it is long.
+pub async fn read_list(body: impl Buf + Send + 'static) -> Result<ListAnswer, DiscoveryError> {
+    if body.remaining() < MAX_INLINE_READ_BYTES {
+        return Ok(ListAnswer::read(body)?);
+    }
+    let read = tokio::task::spawn_blocking(move || ListAnswer::read(body)).await;
+    Ok(read.map_err(DiscoveryError::http)??)
+}
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,4 +1,7 @@
-//! The backend list in its JSON form.
+//! The endpoint list in its JSON form.
+//!
+//! [`List`] is a list in memory, as the configuration file has it; [`ListAnswer::read`] reads one from discovery's answer
+//! without ever holding all of it as JSON.
 
 use bytes::Buf;
 use compact_str::CompactString;
@@ -8,12 +11,15 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
+use thiserror::Error;
 use tracing::warn;
 
-const READ_AT_ONCE: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// Most bytes of a chunk of entries: less than a chunk of the settings' text.
+const MAX_CHUNK_BYTES: usize = 1 << 19;
 
-/// A list, or the changes to one. Entries are read one by one, so that a bad one spoils no other.
+/// A list, or the changes to one. Entries are read one by one, so that a malformed one affects no other.
 #[derive(Clone, Debug, Default, Deserialize, serde::Serialize)]
 pub struct List {
     pub index: u64,
@@ -21,7 +27,7 @@
     pub endpoints: Vec<Value>,
 }
 
-/// An entry that made sense. Short texts stand in it and not beside it: there may be tens of thousands at a time.
+/// An entry that could be read. Short texts are stored inline: there may be tens of thousands at a time.
 pub struct Endpoint {
     pub name: CompactString,
     pub address: SocketAddr,
@@ -43,124 +49,148 @@
     since_ms: f64,
 }
 
+/// Why an entry of a list cannot be used.
+#[derive(Debug, Error)]
+enum EntryError {
+    /// A key is missing, or has a value of the wrong type.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    #[error("unknown status {0:?}")]
+    UnknownStatus(String),
+    #[error("bad address {text:?}")]
+    BadAddress {
+        text: String,
+        #[source]
+        source: AddrParseError,
+    },
+}
+
 impl Endpoint {
-    fn read(value: &Value) -> Result<Endpoint, String> {
-        let e = Entry::deserialize(value).map_err(|e| e.to_string())?;
-        let state = match e.status.as_str() {
+    fn read(value: &Value) -> Result<Endpoint, EntryError> {
+        let entry = Entry::deserialize(value)?;
+        let state = match entry.status.as_str() {
             "SERVING" => BackendState::Ready,
             "DRAINING" => BackendState::Draining,
             "DELETED" => BackendState::Removed,
-            other => return Err(format!("unknown status {other:?}")),
+            _ => return Err(EntryError::UnknownStatus(entry.status)),
+        };
+        let address = match entry.address.parse() {
+            Ok(address) => address,
+            Err(source) => {
+                let text = entry.address;
+                return Err(EntryError::BadAddress { text, source });
+            }
         };
-        let address = e
-            .address
-            .parse()
-            .map_err(|_| format!("bad address {:?}", e.address))?;
-        let booted = (e.since_ms > 0.0).then_some(Time((e.since_ms * 1e3) as u64));
-        let entry = Backend {
-            cell: CellId(e.group),
+        let started_at = (entry.since_ms > 0.0).then_some(Time((entry.since_ms * 1e3) as u64));
+        let backend = Backend {
+            cell: CellId(entry.group),
             state,
-            started_at: booted,
+            started_at,
             ..Backend::default()
         };
         // The name is the same at every proxy; the address may not be.
-        let row = Row::new(&e.name, &e.zone, &e.kind, entry);
+        let row = Row::new(&entry.name, &entry.zone, &entry.kind, backend);
         Ok(Endpoint {
-            name: e.name.into(),
+            name: entry.name.into(),
             address,
             row,
         })
     }
 }
 
-/// A line of the list.
-pub enum Line {
-    Entry(Endpoint),
-    /// It speaks of the backend of that name, and more of it does not make sense.
-    Unclear(CompactString),
+/// An entry of the list.
+pub enum ListEntry {
+    Endpoint(Endpoint),
+    /// It is malformed but for the name of its backend.
+    Unreadable(CompactString),
 }
 
-/// Lines in pieces that the allocator takes from the system, and gives back, each by itself. Afterwards it keeps whatever
-/// is smaller than the largest of them: a whole list as one table would let it keep all texts of a configuration.
+/// Entries in chunks that the allocator takes from the system, and gives back, one by one. Afterwards it keeps whatever
+/// is smaller than the largest of them: one vector for a full list would make it keep all texts of a configuration.
 #[derive(Default)]
-pub struct Pieces(Vec<Vec<Line>>);
+pub struct EntryChunks(Vec<Vec<ListEntry>>);
 
-impl Pieces {
-    /// Lines in a piece: half a MiB, less than a piece of the settings' text.
-    const MOST: usize = (1 << 19) / size_of::<Line>();
+impl EntryChunks {
+    const MAX_CHUNK_ENTRIES: usize = MAX_CHUNK_BYTES / size_of::<ListEntry>();
 
-    fn push(&mut self, line: Line) {
+    fn push(&mut self, entry: ListEntry) {
         match self.0.last_mut() {
-            Some(piece) if piece.len() < Pieces::MOST => piece.push(line),
+            Some(chunk) if chunk.len() < EntryChunks::MAX_CHUNK_ENTRIES => chunk.push(entry),
             Some(_) => {
-                self.0.push(Vec::with_capacity(Pieces::MOST));
-                self.push(line);
+                self.0
+                    .push(Vec::with_capacity(EntryChunks::MAX_CHUNK_ENTRIES));
+                self.push(entry);
             }
-            None => self.0.push(vec![line]),
+            None => self.0.push(vec![entry]),
         }
     }
 
+    /// How many entries there are.
     pub fn len(&self) -> usize {
         self.0.iter().map(Vec::len).sum()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Line> {
+    /// All entries in their order.
+    pub fn iter(&self) -> impl Iterator<Item = &ListEntry> {
         self.0.iter().flatten()
     }
 }
 
-/// The lines that say at least which backend they are of.
+/// The entries that name at least their backend.
 #[derive(Default)]
-pub struct Lines {
-    lines: Pieces,
-    /// How many do not make sense, and the first of those.
-    unclear: usize,
-    sample: Option<String>,
+pub struct ParsedEntries {
+    entries: EntryChunks,
+    malformed_count: usize,
+    first_malformed: Option<String>,
 }
 
-impl Lines {
-    /// Takes one entry more.
+impl ParsedEntries {
+    /// Adds an entry.
     pub fn read(&mut self, value: &Value) {
         match Endpoint::read(value) {
-            Ok(entry) => self.lines.push(Line::Entry(entry)),
-            Err(e) => {
-                self.unclear += 1;
-                self.sample
-                    .get_or_insert_with(|| format!("{e}: {value:.200}"));
-                let name = value.get("name").and_then(Value::as_str);
-                name.into_iter()
-                    .for_each(|name| self.lines.push(Line::Unclear(name.into())));
+            Ok(endpoint) => self.entries.push(ListEntry::Endpoint(endpoint)),
+            Err(error) => {
+                self.malformed_count += 1;
+                self.first_malformed
+                    .get_or_insert_with(|| format!("{error}: {value:.200}"));
+                if let Some(name) = value.get("name").and_then(Value::as_str) {
+                    self.entries.push(ListEntry::Unreadable(name.into()));
+                }
             }
         }
     }
 
-    /// Of those that do not make sense one is logged, with their number: a list may be long.
-    pub fn told(self) -> Pieces {
-        if let Some(sample) = self.sample {
+    /// The entries. Of malformed ones the first is logged, with their number: a list may be long.
+    pub fn into_entries(self) -> EntryChunks {
+        if let Some(first) = self.first_malformed {
             warn!(
-                "{} discovery entries not understood, the first: {sample:.400}",
-                self.unclear
+                count = self.malformed_count,
+                "{} malformed entries in the endpoint list, the first: {first:.400}",
+                self.malformed_count
             );
         }
-        self.lines
+        self.entries
     }
 }
 
-/// Each entry is read as it comes, so that a long list is never in memory as values.
-impl<'de> Deserialize<'de> for Lines {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Lines, D::Error> {
+/// Each entry is converted as it is read, so that a long list is never in memory as JSON values.
+impl<'de> Deserialize<'de> for ParsedEntries {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ParsedEntries, D::Error> {
         struct Each;
         impl<'de> Visitor<'de> for Each {
-            type Value = Lines;
+            type Value = ParsedEntries;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("an array of entries")
             }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Lines, A::Error> {
-                let mut lines = Lines::default();
+            fn visit_seq<A: SeqAccess<'de>>(
+                self,
+                mut entries: A,
+            ) -> Result<ParsedEntries, A::Error> {
+                let mut parsed = ParsedEntries::default();
                 while let Some(value) = entries.next_element::<Value>()? {
-                    lines.read(&value);
+                    parsed.read(&value);
                 }
-                Ok(lines)
+                Ok(parsed)
             }
         }
         from.deserialize_seq(Each)
@@ -168,56 +198,62 @@
 }
 
 impl List {
-    /// Its lines, as far as they make sense.
-    pub fn lines(&self) -> Pieces {
-        let mut lines = Lines::default();
-        self.endpoints.iter().for_each(|value| lines.read(value));
-        lines.told()
+    /// Its entries, as far as they can be read.
+    pub fn lines(&self) -> EntryChunks {
+        let mut parsed = ParsedEntries::default();
+        for value in &self.endpoints {
+            parsed.read(value);
+        }
+        parsed.into_entries()
     }
 }
 
-/// A list as discovery answers with it, its lines read.
-pub struct Answer {
+/// Discovery's answer: a full list or the changes to one.
+pub struct ListAnswer {
+    /// Discovery's version of the list.
     pub index: u64,
+    /// It is a full list.
     pub snapshot: bool,
-    pub lines: Pieces,
+    pub entries: EntryChunks,
 }
 
 #[derive(Deserialize)]
 struct Body {
     index: u64,
     snapshot: bool,
-    endpoints: Lines,
+    endpoints: ParsedEntries,
 }
 
 /// Why an answer cannot be used.
-#[derive(Debug)]
-pub enum Unread {
-    Json(serde_json::Error),
-    /// A whole list none of whose entries makes sense is no list, rather than all backends gone at once.
-    Garbled,
+#[derive(Debug, Error)]
+pub enum AnswerError {
+    #[error("answer not understood: {0}")]
+    Json(#[source] serde_json::Error),
+    /// A full list all of whose entries are malformed: it is rejected rather than all backends removed at once.
+    #[error("no entry of the whole list makes sense")]
+    NoUsableEntry,
 }
 
-impl Answer {
-    /// From the pieces that it came in, which are never put together: it may be long.
-    pub fn read(body: impl Buf) -> Result<Answer, Unread> {
-        let body = io::BufReader::with_capacity(READ_AT_ONCE, body.reader());
+impl ListAnswer {
+    /// Reads a body from the buffers that it arrived in, which are never joined: it may be long.
+    pub fn read(body: impl Buf) -> Result<ListAnswer, AnswerError> {
+        let body = io::BufReader::with_capacity(READ_BUFFER_BYTES, body.reader());
         let Body {
             index,
             snapshot,
             endpoints,
-        } = serde_json::from_reader(body).map_err(Unread::Json)?;
-        let sense = endpoints
-            .lines
+        } = serde_json::from_reader(body).map_err(AnswerError::Json)?;
+        let has_usable_entry = endpoints
+            .entries
             .iter()
-            .any(|line| matches!(line, Line::Entry(_)));
-        if snapshot && endpoints.unclear > 0 && !sense {
-            return Err(Unread::Garbled);
+            .any(|entry| matches!(entry, ListEntry::Endpoint(_)));
+        if snapshot && endpoints.malformed_count > 0 && !has_usable_entry {
+            return Err(AnswerError::NoUsableEntry);
         }
-        Ok(Answer {
+        Ok(ListAnswer {
             index,
             snapshot,
-            lines: endpoints.told(),
+            entries: endpoints.into_entries(),
         })
     }
 }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,8 +1,15 @@
 //! The watch's arithmetic (docs/design.md, "One clock for the list of servers"), with the module's own pauses.
 
+use super::client::{read_list, MAX_INLINE_READ_BYTES};
+use super::endpoint_list::{AnswerError, List, ListEntry};
+use super::poll_schedule::{
+    AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER,
+};
 use super::*;
-use crate::net::discovery::endpoint_list::{Line, List};
-use meadowproxy::{Action, Balancer, Config, Event, Micros, Time};
+use bytes::Bytes;
+use meadowproxy::{
+    in_line, Action, Balancer, Config, Discovery, EndpointUpdate, Event, Micros, Time,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
@@ -106,15 +113,15 @@
 /// How a call may fail: refused at once, never connected, never answered, or each in turn.
 const FAILURES: [fn(usize) -> Duration; 4] = [
     |_| Duration::ZERO,
-    |_| PROMPT,
-    |_| IN_LINE,
+    |_| ANSWER_TIMEOUT,
+    |_| QUEUE_TIMEOUT,
     |n| {
         [
             Duration::ZERO,
-            IN_LINE,
+            QUEUE_TIMEOUT,
             Duration::from_millis(300),
-            PROMPT,
-            IN_LINE,
+            ANSWER_TIMEOUT,
+            QUEUE_TIMEOUT,
         ][n % 5]
     },
 ];
@@ -132,7 +139,7 @@
                         .windows(2)
                         .map(|pair| (pair[1] - pair[0]) as f64 / 1e6);
                     let most = gaps.fold(begun[0] as f64 / 1e6, f64::max);
-                    let told = most + IN_LINE.as_secs_f64() + SPARE;
+                    let told = most + QUEUE_TIMEOUT.as_secs_f64() + SPARE;
                     assert!(
                         told < TOLD,
                         "{proxies} proxies, {within} s: {most} s between two calls"
@@ -149,7 +156,7 @@
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for within in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
             let in_line = Duration::from_micros(in_line(proxies, Micros::from_secs_f64(within)).0);
-            assert!(in_line >= IN_LINE, "{proxies}");
+            assert!(in_line >= QUEUE_TIMEOUT, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
                 let takes = |n| if refused(n) { Duration::ZERO } else { in_line };
                 let begun = Caller::new(proxies, 1, within).outage(60 * SECOND, takes);
@@ -157,7 +164,7 @@
                     .windows(2)
                     .map(|pair| (pair[1] - pair[0]) as f64 / 1e6)
                     .fold(0.0, f64::max);
-                let told = most + IN_LINE.as_secs_f64() + SPARE;
+                let told = most + QUEUE_TIMEOUT.as_secs_f64() + SPARE;
                 assert!(
                     told < TOLD,
                     "{proxies} proxies, {within} s: {most} s between two calls"
@@ -212,27 +219,29 @@
 #[test]
 fn a_silence_is_found_and_mended_in_time_at_a_cost_that_the_fleet_can_afford() {
     for proxies in [1, 3, 48, 100, 200, 300] {
-        let mut pace = Pace::new(Discovery::Push, proxies, 7);
-        let waits: Vec<f64> = (0..200).map(|_| pace.wait().as_secs_f64()).collect();
+        let mut schedule = PollSchedule::new(Discovery::Push, proxies, 7);
+        let waits: Vec<f64> = (0..200)
+            .map(|_| schedule.next_long_poll().as_secs_f64())
+            .collect();
         let most = waits.iter().copied().fold(0.0, f64::max);
         let first =
             |position| Caller::new(proxies, position, 10.0).outage(SECOND, |_| Duration::ZERO)[0];
         let pause = (0..proxies.min(20)).map(first).max().unwrap_or(0) as f64 / 1e6;
-        let known = most + PROMPT.as_secs_f64() + pause + IN_LINE.as_secs_f64();
+        let known = most + ANSWER_TIMEOUT.as_secs_f64() + pause + QUEUE_TIMEOUT.as_secs_f64();
         assert!(
             known + SPARE < f64::max(TOLD, most + 2.0),
             "{proxies}: {most} {pause}"
         );
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
         assert!(
-            f64::from(proxies) / mean <= CALLS / SPREAD,
+            f64::from(proxies) / mean <= MAX_QUIET_CALLS_PER_S / MIN_JITTER,
             "{proxies}: every {mean} s"
         );
         let distinct: BTreeSet<u64> = waits.iter().map(|w| (w * 1e3) as u64).collect();
         assert!(distinct.len() > 50, "{proxies}: in step");
     }
     assert!(
-        DIAL + BACKOFF * 2 < Duration::from_millis(500),
+        AGENT_CONNECT_TIMEOUT + INITIAL_BACKOFF * 2 < Duration::from_millis(500),
         "an agent that is back is heard within the grace"
     );
 }
@@ -284,7 +293,7 @@
         balancer,
         names,
         clock,
-        Rc::new(crate::net::upstream::Pool::new(&network, 4)),
+        Rc::new(crate::net::upstream::ConnectionPool::new(&network, 4)),
     )
 }
 
@@ -306,12 +315,13 @@
         let (old, failed) = discovery(503);
         let (new, asked) = discovery(503);
         let (moves, at) = watch::channel(old);
-        host.members(EndpointUpdate::Cached, &List::default()); // calls at once
-        let task = tokio::task::spawn_local(watch(host.clone(), at, 7, Pace::new(mode, 3, 1)));
+        host.update_endpoints(EndpointUpdate::Cached, &List::default()); // calls at once
+        let task =
+            tokio::task::spawn_local(watch(host.clone(), at, 7, PollSchedule::new(mode, 3, 1)));
         calls(&failed).await;
         tokio::time::sleep(Duration::from_millis(30)).await; // the module hears of it
         std::thread::sleep(Duration::from_millis(150)); // the pause is over, and nothing runs meanwhile
-        host.members(EndpointUpdate::Cached, &List::default()); // which has the module look
+        host.update_endpoints(EndpointUpdate::Cached, &List::default()); // which has the module look
         moves.send(new).unwrap();
         let first = calls(&asked).await;
         task.abort();
@@ -347,35 +357,39 @@
         Bytes::from(serde_json::to_vec(&list).unwrap())
     };
     for many in [2, 1_000] {
-        assert_eq!(body(true, many, 0).len() >= READ_ASIDE, many > 2);
-        let answer = read(body(true, many, many)).await.unwrap();
+        assert_eq!(body(true, many, 0).len() >= MAX_INLINE_READ_BYTES, many > 2);
+        let answer = read_list(body(true, many, many)).await.unwrap();
         assert_eq!(
-            (answer.index, answer.snapshot, answer.lines.len()),
+            (answer.index, answer.snapshot, answer.entries.len()),
             (7, true, 2 * many)
         );
-        let named = |line: &Line| matches!(line, Line::Entry(e) if e.name.starts_with('b'));
-        assert_eq!(answer.lines.iter().filter(|line| named(line)).count(), many);
+        let named =
+            |line: &ListEntry| matches!(line, ListEntry::Endpoint(e) if e.name.starts_with('b'));
+        assert_eq!(
+            answer.entries.iter().filter(|line| named(line)).count(),
+            many
+        );
         assert!(
-            matches!(answer.lines.iter().last(), Some(Line::Unclear(name)) if *name == format!("b{}", 2 * many - 1))
+            matches!(answer.entries.iter().last(), Some(ListEntry::Unreadable(name)) if *name == format!("b{}", 2 * many - 1))
         );
         assert!(matches!(
-            read(body(true, 0, many)).await,
-            Err(WatchError::Unread(Unread::Garbled))
+            read_list(body(true, 0, many)).await,
+            Err(DiscoveryError::Answer(AnswerError::NoUsableEntry))
         ));
         assert_eq!(
-            read(body(false, 0, many)).await.unwrap().lines.len(),
+            read_list(body(false, 0, many)).await.unwrap().entries.len(),
             many,
             "changes may be all unclear"
         );
         let cut = body(true, many, 0);
         let cut = cut.slice(..cut.len() - 2);
         assert!(matches!(
-            read(cut).await,
-            Err(WatchError::Unread(Unread::Json(_)))
+            read_list(cut).await,
+            Err(DiscoveryError::Answer(AnswerError::Json(_)))
         ));
     }
     assert!(
-        read(body(true, 0, 0)).await.unwrap().lines.len() == 0,
+        read_list(body(true, 0, 0)).await.unwrap().entries.len() == 0,
         "an empty list is a list"
     );
 }
--- /dev/null
+++ b/src/net/downstream/response_stream.rs
@@ -0,0 +1,101 @@
+//! A streamed response on its way from a backend's connection to a client's.
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use thiserror::Error;
+use tokio::sync::mpsc;
+
+/// Chunks that wait between the two connections.
+const CHANNEL_CAPACITY: usize = 1;
+
+/// The rest of a response will not come.
+#[derive(Debug, Error)]
+#[error("the backend's answer broke off")]
+pub struct TruncatedResponse;
+
+/// What passes from a backend's connection to a client's. A sender that is dropped without [`ResponseChunk::End`]
+/// truncates the response.
+pub enum ResponseChunk {
+    Data(Bytes),
+    End,
+}
+
+/// How the stream of a response ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamEnd {
+    /// The client has it, or has left.
+    Finished,
+    /// The backend broke off.
+    Truncated,
+}
+
+/// The body of a streamed response.
+pub struct ResponseStream {
+    chunks: mpsc::Receiver<ResponseChunk>,
+    bytes_left: Option<u64>,
+    on_end: Option<Box<dyn FnOnce(StreamEnd)>>,
+}
+
+impl ResponseStream {
+    /// A stream and its sender. `length`: in bytes, where it is known.
+    pub fn new(length: Option<u64>) -> (mpsc::Sender<ResponseChunk>, ResponseStream) {
+        let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
+        let stream = ResponseStream {
+            chunks,
+            bytes_left: length,
+            on_end: None,
+        };
+        (sender, stream)
+    }
+
+    /// Calls `callback` once nothing more of the stream is needed.
+    pub fn on_end(&mut self, callback: impl FnOnce(StreamEnd) + 'static) {
+        self.on_end = Some(Box::new(callback));
+    }
+
+    fn end(&mut self, end: StreamEnd) {
+        if let Some(callback) = self.on_end.take() {
+            callback(end);
+        }
+    }
+}
+
+impl Body for ResponseStream {
+    type Data = Bytes;
+    type Error = TruncatedResponse;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
+        Poll::Ready(match ready!(self.chunks.poll_recv(cx)) {
+            Some(ResponseChunk::Data(data)) => {
+                let length = data.len() as u64;
+                self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(length));
+                Some(Ok(Frame::data(data)))
+            }
+            Some(ResponseChunk::End) => None,
+            None => {
+                self.end(StreamEnd::Truncated);
+                Some(Err(TruncatedResponse))
+            }
+        })
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.bytes_left == Some(0)
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.bytes_left
+            .map_or_else(SizeHint::new, SizeHint::with_exact)
+    }
+}
+
+impl Drop for ResponseStream {
+    fn drop(&mut self) {
+        self.end(StreamEnd::Finished);
+    }
+}
--- /dev/null
+++ b/src/net/downstream/server/client_connection.rs
@@ -0,0 +1,248 @@
+//! One client's connection: its requests one after another, and its end.
+
+use super::request::{plain_response, OutgoingBody, RequestError};
+use super::{Server, EVENT_LOOP_TURN, JUST_CONNECTED};
+use crate::net::downstream::response_stream::{ResponseStream, StreamEnd};
+use crate::net::observed_stream::ObservedStream;
+use crate::net::MAX_BODY;
+use http_body_util::Either;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode, Version};
+use meadowproxy::Time;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// A connection may be closed for capacity when nothing more of a request's head arrived for so long.
+const HEAD_STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection without a complete head so long after connecting is closed: within three seconds its end is due.
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A connection that is closing and has not ended is cut after this time: its client reads nothing.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+const READY_PATH: &str = "/-/ready";
+
+/// In which state a connection is idle, in the order in which such connections are closed for capacity.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum IdleKind {
+    /// This side has ended it, and waits for the client's side.
+    HalfClosed,
+    /// It has never brought a request.
+    NoRequestYet,
+    /// It is between two requests, or stopped within a head.
+    BetweenRequests,
+    /// It has just connected.
+    JustConnected,
+}
+
+/// How a connection is idle, and since when.
+pub struct IdleState {
+    pub kind: IdleKind,
+    pub since: Instant,
+}
+
+/// A client's connection.
+pub struct ClientConnection {
+    pub stream: ObservedStream,
+    /// A request on it has no complete response yet.
+    pub is_busy: Cell<bool>,
+    /// No complete head has arrived on it yet.
+    is_fresh: Cell<bool>,
+    /// When it was accepted or last answered.
+    pub since: Cell<Time>,
+    /// It was chosen to be closed for capacity.
+    pub is_leaving: Cell<bool>,
+    /// All that is left of it is a lingering close.
+    is_half_closed: Cell<bool>,
+    /// Asks it to end once it is idle.
+    pub close: Notify,
+}
+
+impl ClientConnection {
+    /// One that was accepted now.
+    pub fn new(stream: ObservedStream, now: Time) -> ClientConnection {
+        ClientConnection {
+            stream,
+            is_busy: Cell::new(false),
+            is_fresh: Cell::new(true),
+            since: Cell::new(now),
+            is_leaving: Cell::new(false),
+            is_half_closed: Cell::new(false),
+            close: Notify::new(),
+        }
+    }
+
+    /// No response is due on it any more.
+    pub fn mark_half_closed(&self) {
+        self.is_half_closed.set(true);
+        self.is_busy.set(false);
+        self.is_leaving.set(false);
+    }
+
+    /// How it is idle, as far as this side has read: the kernel is asked only of the connection that is chosen.
+    pub fn idle_state(&self, now: Instant, since: Instant) -> Option<IdleState> {
+        if self.is_busy.get() || self.is_leaving.get() {
+            return None;
+        }
+        let idle = |kind, since| Some(IdleState { kind, since });
+        if self.is_half_closed.get() {
+            return idle(IdleKind::HalfClosed, since);
+        }
+        if let Some(received_at) = self.stream.last_received_at() {
+            let has_stalled = now - received_at >= HEAD_STALL_TIMEOUT;
+            return match has_stalled {
+                true => idle(IdleKind::BetweenRequests, received_at),
+                false => None,
+            };
+        }
+        if !self.is_fresh.get() {
+            return idle(IdleKind::BetweenRequests, since);
+        }
+        match now - since >= JUST_CONNECTED {
+            true => idle(IdleKind::NoRequestYet, since),
+            false => idle(IdleKind::JustConnected, since),
+        }
+    }
+
+    /// Ends the connection; at once where it is closed for capacity.
+    pub async fn close_lingering(&self) {
+        let capacity_needed = async {
+            while !self.is_leaving.get() {
+                self.close.notified().await; // a shutdown notifies as well
+            }
+        };
+        tokio::select! {
+            () = self.stream.close_lingering() => {}
+            () = capacity_needed => {}
+        }
+    }
+}
+
+impl Server {
+    /// Serves the requests of a connection until it ends.
+    pub(super) async fn serve(self: &Rc<Self>, client: &Rc<ClientConnection>) {
+        let service = service_fn(|request| async {
+            let response = self.respond(request, client).await;
+            Ok::<_, Infallible>(response)
+        });
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_BODY);
+        let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
+        let mut cut = pin!(tokio::time::sleep(Duration::MAX));
+        let mut head_timeout = pin!(tokio::time::sleep(FIRST_HEAD_TIMEOUT));
+        let mut is_head_late = false;
+        loop {
+            tokio::select! {
+                _ = connection.as_mut() => return,
+                // Both conditions are checked again when they fire: a request may have arrived since the wait began.
+                () = head_timeout.as_mut(), if client.is_fresh.get() => {
+                    if client.is_fresh.get() && (is_head_late || !client.stream.has_unread()) {
+                        return;
+                    }
+                    // A head that arrived in time is read within a turn of the event loop.
+                    is_head_late = true;
+                    head_timeout.as_mut().reset(Instant::now() + EVENT_LOOP_TURN);
+                }
+                () = cut.as_mut(), if client.is_leaving.get() && !client.is_busy.get() => {
+                    if !client.is_busy.get() {
+                        return;
+                    }
+                }
+                () = client.close.notified() => {
+                    if client.is_leaving.get() {
+                        if !client.is_busy.get() && client.stream.has_stopped() {
+                            return; // there is no request that a response is due to
+                        }
+                        cut.as_mut().reset(Instant::now() + CLOSE_TIMEOUT);
+                    }
+                    // A request that has just arrived is answered first; its response then ends the connection.
+                    if client.is_busy.get() || !client.stream.has_activity() {
+                        connection.as_mut().graceful_shutdown();
+                    }
+                }
+            }
+        }
+    }
+
+    async fn respond(
+        self: &Rc<Self>,
+        request: Request<Incoming>,
+        client: &Rc<ClientConnection>,
+    ) -> Response<OutgoingBody> {
+        client.is_busy.set(true);
+        let started_at = if client.is_fresh.replace(false) {
+            client.since.get()
+        } else {
+            self.host.clock.now()
+        };
+        let version = request.version();
+        let started_at = self.host.clock.instant(started_at);
+        let mut response = self.answer(request, client, started_at).await;
+        match response.body_mut() {
+            Either::Left(_) => self.mark_idle(client),
+            Either::Right(stream) => self.mark_idle_after(stream, client, version),
+        }
+        response
+    }
+
+    /// The connection is idle once the stream has ended. Where only the connection's end marks the response's, a
+    /// truncated one ends with a reset.
+    fn mark_idle_after(
+        self: &Rc<Self>,
+        stream: &mut ResponseStream,
+        client: &Rc<ClientConnection>,
+        version: Version,
+    ) {
+        let server = self.clone();
+        let client = client.clone();
+        let ends_with_connection =
+            version < Version::HTTP_11 && stream.size_hint().exact().is_none();
+        stream.on_end(move |end| {
+            if end == StreamEnd::Truncated && ends_with_connection {
+                client.stream.reset_on_close();
+            }
+            server.mark_idle(&client);
+        });
+    }
+
+    fn mark_idle(&self, client: &ClientConnection) {
+        client.since.set(self.host.clock.now());
+        client.stream.mark_idle();
+        client.is_busy.set(false);
+    }
+
+    /// Answers a request whose body's time counts from `started_at`.
+    async fn answer(
+        self: &Rc<Self>,
+        request: Request<Incoming>,
+        client: &ClientConnection,
+        started_at: Instant,
+    ) -> Response<OutgoingBody> {
+        let answer = match request.uri().path() {
+            READY_PATH => Ok(plain_response(StatusCode::OK, "ready\n")),
+            // hyper reads nothing more, and sees no end, while bytes that it cannot use yet precede that.
+            _ => tokio::select! {
+                biased;
+                answer = self.proxy(request, &client.stream, started_at) => answer,
+                () = client.stream.closed_by_peer() => Err(RequestError::ClientClosed),
+            },
+        };
+        let has_client_left = answer.is_err() && client.stream.peer().has_left();
+        let mut response = answer.unwrap_or_else(|error| error.response());
+        let is_last = has_client_left
+            || client.is_leaving.get()
+            || self.is_stopping.get()
+            || self.clients() > self.max_clients.get();
+        if is_last {
+            let close = HeaderValue::from_static("close");
+            response.headers_mut().insert(CONNECTION, close);
+        }
+        response
+    }
+}
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -1,199 +1,287 @@
 //! One request, from its head to its final answer.
 
-use super::{plain, Outward, Server};
-use crate::net::downstream::body::{Broken, Upload};
+use super::{RequestRules, Server};
+use crate::net::downstream::response_stream::ResponseStream;
+use crate::net::downstream::upload::{Upload, UploadError};
 use crate::net::host::{Answer, Host};
-use crate::net::observed_stream::Stream;
-use crate::net::upstream::{Call, Coming, Content, Payload};
+use crate::net::observed_stream::ObservedStream;
+use crate::net::upstream::{ForwardedRequest, RequestBody, ResponseBody, StreamedUpload};
 use crate::net::{strip_hop_by_hop, MAX_BODY};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::Incoming;
 use hyper::header::RETRY_AFTER;
-use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use meadowproxy::{Idempotency, Micros, RequestArrival, RequestId};
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
+use meadowproxy::{ClassId, Idempotency, Micros, RequestArrival, RequestId};
 use std::pin::pin;
 use std::rc::Rc;
+use thiserror::Error;
+use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+/// The body of a response to a client.
+pub type OutgoingBody = Either<Full<Bytes>, ResponseStream>;
+
+/// Why a request is not forwarded.
+#[derive(Debug, Error)]
+pub enum RequestError {
+    #[error("no such class")]
+    UnknownClass,
+    #[error("X-Correlation-Id is missing")]
+    NoCorrelationId,
+    #[error("the method or Idempotency-Key does not fit the class")]
+    ClassMismatch,
+    #[error("the target has no path")]
+    NoPath,
+    #[error(transparent)]
+    Upload(#[from] UploadError),
+    /// The response reaches only a client that closed just its own side.
+    #[error("the client closed the connection")]
+    ClientClosed,
+}
+
+impl RequestError {
+    fn status(&self) -> StatusCode {
+        match self {
+            RequestError::UnknownClass => StatusCode::NOT_FOUND,
+            RequestError::Upload(UploadError::Slow) => StatusCode::REQUEST_TIMEOUT,
+            _ => StatusCode::BAD_REQUEST,
+        }
+    }
+
+    /// The response that tells the client.
+    pub fn response(&self) -> Response<OutgoingBody> {
+        plain_response(self.status(), format!("{self}\n"))
+    }
+}
+
+/// A response with a short text.
+pub fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<OutgoingBody> {
+    let mut response = Response::new(Either::Left(Full::new(text.into())));
+    *response.status_mut() = status;
+    response
+}
+
+/// A request that is complete, or whose body is streamed.
+struct AdmittedRequest {
+    arrival: RequestArrival,
+    forwarded: Rc<ForwardedRequest>,
+    idempotency: Idempotency,
+}
+
 impl Server {
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
+    /// Has the request decided on and forwarded, and returns its final answer.
     pub(super) async fn proxy(
         self: &Rc<Self>,
         request: Request<Incoming>,
-        client: &Stream,
-        from: Instant,
-    ) -> Result<Response<Outward>, (StatusCode, &'static str)> {
-        let rules = self.rules.borrow().clone(); // a request keeps those it came under
+        client: &ObservedStream,
+        started_at: Instant,
+    ) -> Result<Response<OutgoingBody>, RequestError> {
+        let rules = self.rules.borrow().clone(); // a request keeps those it arrived under
+        let admitted = self.admit(request, client, started_at, &rules).await?;
+        let forwarded = admitted.forwarded;
+        let (id, answer) = self
+            .host
+            .request(admitted.arrival, &forwarded, admitted.idempotency);
+        let mut guard = DisconnectGuard {
+            host: &self.host,
+            request: id,
+            is_armed: true,
+        };
+        let answer = self.final_answer(id, answer, &forwarded.body).await;
+        guard.is_armed = false;
+        if !matches!(answer, Some(Answer::Served(_))) {
+            drain_unsent(&forwarded.body);
+        }
+        Ok(response_to(answer, rules.max_retry_after))
+    }
+
+    /// Checks a request and reads its body, as far as it is buffered.
+    async fn admit(
+        &self,
+        request: Request<Incoming>,
+        client: &ObservedStream,
+        started_at: Instant,
+        rules: &RequestRules,
+    ) -> Result<AdmittedRequest, RequestError> {
         let (head, body) = request.into_parts();
-        let mut headers = head.headers;
-        let class = head
-            .uri
-            .path()
-            .split('/')
-            .nth(1)
-            .and_then(|name| self.host.class(name));
-        let class = class.ok_or((StatusCode::NOT_FOUND, "no such class\n"))?;
-        let bad = |text| (StatusCode::BAD_REQUEST, text);
-        if !headers.contains_key("x-correlation-id") {
-            return Err(bad("X-Correlation-Id is missing\n"));
+        let class = self.class_of(&head.uri)?;
+        let idempotency = rules.classes[class.0].idempotency;
+        if !head.headers.contains_key("x-correlation-id") {
+            return Err(RequestError::NoCorrelationId);
         }
-        // A class that is taken for safer than the request says would be repeated to its harm.
-        let keyed = headers.contains_key("idempotency-key");
-        let fits = match rules.classes[class.0].idempotency {
-            Idempotency::Idempotent => head.method == Method::GET || head.method == Method::HEAD,
-            Idempotency::Keyed { .. } => head.method == Method::POST && keyed,
-            Idempotency::NonIdempotent => head.method == Method::POST,
-        };
-        if !fits {
-            return Err(bad(
-                "the method or Idempotency-Key does not fit the class\n",
-            ));
+        if !fits_class(&head, &idempotency) {
+            return Err(RequestError::ClassMismatch);
         }
-        let most = rules.deadlines[class.0];
-        let left = number(&headers, "x-time-left")
-            .map_or(most, Micros::from_secs_f64)
-            .min(most);
-        let body = receive(Upload::new(body, client.peer(), from), left)
-            .await
-            .map_err(|broken| match broken {
-                Broken::Slow => (
-                    StatusCode::REQUEST_TIMEOUT,
-                    "the body did not come in time\n",
-                ),
-                Broken::Malformed => bad("the body is malformed\n"),
-            })?;
-        // Its time counts from its last byte.
-        let time_left = Micros(left.0.saturating_sub(self.host.margin().0));
-        let tenant = headers.get("x-account").and_then(|v| v.to_str().ok());
+        let max_time = rules.deadlines[class.0];
+        let time_left = header_number(&head.headers, "x-time-left")
+            .map_or(max_time, Micros::from_secs_f64)
+            .min(max_time);
+        let upload = Upload::new(body, client.peer(), started_at);
+        let body = receive(upload, time_left).await?;
+        // A buffered request's time counts from its last byte.
+        let margin = self.host.response_margin();
         let arrival = RequestArrival {
             request: RequestId(0),
             class,
-            tenant: tenant.and_then(|name| self.host.tenant(name)),
-            time_left,
-            work_hint: number(&headers, "x-weight-hint").map(|us| Micros(us as u64)),
-            client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
+            tenant: header_text(&head.headers, "x-account").and_then(|name| self.host.tenant(name)),
+            time_left: Micros(time_left.0.saturating_sub(margin.0)),
+            work_hint: header_number(&head.headers, "x-weight-hint").map(|us| Micros(us as u64)),
+            client_retry: head.headers.get("x-repeat").is_some_and(|v| v == "1"),
         };
+        let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
-        let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
-        let uri = origin
-            .and_then(Result::ok)
-            .ok_or(bad("the target has no path\n"))?;
-        let client = Some(client.peer());
-        let call = Rc::new(Call {
+        let forwarded = ForwardedRequest {
             method: head.method,
-            uri,
+            uri: origin_form(&head.uri)?,
             headers,
             body,
-            client,
-        });
-        let (id, answer) = self
-            .host
-            .request(arrival, &call, rules.classes[class.0].idempotency);
-        let mut owed = Owed {
-            host: &self.host,
-            id,
-            open: true,
+            client: Some(client.peer()),
         };
+        Ok(AdmittedRequest {
+            arrival,
+            forwarded: Rc::new(forwarded),
+            idempotency,
+        })
+    }
+
+    /// The class that the first segment of the path names.
+    fn class_of(&self, uri: &Uri) -> Result<ClassId, RequestError> {
+        let name = uri.path().split('/').nth(1);
+        name.and_then(|name| self.host.class(name))
+            .ok_or(RequestError::UnknownClass)
+    }
+
+    /// Waits for the final answer, and ends the request at its deadline.
+    async fn final_answer(
+        &self,
+        id: RequestId,
+        answer: oneshot::Receiver<Answer>,
+        body: &RequestBody,
+    ) -> Option<Answer> {
         let mut answer = pin!(answer);
-        let answer = loop {
-            let due = self.host.clock.instant(self.host.due(id));
+        loop {
+            let deadline = self.host.clock.instant(self.host.deadline_of(id));
             tokio::select! {
                 biased;
-                got = answer.as_mut() => break got,
-                () = sent(&call.body) => {} // from here on its time runs
-                _ = tokio::time::sleep_until(due) => {
-                    self.host.deadline(id);
-                    break answer.await;
+                answer = answer.as_mut() => return answer.ok(),
+                () = upload_sent(body) => {} // from here on its time runs
+                () = tokio::time::sleep_until(deadline) => {
+                    self.host.deadline_expired(id);
+                    return answer.await.ok();
                 }
             }
-        };
-        owed.open = false;
-        if let (Payload::Coming(coming), false) =
-            (&call.body, matches!(answer, Ok(Answer::Served(_))))
-        {
-            // A client that is still sending hears the answer only if it is read to its end.
-            if let Some(rest) = coming.take() {
-                tokio::task::spawn_local(drained(rest));
-            }
         }
-        Ok(match answer {
-            Ok(Answer::Served(served)) => {
-                let mut response = Response::new(match served.body {
-                    Content::Whole(body) => Either::Left(Full::new(body)),
-                    Content::Flow(flow) => Either::Right(flow),
-                });
-                *response.headers_mut() = served.headers;
-                response
-            }
-            Ok(Answer::Refused(retry_after)) => {
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-                let advice = retry_after.min(rules.max_retry_after).as_secs_f64();
-                if let Ok(text) = format!("{advice:.3}").parse() {
-                    response.headers_mut().insert(RETRY_AFTER, text);
-                }
-                response
+    }
+}
+
+/// Whether the method and the idempotency key are those of the class: one that is taken for safer than the request says
+/// would be retried to its harm.
+fn fits_class(head: &Parts, idempotency: &Idempotency) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => head.method == Method::GET || head.method == Method::HEAD,
+        Idempotency::Keyed { .. } => {
+            head.method == Method::POST && head.headers.contains_key("idempotency-key")
+        }
+        Idempotency::NonIdempotent => head.method == Method::POST,
+    }
+}
+
+/// The target without scheme and authority.
+fn origin_form(uri: &Uri) -> Result<Uri, RequestError> {
+    let path = uri.path_and_query().ok_or(RequestError::NoPath)?;
+    path.as_str().parse().map_err(|_| RequestError::NoPath)
+}
+
+fn response_to(answer: Option<Answer>, max_retry_after: Micros) -> Response<OutgoingBody> {
+    match answer {
+        Some(Answer::Served(served)) => {
+            let mut response = Response::new(match served.body {
+                ResponseBody::Buffered(body) => Either::Left(Full::new(body)),
+                ResponseBody::Streaming(stream) => Either::Right(stream),
+            });
+            *response.headers_mut() = served.headers;
+            response
+        }
+        Some(Answer::Rejected { retry_after }) => {
+            let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+            let retry_after_s = retry_after.min(max_retry_after).as_secs_f64();
+            if let Ok(text) = format!("{retry_after_s:.3}").parse() {
+                response.headers_mut().insert(RETRY_AFTER, text);
             }
-            Ok(Answer::Failed) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-            Ok(Answer::TimedOut) | Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
-        })
+            response
+        }
+        Some(Answer::Failed) => plain_response(StatusCode::BAD_GATEWAY, "failed\n"),
+        Some(Answer::TimedOut) | None => plain_response(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
     }
 }
 
-/// Tells the host when an unanswered request is dropped because its client is gone.
-struct Owed<'a> {
+/// Tells the host when a request without an answer is dropped because its client is gone.
+struct DisconnectGuard<'a> {
     host: &'a Rc<Host>,
-    id: RequestId,
-    open: bool,
+    request: RequestId,
+    is_armed: bool,
 }
 
-impl Drop for Owed<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.open {
-            self.host.client_gone(self.id);
+        if self.is_armed {
+            self.host.client_gone(self.request);
         }
     }
 }
 
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok()
+}
+
 /// A header's number, where it holds a sensible one.
-fn number(headers: &HeaderMap, name: &str) -> Option<f64> {
-    let text = headers.get(name)?.to_str().ok()?;
-    text.trim()
-        .parse()
-        .ok()
-        .filter(|n: &f64| n.is_finite() && *n >= 0.0)
+fn header_number(headers: &HeaderMap, name: &str) -> Option<f64> {
+    let number: f64 = header_text(headers, name)?.trim().parse().ok()?;
+    (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-/// Takes a body whole, or finds that it is too long for that.
-async fn receive(mut upload: Upload, left: Micros) -> Result<Payload, Broken> {
-    let mut held = BytesMut::new();
+/// Buffers a body to its end, or finds that it is too long for that.
+async fn receive(mut upload: Upload, time_left: Micros) -> Result<RequestBody, UploadError> {
+    let mut received = BytesMut::new();
     while upload.length().is_none_or(|n| n <= MAX_BODY as u64) {
         match upload.frame().await {
-            None => return Ok(Payload::Whole(held.freeze())),
-            Some(frame) => held.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new())),
+            None => return Ok(RequestBody::Buffered(received.freeze())),
+            Some(frame) => {
+                received.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new()));
+            }
         }
-        if held.len() > MAX_BODY {
+        if received.len() > MAX_BODY {
             break;
         }
     }
-    if !held.is_empty() {
-        upload.put_back(held.freeze());
+    if !received.is_empty() {
+        upload.put_back(received.freeze());
+    }
+    let streamed = StreamedUpload::new(upload, time_left);
+    Ok(RequestBody::Streaming(streamed))
+}
+
+/// Reads the rest of a streamed body that no backend took: a client that is still sending reads the answer only if its
+/// body is read to the end.
+fn drain_unsent(body: &RequestBody) {
+    if let RequestBody::Streaming(upload) = body {
+        if let Some(rest) = upload.take() {
+            tokio::task::spawn_local(drain(rest));
+        }
     }
-    Ok(Payload::Coming(Coming::new(upload, left)))
 }
 
 /// Reads a body to its end or its client's, and keeps nothing of it: it may be far larger than the memory.
-async fn drained(mut rest: Upload) {
+async fn drain(mut rest: Upload) {
     while let Some(Ok(_)) = rest.frame().await {}
 }
 
-/// Until a body that goes out as it comes has gone out.
-async fn sent(body: &Payload) {
+/// Waits until a streamed body was sent; for ever for a buffered one.
+async fn upload_sent(body: &RequestBody) {
     match body {
-        Payload::Whole(_) => std::future::pending().await,
-        Payload::Coming(coming) => coming.sent().await,
+        RequestBody::Buffered(_) => std::future::pending().await,
+        RequestBody::Streaming(upload) => upload.sent().await,
     }
 }
--- /dev/null
+++ b/src/net/downstream/server/shutdown.rs
@@ -0,0 +1,103 @@
+//! Graceful shutdown: requests that were accepted are answered, then connections end.
+
+use super::{Server, EVENT_LOOP_TURN};
+use crate::net::span;
+use std::io::ErrorKind;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
+use tracing::info;
+
+/// After SIGTERM new connections still arrive for up to 0.4 s.
+const ACCEPT_LINGER: Duration = Duration::from_millis(500);
+/// Time after the longest deadline for the last responses' way out.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+
+impl Server {
+    /// Ends the service. `successor_accepts`: another process takes the clients that still arrive.
+    pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener, successor_accepts: bool) {
+        self.is_stopping.set(true);
+        if successor_accepts {
+            info!("another process takes the clients that come");
+            drop(listener);
+            self.wait_for_clients_to_leave().await;
+        } else {
+            self.accept_remaining(listener).await;
+        }
+        self.close_connections().await;
+    }
+
+    /// Clients still use the connections they have: each is told to close with its next response, and idle ones are
+    /// closed only later, as a close may cross a request.
+    async fn wait_for_clients_to_leave(&self) {
+        let end = Instant::now() + ACCEPT_LINGER;
+        while self.clients() > 0 && Instant::now() < end {
+            let _ = tokio::time::timeout_at(end, self.client_left.notified()).await;
+        }
+    }
+
+    /// New connections still arrive for a while.
+    async fn accept_remaining(self: &Rc<Self>, listener: TcpListener) {
+        let mut linger = pin!(tokio::time::sleep(ACCEPT_LINGER));
+        loop {
+            tokio::select! {
+                () = self.accept(&listener) => {}
+                () = &mut linger => break,
+            }
+        }
+        // What the kernel has accepted must be answered: the backlog is emptied before it is closed.
+        let Ok(listener) = listener.into_std() else {
+            return;
+        };
+        let end = Instant::now() + ACCEPT_LINGER;
+        loop {
+            match listener.accept() {
+                Ok((stream, _)) => self.add_std_client(stream),
+                Err(error) if error.kind() == ErrorKind::WouldBlock || Instant::now() >= end => {
+                    return;
+                }
+                Err(_) => {
+                    // Out of descriptors: each connection that ends frees one.
+                    let _ =
+                        self.close_least_useful(Duration::ZERO) || self.host.pool.close_oldest();
+                    self.client_left_within(EVENT_LOOP_TURN).await;
+                }
+            }
+        }
+    }
+
+    fn add_std_client(self: &Rc<Self>, stream: std::net::TcpStream) {
+        let tcp = stream
+            .set_nonblocking(true)
+            .and_then(|()| TcpStream::from_std(stream));
+        if let Ok(tcp) = tcp {
+            self.add_client(tcp);
+        }
+    }
+
+    /// Closes connections as they become idle. Past the longest deadline no answer is due any more, and a client that
+    /// keeps a connection open with half of a request does not keep the program; a response or an upload that is still
+    /// being streamed does, until the platform ends it.
+    async fn close_connections(&self) {
+        let end = Instant::now() + span(self.longest_deadline()) + FLUSH_TIME;
+        while self.clients() > 0 && (Instant::now() < end || self.is_any_busy()) {
+            // Repeatedly: a connection whose request had just arrived is not closed at the first time.
+            for client in self.clients.borrow().values() {
+                client.close.notify_one();
+            }
+            self.client_left_within(EVENT_LOOP_TURN).await;
+        }
+    }
+
+    fn longest_deadline(&self) -> meadowproxy::Micros {
+        let rules = self.rules.borrow();
+        rules.deadlines.iter().max().copied().unwrap_or_default()
+    }
+
+    fn is_any_busy(&self) -> bool {
+        let clients = self.clients.borrow();
+        clients.values().any(|client| client.is_busy.get())
+    }
+}
--- a/src/net/downstream/server/tests.rs
+++ b/src/net/downstream/server/tests.rs
@@ -14,7 +14,7 @@
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let second = Micros(1_000_000);
-        let rules = Rules {
+        let rules = RequestRules {
             classes: Vector::new(),
             deadlines: vec![second].into(),
             max_retry_after: second,
@@ -27,7 +27,7 @@
 async fn client(server: &Rc<Server>, listener: &TcpListener) -> std::net::TcpStream {
     let peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.set_nonblocking(true).unwrap();
-    server.take_in(listener.accept().await.unwrap().0);
+    server.add_client(listener.accept().await.unwrap().0);
     peer
 }
 
@@ -56,7 +56,7 @@
         peer.write_all(READY).unwrap();
         let (answer, _) = heard(&mut peer, "ready\n").await;
         assert!(!answer.contains("connection: close"), "{answer}");
-        assert!(server.close_quietest(Duration::ZERO));
+        assert!(server.close_least_useful(Duration::ZERO));
         peer.write_all(READY).unwrap();
         let (answer, plainly) = heard(&mut peer, "").await;
         assert!(
@@ -75,13 +75,13 @@
         let mut peer = client(&server, &listener).await;
         peer.write_all(READY).unwrap();
         heard(&mut peer, "ready\n").await;
-        assert!(server.close_quietest(Duration::ZERO));
+        assert!(server.close_least_useful(Duration::ZERO));
         let (rest, plainly) = heard(&mut peer, "").await;
         assert!(rest.is_empty() && plainly, "{rest}");
         peer.write_all(READY).unwrap(); // it has not heard of the end yet
         peer.shutdown(std::net::Shutdown::Write).unwrap();
         while server.clients() > 0 {
-            server.left.notified().await;
+            server.client_left.notified().await;
         }
         assert!(peer.take_error().unwrap().is_none(), "a reset");
         assert_eq!(heard(&mut peer, "").await, (String::new(), true));
@@ -99,7 +99,7 @@
         ended.write_all(b"what?\r\n\r\n").unwrap();
         assert!(heard(&mut ended, "").await.0.starts_with("HTTP/1.1 400"));
         assert_eq!(server.clients(), 2, "it lingers");
-        assert!(server.close_quietest(Duration::ZERO));
+        assert!(server.close_least_useful(Duration::ZERO));
         let before = Instant::now();
         while server.clients() > 1 {
             tokio::task::yield_now().await; // no timer is waited for
@@ -129,7 +129,7 @@
             silent.push(client(&server, &listener).await);
         }
         let before = ASKED.get();
-        assert!((0..8).all(|_| server.close_quietest(Duration::ZERO)));
+        assert!((0..8).all(|_| server.close_least_useful(Duration::ZERO)));
         assert_eq!(
             ASKED.get() - before,
             8 + 8,
@@ -151,8 +151,8 @@
         resting.write_all(READY).unwrap();
         heard(&mut resting, "ready\n").await;
         let mut silent = client(&server, &listener).await;
-        tokio::time::sleep(JUST_NOW).await; // so long it may be on its way
-        assert!(server.close_quietest(JUST_NOW));
+        tokio::time::sleep(JUST_CONNECTED).await; // so long it may be on its way
+        assert!(server.close_least_useful(JUST_CONNECTED));
         assert_eq!(heard(&mut silent, "").await, (String::new(), true));
         resting.write_all(READY).unwrap();
         assert!(heard(&mut resting, "ready\n").await.0.ends_with("ready\n"));
@@ -164,18 +164,18 @@
 fn room_is_made_without_waiting_for_the_other_side() {
     with_server(async |server, listener| {
         let mut silent = Vec::new();
-        for _ in 0..8 + OVER_BOUND {
+        for _ in 0..8 + CONNECTIONS_ABOVE_LIMIT {
             silent.push(client(&server, &listener).await);
         }
-        assert!(server.close_quietest(Duration::ZERO));
-        server.left.notified().await; // it parts
+        assert!(server.close_least_useful(Duration::ZERO));
+        server.client_left.notified().await; // it parts
         assert_eq!(
             server.clients(),
-            8 + OVER_BOUND,
+            8 + CONNECTIONS_ABOVE_LIMIT,
             "its other side has not ended"
         );
-        assert!(server.close_quietest(Duration::ZERO));
-        server.left.notified().await;
-        assert_eq!(server.clients(), 8 + OVER_BOUND - 1);
+        assert!(server.close_least_useful(Duration::ZERO));
+        server.client_left.notified().await;
+        assert_eq!(server.clients(), 8 + CONNECTIONS_ABOVE_LIMIT - 1);
     });
 }
--- a/src/net/downstream/body/gone_tests.rs
+++ b/src/net/downstream/upload/tests.rs
@@ -1,7 +1,7 @@
 //! Bodies of clients that have left.
 
 use super::*;
-use crate::net::observed_stream::Stream;
+use crate::net::observed_stream::ObservedStream;
 use http_body_util::{BodyExt, Empty};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -14,7 +14,7 @@
     let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    let (stream, mut peer) = (Stream::new(tcp), listener.accept().unwrap().0);
+    let (stream, mut peer) = (ObservedStream::new(tcp), listener.accept().unwrap().0);
     // With more behind it hyper reads no further, and does not see the end itself.
     peer.write_all(format!("POST / HTTP/1.1\r\nHost: s\r\n{body}GET").as_bytes())
         .unwrap();
@@ -29,10 +29,10 @@
                 break;
             }
         }
-        assert_eq!(upload.passed.ended(), whole);
+        assert_eq!(upload.progress.has_ended(), whole);
         ended.set(Some(whole));
         drop(upload);
-        Err::<Response<Empty<Bytes>>, _>(Broken::Slow) // no answer is of use
+        Err::<Response<Empty<Bytes>>, _>(UploadError::Slow) // no answer is of use
     });
     let _ = http1::Builder::new()
         .serve_connection(stream.clone(), service)
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -1,9 +1,9 @@
 //! Attempts at backends, from their dispatch to their end.
 
-use super::state::{Answer, Flight, Live, State, UNKNOWN};
+use super::state::{Answer, InFlightAttempt, OpenRequest, State};
 use super::Host;
 use crate::net::observed_stream::Peer;
-use crate::net::upstream::{Ended, Payload, Progress, Served};
+use crate::net::upstream::{AttemptResult, Progress, RequestBody, ServedResponse};
 use meadowproxy::{AttemptEnd, AttemptNumber, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,249 +18,261 @@
         request: RequestId,
         backend: BackendId,
     ) {
-        let Some(live) = s.requests.get_mut(&request) else {
+        let Some(open_request) = s.requests.get_mut(&request) else {
             return;
         };
-        let attempt = AttemptNumber(live.attempts);
-        live.attempts += 1;
-        s.counts.attempts += 1;
-        let call = live.call.clone();
-        let deadline = match &call.body {
-            Payload::Whole(_) => live.deadline,
-            Payload::Coming(coming) => now + coming.left,
+        let attempt = AttemptNumber(open_request.attempts);
+        open_request.attempts += 1;
+        s.counters.attempts += 1;
+        let forwarded = open_request.forwarded.clone();
+        let deadline = match &forwarded.body {
+            RequestBody::Buffered(_) => open_request.deadline,
+            RequestBody::Streaming(upload) => now + upload.time_left,
         };
         let deadline = self.clock.instant(deadline);
-        let Some(to) = s.backends.get(&backend).map(|b| b.address) else {
+        let Some(record) = s.backends.get(&backend) else {
             return;
         };
-        let host = self.clone();
+        let context = AttemptContext {
+            host: self.clone(),
+            request,
+            attempt,
+            backend,
+            address: record.address,
+        };
         let task = tokio::task::spawn_local(async move {
-            let leg = Rc::new(Leg {
-                host: host.clone(),
-                request,
-                attempt,
-                backend,
-                to,
-            });
-            let ended = host.pool.attempt(backend, to, &call, deadline, &leg).await;
-            host.attempt_ended(request, attempt, ended);
+            let context = Rc::new(context);
+            let host = &context.host;
+            let result = host
+                .pool
+                .attempt(backend, context.address, &forwarded, deadline, &context)
+                .await;
+            host.attempt_ended(request, attempt, result);
         });
-        let flight = Flight {
+        let in_flight = InFlightAttempt {
             backend,
-            sent: now,
+            sent_at: now,
             task: task.abort_handle(),
         };
-        s.attempts.insert((request, attempt), flight);
+        s.attempts.insert((request, attempt), in_flight);
     }
 
-    /// At the moment of the first byte: the list still allows it and names that address, the request and its client
-    /// still wait for it, and a repeat is still one that is dropped.
+    /// Asked at the moment of the first byte: whether the endpoint list still allows the backend at that address, the
+    /// request and its client still wait, and a backend would still drop a duplicate.
     pub(super) fn may_send(
         self: &Rc<Self>,
         request: RequestId,
         attempt: AttemptNumber,
         backend: BackendId,
-        to: SocketAddr,
+        address: SocketAddr,
     ) -> bool {
-        let client = |live: &Live| live.call.client.as_ref().is_some_and(Peer::has_left);
-        if self
-            .state
-            .borrow()
-            .requests
-            .get(&request)
-            .is_some_and(client)
-        {
+        if self.has_client_left(request) {
             self.client_gone(request);
         }
         let s = self.state.borrow();
-        s.backends
+        let is_backend_usable = s
+            .backends
             .get(&backend)
-            .is_some_and(|b| b.open() && b.address == to)
+            .is_some_and(|record| record.is_usable() && record.address == address);
+        is_backend_usable
             && s.requests.contains_key(&request)
-            && s.repeat_until(request, attempt)
-                .is_none_or(|at| self.clock.now() < at)
+            && s.duplicate_deadline(request, attempt)
+                .is_none_or(|deadline| self.clock.now() < deadline)
     }
 
-    /// When the last byte of a keyed request must be out that goes out from now on: a copy that is sent later than
-    /// this may run first, and it then is the repeat.
-    pub(super) fn whole_by(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
+    fn has_client_left(&self, request: RequestId) -> bool {
         let s = self.state.borrow();
-        let window = s.window(s.requests.get(&request)?).filter(|w| w.0 > 0)?;
-        let alone = self.clock.now() + window;
-        Some(
-            s.repeat_until(request, attempt)
-                .map_or(alone, |at| at.min(alone)),
-        )
+        let client = s
+            .requests
+            .get(&request)
+            .and_then(|request| request.forwarded.client.as_ref());
+        client.is_some_and(Peer::has_left)
     }
 
-    /// When the request's time is up.
-    pub fn due(&self, id: RequestId) -> Time {
-        self.state
-            .borrow()
-            .requests
-            .get(&id)
-            .map_or(UNKNOWN, |r| r.deadline)
+    /// When the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
+    /// that is sent later than this may run first, and the backend then takes this one for the duplicate.
+    pub(super) fn send_deadline(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
+        let s = self.state.borrow();
+        let window = s.retry_window(s.requests.get(&request)?)?;
+        if window.0 == 0 {
+            return None;
+        }
+        let own_deadline = self.clock.now() + window;
+        let duplicate_deadline = s.duplicate_deadline(request, attempt);
+        Some(duplicate_deadline.map_or(own_deadline, |deadline| deadline.min(own_deadline)))
     }
 
-    pub(super) fn uploaded(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber) {
+    /// The last byte of a streamed body was sent: the request's time begins to run.
+    pub(super) fn upload_finished(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber) {
         let now = self.clock.now();
         let time_left = {
             let mut s = self.state.borrow_mut();
-            s.attempts
-                .get_mut(&(request, attempt))
-                .into_iter()
-                .for_each(|flight| flight.sent = now);
-            let Some(live) = s.requests.get_mut(&request) else {
+            if let Some(in_flight) = s.attempts.get_mut(&(request, attempt)) {
+                in_flight.sent_at = now;
+            }
+            let Some(open_request) = s.requests.get_mut(&request) else {
                 return;
             };
-            let Payload::Coming(coming) = &live.call.body else {
+            let RequestBody::Streaming(upload) = &open_request.forwarded.body else {
                 return;
             };
-            coming.is_sent();
-            live.deadline = now + Micros(coming.left.0.saturating_sub(self.margin().0));
-            live.deadline - now
+            upload.mark_sent();
+            let time_left_us = upload.time_left.0.saturating_sub(self.response_margin().0);
+            open_request.deadline = now + Micros(time_left_us);
+            open_request.deadline - now
         };
-        self.tell(Event::UploadFinished {
+        self.handle_event(Event::UploadFinished {
             request,
             attempt,
             time_left,
         });
     }
 
-    /// A long answer begins: it is the client's from here on, and no other attempt is of use.
-    pub(super) fn streams(
+    /// A streamed response begins: it is the client's from here on, and other attempts are cancelled.
+    pub(super) fn response_started(
         self: &Rc<Self>,
         request: RequestId,
         attempt: AttemptNumber,
-        served: Served,
+        response: ServedResponse,
     ) {
-        let others: Vec<AttemptNumber> = self
-            .attempts_of(request)
-            .into_iter()
-            .filter(|no| *no != attempt)
-            .collect();
+        let mut others = self.attempts_of(request);
+        others.retain(|other| *other != attempt);
         {
             let mut s = self.state.borrow_mut();
-            let Some(live) = s.requests.remove(&request) else {
+            if !s.answer(request, Answer::Served(response)) {
                 return;
-            };
-            s.counts.served += 1;
-            let _ = live.answer.send(Answer::Served(served));
+            }
+            s.counters.served += 1;
+        }
+        self.handle_event(Event::ResponseStarted { request, attempt });
+        for other in others {
+            let cancelled = AttemptResult::without_response(Outcome::Cancelled);
+            self.attempt_ended(request, other, cancelled);
         }
-        self.tell(Event::ResponseStarted { request, attempt });
-        others
-            .into_iter()
-            .for_each(|no| self.attempt_ended(request, no, (Outcome::Cancelled, None)));
     }
 
     pub(super) fn attempt_ended(
         self: &Rc<Self>,
         request: RequestId,
         attempt: AttemptNumber,
-        (outcome, served): Ended,
+        result: AttemptResult,
     ) {
         let end = {
             let mut s = self.state.borrow_mut();
-            let Some(flight) = s.attempts.remove(&(request, attempt)) else {
+            let Some(in_flight) = s.attempts.remove(&(request, attempt)) else {
                 return;
             };
-            flight.task.abort(); // closes its connection, if it is still on one
-            match outcome {
-                Outcome::Overloaded => s.counts.full += 1,
-                Outcome::Error => s.counts.errors += 1,
-                Outcome::Reset => s.counts.resets += 1,
-                Outcome::ConnectFailed => s.counts.unconnected += 1,
-                Outcome::NotSent => s.counts.unsent += 1,
-                Outcome::TimedOut => self
-                    .pool
-                    .unanswered(flight.backend, self.clock.instant(flight.sent)),
-                _ => {}
-            }
-            if let Some(live) = s
-                .requests
-                .get_mut(&request)
-                .filter(|_| !outcome.proves_not_run())
-            {
-                live.ran = Some(live.ran.map_or(flight.sent, |at| at.min(flight.sent)));
+            in_flight.task.abort(); // closes its connection, if it is still on one
+            let outcome = result.outcome;
+            self.count_outcome(&mut s, outcome, &in_flight);
+            if !outcome.proves_not_run() {
+                if let Some(open_request) = s.requests.get_mut(&request) {
+                    note_possible_run(open_request, in_flight.sent_at);
+                }
             }
-            if let Some(served) = served {
-                if let Some(live) = s.requests.remove(&request) {
-                    s.counts.served += 1;
-                    let _ = live.answer.send(Answer::Served(served));
+            if let Some(response) = result.response {
+                if s.answer(request, Answer::Served(response)) {
+                    s.counters.served += 1;
                 }
             }
-            let settled = !s.requests.contains_key(&request);
             if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
                 debug!(
                     "request {} attempt {} at {}: {outcome:?}",
-                    request.0, attempt.0, flight.backend.0
+                    request.0, attempt.0, in_flight.backend.0
                 );
             }
             AttemptEnd {
                 request,
                 attempt,
                 outcome,
-                latency: self.clock.now() - flight.sent,
-                answered: settled,
+                latency: self.clock.now() - in_flight.sent_at,
+                answered: !s.requests.contains_key(&request),
             }
         };
-        self.tell(Event::AttemptEnded(end));
+        self.handle_event(Event::AttemptEnded(end));
+    }
+
+    fn count_outcome(&self, s: &mut State, outcome: Outcome, in_flight: &InFlightAttempt) {
+        let counters = &mut s.counters;
+        match outcome {
+            Outcome::Overloaded => counters.overloaded += 1,
+            Outcome::Error => counters.errors += 1,
+            Outcome::Reset => counters.resets += 1,
+            Outcome::ConnectFailed => counters.connect_failed += 1,
+            Outcome::NotSent => counters.not_sent += 1,
+            Outcome::TimedOut => {
+                let sent_at = self.clock.instant(in_flight.sent_at);
+                self.pool.attempt_unanswered(in_flight.backend, sent_at);
+            }
+            _ => {}
+        }
     }
 
+    /// Attempts of the request that are in flight.
     pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNumber> {
         let s = self.state.borrow();
-        let count = s.requests.get(&id).map_or(0, |r| r.attempts);
+        let count = s.requests.get(&id).map_or(0, |request| request.attempts);
         (0..count)
             .map(AttemptNumber)
-            .filter(|no| s.attempts.contains_key(&(id, *no)))
+            .filter(|attempt| s.attempts.contains_key(&(id, *attempt)))
             .collect()
     }
 
-    /// For a module that may not cancel: nothing goes on for a client that left.
+    /// Ends what is in flight for a client that left, where the balancer may not cancel it.
     pub(super) fn drop_attempts(self: &Rc<Self>, id: RequestId) {
-        let left: Vec<AttemptNumber> = {
+        let attempts: Vec<AttemptNumber> = {
             let s = self.state.borrow();
-            s.attempts
-                .keys()
-                .filter(|k| k.0 == id)
-                .map(|k| k.1)
-                .collect()
+            let of_request = s.attempts.keys().filter(|(request, _)| *request == id);
+            of_request.map(|(_, attempt)| *attempt).collect()
         };
-        left.into_iter()
-            .for_each(|no| self.attempt_ended(id, no, (Outcome::Cancelled, None)));
+        for attempt in attempts {
+            let cancelled = AttemptResult::without_response(Outcome::Cancelled);
+            self.attempt_ended(id, attempt, cancelled);
+        }
     }
 }
 
-/// An attempt's ties to its request.
-struct Leg {
+fn note_possible_run(request: &mut OpenRequest, sent_at: Time) {
+    let first = request
+        .first_possible_run
+        .map_or(sent_at, |at| at.min(sent_at));
+    request.first_possible_run = Some(first);
+}
+
+/// What an attempt reports to, and asks, as it proceeds.
+struct AttemptContext {
     host: Rc<Host>,
     request: RequestId,
     attempt: AttemptNumber,
     backend: BackendId,
-    to: SocketAddr,
+    address: SocketAddr,
 }
 
-impl Progress for Leg {
+impl Progress for AttemptContext {
     fn may_send(&self) -> bool {
         self.host
-            .may_send(self.request, self.attempt, self.backend, self.to)
+            .may_send(self.request, self.attempt, self.backend, self.address)
     }
-    fn whole_by(&self) -> Option<Instant> {
-        self.host
-            .whole_by(self.request, self.attempt)
-            .map(|at| self.host.clock.instant(at))
+
+    fn send_deadline(&self) -> Option<Instant> {
+        let deadline = self.host.send_deadline(self.request, self.attempt)?;
+        Some(self.host.clock.instant(deadline))
     }
-    fn uploading(&self) {
-        self.host.tell(Event::UploadStarted {
+
+    fn upload_started(&self) {
+        self.host.handle_event(Event::UploadStarted {
             request: self.request,
             attempt: self.attempt,
         });
     }
-    fn uploaded(&self) {
-        self.host.uploaded(self.request, self.attempt);
+
+    fn upload_finished(&self) {
+        self.host.upload_finished(self.request, self.attempt);
     }
-    fn streams(&self, served: Served) {
-        self.host.streams(self.request, self.attempt, served);
+
+    fn response_started(&self, response: ServedResponse) {
+        self.host
+            .response_started(self.request, self.attempt, response);
     }
 }
 
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::net::discovery::endpoint_list::List;
-use crate::net::host::state::{Flight, Live};
+use crate::net::host::state::{InFlightAttempt, OpenRequest};
 use meadowproxy::{ClassId, Config, EndpointUpdate, Idempotency, KeyScope, RequestClass};
 use tokio::sync::oneshot;
 
@@ -15,7 +15,7 @@
 
 fn news(host: &Rc<Host>, index: u64, status: &str, port: u16) {
     let entry = serde_json::json!({"name": "b", "address": at(port).to_string(), "status": status});
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Incremental,
         &List {
             index,
@@ -34,11 +34,11 @@
     let (id, _) = host.example_request();
     let mut s = host.state.borrow_mut();
     s.attempts.clear();
-    let call = s.requests[&id].call.clone();
+    let forwarded = s.requests[&id].forwarded.clone();
     let (answer, wait) = oneshot::channel();
     let deadline = host.clock.now() + Micros(60_000_000);
     let attempts = ago.len() as u32;
-    let (class, effect) = (
+    let (class, idempotency) = (
         ClassId(0),
         Idempotency::Keyed {
             scope: KeyScope::All,
@@ -47,11 +47,11 @@
     );
     s.requests.insert(
         id,
-        Live {
-            call,
+        OpenRequest {
+            forwarded,
             class,
-            effect,
-            ran: None,
+            idempotency,
+            first_possible_run: None,
             answer,
             deadline,
             attempts,
@@ -59,12 +59,12 @@
     );
     for (no, ago) in ago.iter().enumerate() {
         let task = tokio::task::spawn_local(std::future::pending::<()>()).abort_handle();
-        let flight = Flight {
+        let in_flight = InFlightAttempt {
             backend: B,
-            sent: host.clock.now() - Micros(*ago),
+            sent_at: host.clock.now() - Micros(*ago),
             task,
         };
-        s.attempts.insert((id, AttemptNumber(no as u32)), flight);
+        s.attempts.insert((id, AttemptNumber(no as u32)), in_flight);
     }
     drop(s);
     (id, wait)
@@ -118,20 +118,24 @@
             !host.may_send(id, FIRST, B, at(9)),
             "the later copy may have run a window ago"
         );
-        host.attempt_ended(id, SECOND, (Outcome::Reset, None));
+        host.attempt_ended(id, SECOND, AttemptResult::without_response(Outcome::Reset));
         assert!(
             !host.may_send(id, FIRST, B, at(9)),
             "and so it may once it has ended"
         );
         let (id, _wait) = copies(&host, &[900_000, 500_000]);
-        host.attempt_ended(id, SECOND, (Outcome::ConnectFailed, None));
+        host.attempt_ended(
+            id,
+            SECOND,
+            AttemptResult::without_response(Outcome::ConnectFailed),
+        );
         assert!(host.may_send(id, FIRST, B, at(9)), "it never ran");
         // The last byte has to be out in time as well, counted from now where no other copy is out yet.
         let now = host.clock.now();
-        let by = host.whole_by(id, FIRST).unwrap();
+        let by = host.send_deadline(id, FIRST).unwrap();
         assert!(by >= now + WINDOW && by < now + WINDOW + WINDOW);
         let (id, _wait) = copies(&host, &[400_000, 0]);
-        assert!(host.whole_by(id, SECOND).unwrap() <= host.clock.now() + Micros(100_000));
+        assert!(host.send_deadline(id, SECOND).unwrap() <= host.clock.now() + Micros(100_000));
         // Settings that came meanwhile shorten the window, or allow no copy at all; longer ones change nothing.
         for (effect, allowed) in [
             (
@@ -163,24 +167,25 @@
     .await;
 }
 
-fn served(text: &'static str) -> Ended {
-    let body = crate::net::upstream::Content::Whole(bytes::Bytes::from_static(text.as_bytes()));
-    (
-        Outcome::Ok,
-        Some(Served {
+fn served(text: &'static str) -> AttemptResult {
+    let body =
+        crate::net::upstream::ResponseBody::Buffered(bytes::Bytes::from_static(text.as_bytes()));
+    AttemptResult {
+        outcome: Outcome::Ok,
+        response: Some(ServedResponse {
             headers: hyper::HeaderMap::new(),
             body,
         }),
-    )
+    }
 }
 
 /// What crosses in one turn of the loop gives one final answer: the first.
 #[tokio::test]
 async fn of_outcomes_in_one_turn_the_first_is_the_answer() {
-    use crate::net::upstream::Content;
+    use crate::net::upstream::ResponseBody;
     let text = |answer: Answer| match answer {
-        Answer::Served(Served {
-            body: Content::Whole(body),
+        Answer::Served(ServedResponse {
+            body: ResponseBody::Buffered(body),
             ..
         }) => String::from_utf8(body.to_vec()).unwrap(),
         _ => "none of theirs".into(),
@@ -191,14 +196,14 @@
         let (id, mut wait) = copies(&host, &[0, 0]);
         host.attempt_ended(id, SECOND, served("second"));
         host.attempt_ended(id, FIRST, served("first"));
-        host.deadline(id);
+        host.deadline_expired(id);
         assert_eq!(
             text(wait.try_recv().unwrap()),
             "second",
             "two answers, then the deadline"
         );
         let (id, mut wait) = copies(&host, &[0, 0]);
-        host.deadline(id);
+        host.deadline_expired(id);
         host.attempt_ended(id, FIRST, served("late"));
         assert_eq!(
             text(wait.try_recv().unwrap()),
@@ -208,7 +213,7 @@
         let (id, mut wait) = copies(&host, &[0, 0]);
         host.client_gone(id);
         host.attempt_ended(id, FIRST, served("late"));
-        host.deadline(id);
+        host.deadline_expired(id);
         assert!(wait.try_recv().is_err(), "nobody waits");
         let s = host.state.borrow();
         assert!(
--- /dev/null
+++ b/src/net/host/disabled.rs
@@ -0,0 +1,96 @@
+//! Backends that are kept out of use whatever the endpoint list says: operators or a maintenance window disabled them.
+
+use super::backend_directory::DisableReason;
+use super::Host;
+use meadowproxy::{BackendId, Event, Time};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tracing::info;
+
+impl Host {
+    /// Whether the backend is disabled for that reason, with or without another.
+    pub fn is_disabled(&self, name: &str, reason: DisableReason) -> bool {
+        let s = self.state.borrow();
+        let record = s.ids_by_name.get(name).and_then(|id| s.backends.get(id));
+        record.is_some_and(|record| record.reasons.contains(reason))
+    }
+
+    /// Takes the backend out of use; false where none of that name is known.
+    pub fn disable_backend(self: &Rc<Self>, name: &str, reason: DisableReason) -> bool {
+        let is_known = self.knows(name);
+        if is_known {
+            self.disable_even_if_unlisted(name, reason);
+        }
+        is_known
+    }
+
+    /// Takes the backend out of use, even if no endpoint list has named it yet.
+    pub fn disable_even_if_unlisted(self: &Rc<Self>, name: &str, reason: DisableReason) {
+        if let Some(backend) = self.add_reason(name, reason) {
+            self.handle_event(Event::BackendDisabled { backend });
+        }
+    }
+
+    /// Records the reason; the backend's id if it had none before.
+    fn add_reason(&self, name: &str, reason: DisableReason) -> Option<BackendId> {
+        let mut s = self.state.borrow_mut();
+        let next_id = s.next_backend_id;
+        let id = s.id_of(name, SocketAddr::from(([0, 0, 0, 0], 0)));
+        if id.0 == next_id {
+            info!(
+                "backend {} is {name}, which is not in the endpoint list yet",
+                id.0
+            );
+        }
+        let record = s.backends.get_mut(&id)?;
+        let was_enabled = record.reasons.is_empty();
+        record.reasons.insert(reason);
+        if !was_enabled {
+            return None;
+        }
+        self.backend_changed(&mut s, id);
+        Some(id)
+    }
+
+    /// Ends that reason. With its last reason gone the backend is used again, as one that may have started as late as
+    /// `since`. False, and nothing changes, where it was not disabled for that reason.
+    pub fn enable_backend(self: &Rc<Self>, name: &str, reason: DisableReason, since: Time) -> bool {
+        let was_disabled = self.remove_reason(name, reason);
+        if was_disabled {
+            self.backend_returned(name, since);
+        }
+        was_disabled
+    }
+
+    fn remove_reason(&self, name: &str, reason: DisableReason) -> bool {
+        let mut s = self.state.borrow_mut();
+        let Some(id) = s.ids_by_name.get(name).copied() else {
+            return false;
+        };
+        let record = s.backends.get_mut(&id);
+        record.is_some_and(|record| record.reasons.remove(reason))
+    }
+
+    /// A reason ended at `since`, here or in another process: unless another reason remains, the backend is used as one
+    /// that started then.
+    pub fn backend_returned(self: &Rc<Self>, name: &str, since: Time) {
+        let backend = {
+            let mut s = self.state.borrow_mut();
+            let Some(&id) = s.ids_by_name.get(name) else {
+                return;
+            };
+            let reasons = s
+                .backends
+                .get(&id)
+                .map(|record| record.reasons)
+                .unwrap_or_default();
+            if !reasons.is_empty() {
+                info!(backend = name, "{name} stays disabled: {reasons:?}");
+                return;
+            }
+            self.backend_changed(&mut s, id);
+            id
+        };
+        self.handle_event(Event::BackendEnabled { backend, since });
+    }
+}
--- a/src/net/host/gone_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -1,7 +1,7 @@
 //! Clients that leave between two looks of the event loop.
 
 use super::*;
-use crate::net::observed_stream::Stream;
+use crate::net::observed_stream::ObservedStream;
 use meadowproxy::{AttemptNumber, BackendId, EndpointUpdate};
 
 /// The client leaves as the first byte is about to go out: the kernel knows, the event loop has not come round.
@@ -11,7 +11,7 @@
     let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    let (client, peer) = (Stream::new(tcp), listener.accept().unwrap().0);
+    let (client, peer) = (ObservedStream::new(tcp), listener.accept().unwrap().0);
     let (host, at) = (
         Host::example(),
         std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -25,7 +25,7 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            host.members(EndpointUpdate::Full, &list);
+            host.update_endpoints(EndpointUpdate::Full, &list);
             let (id, _wait) = host.example_request_of(Some(client.peer()));
             assert!(host.may_send(id, AttemptNumber(0), BackendId(0), at));
             drop(peer);
--- /dev/null
+++ b/src/net/host/endpoints.rs
@@ -0,0 +1,276 @@
+//! Updates of the endpoint list, and what this proxy knows of each backend in it.
+
+use super::backend_directory::{BackendRecord, DisableReason};
+use super::state::State;
+use super::Host;
+use crate::net::discovery::endpoint_list::{Endpoint, EntryChunks, List, ListEntry};
+use meadowproxy::{Backend, BackendId, BackendState, EndpointUpdate, Event};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tracing::{debug, info};
+
+/// A backend that was in an endpoint list, as this proxy sees it now.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BackendStatus {
+    pub name: String,
+    pub zone: String,
+    pub kind: String,
+    pub cell: u64,
+    /// It is in the list in force, in whatever state.
+    pub listed: bool,
+    /// The list says that it serves, and not that it drains.
+    pub serving: bool,
+    /// The part of its capacity that is in use or could be: 0 for one that drains, is ejected or disabled, less than 1
+    /// for one that warms up.
+    pub ready: f64,
+    /// Operators disabled it.
+    pub by_hand: bool,
+    /// Attempts of this proxy that are in flight.
+    pub open: u32,
+}
+
+impl State {
+    /// The id of that name, a new one where it has none.
+    pub(super) fn id_of(&mut self, name: &str, address: SocketAddr) -> BackendId {
+        if let Some(id) = self.ids_by_name.get(name) {
+            return *id;
+        }
+        let id = BackendId(self.next_backend_id);
+        self.next_backend_id += 1;
+        let name: Rc<str> = name.into();
+        self.ids_by_name.insert(name.clone(), id);
+        self.backends.push(BackendRecord::new(id, name, address));
+        self.unlisted.insert(id);
+        id
+    }
+
+    /// Takes an entry of the list; adds its backend to `changed` if the entry differs from the one before.
+    fn take_endpoint(&mut self, endpoint: &Endpoint, changed: &mut Vec<BackendId>) -> Backend {
+        let next_id = self.next_backend_id;
+        let id = self.id_of(&endpoint.name, endpoint.address);
+        if id.0 == next_id {
+            // The balancer's log lines refer to ids.
+            info!(
+                "backend {} is {} at {}",
+                id.0, endpoint.name, endpoint.address
+            );
+        }
+        let entry = self.names.entry(&endpoint.row, id);
+        if let Some(record) = self.backends.get_mut(&id) {
+            record.address = endpoint.address;
+            if record.entry.as_ref() != Some(&entry) {
+                record.entry = Some(entry.clone());
+                changed.push(id);
+            }
+        }
+        entry
+    }
+
+    /// Takes an entry that is malformed but for its name: a backend that is known drains, as whatever the entry means,
+    /// it does not say that the backend serves.
+    fn take_unreadable(&mut self, name: &str, changed: &mut Vec<BackendId>) -> Option<Backend> {
+        let id = self.ids_by_name.get(name)?;
+        changed.push(*id);
+        let entry = self.backends.get_mut(id)?.entry.as_mut()?;
+        entry.state = BackendState::Draining;
+        Some(entry.clone())
+    }
+
+    /// Marks as removed what a full list does not contain. `listed` is in the order of ids.
+    fn remove_absent(&mut self, listed: &[Backend], changed: &mut Vec<BackendId>) {
+        let mut listed = listed.iter().map(|backend| backend.id).peekable();
+        for (id, record) in self.backends.iter_mut() {
+            while listed.next_if(|listed_id| *listed_id < id).is_some() {}
+            if listed.peek() == Some(&id) {
+                continue;
+            }
+            let Some(entry) = record.entry.as_mut() else {
+                continue;
+            };
+            if entry.state != BackendState::Removed {
+                entry.state = BackendState::Removed;
+                changed.push(id);
+            }
+        }
+    }
+
+    /// Backends that left the list, that nobody disables, that have no attempt in flight and of which the balancer
+    /// remembers nothing.
+    fn forgettable_backends(&self) -> Vec<BackendId> {
+        let in_use: HashSet<BackendId> = self
+            .attempts
+            .values()
+            .map(|attempt| attempt.backend)
+            .collect();
+        let is_forgettable = |id: &BackendId| {
+            let is_disabled = self
+                .backends
+                .get(id)
+                .is_some_and(|record| !record.reasons.is_empty());
+            !is_disabled && !in_use.contains(id) && !self.balancer.knows(*id)
+        };
+        let unlisted = self.unlisted.iter().copied();
+        unlisted.filter(is_forgettable).collect()
+    }
+}
+
+/// Sorts entries by id; of several for one backend the last counts.
+fn last_of_each(mut entries: Vec<Backend>) -> Vec<Backend> {
+    entries.reverse();
+    entries.sort_by_key(|entry| entry.id);
+    entries.dedup_by_key(|entry| entry.id);
+    entries
+}
+
+impl Host {
+    /// Takes an update of the endpoint list, see [`Host::apply_endpoints`].
+    pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate, list: &List) {
+        self.apply_endpoints(update, &list.lines());
+    }
+
+    /// Takes an update of the endpoint list. Of several entries for one backend the last counts. A known backend whose
+    /// entry is malformed gets no new requests.
+    pub fn apply_endpoints(self: &Rc<Self>, update: EndpointUpdate, entries: &EntryChunks) {
+        let backends = {
+            let mut s = self.state.borrow_mut();
+            let s = &mut *s;
+            let mut changed = Vec::new();
+            let backends = take_entries(s, entries, &mut changed);
+            if update != EndpointUpdate::Cached {
+                for backend in &backends {
+                    debug!("backend {} is {:?}", backend.id.0, backend.state);
+                }
+            }
+            if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
+                s.remove_absent(&backends, &mut changed);
+            }
+            for id in changed {
+                self.backend_changed(s, id);
+            }
+            backends
+        };
+        self.handle_event(Event::EndpointsUpdated { update, backends });
+        self.forget_backends();
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Incremental) {
+            self.list_received.send_replace(true);
+        }
+    }
+
+    /// A call to discovery failed. An earlier wish of the balancer to poll is void: it referred to earlier calls.
+    pub fn discovery_failed(self: &Rc<Self>) {
+        std::pin::pin!(self.poll_request.notified())
+            .as_mut()
+            .enable();
+        self.update_endpoints(EndpointUpdate::Failed, &List::default());
+    }
+
+    /// Waits until discovery has answered for the first time.
+    pub async fn discovery_answered(&self) {
+        let mut received = self.list_received.subscribe();
+        let _ = received.wait_for(|received| *received).await;
+    }
+
+    /// Brings the pool in line with a change of the backend's entry or reasons: no idle connection is kept to a backend
+    /// that gets no new requests.
+    pub(super) fn backend_changed(&self, s: &mut State, id: BackendId) {
+        let Some(record) = s.backends.get_mut(&id) else {
+            return;
+        };
+        let is_usable = record.is_usable();
+        if !is_usable && !record.is_pool_closed {
+            self.pool.close_backend(id);
+        }
+        if is_usable && record.is_pool_closed {
+            self.pool.reopen_backend(id);
+        }
+        record.is_pool_closed = !is_usable;
+        if record.state() == BackendState::Removed {
+            s.unlisted.insert(id);
+        } else {
+            s.unlisted.remove(&id);
+        }
+    }
+
+    /// Forgets backends that are of no use any more. A name that comes back gets a new id.
+    fn forget_backends(&self) {
+        let mut s = self.state.borrow_mut();
+        if s.unlisted.is_empty() {
+            return;
+        }
+        let forgettable = s.forgettable_backends();
+        for id in &forgettable {
+            s.unlisted.remove(id);
+            self.pool.forget_backend(*id);
+            debug!("backend {} is forgotten", id.0);
+        }
+        for record in s.backends.remove(&forgettable) {
+            s.ids_by_name.remove(&record.name);
+        }
+    }
+
+    /// Whether a backend of that name is known and not forgotten.
+    pub fn knows(&self, name: &str) -> bool {
+        self.state.borrow().ids_by_name.contains_key(name)
+    }
+
+    /// Every backend that was in an endpoint list, by what this proxy knows of it.
+    pub fn backend_statuses(&self) -> Vec<BackendStatus> {
+        let s = self.state.borrow();
+        let in_flight = s.in_flight_by_backend();
+        let mut readiness = s.balancer.readiness(self.clock.now()).peekable(); // in the order of ids as well
+        let mut statuses = Vec::new();
+        for (id, record) in s.backends.iter() {
+            while readiness.next_if(|(ready_id, _)| ready_id < id).is_some() {}
+            let ready = readiness.next_if(|(ready_id, _)| ready_id == id);
+            let Some(entry) = &record.entry else {
+                continue;
+            };
+            statuses.push(BackendStatus {
+                name: record.name.to_string(),
+                zone: s.names.zone_name(entry.zone).unwrap_or_default().into(),
+                kind: s.names.kind_name(entry.kind).unwrap_or_default().into(),
+                cell: entry.cell.0,
+                listed: entry.state != BackendState::Removed,
+                serving: entry.state == BackendState::Ready,
+                ready: ready.map_or(0.0, |(_, part)| part),
+                by_hand: record.reasons.contains(DisableReason::Operator),
+                open: in_flight.get(id).copied().unwrap_or(0),
+            });
+        }
+        statuses
+    }
+
+    /// Attempts of this proxy that are in flight at those of these backends that were in an endpoint list.
+    pub fn in_flight_at(&self, names: &BTreeSet<String>) -> BTreeMap<String, u32> {
+        if names.is_empty() {
+            return BTreeMap::new();
+        }
+        let s = self.state.borrow();
+        let in_flight = s.in_flight_by_backend();
+        let count_of = |name: &String| {
+            let id = s.ids_by_name.get(name.as_str())?;
+            s.backends.get(id)?.entry.as_ref()?;
+            Some((name.clone(), in_flight.get(id).copied().unwrap_or(0)))
+        };
+        names.iter().filter_map(count_of).collect()
+    }
+}
+
+/// Takes the entries of a list, and returns those of its backends in the order of ids.
+fn take_entries(
+    s: &mut State,
+    entries: &EntryChunks,
+    changed: &mut Vec<BackendId>,
+) -> Vec<Backend> {
+    let missing = entries.len().saturating_sub(s.backends.len());
+    s.backends.reserve(missing);
+    let take = |entry: &ListEntry| match entry {
+        ListEntry::Endpoint(endpoint) => Some(s.take_endpoint(endpoint, changed)),
+        ListEntry::Unreadable(name) => s.take_unreadable(name, changed),
+    };
+    last_of_each(entries.iter().filter_map(take).collect())
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/net/host/backends/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -1,14 +1,14 @@
-//! Lines of the list, and reasons for which backends are out.
+//! ParsedEntries of the list, and reasons for which backends are out.
 
 use super::*;
-use crate::net::upstream::{Content, Served};
+use crate::net::upstream::{AttemptResult, ResponseBody, ServedResponse};
 use meadowproxy::{AttemptNumber, Outcome};
 
 fn host() -> Rc<Host> {
     let host = Host::example();
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         &List {
             index: 1,
@@ -19,8 +19,8 @@
     host
 }
 
-fn row(host: &Host) -> RosterRow {
-    let rows = host.roster();
+fn row(host: &Host) -> BackendStatus {
+    let rows = host.backend_statuses();
     assert_eq!(rows.len(), 1, "{rows:?}");
     rows[0].clone()
 }
@@ -28,9 +28,12 @@
 /// Whichever reason ends first, the backend comes back with the last one, cold from then on.
 #[test]
 fn a_backend_is_out_while_either_reason_holds() {
-    for (first, last) in [(Why::Hand, Why::Window), (Why::Window, Why::Hand)] {
+    for (first, last) in [
+        (DisableReason::Operator, DisableReason::MaintenanceWindow),
+        (DisableReason::MaintenanceWindow, DisableReason::Operator),
+    ] {
         let host = host();
-        let warm = RosterRow {
+        let warm = BackendStatus {
             name: "b".into(),
             zone: "east".into(),
             kind: "small".into(),
@@ -43,27 +46,37 @@
         };
         assert_eq!(row(&host), warm);
         assert!(
-            !host.restore("b", first, host.clock.now()),
+            !host.enable_backend("b", first, host.clock.now()),
             "no such reason"
         );
         assert_eq!(row(&host), warm, "a fresh start would be cold");
-        assert!(host.withdraw("b", first) && host.withdraw("b", last) && host.withdraw("b", last));
-        assert!(host.restore("b", first, host.clock.now()));
-        assert!(!host.restore("b", first, host.clock.now()), "it is over");
-        let out = RosterRow {
+        assert!(
+            host.disable_backend("b", first)
+                && host.disable_backend("b", last)
+                && host.disable_backend("b", last)
+        );
+        assert!(host.enable_backend("b", first, host.clock.now()));
+        assert!(
+            !host.enable_backend("b", first, host.clock.now()),
+            "it is over"
+        );
+        let out = BackendStatus {
             ready: 0.0,
-            by_hand: last == Why::Hand,
+            by_hand: last == DisableReason::Operator,
             ..warm.clone()
         };
         assert_eq!(row(&host), out, "{last:?} holds");
         assert_eq!(
-            host.learned_state().withdrawn,
+            host.learned_state().disabled,
             if out.by_hand { vec!["b"] } else { vec![] }
         );
-        assert!(host.restore("b", last, host.clock.now()));
+        assert!(host.enable_backend("b", last, host.clock.now()));
         let back = row(&host);
         assert!(back.ready > 0.0 && back.ready < 1.0, "{back:?}");
-        assert!(!host.withdraw("never", first) && !host.restore("never", first, host.clock.now()));
+        assert!(
+            !host.disable_backend("never", first)
+                && !host.enable_backend("never", first, host.clock.now())
+        );
     }
 }
 
@@ -99,14 +112,14 @@
             endpoints,
         };
         let other = line(serde_json::json!({"name": "never", "status": "LAME"}));
-        host.members(update, &list(vec![line(bad.clone()), other]));
+        host.update_endpoints(update, &list(vec![line(bad.clone()), other]));
         let out = row(&host);
         assert!(
             out.listed && !out.serving && out.ready == 0.0,
             "{bad} {update:?}: {out:?}"
         );
         assert!(!host.knows("never"));
-        host.members(update, &list(vec![line(serde_json::json!({}))]));
+        host.update_endpoints(update, &list(vec![line(serde_json::json!({}))]));
         let back = row(&host);
         assert!(
             back.serving && back.ready == 1.0,
@@ -130,21 +143,22 @@
         }
     };
     let host = host();
-    host.members(EndpointUpdate::Full, &lines(["SERVING", "DRAINING"]));
+    host.update_endpoints(EndpointUpdate::Full, &lines(["SERVING", "DRAINING"]));
     assert!(
         !row(&host).serving && row(&host).ready == 0.0,
         "{:?}",
         row(&host)
     );
-    host.members(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
+    host.update_endpoints(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
     assert!(
         row(&host).serving && row(&host).ready > 0.0,
         "{:?}",
         row(&host)
     );
-    let withdrawn = host.withdraw("b", Why::Hand) && host.restore("b", Why::Hand, host.clock.now());
+    let withdrawn = host.disable_backend("b", DisableReason::Operator)
+        && host.enable_backend("b", DisableReason::Operator, host.clock.now());
     let cold = row(&host).ready;
-    host.members(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
+    host.update_endpoints(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
     assert!(
         withdrawn && cold < 1.0 && row(&host).ready < 1.0,
         "the slow start goes on: {:?}",
@@ -163,7 +177,7 @@
             snapshot: true,
             endpoints: vec![line(serde_json::json!({"since_ms": at}))],
         };
-        host.members(EndpointUpdate::Full, &list);
+        host.update_endpoints(EndpointUpdate::Full, &list);
         row(&host).ready
     };
     assert_eq!(started(0.0), 1.0);
@@ -185,7 +199,7 @@
 
 fn kept(host: &Host) -> Vec<String> {
     let s = host.state.borrow();
-    assert_eq!(s.numbers.len(), s.backends.len());
+    assert_eq!(s.ids_by_name.len(), s.backends.len());
     assert!(s.unlisted.iter().all(|id| s.backends.contains_key(id)));
     s.backends.values().map(|b| b.name.to_string()).collect()
 }
@@ -197,17 +211,17 @@
     let mut numbers = BTreeSet::new();
     for n in 0..500 {
         let (old, new) = (format!("r{n}"), format!("r{}", n + 1));
-        host.members(
+        host.update_endpoints(
             EndpointUpdate::Incremental,
             &lines([named(&old, "SERVING")], false),
         );
-        assert!(numbers.insert(host.state.borrow().numbers[old.as_str()]) || n > 0);
+        assert!(numbers.insert(host.state.borrow().ids_by_name[old.as_str()]) || n > 0);
         match n % 2 {
-            0 => host.members(
+            0 => host.update_endpoints(
                 EndpointUpdate::Incremental,
                 &lines([named(&old, "DELETED"), named(&new, "SERVING")], false),
             ),
-            _ => host.members(
+            _ => host.update_endpoints(
                 EndpointUpdate::Full,
                 &lines([named("b", "SERVING"), named(&new, "SERVING")], true),
             ),
@@ -216,7 +230,7 @@
         assert!(!host.knows(&old));
     }
     assert_eq!(
-        host.state.borrow().next,
+        host.state.borrow().next_backend_id,
         502,
         "each name had a number of its own"
     );
@@ -225,22 +239,22 @@
 /// One that left stays known while a reason keeps it out: it is out if it comes back.
 #[test]
 fn a_reason_outlives_the_list() {
-    for why in [Why::Hand, Why::Window] {
+    for why in [DisableReason::Operator, DisableReason::MaintenanceWindow] {
         let host = host();
-        assert!(host.withdraw("b", why));
-        host.members(EndpointUpdate::Full, &lines([], true));
+        assert!(host.disable_backend("b", why));
+        host.update_endpoints(EndpointUpdate::Full, &lines([], true));
         assert_eq!(kept(&host), vec!["b"]);
-        host.members(
+        host.update_endpoints(
             EndpointUpdate::Incremental,
             &lines([named("b", "SERVING")], false),
         );
         assert_eq!(row(&host).ready, 0.0);
-        host.members(
+        host.update_endpoints(
             EndpointUpdate::Incremental,
             &lines([named("b", "DELETED")], false),
         );
-        assert!(host.restore("b", why, host.clock.now()));
-        host.members(EndpointUpdate::Incremental, &lines([], false));
+        assert!(host.enable_backend("b", why, host.clock.now()));
+        host.update_endpoints(EndpointUpdate::Incremental, &lines([], false));
         assert!(kept(&host).is_empty());
     }
 }
@@ -260,25 +274,25 @@
                     0.0
                 };
                 let serving = line(serde_json::json!({"since_ms": started}));
-                host.members(
+                host.update_endpoints(
                     EndpointUpdate::Incremental,
                     &lines([serving.clone()], false),
                 );
-                let number = host.state.borrow().numbers["b"];
+                let number = host.state.borrow().ids_by_name["b"];
                 let (id, _wait) = host.example_request();
                 assert_eq!(host.state.borrow().attempts.len(), 1);
-                host.members(EndpointUpdate::Full, &lines([], true));
+                host.update_endpoints(EndpointUpdate::Full, &lines([], true));
                 assert_eq!(kept(&host), vec!["b"], "its attempt is open");
                 host.client_gone(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
-                host.members(EndpointUpdate::Incremental, &lines([], false));
+                host.update_endpoints(EndpointUpdate::Incremental, &lines([], false));
                 assert_eq!(
                     kept(&host).len(),
                     usize::from(cold),
                     "what it was sent cold weighs still"
                 );
-                host.members(EndpointUpdate::Incremental, &lines([serving], false));
-                let after = host.state.borrow().numbers["b"];
+                host.update_endpoints(EndpointUpdate::Incremental, &lines([serving], false));
+                let after = host.state.borrow().ids_by_name["b"];
                 assert_eq!(after == number, cold, "a number is never given again");
             }
         })
@@ -297,8 +311,8 @@
     };
     let (whole, changes) = (host(), host());
     let mut list: BTreeMap<u64, serde_json::Value> = BTreeMap::new();
-    whole.members(EndpointUpdate::Full, &lines([], true));
-    changes.members(EndpointUpdate::Full, &lines([], true));
+    whole.update_endpoints(EndpointUpdate::Full, &lines([], true));
+    changes.update_endpoints(EndpointUpdate::Full, &lines([], true));
     for _ in 0..300 {
         let mut changed = Vec::new();
         for _ in 0..=draw(4) {
@@ -314,14 +328,14 @@
             }
             changed.push(new);
         }
-        changes.members(EndpointUpdate::Incremental, &lines(changed, false));
+        changes.update_endpoints(EndpointUpdate::Incremental, &lines(changed, false));
         let mut all: Vec<serde_json::Value> = list.values().cloned().collect();
         if draw(2) == 0 {
             all.reverse();
         }
-        whole.members(EndpointUpdate::Full, &lines(all, true));
+        whole.update_endpoints(EndpointUpdate::Full, &lines(all, true));
         let rows = |host: &Host| {
-            let mut rows = host.roster();
+            let mut rows = host.backend_statuses();
             rows.retain(|r| r.listed); // what is gone had no line of its own in a whole list
             rows.sort_by(|a, b| a.name.cmp(&b.name));
             rows
@@ -340,23 +354,27 @@
         .run_until(async {
             let host = host();
             let (id, _wait) = host.example_request();
-            let body = Content::Whole(bytes::Bytes::new());
-            host.streams(
+            let body = ResponseBody::Buffered(bytes::Bytes::new());
+            host.response_started(
                 id,
                 AttemptNumber(0),
-                Served {
+                ServedResponse {
                     headers: hyper::HeaderMap::new(),
                     body,
                 },
             );
-            host.members(EndpointUpdate::Full, &lines([], true));
+            host.update_endpoints(EndpointUpdate::Full, &lines([], true));
             assert!(
                 !host.state.borrow().balancer.knows(BackendId(0)),
                 "its work is done"
             );
             assert_eq!(kept(&host), vec!["b"]);
-            host.attempt_ended(id, AttemptNumber(0), (Outcome::Ok, None));
-            host.members(EndpointUpdate::Full, &lines([], true));
+            host.attempt_ended(
+                id,
+                AttemptNumber(0),
+                AttemptResult::without_response(Outcome::Ok),
+            );
+            host.update_endpoints(EndpointUpdate::Full, &lines([], true));
             assert!(kept(&host).is_empty());
         })
         .await;
--- /dev/null
+++ b/src/net/host/example.rs
@@ -0,0 +1,54 @@
+//! A host with the example's configuration, for tests.
+
+use super::{Answer, Host};
+use crate::net::observed_stream::Peer;
+use crate::net::upstream::{ConnectionPool, ForwardedRequest, RequestBody};
+use crate::net::Clock;
+use meadowproxy::settings::{Names, Network};
+use meadowproxy::{Balancer, ClassId, Config, Idempotency, Micros, RequestArrival, RequestId};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+impl Host {
+    /// With the example's configuration and no backends.
+    pub fn example() -> Rc<Host> {
+        let second = Micros(1_000_000);
+        let network = Network {
+            connect_timeout: second,
+            conn_idle: second,
+            max_retry_after: second,
+            deadlines: vec![second].into(),
+        };
+        let balancer = Balancer::new(Config::example(), 1).unwrap();
+        let pool = Rc::new(ConnectionPool::new(&network, 4));
+        Host::new(balancer, Names::default(), Clock::new(), pool)
+    }
+
+    /// A request of the example's first class with a minute left, as a client's `GET`.
+    pub fn example_request(self: &Rc<Self>) -> (RequestId, oneshot::Receiver<Answer>) {
+        self.example_request_of(None)
+    }
+
+    /// The same from a client that may leave.
+    pub fn example_request_of(
+        self: &Rc<Self>,
+        client: Option<Peer>,
+    ) -> (RequestId, oneshot::Receiver<Answer>) {
+        let forwarded = ForwardedRequest {
+            method: hyper::Method::GET,
+            uri: hyper::Uri::from_static("/read/k"),
+            headers: hyper::HeaderMap::new(),
+            body: RequestBody::Buffered(bytes::Bytes::new()),
+            client,
+        };
+        let arrival = RequestArrival {
+            request: RequestId(0),
+            class: ClassId(0),
+            tenant: None,
+            time_left: Micros(60_000_000),
+            work_hint: None,
+            client_retry: false,
+        };
+        self.request(arrival, &Rc::new(forwarded), Idempotency::Idempotent)
+    }
+}
