--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -1,210 +1,126 @@
-//! The decision module's host and sole owner: events go in, actions are carried out.
+//! The host of the decisions: sole owner of the [`Balancer`]. Events go in, and the actions that it decides on are carried
+//! out.
+//!
+//! - [`requests`](self): requests from their arrival to their final answer.
+//! - `attempts`: attempts at backends, from their dispatch to their end.
+//! - `endpoints`: updates of the endpoint list; `backend_directory` holds what is known of each backend.
+//! - `disabled`: backends that operators or maintenance windows keep out of use.
+//! - `learned_state`: what survives a restart.
+//! - `timers`: the balancer's timers.
+//! - `report`: log lines and metrics.
 
 mod attempts;
-mod backends;
+mod backend_directory;
+mod disabled;
 #[cfg(test)]
-mod gone_tests;
-mod known;
+mod disconnect_tests;
+mod endpoints;
+#[cfg(test)]
+mod example;
+mod learned_state;
 mod report;
+mod requests;
 mod state;
+mod timers;
 
-pub use backends::RosterRow;
-pub use known::Why;
-#[cfg(test)]
-use meadowproxy::Config;
+pub use backend_directory::DisableReason;
+pub use endpoints::BackendStatus;
 pub use state::Answer;
 
-use crate::net::upstream::{Call, Payload, Pool};
+use crate::net::upstream::ConnectionPool;
 use crate::net::Clock;
 use meadowproxy::settings::{Change, Names};
 use meadowproxy::{
-    Action, AttemptEnd, Balancer, ClassId, Event, Idempotency, Micros, Outcome, RequestArrival,
+    Action, AttemptEnd, AttemptNumber, Balancer, ClassId, Event, Micros, Outcome, PeerVerdict,
     RequestId, TenantId, Time, Verdict,
 };
-use state::{Live, State, UNKNOWN};
+use state::State;
 use std::cell::{Cell, RefCell};
-use std::cmp::Reverse;
 use std::rc::Rc;
-use tokio::sync::{mpsc, oneshot, watch, Notify};
-use tracing::{info, warn};
+use tokio::sync::{mpsc, watch, Notify};
+use tracing::info;
+
+/// Part of the client's time that is reserved for the response's way back, on top of the lag of timers.
+const BASE_RESPONSE_MARGIN: Micros = Micros(3_000);
+/// Upper bound of that part.
+const MAX_RESPONSE_MARGIN: Micros = Micros(20_000);
 
-/// Kept of the client's time for the answer's way back, on top of how late timers were seen to fire.
-const MARGIN: Micros = Micros(3_000);
-const MOST_MARGIN: Micros = Micros(20_000);
+/// A verdict of this proxy on a backend, for the other proxies of its fleet.
+pub type NamedVerdict = (String, Verdict);
 
+/// Owner of the balancer and of everything that its decisions are about.
 pub struct Host {
     state: RefCell<State>,
     pub clock: Clock,
-    pub pool: Rc<Pool>,
-    sooner: Notify,
-    follow: Notify,
-    /// Discovery has answered.
-    listed: watch::Sender<bool>,
-    /// How late timers fire: the largest of late, fading.
-    lag: Cell<u64>,
-    /// Where the module's verdicts go, while state is shared.
-    tell: RefCell<Option<mpsc::Sender<(String, Verdict)>>>,
+    pub pool: Rc<ConnectionPool>,
+    /// A timer was set that fires before all others.
+    earlier_timer: Notify,
+    /// The balancer wants discovery to be polled.
+    poll_request: Notify,
+    /// Whether discovery has answered.
+    list_received: watch::Sender<bool>,
+    /// How late timers fire: a decaying maximum, in microseconds.
+    timer_lag_us: Cell<u64>,
+    /// Where this proxy's verdicts go, while state is shared.
+    verdict_sender: RefCell<Option<mpsc::Sender<NamedVerdict>>>,
 }
 
 impl Host {
-    pub fn new(balancer: Balancer, names: Names, clock: Clock, pool: Rc<Pool>) -> Rc<Host> {
-        let state = State::new(balancer, names);
-        let (sooner, follow) = (Notify::new(), Notify::new());
-        let listed = watch::channel(false).0;
-        let (lag, tell) = (Cell::new(0), RefCell::new(None));
+    /// A host without backends.
+    pub fn new(
+        balancer: Balancer,
+        names: Names,
+        clock: Clock,
+        pool: Rc<ConnectionPool>,
+    ) -> Rc<Host> {
         Rc::new(Host {
-            state: RefCell::new(state),
+            state: RefCell::new(State::new(balancer, names)),
             clock,
             pool,
-            sooner,
-            follow,
-            listed,
-            lag,
-            tell,
+            earlier_timer: Notify::new(),
+            poll_request: Notify::new(),
+            list_received: watch::channel(false).0,
+            timer_lag_us: Cell::new(0),
+            verdict_sender: RefCell::new(None),
         })
     }
 
-    /// With the example's configuration and no backends.
-    #[cfg(test)]
-    pub fn example() -> Rc<Host> {
-        let second = Micros(1_000_000);
-        let network = meadowproxy::settings::Network {
-            connect_timeout: second,
-            conn_idle: second,
-            max_retry_after: second,
-            deadlines: vec![second].into(),
-        };
-        let balancer = Balancer::new(Config::example(), 1).unwrap();
-        Host::new(
-            balancer,
-            Names::default(),
-            Clock::new(),
-            Rc::new(Pool::new(&network, 4)),
-        )
-    }
-
-    /// A request of the example's first class with a minute left, as a client's `GET`.
-    #[cfg(test)]
-    pub fn example_request(self: &Rc<Self>) -> (RequestId, oneshot::Receiver<Answer>) {
-        self.example_request_of(None)
-    }
-
-    /// The same from a client that may leave.
-    #[cfg(test)]
-    fn example_request_of(
-        self: &Rc<Self>,
-        client: Option<crate::net::observed_stream::Peer>,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
-        let call = Call {
-            method: hyper::Method::GET,
-            uri: hyper::Uri::from_static("/read/k"),
-            headers: hyper::HeaderMap::new(),
-            body: Payload::Whole(bytes::Bytes::new()),
-            client,
-        };
-        let arrival = RequestArrival {
-            request: RequestId(0),
-            class: ClassId(0),
-            tenant: None,
-            time_left: Micros(60_000_000),
-            work_hint: None,
-            client_retry: false,
-        };
-        self.request(arrival, &Rc::new(call), Idempotency::Idempotent)
-    }
-
+    /// The request class of that name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.state.borrow().names.class(name)
     }
 
+    /// The tenant of that name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.state.borrow().names.tenant(name)
     }
 
-    /// What is held back of a client's time.
-    pub fn margin(&self) -> Micros {
-        Micros((MARGIN.0 + self.lag.get()).min(MOST_MARGIN.0))
+    /// The names in force, with all ids given so far: shared, not copied.
+    pub fn names(&self) -> Names {
+        self.state.borrow().names.clone()
     }
 
-    /// Takes a request; `arrival.request` is given here.
-    pub fn request(
-        self: &Rc<Self>,
-        mut arrival: RequestArrival,
-        call: &Rc<Call>,
-        effect: Idempotency,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
-        let (answer, wait) = oneshot::channel();
-        let id = {
-            let mut s = self.state.borrow_mut();
-            s.last += 1;
-            let id = RequestId(s.last);
-            let deadline = match call.body {
-                Payload::Whole(_) => self.clock.now() + arrival.time_left,
-                Payload::Coming(_) => UNKNOWN, // until its last byte
-            };
-            let (call, class) = (call.clone(), arrival.class);
-            let live = Live {
-                call,
-                class,
-                effect,
-                ran: None,
-                answer,
-                deadline,
-                attempts: 0,
-            };
-            s.requests.insert(id, live);
-            s.counts.requests += 1;
-            id
-        };
-        arrival.request = id;
-        self.tell(Event::RequestArrived(arrival));
-        (id, wait)
+    /// Part of a client's time that is reserved for the response's way back.
+    pub fn response_margin(&self) -> Micros {
+        let margin_us = BASE_RESPONSE_MARGIN.0 + self.timer_lag_us.get();
+        Micros(margin_us.min(MAX_RESPONSE_MARGIN.0))
     }
 
-    /// The client left before its answer.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
-        {
-            let mut s = self.state.borrow_mut();
-            if s.requests.remove(&id).is_none() {
-                return;
-            }
-            s.counts.gone += 1;
-        }
-        self.tell(Event::ClientDisconnected { request: id });
-        self.drop_attempts(id);
+    /// Sends this proxy's verdicts there from now on, under the backends' names.
+    pub fn publish_verdicts_to(&self, sender: mpsc::Sender<NamedVerdict>) {
+        *self.verdict_sender.borrow_mut() = Some(sender);
     }
 
-    /// The request's time is up. Attempts that are out have timed out, on which the module gives its final
-    /// answer; should it stay silent, the request still gets one.
-    pub fn deadline(self: &Rc<Self>, id: RequestId) {
-        for no in self.attempts_of(id) {
-            self.attempt_ended(id, no, (Outcome::TimedOut, None));
-        }
-        let live = self.state.borrow_mut().requests.remove(&id);
-        if let Some(live) = live {
-            warn!(
-                "no decision on request {} by its deadline, {} attempts",
-                id.0, live.attempts
-            );
-            self.state.borrow_mut().counts.timed_out += 1;
-            let _ = live.answer.send(Answer::TimedOut);
-            self.tell(Event::ClientDisconnected { request: id });
-            self.drop_attempts(id);
+    /// Takes another proxy's verdict; one on a backend that no endpoint list named here is ignored.
+    pub fn receive_verdict(self: &Rc<Self>, name: &str, verdict: PeerVerdict) {
+        let backend = self.state.borrow().ids_by_name.get(name).copied();
+        if let Some(backend) = backend {
+            self.handle_event(Event::VerdictReceived(PeerVerdict { backend, ..verdict }));
         }
     }
 
-    /// From now on the module's verdicts go there, under the backends' names.
-    pub fn share(&self, tell: mpsc::Sender<(String, Verdict)>) {
-        *self.tell.borrow_mut() = Some(tell);
-    }
-
-    /// The names in force, with all numbers given so far: shared, not copied.
-    pub fn names(&self) -> Names {
-        self.state.borrow().names.clone()
-    }
-
-    /// Takes settings that were read against `names`, which the lists may have added to since.
-    pub fn retune(self: &Rc<Self>, change: Change) {
+    /// Puts settings in force that were read against [`Host::names`], which endpoint lists may have added to since.
+    pub fn apply_settings(self: &Rc<Self>, change: Change) {
         let Change {
             to,
             retired,
@@ -215,9 +131,10 @@
         let config = to.config;
         {
             let mut s = self.state.borrow_mut();
-            (s.names, s.classes) = (to.names, config.classes.clone());
+            s.names = to.names;
+            s.classes = config.classes.clone();
         }
-        self.tell(Event::ConfigChanged {
+        self.handle_event(Event::ConfigChanged {
             config: Box::new(config),
             retired,
             reinstated,
@@ -226,17 +143,17 @@
     }
 
     /// So many processes are this proxy now.
-    pub fn beside(self: &Rc<Self>, processes: u32) {
-        self.tell(Event::ProcessCountChanged { processes });
+    pub fn set_process_count(self: &Rc<Self>, processes: u32) {
+        self.handle_event(Event::ProcessCountChanged { processes });
     }
 
-    /// Until the module asks discovery for changes.
-    pub async fn followed(&self) {
-        self.follow.notified().await;
+    /// Waits until the balancer wants discovery to be polled.
+    pub async fn poll_requested(&self) {
+        self.poll_request.notified().await;
     }
 
-    /// Passes an event on, and all that follows from it.
-    fn tell(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the balancer and carries out its actions, and those of all events that follow from them.
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         s.events.push_back(event);
@@ -244,10 +161,10 @@
             let now = self.clock.now();
             s.balancer.handle(now, event, &mut s.actions);
             let mut actions = std::mem::take(&mut s.actions);
-            actions
-                .drain(..)
-                .for_each(|action| self.carry_out(s, now, action));
-            s.actions = actions;
+            for action in actions.drain(..) {
+                self.carry_out(s, now, action);
+            }
+            s.actions = actions; // its allocation is used again
         }
     }
 
@@ -258,84 +175,49 @@
                 request,
                 retry_after,
             } => {
-                s.counts.refused += 1;
-                finish(s, request, Answer::Refused(retry_after));
+                s.counters.rejected += 1;
+                s.answer(request, Answer::Rejected { retry_after });
             }
             Action::Fail { request } => {
-                s.counts.failed += 1;
-                finish(s, request, Answer::Failed);
-            }
-            Action::Cancel { request, attempt } => {
-                let Some(flight) = s.attempts.remove(&(request, attempt)) else {
-                    return;
-                };
-                flight.task.abort();
-                self.pool
-                    .unanswered(flight.backend, self.clock.instant(flight.sent));
-                s.events.push_back(Event::AttemptEnded(AttemptEnd {
-                    request,
-                    attempt,
-                    outcome: Outcome::Cancelled,
-                    latency: now - flight.sent,
-                    answered: !s.requests.contains_key(&request),
-                }));
+                s.counters.failed += 1;
+                s.answer(request, Answer::Failed);
             }
+            Action::Cancel { request, attempt } => self.cancel(s, now, request, attempt),
             Action::SetTimer { token, after } => {
-                let at = now + after;
-                if s.timers.peek().is_none_or(|first| at < first.0 .0) {
-                    self.sooner.notify_one();
+                if s.timers.set(now + after, token) {
+                    self.earlier_timer.notify_one();
                 }
-                s.timers.push(Reverse((at, token)));
             }
-            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PollDiscovery => self.poll_request.notify_one(),
             Action::PublishVerdict { backend, verdict } => {
-                let known = s.backends.get(&backend);
-                if let Some((tell, b)) = self.tell.borrow().as_ref().zip(known) {
-                    // A full queue drops the newest: a verdict late by so many is of no use.
-                    let _ = tell.try_send((b.name.to_string(), verdict));
+                if let Some(record) = s.backends.get(&backend) {
+                    self.publish_verdict(record.name.to_string(), verdict);
                 }
             }
             Action::Log(text) => info!("{text}"),
         }
     }
 
-    /// Fires the module's timers for as long as the program runs.
-    pub async fn timers(self: Rc<Self>) {
-        loop {
-            let first = self.state.borrow().timers.peek().map(|t| t.0 .0);
-            match first {
-                None => self.sooner.notified().await,
-                Some(at) => {
-                    let due = tokio::time::sleep_until(self.clock.instant(at));
-                    tokio::select! {
-                        _ = due => self.fire(),
-                        _ = self.sooner.notified() => {}
-                    }
-                }
-            }
-        }
-    }
-
-    fn fire(self: &Rc<Self>) {
-        loop {
-            let now = self.clock.now();
-            let due = {
-                let mut s = self.state.borrow_mut();
-                match s.timers.peek() {
-                    Some(Reverse((at, _))) if *at <= now => s.timers.pop(),
-                    _ => return,
-                }
-            };
-            if let Some(Reverse((at, token))) = due {
-                self.lag.set((now - at).0.max(self.lag.get() * 15 / 16));
-                self.tell(Event::TimerFired { token });
-            }
+    fn cancel(&self, s: &mut State, now: Time, request: RequestId, attempt: AttemptNumber) {
+        let Some(in_flight) = s.attempts.remove(&(request, attempt)) else {
+            return;
+        };
+        in_flight.task.abort();
+        let sent_at = self.clock.instant(in_flight.sent_at);
+        self.pool.attempt_unanswered(in_flight.backend, sent_at);
+        s.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome: Outcome::Cancelled,
+            latency: now - in_flight.sent_at,
+            answered: !s.requests.contains_key(&request),
+        }));
+    }
+
+    fn publish_verdict(&self, name: String, verdict: Verdict) {
+        if let Some(sender) = self.verdict_sender.borrow().as_ref() {
+            // A full queue drops the newest: a verdict that is late by so many is of no use.
+            let _ = sender.try_send((name, verdict));
         }
     }
 }
-
-fn finish(s: &mut State, request: RequestId, answer: Answer) {
-    if let Some(live) = s.requests.remove(&request) {
-        let _ = live.answer.send(answer);
-    }
-}
--- /dev/null
+++ b/src/net/host/requests.rs
@@ -0,0 +1,86 @@
+//! Requests, from their arrival to their final answer.
+
+use super::state::{Answer, OpenRequest, DEADLINE_UNKNOWN};
+use super::Host;
+use crate::net::upstream::{AttemptResult, ForwardedRequest, RequestBody};
+use meadowproxy::{Event, Idempotency, Outcome, RequestArrival, RequestId, Time};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use tracing::warn;
+
+impl Host {
+    /// Takes a request, and gives it the id that stands in place of `arrival.request`. The answer comes through the
+    /// receiver.
+    pub fn request(
+        self: &Rc<Self>,
+        mut arrival: RequestArrival,
+        forwarded: &Rc<ForwardedRequest>,
+        idempotency: Idempotency,
+    ) -> (RequestId, oneshot::Receiver<Answer>) {
+        let (answer, receiver) = oneshot::channel();
+        let deadline = match forwarded.body {
+            RequestBody::Buffered(_) => self.clock.now() + arrival.time_left,
+            RequestBody::Streaming(_) => DEADLINE_UNKNOWN,
+        };
+        let request = OpenRequest {
+            forwarded: forwarded.clone(),
+            class: arrival.class,
+            idempotency,
+            first_possible_run: None,
+            answer,
+            deadline,
+            attempts: 0,
+        };
+        let id = self.state.borrow_mut().add_request(request);
+        arrival.request = id;
+        self.handle_event(Event::RequestArrived(arrival));
+        (id, receiver)
+    }
+
+    /// When the request's time is up.
+    pub fn deadline_of(&self, id: RequestId) -> Time {
+        self.state
+            .borrow()
+            .requests
+            .get(&id)
+            .map_or(DEADLINE_UNKNOWN, |request| request.deadline)
+    }
+
+    /// The client left before its answer.
+    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+        {
+            let mut s = self.state.borrow_mut();
+            if s.requests.remove(&id).is_none() {
+                return;
+            }
+            s.counters.client_disconnected += 1;
+        }
+        self.handle_event(Event::ClientDisconnected { request: id });
+        self.drop_attempts(id);
+    }
+
+    /// The request's time is up. Its attempts have timed out, on which the balancer gives its final answer; should it
+    /// give none, the request is answered all the same.
+    pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
+        for attempt in self.attempts_of(id) {
+            self.attempt_ended(
+                id,
+                attempt,
+                AttemptResult::without_response(Outcome::TimedOut),
+            );
+        }
+        let request = self.state.borrow_mut().requests.remove(&id);
+        if let Some(request) = request {
+            warn!(
+                request = id.0,
+                attempts = request.attempts,
+                "no decision on request {} by its deadline",
+                id.0
+            );
+            self.state.borrow_mut().counters.timed_out += 1;
+            let _ = request.answer.send(Answer::TimedOut);
+            self.handle_event(Event::ClientDisconnected { request: id });
+            self.drop_attempts(id);
+        }
+    }
+}
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -1,167 +1,206 @@
-//! What the host keeps between events: requests, attempts, backends, timers and counts.
+//! What the host holds between events: requests, attempts, backends, timers and counters.
 
-use super::known::Directory;
-use crate::net::upstream::{Call, Served};
+use super::backend_directory::BackendDirectory;
+use super::timers::TimerQueue;
+use crate::net::upstream::{ForwardedRequest, ServedResponse};
 use imbl::Vector;
 use meadowproxy::settings::Names;
 use meadowproxy::{
     Action, AttemptNumber, BackendId, Balancer, ClassId, Event, Idempotency, Micros, RequestClass,
-    RequestId, Time, TimerToken,
+    RequestId, Time,
 };
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// The deadline of a request whose body still comes.
-pub const UNKNOWN: Time = Time(u64::MAX / 4);
+/// The deadline of a request whose body is still arriving.
+pub const DEADLINE_UNKNOWN: Time = Time(u64::MAX / 4);
 
 /// The final answer to a request.
 pub enum Answer {
-    Served(Served),
-    /// With the time after which the client had better come again.
-    Refused(Micros),
+    /// A backend's response.
+    Served(ServedResponse),
+    /// Load was shed.
+    Rejected {
+        /// After this time the client should retry.
+        retry_after: Micros,
+    },
+    /// All attempts failed.
     Failed,
+    /// There was no decision by the deadline.
     TimedOut,
 }
 
-pub struct Live {
-    pub call: Rc<Call>,
+/// A request without its final answer.
+pub struct OpenRequest {
+    pub forwarded: Rc<ForwardedRequest>,
     pub class: ClassId,
-    /// What a second run would do, by the settings that it came under.
-    pub effect: Idempotency,
-    /// When the first attempt that may have run was sent, of those that have ended.
-    pub ran: Option<Time>,
+    /// By the settings that were in force as the request arrived.
+    pub idempotency: Idempotency,
+    /// When the first attempt was sent that may have run, of those that have ended.
+    pub first_possible_run: Option<Time>,
     pub answer: oneshot::Sender<Answer>,
     pub deadline: Time,
+    /// How many there have been so far.
     pub attempts: u32,
 }
 
-pub struct Flight {
+/// An attempt that has not ended.
+pub struct InFlightAttempt {
     pub backend: BackendId,
-    /// For a body that goes out as it comes: its last byte.
-    pub sent: Time,
+    /// When it was dispatched; for a streamed body, when its last byte was sent.
+    pub sent_at: Time,
     pub task: AbortHandle,
 }
 
-/// What happened since the last line about it.
+/// What happened since the last log line on traffic.
 #[derive(Default)]
-pub struct Counts {
+pub struct RequestCounters {
     pub requests: u64,
     pub served: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub timed_out: u64,
-    pub gone: u64,
+    pub client_disconnected: u64,
     pub attempts: u64,
-    pub full: u64,
+    pub overloaded: u64,
     pub errors: u64,
     pub resets: u64,
-    pub unconnected: u64,
-    pub unsent: u64,
+    pub connect_failed: u64,
+    pub not_sent: u64,
 }
 
-/// How many things are counted.
-pub const COUNTED: usize = 12;
+/// The number of counters.
+pub const COUNTER_COUNT: usize = 12;
 
-impl Counts {
-    /// Each under its name at the door.
-    pub fn named(&self) -> [(&'static str, u64); COUNTED] {
+impl RequestCounters {
+    /// Each counter with the name of its metric.
+    pub fn named(&self) -> [(&'static str, u64); COUNTER_COUNT] {
         [
             ("meadowproxy_requests_total", self.requests),
             ("meadowproxy_requests_served_total", self.served),
-            ("meadowproxy_requests_refused_total", self.refused),
+            ("meadowproxy_requests_refused_total", self.rejected),
             ("meadowproxy_requests_failed_total", self.failed),
             ("meadowproxy_requests_overdue_total", self.timed_out),
-            ("meadowproxy_requests_gone_total", self.gone),
+            ("meadowproxy_requests_gone_total", self.client_disconnected),
             ("meadowproxy_attempts_total", self.attempts),
-            ("meadowproxy_attempts_full_total", self.full),
+            ("meadowproxy_attempts_full_total", self.overloaded),
             ("meadowproxy_attempts_errors_total", self.errors),
             ("meadowproxy_attempts_reset_total", self.resets),
-            ("meadowproxy_attempts_unconnected_total", self.unconnected),
-            ("meadowproxy_attempts_unsent_total", self.unsent),
+            (
+                "meadowproxy_attempts_unconnected_total",
+                self.connect_failed,
+            ),
+            ("meadowproxy_attempts_unsent_total", self.not_sent),
         ]
     }
 }
 
+/// The host's mutable state.
 pub struct State {
     pub balancer: Balancer,
     pub names: Names,
-    /// The classes as they stand now, once settings have changed.
+    /// The classes in force, once settings have changed.
     pub classes: Vector<RequestClass>,
-    pub numbers: HashMap<Rc<str>, BackendId>,
-    /// By number. No number is ever given again, so that what comes late on one that was forgotten names nothing.
-    pub backends: Directory,
-    /// The next number.
-    pub next: u32,
-    /// Those that the list does not hold.
+    pub ids_by_name: HashMap<Rc<str>, BackendId>,
+    /// By id. No id is ever given again, so that what arrives late for a forgotten backend refers to nothing.
+    pub backends: BackendDirectory,
+    pub next_backend_id: u32,
+    /// Backends that are not in the endpoint list.
     pub unlisted: BTreeSet<BackendId>,
-    pub requests: HashMap<RequestId, Live>,
-    pub attempts: HashMap<(RequestId, AttemptNumber), Flight>,
-    pub timers: BinaryHeap<Reverse<(Time, TimerToken)>>,
+    pub requests: HashMap<RequestId, OpenRequest>,
+    pub attempts: HashMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    pub timers: TimerQueue,
+    /// Events that are still to be handled, in order.
     pub events: VecDeque<Event>,
     pub actions: Vec<Action>,
-    pub last: u64,
-    pub counts: Counts,
-    /// What lines were written about already, under the names of [`Counts::named`].
-    pub told: [u64; COUNTED],
+    pub last_request_id: u64,
+    pub counters: RequestCounters,
+    /// Sums of the counters up to the last log line, in the order of [`RequestCounters::named`].
+    pub reported: [u64; COUNTER_COUNT],
 }
 
 impl State {
-    /// How long after the first send that may have run a copy may be sent: for ever, as long as a keyed one is
-    /// dropped, or not at all. Settings that changed meanwhile can only take from that.
-    pub fn window(&self, live: &Live) -> Option<Micros> {
-        let window = |effect: &Idempotency| match effect {
-            Idempotency::Idempotent => None,
-            Idempotency::Keyed { window, .. } => Some(*window),
-            Idempotency::NonIdempotent => Some(Micros(0)),
-        };
-        let now = self
-            .classes
-            .get(live.class.0)
-            .map(|class| &class.idempotency);
-        [Some(&live.effect), now]
-            .into_iter()
-            .flatten()
-            .filter_map(window)
-            .min()
-    }
-
-    /// Until when a copy of a keyed request is still dropped, where any other copy may have run or may yet. That one
-    /// counts from its dispatch, which is before it can have begun; and a later one counts as well as an earlier, as
-    /// it may have been faster.
-    pub fn repeat_until(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
-        let live = self.requests.get(&request)?;
-        let others = (0..live.attempts)
-            .map(AttemptNumber)
-            .filter(|no| *no != attempt);
-        let sent = others
-            .filter_map(|no| self.attempts.get(&(request, no)))
-            .map(|f| f.sent);
-        sent.chain(live.ran)
-            .min()
-            .zip(self.window(live))
-            .map(|(at, window)| at + window)
-    }
-
+    /// State without backends and requests.
     pub fn new(balancer: Balancer, names: Names) -> State {
         State {
             balancer,
             names,
             classes: Vector::new(),
-            numbers: HashMap::new(),
-            backends: Directory::default(),
-            next: 0,
+            ids_by_name: HashMap::new(),
+            backends: BackendDirectory::default(),
+            next_backend_id: 0,
             unlisted: BTreeSet::new(),
             requests: HashMap::new(),
             attempts: HashMap::new(),
-            timers: BinaryHeap::new(),
+            timers: TimerQueue::default(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            last: 0,
-            counts: Counts::default(),
-            told: [0; COUNTED],
+            last_request_id: 0,
+            counters: RequestCounters::default(),
+            reported: [0; COUNTER_COUNT],
+        }
+    }
+
+    /// Adds a request under the next id.
+    pub fn add_request(&mut self, request: OpenRequest) -> RequestId {
+        self.last_request_id += 1;
+        self.counters.requests += 1;
+        let id = RequestId(self.last_request_id);
+        self.requests.insert(id, request);
+        id
+    }
+
+    /// Gives a request its final answer, unless it has had one. Returns whether this was it.
+    pub fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
+        let Some(request) = self.requests.remove(&request) else {
+            return false;
+        };
+        let _ = request.answer.send(answer); // an error: its client has just left
+        true
+    }
+
+    /// Attempts in flight by backend.
+    pub fn in_flight_by_backend(&self) -> BTreeMap<BackendId, u32> {
+        let mut counts = BTreeMap::new();
+        for attempt in self.attempts.values() {
+            *counts.entry(attempt.backend).or_default() += 1;
         }
+        counts
+    }
+
+    /// How long after the first send that may have run another attempt may be sent: `None` for ever, zero not at all,
+    /// else for as long as backends recognise the idempotency key. Settings that changed meanwhile can only shorten it.
+    pub fn retry_window(&self, request: &OpenRequest) -> Option<Micros> {
+        let at_arrival = retry_window_of(&request.idempotency);
+        let in_force = self
+            .classes
+            .get(request.class.0)
+            .and_then(|class| retry_window_of(&class.idempotency));
+        [at_arrival, in_force].into_iter().flatten().min()
+    }
+
+    /// Until when a backend still drops another attempt at a request with an idempotency key, where any other attempt
+    /// may have run or may yet. That one counts from its dispatch, before which it cannot have begun; a later attempt
+    /// counts like an earlier one, as it may have been faster.
+    pub fn duplicate_deadline(&self, id: RequestId, attempt: AttemptNumber) -> Option<Time> {
+        let request = self.requests.get(&id)?;
+        let in_flight_sends = (0..request.attempts)
+            .map(AttemptNumber)
+            .filter(|other| *other != attempt)
+            .filter_map(|other| self.attempts.get(&(id, other)))
+            .map(|other| other.sent_at);
+        let first_send = in_flight_sends.chain(request.first_possible_run).min()?;
+        let window = self.retry_window(request)?;
+        Some(first_send + window)
+    }
+}
+
+fn retry_window_of(idempotency: &Idempotency) -> Option<Micros> {
+    match idempotency {
+        Idempotency::Idempotent => None,
+        Idempotency::Keyed { window, .. } => Some(*window),
+        Idempotency::NonIdempotent => Some(Micros(0)),
     }
 }
--- /dev/null
+++ b/src/net/host/timers.rs
@@ -0,0 +1,76 @@
+//! The balancer's timers.
+
+use super::Host;
+use meadowproxy::{Event, Time, TimerToken};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::rc::Rc;
+
+/// Part of the largest lag that is kept at each timer that fires less late: 15/16.
+const LAG_DECAY_NUMERATOR: u64 = 15;
+const LAG_DECAY_DENOMINATOR: u64 = 16;
+
+/// A timer that was set. Ordered by time, and by token among equal times.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Timer {
+    pub due_at: Time,
+    pub token: TimerToken,
+}
+
+/// Timers that have not fired yet, the earliest first.
+#[derive(Default)]
+pub struct TimerQueue(BinaryHeap<Reverse<Timer>>);
+
+impl TimerQueue {
+    /// Adds a timer; true if it is due before all others.
+    pub fn set(&mut self, due_at: Time, token: TimerToken) -> bool {
+        let is_earliest = self.next_due_at().is_none_or(|next| due_at < next);
+        self.0.push(Reverse(Timer { due_at, token }));
+        is_earliest
+    }
+
+    /// When the earliest timer is due.
+    pub fn next_due_at(&self) -> Option<Time> {
+        self.0.peek().map(|Reverse(timer)| timer.due_at)
+    }
+
+    /// Removes the earliest timer if it is due by then.
+    pub fn pop_due(&mut self, now: Time) -> Option<Timer> {
+        if self.next_due_at()? > now {
+            return None;
+        }
+        self.0.pop().map(|Reverse(timer)| timer)
+    }
+}
+
+impl Host {
+    /// Fires the balancer's timers for as long as the program runs.
+    pub async fn run_timers(self: Rc<Self>) {
+        loop {
+            let next = self.state.borrow().timers.next_due_at();
+            let Some(due_at) = next else {
+                self.earlier_timer.notified().await;
+                continue;
+            };
+            let sleep = tokio::time::sleep_until(self.clock.instant(due_at));
+            tokio::select! {
+                () = sleep => self.fire_due_timers(),
+                () = self.earlier_timer.notified() => {}
+            }
+        }
+    }
+
+    fn fire_due_timers(self: &Rc<Self>) {
+        loop {
+            let now = self.clock.now();
+            let due = self.state.borrow_mut().timers.pop_due(now);
+            let Some(timer) = due else {
+                return;
+            };
+            let lag_us = (now - timer.due_at).0;
+            let decayed_us = self.timer_lag_us.get() * LAG_DECAY_NUMERATOR / LAG_DECAY_DENOMINATOR;
+            self.timer_lag_us.set(lag_us.max(decayed_us));
+            self.handle_event(Event::TimerFired { token: timer.token });
+        }
+    }
+}
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -1,5 +1,7 @@
-//! A TCP stream under hyper that can also be looked at from outside: how much of a request was written,
-//! and whether the other side has closed or sent anything.
+//! A TCP stream under hyper that can also be observed from outside.
+//!
+//! [`ObservedStream`] tells how much of a request was written, and whether the other side has closed or sent anything, as
+//! the kernel knows it at this moment. [`Peer`] observes the other side without keeping the stream open.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -13,13 +15,17 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// So long, and for so many bytes, an end waits for the other side's.
-const LINGER: Duration = Duration::from_millis(400);
-const LINGER_BYTES: usize = 1 << 20;
+/// How long, and for how many bytes, a lingering close waits for the other side's end.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Most bytes of one read.
+const READ_CHUNK_BYTES: usize = 8192;
+/// Length of the end of a request's head: CR LF CR LF.
+const HEAD_END_BYTES: u8 = 4;
 
-/// Shared by hyper's side of the stream and the proxy's.
+/// A TCP stream; clones share it, one for hyper and others for the proxy.
 #[derive(Clone)]
-pub struct Stream(Rc<Inner>);
+pub struct ObservedStream(Rc<Inner>);
 
 /// The other side of a stream, seen by whoever must not keep that stream open.
 pub struct Peer(Weak<Inner>);
@@ -33,16 +39,15 @@
 
 struct Inner {
     tcp: TcpStream,
-    /// Bytes of the head's end (CRLF CRLF) matched so far in what was written; 4: the head is out.
-    matched: Cell<u8>,
+    /// Bytes of the head's end matched so far in what was written; all of them once the head was written.
+    head_end_matched: Cell<u8>,
     /// Bytes of the body still to be written after the head.
-    body_left: Cell<usize>,
+    body_bytes_left: Cell<usize>,
     /// Something was read since the last `mark_idle`.
-    heard: Cell<bool>,
-    /// When something was last read.
-    at: Cell<Instant>,
-    /// It is to end with a reset.
-    cut: Cell<bool>,
+    has_received: Cell<bool>,
+    last_received_at: Cell<Instant>,
+    /// It is closed with a reset.
+    resets_on_close: Cell<bool>,
 }
 
 impl Inner {
@@ -54,18 +59,16 @@
     }
 }
 
-impl Stream {
-    pub fn new(tcp: TcpStream) -> Stream {
+impl ObservedStream {
+    pub fn new(tcp: TcpStream) -> ObservedStream {
         let _ = tcp.set_nodelay(true); // small writes are whole messages here
-        let (matched, body_left, heard) = (Cell::new(4), Cell::new(0), Cell::new(false));
-        let (at, cut) = (Cell::new(Instant::now()), Cell::new(false));
-        Stream(Rc::new(Inner {
+        ObservedStream(Rc::new(Inner {
             tcp,
-            matched,
-            body_left,
-            heard,
-            at,
-            cut,
+            head_end_matched: Cell::new(HEAD_END_BYTES),
+            body_bytes_left: Cell::new(0),
+            has_received: Cell::new(false),
+            last_received_at: Cell::new(Instant::now()),
+            resets_on_close: Cell::new(false),
         }))
     }
 
@@ -73,60 +76,62 @@
         Peer(Rc::downgrade(&self.0))
     }
 
-    /// Until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent data
+    /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent data
     /// is not asked for: of what this waits for only the end of the reading side ever comes.
-    pub async fn left(&self) {
+    pub async fn closed_by_peer(&self) {
         let _ = self.0.tcp.ready(Interest::PRIORITY).await;
     }
 
     /// From now on counts the bytes of a new request with a body of that size.
-    pub fn begin_request(&self, body: usize) {
-        self.0.matched.set(0);
-        self.0.body_left.set(body);
+    pub fn begin_request(&self, body_bytes: usize) {
+        self.0.head_end_matched.set(0);
+        self.0.body_bytes_left.set(body_bytes);
     }
 
     /// The last byte of the request was written: from then on the backend may run it.
     pub fn request_written(&self) -> bool {
-        self.0.matched.get() == 4 && self.0.body_left.get() == 0
+        self.0.head_end_matched.get() == HEAD_END_BYTES && self.0.body_bytes_left.get() == 0
     }
 
     fn wrote(&self, bytes: &[u8]) {
         let s = &self.0;
         for (at, byte) in bytes.iter().enumerate() {
-            if s.matched.get() == 4 {
-                s.body_left
-                    .set(s.body_left.get().saturating_sub(bytes.len() - at));
+            if s.head_end_matched.get() == HEAD_END_BYTES {
+                let body_bytes = bytes.len() - at;
+                let left = s.body_bytes_left.get().saturating_sub(body_bytes);
+                s.body_bytes_left.set(left);
                 return;
             }
-            s.matched.set(match (s.matched.get(), byte) {
-                (n @ (0 | 2), b'\r') | (n @ (1 | 3), b'\n') => n + 1,
-                (_, b'\r') => 1,
-                _ => 0,
-            });
+            s.head_end_matched
+                .set(match (s.head_end_matched.get(), byte) {
+                    (n @ (0 | 2), b'\r') | (n @ (1 | 3), b'\n') => n + 1,
+                    (_, b'\r') => 1,
+                    _ => 0,
+                });
         }
     }
 
-    /// Ends the connection with a reset: the other side can tell that it was not served whole even where only
+    /// Ends the connection with a reset: the other side can tell that the response is truncated even where only
     /// the end of the connection ends the answer.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.0.tcp).set_linger(Some(Duration::ZERO));
-        self.0.cut.set(true);
+        self.0.resets_on_close.set(true);
     }
 
-    /// Lingering close: a close over unread bytes is a reset, which takes away what the other side has not read
+    /// Closes it: a close over unread bytes is a reset, which takes away what the other side has not read
     /// yet. So this side ends its sending only, and reads and drops what still comes until the other has ended too.
-    pub async fn end(&self) {
-        if self.0.cut.get() {
+    pub async fn close_lingering(&self) {
+        if self.0.resets_on_close.get() {
             return;
         }
         let _ = socket2::SockRef::from(&self.0.tcp).shutdown(std::net::Shutdown::Write);
-        let _ = tokio::time::timeout(LINGER, self.drain()).await;
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, self.drain()).await;
     }
 
     async fn drain(&self) {
-        let mut left = LINGER_BYTES;
+        let mut left = MAX_LINGER_BYTES;
         while left > 0 && self.0.tcp.readable().await.is_ok() {
-            match self.0.tcp.try_read(&mut [0; 8192]) {
+            match self.0.tcp.try_read(&mut [0; READ_CHUNK_BYTES]) {
                 Ok(0) => return,
                 Ok(n) => left = left.saturating_sub(n),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -136,27 +141,28 @@
     }
 
     pub fn mark_idle(&self) {
-        self.0.heard.set(false);
+        self.0.has_received.set(false);
     }
 
     /// When the last bytes since `mark_idle` were read, if any were.
-    pub fn heard_at(&self) -> Option<Instant> {
-        self.0.heard.get().then(|| self.0.at.get())
+    pub fn last_received_at(&self) -> Option<Instant> {
+        let received_at = self.0.last_received_at.get();
+        self.0.has_received.get().then_some(received_at)
     }
 
-    /// The other side began something and has said nothing more since that time; nothing waits in the kernel.
-    pub fn stopped_since(&self) -> Option<Instant> {
-        self.heard_at().filter(|_| !self.unread())
+    /// Whether bytes were read since `mark_idle`, and nothing more waits in the kernel.
+    pub fn has_stopped(&self) -> bool {
+        self.last_received_at().is_some() && !self.has_unread()
     }
 
     /// Bytes came since `mark_idle`, or wait in the kernel, or the other side has closed. Asks the kernel
     /// itself: the event loop may not have come round to it yet.
-    pub fn stirred(&self) -> bool {
-        self.0.heard.get() || self.unread()
+    pub fn has_activity(&self) -> bool {
+        self.0.has_received.get() || self.has_unread()
     }
 
     /// Bytes wait in the kernel, or the other side has closed.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         #[cfg(test)]
         tests::ASKED.with(|asked| asked.set(asked.get() + 1));
         let mut byte = [std::mem::MaybeUninit::uninit()];
@@ -167,21 +173,21 @@
     }
 }
 
-impl Read for Stream {
+impl Read for ObservedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0u8; 8192];
-        let room = buf.remaining().min(chunk.len());
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let capacity = buf.remaining().min(chunk.len());
         loop {
             ready!(self.0.tcp.poll_read_ready(cx))?;
-            match self.0.tcp.try_read(&mut chunk[..room]) {
+            match self.0.tcp.try_read(&mut chunk[..capacity]) {
                 Ok(n) => {
                     if n > 0 {
-                        self.0.heard.set(true);
-                        self.0.at.set(Instant::now());
+                        self.0.has_received.set(true);
+                        self.0.last_received_at.set(Instant::now());
                     }
                     buf.put_slice(&chunk[..n]);
                     return Poll::Ready(Ok(()));
@@ -193,7 +199,7 @@
     }
 }
 
-impl Write for Stream {
+impl Write for ObservedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/net/observed_stream/tests.rs
+++ b/src/net/observed_stream/tests.rs
@@ -6,15 +6,15 @@
     pub static ASKED: Cell<usize> = const { Cell::new(0) };
 }
 
-async fn pair() -> (Stream, std::net::TcpStream) {
+async fn pair() -> (ObservedStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let tcp = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    (Stream::new(tcp), listener.accept().unwrap().0)
+    (ObservedStream::new(tcp), listener.accept().unwrap().0)
 }
 
-async fn write(stream: &mut Stream, bytes: &[u8]) {
+async fn write(stream: &mut ObservedStream, bytes: &[u8]) {
     let mut left = bytes;
     while !left.is_empty() {
         let n = std::future::poll_fn(|cx| Pin::new(&mut *stream).poll_write(cx, left))
@@ -51,12 +51,12 @@
 #[tokio::test]
 async fn what_the_other_side_does_is_seen_at_once() {
     let (stream, mut peer) = pair().await;
-    assert!(!stream.stirred());
+    assert!(!stream.has_activity());
     peer.write_all(b"x").unwrap();
-    assert!(stream.stirred());
+    assert!(stream.has_activity());
     let (stream, peer) = pair().await;
     drop(peer);
-    assert!(stream.stirred());
+    assert!(stream.has_activity());
 }
 
 /// An end behind bytes that nobody has read, by a close or a reset: the kernel tells it at once, the event loop soon.
@@ -69,7 +69,7 @@
         socket2::SockRef::from(&peer).set_linger(linger).unwrap();
         drop(peer);
         assert!(stream.peer().has_left(), "{linger:?}");
-        stream.left().await;
+        stream.closed_by_peer().await;
     }
     let (stream, peer) = pair().await;
     let seen = stream.peer();
@@ -96,7 +96,7 @@
         peer.write_all(b"a request that crosses the end").unwrap();
         got
     });
-    stream.end().await;
+    stream.close_lingering().await;
     drop(stream);
     assert_eq!(other.join().unwrap().unwrap(), b"the last answer");
 }
@@ -105,12 +105,12 @@
 #[tokio::test]
 async fn an_end_is_bounded_by_time_and_bytes() {
     let (stream, mut peer) = pair().await;
-    stream.end().await;
+    stream.close_lingering().await;
     drop(stream);
     assert_eq!(read_to_end(&mut peer).unwrap(), b"");
     let (stream, mut peer) = pair().await;
     let flood = std::thread::spawn(move || while peer.write_all(&[0; 1 << 16]).is_ok() {});
-    stream.end().await;
+    stream.close_lingering().await;
     drop(stream);
     flood.join().unwrap();
 }
@@ -121,7 +121,7 @@
     let (mut stream, mut peer) = pair().await;
     write(&mut stream, b"half").await;
     stream.reset_on_close();
-    stream.end().await;
+    stream.close_lingering().await;
     drop(stream);
     assert!(read_to_end(&mut peer).is_err());
 }
--- a/src/net/state/hot_restart.rs
+++ b/src/net/state/hot_restart.rs
@@ -1,4 +1,8 @@
-//! The listening socket that the platform passes on, and the other process of this proxy while there are two.
+//! Hot restart: the listening socket that a process inherits, and the other process of the same proxy while there are
+//! two of them.
+//!
+//! [`inherited_listener`] takes the socket that the platform passes on. A [`Presence`] file in a folder that both
+//! processes share shows each of them whether there is another one, and how many connections it has.
 
 use rustix::fs::{flock, FlockOperation};
 use std::fs::File;
@@ -7,125 +11,197 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 
-const VARIABLE: &str = "NODE_SOCKET_FD";
-const PREFIX: &str = "process-";
+const SOCKET_VARIABLE: &str = "NODE_SOCKET_FD";
+/// Lower descriptors are standard input, output and error.
+const FIRST_PASSED_DESCRIPTOR: u16 = 3;
+const FILE_NAME_PREFIX: &str = "process-";
+/// Length of a presence file: two numbers of eight digits and a space between them.
+const PRESENCE_BYTES: usize = 17;
 
-/// The socket that `NODE_SOCKET_FD` names; `None` where it names none. Asked once, before anything else runs.
-pub fn inherited() -> Result<Option<TcpListener>, String> {
-    let Ok(text) = std::env::var(VARIABLE) else {
+/// What is wrong with the descriptor that was passed on.
+#[derive(Debug, Error)]
+pub enum DescriptorError {
+    /// The variable does not hold a number.
+    #[error("expected a descriptor's number")]
+    NotANumber,
+    /// The number is one of the standard streams.
+    #[error("expected a descriptor from 3 on")]
+    StandardStream,
+    /// No socket has that descriptor.
+    #[error("expected a socket")]
+    NotASocket,
+    /// The socket does not listen.
+    #[error("expected a listening TCP socket")]
+    NotListening,
+    /// The descriptor cannot be used.
+    #[error("{0}")]
+    Unusable(#[source] io::Error),
+}
+
+/// `NODE_SOCKET_FD` names no usable socket.
+#[derive(Debug, Error)]
+#[error("{SOCKET_VARIABLE}={value}: {reason}")]
+pub struct InheritError {
+    value: String,
+    #[source]
+    reason: DescriptorError,
+}
+
+/// Takes the listening socket that `NODE_SOCKET_FD` names; `None` where the variable is not set. Call it once, before
+/// any other thread runs: it changes environment variables.
+pub fn inherited_listener() -> Result<Option<TcpListener>, InheritError> {
+    let Ok(value) = std::env::var(SOCKET_VARIABLE) else {
         return Ok(None);
     };
-    let wrong = |what: String| format!("{VARIABLE}={text}: {what}");
-    let number: u16 = text
+    match take_descriptor(&value) {
+        Ok(listener) => Ok(Some(listener)),
+        Err(reason) => Err(InheritError { value, reason }),
+    }
+}
+
+fn take_descriptor(value: &str) -> Result<TcpListener, DescriptorError> {
+    let number: u16 = value
         .trim()
         .parse()
-        .map_err(|_| wrong("expected a descriptor's number".into()))?;
-    if number < 3 {
-        return Err(wrong("expected a descriptor from 3 on".into()));
+        .map_err(|_| DescriptorError::NotANumber)?;
+    if number < FIRST_PASSED_DESCRIPTOR {
+        return Err(DescriptorError::StandardStream);
     }
-    // The crate takes the descriptor under the names of systemd's protocol.
+    // The crate takes descriptors by the variables of systemd's protocol.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    let listener = taken.map_err(|e| wrong(e.to_string()))?;
-    let listener = listener.ok_or_else(|| wrong("expected a socket".into()))?;
-    if !socket2::SockRef::from(&listener)
-        .is_listener()
-        .unwrap_or(false)
-    {
-        return Err(wrong("expected a listening TCP socket".into()));
+    let listener = taken
+        .map_err(DescriptorError::Unusable)?
+        .ok_or(DescriptorError::NotASocket)?;
+    let listens = socket2::SockRef::from(&listener).is_listener();
+    if !listens.unwrap_or(false) {
+        return Err(DescriptorError::NotListening);
     }
     listener
         .set_nonblocking(true)
-        .map_err(|e| wrong(e.to_string()))?;
-    Ok(Some(listener))
+        .map_err(DescriptorError::Unusable)?;
+    Ok(listener)
 }
 
-/// Which other processes of this proxy take clients.
+/// Which other processes of this proxy accept clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Others {
+pub struct OtherProcesses {
+    /// One started before this one.
     pub older: bool,
+    /// One started after this one.
     pub younger: bool,
-    /// What they hold.
-    pub held: Held,
+    /// The sum of their open connections.
+    pub connections: ConnectionCounts,
+}
+
+impl OtherProcesses {
+    /// Whether there is any.
+    pub fn any(&self) -> bool {
+        self.older || self.younger
+    }
+
+    fn add(&mut self, is_older: bool, connections: ConnectionCounts) {
+        self.older |= is_older;
+        self.younger |= !is_older;
+        self.connections.clients += connections.clients;
+        self.connections.upstreams += connections.upstreams;
+    }
 }
 
-/// Connections of a process.
+/// Open connections of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct ConnectionCounts {
+    /// From clients.
     pub clients: usize,
+    /// To backends.
     pub upstreams: usize,
 }
 
-/// Shows this process to the other one: a file that is locked for as long as the process runs, as the kernel
-/// drops a lock however a process ends.
+impl ConnectionCounts {
+    /// The text of a presence file: always equally long, so that no reader sees half of it.
+    fn to_text(self) -> String {
+        format!("{:8} {:8}", self.clients, self.upstreams)
+    }
+
+    /// Reads a presence file; what cannot be read counts as no connections.
+    fn read(file: &File) -> ConnectionCounts {
+        let mut bytes = [0; PRESENCE_BYTES];
+        let read = file.read_exact_at(&mut bytes, 0);
+        let text = match read {
+            Ok(()) => std::str::from_utf8(&bytes).unwrap_or_default(),
+            Err(_) => "",
+        };
+        let mut numbers = text.split_whitespace().map(|n| n.parse().unwrap_or(0));
+        ConnectionCounts {
+            clients: numbers.next().unwrap_or(0),
+            upstreams: numbers.next().unwrap_or(0),
+        }
+    }
+}
+
+/// Shows this process to the other one by a file that stays locked for as long as the process runs: the kernel drops a
+/// lock however a process ends.
 pub struct Presence {
     dir: PathBuf,
-    name: String,
+    file_name: String,
     lock: File,
 }
 
 impl Presence {
-    /// Locks a file that nobody looks at before `publish`.
+    /// Creates and locks the file under a hidden name, which other processes ignore until [`Presence::publish`].
     pub fn new(dir: &Path) -> io::Result<Presence> {
         std::fs::create_dir_all(dir)?;
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let name = format!("{PREFIX}{:020}-{}", now.as_micros(), std::process::id());
-        let lock = File::create_new(dir.join(format!(".{name}")))?;
+        let process = std::process::id();
+        // Names sort by the time of their process's start.
+        let file_name = format!("{FILE_NAME_PREFIX}{:020}-{process}", now.as_micros());
+        let lock = File::create_new(dir.join(format!(".{file_name}")))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
         Ok(Presence {
             dir: dir.into(),
-            name,
+            file_name,
             lock,
         })
     }
 
-    /// From now on the other process sees this one.
+    /// Makes this process visible to the others.
     pub fn publish(&self) -> io::Result<()> {
         std::fs::rename(
-            self.dir.join(format!(".{}", self.name)),
-            self.dir.join(&self.name),
+            self.dir.join(format!(".{}", self.file_name)),
+            self.dir.join(&self.file_name),
         )
     }
 
-    /// Tells the other process what this one holds. Always as long, so that no reader sees half of it.
-    pub fn tell(&self, held: Held) {
-        let text = format!("{:8} {:8}", held.clients, held.upstreams);
-        let _ = self.lock.write_all_at(text.as_bytes(), 0); // unheard, each takes itself for alone
+    /// Writes how many connections this process has.
+    pub fn write_counts(&self, connections: ConnectionCounts) {
+        // After a failed write the other process counts none, as if it were the only one.
+        let _ = self.lock.write_all_at(connections.to_text().as_bytes(), 0);
     }
 
-    /// Looks now. Files of processes that are gone are removed.
-    pub fn others(&self) -> Others {
-        let mut others = Others::default();
+    /// Looks for other processes now. Removes the files of processes that have ended.
+    pub fn others(&self) -> OtherProcesses {
+        let mut others = OtherProcesses::default();
         let entries = std::fs::read_dir(&self.dir).into_iter().flatten().flatten();
-        for name in entries.filter_map(|e| e.file_name().into_string().ok()) {
-            if !name.starts_with(PREFIX) || name == self.name {
+        for file_name in entries.filter_map(|entry| entry.file_name().into_string().ok()) {
+            if !file_name.starts_with(FILE_NAME_PREFIX) || file_name == self.file_name {
                 continue;
             }
-            let path = self.dir.join(&name);
+            let path = self.dir.join(&file_name);
             let Ok(file) = File::open(&path) else {
                 continue;
             };
-            match flock(&file, FlockOperation::NonBlockingLockShared) {
-                Ok(()) => drop(std::fs::remove_file(&path)),
-                Err(_) => {
-                    let older = name < self.name;
-                    (others.older, others.younger) =
-                        (others.older | older, others.younger | !older);
-                    let mut text = [0; 17];
-                    let read = file.read_exact_at(&mut text, 0).ok();
-                    let text = read
-                        .and_then(|()| std::str::from_utf8(&text).ok())
-                        .unwrap_or_default();
-                    let mut numbers = text.split_whitespace().map(|n| n.parse().unwrap_or(0));
-                    others.held.clients += numbers.next().unwrap_or(0);
-                    others.held.upstreams += numbers.next().unwrap_or(0);
-                }
+            let has_ended = flock(&file, FlockOperation::NonBlockingLockShared).is_ok();
+            if has_ended {
+                let _ = std::fs::remove_file(&path);
+            } else {
+                others.add(file_name < self.file_name, ConnectionCounts::read(&file));
             }
         }
         others
@@ -135,7 +211,7 @@
 impl Drop for Presence {
     fn drop(&mut self) {
         let _ = flock(&self.lock, FlockOperation::Unlock);
-        let _ = std::fs::remove_file(self.dir.join(&self.name));
+        let _ = std::fs::remove_file(self.dir.join(&self.file_name));
     }
 }
 
--- a/src/net/state/hot_restart/tests.rs
+++ b/src/net/state/hot_restart/tests.rs
@@ -13,34 +13,38 @@
     let young = Presence::new(&dir).unwrap();
     assert_eq!(
         old.others(),
-        Others::default(),
+        OtherProcesses::default(),
         "not before it takes clients"
     );
     assert_eq!(
         young.others(),
-        Others {
+        OtherProcesses {
             older: true,
-            ..Others::default()
+            ..OtherProcesses::default()
         }
     );
     young.publish().unwrap();
     assert_eq!(
         old.others(),
-        Others {
+        OtherProcesses {
             younger: true,
-            ..Others::default()
+            ..OtherProcesses::default()
         }
     );
-    let held = Held {
+    let held = ConnectionCounts {
         clients: 128,
         upstreams: 7,
     };
-    young.tell(held);
-    assert_eq!(old.others().held, held);
-    std::fs::write(dir.join(format!("{PREFIX}00000000000000000001-9")), "").unwrap();
+    young.write_counts(held);
+    assert_eq!(old.others().connections, held);
+    std::fs::write(
+        dir.join(format!("{FILE_NAME_PREFIX}00000000000000000001-9")),
+        "",
+    )
+    .unwrap();
     assert!(!old.others().older, "nobody holds its lock");
     drop(old);
-    assert_eq!(young.others(), Others::default());
+    assert_eq!(young.others(), OtherProcesses::default());
     drop(young);
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/src/net/state/snapshot/tests.rs
+++ b/src/net/state/snapshot/tests.rs
@@ -27,11 +27,11 @@
         proptest::collection::vec(".{0,12}", 0..3),
         sampled(),
     )
-        .prop_map(|s| Saved {
+        .prop_map(|s| SavedState {
             kinds: s.0,
             classes: s.1,
             backends: s.2,
-            withdrawn: s.3,
+            disabled: s.3,
             overall: s.4,
         });
     let header = (
@@ -43,7 +43,7 @@
         .prop_map(|h| Header {
             program: h.0,
             written_us: h.1,
-            stands: Stands {
+            scope: SnapshotScope {
                 owner: h.3,
                 settings: h.2,
             },
--- a/src/net/state/snapshot_keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -1,101 +1,135 @@
-//! Keeps what the module learned in a snapshot, and takes it back at the start.
+//! Keeps what the balancer learned in a snapshot file: restores it at the start and writes it while the proxy runs.
+//!
+//! Make one [`SnapshotKeeper`] at the start, call [`SnapshotKeeper::restore`] before requests are served, and spawn
+//! [`SnapshotKeeper::write_periodically`].
 
 use crate::net::config::Snapshots;
 use crate::net::host::Host;
-use crate::net::state::snapshot::writer::Writer;
-use crate::net::state::snapshot::{self, Header, Owner, Refused, Snapshot, Stands};
+use crate::net::state::snapshot::{
+    self, Header, ProxyIdentity, Snapshot, SnapshotError, SnapshotScope,
+};
+use crate::net::state::snapshot_writer::SnapshotWriter;
 use meadowproxy::Micros;
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tracing::{info, warn};
 
-/// The end of the program, and a call at the door that has to outlive it, wait so long for the disk.
-const DISK: Duration = Duration::from_secs(1);
+/// How long the end of the program, or an operators' call that must survive a crash, waits for the disk.
+const MAX_FLUSH_WAIT: Duration = Duration::from_secs(1);
+/// The shortest interval between two periodic writes.
+const MIN_WRITE_INTERVAL_MS: u64 = 100;
 
-pub struct Keeper {
-    kept: Snapshots,
+/// Why no snapshots can be kept.
+#[derive(Debug, Error)]
+pub enum SnapshotKeeperError {
+    /// The writer's thread cannot be started.
+    #[error("no thread to write snapshots on: {0}")]
+    StartThread(#[source] io::Error),
+}
+
+/// The snapshots of one proxy.
+pub struct SnapshotKeeper {
+    config: Snapshots,
     host: Rc<Host>,
-    /// Whose the file is, and what it holds for; a reload changes both.
-    owner: RefCell<Owner>,
-    stands: Cell<Stands>,
-    writer: Writer,
+    /// Whose the file is; a reload can change it.
+    owner: RefCell<ProxyIdentity>,
+    /// What a snapshot written now is valid for; a reload can change it.
+    scope: Cell<SnapshotScope>,
+    writer: SnapshotWriter,
 }
 
-impl Keeper {
+impl SnapshotKeeper {
+    /// Starts the writer's thread. `settings` is the digest of the settings in force.
     pub fn new(
-        kept: Snapshots,
+        config: Snapshots,
         host: Rc<Host>,
-        owner: Owner,
+        owner: ProxyIdentity,
         settings: [u8; 32],
-    ) -> Result<Rc<Keeper>, String> {
-        let stands = Cell::new(Stands::own(&owner, settings));
-        let writer = Writer::start(kept.dir.clone(), owner.clone());
-        let writer = writer.map_err(|e| format!("no thread to write snapshots on: {e}"))?;
-        Ok(Rc::new(Keeper {
-            kept,
+    ) -> Result<Rc<SnapshotKeeper>, SnapshotKeeperError> {
+        let scope = Cell::new(SnapshotScope::for_proxy(&owner, settings));
+        let writer = SnapshotWriter::start(config.dir.clone(), owner.clone())
+            .map_err(SnapshotKeeperError::StartThread)?;
+        Ok(Rc::new(SnapshotKeeper {
+            config,
             host,
             owner: RefCell::new(owner),
-            stands,
+            scope,
             writer,
         }))
     }
 
-    /// Takes the snapshot in the folder if it holds; one line says what was taken or why not. Whether it did.
-    pub fn recall(&self) -> bool {
-        let (dir, owner) = (&self.kept.dir, self.owner.borrow());
-        let most = Micros::from_secs_f64(self.kept.max_age_s);
-        let taken = snapshot::read(dir, &owner).and_then(|s| s.checked(&self.stands.get(), most));
+    /// Restores the snapshot in the folder if it is valid, and logs what was restored or why not. Returns whether the
+    /// start is warm.
+    pub fn restore(&self) -> bool {
+        let dir = &self.config.dir;
+        let owner = self.owner.borrow();
+        let max_age = Micros::from_secs_f64(self.config.max_age_s);
+        let checked = snapshot::read(dir, &owner)
+            .and_then(|snapshot| snapshot.checked(&self.scope.get(), max_age));
+        snapshot::remove_leftovers(dir, &owner);
         let file = snapshot::path(dir, &owner);
-        snapshot::sweep(dir, &owner);
-        match taken {
-            Ok((s, age)) => {
-                info!(event = "snapshot_taken", age_s = age.as_secs_f64(), program = %s.header.program,
-                    kinds = s.saved.kinds.len(), backends = s.saved.backends.len(), "snapshot taken: warm start");
-                self.host.recall(s.saved, age);
-                return true;
+        match checked {
+            Ok((snapshot, age)) => {
+                info!(
+                    event = "snapshot_taken",
+                    age_s = age.as_secs_f64(),
+                    program = %snapshot.header.program,
+                    kinds = snapshot.saved.kinds.len(),
+                    backends = snapshot.saved.backends.len(),
+                    "snapshot taken: warm start"
+                );
+                self.host.restore_learned_state(snapshot.saved, age);
+                true
             }
-            Err(Refused::Missing) => {
+            Err(SnapshotError::Missing) => {
                 info!(event = "snapshot_missing", file = %file.display(), "no snapshot: cold start");
+                false
             }
-            Err(e) => {
-                warn!(event = "snapshot_refused", cause = e.cause(), file = %file.display(), "snapshot refused, cold start: {e}");
+            Err(error) => {
+                warn!(
+                    event = "snapshot_refused",
+                    cause = error.cause(),
+                    file = %file.display(),
+                    "snapshot refused, cold start: {error}"
+                );
+                false
             }
         }
-        false
     }
 
-    /// Has one of this moment written.
+    /// Has a snapshot of the present state written.
     pub fn write(&self) {
-        let whole = Snapshot {
-            header: Header::now(self.stands.get()),
+        let snapshot = Snapshot {
+            header: Header::now(self.scope.get()),
             saved: self.host.learned_state(),
         };
-        self.writer.give(self.owner.borrow().clone(), whole);
+        self.writer.submit(self.owner.borrow().clone(), snapshot);
     }
 
-    /// Until what was to be written is on disk or could not be, for a second at most.
-    pub async fn settled(&self) {
-        if tokio::time::timeout(DISK, self.writer.settled())
-            .await
-            .is_err()
-        {
-            let dir = self.kept.dir.display();
-            warn!(event = "snapshot_late", %dir, "the snapshot is not on disk after {DISK:?}");
+    /// Waits until everything submitted so far is on disk or has failed, for [`MAX_FLUSH_WAIT`] at most.
+    pub async fn flushed(&self) {
+        let flushed = tokio::time::timeout(MAX_FLUSH_WAIT, self.writer.flushed()).await;
+        if flushed.is_err() {
+            let dir = self.config.dir.display();
+            warn!(event = "snapshot_late", %dir, "the snapshot is not on disk after {MAX_FLUSH_WAIT:?}");
         }
     }
 
-    /// A reload changed whose the file is or what it holds for.
-    pub fn stand(&self, owner: Owner, settings: [u8; 32]) {
-        self.stands.set(Stands::own(&owner, settings));
+    /// Takes over an owner and a digest of settings that a reload changed, and writes a snapshot under them.
+    pub fn change_scope(&self, owner: ProxyIdentity, settings: [u8; 32]) {
+        self.scope.set(SnapshotScope::for_proxy(&owner, settings));
         *self.owner.borrow_mut() = owner;
         self.write();
     }
 
-    pub async fn keep(self: Rc<Self>) {
-        let every = Duration::from_millis(self.kept.every_ms.max(100));
+    /// Writes a snapshot at each interval, for as long as the program runs.
+    pub async fn write_periodically(self: Rc<Self>) {
+        let interval = Duration::from_millis(self.config.every_ms.max(MIN_WRITE_INTERVAL_MS));
         loop {
-            tokio::time::sleep(every).await;
+            tokio::time::sleep(interval).await;
             self.write();
         }
     }
--- /dev/null
+++ b/src/net/upstream/attempt.rs
@@ -0,0 +1,293 @@
+//! One attempt: a request is sent to a backend, and its response is read and judged.
+
+use super::connection::{OutgoingBody, PooledConnection};
+use super::pool::ConnectionPool;
+use super::response::{
+    error_chain, judge, pass_on, strip_backend_headers, BackendResponse, BufferedResponse,
+    StreamingResponse, BACKEND_STALL_TIMEOUT,
+};
+use super::{AttemptResult, ForwardedRequest, Progress, RequestBody, ResponseBody, ServedResponse};
+use crate::net::connection_driver::{drive_past_close, drive_until_closed};
+use crate::net::downstream::response_stream::ResponseStream;
+use crate::net::downstream::upload::UploadProgress;
+use crate::net::observed_stream::ObservedStream;
+use http_body_util::{Either, Full};
+use hyper::Request;
+use meadowproxy::{BackendId, Outcome};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::debug;
+
+/// Where an attempt goes.
+#[derive(Clone, Copy)]
+struct Target {
+    backend: BackendId,
+    address: SocketAddr,
+}
+
+impl Target {
+    fn log_broken(&self, cause: impl std::fmt::Display) {
+        debug!(
+            event = "attempt_broken",
+            backend = self.backend.0,
+            to = %self.address,
+            cause = cause.to_string(),
+            "no response that can be used"
+        );
+    }
+}
+
+/// The body of an attempt, as it begins to be sent.
+struct Outgoing {
+    body: OutgoingBody,
+    /// How far a streamed body was sent.
+    upload: Option<Rc<UploadProgress>>,
+}
+
+/// Tells whether the last byte of a request was sent: the backend begins to run it only then.
+struct SendStatus {
+    stream: ObservedStream,
+    upload: Option<Rc<UploadProgress>>,
+}
+
+impl SendStatus {
+    fn is_sent(&self) -> bool {
+        match &self.upload {
+            Some(upload) => upload.has_ended(),
+            None => self.stream.request_written(),
+        }
+    }
+
+    /// Waits until the request can no longer be sent in time; for ever if it was sent by then.
+    async fn expired(&self, send_deadline: Option<Instant>) {
+        match (&self.upload, send_deadline) {
+            (Some(upload), _) => upload.stalled(BACKEND_STALL_TIMEOUT).await,
+            (None, Some(deadline)) => tokio::time::sleep_until(deadline).await,
+            (None, None) => std::future::pending().await,
+        }
+        if self.is_sent() {
+            std::future::pending::<()>().await;
+        }
+    }
+}
+
+impl ConnectionPool {
+    /// Sends `request` to a backend and waits for the response.
+    pub async fn attempt(
+        &self,
+        backend: BackendId,
+        address: SocketAddr,
+        request: &ForwardedRequest,
+        deadline: Instant,
+        progress: &Rc<impl Progress + 'static>,
+    ) -> AttemptResult {
+        let target = Target { backend, address };
+        let mut connection = match self.checkout(backend, address).await {
+            Ok(connection) => connection,
+            Err(outcome) => return AttemptResult::without_response(outcome),
+        };
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let begun = match time_left.is_zero() || !progress.may_send() {
+            true => None,
+            false => begin(&connection.stream, &request.body, progress),
+        };
+        let Some(outgoing) = begun else {
+            self.put(backend, connection); // nothing was sent on it
+            return AttemptResult::without_response(Outcome::NotSent);
+        };
+        let status = SendStatus {
+            stream: connection.stream.clone(),
+            upload: outgoing.upload,
+        };
+        let request = http_request(request, outgoing.body, time_left);
+        let send_deadline = progress.send_deadline();
+        let exchanged = tokio::select! {
+            biased; // nothing is written once it is too late
+            () = status.expired(send_deadline) => None,
+            exchanged = exchange(&mut connection, request, &status) => exchanged,
+        };
+        match exchanged {
+            Some(Ok(BackendResponse::BeforeRequestSent(Outcome::Overloaded))) => {
+                AttemptResult::without_response(Outcome::Overloaded)
+            }
+            Some(Ok(BackendResponse::BeforeRequestSent(_))) => {
+                target.log_broken("it answered before the request's last byte");
+                AttemptResult::without_response(Outcome::ConnectFailed)
+            }
+            Some(Ok(BackendResponse::Buffered(response))) => {
+                self.finish_buffered(target, connection, response)
+            }
+            Some(Ok(BackendResponse::Streaming(response))) => {
+                let outcome = self
+                    .pass_on_streaming(target, connection, response, progress)
+                    .await;
+                AttemptResult::without_response(outcome)
+            }
+            Some(Err(error)) => {
+                AttemptResult::without_response(failed(target, &status, Some(&error)))
+            }
+            None => AttemptResult::without_response(failed(target, &status, None)),
+        }
+    }
+
+    fn finish_buffered(
+        &self,
+        target: Target,
+        connection: PooledConnection,
+        response: BufferedResponse,
+    ) -> AttemptResult {
+        self.responded(target.backend);
+        if response.body.is_ok() {
+            self.put_if_ready(target.backend, connection, Instant::now());
+        }
+        let BufferedResponse {
+            outcome,
+            mut head,
+            body,
+        } = response;
+        match (outcome, body) {
+            (Outcome::Ok, Ok(body)) => AttemptResult {
+                outcome,
+                response: Some(ServedResponse {
+                    headers: strip_backend_headers(&mut head.headers),
+                    body: ResponseBody::Buffered(body),
+                }),
+            },
+            (outcome, Ok(_)) => {
+                if outcome == Outcome::Error {
+                    target.log_broken(format!("status {}", head.status.as_u16()));
+                }
+                AttemptResult::without_response(outcome)
+            }
+            (outcome, Err(error)) => {
+                target.log_broken(error_chain(error.as_ref()));
+                // Truncated: a served one has run, and one that says otherwise cannot be trusted in that.
+                AttemptResult::without_response(match outcome {
+                    Outcome::Error => outcome,
+                    _ => Outcome::Reset,
+                })
+            }
+        }
+    }
+
+    async fn pass_on_streaming(
+        &self,
+        target: Target,
+        mut connection: PooledConnection,
+        response: StreamingResponse,
+        progress: &Rc<impl Progress + 'static>,
+    ) -> Outcome {
+        self.responded(target.backend);
+        let StreamingResponse {
+            mut head,
+            length,
+            received,
+            rest,
+        } = response;
+        let (chunks, stream) = ResponseStream::new(length);
+        progress.response_started(ServedResponse {
+            headers: strip_backend_headers(&mut head.headers),
+            body: ResponseBody::Streaming(stream),
+        });
+        // The backend may have sent everything long before the client has taken it, and be idle from then on.
+        let started = Instant::now();
+        let passed_on =
+            drive_past_close(&mut connection.connection, pass_on(received, rest, chunks)).await;
+        let outcome = passed_on.value;
+        if passed_on.is_open && outcome == Outcome::Ok {
+            self.put_if_ready(target.backend, connection, started);
+        }
+        if matches!(outcome, Outcome::Reset | Outcome::TimedOut) {
+            target.log_broken(format!("{outcome:?} in a streamed response"));
+        }
+        outcome
+    }
+}
+
+/// Takes the body to be sent from now on; `None` if another backend has it.
+fn begin(
+    stream: &ObservedStream,
+    body: &RequestBody,
+    progress: &Rc<impl Progress + 'static>,
+) -> Option<Outgoing> {
+    match body {
+        RequestBody::Buffered(bytes) => {
+            stream.begin_request(bytes.len());
+            Some(Outgoing {
+                body: Either::Left(Full::new(bytes.clone())),
+                upload: None,
+            })
+        }
+        RequestBody::Streaming(upload) => {
+            let source = upload.take()?;
+            let upload = source.progress.clone();
+            let finished = progress.clone();
+            upload.on_end(move || finished.upload_finished());
+            progress.upload_started();
+            Some(Outgoing {
+                body: Either::Right(source),
+                upload: Some(upload),
+            })
+        }
+    }
+}
+
+fn http_request(
+    forwarded: &ForwardedRequest,
+    body: OutgoingBody,
+    time_left: Duration,
+) -> Request<OutgoingBody> {
+    let mut request = Request::new(body);
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
+    *request.headers_mut() = forwarded.headers.clone();
+    if let Ok(text) = format!("{:.3}", time_left.as_secs_f64()).parse() {
+        request.headers_mut().insert("x-time-left", text);
+    }
+    request
+}
+
+/// Sends the request and reads its response. `None`: the connection ended first.
+async fn exchange(
+    connection: &mut PooledConnection,
+    request: Request<OutgoingBody>,
+    status: &SendStatus,
+) -> Option<Result<BackendResponse, hyper::Error>> {
+    let PooledConnection {
+        sender, connection, ..
+    } = connection;
+    let work = async {
+        sender.ready().await?;
+        let response = sender.send_request(request).await?;
+        // A response before the last byte is none of this request's, and with its connection ended here the request
+        // never runs.
+        if !status.is_sent() {
+            return Ok(BackendResponse::BeforeRequestSent(judge(&response)));
+        }
+        Ok(BackendResponse::read(response).await)
+    };
+    drive_until_closed(connection, work).await
+}
+
+/// The outcome of an attempt without a response; no error means that the connection ended or took nothing more.
+fn failed(target: Target, status: &SendStatus, error: Option<&hyper::Error>) -> Outcome {
+    let is_upload_cut = status.upload.is_some() && !status.is_sent();
+    if is_upload_cut && error.is_some_and(hyper::Error::is_user) {
+        // The client's body broke off: the backend never begins.
+        return Outcome::NotSent;
+    }
+    match error {
+        Some(error) => target.log_broken(error_chain(error)),
+        None => target.log_broken("it ended, or took nothing more"),
+    }
+    if !status.is_sent() {
+        return Outcome::ConnectFailed;
+    }
+    // What cannot be parsed as a response is a response all the same, and no reset.
+    match error {
+        Some(error) if error.is_parse() => Outcome::Error,
+        _ => Outcome::Reset,
+    }
+}
--- /dev/null
+++ b/src/net/upstream/response.rs
@@ -0,0 +1,185 @@
+//! A backend's response: what it says, how much of it is buffered, and how a long one is passed on.
+
+use crate::net::connection_driver::BoxError;
+use crate::net::downstream::response_stream::ResponseChunk;
+use crate::net::{strip_hop_by_hop, MAX_BODY};
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::http::response::Parts;
+use hyper::{HeaderMap, Response, StatusCode};
+use meadowproxy::Outcome;
+use std::pin::pin;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::sync::mpsc;
+
+/// A response of unknown length is buffered no longer than this before its first bytes are passed on.
+const MAX_BUFFERING_TIME: Duration = Duration::from_secs(1);
+/// A client that takes nothing of its response for so long is dropped; the kernel's buffers hide shorter pauses.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// A backend that sends nothing of a response it began, or takes nothing of a body, for so long is taken for dead.
+pub const BACKEND_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Why a response's body cannot be used.
+#[derive(Debug, Error)]
+enum BodyError {
+    /// Its headers state its end in no way or several, or it has a coding that the client would not learn of.
+    #[error("its framing is not told in one way, or coded")]
+    Framing,
+    /// It is an error's, and longer than what is buffered.
+    #[error("longer than what is held")]
+    TooLong,
+}
+
+/// A response as far as it is buffered.
+pub enum BackendResponse {
+    /// Its head arrived before the request had been sent.
+    BeforeRequestSent(Outcome),
+    Buffered(BufferedResponse),
+    Streaming(StreamingResponse),
+}
+
+/// A response that was read to its end.
+pub struct BufferedResponse {
+    pub outcome: Outcome,
+    pub head: Parts,
+    /// Its body, if that arrived completely and is not longer than what is buffered.
+    pub body: Result<Bytes, BoxError>,
+}
+
+/// A served response that is too long, or takes too long, to be buffered.
+pub struct StreamingResponse {
+    pub head: Parts,
+    /// In bytes, where it is known.
+    pub length: Option<u64>,
+    pub received: Bytes,
+    pub rest: Incoming,
+}
+
+impl BackendResponse {
+    /// Reads a response, until it is complete or is known to be streamed.
+    pub async fn read(response: Response<Incoming>) -> BackendResponse {
+        let outcome = judge(&response);
+        let (head, mut body) = response.into_parts();
+        let buffered = |head, body| {
+            BackendResponse::Buffered(BufferedResponse {
+                outcome,
+                head,
+                body,
+            })
+        };
+        if !has_one_framing(&head.headers) {
+            return buffered(head, Err(BodyError::Framing.into()));
+        }
+        let length = body.size_hint().exact();
+        let streaming = |head, received, rest| {
+            BackendResponse::Streaming(StreamingResponse {
+                head,
+                length,
+                received,
+                rest,
+            })
+        };
+        if outcome == Outcome::Ok && length.is_some_and(|n| n > MAX_BODY as u64) {
+            return streaming(head, Bytes::new(), body);
+        }
+        let mut received = BytesMut::new();
+        let mut patience = pin!(tokio::time::sleep(MAX_BUFFERING_TIME));
+        loop {
+            let may_stream = outcome == Outcome::Ok && length.is_none() && !received.is_empty();
+            let frame = tokio::select! {
+                biased;
+                frame = body.frame() => frame,
+                () = patience.as_mut(), if may_stream => {
+                    return streaming(head, received.freeze(), body);
+                }
+            };
+            match frame {
+                None => return buffered(head, Ok(received.freeze())),
+                Some(Err(error)) => return buffered(head, Err(error.into())),
+                Some(Ok(frame)) => {
+                    received.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
+                }
+            }
+            if received.len() > MAX_BODY {
+                return match outcome {
+                    Outcome::Ok => streaming(head, received.freeze(), body),
+                    _ => buffered(head, Err(BodyError::TooLong.into())),
+                };
+            }
+        }
+    }
+}
+
+/// Passes a streamed response on, a chunk at a time, for as long as the backend sends and the client takes.
+pub async fn pass_on(
+    received: Bytes,
+    mut rest: Incoming,
+    chunks: mpsc::Sender<ResponseChunk>,
+) -> Outcome {
+    let mut next = received;
+    loop {
+        if !next.is_empty() {
+            let sending = chunks.send(ResponseChunk::Data(next));
+            let sent = tokio::time::timeout(CLIENT_STALL_TIMEOUT, sending).await;
+            if !matches!(sent, Ok(Ok(()))) {
+                return Outcome::Cancelled;
+            }
+        }
+        next = match tokio::time::timeout(BACKEND_STALL_TIMEOUT, rest.frame()).await {
+            Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
+            Ok(None) => {
+                // A client that knows the length may have stopped listening.
+                let _ = chunks.send(ResponseChunk::End).await;
+                return Outcome::Ok;
+            }
+            Ok(Some(Err(_))) => return Outcome::Reset,
+            Err(_) => return Outcome::TimedOut,
+        };
+    }
+}
+
+/// Takes the headers that the client gets.
+pub fn strip_backend_headers(headers: &mut HeaderMap) -> HeaderMap {
+    strip_hop_by_hop(headers);
+    headers.remove("x-backend-load");
+    std::mem::take(headers)
+}
+
+/// The outcome that a response's head states. A request with any status that the protocol does not list may have run.
+pub fn judge(response: &Response<Incoming>) -> Outcome {
+    let is_unprocessed = response
+        .headers()
+        .get("x-unprocessed")
+        .is_some_and(|value| value == "1");
+    match response.status() {
+        StatusCode::OK => Outcome::Ok,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_unprocessed => {
+            Outcome::Overloaded
+        }
+        _ => Outcome::Error,
+    }
+}
+
+/// Whether the headers state in one way how the body ends, and name no coding that the client would not learn of.
+fn has_one_framing(headers: &HeaderMap) -> bool {
+    let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
+    match (codings.next(), codings.next()) {
+        (None, _) => true,
+        (Some(only), None) => {
+            only.as_bytes().eq_ignore_ascii_case(b"chunked")
+                && !headers.contains_key(CONTENT_LENGTH)
+        }
+        _ => false,
+    }
+}
+
+/// An error with all its sources, for the log.
+pub fn error_chain(error: &dyn std::error::Error) -> String {
+    let sources = std::iter::successors(error.source(), |source| source.source());
+    sources.fold(error.to_string(), |text, source| {
+        format!("{text}: {source}")
+    })
+}
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -1,7 +1,15 @@
+use super::connection::{ConnectionSlot, PooledConnection};
 use super::*;
+use crate::net::observed_stream::ObservedStream;
+use crate::net::MAX_BODY;
+use meadowproxy::settings::Network;
+use meadowproxy::BackendId;
 use std::io::{Read, Write};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
 
-fn pool(max: usize) -> Pool {
+fn pool(max: usize) -> ConnectionPool {
     let (connect_timeout, conn_idle) = (Micros(5_000_000), Micros(60_000_000));
     let network = Network {
         connect_timeout,
@@ -9,16 +17,16 @@
         max_retry_after: Micros(0),
         deadlines: Default::default(),
     };
-    Pool::new(&network, max)
+    ConnectionPool::new(&network, max)
 }
 
-fn call() -> Call {
+fn call() -> ForwardedRequest {
     let uri = Uri::from_static("/pay/k");
-    Call {
+    ForwardedRequest {
         method: Method::POST,
         uri,
         headers: HeaderMap::new(),
-        body: Payload::Whole(Bytes::from_static(b"cash")),
+        body: RequestBody::Buffered(Bytes::from_static(b"cash")),
         client: None,
     }
 }
@@ -33,12 +41,12 @@
     fn may_send(&self) -> bool {
         false
     }
-    fn whole_by(&self) -> Option<Instant> {
+    fn send_deadline(&self) -> Option<Instant> {
         None
     }
-    fn uploading(&self) {}
-    fn uploaded(&self) {}
-    fn streams(&self, _: Served) {}
+    fn upload_started(&self) {}
+    fn upload_finished(&self) {}
+    fn response_started(&self, _: ServedResponse) {}
 }
 
 /// The backend begins to drain while the connection comes up: not a byte goes out on it.
@@ -49,7 +57,7 @@
     let ended = pool
         .attempt(BackendId(0), to, &call(), soon(), &Rc::new(Drains))
         .await;
-    assert_eq!(ended.0, Outcome::NotSent);
+    assert_eq!(ended.outcome, Outcome::NotSent);
     let mut peer = listener.accept().unwrap().0;
     drop(pool);
     let mut got = Vec::new();
@@ -79,16 +87,16 @@
     fn may_send(&self) -> bool {
         true
     }
-    fn whole_by(&self) -> Option<Instant> {
+    fn send_deadline(&self) -> Option<Instant> {
         self.0
     }
-    fn uploading(&self) {}
-    fn uploaded(&self) {}
-    fn streams(&self, _: Served) {}
+    fn upload_started(&self) {}
+    fn upload_finished(&self) {}
+    fn response_started(&self, _: ServedResponse) {}
 }
 
 /// A warm connection on which little goes out until the other side reads, and that side.
-async fn narrow(pool: &Pool) -> (SocketAddr, std::net::TcpStream) {
+async fn narrow(pool: &ConnectionPool) -> (SocketAddr, std::net::TcpStream) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.set_recv_buffer_size(2048).unwrap();
@@ -101,10 +109,13 @@
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.set_send_buffer_size(4096).unwrap();
     let tcp = socket.connect(to).await.unwrap();
-    pool.open.set(pool.open.get() + 1);
-    let c = Conn::open(Stream::new(tcp), to, Slot(pool.open.clone()))
-        .await
-        .unwrap();
+    let c = PooledConnection::open(
+        ObservedStream::new(tcp),
+        to,
+        ConnectionSlot::new(pool.open_count.clone()),
+    )
+    .await
+    .unwrap();
     pool.put(BackendId(0), c);
     let peer = listener.accept().unwrap().0;
     peer.set_read_timeout(Some(Duration::from_secs(20)))
@@ -112,9 +123,9 @@
     (to, peer)
 }
 
-fn long_call() -> Call {
-    Call {
-        body: Payload::Whole(Bytes::from(vec![b'y'; MAX_BODY])),
+fn long_call() -> ForwardedRequest {
+    ForwardedRequest {
+        body: RequestBody::Buffered(Bytes::from(vec![b'y'; MAX_BODY])),
         ..call()
     }
 }
@@ -140,7 +151,11 @@
             rest
         });
         let ended = pool.attempt(BackendId(0), to, &call, soon(), &goes).await;
-        assert_eq!((ended.0, ended.1.is_none()), (outcome, true), "{head}");
+        assert_eq!(
+            (ended.outcome, ended.response.is_none()),
+            (outcome, true),
+            "{head}"
+        );
         assert_eq!(pool.open(), 0, "{head}");
         drop(over);
         let rest = backend.join().unwrap();
@@ -177,5 +192,5 @@
         backend.join().unwrap().len() < MAX_BODY,
         "it went out whole"
     );
-    assert_eq!(ended.0, Outcome::ConnectFailed, "it never ran");
+    assert_eq!(ended.outcome, Outcome::ConnectFailed, "it never ran");
 }
--- /dev/null
+++ b/src/startup/fleet.rs
@@ -0,0 +1,120 @@
+//! What this proxy shares with the other proxies of its fleet, as far as the configuration has it: gossip, and the leases
+//! and maintenance windows that build on it.
+
+use super::bind::bind_with_retry;
+use super::StartError;
+use crate::net::admin::FleetAdmin;
+use crate::net::cluster::coordination::{copy::Kept, Duties};
+use crate::net::cluster::gossip::Peers;
+use crate::net::config::overlay::Overlay;
+use crate::net::config::Node;
+use crate::net::host::Host;
+use meadowproxy::Config;
+use std::cell::Cell;
+use std::net::UdpSocket;
+use std::rc::Rc;
+
+/// What the fleet's parts are started with.
+pub struct FleetStart<'a> {
+    pub node: &'a Node,
+    pub config: &'a Config,
+    pub host: &'a Rc<Host>,
+    /// Digest of the settings that all proxies of the fleet have in common.
+    pub shared_settings: &'a Rc<Cell<[u8; 32]>>,
+    pub overlay: &'a Rc<Overlay>,
+    /// No snapshot was restored: learned state is asked of the other proxies.
+    pub is_cold_start: bool,
+}
+
+/// This proxy's part in its fleet.
+pub struct Fleet {
+    /// Gossip with the other proxies.
+    pub peers: Option<Rc<Peers>>,
+    /// Leases, maintenance windows and the fleet's configuration.
+    duties: Option<Rc<Duties>>,
+}
+
+impl Fleet {
+    /// Starts what the configuration names.
+    pub async fn start(start: FleetStart<'_>) -> Result<Fleet, StartError> {
+        let peers = start_peers(&start).await?;
+        let duties = match &peers {
+            Some(peers) => start_duties(&start, peers)?,
+            None => None,
+        };
+        Ok(Fleet { peers, duties })
+    }
+
+    /// Answers the operators' calls on windows, leases and the fleet's configuration.
+    pub fn admin(&self) -> Option<Rc<dyn FleetAdmin>> {
+        self.duties
+            .clone()
+            .map(|duties| duties as Rc<dyn FleetAdmin>)
+    }
+
+    /// Waits until the calendar is known: a maintenance window may be open.
+    pub async fn calendar_ready(&self) {
+        if let Some(duties) = &self.duties {
+            duties.ready().await;
+        }
+    }
+
+    /// Gives up the leases that this proxy holds.
+    pub fn release_leases(&self) {
+        if let Some(duties) = &self.duties {
+            duties.leave();
+        }
+    }
+
+    /// Tells the other proxies that this one leaves.
+    pub fn leave(&self) {
+        if let Some(peers) = &self.peers {
+            peers.leave();
+        }
+    }
+}
+
+async fn start_peers(start: &FleetStart<'_>) -> Result<Option<Rc<Peers>>, StartError> {
+    let Some(sharing) = start.node.peers.clone() else {
+        return Ok(None);
+    };
+    let socket = bind_with_retry("peers: ", sharing.listen, UdpSocket::bind).await?;
+    let peers = Peers::start(
+        start.host.clone(),
+        socket,
+        sharing,
+        start.shared_settings.clone(),
+        start.config.proxy_count,
+        start.node.seed,
+        start.is_cold_start,
+    );
+    peers.map(Some).map_err(StartError::Peers)
+}
+
+fn start_duties(
+    start: &FleetStart<'_>,
+    peers: &Rc<Peers>,
+) -> Result<Option<Rc<Duties>>, StartError> {
+    let Some(voting) = &start.node.duties else {
+        return Ok(None);
+    };
+    let duties = Duties::start(
+        start.host.clone(),
+        peers,
+        voting,
+        start.config.slow_start,
+        start.overlay.clone(),
+        config_copies(start.node),
+    );
+    duties.map(Some).map_err(StartError::Duties)
+}
+
+/// Where this proxy keeps its copy of the fleet's configuration: beside its snapshots.
+fn config_copies(node: &Node) -> Option<Kept> {
+    let snapshots = node.snapshot.as_ref()?;
+    let peers = node.peers.as_ref()?;
+    Some(Kept {
+        dir: snapshots.dir.clone(),
+        cluster: peers.cluster.clone(),
+    })
+}
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -240,7 +240,11 @@
     old.wait_until_serving();
     assert_eq!(old.call("PUT /maintenance/enter?who=b0").status(), 200);
     let new = start();
-    assert!(new.said.contains("out-6x: no ban, skipped"), "{}", new.said);
+    assert!(
+        new.said.contains("out-6x: not a backend's id, skipped"),
+        "{}",
+        new.said
+    );
     new.wait_until_serving();
     for _ in 0..30 {
         assert_eq!(
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -16,7 +16,7 @@
 const READY: Duration = Duration::from_secs(10);
 
 /// What a process says that finds its address in use.
-const MET: &str = "another process's, trying on";
+const MET: &str = "is in use by another process, retrying";
 
 /// One of the fleet: what is told to it at each start.
 #[derive(Clone)]
@@ -250,7 +250,7 @@
         .unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
     assert!(!out.status.success() && begun.elapsed() < READY, "{text}");
-    assert_eq!(text.matches("trying on").count(), 1, "{text}");
+    assert_eq!(text.matches("retrying").count(), 1, "{text}");
     assert!(
         text.contains(&format!("cannot listen on {at}")) && !text.contains("panicked"),
         "{text}"
