--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,4 +1,4 @@
-//! Backends that operators disabled, kept in a folder under `$TMPDIR` for the next process and for the other process of a
+//! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other process of a
 //! hot restart.
 //!
 //! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each other's.
@@ -27,7 +27,7 @@
     folder: Option<PathBuf>,
     /// Writes a snapshot with each change, so that an acknowledged call survives a crash.
     keeper: Option<Rc<SnapshotKeeper>>,
-    /// Ids whose files the folder held at the last check, or that were put there since.
+    /// Ids whose files were in the folder at the last check, or were created since.
     on_disk: RefCell<BTreeSet<String>>,
     /// Warnings that were logged, each once.
     logged: RefCell<BTreeSet<String>>,
@@ -40,7 +40,7 @@
     since: Time,
 }
 
-/// What the folder holds.
+/// What is in the folder.
 #[derive(Default)]
 struct FolderContents {
     disabled: BTreeSet<String>,
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -31,7 +31,7 @@
 
 /// Answers the calls on maintenance windows, leases and the fleet's configuration.
 pub trait FleetAdmin {
-    /// `path` holds decoded segments of a call that [`routes`] knows; `body` is at most 64 KiB of anything. The future
+    /// `path` is the decoded segments of a call that [`routes`] knows; `body` is at most 64 KiB of anything. The future
     /// is dropped when the caller leaves or it takes over a second.
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply;
 }
--- a/src/net/admin/prometheus.rs
+++ b/src/net/admin/prometheus.rs
@@ -1,6 +1,7 @@
-//! The process's recorder behind the `metrics` facade, and its figures in Prometheus' text form. The exporter's crate
-//! would do both, but times the processor's clock as it starts, for up to 0.2 s of a core, for histograms that nothing
-//! here has.
+//! The process's recorder behind the `metrics` facade, and its metrics in Prometheus' text form.
+//!
+//! The exporter's crate would do both, but calibrates the processor's clock as it starts, for up to 0.2 s of a core, for
+//! histograms, which the proxy has none of.
 
 use metrics::{Counter, Gauge, Histogram, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use std::collections::BTreeMap;
@@ -8,89 +9,110 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-enum Figure {
+enum Metric {
     Counter(Arc<AtomicU64>),
     /// The bits of a float.
     Gauge(Arc<AtomicU64>),
 }
 
-/// By name and labels as they are written.
-type Table = BTreeMap<(String, String), Figure>;
+impl Metric {
+    fn type_name(&self) -> &'static str {
+        match self {
+            Metric::Counter(_) => "counter",
+            Metric::Gauge(_) => "gauge",
+        }
+    }
+
+    fn value(&self) -> String {
+        match self {
+            Metric::Counter(count) => count.load(Ordering::Relaxed).to_string(),
+            Metric::Gauge(bits) => f64::from_bits(bits.load(Ordering::Relaxed)).to_string(),
+        }
+    }
+}
+
+/// A metric's name, and its labels as they are written.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct MetricId {
+    name: String,
+    labels: String,
+}
+
+impl MetricId {
+    fn of(key: &Key) -> MetricId {
+        let labels: Vec<String> = key
+            .labels()
+            .map(|label| format!("{}=\"{}\"", label.key(), escape(label.value())))
+            .collect();
+        MetricId {
+            name: key.name().into(),
+            labels: match labels.is_empty() {
+                true => String::new(),
+                false => format!("{{{}}}", labels.join(",")),
+            },
+        }
+    }
+}
+
+/// Escapes a label's value.
+fn escape(value: &str) -> String {
+    value
+        .replace('\\', r"\\")
+        .replace('"', "\\\"")
+        .replace('\n', r"\n")
+}
+
+type MetricTable = BTreeMap<MetricId, Metric>;
 
 /// Counters and gauges by their names and labels; clones share them.
 #[derive(Clone, Default)]
-pub struct PrometheusRecorder(Arc<Mutex<Table>>);
+pub struct PrometheusRecorder(Arc<Mutex<MetricTable>>);
 
 impl PrometheusRecorder {
-    /// The recorder of the whole process from now on, if there is none yet.
+    /// Makes a recorder that is the process's from now on, if there is none yet.
     pub fn install() -> PrometheusRecorder {
-        let figures = PrometheusRecorder::default();
-        let _ = metrics::set_global_recorder(figures.clone());
-        figures
+        let recorder = PrometheusRecorder::default();
+        let _ = metrics::set_global_recorder(recorder.clone());
+        recorder
     }
 
-    /// All of them, one a line, after the type of each name.
+    /// All metrics, one a line, after the type of each name.
     pub fn render(&self) -> String {
-        let (mut text, mut last) = (String::new(), "");
-        for ((name, labels), figure) in self.table().iter() {
-            let (kind, value) = match figure {
-                Figure::Counter(n) => ("counter", n.load(Ordering::Relaxed).to_string()),
-                Figure::Gauge(n) => (
-                    "gauge",
-                    f64::from_bits(n.load(Ordering::Relaxed)).to_string(),
-                ),
-            };
-            if name != last {
-                let _ = writeln!(text, "# TYPE {name} {kind}");
+        let mut text = String::new();
+        let mut last_name = "";
+        for (id, metric) in self.table().iter() {
+            if id.name != last_name {
+                let _ = writeln!(text, "# TYPE {} {}", id.name, metric.type_name());
             }
-            let _ = writeln!(text, "{name}{labels} {value}");
-            last = name;
+            let _ = writeln!(text, "{}{} {}", id.name, id.labels, metric.value());
+            last_name = &id.name;
         }
         text
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, MetricTable> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The name and the labels of a figure.
-fn written(key: &Key) -> (String, String) {
-    let escaped = |v: &str| {
-        v.replace('\\', r"\\")
-            .replace('"', "\\\"")
-            .replace('\n', r"\n")
-    };
-    let labels: Vec<String> = key
-        .labels()
-        .map(|l| format!("{}=\"{}\"", l.key(), escaped(l.value())))
-        .collect();
-    let labels = if labels.is_empty() {
-        String::new()
-    } else {
-        format!("{{{}}}", labels.join(","))
-    };
-    (key.name().into(), labels)
-}
-
 impl Recorder for PrometheusRecorder {
     fn describe_counter(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
     fn describe_gauge(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
     fn describe_histogram(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
 
     fn register_counter(&self, key: &Key, _: &Metadata<'_>) -> Counter {
-        let new = || Figure::Counter(Arc::default());
-        match self.table().entry(written(key)).or_insert_with(new) {
-            Figure::Counter(n) => Counter::from_arc(n.clone()),
-            Figure::Gauge(_) => Counter::noop(),
+        let new = || Metric::Counter(Arc::default());
+        match self.table().entry(MetricId::of(key)).or_insert_with(new) {
+            Metric::Counter(n) => Counter::from_arc(n.clone()),
+            Metric::Gauge(_) => Counter::noop(),
         }
     }
 
     fn register_gauge(&self, key: &Key, _: &Metadata<'_>) -> Gauge {
-        let new = || Figure::Gauge(Arc::default());
-        match self.table().entry(written(key)).or_insert_with(new) {
-            Figure::Gauge(n) => Gauge::from_arc(n.clone()),
-            Figure::Counter(_) => Gauge::noop(),
+        let new = || Metric::Gauge(Arc::default());
+        match self.table().entry(MetricId::of(key)).or_insert_with(new) {
+            Metric::Gauge(n) => Gauge::from_arc(n.clone()),
+            Metric::Counter(_) => Gauge::noop(),
         }
     }
 
--- a/src/net/admin/prometheus/tests.rs
+++ b/src/net/admin/prometheus/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 #[test]
-fn figures_are_written_in_prometheus_form() {
-    let figures = PrometheusRecorder::default();
-    metrics::with_local_recorder(&figures, || {
+fn metrics_are_written_in_prometheus_form() {
+    let recorder = PrometheusRecorder::default();
+    metrics::with_local_recorder(&recorder, || {
         metrics::gauge!("b").set(1.5);
         metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(2);
         metrics::counter!("a_total", "cause" => "a \"b\"\\\n").increment(1);
@@ -19,5 +19,5 @@
         "# TYPE b gauge",
         "b 1.5",
     ];
-    assert_eq!(figures.render().lines().collect::<Vec<_>>(), lines);
+    assert_eq!(recorder.render().lines().collect::<Vec<_>>(), lines);
 }
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -17,8 +17,8 @@
 const SINGLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often one of two processes looks at the other.
 const SHARED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Client connections, and as many to backends, that a process may have whatever the other one holds. They come out of
-/// the reserve.
+/// Client connections, and as many to backends, that a process may have whatever the other one has. They come out of the
+/// reserve.
 const MIN_CONNECTIONS: usize = 8;
 /// Descriptors that a second process needs for everything else, and for clients over its limit.
 const SECOND_PROCESS_DESCRIPTORS: usize = 40;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// For one of two processes, where `other` holds so much of the common capacity: backend connections a little
+    /// For one of two processes, where the other one has `other` open: backend connections a little
     /// above those it has, and clients out of all else, as those of the old process still wait when the new one's come.
     fn for_shared_capacity(
         descriptors: usize,
@@ -68,8 +68,8 @@
 }
 
 /// Watches for another process of this proxy, for as long as the program runs. While there are two they share the
-/// proxy's descriptors and the request rate that backends in slow start may get: what one process holds the other may
-/// not. The old process's clients come over one by one, and the limits of each side follow them.
+/// proxy's descriptors and the request rate that backends in slow start may get: what one process has the other may
+/// not have. The old process's clients come over one by one, and the limits of each side follow them.
 pub async fn follow_other_process(
     presence: Rc<Presence>,
     host: Rc<Host>,
--- a/src/net/discovery/list_tracker.rs
+++ b/src/net/discovery/list_tracker.rs
@@ -17,7 +17,7 @@
 
 /// How long a call that was given up is listened to.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// At most so many of them at once, of which the oldest makes way: each holds a descriptor, and maybe half a list.
+/// Most of them at once, of which the oldest is cancelled first: each has a descriptor, and maybe half a list in memory.
 const MAX_LATE_CALLS: usize = 4;
 
 /// A call, by the state of the list as it began.
@@ -52,7 +52,7 @@
     era: Cell<u64>,
     /// ... and that of calls that begin now.
     latest_era: Cell<u64>,
-    /// A call that was given up has been answered with news.
+    /// A call that was given up has brought a newer list.
     late_answer: Notify,
     late_calls: RefCell<VecDeque<AbortHandle>>,
 }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Listens on for the answer to a call that was given up, and takes it if it is news.
+    /// Listens on for the answer to a call that was given up, and applies it if it is newer.
     pub fn listen_late(self: &Rc<Self>, call: PendingCall, running: JoinHandle<CallResult>) {
         let mut late_calls = self.late_calls.borrow_mut();
         late_calls.retain(|call| !call.is_finished());
@@ -154,7 +154,7 @@
 
     async fn take_late(self: Rc<Self>, call: PendingCall, mut running: JoinHandle<CallResult>) {
         let finished = tokio::time::timeout(LATE_ANSWER_TIMEOUT, &mut running).await;
-        running.abort(); // without an answer it would hold its connection
+        running.abort(); // a call without an answer would keep its connection
         let Ok(Ok(CallResult {
             answer: Ok(list), ..
         })) = finished
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Waits until a call that was given up is answered with news.
+    /// Waits until a call that was given up brings a newer list.
     pub async fn late_answer(&self) {
         self.late_answer.notified().await;
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Keeps the endpoint list up to date, by long polls of discovery.
 //!
 //! - [`watch`]: the task that calls discovery, one call after another.
-//! - [`PollSchedule`]: how long calls wait for news, and how failed ones are backed off.
+//! - [`PollSchedule`]: how long calls wait for changes, and how failed ones are backed off.
 //! - `list_tracker`: which answers are newer than the list in force.
 //! - `client`: a call over HTTP.
 //! - [`endpoint_list`]: the list in its JSON form.
@@ -43,10 +43,10 @@
     has_moved: bool,
     connection: Option<DiscoveryConnection>,
     wants_full_list: bool,
-    /// How long the next call waits for news. Zero for one that the balancer asked for: it is answered at once, by what
-    /// was missed.
+    /// How long the next call waits for changes. Zero for one that the balancer requested: it is answered at once, with
+    /// what was missed.
     long_poll: Duration,
-    /// How long a call is waited for that waits for no news.
+    /// The timeout of a call that does not wait for changes.
     queue_timeout: Duration,
     failures: u32,
 }
@@ -145,7 +145,7 @@
 }
 
 /// Keeps the endpoint list up to date for as long as the program runs; `index` is the version of the list in force. When
-/// discovery moves, the full list is asked for at the new address at once. A call that is given up, then or because it
+/// discovery moves, the full list is requested from the new address at once. A call that is given up, then or because it
 /// stays silent, is still listened to.
 pub async fn watch(
     host: Rc<Host>,
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! How discovery is polled: how long each call may wait for news, and how long a failed one is backed off.
+//! How discovery is polled: how long each call may wait for changes, and the backoff after a failed one.
 
 use meadowproxy::{in_line, Discovery, CALL_PATIENCE};
 use rand::rngs::StdRng;
@@ -7,7 +7,7 @@
 
 /// Calls a second that a quiet fleet may cost discovery: what it handles in the time of a few full lists.
 pub const MAX_QUIET_CALLS_PER_S: f64 = 100.0;
-/// Bounds of how long one call waits for news: the least that the fleet can afford, between these. With the longest, a
+/// Bounds of how long one call waits for changes: the least that the fleet can afford, between these. With the longest, a
 /// silence is found and mended by a second call within the 6 s after which a proxy must have a change (docs/design.md).
 const MIN_LONG_POLL_S: f64 = 1.5;
 const MAX_LONG_POLL_S: f64 = 2.8;
@@ -15,7 +15,7 @@
 pub const MIN_JITTER: f64 = 0.75;
 /// What an answer may take beyond its wait before discovery counts as silent.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same for a call that waits for no news: it may stand in a queue, which each call that is given up and repeated
+/// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
 pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(CALL_PATIENCE.0);
 /// Where lists are pushed a connection to the agent is established at once or not at all. It is retried soon: a change
@@ -26,7 +26,7 @@
 /// Factor of the longest backoff.
 const MAX_BACKOFF_FACTOR: u32 = 2;
 
-/// How the endpoint list is asked for.
+/// How the endpoint list is requested.
 pub struct PollSchedule {
     pub mode: Discovery,
     max_long_poll_s: f64,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// How long the next call waits for news.
+    /// How long the next call waits for changes.
     pub fn next_long_poll(&mut self) -> Duration {
         let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER..=1.0);
         Duration::from_millis((wait_s * 1e3) as u64)
--- a/src/net/downstream/server/shutdown.rs
+++ b/src/net/downstream/server/shutdown.rs
@@ -29,7 +29,7 @@
         self.close_connections().await;
     }
 
-    /// Clients still use the connections they have: each is told to close with its next response, and idle ones are
+    /// Clients still use the connections they have: each is asked to close with its next response, and idle ones are
     /// closed only later, as a close may cross a request.
     async fn wait_for_clients_to_leave(&self) {
         let end = Instant::now() + ACCEPT_LINGER;
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -1,9 +1,9 @@
 //! The host of the decisions: sole owner of the [`Balancer`]. Events go in, and the actions that it decides on are carried
 //! out.
 //!
-//! - [`requests`](self): requests from their arrival to their final answer.
+//! - `requests`: requests from their arrival to their final answer.
 //! - `attempts`: attempts at backends, from their dispatch to their end.
-//! - `endpoints`: updates of the endpoint list; `backend_directory` holds what is known of each backend.
+//! - `endpoints`: updates of the endpoint list; `backend_directory` records what is known of each backend.
 //! - `disabled`: backends that operators or maintenance windows keep out of use.
 //! - `learned_state`: what survives a restart.
 //! - `timers`: the balancer's timers.
--- a/src/net/host/report/tests.rs
+++ b/src/net/host/report/tests.rs
@@ -3,16 +3,17 @@
 use super::*;
 use crate::net::admin::prometheus::PrometheusRecorder;
 
-/// A line tells what is new since the last, the figures tell of all.
+/// A log line counts from the last one, the metrics from the start.
 #[test]
-fn figures_go_on_over_the_lines() {
-    let (host, figures) = (Host::example(), PrometheusRecorder::default());
+fn metrics_count_on_across_log_lines() {
+    let host = Host::example();
+    let recorder = PrometheusRecorder::default();
     for n in 1..4 {
         let (id, _wait) = host.example_request();
         host.client_gone(id);
         for _ in 0..2 {
-            metrics::with_local_recorder(&figures, || host.update_metrics(n));
-            let text = figures.render();
+            metrics::with_local_recorder(&recorder, || host.update_metrics(n));
+            let text = recorder.render();
             for line in [
                 format!("meadowproxy_requests_total {n}"),
                 format!("meadowproxy_clients {n}"),
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -1,4 +1,4 @@
-//! What the host holds between events: requests, attempts, backends, timers and counters.
+//! The host's state between events: requests, attempts, backends, timers and counters.
 
 use super::backend_directory::BackendDirectory;
 use super::timers::TimerQueue;
--- a/src/net/host/timers.rs
+++ b/src/net/host/timers.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// Part of the largest lag that is kept at each timer that fires less late: 15/16.
+/// The largest lag decays to 15/16 with each timer that fires less late.
 const LAG_DECAY_NUMERATOR: u64 = 15;
 const LAG_DECAY_DENOMINATOR: u64 = 16;
 
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -61,7 +61,7 @@
 
 impl ObservedStream {
     pub fn new(tcp: TcpStream) -> ObservedStream {
-        let _ = tcp.set_nodelay(true); // small writes are whole messages here
+        let _ = tcp.set_nodelay(true); // small writes are complete messages here
         ObservedStream(Rc::new(Inner {
             tcp,
             head_end_matched: Cell::new(HEAD_END_BYTES),
@@ -76,8 +76,8 @@
         Peer(Rc::downgrade(&self.0))
     }
 
-    /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent data
-    /// is not asked for: of what this waits for only the end of the reading side ever comes.
+    /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent
+    /// data is never sent: of what this waits for only the end of the reading side occurs.
     pub async fn closed_by_peer(&self) {
         let _ = self.0.tcp.ready(Interest::PRIORITY).await;
     }
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -1,8 +1,8 @@
 //! Checked snapshots of what this proxy learned, so that a start after a crash or a power cut is warm.
 //!
-//! The file is a prefix of [`PREFIX_BYTES`] bytes, then a body in postcard: the prefix is the magic `SHTS`, the format version (u16, little
-//! endian), the body's length in bytes (u32) and its CRC-32 (u32). The body holds a [`Header`] and a
-//! [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and the folder synced.
+//! The file is a prefix of [`PREFIX_BYTES`] bytes, then a body in postcard: the prefix is the magic `SHTS`, the format
+//! version (u16, little endian), the body's length in bytes (u32) and its CRC-32 (u32). The body is a [`Snapshot`]: a
+//! [`Header`] and a [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and the folder synced.
 
 use meadowproxy::{LearnedBackend, LearnedKind, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
@@ -13,12 +13,16 @@
 use thiserror::Error;
 
 const MAGIC: [u8; 4] = *b"SHTS";
-/// Raised whenever the body's shape changes; older and newer files are refused, not guessed at.
+/// Raised whenever the body's shape changes; older and newer files are rejected.
 pub const FORMAT: u16 = 4;
 const PREFIX_BYTES: usize = 14;
 /// Larger snapshots are neither written nor read: a proxy's memory limit is some hundred MB.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 const FILE_NAME_PREFIX: &str = "snapshot";
+/// A snapshot from further in the future is rejected.
+const MAX_CLOCK_SETBACK: Micros = Micros(1_000_000);
+/// Bytes of a hash that make the name of a file or folder unique.
+const SHORT_HASH_BYTES: usize = 16;
 
 /// Who wrote the body, when, and under which settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -68,8 +72,8 @@
     }
 }
 
-/// Which proxy of which deployment this is. Fleets on one machine may have one temporary folder and equal names; only
-/// one of them has the address, and its discovery tells its backends.
+/// Which proxy of which deployment this is. Fleets on one machine may share a temporary folder and use equal names; only
+/// one of them has the address, and discovery determines its backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyIdentity {
     pub name: String,
@@ -79,6 +83,7 @@
 }
 
 impl ProxyIdentity {
+    /// Whose a snapshot is.
     pub fn hash(&self) -> [u8; 32] {
         hash(&serde_json::json!([self.name, self.listen, self.discovery]))
     }
@@ -95,7 +100,7 @@
 
 /// Enough of a hash for the name of a file.
 fn short(hash: &[u8; 32]) -> String {
-    hex::encode(&hash[..16])
+    hex::encode(&hash[..SHORT_HASH_BYTES])
 }
 
 /// What survives a restart: the balancer's learned state by names, and the backends that operators disabled. The endpoint
@@ -231,7 +236,8 @@
     let stated_bytes = read_u32(6) as usize;
     if stated_bytes > body.len() {
         return Err(SnapshotError::Truncated { length_bytes });
-    } else if stated_bytes < body.len() {
+    }
+    if stated_bytes < body.len() {
         return Err(SnapshotError::Length {
             stated_bytes,
             found_bytes: body.len(),
@@ -246,7 +252,7 @@
 }
 
 impl Snapshot {
-    /// It and its age, if its scope is this one and is at most `max_age` old.
+    /// The snapshot and its age, if it is valid in this scope and at most `max_age` old.
     pub fn checked(
         self,
         scope: &SnapshotScope,
@@ -257,7 +263,7 @@
     }
 }
 
-/// Its age at wall time `now_us`, if its scope is this one and is at most `max_age` old.
+/// A snapshot's age at wall time `now_us`, if it is valid in this scope and at most `max_age` old.
 fn check(
     header: &Header,
     scope: &SnapshotScope,
@@ -270,9 +276,9 @@
     if header.scope.settings != scope.settings {
         return Err(SnapshotError::OtherSettings);
     }
-    // A clock set back by a little after a power cut is no reason to refuse; one far ahead is.
+    // A clock may be set back a little after a power cut.
     let ahead = Micros(header.written_us.saturating_sub(now_us));
-    if ahead > Micros::from_secs_f64(1.0) {
+    if ahead > MAX_CLOCK_SETBACK {
         return Err(SnapshotError::InFuture(ahead));
     }
     let age = Micros(now_us.saturating_sub(header.written_us));
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -237,7 +237,7 @@
         })
     }
 
-    /// Starts everything that runs beside the service of clients.
+    /// Starts every task but the service of clients.
     async fn start_services(
         &self,
         mut node: Node,
@@ -342,7 +342,7 @@
     /// Waits for what a process should know before it takes clients from an older one.
     async fn wait_until_ready(&self, has_discovery: bool, fleet: &Fleet) {
         if has_discovery && self.handover.has_older_process() {
-            // The older process still serves, and the list at hand may be old.
+            // The older process still serves, and the known list may be out of date.
             info!("hot restart: waiting for discovery's endpoint list beside an older process");
             let answered = self.host.discovery_answered();
             let _ = tokio::time::timeout(FIRST_ENDPOINT_LIST_TIMEOUT, answered).await;
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -22,7 +22,7 @@
     /// Digest of the settings that all proxies of the fleet have in common.
     pub shared_settings: &'a Rc<Cell<[u8; 32]>>,
     pub overlay: &'a Rc<Overlay>,
-    /// No snapshot was restored: learned state is asked of the other proxies.
+    /// No snapshot was restored: learned state is requested from the other proxies.
     pub is_cold_start: bool,
 }
 
@@ -109,7 +109,7 @@
     duties.map(Some).map_err(StartError::Duties)
 }
 
-/// Where this proxy keeps its copy of the fleet's configuration: beside its snapshots.
+/// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
 fn config_copies(node: &Node) -> Option<Kept> {
     let snapshots = node.snapshot.as_ref()?;
     let peers = node.peers.as_ref()?;
