--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -1,6 +1,6 @@
 //! What time alone brings about: silent backends, expired requests, hedged requests.
 
-use super::{Action, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Sent, Time};
+use super::{Action, Attempt, AttemptNumber, Balancer, Discovery, Idempotency, Micros, Time};
 
 /// An idle proxy looks about so often, s.
 pub(super) const IDLE_LOOK: f64 = 5.0;
@@ -32,7 +32,7 @@
                 && self
                     .backends
                     .get(backend)
-                    .is_some_and(|p| p.answered <= sent)
+                    .is_some_and(|p| p.last_response_at <= sent)
             {
                 silent.push(backend);
             }
@@ -47,12 +47,12 @@
             let usual = self.usual(r.class);
             let late_pays = self.cfg.classes[r.class].late_weight > 0.0 && !r.sent.is_empty();
             let last_start = if late_pays { r.deadline } else { r.aim };
-            let lost = |s: &Sent| {
+            let lost = |s: &Attempt| {
                 s.out
                     && self
                         .backends
                         .get(s.to.id)
-                        .is_none_or(|p| p.ejected.is_some())
+                        .is_none_or(|p| p.ejected_until.is_some())
             };
             let lost = matches!(&r.sent[..], [only] if lost(only));
             // The deadline's own tick would be too late to answer; a request that was held so long
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for dispatch, in order of their value.
 
 use super::{
-    Action, AttemptNumber, Balancer, ClassState, RequestId, Sent, Time, LOW, SILENT_AFTER,
+    Action, Attempt, AttemptNumber, Balancer, ClassState, RequestId, Time, LOW, SILENT_AFTER,
 };
 
 impl Balancer {
@@ -62,10 +62,11 @@
             if let Some(p) = backend.and_then(|b| self.backends.get_mut(b)) {
                 self.extra -= f64::from(extra);
                 let (no, backend) = (AttemptNumber(r.sent.len() as u32), p.entry.id);
-                r.sent.push(Sent::new(p.entry.clone(), now));
-                p.out += 1;
-                p.spent.retain(|s| now - s.0 < self.cfg.overload_window);
-                p.spent.push((now, work));
+                r.sent.push(Attempt::new(p.entry.clone(), now));
+                p.in_flight += 1;
+                p.recent_work
+                    .retain(|s| now - s.0 < self.cfg.overload_window);
+                p.recent_work.push((now, work));
                 self.attempts.insert((id, no), (backend, r.class, now));
                 self.actions.push(Action::Dispatch {
                     request: id,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,9 @@
 #![warn(missing_docs)]
 
 mod balancer;
+#[cfg(test)]
+#[path = "../tests/fixtures/mod.rs"]
+mod fixtures;
 pub mod fleet;
 mod interface;
 pub mod settings;
--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -284,3 +284,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -697,3 +697,6 @@
         Ok((node, settings))
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
