--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -7,7 +7,9 @@
 
 use crate::net::config::Sharing;
 use crate::net::host::Host;
-use crate::net::state::snapshot::{self, wall_us, Header, Snapshot, SnapshotScope};
+use crate::net::state::snapshot::{
+    self, wall_us, Header, Snapshot, SnapshotScope, VerifiedSnapshot,
+};
 use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
 use meadowproxy::{Micros, Time, Verdict};
 use post::Post;
@@ -209,7 +211,7 @@
         match snapshot::decode(bytes)
             .and_then(|s| s.checked(&SnapshotScope::for_fleet(self.settings.get()), most))
         {
-            Ok((s, age)) => {
+            Ok(VerifiedSnapshot { snapshot: s, age }) => {
                 info!(
                     event = "peer_snapshot_taken",
                     age_s = age.as_secs_f64(),
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -3,7 +3,7 @@
 use super::{RequestRules, Server};
 use crate::net::downstream::response_stream::ResponseStream;
 use crate::net::downstream::upload::{Upload, UploadError};
-use crate::net::host::{Answer, Host};
+use crate::net::host::{Answer, Host, PendingRequest};
 use crate::net::observed_stream::ObservedStream;
 use crate::net::upstream::{ForwardedRequest, RequestBody, ResponseBody, StreamedUpload};
 use crate::net::{strip_hop_by_hop, MAX_BODY};
@@ -81,9 +81,9 @@
         let rules = self.rules.borrow().clone(); // a request keeps those it arrived under
         let admitted = self.admit(request, client, started_at, &rules).await?;
         let forwarded = admitted.forwarded;
-        let (id, answer) = self
-            .host
-            .request(admitted.arrival, &forwarded, admitted.idempotency);
+        let PendingRequest { id, answer } =
+            self.host
+                .request(admitted.arrival, &forwarded, admitted.idempotency);
         let mut guard = DisconnectGuard {
             host: &self.host,
             request: id,
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends, from their dispatch to their end.
 
-use super::state::{Answer, InFlightAttempt, OpenRequest, State};
+use super::state::{Answer, AttemptKey, InFlightAttempt, OpenRequest, State};
 use super::Host;
 use crate::net::observed_stream::Peer;
 use crate::net::upstream::{AttemptResult, Progress, RequestBody, ServedResponse};
@@ -54,7 +54,8 @@
             sent_at: now,
             task: task.abort_handle(),
         };
-        s.attempts.insert((request, attempt), in_flight);
+        s.attempts
+            .insert(AttemptKey { request, attempt }, in_flight);
     }
 
     /// Asked at the moment of the first byte: whether the endpoint list still allows the backend at that address, the
@@ -107,7 +108,7 @@
         let now = self.clock.now();
         let time_left = {
             let mut s = self.state.borrow_mut();
-            if let Some(in_flight) = s.attempts.get_mut(&(request, attempt)) {
+            if let Some(in_flight) = s.attempts.get_mut(&AttemptKey { request, attempt }) {
                 in_flight.sent_at = now;
             }
             let Some(open_request) = s.requests.get_mut(&request) else {
@@ -159,7 +160,7 @@
     ) {
         let end = {
             let mut s = self.state.borrow_mut();
-            let Some(in_flight) = s.attempts.remove(&(request, attempt)) else {
+            let Some(in_flight) = s.attempts.remove(&AttemptKey { request, attempt }) else {
                 return;
             };
             in_flight.task.abort(); // closes its connection, if it is still on one
@@ -212,18 +213,22 @@
     pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNumber> {
         let s = self.state.borrow();
         let count = s.requests.get(&id).map_or(0, |request| request.attempts);
-        (0..count)
-            .map(AttemptNumber)
-            .filter(|attempt| s.attempts.contains_key(&(id, *attempt)))
-            .collect()
+        let is_in_flight = |attempt: &AttemptNumber| {
+            let key = AttemptKey {
+                request: id,
+                attempt: *attempt,
+            };
+            s.attempts.contains_key(&key)
+        };
+        (0..count).map(AttemptNumber).filter(is_in_flight).collect()
     }
 
     /// Ends what is in flight for a client that left, where the balancer may not cancel it.
     pub(super) fn drop_attempts(self: &Rc<Self>, id: RequestId) {
         let attempts: Vec<AttemptNumber> = {
             let s = self.state.borrow();
-            let of_request = s.attempts.keys().filter(|(request, _)| *request == id);
-            of_request.map(|(_, attempt)| *attempt).collect()
+            let of_request = s.attempts.keys().filter(|key| key.request == id);
+            of_request.map(|key| key.attempt).collect()
         };
         for attempt in attempts {
             let cancelled = AttemptResult::without_response(Outcome::Cancelled);
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::net::discovery::endpoint_list::List;
 use crate::net::host::state::{InFlightAttempt, OpenRequest};
+use crate::net::host::PendingRequest;
 use meadowproxy::{ClassId, Config, EndpointUpdate, Idempotency, KeyScope, RequestClass};
 use tokio::sync::oneshot;
 
@@ -31,7 +32,7 @@
 
 /// A keyed request with copies that were sent so long ago each; the module knows nothing of it.
 fn copies(host: &Rc<Host>, ago: &[u64]) -> (RequestId, oneshot::Receiver<Answer>) {
-    let (id, _) = host.example_request();
+    let id = host.example_request().id;
     let mut s = host.state.borrow_mut();
     s.attempts.clear();
     let forwarded = s.requests[&id].forwarded.clone();
@@ -64,7 +65,11 @@
             sent_at: host.clock.now() - Micros(*ago),
             task,
         };
-        s.attempts.insert((id, AttemptNumber(no as u32)), in_flight);
+        let key = AttemptKey {
+            request: id,
+            attempt: AttemptNumber(no as u32),
+        };
+        s.attempts.insert(key, in_flight);
     }
     drop(s);
     (id, wait)
@@ -77,7 +82,7 @@
     let host = Host::example();
     scoped(async {
         news(&host, 1, "SERVING", 9);
-        let (id, _wait) = host.example_request();
+        let PendingRequest { id, answer: _wait } = host.example_request();
         assert!(host.may_send(id, FIRST, B, at(9)));
         assert!(
             !host.may_send(RequestId(99), FIRST, B, at(9)),
--- a/src/net/host/disconnect_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -26,7 +26,7 @@
     scope
         .run_until(async {
             host.update_endpoints(EndpointUpdate::Full, &list);
-            let (id, _wait) = host.example_request_of(Some(client.peer()));
+            let PendingRequest { id, answer: _wait } = host.example_request_of(Some(client.peer()));
             assert!(host.may_send(id, AttemptNumber(0), BackendId(0), at));
             drop(peer);
             assert!(!host.may_send(id, AttemptNumber(0), BackendId(0), at));
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -1,6 +1,7 @@
 //! ParsedEntries of the list, and reasons for which backends are out.
 
 use super::*;
+use crate::net::host::PendingRequest;
 use crate::net::upstream::{AttemptResult, ResponseBody, ServedResponse};
 use meadowproxy::{AttemptNumber, Outcome};
 
@@ -279,7 +280,7 @@
                     &lines([serving.clone()], false),
                 );
                 let number = host.state.borrow().ids_by_name["b"];
-                let (id, _wait) = host.example_request();
+                let PendingRequest { id, answer: _wait } = host.example_request();
                 assert_eq!(host.state.borrow().attempts.len(), 1);
                 host.update_endpoints(EndpointUpdate::Full, &lines([], true));
                 assert_eq!(kept(&host), vec!["b"], "its attempt is open");
@@ -353,7 +354,7 @@
     scope
         .run_until(async {
             let host = host();
-            let (id, _wait) = host.example_request();
+            let PendingRequest { id, answer: _wait } = host.example_request();
             let body = ResponseBody::Buffered(bytes::Bytes::new());
             host.response_started(
                 id,
--- a/src/net/host/example.rs
+++ b/src/net/host/example.rs
@@ -1,13 +1,12 @@
 //! A host with the example's configuration, for tests.
 
-use super::{Answer, Host};
+use super::{Host, PendingRequest};
 use crate::net::observed_stream::Peer;
 use crate::net::upstream::{ConnectionPool, ForwardedRequest, RequestBody};
 use crate::net::Clock;
 use meadowproxy::settings::{Names, Network};
 use meadowproxy::{Balancer, ClassId, Config, Idempotency, Micros, RequestArrival, RequestId};
 use std::rc::Rc;
-use tokio::sync::oneshot;
 
 impl Host {
     /// With the example's configuration and no backends.
@@ -25,15 +24,12 @@
     }
 
     /// A request of the example's first class with a minute left, as a client's `GET`.
-    pub fn example_request(self: &Rc<Self>) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn example_request(self: &Rc<Self>) -> PendingRequest {
         self.example_request_of(None)
     }
 
     /// The same from a client that may leave.
-    pub fn example_request_of(
-        self: &Rc<Self>,
-        client: Option<Peer>,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn example_request_of(self: &Rc<Self>, client: Option<Peer>) -> PendingRequest {
         let forwarded = ForwardedRequest {
             method: hyper::Method::GET,
             uri: hyper::Uri::from_static("/read/k"),
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -25,6 +25,7 @@
 
 pub use backend_directory::DisableReason;
 pub use endpoints::BackendStatus;
+pub use requests::PendingRequest;
 pub use state::Answer;
 
 use crate::net::upstream::ConnectionPool;
@@ -34,7 +35,7 @@
     Action, AttemptEnd, AttemptNumber, Balancer, ClassId, Event, Micros, Outcome, PeerVerdict,
     RequestId, TenantId, Time, Verdict,
 };
-use state::State;
+use state::{AttemptKey, State};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch, Notify};
@@ -199,7 +200,7 @@
     }
 
     fn cancel(&self, s: &mut State, now: Time, request: RequestId, attempt: AttemptNumber) {
-        let Some(in_flight) = s.attempts.remove(&(request, attempt)) else {
+        let Some(in_flight) = s.attempts.remove(&AttemptKey { request, attempt }) else {
             return;
         };
         in_flight.task.abort();
--- a/src/net/host/report/tests.rs
+++ b/src/net/host/report/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::net::admin::prometheus::PrometheusRecorder;
+use crate::net::host::PendingRequest;
 
 /// A log line counts from the last one, the metrics from the start.
 #[test]
@@ -9,7 +10,7 @@
     let host = Host::example();
     let recorder = PrometheusRecorder::default();
     for n in 1..4 {
-        let (id, _wait) = host.example_request();
+        let PendingRequest { id, answer: _wait } = host.example_request();
         host.client_gone(id);
         for _ in 0..2 {
             metrics::with_local_recorder(&recorder, || host.update_metrics(n));
--- a/src/net/host/requests.rs
+++ b/src/net/host/requests.rs
@@ -8,15 +8,20 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
+/// A request that waits for its final answer.
+pub struct PendingRequest {
+    pub id: RequestId,
+    pub answer: oneshot::Receiver<Answer>,
+}
+
 impl Host {
-    /// Takes a request, and gives it the id that stands in place of `arrival.request`. The answer comes through the
-    /// receiver.
+    /// Takes a request, and gives it the id that stands in place of `arrival.request`.
     pub fn request(
         self: &Rc<Self>,
         mut arrival: RequestArrival,
         forwarded: &Rc<ForwardedRequest>,
         idempotency: Idempotency,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
+    ) -> PendingRequest {
         let (answer, receiver) = oneshot::channel();
         let deadline = match forwarded.body {
             RequestBody::Buffered(_) => self.clock.now() + arrival.time_left,
@@ -34,7 +39,10 @@
         let id = self.state.borrow_mut().add_request(request);
         arrival.request = id;
         self.handle_event(Event::RequestArrived(arrival));
-        (id, receiver)
+        PendingRequest {
+            id,
+            answer: receiver,
+        }
     }
 
     /// When the request's time is up.
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -46,6 +46,13 @@
     pub attempts: u32,
 }
 
+/// Which attempt at which request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptKey {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
+}
+
 /// An attempt that has not ended.
 pub struct InFlightAttempt {
     pub backend: BackendId,
@@ -110,7 +117,7 @@
     /// Backends that are not in the endpoint list.
     pub unlisted: BTreeSet<BackendId>,
     pub requests: HashMap<RequestId, OpenRequest>,
-    pub attempts: HashMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    pub attempts: HashMap<AttemptKey, InFlightAttempt>,
     pub timers: TimerQueue,
     /// Events that are still to be handled, in order.
     pub events: VecDeque<Event>,
@@ -189,7 +196,13 @@
         let in_flight_sends = (0..request.attempts)
             .map(AttemptNumber)
             .filter(|other| *other != attempt)
-            .filter_map(|other| self.attempts.get(&(id, other)))
+            .filter_map(|attempt| {
+                let key = AttemptKey {
+                    request: id,
+                    attempt,
+                };
+                self.attempts.get(&key)
+            })
             .map(|other| other.sent_at);
         let first_send = in_flight_sends.chain(request.first_possible_run).min()?;
         let window = self.retry_window(request)?;
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -126,6 +126,13 @@
     pub saved: SavedState,
 }
 
+/// A snapshot that may be restored.
+pub struct VerifiedSnapshot {
+    pub snapshot: Snapshot,
+    /// Time since it was written.
+    pub age: Micros,
+}
+
 /// Why a snapshot is not used. Each is logged once, and the proxy starts cold.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
@@ -252,14 +259,17 @@
 }
 
 impl Snapshot {
-    /// The snapshot and its age, if it is valid in this scope and at most `max_age` old.
+    /// Verifies that the snapshot is valid in this scope and at most `max_age` old.
     pub fn checked(
         self,
         scope: &SnapshotScope,
         max_age: Micros,
-    ) -> Result<(Snapshot, Micros), SnapshotError> {
+    ) -> Result<VerifiedSnapshot, SnapshotError> {
         let age = check(&self.header, scope, wall_us(), max_age)?;
-        Ok((self, age))
+        Ok(VerifiedSnapshot {
+            snapshot: self,
+            age,
+        })
     }
 }
 
--- a/src/net/state/snapshot_keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -6,7 +6,7 @@
 use crate::net::config::Snapshots;
 use crate::net::host::Host;
 use crate::net::state::snapshot::{
-    self, Header, ProxyIdentity, Snapshot, SnapshotError, SnapshotScope,
+    self, Header, ProxyIdentity, Snapshot, SnapshotError, SnapshotScope, VerifiedSnapshot,
 };
 use crate::net::state::snapshot_writer::SnapshotWriter;
 use meadowproxy::Micros;
@@ -72,7 +72,7 @@
         snapshot::remove_leftovers(dir, &owner);
         let file = snapshot::path(dir, &owner);
         match checked {
-            Ok((snapshot, age)) => {
+            Ok(VerifiedSnapshot { snapshot, age }) => {
                 info!(
                     event = "snapshot_taken",
                     age_s = age.as_secs_f64(),
