--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -25,7 +25,7 @@
     Connect(#[source] io::Error),
     #[error("call broken: {0}")]
     Http(#[source] BoxError),
-    #[error("answered {0}")]
+    #[error("answered {}", .0.as_u16())]
     Status(StatusCode),
     #[error(transparent)]
     Answer(#[from] AnswerError),
