--- a/src/net/admin/server/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -1,4 +1,4 @@
-//! What the door answers.
+//! Answers to operators' calls.
 
 use super::*;
 use crate::fixtures::assert_lines;
@@ -12,24 +12,24 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Says what it heard; of the window `late` nothing.
+/// Answers with the call itself; never for the window `late`.
 struct Echo;
 
 impl FleetAdmin for Echo {
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
-        let (late, length) = (path.get(1) == Some(&"late"), body.len());
-        let heard = format!("{method} {} {length}", path.join("|"));
+        let is_late = path.get(1) == Some(&"late");
+        let echo = format!("{method} {} {}", path.join("|"), body.len());
         Box::pin(async move {
             tokio::task::yield_now().await;
-            if late {
+            if is_late {
                 std::future::pending::<()>().await;
             }
-            (StatusCode::ACCEPTED, heard)
+            (StatusCode::ACCEPTED, echo)
         })
     }
 }
 
-/// A door's answers, whole, each to the bytes of one call.
+/// The complete answers of a server, each to the bytes of one call.
 async fn answers(fleet: Option<Rc<dyn FleetAdmin>>, calls: &[Vec<u8>]) -> Vec<String> {
     let second = Micros(1_000_000);
     let network = Network {
@@ -58,7 +58,7 @@
     let at = listener.local_addr().unwrap();
     let running = tokio::task::spawn_local(admin.run(listener));
     let calls = calls.to_vec();
-    let (tell, told) = tokio::sync::oneshot::channel();
+    let (sender, received) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let ask = |call: &Vec<u8>| {
             let mut tcp = TcpStream::connect(at).unwrap();
@@ -67,9 +67,9 @@
             tcp.read_to_string(&mut answer).unwrap();
             answer
         };
-        let _ = tell.send(calls.iter().map(ask).collect());
+        let _ = sender.send(calls.iter().map(ask).collect());
     });
-    let answers = told.await.expect("an answer to each");
+    let answers = received.await.expect("an answer to each");
     running.abort();
     answers
 }
@@ -132,7 +132,7 @@
     ]
 }
 
-fn refused_fleet_calls() -> Vec<Case> {
+fn rejected_fleet_calls() -> Vec<Case> {
     let over = vec![b'x'; MAX_BODY + 1];
     vec![
         (
@@ -184,10 +184,10 @@
     ]
 }
 
-/// Whole bodies and decoded paths reach the keepers; all that makes no sense gets one refusal that says why.
+/// Complete bodies and decoded paths are passed on; every malformed call is rejected with its reason.
 #[tokio::test]
-async fn calls_on_windows_reach_their_keepers_or_are_refused() {
-    let cases = [carried_out_fleet_calls(), refused_fleet_calls()].concat();
+async fn calls_on_the_fleet_are_passed_on_or_rejected() {
+    let cases = [carried_out_fleet_calls(), rejected_fleet_calls()].concat();
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
--- a/src/net/downstream/server/tests.rs
+++ b/src/net/downstream/server/tests.rs
@@ -1,4 +1,4 @@
-//! What meets between two steps of the server that no other process can part.
+//! Events that coincide between two steps of the server, which no other process can bring about.
 
 use super::*;
 use crate::net::observed_stream::tests::ASKED;
@@ -6,7 +6,7 @@
 
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-/// Runs a test beside a server with room for eight clients.
+/// Runs a test with a server of at most eight clients.
 fn with_server(test: impl AsyncFnOnce(Rc<Server>, TcpListener)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -31,8 +31,8 @@
     peer
 }
 
-/// What comes up to `end`, or to the connection's end; `false`: that was a reset.
-async fn heard(peer: &mut std::net::TcpStream, end: &str) -> (String, bool) {
+/// What is received up to `end`, or to the connection's end; `false`: that was a reset.
+async fn received(peer: &mut std::net::TcpStream, end: &str) -> (String, bool) {
     let (mut got, mut byte) = (String::new(), [0]);
     while end.is_empty() || !got.ends_with(end) {
         match peer.read(&mut byte) {
@@ -47,18 +47,18 @@
     (got, true)
 }
 
-/// It is chosen to make room, and its next request comes before it hears of that: that one is answered, and the
-/// connection ends with the answer rather than a while later under another request.
+/// The connection is chosen to be closed, and its next request arrives before it is notified: that one is answered, and
+/// the connection ends with the response rather than later under another request.
 #[test]
-fn a_request_that_meets_the_choice_to_make_room_is_answered_and_the_last() {
+fn a_request_that_arrives_as_its_connection_is_chosen_is_answered_and_the_last() {
     with_server(async |server, listener| {
         let mut peer = client(&server, &listener).await;
         peer.write_all(READY).unwrap();
-        let (answer, _) = heard(&mut peer, "ready\n").await;
+        let (answer, _) = received(&mut peer, "ready\n").await;
         assert!(!answer.contains("connection: close"), "{answer}");
         assert!(server.close_least_useful(Duration::ZERO));
         peer.write_all(READY).unwrap();
-        let (answer, plainly) = heard(&mut peer, "").await;
+        let (answer, plainly) = received(&mut peer, "").await;
         assert!(
             answer.contains("connection: close") && answer.ends_with("ready\n"),
             "{answer}"
@@ -67,37 +67,37 @@
     });
 }
 
-/// It is closed, and its next request comes before the connection's end goes out: that end is plain and no reset, and
-/// the request is not served.
+/// The connection is closed, and its next request arrives before the client sees that: the end is no reset, and the
+/// request is not served.
 #[test]
-fn a_request_that_meets_the_close_is_neither_served_nor_answered_by_a_reset() {
+fn a_request_that_crosses_the_close_is_neither_served_nor_reset() {
     with_server(async |server, listener| {
         let mut peer = client(&server, &listener).await;
         peer.write_all(READY).unwrap();
-        heard(&mut peer, "ready\n").await;
+        received(&mut peer, "ready\n").await;
         assert!(server.close_least_useful(Duration::ZERO));
-        let (rest, plainly) = heard(&mut peer, "").await;
+        let (rest, plainly) = received(&mut peer, "").await;
         assert!(rest.is_empty() && plainly, "{rest}");
-        peer.write_all(READY).unwrap(); // it has not heard of the end yet
+        peer.write_all(READY).unwrap(); // it has not seen the end yet
         peer.shutdown(std::net::Shutdown::Write).unwrap();
         while server.clients() > 0 {
             server.client_left.notified().await;
         }
         assert!(peer.take_error().unwrap().is_none(), "a reset");
-        assert_eq!(heard(&mut peer, "").await, (String::new(), true));
+        assert_eq!(received(&mut peer, "").await, (String::new(), true));
     });
 }
 
-/// A connection that ended but for its client's side is the first to make room, and at once.
+/// A half-closed connection is the first to be closed for capacity, and at once.
 #[test]
-fn a_lingering_close_makes_room_first() {
+fn a_lingering_close_is_cut_first() {
     with_server(async |server, listener| {
         let mut resting = client(&server, &listener).await;
         resting.write_all(READY).unwrap();
-        heard(&mut resting, "ready\n").await;
+        received(&mut resting, "ready\n").await;
         let mut ended = client(&server, &listener).await;
         ended.write_all(b"what?\r\n\r\n").unwrap();
-        assert!(heard(&mut ended, "").await.0.starts_with("HTTP/1.1 400"));
+        assert!(received(&mut ended, "").await.0.starts_with("HTTP/1.1 400"));
         assert_eq!(server.clients(), 2, "it lingers");
         assert!(server.close_least_useful(Duration::ZERO));
         let before = Instant::now();
@@ -110,16 +110,19 @@
         );
         resting.write_all(READY).unwrap();
         assert!(
-            heard(&mut resting, "ready\n").await.0.ends_with("ready\n"),
+            received(&mut resting, "ready\n")
+                .await
+                .0
+                .ends_with("ready\n"),
             "the other stays"
         );
     });
 }
 
-/// To find who gives way in a crowd, the kernel is asked of who is chosen and of who has a request waiting, and of none
-/// twice: to ask it of everyone for each that comes leaves no processor time to take them in.
+/// To choose a connection of many, the kernel is asked only of the one that is chosen and of those that have a request
+/// waiting, once each: to ask it of all of them at each accept leaves no processor time to accept.
 #[test]
-fn a_crowd_makes_room_without_the_kernel_being_asked_of_everyone() {
+fn a_connection_is_chosen_without_asking_the_kernel_of_all() {
     const CROWD: usize = 100;
     with_server(async |server, listener| {
         let mut asking = client(&server, &listener).await;
@@ -135,40 +138,43 @@
             8 + 8,
             "one with a request, at each, and one that goes"
         );
-        let (answer, _) = heard(&mut asking, "ready\n").await;
+        let (answer, _) = received(&mut asking, "ready\n").await;
         assert!(answer.ends_with("ready\n"), "{answer}");
         for gone in &mut silent[..8] {
-            assert_eq!(heard(gone, "").await, (String::new(), true));
+            assert_eq!(received(gone, "").await, (String::new(), true));
         }
     });
 }
 
-/// One that has rested longer is kept where another has never said a word.
+/// A connection that is idle longer stays open where another has never brought a request.
 #[test]
-fn who_has_brought_a_request_stays_before_who_is_silent() {
+fn a_connection_without_any_request_is_closed_before_an_idle_one() {
     with_server(async |server, listener| {
         let mut resting = client(&server, &listener).await;
         resting.write_all(READY).unwrap();
-        heard(&mut resting, "ready\n").await;
+        received(&mut resting, "ready\n").await;
         let mut silent = client(&server, &listener).await;
-        tokio::time::sleep(JUST_CONNECTED).await; // so long it may be on its way
+        tokio::time::sleep(JUST_CONNECTED).await; // until then its request may be on its way
         assert!(server.close_least_useful(JUST_CONNECTED));
-        assert_eq!(heard(&mut silent, "").await, (String::new(), true));
+        assert_eq!(received(&mut silent, "").await, (String::new(), true));
         resting.write_all(READY).unwrap();
-        assert!(heard(&mut resting, "ready\n").await.0.ends_with("ready\n"));
+        assert!(received(&mut resting, "ready\n")
+            .await
+            .0
+            .ends_with("ready\n"));
     });
 }
 
-/// A chosen one is out of the way with its turn, though its other side never ends.
+/// A chosen connection is closed with its turn, though its other side never ends.
 #[test]
-fn room_is_made_without_waiting_for_the_other_side() {
+fn a_connection_is_closed_without_waiting_for_the_other_side() {
     with_server(async |server, listener| {
         let mut silent = Vec::new();
         for _ in 0..8 + CONNECTIONS_ABOVE_LIMIT {
             silent.push(client(&server, &listener).await);
         }
         assert!(server.close_least_useful(Duration::ZERO));
-        server.client_left.notified().await; // it parts
+        server.client_left.notified().await; // it is half closed
         assert_eq!(
             server.clients(),
             8 + CONNECTIONS_ABOVE_LIMIT,
--- a/src/net/downstream/upload/tests.rs
+++ b/src/net/downstream/upload/tests.rs
@@ -22,17 +22,17 @@
     let ended = Cell::new(None);
     let service = service_fn(async |request: Request<Incoming>| {
         let mut upload = Upload::new(request.into_body(), stream.peer(), Instant::now());
-        let mut whole = true;
+        let mut is_complete = true;
         while let Some(frame) = upload.frame().await {
-            whole &= frame.is_ok();
-            if !whole {
+            is_complete &= frame.is_ok();
+            if !is_complete {
                 break;
             }
         }
-        assert_eq!(upload.progress.has_ended(), whole);
-        ended.set(Some(whole));
+        assert_eq!(upload.progress.has_ended(), is_complete);
+        ended.set(Some(is_complete));
         drop(upload);
-        Err::<Response<Empty<Bytes>>, _>(UploadError::Slow) // no answer is of use
+        Err::<Response<Empty<Bytes>>, _>(UploadError::Slow) // no response is of use
     });
     let _ = http1::Builder::new()
         .serve_connection(stream.clone(), service)
@@ -41,7 +41,7 @@
     ended.get().expect("it was read")
 }
 
-/// The last byte is not handed on for a client that is gone, whatever tells that it is the last.
+/// The last byte is not forwarded for a client that has left, whatever marks it as the last.
 #[tokio::test]
 async fn a_body_does_not_reach_its_end_after_its_client_left() {
     for body in [
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn news(host: &Rc<Host>, index: u64, status: &str, port: u16) {
+fn update(host: &Rc<Host>, index: u64, status: &str, port: u16) {
     let entry = serde_json::json!({"name": "b", "address": at(port).to_string(), "status": status});
     host.update_endpoints(
         EndpointUpdate::Incremental,
@@ -30,15 +30,18 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A keyed request with copies that were sent so long ago each; the module knows nothing of it.
-fn copies(host: &Rc<Host>, ago: &[u64]) -> (RequestId, oneshot::Receiver<Answer>) {
+/// A request with an idempotency key and attempts that were each sent so long ago; the balancer does not know it.
+fn request_with_attempts(
+    host: &Rc<Host>,
+    sent_ago_us: &[u64],
+) -> (RequestId, oneshot::Receiver<Answer>) {
     let id = host.example_request().id;
     let mut s = host.state.borrow_mut();
     s.attempts.clear();
     let forwarded = s.requests[&id].forwarded.clone();
     let (answer, wait) = oneshot::channel();
     let deadline = host.clock.now() + Micros(60_000_000);
-    let attempts = ago.len() as u32;
+    let attempts = sent_ago_us.len() as u32;
     let (class, idempotency) = (
         ClassId(0),
         Idempotency::Keyed {
@@ -58,16 +61,16 @@
             attempts,
         },
     );
-    for (no, ago) in ago.iter().enumerate() {
+    for (number, ago_us) in sent_ago_us.iter().enumerate() {
         let task = tokio::task::spawn_local(std::future::pending::<()>()).abort_handle();
         let in_flight = InFlightAttempt {
             backend: B,
-            sent_at: host.clock.now() - Micros(*ago),
+            sent_at: host.clock.now() - Micros(*ago_us),
             task,
         };
         let key = AttemptKey {
             request: id,
-            attempt: AttemptNumber(no as u32),
+            attempt: AttemptNumber(number as u32),
         };
         s.attempts.insert(key, in_flight);
     }
@@ -75,74 +78,86 @@
     (id, wait)
 }
 
-/// Each thing that may change while a connection comes up stops the send: the list, the address that it gives, and the
+/// Whatever may change while a connection is established prevents the send: the endpoint list, the address in it, and the
 /// request's end.
 #[tokio::test]
 async fn the_first_byte_waits_for_list_and_request() {
     let host = Host::example();
     scoped(async {
-        news(&host, 1, "SERVING", 9);
+        update(&host, 1, "SERVING", 9);
         let PendingRequest { id, answer: _wait } = host.example_request();
         assert!(host.may_send(id, FIRST, B, at(9)));
         assert!(
             !host.may_send(RequestId(99), FIRST, B, at(9)),
             "the request is over"
         );
-        news(&host, 2, "SERVING", 10);
+        update(&host, 2, "SERVING", 10);
         assert!(
             !host.may_send(id, FIRST, B, at(9)),
             "the backend is elsewhere now"
         );
         assert!(host.may_send(id, FIRST, B, at(10)));
-        news(&host, 3, "DRAINING", 10);
+        update(&host, 3, "DRAINING", 10);
         assert!(!host.may_send(id, FIRST, B, at(10)), "the backend drains");
         host.client_gone(id);
         assert!(
             host.state.borrow().attempts.is_empty(),
-            "nothing is out for a client that left"
+            "nothing is in flight for a client that left"
         );
     })
     .await;
 }
 
-/// A copy goes out only while backends still drop it, whichever of the copies was dispatched first: one whose connection
-/// came up late is a repeat of a later one that was faster.
+/// Another attempt is sent only while backends still drop duplicates, whichever attempt was dispatched first: one whose
+/// connection was established late duplicates a later one that was faster.
 #[tokio::test]
-async fn no_copy_goes_out_once_another_may_have_run_a_window_ago() {
+async fn nothing_is_sent_once_another_attempt_may_have_run_a_window_ago() {
     let host = Host::example();
     scoped(async {
-        news(&host, 1, "SERVING", 9);
-        let (id, _wait) = copies(&host, &[0]);
-        assert!(host.may_send(id, FIRST, B, at(9)), "alone, it is no repeat");
-        let (id, _wait) = copies(&host, &[400_000, 0]);
+        update(&host, 1, "SERVING", 9);
+        let (id, _wait) = request_with_attempts(&host, &[0]);
+        assert!(
+            host.may_send(id, FIRST, B, at(9)),
+            "as the only one it is no duplicate"
+        );
+        let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
         assert!(host.may_send(id, SECOND, B, at(9)), "still dropped");
-        let (id, _wait) = copies(&host, &[500_000, 0]);
+        let (id, _wait) = request_with_attempts(&host, &[500_000, 0]);
         assert!(!host.may_send(id, SECOND, B, at(9)), "the window is over");
-        let (id, _wait) = copies(&host, &[900_000, 500_000]);
+        let (id, _wait) = request_with_attempts(&host, &[900_000, 500_000]);
         assert!(
             !host.may_send(id, FIRST, B, at(9)),
-            "the later copy may have run a window ago"
+            "the later attempt may have run a window ago"
         );
         host.attempt_ended(id, SECOND, AttemptResult::without_response(Outcome::Reset));
         assert!(
             !host.may_send(id, FIRST, B, at(9)),
             "and so it may once it has ended"
         );
-        let (id, _wait) = copies(&host, &[900_000, 500_000]);
+        let (id, _wait) = request_with_attempts(&host, &[900_000, 500_000]);
         host.attempt_ended(
             id,
             SECOND,
             AttemptResult::without_response(Outcome::ConnectFailed),
         );
         assert!(host.may_send(id, FIRST, B, at(9)), "it never ran");
-        // The last byte has to be out in time as well, counted from now where no other copy is out yet.
+        // The last byte must be sent in time as well, counted from now where no other attempt has been sent.
         let now = host.clock.now();
         let by = host.send_deadline(id, FIRST).unwrap();
         assert!(by >= now + WINDOW && by < now + WINDOW + WINDOW);
-        let (id, _wait) = copies(&host, &[400_000, 0]);
+        let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
         assert!(host.send_deadline(id, SECOND).unwrap() <= host.clock.now() + Micros(100_000));
-        // Settings that came meanwhile shorten the window, or allow no copy at all; longer ones change nothing.
-        for (effect, allowed) in [
+    })
+    .await;
+}
+
+/// Settings that changed meanwhile shorten the window, or allow no other attempt at all; longer ones change nothing.
+#[tokio::test]
+async fn changed_settings_can_only_shorten_the_window() {
+    let host = Host::example();
+    scoped(async {
+        update(&host, 1, "SERVING", 9);
+        for (idempotency, is_allowed) in [
             (
                 Idempotency::Keyed {
                     scope: KeyScope::All,
@@ -161,12 +176,16 @@
             (Idempotency::Idempotent, true),
         ] {
             host.state.borrow_mut().classes = vec![RequestClass {
-                idempotency: effect,
+                idempotency,
                 ..Config::example().classes[0].clone()
             }]
             .into();
-            let (id, _wait) = copies(&host, &[400_000, 0]);
-            assert_eq!(host.may_send(id, SECOND, B, at(9)), allowed, "{effect:?}");
+            let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
+            assert_eq!(
+                host.may_send(id, SECOND, B, at(9)),
+                is_allowed,
+                "{idempotency:?}"
+            );
         }
     })
     .await;
@@ -184,7 +203,7 @@
     }
 }
 
-/// What crosses in one turn of the loop gives one final answer: the first.
+/// Of outcomes in one turn of the event loop the first is the final answer.
 #[tokio::test]
 async fn of_outcomes_in_one_turn_the_first_is_the_answer() {
     use crate::net::upstream::ResponseBody;
@@ -197,8 +216,8 @@
     };
     let host = Host::example();
     scoped(async {
-        news(&host, 1, "SERVING", 9);
-        let (id, mut wait) = copies(&host, &[0, 0]);
+        update(&host, 1, "SERVING", 9);
+        let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.attempt_ended(id, SECOND, served("second"));
         host.attempt_ended(id, FIRST, served("first"));
         host.deadline_expired(id);
@@ -207,7 +226,7 @@
             "second",
             "two answers, then the deadline"
         );
-        let (id, mut wait) = copies(&host, &[0, 0]);
+        let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.deadline_expired(id);
         host.attempt_ended(id, FIRST, served("late"));
         assert_eq!(
@@ -215,7 +234,7 @@
             "none of theirs",
             "the deadline, then an answer"
         );
-        let (id, mut wait) = copies(&host, &[0, 0]);
+        let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.client_gone(id);
         host.attempt_ended(id, FIRST, served("late"));
         host.deadline_expired(id);
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! ParsedEntries of the list, and reasons for which backends are out.
+//! Updates of the endpoint list, and reasons for which backends are disabled.
 
 use super::*;
 use crate::net::host::PendingRequest;
@@ -20,15 +20,15 @@
     host
 }
 
-fn row(host: &Host) -> BackendStatus {
-    let rows = host.backend_statuses();
-    assert_eq!(rows.len(), 1, "{rows:?}");
-    rows[0].clone()
+fn status(host: &Host) -> BackendStatus {
+    let statuses = host.backend_statuses();
+    assert_eq!(statuses.len(), 1, "{statuses:?}");
+    statuses[0].clone()
 }
 
-/// Whichever reason ends first, the backend comes back with the last one, cold from then on.
+/// Whichever reason ends first, the backend is enabled with the last one, and warms up from then on.
 #[test]
-fn a_backend_is_out_while_either_reason_holds() {
+fn a_backend_is_disabled_while_either_reason_remains() {
     for (first, last) in [
         (DisableReason::Operator, DisableReason::MaintenanceWindow),
         (DisableReason::MaintenanceWindow, DisableReason::Operator),
@@ -45,12 +45,12 @@
             by_hand: false,
             open: 0,
         };
-        assert_eq!(row(&host), warm);
+        assert_eq!(status(&host), warm);
         assert!(
             !host.enable_backend("b", first, host.clock.now()),
             "no such reason"
         );
-        assert_eq!(row(&host), warm, "a fresh start would be cold");
+        assert_eq!(status(&host), warm, "a fresh start would warm up");
         assert!(
             host.disable_backend("b", first)
                 && host.disable_backend("b", last)
@@ -66,13 +66,13 @@
             by_hand: last == DisableReason::Operator,
             ..warm.clone()
         };
-        assert_eq!(row(&host), out, "{last:?} holds");
+        assert_eq!(status(&host), out, "{last:?} still disables it");
         assert_eq!(
             host.learned_state().disabled,
             if out.by_hand { vec!["b"] } else { vec![] }
         );
         assert!(host.enable_backend("b", last, host.clock.now()));
-        let back = row(&host);
+        let back = status(&host);
         assert!(back.ready > 0.0 && back.ready < 1.0, "{back:?}");
         assert!(
             !host.disable_backend("never", first)
@@ -81,7 +81,7 @@
     }
 }
 
-fn line(change: serde_json::Value) -> serde_json::Value {
+fn entry(change: serde_json::Value) -> serde_json::Value {
     let mut line = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
     change
@@ -92,10 +92,10 @@
     line
 }
 
-/// A line of a known backend that cannot be read does not say that it serves: it gets nothing new, wherever the line stands.
-/// With the next good line it is as before. One that was never listed stays unknown.
+/// A malformed entry of a known backend does not say that it serves: it gets no new requests, whichever list has the entry.
+/// With the next valid entry it is as before. A backend that was never listed stays unknown.
 #[test]
-fn a_backend_whose_line_turns_bad_gets_nothing_new_until_a_good_one() {
+fn a_backend_with_a_malformed_entry_gets_nothing_new_until_a_valid_one() {
     let bad = [
         serde_json::json!({"status": "LAME"}),
         serde_json::json!({"status": 3}),
@@ -112,16 +112,16 @@
             snapshot: update == EndpointUpdate::Full,
             endpoints,
         };
-        let other = line(serde_json::json!({"name": "never", "status": "LAME"}));
-        host.update_endpoints(update, &list(vec![line(bad.clone()), other]));
-        let out = row(&host);
+        let other = entry(serde_json::json!({"name": "never", "status": "LAME"}));
+        host.update_endpoints(update, &list(vec![entry(bad.clone()), other]));
+        let out = status(&host);
         assert!(
             out.listed && !out.serving && out.ready == 0.0,
             "{bad} {update:?}: {out:?}"
         );
         assert!(!host.knows("never"));
-        host.update_endpoints(update, &list(vec![line(serde_json::json!({}))]));
-        let back = row(&host);
+        host.update_endpoints(update, &list(vec![entry(serde_json::json!({}))]));
+        let back = status(&host);
         assert!(
             back.serving && back.ready == 1.0,
             "{bad} {update:?}: {back:?}"
@@ -129,13 +129,13 @@
     }
 }
 
-/// Of several lines on one backend in a list the last one counts, for the host and for the module; and its start is the
-/// last line's alone: a list that comes again does not make it cold again.
+/// Of several entries for one backend the last one counts, for the host and for the balancer; and its start is the last
+/// entry's alone: a repeated list does not start it anew.
 #[test]
-fn of_several_lines_on_one_backend_the_last_counts() {
-    let lines = |statuses: [&str; 2]| {
+fn of_several_entries_for_one_backend_the_last_counts() {
+    let list_of_statuses = |statuses: [&str; 2]| {
         let of = |(n, status): (usize, &&str)| {
-            line(serde_json::json!({"status": *status, "since_ms": n}))
+            entry(serde_json::json!({"status": *status, "since_ms": n}))
         };
         List {
             index: 2,
@@ -144,49 +144,58 @@
         }
     };
     let host = host();
-    host.update_endpoints(EndpointUpdate::Full, &lines(["SERVING", "DRAINING"]));
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["SERVING", "DRAINING"]),
+    );
     assert!(
-        !row(&host).serving && row(&host).ready == 0.0,
+        !status(&host).serving && status(&host).ready == 0.0,
         "{:?}",
-        row(&host)
+        status(&host)
+    );
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["DRAINING", "SERVING"]),
     );
-    host.update_endpoints(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
     assert!(
-        row(&host).serving && row(&host).ready > 0.0,
+        status(&host).serving && status(&host).ready > 0.0,
         "{:?}",
-        row(&host)
+        status(&host)
     );
     let withdrawn = host.disable_backend("b", DisableReason::Operator)
         && host.enable_backend("b", DisableReason::Operator, host.clock.now());
-    let cold = row(&host).ready;
-    host.update_endpoints(EndpointUpdate::Full, &lines(["DRAINING", "SERVING"]));
+    let cold = status(&host).ready;
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["DRAINING", "SERVING"]),
+    );
     assert!(
-        withdrawn && cold < 1.0 && row(&host).ready < 1.0,
+        withdrawn && cold < 1.0 && status(&host).ready < 1.0,
         "the slow start goes on: {:?}",
-        row(&host)
+        status(&host)
     );
 }
 
-/// A start time that is new makes it cold, one that is as before does not.
+/// A new start time makes it warm up, an unchanged one does not.
 #[test]
-fn a_backend_that_started_anew_is_cold() {
+fn a_backend_that_started_anew_warms_up() {
     let host = host();
     let now = host.clock.now().0 as f64 / 1e3;
     let started = |at: f64| {
         let list = List {
             index: 2,
             snapshot: true,
-            endpoints: vec![line(serde_json::json!({"since_ms": at}))],
+            endpoints: vec![entry(serde_json::json!({"since_ms": at}))],
         };
         host.update_endpoints(EndpointUpdate::Full, &list);
-        row(&host).ready
+        status(&host).ready
     };
     assert_eq!(started(0.0), 1.0);
     assert!(started(now) < 1.0);
     assert!(started(now) < 1.0);
 }
 
-fn lines(of: impl IntoIterator<Item = serde_json::Value>, snapshot: bool) -> List {
+fn list_of(of: impl IntoIterator<Item = serde_json::Value>, snapshot: bool) -> List {
     List {
         index: 2,
         snapshot,
@@ -195,114 +204,118 @@
 }
 
 fn named(name: &str, status: &str) -> serde_json::Value {
-    line(serde_json::json!({"name": name, "status": status}))
+    entry(serde_json::json!({"name": name, "status": status}))
 }
 
-fn kept(host: &Host) -> Vec<String> {
+fn known_names(host: &Host) -> Vec<String> {
     let s = host.state.borrow();
     assert_eq!(s.ids_by_name.len(), s.backends.len());
     assert!(s.unlisted.iter().all(|id| s.backends.contains_key(id)));
     s.backends.values().map(|b| b.name.to_string()).collect()
 }
 
-/// A day's replacements, by lines and by whole lists, leave nothing behind, and no number means two backends.
+/// A day's replacements, by changes and by full lists, leave nothing behind, and no id refers to two backends.
 #[test]
 fn replaced_backends_are_forgotten() {
     let host = host();
-    let mut numbers = BTreeSet::new();
+    let mut ids = BTreeSet::new();
     for n in 0..500 {
         let (old, new) = (format!("r{n}"), format!("r{}", n + 1));
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &lines([named(&old, "SERVING")], false),
+            &list_of([named(&old, "SERVING")], false),
         );
-        assert!(numbers.insert(host.state.borrow().ids_by_name[old.as_str()]) || n > 0);
+        assert!(ids.insert(host.state.borrow().ids_by_name[old.as_str()]) || n > 0);
         match n % 2 {
             0 => host.update_endpoints(
                 EndpointUpdate::Incremental,
-                &lines([named(&old, "DELETED"), named(&new, "SERVING")], false),
+                &list_of([named(&old, "DELETED"), named(&new, "SERVING")], false),
             ),
             _ => host.update_endpoints(
                 EndpointUpdate::Full,
-                &lines([named("b", "SERVING"), named(&new, "SERVING")], true),
+                &list_of([named("b", "SERVING"), named(&new, "SERVING")], true),
             ),
         }
-        assert_eq!(kept(&host), vec!["b".to_string(), new]);
+        assert_eq!(known_names(&host), vec!["b".to_string(), new]);
         assert!(!host.knows(&old));
     }
     assert_eq!(
         host.state.borrow().next_backend_id,
         502,
-        "each name had a number of its own"
+        "each name had an id of its own"
     );
 }
 
-/// One that left stays known while a reason keeps it out: it is out if it comes back.
+/// A backend that left the list stays known while it is disabled: it is disabled if it comes back.
 #[test]
 fn a_reason_outlives_the_list() {
-    for why in [DisableReason::Operator, DisableReason::MaintenanceWindow] {
+    for reason in [DisableReason::Operator, DisableReason::MaintenanceWindow] {
         let host = host();
-        assert!(host.disable_backend("b", why));
-        host.update_endpoints(EndpointUpdate::Full, &lines([], true));
-        assert_eq!(kept(&host), vec!["b"]);
+        assert!(host.disable_backend("b", reason));
+        host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+        assert_eq!(known_names(&host), vec!["b"]);
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &lines([named("b", "SERVING")], false),
+            &list_of([named("b", "SERVING")], false),
         );
-        assert_eq!(row(&host).ready, 0.0);
+        assert_eq!(status(&host).ready, 0.0);
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &lines([named("b", "DELETED")], false),
+            &list_of([named("b", "DELETED")], false),
         );
-        assert!(host.enable_backend("b", why, host.clock.now()));
-        host.update_endpoints(EndpointUpdate::Incremental, &lines([], false));
-        assert!(kept(&host).is_empty());
+        assert!(host.enable_backend("b", reason, host.clock.now()));
+        host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
+        assert!(known_names(&host).is_empty());
     }
 }
 
-/// One that left stays known while an attempt is open there, so that its end still finds it; and while the module
-/// remembers what it was sent cold.
+/// A backend that left the list stays known while an attempt is in flight there, so that its end still refers to it; and
+/// while the balancer remembers what it was sent as it warmed up.
 #[tokio::test]
-async fn what_is_open_or_was_sent_cold_outlives_the_list() {
+async fn attempts_in_flight_and_slow_start_outlive_the_list() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            for cold in [false, true] {
+            for is_warming_up in [false, true] {
                 let host = host();
-                let started = if cold {
+                let started = if is_warming_up {
                     host.clock.now().0 as f64 / 1e3
                 } else {
                     0.0
                 };
-                let serving = line(serde_json::json!({"since_ms": started}));
+                let serving = entry(serde_json::json!({"since_ms": started}));
                 host.update_endpoints(
                     EndpointUpdate::Incremental,
-                    &lines([serving.clone()], false),
+                    &list_of([serving.clone()], false),
                 );
-                let number = host.state.borrow().ids_by_name["b"];
+                let id_before = host.state.borrow().ids_by_name["b"];
                 let PendingRequest { id, answer: _wait } = host.example_request();
                 assert_eq!(host.state.borrow().attempts.len(), 1);
-                host.update_endpoints(EndpointUpdate::Full, &lines([], true));
-                assert_eq!(kept(&host), vec!["b"], "its attempt is open");
+                host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+                assert_eq!(known_names(&host), vec!["b"], "its attempt is in flight");
                 host.client_gone(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
-                host.update_endpoints(EndpointUpdate::Incremental, &lines([], false));
+                host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
+                assert_eq!(
+                    known_names(&host).len(),
+                    usize::from(is_warming_up),
+                    "what it was sent as it warmed up still counts"
+                );
+                host.update_endpoints(EndpointUpdate::Incremental, &list_of([serving], false));
+                let id_after = host.state.borrow().ids_by_name["b"];
                 assert_eq!(
-                    kept(&host).len(),
-                    usize::from(cold),
-                    "what it was sent cold weighs still"
+                    id_after == id_before,
+                    is_warming_up,
+                    "an id is never given again"
                 );
-                host.update_endpoints(EndpointUpdate::Incremental, &lines([serving], false));
-                let after = host.state.borrow().ids_by_name["b"];
-                assert_eq!(after == number, cold, "a number is never given again");
             }
         })
         .await;
 }
 
-/// The same lists told whole and by what changed lead to the same backends, in any order of lines.
+/// Full lists and the changes between them lead to the same backends, in any order of entries.
 #[test]
-fn whole_lists_and_changes_lead_to_the_same_backends() {
+fn full_lists_and_changes_lead_to_the_same_backends() {
     let mut seed = 7u64;
     let mut draw = |below: u64| {
         seed = seed
@@ -310,16 +323,16 @@
             .wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) % below
     };
-    let (whole, changes) = (host(), host());
+    let (full, changes) = (host(), host());
     let mut list: BTreeMap<u64, serde_json::Value> = BTreeMap::new();
-    whole.update_endpoints(EndpointUpdate::Full, &lines([], true));
-    changes.update_endpoints(EndpointUpdate::Full, &lines([], true));
+    full.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+    changes.update_endpoints(EndpointUpdate::Full, &list_of([], true));
     for _ in 0..300 {
         let mut changed = Vec::new();
         for _ in 0..=draw(4) {
             let n = draw(12);
             let status = ["SERVING", "SERVING", "DRAINING", "DELETED"][draw(4) as usize];
-            let new = line(
+            let new = entry(
                 serde_json::json!({"name": format!("n{n}"), "status": status,
                 "zone": format!("z{}", n % 3), "since_ms": draw(3) * 1_000}),
             );
@@ -329,27 +342,27 @@
             }
             changed.push(new);
         }
-        changes.update_endpoints(EndpointUpdate::Incremental, &lines(changed, false));
+        changes.update_endpoints(EndpointUpdate::Incremental, &list_of(changed, false));
         let mut all: Vec<serde_json::Value> = list.values().cloned().collect();
         if draw(2) == 0 {
             all.reverse();
         }
-        whole.update_endpoints(EndpointUpdate::Full, &lines(all, true));
+        full.update_endpoints(EndpointUpdate::Full, &list_of(all, true));
         let rows = |host: &Host| {
             let mut rows = host.backend_statuses();
-            rows.retain(|r| r.listed); // what is gone had no line of its own in a whole list
+            rows.retain(|r| r.listed); // a removed backend has no entry in a full list
             rows.sort_by(|a, b| a.name.cmp(&b.name));
             rows
         };
-        assert_eq!(rows(&whole), rows(&changes));
-        assert_eq!(kept(&whole).len(), list.len());
-        assert_eq!(kept(&changes).len(), list.len());
+        assert_eq!(rows(&full), rows(&changes));
+        assert_eq!(known_names(&full).len(), list.len());
+        assert_eq!(known_names(&changes).len(), list.len());
     }
 }
 
-/// The module has no part in an answer that streams on: its backend stays known all the same.
+/// The balancer has no part in a response that is still streamed: its backend stays known all the same.
 #[tokio::test]
-async fn an_answer_that_streams_on_outlives_the_list() {
+async fn a_streamed_response_outlives_the_list() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -364,19 +377,19 @@
                     body,
                 },
             );
-            host.update_endpoints(EndpointUpdate::Full, &lines([], true));
+            host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
             assert!(
                 !host.state.borrow().balancer.knows(BackendId(0)),
                 "its work is done"
             );
-            assert_eq!(kept(&host), vec!["b"]);
+            assert_eq!(known_names(&host), vec!["b"]);
             host.attempt_ended(
                 id,
                 AttemptNumber(0),
                 AttemptResult::without_response(Outcome::Ok),
             );
-            host.update_endpoints(EndpointUpdate::Full, &lines([], true));
-            assert!(kept(&host).is_empty());
+            host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+            assert!(known_names(&host).is_empty());
         })
         .await;
 }
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -35,6 +35,7 @@
     Instant::now() + Duration::from_secs(20)
 }
 
+/// The backend drains by the time of the first byte.
 struct Drains;
 
 impl Progress for Drains {
@@ -49,7 +50,7 @@
     fn response_started(&self, _: ServedResponse) {}
 }
 
-/// The backend begins to drain while the connection comes up: not a byte goes out on it.
+/// The backend begins to drain while the connection is established: not a byte is sent on it.
 #[tokio::test]
 async fn a_backend_that_drains_while_connecting_is_sent_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -65,9 +66,9 @@
     assert!(got.is_empty(), "{got:?}");
 }
 
-/// At the bound the backend is not called ill, and an idle connection to another makes room first.
+/// At the bound an idle connection to another backend is closed first; without one the backend is not to blame.
 #[tokio::test]
-async fn the_bound_on_connections_holds_and_the_idle_make_way() {
+async fn at_the_bound_idle_connections_are_closed() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (pool, to) = (pool(1), listener.local_addr().unwrap());
     let busy = pool.connect(to).await.ok().unwrap();
@@ -80,10 +81,10 @@
     assert_eq!(pool.open(), 0);
 }
 
-/// Goes out, and has to be out by then.
-struct Goes(Option<Instant>);
+/// May be sent, by that deadline.
+struct MaySend(Option<Instant>);
 
-impl Progress for Goes {
+impl Progress for MaySend {
     fn may_send(&self) -> bool {
         true
     }
@@ -95,8 +96,8 @@
     fn response_started(&self, _: ServedResponse) {}
 }
 
-/// A warm connection on which little goes out until the other side reads, and that side.
-async fn narrow(pool: &ConnectionPool) -> (SocketAddr, std::net::TcpStream) {
+/// An idle connection on which little can be written until the other side reads, and that side.
+async fn connection_with_small_buffers(pool: &ConnectionPool) -> (SocketAddr, std::net::TcpStream) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.set_recv_buffer_size(2048).unwrap();
@@ -130,7 +131,8 @@
     }
 }
 
-/// What answers while the request still goes out cannot be made for it: the request never runs, and its connection ends.
+/// A response that arrives while the request is still being sent is not its own: the request never runs, and its connection
+/// is closed.
 #[tokio::test]
 async fn an_answer_before_the_last_byte_is_not_the_requests_own() {
     for (head, outcome) in [
@@ -139,18 +141,20 @@
         ("503 Full\r\nX-Unprocessed: 1", Outcome::Overloaded),
     ] {
         let pool = pool(4);
-        let (to, mut peer) = narrow(&pool).await;
-        let (call, goes) = (long_call(), Rc::new(Goes(None)));
+        let (to, mut peer) = connection_with_small_buffers(&pool).await;
+        let (call, progress) = (long_call(), Rc::new(MaySend(None)));
         let (over, wait) = std::sync::mpsc::channel::<()>();
         let backend = std::thread::spawn(move || {
             peer.read_exact(&mut [0; 64]).unwrap();
             write!(peer, "HTTP/1.1 {head}\r\nContent-Length: 5\r\n\r\nstale").unwrap();
-            let _ = wait.recv(); // takes nothing more until the attempt is over
+            let _ = wait.recv(); // reads nothing more until the attempt has ended
             let mut rest = Vec::new();
             let _ = peer.read_to_end(&mut rest);
             rest
         });
-        let ended = pool.attempt(BackendId(0), to, &call, soon(), &goes).await;
+        let ended = pool
+            .attempt(BackendId(0), to, &call, soon(), &progress)
+            .await;
         assert_eq!(
             (ended.outcome, ended.response.is_none()),
             (outcome, true),
@@ -159,20 +163,20 @@
         assert_eq!(pool.open(), 0, "{head}");
         drop(over);
         let rest = backend.join().unwrap();
-        assert!(rest.len() < MAX_BODY, "{head}: it went out whole");
+        assert!(rest.len() < MAX_BODY, "{head}: it was sent completely");
     }
 }
 
-/// A keyed repeat that the backend takes in slowly would end after the time in which repeats are dropped, and run again:
-/// its last byte does not go out.
+/// A duplicate that the backend reads slowly would end after the time in which duplicates are dropped, and run again: its
+/// last byte is not sent.
 #[tokio::test]
-async fn a_repeat_that_does_not_get_out_in_time_is_never_whole() {
+async fn a_duplicate_that_is_not_sent_in_time_is_never_complete() {
     let pool = pool(4);
-    let (to, mut peer) = narrow(&pool).await;
-    let goes = Rc::new(Goes(Some(Instant::now() + Duration::from_millis(100))));
+    let (to, mut peer) = connection_with_small_buffers(&pool).await;
+    let progress = Rc::new(MaySend(Some(Instant::now() + Duration::from_millis(100))));
     let (over, wait) = std::sync::mpsc::channel::<()>();
     let backend = std::thread::spawn(move || {
-        let _ = wait.recv_timeout(Duration::from_secs(2)); // takes nothing before
+        let _ = wait.recv_timeout(Duration::from_secs(2)); // reads nothing before
         let mut all = Vec::new();
         let mut piece = [0; 4096];
         while let Ok(n @ 1..) = peer.read(&mut piece) {
@@ -185,12 +189,12 @@
         all
     });
     let ended = pool
-        .attempt(BackendId(0), to, &long_call(), soon(), &goes)
+        .attempt(BackendId(0), to, &long_call(), soon(), &progress)
         .await;
     drop(over);
     assert!(
         backend.join().unwrap().len() < MAX_BODY,
-        "it went out whole"
+        "it was sent completely"
     );
     assert_eq!(ended.outcome, Outcome::ConnectFailed, "it never ran");
 }
