--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -14,7 +14,7 @@
 use crate::net::state::snapshot::ProxyIdentity;
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
 use meadowproxy::fleet::config::FileRefused;
-use meadowproxy::settings::{Change, InForce};
+use meadowproxy::settings::{Change, InForce, SettingsError};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -38,9 +38,12 @@
     /// The file is older than the fleet's configuration in force, or newer than any known.
     #[error(transparent)]
     FleetVersion(#[from] FileRefused),
-    /// The settings do not fit those in force.
-    #[error("{0}")]
-    Settings(String),
+    /// The file's settings do not fit those in force.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The fleet's changes do not fit the settings in force.
+    #[error("{}", .0.join("; "))]
+    FleetChanges(Vec<String>),
     /// Discovery was added or removed.
     #[error("discovery: expected as before, it comes and goes only with a restart")]
     DiscoveryToggled,
@@ -165,10 +168,8 @@
         let in_force = self.in_force_with_current_names();
         let file = self.overlay.file();
         let entry_count = entries.len();
-        let amend = move || {
-            overlay::amended(&in_force, &file, &entries)
-                .map_err(|errors| ReloadError::Settings(errors.join("; ")))
-        };
+        let amend =
+            move || overlay::amended(&in_force, &file, &entries).map_err(ReloadError::FleetChanges);
         let amended = self.background.run(amend).await;
         match amended.map_err(ReloadError::from).and_then(|change| change) {
             Ok(change) => self.put_fleet_changes_in_force(change, version, entry_count),
@@ -213,7 +214,7 @@
         if node.discovery.is_some() != self.discovery.is_some() {
             return Err(ReloadError::DiscoveryToggled);
         }
-        let change = change.map_err(ReloadError::Settings)?;
+        let change = change?;
         // The last step that can fail; from here on nothing does.
         self.admin.move_to(node.control)?;
         let summary = self.summary(&node, &change);
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! How discovery is polled: how long each call may wait for changes, and the backoff after a failed one.
 
-use meadowproxy::{in_line, Discovery, CALL_PATIENCE};
+use meadowproxy::{queued_poll_timeout, Discovery, POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
-pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(CALL_PATIENCE.0);
+pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
 /// Where lists are pushed a connection to the agent is established at once or not at all. It is retried soon: a change
 /// counts from the moment the agent is back.
 pub const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -41,7 +41,7 @@
         let affordable_s = f64::from(proxies) / MAX_QUIET_CALLS_PER_S;
         let full_queue_timeout = match mode {
             Discovery::Poll { staleness_limit } => {
-                Duration::from_micros(in_line(proxies, staleness_limit).0)
+                Duration::from_micros(queued_poll_timeout(proxies, staleness_limit).0)
             }
             Discovery::Push => QUEUE_TIMEOUT, // an agent has one caller
         };
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -108,7 +108,7 @@
                 .backends
                 .get(id)
                 .is_some_and(|record| !record.reasons.is_empty());
-            !is_disabled && !in_use.contains(id) && !self.balancer.knows(*id)
+            !is_disabled && !in_use.contains(id) && !self.balancer.contains_backend(*id)
         };
         let unlisted = self.unlisted.iter().copied();
         unlisted.filter(is_forgettable).collect()
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -379,7 +379,7 @@
             );
             host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
             assert!(
-                !host.state.borrow().balancer.knows(BackendId(0)),
+                !host.state.borrow().balancer.contains_backend(BackendId(0)),
                 "its work is done"
             );
             assert_eq!(known_names(&host), vec!["b"]);
