--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -142,6 +142,15 @@
         let has_moved = std::mem::take(&mut self.has_moved);
         self.schedule.backoff(self.failures, has_moved)
     }
+
+    /// Waits until the backoff is over, the balancer wants to poll, or a late answer shows that discovery is back.
+    async fn next_call_due(&self, backoff: Duration) {
+        tokio::select! {
+            () = self.host.poll_requested() => {}
+            () = self.tracker.late_answer() => {}
+            () = tokio::time::sleep(backoff) => {}
+        }
+    }
 }
 
 /// Keeps the endpoint list up to date for as long as the program runs; `index` is the version of the list in force. When
@@ -188,9 +197,7 @@
             Err(error) => {
                 let backoff = watcher.failed(&error);
                 tokio::select! {
-                    () = host.poll_requested() => {}
-                    () = tracker.late_answer() => {} // the list goes on
-                    () = tokio::time::sleep(backoff) => {}
+                    () = watcher.next_call_due(backoff) => {}
                     Ok(()) = addresses.changed() => {}
                 }
             }
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -122,14 +122,8 @@
         let body = receive(upload, time_left).await?;
         // A buffered request's time counts from its last byte.
         let margin = self.host.response_margin();
-        let arrival = RequestArrival {
-            request: RequestId(0),
-            class,
-            tenant: header_text(&head.headers, "x-account").and_then(|name| self.host.tenant(name)),
-            time_left: Micros(time_left.0.saturating_sub(margin.0)),
-            work_hint: header_number(&head.headers, "x-weight-hint").map(|us| Micros(us as u64)),
-            client_retry: head.headers.get("x-repeat").is_some_and(|v| v == "1"),
-        };
+        let time_left = Micros(time_left.0.saturating_sub(margin.0));
+        let arrival = self.arrival(class, &head.headers, time_left);
         let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
         let forwarded = ForwardedRequest {
@@ -146,6 +140,20 @@
         })
     }
 
+    /// What the balancer learns of a request; its id is given by the host.
+    fn arrival(&self, class: ClassId, headers: &HeaderMap, time_left: Micros) -> RequestArrival {
+        let tenant = header_text(headers, "x-account");
+        let work_hint_us = header_number(headers, "x-weight-hint");
+        RequestArrival {
+            request: RequestId(0),
+            class,
+            tenant: tenant.and_then(|name| self.host.tenant(name)),
+            time_left,
+            work_hint: work_hint_us.map(|us| Micros(us as u64)),
+            client_retry: headers.get("x-repeat").is_some_and(|value| value == "1"),
+        }
+    }
+
     /// The class that the first segment of the path names.
     fn class_of(&self, uri: &Uri) -> Result<ClassId, RequestError> {
         let name = uri.path().split('/').nth(1);
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -39,6 +39,9 @@
     }
 }
 
+/// A response or an error; `None` if the connection ended first, or the request could not be sent in time.
+type Exchanged = Option<Result<BackendResponse, hyper::Error>>;
+
 /// The body of an attempt, as it begins to be sent.
 struct Outgoing {
     body: OutgoingBody,
@@ -108,6 +111,19 @@
             () = status.expired(send_deadline) => None,
             exchanged = exchange(&mut connection, request, &status) => exchanged,
         };
+        self.finish(target, connection, &status, exchanged, progress)
+            .await
+    }
+
+    /// Judges what the exchange brought, and passes a streamed response on.
+    async fn finish(
+        &self,
+        target: Target,
+        connection: PooledConnection,
+        status: &SendStatus,
+        exchanged: Exchanged,
+        progress: &Rc<impl Progress + 'static>,
+    ) -> AttemptResult {
         match exchanged {
             Some(Ok(BackendResponse::BeforeRequestSent(Outcome::Overloaded))) => {
                 AttemptResult::without_response(Outcome::Overloaded)
@@ -126,9 +142,9 @@
                 AttemptResult::without_response(outcome)
             }
             Some(Err(error)) => {
-                AttemptResult::without_response(failed(target, &status, Some(&error)))
+                AttemptResult::without_response(failed(target, status, Some(&error)))
             }
-            None => AttemptResult::without_response(failed(target, &status, None)),
+            None => AttemptResult::without_response(failed(target, status, None)),
         }
     }
 
@@ -249,12 +265,12 @@
     request
 }
 
-/// Sends the request and reads its response. `None`: the connection ended first.
+/// Sends the request and reads its response.
 async fn exchange(
     connection: &mut PooledConnection,
     request: Request<OutgoingBody>,
     status: &SendStatus,
-) -> Option<Result<BackendResponse, hyper::Error>> {
+) -> Exchanged {
     let PooledConnection {
         sender, connection, ..
     } = connection;
