--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -4,7 +4,7 @@
 use super::sections::{Sharing, Snapshots, Voting};
 use super::source::{is_toml, Source};
 use super::text_reader::TextReader;
-use crate::net::discovery::endpoint_list::{Lines, List, Pieces};
+use crate::net::discovery::endpoint_list::{EntryChunks, List, ParsedEntries};
 use meadowproxy::fleet::config::MOST_NUMBER;
 use meadowproxy::settings::{extract_lists, InForce, ListSink, Lists, Reading, Settings};
 use serde::{Deserialize, Serialize};
@@ -90,7 +90,7 @@
 #[derive(Default)]
 pub struct Known {
     pub index: u64,
-    pub lines: Pieces,
+    pub lines: EntryChunks,
 }
 
 /// What is wanted of a file.
@@ -125,7 +125,9 @@
     collect_keys(&rest, "", &mut keys);
     let mut unknown = Vec::new();
     let mut file = deserialize(rest, path, &mut unknown)?;
-    let lines = lists.endpoints.map_or_else(Pieces::default, Lines::told);
+    let lines = lists
+        .endpoints
+        .map_or_else(EntryChunks::default, ParsedEntries::into_entries);
     let settings = Settings::new(std::mem::take(&mut file.settings), lists.settings);
     if source.is_strict() {
         let inside = settings.unknown();
@@ -253,7 +255,7 @@
 struct FileLists {
     settings: Lists,
     /// `known.endpoints`, if it is wanted.
-    endpoints: Option<Lines>,
+    endpoints: Option<ParsedEntries>,
 }
 
 impl FileLists {
@@ -277,7 +279,7 @@
         let wants_endpoints = matches!(purpose, Purpose::Start);
         FileLists {
             settings,
-            endpoints: wants_endpoints.then(Lines::default),
+            endpoints: wants_endpoints.then(ParsedEntries::default),
         }
     }
 }
@@ -291,7 +293,7 @@
         if let Some(list) = list.strip_prefix(FileLists::SETTINGS_PREFIX) {
             self.settings.begin(list);
         } else if let Some(endpoints) = &mut self.endpoints {
-            *endpoints = Lines::default();
+            *endpoints = ParsedEntries::default();
         }
     }
 
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -12,6 +12,7 @@
 mod source;
 mod text_reader;
 
+pub use error::NodeError;
 pub use file::show;
 pub use node::{check, Again, Node};
 pub use sections::{Sharing, Snapshots, Voting};
--- a/src/net/config/node.rs
+++ b/src/net/config/node.rs
@@ -5,7 +5,7 @@
 use super::sections::{Sharing, Snapshots, Voting};
 use super::source::Source;
 use crate::net::state::snapshot;
-use meadowproxy::settings::{Change, InForce, Settings};
+use meadowproxy::settings::{Change, InForce, Settings, SettingsError};
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     /// The configuration.
     pub node: Node,
     /// The change of the settings, or why there is none.
-    pub change: Result<Change, String>,
+    pub change: Result<Change, SettingsError>,
 }
 
 impl Node {
@@ -77,10 +77,7 @@
             return Err(NodeError::KeyMissing(key.clone()));
         }
         let change = in_force.change(&settings);
-        Ok(Again {
-            node,
-            change: change.map_err(|error| error.to_string()),
-        })
+        Ok(Again { node, change })
     }
 
     fn from_file(parsed: ParsedFile) -> Result<(Node, Settings), NodeError> {
@@ -109,7 +106,7 @@
             sockets: file.limits.sockets.max(LEAST_DESCRIPTORS),
             known,
             settings: settings.digest(&[]),
-            shared: settings.digest(&snapshot::OWN),
+            shared: settings.digest(&snapshot::PER_PROXY_SETTINGS),
             version: file.version.unwrap_or_default(),
             keys,
             snapshot,
--- /dev/null
+++ b/src/net/host/endpoints/tests.rs
@@ -0,0 +1,395 @@
+//! Updates of the endpoint list, and reasons for which backends are disabled.
+
+use super::*;
+use crate::net::host::PendingRequest;
+use crate::net::upstream::{AttemptResult, ResponseBody, ServedResponse};
+use meadowproxy::{AttemptNumber, Outcome};
+
+fn host() -> Rc<Host> {
+    let host = Host::example();
+    let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
+        "zone": "east", "type": "small", "group": 7});
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &List {
+            index: 1,
+            snapshot: true,
+            endpoints: vec![entry],
+        },
+    );
+    host
+}
+
+fn status(host: &Host) -> BackendStatus {
+    let statuses = host.backend_statuses();
+    assert_eq!(statuses.len(), 1, "{statuses:?}");
+    statuses[0].clone()
+}
+
+/// Whichever reason ends first, the backend is enabled with the last one, and warms up from then on.
+#[test]
+fn a_backend_is_disabled_while_either_reason_remains() {
+    for (first, last) in [
+        (DisableReason::Operator, DisableReason::MaintenanceWindow),
+        (DisableReason::MaintenanceWindow, DisableReason::Operator),
+    ] {
+        let host = host();
+        let warm = BackendStatus {
+            name: "b".into(),
+            zone: "east".into(),
+            kind: "small".into(),
+            cell: 7,
+            listed: true,
+            serving: true,
+            ready: 1.0,
+            by_hand: false,
+            open: 0,
+        };
+        assert_eq!(status(&host), warm);
+        assert!(
+            !host.enable_backend("b", first, host.clock.now()),
+            "no such reason"
+        );
+        assert_eq!(status(&host), warm, "a fresh start would warm up");
+        assert!(
+            host.disable_backend("b", first)
+                && host.disable_backend("b", last)
+                && host.disable_backend("b", last)
+        );
+        assert!(host.enable_backend("b", first, host.clock.now()));
+        assert!(
+            !host.enable_backend("b", first, host.clock.now()),
+            "it is over"
+        );
+        let out = BackendStatus {
+            ready: 0.0,
+            by_hand: last == DisableReason::Operator,
+            ..warm.clone()
+        };
+        assert_eq!(status(&host), out, "{last:?} still disables it");
+        assert_eq!(
+            host.learned_state().disabled,
+            if out.by_hand { vec!["b"] } else { vec![] }
+        );
+        assert!(host.enable_backend("b", last, host.clock.now()));
+        let back = status(&host);
+        assert!(back.ready > 0.0 && back.ready < 1.0, "{back:?}");
+        assert!(
+            !host.disable_backend("never", first)
+                && !host.enable_backend("never", first, host.clock.now())
+        );
+    }
+}
+
+fn entry(change: serde_json::Value) -> serde_json::Value {
+    let mut line = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
+        "zone": "east", "type": "small", "group": 7});
+    change
+        .as_object()
+        .unwrap()
+        .iter()
+        .for_each(|(key, value)| line[key] = value.clone());
+    line
+}
+
+/// A malformed entry of a known backend does not say that it serves: it gets no new requests, whichever list has the entry.
+/// With the next valid entry it is as before. A backend that was never listed stays unknown.
+#[test]
+fn a_backend_with_a_malformed_entry_gets_nothing_new_until_a_valid_one() {
+    let bad = [
+        serde_json::json!({"status": "LAME"}),
+        serde_json::json!({"status": 3}),
+        serde_json::json!({"address": "nowhere"}),
+        serde_json::json!({"group": -1}),
+    ];
+    for (bad, update) in bad
+        .iter()
+        .flat_map(|b| [(b, EndpointUpdate::Full), (b, EndpointUpdate::Incremental)])
+    {
+        let host = host();
+        let list = |endpoints| List {
+            index: 2,
+            snapshot: update == EndpointUpdate::Full,
+            endpoints,
+        };
+        let other = entry(serde_json::json!({"name": "never", "status": "LAME"}));
+        host.update_endpoints(update, &list(vec![entry(bad.clone()), other]));
+        let out = status(&host);
+        assert!(
+            out.listed && !out.serving && out.ready == 0.0,
+            "{bad} {update:?}: {out:?}"
+        );
+        assert!(!host.knows("never"));
+        host.update_endpoints(update, &list(vec![entry(serde_json::json!({}))]));
+        let back = status(&host);
+        assert!(
+            back.serving && back.ready == 1.0,
+            "{bad} {update:?}: {back:?}"
+        );
+    }
+}
+
+/// Of several entries for one backend the last one counts, for the host and for the balancer; and its start is the last
+/// entry's alone: a repeated list does not start it anew.
+#[test]
+fn of_several_entries_for_one_backend_the_last_counts() {
+    let list_of_statuses = |statuses: [&str; 2]| {
+        let of = |(n, status): (usize, &&str)| {
+            entry(serde_json::json!({"status": *status, "since_ms": n}))
+        };
+        List {
+            index: 2,
+            snapshot: true,
+            endpoints: statuses.iter().enumerate().map(of).collect(),
+        }
+    };
+    let host = host();
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["SERVING", "DRAINING"]),
+    );
+    assert!(
+        !status(&host).serving && status(&host).ready == 0.0,
+        "{:?}",
+        status(&host)
+    );
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["DRAINING", "SERVING"]),
+    );
+    assert!(
+        status(&host).serving && status(&host).ready > 0.0,
+        "{:?}",
+        status(&host)
+    );
+    let withdrawn = host.disable_backend("b", DisableReason::Operator)
+        && host.enable_backend("b", DisableReason::Operator, host.clock.now());
+    let cold = status(&host).ready;
+    host.update_endpoints(
+        EndpointUpdate::Full,
+        &list_of_statuses(["DRAINING", "SERVING"]),
+    );
+    assert!(
+        withdrawn && cold < 1.0 && status(&host).ready < 1.0,
+        "the slow start goes on: {:?}",
+        status(&host)
+    );
+}
+
+/// A new start time makes it warm up, an unchanged one does not.
+#[test]
+fn a_backend_that_started_anew_warms_up() {
+    let host = host();
+    let now = host.clock.now().0 as f64 / 1e3;
+    let started = |at: f64| {
+        let list = List {
+            index: 2,
+            snapshot: true,
+            endpoints: vec![entry(serde_json::json!({"since_ms": at}))],
+        };
+        host.update_endpoints(EndpointUpdate::Full, &list);
+        status(&host).ready
+    };
+    assert_eq!(started(0.0), 1.0);
+    assert!(started(now) < 1.0);
+    assert!(started(now) < 1.0);
+}
+
+fn list_of(of: impl IntoIterator<Item = serde_json::Value>, snapshot: bool) -> List {
+    List {
+        index: 2,
+        snapshot,
+        endpoints: of.into_iter().collect(),
+    }
+}
+
+fn named(name: &str, status: &str) -> serde_json::Value {
+    entry(serde_json::json!({"name": name, "status": status}))
+}
+
+fn known_names(host: &Host) -> Vec<String> {
+    let s = host.state.borrow();
+    assert_eq!(s.ids_by_name.len(), s.backends.len());
+    assert!(s.unlisted.iter().all(|id| s.backends.contains_key(id)));
+    s.backends.values().map(|b| b.name.to_string()).collect()
+}
+
+/// A day's replacements, by changes and by full lists, leave nothing behind, and no id refers to two backends.
+#[test]
+fn replaced_backends_are_forgotten() {
+    let host = host();
+    let mut ids = BTreeSet::new();
+    for n in 0..500 {
+        let (old, new) = (format!("r{n}"), format!("r{}", n + 1));
+        host.update_endpoints(
+            EndpointUpdate::Incremental,
+            &list_of([named(&old, "SERVING")], false),
+        );
+        assert!(ids.insert(host.state.borrow().ids_by_name[old.as_str()]) || n > 0);
+        match n % 2 {
+            0 => host.update_endpoints(
+                EndpointUpdate::Incremental,
+                &list_of([named(&old, "DELETED"), named(&new, "SERVING")], false),
+            ),
+            _ => host.update_endpoints(
+                EndpointUpdate::Full,
+                &list_of([named("b", "SERVING"), named(&new, "SERVING")], true),
+            ),
+        }
+        assert_eq!(known_names(&host), vec!["b".to_string(), new]);
+        assert!(!host.knows(&old));
+    }
+    assert_eq!(
+        host.state.borrow().next_backend_id,
+        502,
+        "each name had an id of its own"
+    );
+}
+
+/// A backend that left the list stays known while it is disabled: it is disabled if it comes back.
+#[test]
+fn a_reason_outlives_the_list() {
+    for reason in [DisableReason::Operator, DisableReason::MaintenanceWindow] {
+        let host = host();
+        assert!(host.disable_backend("b", reason));
+        host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+        assert_eq!(known_names(&host), vec!["b"]);
+        host.update_endpoints(
+            EndpointUpdate::Incremental,
+            &list_of([named("b", "SERVING")], false),
+        );
+        assert_eq!(status(&host).ready, 0.0);
+        host.update_endpoints(
+            EndpointUpdate::Incremental,
+            &list_of([named("b", "DELETED")], false),
+        );
+        assert!(host.enable_backend("b", reason, host.clock.now()));
+        host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
+        assert!(known_names(&host).is_empty());
+    }
+}
+
+/// A backend that left the list stays known while an attempt is in flight there, so that its end still refers to it; and
+/// while the balancer remembers what it was sent as it warmed up.
+#[tokio::test]
+async fn attempts_in_flight_and_slow_start_outlive_the_list() {
+    let scope = tokio::task::LocalSet::new();
+    scope
+        .run_until(async {
+            for is_warming_up in [false, true] {
+                let host = host();
+                let started = if is_warming_up {
+                    host.clock.now().0 as f64 / 1e3
+                } else {
+                    0.0
+                };
+                let serving = entry(serde_json::json!({"since_ms": started}));
+                host.update_endpoints(
+                    EndpointUpdate::Incremental,
+                    &list_of([serving.clone()], false),
+                );
+                let id_before = host.state.borrow().ids_by_name["b"];
+                let PendingRequest { id, answer: _wait } = host.example_request();
+                assert_eq!(host.state.borrow().attempts.len(), 1);
+                host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+                assert_eq!(known_names(&host), vec!["b"], "its attempt is in flight");
+                host.client_gone(id);
+                assert_eq!(host.state.borrow().attempts.len(), 0);
+                host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
+                assert_eq!(
+                    known_names(&host).len(),
+                    usize::from(is_warming_up),
+                    "what it was sent as it warmed up still counts"
+                );
+                host.update_endpoints(EndpointUpdate::Incremental, &list_of([serving], false));
+                let id_after = host.state.borrow().ids_by_name["b"];
+                assert_eq!(
+                    id_after == id_before,
+                    is_warming_up,
+                    "an id is never given again"
+                );
+            }
+        })
+        .await;
+}
+
+/// Full lists and the changes between them lead to the same backends, in any order of entries.
+#[test]
+fn full_lists_and_changes_lead_to_the_same_backends() {
+    let mut seed = 7u64;
+    let mut draw = |below: u64| {
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        (seed >> 33) % below
+    };
+    let (full, changes) = (host(), host());
+    let mut list: BTreeMap<u64, serde_json::Value> = BTreeMap::new();
+    full.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+    changes.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+    for _ in 0..300 {
+        let mut changed = Vec::new();
+        for _ in 0..=draw(4) {
+            let n = draw(12);
+            let status = ["SERVING", "SERVING", "DRAINING", "DELETED"][draw(4) as usize];
+            let new = entry(
+                serde_json::json!({"name": format!("n{n}"), "status": status,
+                "zone": format!("z{}", n % 3), "since_ms": draw(3) * 1_000}),
+            );
+            match status {
+                "DELETED" => drop(list.remove(&n)),
+                _ => drop(list.insert(n, new.clone())),
+            }
+            changed.push(new);
+        }
+        changes.update_endpoints(EndpointUpdate::Incremental, &list_of(changed, false));
+        let mut all: Vec<serde_json::Value> = list.values().cloned().collect();
+        if draw(2) == 0 {
+            all.reverse();
+        }
+        full.update_endpoints(EndpointUpdate::Full, &list_of(all, true));
+        let rows = |host: &Host| {
+            let mut rows = host.backend_statuses();
+            rows.retain(|r| r.listed); // a removed backend has no entry in a full list
+            rows.sort_by(|a, b| a.name.cmp(&b.name));
+            rows
+        };
+        assert_eq!(rows(&full), rows(&changes));
+        assert_eq!(known_names(&full).len(), list.len());
+        assert_eq!(known_names(&changes).len(), list.len());
+    }
+}
+
+/// The balancer has no part in a response that is still streamed: its backend stays known all the same.
+#[tokio::test]
+async fn a_streamed_response_outlives_the_list() {
+    let scope = tokio::task::LocalSet::new();
+    scope
+        .run_until(async {
+            let host = host();
+            let PendingRequest { id, answer: _wait } = host.example_request();
+            let body = ResponseBody::Buffered(bytes::Bytes::new());
+            host.response_started(
+                id,
+                AttemptNumber(0),
+                ServedResponse {
+                    headers: hyper::HeaderMap::new(),
+                    body,
+                },
+            );
+            host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+            assert!(
+                !host.state.borrow().balancer.contains_backend(BackendId(0)),
+                "its work is done"
+            );
+            assert_eq!(known_names(&host), vec!["b"]);
+            host.attempt_ended(
+                id,
+                AttemptNumber(0),
+                AttemptResult::without_response(Outcome::Ok),
+            );
+            host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
+            assert!(known_names(&host).is_empty());
+        })
+        .await;
+}
--- /dev/null
+++ b/src/net/host/report/tests.rs
@@ -0,0 +1,27 @@
+//! What reports count.
+
+use super::*;
+use crate::net::admin::prometheus::PrometheusRecorder;
+use crate::net::host::PendingRequest;
+
+/// A log line counts from the last one, the metrics from the start.
+#[test]
+fn metrics_count_on_across_log_lines() {
+    let host = Host::example();
+    let recorder = PrometheusRecorder::default();
+    for n in 1..4 {
+        let PendingRequest { id, answer: _wait } = host.example_request();
+        host.client_gone(id);
+        for _ in 0..2 {
+            metrics::with_local_recorder(&recorder, || host.update_metrics(n));
+            let text = recorder.render();
+            for line in [
+                format!("meadowproxy_requests_total {n}"),
+                format!("meadowproxy_clients {n}"),
+            ] {
+                assert!(text.lines().any(|l| l == line), "{line} not in {text}");
+            }
+            host.report_traffic(n);
+        }
+    }
+}
--- a/src/net/state/hot_restart/stored_formats.rs
+++ b/src/net/state/hot_restart/stored_formats.rs
@@ -31,7 +31,7 @@
     let presence = Presence::new(&dir).unwrap();
     let (hidden, _) = only_file(&dir);
     presence.publish().unwrap();
-    presence.tell(Held {
+    presence.write_counts(ConnectionCounts {
         clients: 128,
         upstreams: 7,
     });
@@ -57,16 +57,16 @@
     std::fs::write(&older, stored[2].trim_matches(['[', ']'])).unwrap();
     let lock = File::open(&older).unwrap();
     flock(&lock, FlockOperation::NonBlockingLockExclusive).unwrap();
-    let held = Held {
+    let connections = ConnectionCounts {
         clients: 128,
         upstreams: 7,
     };
     assert_eq!(
         this.others(),
-        Others {
+        OtherProcesses {
             older: true,
             younger: false,
-            held
+            connections
         }
     );
     drop((this, lock));
--- a/src/net/state/snapshot/stored_formats.rs
+++ b/src/net/state/snapshot/stored_formats.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::fixtures::{assert_bytes, assert_lines};
 
-fn owner() -> Owner {
+fn owner() -> ProxyIdentity {
     let discovery = Some("127.0.0.1:7001".parse().unwrap());
-    Owner {
+    ProxyIdentity {
         name: "proxy-1".into(),
         listen: "127.0.0.1:8080".parse().unwrap(),
         discovery,
@@ -17,11 +17,11 @@
     Header {
         program: "0.1.0".into(),
         written_us: 1_764_748_800_123_456,
-        stands: Stands { owner, settings },
+        scope: SnapshotScope { owner, settings },
     }
 }
 
-fn saved() -> Saved {
+fn saved() -> SavedState {
     let sampled = |value, count| SampledMean { value, count };
     let kind = |base: f64| LearnedKind {
         latency: sampled(base + 0.125, base + 1.5),
@@ -39,7 +39,7 @@
         consecutive_ejections: -1,
         enabled_ago: Some(Micros(40)),
     };
-    Saved {
+    SavedState {
         kinds: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
         classes: vec![
             ("read".into(), sampled(0.03125, 100.0)),
@@ -47,7 +47,7 @@
         ],
         overall: sampled(0.046875, 1234.5),
         backends: vec![("s-1".into(), ejected), ("s-2".into(), returned)],
-        withdrawn: vec!["s-3".into(), "s-4".into()],
+        disabled: vec!["s-3".into(), "s-4".into()],
     }
 }
 
@@ -63,7 +63,7 @@
     };
     let empty = Snapshot {
         header: header(None),
-        saved: Saved::default(),
+        saved: SavedState::default(),
     };
     let forms = [
         ("of its owner", own),
@@ -80,7 +80,7 @@
 
 #[test]
 fn files_and_folders_keep_their_names() {
-    let alone = Owner {
+    let alone = ProxyIdentity {
         discovery: None,
         ..owner()
     };
