--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -4,7 +4,7 @@
 use super::message::{self, Duties, Duty, Said};
 use meadowproxy::fleet::config::{Event, Replica, Rules, Surroundings};
 use meadowproxy::fleet::lease;
-use meadowproxy::fleet::membership::{Membership, Now};
+use meadowproxy::fleet::membership::{ClockReading, Membership};
 use meadowproxy::fleet::relay::{Header, Relay};
 use meadowproxy::{Micros, Time};
 use std::net::SocketAddr;
@@ -51,33 +51,34 @@
     }
 
     /// Lets time pass, where it is due.
-    pub fn pass(&mut self, now: Now, membership: &Membership) -> Mail {
-        if now.time < self.turn_at {
+    pub fn pass(&mut self, now: ClockReading, membership: &Membership) -> Mail {
+        if now.monotonic < self.turn_at {
             return Mail::new();
         }
-        self.turn_at = now.time + TURN;
-        if now.time >= self.show_at {
-            self.show_at = now.time + SHOW;
+        self.turn_at = now.monotonic + TURN;
+        if now.monotonic >= self.show_at {
+            self.show_at = now.monotonic + SHOW;
             self.members = membership.members();
         }
         self.act(now, |replica, around, out| {
-            replica.tick(now.time, around, out);
+            replica.tick(now.monotonic, around, out);
         })
     }
 
     /// Takes another proxy's message; nothing where it is not about the configuration, or not used.
-    pub fn take(&mut self, from: SocketAddr, bytes: &[u8], now: Now) -> Mail {
+    pub fn take(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Mail {
         match message::decode(bytes) {
             Ok(Duties::Broadcast(header, said)) => self.pass_on(&header, &said, now),
             Ok(Duties::Config(message)) => self.act(now, |replica, around, out| {
-                let _ = replica.handle(now.time, around, from, message, out); // refused: it changed nothing
+                let _ = replica.handle(now.monotonic, around, from, message, out);
+                // refused: it changed nothing
             }),
             _ => Mail::new(),
         }
     }
 
     /// Takes a broadcast and passes it on; nothing where it is not used.
-    fn pass_on(&mut self, header: &Header, said: &Said, now: Now) -> Mail {
+    fn pass_on(&mut self, header: &Header, said: &Said, now: ClockReading) -> Mail {
         if self.relay.take(header, now.wall_us).is_err() {
             return Mail::new();
         }
@@ -92,7 +93,7 @@
 
     fn act(
         &mut self,
-        now: Now,
+        now: ClockReading,
         step: impl FnOnce(
             &mut Replica,
             &Surroundings,
--- a/benches/scale/clockwork.rs
+++ b/benches/scale/clockwork.rs
@@ -9,8 +9,10 @@
 use super::learned::learned;
 use super::plan::{Plan, REGIONS, ZONES};
 use super::protocol::{Absence, Cut, Faults, Learned, Load, LATE_US};
-use meadowproxy::fleet::membership::wire::{self, Body, Seal};
-use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
+use meadowproxy::fleet::membership::wire::{self, Body, DatagramSealer};
+use meadowproxy::fleet::membership::{
+    ClockReading, Membership, MembershipConfig, MembershipEvent, Output,
+};
 use meadowproxy::{Micros, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -37,7 +39,7 @@
 struct One {
     membership: Option<Membership>,
     balance: Option<Balance>,
-    seal: Seal,
+    seal: DatagramSealer,
     /// The earliest time at which it is to pass.
     due: u64,
     sent: u64,
@@ -60,11 +62,11 @@
 
 impl Clockwork {
     pub fn new(plan: Plan) -> Clockwork {
-        let cluster = wire::cluster("scale");
+        let cluster = wire::cluster_id("scale");
         let one = |n: u32| One {
             membership: None,
             balance: None,
-            seal: Seal::new(cluster, plan.address(n)),
+            seal: DatagramSealer::new(cluster, plan.address(n)),
             due: u64::MAX,
             sent: 0,
             bytes: 0,
@@ -84,9 +86,9 @@
         }
     }
 
-    fn clock(&self) -> Now {
-        Now {
-            time: Time(self.now),
+    fn clock(&self) -> ClockReading {
+        ClockReading {
+            monotonic: Time(self.now),
             wall_us: WALL + self.now,
         }
     }
@@ -95,12 +97,12 @@
         let seeds: Vec<SocketAddr> = (0..5.min(self.plan.size))
             .map(|n| self.plan.address(n))
             .collect();
-        let (cluster, max_age) = (wire::cluster("scale"), Micros(5 * SECOND));
-        let rules = Rules {
+        let (cluster, max_age) = (wire::cluster_id("scale"), Micros(5 * SECOND));
+        let rules = MembershipConfig {
             cluster,
             seeds,
             max_age,
-            fleet: self.plan.size,
+            fleet_size: self.plan.size,
         };
         let seed = self.plan.seed ^ (u64::from(n) << 32);
         let membership = Membership::new(rules, self.plan.address(n), seed, true, self.clock());
@@ -116,7 +118,7 @@
 
     fn schedule(&mut self, n: u32) {
         let one = &mut self.ones[n as usize];
-        let Some(at) = one.membership.as_ref().map(|m| m.due().0) else {
+        let Some(at) = one.membership.as_ref().map(|m| m.next_due().0) else {
             return;
         };
         if at < one.due {
@@ -129,7 +131,7 @@
         f64::from(self.random.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    fn turn(&mut self, n: u32, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
+    fn turn(&mut self, n: u32, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let (now, mut out) = (self.clock(), Vec::new());
         let Some(membership) = self.ones[n as usize].membership.as_mut() else {
             return;
@@ -137,8 +139,8 @@
         step(membership, now, &mut out);
         for output in out {
             match output {
-                Output::Send(to, body) => self.send(n, to, body),
-                Output::News(news) => self.news(n, news),
+                Output::Send { to, body } => self.send(n, to, body),
+                Output::Event(news) => self.news(n, news),
             }
         }
         self.schedule(n);
@@ -153,7 +155,9 @@
         let next = balance.due();
         for (backend, verdict) in told {
             self.ones[n as usize].told += 1;
-            self.turn(n, |m, now, out| m.tell(backend, verdict, now, out));
+            self.turn(n, |m, now, out| {
+                m.broadcast_verdict(backend, verdict, now, out);
+            });
         }
         next.into_iter()
             .for_each(|at| self.push(at.0.max(self.now), Due::Serve(n)));
@@ -167,8 +171,12 @@
         }
     }
 
-    fn news(&mut self, n: u32, news: News) {
-        if let News::Heard(backend, heard) = news {
+    fn news(&mut self, n: u32, news: MembershipEvent) {
+        if let MembershipEvent::VerdictReceived {
+            backend,
+            verdict: heard,
+        } = news
+        {
             let (one, now) = (&mut self.ones[n as usize], Time(self.now));
             one.heard += u64::from(heard.origin.is_some());
             one.balance
@@ -177,10 +185,10 @@
             return;
         }
         let (peer, change) = match news {
-            News::Up { peer, .. } => (peer, Change::Up),
-            News::Down { peer, .. } => (peer, Change::Down),
-            News::Replaced { peer } => (peer, Change::Replaced),
-            News::Rejoined { .. } => return self.ones[n as usize].rejoined += 1,
+            MembershipEvent::MemberUp { peer, .. } => (peer, Change::Up),
+            MembershipEvent::MemberDown { peer, .. } => (peer, Change::Down),
+            MembershipEvent::MemberReplaced { peer } => (peer, Change::Replaced),
+            MembershipEvent::Rejoined { .. } => return self.ones[n as usize].rejoined += 1,
             _ => return,
         };
         if let Some(peer) = self.plan.proxy(peer) {
@@ -226,10 +234,12 @@
             };
             self.now = at;
             match due {
-                Due::Comes(to, bytes) => self.turn(to, |m, now, out| m.datagram(&bytes, now, out)),
+                Due::Comes(to, bytes) => {
+                    self.turn(to, |m, now, out| m.handle_datagram(&bytes, now, out));
+                }
                 Due::Pass(n) if self.ones[n as usize].due <= at => {
                     self.ones[n as usize].due = u64::MAX;
-                    self.turn(n, Membership::pass);
+                    self.turn(n, Membership::run_timers);
                 }
                 Due::Pass(_) => {}
                 Due::Serve(n) => self.serve(n),
@@ -240,7 +250,7 @@
 
     fn lacking(&self) -> Vec<u32> {
         let live = self.ones.iter().filter_map(|one| one.membership.as_ref());
-        live.map(|m| self.plan.size - 1 - (m.known() as u32).min(self.plan.size - 1))
+        live.map(|m| self.plan.size - 1 - (m.member_count() as u32).min(self.plan.size - 1))
             .collect()
     }
 
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -4,8 +4,10 @@
 use super::carry::{Carry, Mail};
 use super::plan::Plan;
 use super::protocol::{Conditions, Load, LATE_US};
-use meadowproxy::fleet::membership::wire::{self, Refused, Seal};
-use meadowproxy::fleet::membership::{Counts, Membership, News, Now, Output, Rules};
+use meadowproxy::fleet::membership::wire::{self, DatagramError, DatagramSealer};
+use meadowproxy::fleet::membership::{
+    ClockReading, Counters, Membership, MembershipConfig, MembershipEvent, Output,
+};
 use meadowproxy::{Time, Verdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -27,12 +29,12 @@
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
 }
 
-fn now() -> Now {
+fn now() -> ClockReading {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Now {
-        time: Time(mono_us()),
+    ClockReading {
+        monotonic: Time(mono_us()),
         wall_us: wall.as_micros() as u64,
     }
 }
@@ -69,7 +71,7 @@
     pub rejoined: Cell<u64>,
     pub balancer: Cell<Duration>,
     /// Of proxies that are gone.
-    pub past: RefCell<Counts>,
+    pub past: RefCell<Counters>,
     pub news: RefCell<Vec<PeerVerdict>>,
 }
 
@@ -79,7 +81,7 @@
     socket: UdpSocket,
     /// The same socket's sending side.
     sending: Rc<std::net::UdpSocket>,
-    seal: Seal,
+    seal: DatagramSealer,
     membership: RefCell<Membership>,
     balance: RefCell<Option<Balance>>,
     carry: RefCell<Option<Carry>>,
@@ -96,7 +98,7 @@
     pub fn start(
         plan: Plan,
         number: u32,
-        rules: Rules,
+        rules: MembershipConfig,
         voters: Vec<SocketAddr>,
         conditions: Rc<Cell<Conditions>>,
         tally: Rc<Tally>,
@@ -110,14 +112,14 @@
             plan,
             socket: UdpSocket::from_std(socket.try_clone()?)?,
             sending: Rc::new(socket),
-            seal: Seal::new(rules.cluster, address),
+            seal: DatagramSealer::new(rules.cluster, address),
             membership: RefCell::new(Membership::new(rules, address, seed, true, now())),
             balance: RefCell::default(),
             carry: RefCell::new(Carry::new(
                 voters,
                 address,
                 seed ^ now().wall_us,
-                now().time,
+                now().monotonic,
             )),
             conditions,
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
@@ -130,23 +132,23 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut buffer = [0; wire::MOST + 1];
+        let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         while !self.stopped.get() {
             let balance = self.balance.borrow().as_ref().and_then(Balance::due);
             let carry = self.carry.borrow().as_ref().map(Carry::due);
             let due = balance
                 .into_iter()
                 .chain(carry)
-                .fold(self.membership.borrow().due(), Time::min);
+                .fold(self.membership.borrow().next_due(), Time::min);
             let wait = Duration::from_micros((due - Time(mono_us())).0);
             tokio::select! {
                 got = self.socket.recv_from(&mut buffer) => if let Ok((length, from)) = got {
                     if self.hears(from) {
-                        self.turn(|m, now, out| m.datagram(&buffer[..length], now, out));
+                        self.turn(|m, now, out| m.handle_datagram(&buffer[..length], now, out));
                     }
                 },
                 () = tokio::time::sleep_until(Instant::now() + wait) => {
-                    self.turn(Membership::pass);
+                    self.turn(Membership::run_timers);
                     self.serve();
                     self.carry(|carry, now| carry.pass(now, &self.membership.borrow()));
                 }
@@ -162,15 +164,15 @@
         }
         let (mut past, counts) = (
             self.tally.past.borrow_mut(),
-            self.membership.borrow().counts(),
+            self.membership.borrow().counters(),
         );
         past.received += counts.received;
-        past.told += counts.told;
-        past.heard += counts.heard;
+        past.verdicts_sent += counts.verdicts_sent;
+        past.verdicts_received += counts.verdicts_received;
         counts
-            .refused
+            .rejected
             .into_iter()
-            .for_each(|(cause, n)| *past.refused.entry(cause).or_default() += n);
+            .for_each(|(cause, n)| *past.rejected.entry(cause).or_default() += n);
         self.stopped.set(true);
         self.wake.notify_one();
     }
@@ -182,7 +184,7 @@
                 self.number,
                 self.plan.size,
                 self.plan.seed,
-                now().time,
+                now().monotonic,
             )
         };
         *self.balance.borrow_mut() = load.map(new);
@@ -190,7 +192,7 @@
     }
 
     pub fn tell(&self, backend: String, verdict: Verdict) {
-        self.turn(|m, now, out| m.tell(backend, verdict, now, out));
+        self.turn(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
     }
 
     /// The version of its copy of the configuration, 0 without one.
@@ -199,9 +201,13 @@
     }
 
     /// Live members that it knows, facts that wait, and its counts.
-    pub fn seen(&self) -> (u32, u64, Counts) {
+    pub fn seen(&self) -> (u32, u64, Counters) {
         let m = self.membership.borrow();
-        (m.known() as u32, m.waiting() as u64, m.counts())
+        (
+            m.member_count() as u32,
+            m.verdict_backlog() as u64,
+            m.counters(),
+        )
     }
 
     fn serve(&self) {
@@ -218,7 +224,7 @@
     }
 
     /// One turn of the copy of the configuration, and what comes of it; whether there is one.
-    fn carry(&self, step: impl FnOnce(&mut Carry, Now) -> Mail) -> bool {
+    fn carry(&self, step: impl FnOnce(&mut Carry, ClockReading) -> Mail) -> bool {
         let done = self
             .carry
             .borrow_mut()
@@ -228,7 +234,7 @@
             return false;
         };
         mail.into_iter()
-            .for_each(|(to, bytes)| self.send(to, wire::Body::Duty(bytes)));
+            .for_each(|(to, bytes)| self.send(to, wire::Body::Coordination(bytes)));
         let numbers = names
             .iter()
             .filter_map(|name| name.strip_prefix("change-")?.parse().ok());
@@ -236,41 +242,46 @@
         true
     }
 
-    fn turn(&self, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
+    fn turn(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let mut out = Vec::new();
         step(&mut self.membership.borrow_mut(), now(), &mut out);
         for output in out {
             match output {
-                Output::Send(to, body) => self.send(to, body),
-                Output::News(news) => self.news(news),
+                Output::Send { to, body } => self.send(to, body),
+                Output::Event(news) => self.news(news),
             }
         }
     }
 
-    fn news(&self, news: News) {
+    fn news(&self, news: MembershipEvent) {
         match news {
-            News::Up { peer, .. } => self.change(peer, Change::Up),
-            News::Down { peer, .. } => self.change(peer, Change::Down),
-            News::Replaced { peer } => self.change(peer, Change::Replaced),
-            News::Rejoined { .. } => self.tally.rejoined.set(self.tally.rejoined.get() + 1),
-            News::Heard(backend, heard) => {
+            MembershipEvent::MemberUp { peer, .. } => self.change(peer, Change::Up),
+            MembershipEvent::MemberDown { peer, .. } => self.change(peer, Change::Down),
+            MembershipEvent::MemberReplaced { peer } => self.change(peer, Change::Replaced),
+            MembershipEvent::Rejoined { .. } => {
+                self.tally.rejoined.set(self.tally.rejoined.get() + 1);
+            }
+            MembershipEvent::VerdictReceived {
+                backend,
+                verdict: heard,
+            } => {
                 if let Some(number) = backend.strip_prefix("probe-").and_then(|n| n.parse().ok()) {
                     self.keep(number, Change::PeerVerdict);
                 } else if let Some(balance) = self.balance.borrow_mut().as_mut() {
                     balance.heard(&backend, heard, Time(mono_us()));
                 }
             }
-            News::Duty(from, bytes) => {
+            MembershipEvent::CoordinationMessage { from, bytes } => {
                 if !self.carry(|carry, now| carry.take(from, &bytes, now)) {
-                    self.turn(|m, now, out| m.refuse(Refused::Unheard, now, out));
+                    self.turn(|m, now, out| m.reject_datagram(DatagramError::Unhandled, now, out));
                 }
             }
             // It learned nothing that a snapshot could hold, and logs nothing.
-            News::Wanted { .. }
-            | News::Snapshot(_)
-            | News::NoSnapshot { .. }
-            | News::Refused(_) => {}
-            News::TimerFailed(_) | News::AnnounceFailed(..) => {}
+            MembershipEvent::SnapshotRequested { .. }
+            | MembershipEvent::SnapshotReceived { .. }
+            | MembershipEvent::SnapshotUnavailable { .. }
+            | MembershipEvent::DatagramRejected(_) => {}
+            MembershipEvent::TimerFailed(_) | MembershipEvent::AnnounceFailed { .. } => {}
         }
     }
 
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -5,7 +5,7 @@
 use super::learned::learned;
 use super::plan::Plan;
 use super::protocol::{Absence, Command, Conditions, Cut, Learned, Load, Reply, Sample};
-use meadowproxy::fleet::membership::{wire, Rules};
+use meadowproxy::fleet::membership::{wire, MembershipConfig};
 use meadowproxy::{Micros, Verdict};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 }
 
 pub struct Worker {
-    plan: Option<(Plan, Rules, Vec<SocketAddr>)>,
+    plan: Option<(Plan, MembershipConfig, Vec<SocketAddr>)>,
     places: BTreeMap<u32, Place>,
     conditions: Rc<Cell<Conditions>>,
     load: Option<Load>,
@@ -62,14 +62,14 @@
                 max_age_s,
             } => {
                 let (cluster, max_age) =
-                    (wire::cluster(&cluster), Micros::from_secs_f64(max_age_s));
+                    (wire::cluster_id(&cluster), Micros::from_secs_f64(max_age_s));
                 self.plan = Some((
                     plan,
-                    Rules {
+                    MembershipConfig {
                         cluster,
                         seeds,
                         max_age,
-                        fleet: plan.size,
+                        fleet_size: plan.size,
                     },
                     voters,
                 ));
@@ -163,9 +163,9 @@
             }
             for counts in of {
                 s.received += counts.received;
-                s.told += counts.told;
-                s.heard += counts.heard;
-                for (cause, n) in counts.refused {
+                s.told += counts.verdicts_sent;
+                s.heard += counts.verdicts_received;
+                for (cause, n) in counts.rejected {
                     *s.refused.entry(cause.into()).or_default() += n;
                 }
             }
--- a/src/fleet/membership/member.rs
+++ b/src/fleet/membership/member.rs
@@ -1,4 +1,4 @@
-//! Who a proxy is to the others.
+//! How a proxy identifies itself to the other members.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
@@ -6,37 +6,43 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The wall time of the machine's present turn, which it and what foca calls back share.
+/// The wall time of the current step, shared with the callbacks of the SWIM implementation.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Clock(Rc<Cell<u64>>);
+pub(super) struct WallClock(Rc<Cell<u64>>);
 
-impl Clock {
+impl WallClock {
     /// Microseconds since 1970.
-    pub fn wall_us(&self) -> u64 {
+    pub(super) fn now_us(&self) -> u64 {
         self.0.get()
     }
 
-    pub fn set(&self, wall_us: u64) {
-        self.0.set(wall_us);
+    pub(super) fn set(&self, now_us: u64) {
+        self.0.set(now_us);
     }
 }
 
-/// A proxy as the others know it. One that starts again under its address has a later start.
+/// A proxy's identity: its address, and its incarnation by the time of its start. Of two with one address, the one that
+/// started later wins.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Member {
-    pub addr: SocketAddr,
-    pub start_us: u64,
+    /// The advertised address.
+    pub(super) address: SocketAddr,
+    /// Wall time of the start, microseconds since 1970.
+    pub(super) started_us: u64,
 }
 
 impl Member {
-    pub fn new(addr: SocketAddr, start_us: u64) -> Member {
-        Member { addr, start_us }
+    pub(super) fn new(address: SocketAddr, started_us: u64) -> Member {
+        Member {
+            address,
+            started_us,
+        }
     }
 
-    /// The same proxy under a later start.
-    pub fn renewed(&self, wall_us: u64) -> Member {
+    /// The same proxy with a later start.
+    pub(super) fn renewed(&self, now_us: u64) -> Member {
         Member {
-            start_us: wall_us.max(self.start_us + 1),
+            started_us: now_us.max(self.started_us + 1),
             ..self.clone()
         }
     }
@@ -44,14 +50,17 @@
 
 impl Identity for Member {
     type Addr = SocketAddr;
-    /// foca is not to renew it: it would first tell all that the one before is down. See `parted`.
+
+    /// Renewal is left to `PartitionRecovery`: foca's own would first announce that the previous incarnation is down.
     fn renew(&self) -> Option<Member> {
         None
     }
+
     fn addr(&self) -> SocketAddr {
-        self.addr
+        self.address
     }
+
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        self.start_us > other.start_us
+        self.started_us > other.started_us
     }
 }
--- /dev/null
+++ b/src/fleet/membership/peer_ordering.rs
@@ -0,0 +1,123 @@
+//! The order in which the proxies check a backend that one of them passed a verdict on.
+//!
+//! All proxies derive the same order from the verdict, so that each knows its own turn without asking the others.
+
+use super::swim::SwimNode;
+use super::verdict_broadcast::VerdictBroadcast;
+use crate::interface::{BackendId, Micros, PeerId, PeerVerdict};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// A member's address with its text, which the order hashes.
+struct NamedAddress {
+    address: SocketAddr,
+    text: String,
+}
+
+impl NamedAddress {
+    fn new(address: SocketAddr) -> NamedAddress {
+        NamedAddress {
+            address,
+            text: address.to_string(),
+        }
+    }
+}
+
+/// Determines this proxy's turn after each verdict, and numbers the proxies that verdicts come from.
+pub(super) struct PeerOrdering {
+    own: NamedAddress,
+    /// The live members, until the next change: formatting their addresses for each verdict would be slow in a large
+    /// fleet.
+    live: Option<Vec<NamedAddress>>,
+    origin_ids: HashMap<SocketAddr, PeerId>,
+}
+
+impl PeerOrdering {
+    pub(super) fn new(own_address: SocketAddr) -> PeerOrdering {
+        PeerOrdering {
+            own: NamedAddress::new(own_address),
+            live: None,
+            origin_ids: HashMap::new(),
+        }
+    }
+
+    /// A member came up or went down.
+    pub(super) fn members_changed(&mut self) {
+        self.live = None;
+    }
+
+    /// The verdict as the balancer takes it, at wall time `now_us`. The backend's number is left to the driver, which
+    /// knows it by name.
+    pub(super) fn peer_verdict(
+        &mut self,
+        broadcast: &VerdictBroadcast,
+        max_age: Micros,
+        swim: &SwimNode,
+        now_us: u64,
+    ) -> PeerVerdict {
+        self.refresh_live(swim);
+        let health_check_turn = self.turn(broadcast);
+        PeerVerdict {
+            backend: BackendId::default(),
+            origin: self.origin_id(broadcast.origin),
+            verdict: broadcast.verdict,
+            age: Micros(now_us.saturating_sub(broadcast.created_us)),
+            max_age,
+            live_peers: self.live_count(),
+            health_check_turn,
+        }
+    }
+
+    /// This proxy's place among the live ones, in an order drawn by the verdict. Its origin comes last, as it has only
+    /// just tried the backend.
+    fn turn(&self, broadcast: &VerdictBroadcast) -> u32 {
+        if broadcast.origin == self.own.address {
+            return self.live_count();
+        }
+        let draw = OrderDraw::new(broadcast.created_us);
+        let own_position = (draw.hash(&self.own.text), self.own.address);
+        let is_earlier = |member: &&NamedAddress| {
+            member.address != broadcast.origin
+                && (draw.hash(&member.text), member.address) < own_position
+        };
+        let live = self.live.as_deref().unwrap_or_default();
+        live.iter().filter(is_earlier).count() as u32
+    }
+
+    /// The number of a proxy, in the order of their first verdicts; `None` for this one.
+    fn origin_id(&mut self, origin: SocketAddr) -> Option<PeerId> {
+        if origin == self.own.address {
+            return None;
+        }
+        let next_id = PeerId(self.origin_ids.len() as u32);
+        Some(*self.origin_ids.entry(origin).or_insert(next_id))
+    }
+
+    fn live_count(&self) -> u32 {
+        self.live.as_ref().map_or(0, Vec::len) as u32
+    }
+
+    fn refresh_live(&mut self, swim: &SwimNode) {
+        let is_current = |live: &Vec<NamedAddress>| live.len() == swim.live_count();
+        if !self.live.as_ref().is_some_and(is_current) {
+            self.live = Some(swim.live_addresses().map(NamedAddress::new).collect());
+        }
+    }
+}
+
+/// The hash that orders the members after one verdict.
+struct OrderDraw(crc32fast::Hasher);
+
+impl OrderDraw {
+    fn new(created_us: u64) -> OrderDraw {
+        let mut hasher = crc32fast::Hasher::new_with_initial((created_us >> 8) as u32);
+        hasher.update(&created_us.to_le_bytes());
+        OrderDraw(hasher)
+    }
+
+    fn hash(&self, address: &str) -> u32 {
+        let mut hasher = self.0.clone();
+        hasher.update(address.as_bytes());
+        hasher.finalize()
+    }
+}
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,59 +1,56 @@
-//! The datagrams' codec, and the rule by which facts are merged.
+//! The encoding of datagrams, the replay filter, and the rule by which verdicts are merged.
 
-use super::facts::{Board, Fact, Facts};
-use super::member::{Clock, Member};
-use super::wire::{cluster, decode, encode, Body, Envelope, Gate};
+use super::member::{Member, WallClock};
+use super::verdict_broadcast::{VerdictBroadcast, VerdictHandler, VerdictStore};
+use super::wire::{cluster_id, decode, encode, Body, Envelope, ReplayFilter, SnapshotChunk};
 use crate::interface::{Micros, Verdict};
 use foca::BroadcastHandler;
 use proptest::prelude::*;
-use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-/// The merge rule, by hand: later born wins for each origin, whatever the order; stale and own echoes are
-/// dropped; garbage is an error and changes nothing.
+/// The merge rule: for each origin the latest verdict wins, in whatever order they arrive; stale ones and echoes of the
+/// proxy's own are dropped; invalid input is an error and changes nothing.
 #[test]
-fn the_last_writer_wins_for_each_origin_within_the_bound() {
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let board = Rc::new(RefCell::new(Board::default()));
-    let (clock, now) = (Clock::default(), 1_000_000_000_000);
+fn the_last_writer_wins_for_each_origin_within_the_maximum_age() {
+    let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let now = 1_000_000_000_000;
+    let clock = WallClock::default();
     clock.set(now);
-    let mut facts = Facts {
-        board: board.clone(),
-        own: at(1),
-        bound: Micros(5_000_000),
-        clock,
-    };
-    let sender = Member::new(at(9), 1);
-    let mut hear = |origin: u16, born_us: u64, verdict: Verdict| {
-        let fact = Fact {
-            origin: at(origin),
-            born_us,
+    let store = VerdictStore::shared(address(1), Micros(5_000_000), clock);
+    let mut handler = VerdictHandler(store.clone());
+    let sender = Member::new(address(9), 1);
+    let mut receive = |origin: u16, created_us: u64, verdict: Verdict| {
+        let broadcast = VerdictBroadcast {
+            origin: address(origin),
+            created_us,
             backend: "s-1".into(),
             verdict,
         };
-        facts
-            .receive_item(&fact.encode().unwrap(), Some(&sender))
+        handler
+            .receive_item(&broadcast.encode().unwrap(), Some(&sender))
             .unwrap()
             .is_some()
     };
-    let out = Verdict::Ejected {
+    let ejected = Verdict::Ejected {
         duration: Micros(1_000_000),
         consecutive_ejections: 1,
     };
-    assert!(hear(2, now - 100, out));
-    assert!(hear(2, now - 50, Verdict::Readmitted), "the later");
+    assert!(receive(2, now - 100, ejected));
+    assert!(receive(2, now - 50, Verdict::Readmitted), "a later one");
     assert!(
-        !hear(2, now - 100, out) && !hear(2, now - 50, out),
+        !receive(2, now - 100, ejected) && !receive(2, now - 50, ejected),
         "replayed, in any order"
     );
-    assert!(hear(3, now - 100, out), "another origin's stands beside it");
-    assert!(!hear(4, now - 6_000_000, out), "past the bound");
-    assert!(!hear(1, now, out), "its own echo");
-    assert!(facts.receive_item(&[0xff; 40], Some(&sender)).is_err());
-    let board = board.borrow();
+    assert!(receive(3, now - 100, ejected), "from another origin");
+    assert!(
+        !receive(4, now - 6_000_000, ejected),
+        "past the maximum age"
+    );
+    assert!(!receive(1, now, ejected), "an echo of its own");
+    assert!(handler.receive_item(&[0xff; 40], Some(&sender)).is_err());
+    let store = store.borrow();
     assert_eq!(
-        (board.news.len(), board.stale, board.newest.len()),
+        (store.unreported.len(), store.stale, store.latest_us.len()),
         (3, 1, 2)
     );
 }
@@ -62,17 +59,17 @@
     let bytes = || proptest::collection::vec(any::<u8>(), 0..900);
     let body = prop_oneof![
         bytes().prop_map(Body::Swim),
-        bytes().prop_map(Body::Duty),
-        bytes().prop_map(Body::Compare),
-        bytes().prop_map(Body::Members),
-        any::<u64>().prop_map(|nonce| Body::Ask { nonce }),
+        bytes().prop_map(Body::Coordination),
+        bytes().prop_map(Body::ListDigest),
+        bytes().prop_map(Body::MemberList),
+        any::<u64>().prop_map(|nonce| Body::SnapshotRequest { nonce }),
         (any::<u64>(), any::<u16>(), any::<u16>(), bytes()).prop_map(
-            |(nonce, index, of, bytes)| Body::Part {
+            |(nonce, index, count, bytes)| Body::SnapshotChunk(SnapshotChunk {
                 nonce,
                 index,
-                of,
+                count,
                 bytes
-            }
+            })
         ),
     ];
     (
@@ -90,18 +87,18 @@
 }
 
 proptest! {
-    /// A datagram decodes to what was sent; with any byte changed, cut anywhere or with bytes added it is
-    /// refused, and junk of any sort never panics.
+    /// A datagram decodes to what was sent; with any byte changed, truncated anywhere or with bytes added it is
+    /// rejected, and arbitrary input never panics.
     #[test]
-    fn only_whole_datagrams_are_read(e in envelope(), at in any::<prop::sample::Index>(), flip in 1u8..,
+    fn only_complete_datagrams_are_decoded(envelope in envelope(), at in any::<prop::sample::Index>(), flip in 1u8..,
                                      cut in any::<prop::sample::Index>(),
                                      junk in proptest::collection::vec(any::<u8>(), 1..64)) {
-        let bytes = encode(&e).unwrap();
-        prop_assert_eq!(&decode(&bytes).unwrap(), &e);
+        let bytes = encode(&envelope).unwrap();
+        prop_assert_eq!(&decode(&bytes).unwrap(), &envelope);
         let mut changed = bytes.clone();
-        let i = at.index(changed.len());
-        changed[i] ^= flip;
-        prop_assert!(decode(&changed).is_err(), "a change at byte {} was taken", i);
+        let position = at.index(changed.len());
+        changed[position] ^= flip;
+        prop_assert!(decode(&changed).is_err(), "a change at byte {} was accepted", position);
         prop_assert!(decode(&bytes[..cut.index(bytes.len())]).is_err());
         prop_assert!(decode(&[&bytes[..], &junk].concat()).is_err());
         let _ = decode(&junk);
@@ -109,33 +106,34 @@
 }
 
 #[test]
-fn each_datagram_of_the_cluster_is_let_in_once_and_fresh() {
-    let mine = cluster("lagos");
-    let mut gate = Gate::new(mine, Micros(5_000_000));
+fn each_datagram_of_the_cluster_is_accepted_once_and_fresh() {
+    let own_cluster = cluster_id("lagos");
+    let mut filter = ReplayFilter::new(own_cluster, Micros(5_000_000));
     let now = 1_000_000_000;
-    let of = |cluster, sent_us| Envelope {
+    let envelope = |cluster, sent_us| Envelope {
         cluster,
         from: SocketAddr::from(([127, 0, 0, 1], 7)),
         sent_us,
-        body: Body::Ask { nonce: 1 },
+        body: Body::SnapshotRequest { nonce: 1 },
     };
-    let mut cause = |cluster, sent_us, at| {
-        gate.admit(&of(cluster, sent_us), at)
+    let mut cause = |cluster, sent_us, now_us| {
+        filter
+            .check(&envelope(cluster, sent_us), now_us)
             .err()
-            .map_or("", |e| e.cause())
+            .map_or("", |error| error.cause())
     };
-    assert_eq!(cause(mine, now - 10, now), "");
-    assert_eq!(cause(mine, now - 10, now + 1), "replayed");
+    assert_eq!(cause(own_cluster, now - 10, now), "");
+    assert_eq!(cause(own_cluster, now - 10, now + 1), "replayed");
     assert_eq!(
-        cause(mine, now - 10, now + 6_000_000),
+        cause(own_cluster, now - 10, now + 6_000_000),
         "stale",
-        "forgotten only once too old anyway"
+        "forgotten only once it is too old anyway"
     );
     assert_eq!(
-        cause(mine, now - 11, now),
+        cause(own_cluster, now - 11, now),
         "",
         "late, out of order, and new"
     );
-    assert_eq!(cause(cluster("other"), now, now), "cluster");
-    assert_eq!(cause(mine, now + 2_000_000, now), "ahead");
+    assert_eq!(cause(cluster_id("other"), now, now), "cluster");
+    assert_eq!(cause(own_cluster, now + 2_000_000, now), "ahead");
 }
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -1,32 +1,35 @@
-//! Datagrams between proxies: a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an
-//! [`Envelope`] in postcard. Whatever else arrives is refused by cause; nothing here panics on input.
+//! The datagrams that proxies send each other: their format, their encoding, and the checks on arrival.
+//!
+//! A datagram is a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an [`Envelope`] in
+//! postcard. [`DatagramSealer`] encodes outgoing ones, [`decode`] and [`ReplayFilter`] check incoming ones. Any other
+//! input is rejected with a [`DatagramError`]; nothing here panics on input.
 
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashSet, VecDeque};
-use std::fmt;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 const MAGIC: [u8; 4] = *b"SHTP";
-/// Raised whenever the envelope's or a body's shape changes.
+/// The version of the datagram format, raised whenever the shape of the envelope or of a body changes.
 pub const VERSION: u8 = 3;
-const PREFIX: usize = 9;
-/// Bytes of a datagram at most: below every usual path's limit, so that none is cut up on its way.
-pub const MOST: usize = 1400;
-/// Bytes of a body at most: prefix and envelope take under 60.
-pub const MOST_BODY: usize = 1300;
-/// A sender's clock may run ahead of ours by so much.
-const AHEAD: Micros = Micros(1_000_000);
-/// Datagrams remembered against replays: a proxy gets some thirty a second, and each is remembered for seconds.
-const REMEMBERED: usize = 16_384;
+/// Magic, version and checksum.
+const PREFIX_BYTES: usize = 9;
+/// The largest datagram: below the usual path MTU, so that none is fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// The largest body: prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
+pub const MAX_BODY_BYTES: usize = 1300;
+/// How far a sender's wall clock may run ahead of the receiver's.
+const MAX_CLOCK_SKEW: Micros = Micros(1_000_000);
+/// How many datagrams a [`ReplayFilter`] remembers at most.
+const REPLAY_FILTER_DATAGRAMS: usize = 16_384;
 
-/// The first bytes of the BLAKE3 of a cluster's name.
-pub type Cluster = [u8; 8];
+/// Identifies a cluster: the first bytes of the BLAKE3 hash of its name.
+pub type ClusterId = [u8; 8];
 
-/// The cluster of that name.
-pub fn cluster(name: &str) -> Cluster {
-    let mut id = Cluster::default();
+/// The identifier of the cluster with that name.
+pub fn cluster_id(name: &str) -> ClusterId {
+    let mut id = ClusterId::default();
     id.copy_from_slice(&blake3::hash(name.as_bytes()).as_bytes()[..8]);
     id
 }
@@ -34,135 +37,140 @@
 /// What every datagram carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Whose fleet.
-    pub cluster: Cluster,
+    /// The cluster that the sender belongs to.
+    pub cluster: ClusterId,
     /// The sender's advertised address.
     pub from: SocketAddr,
     /// Wall time of sending, microseconds since 1970; strictly increasing for each sender.
     pub sent_us: u64,
-    /// What it says.
+    /// The message.
     pub body: Body,
 }
 
-/// What is in a datagram.
+/// The message inside a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// foca's: membership, and facts inside.
+    /// A SWIM message with its piggybacked membership updates and verdict broadcasts.
     Swim(Vec<u8>),
-    /// A new proxy asks for a snapshot; the answer's parts carry the same number.
-    Ask {
-        /// The asker's number.
+    /// A new proxy requests a snapshot.
+    SnapshotRequest {
+        /// The requester's number for the transfer, repeated in each chunk.
         nonce: u64,
     },
-    /// One part, from 0, of so many of a snapshot's bytes.
-    Part {
-        /// The asker's number.
-        nonce: u64,
-        /// Which part, from 0.
-        index: u16,
-        /// How many there are.
-        of: u16,
-        /// The part itself.
-        bytes: Vec<u8>,
-    },
-    /// On duties and windows, of a codec of its own.
-    Duty(Vec<u8>),
-    /// The sums over the members that the sender knows, part by part, each a u32 in little endian.
-    Compare(Vec<u8>),
-    /// Members of the parts in which the one that compared differs, each as foca's in postcard.
-    Members(Vec<u8>),
+    /// A chunk of the requested snapshot.
+    SnapshotChunk(SnapshotChunk),
+    /// A message of the coordination of leases, windows and configuration, which has a codec of its own.
+    Coordination(Vec<u8>),
+    /// A digest of the sender's member list: one checksum (u32, little endian) for each bucket of members.
+    ListDigest(Vec<u8>),
+    /// The sender's members of the buckets whose checksums differed, each in the encoding of the SWIM messages.
+    MemberList(Vec<u8>),
 }
 
-/// Why a datagram is not used.
-#[derive(Debug)]
-pub enum Refused {
-    /// So many bytes, over what is allowed.
-    Oversized(usize),
-    /// So many bytes, shorter than the prefix.
-    Short(usize),
-    /// Not a proxy's datagram.
-    Magic,
-    /// Of another version.
-    Version(u8),
-    /// The checksum does not hold.
-    Checksum,
-    /// It does not decode.
-    Garbled(postcard::Error),
+/// A part of a snapshot.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct SnapshotChunk {
+    /// The requester's number for the transfer.
+    pub nonce: u64,
+    /// The position of this chunk, from 0.
+    pub index: u16,
+    /// The number of chunks of the snapshot.
+    pub count: u16,
+    /// The content of this chunk.
+    pub bytes: Vec<u8>,
+}
+
+/// Why a datagram is rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum DatagramError {
+    /// Larger than allowed.
+    #[error("{length} bytes or more, over the {MAX_DATAGRAM_BYTES} allowed")]
+    Oversized {
+        /// Bytes of the datagram, or of the field in it that is too long.
+        length: usize,
+    },
+    /// Shorter than the prefix.
+    #[error("{length} bytes, shorter than any datagram")]
+    TooShort {
+        /// Bytes of the datagram.
+        length: usize,
+    },
+    /// The magic is missing: not sent by a proxy.
+    #[error("not a proxy's datagram")]
+    BadMagic,
+    /// Another version of the format.
+    #[error("version {0}, this program reads {VERSION}")]
+    UnsupportedVersion(u8),
+    /// The checksum doesn't match the content.
+    #[error("the checksum does not match")]
+    ChecksumMismatch,
+    /// The content doesn't decode.
+    #[error("does not decode: {0}")]
+    Malformed(#[source] postcard::Error),
     /// From another cluster.
-    Cluster,
-    /// Sent so long ago, past the bound.
+    #[error("from another cluster")]
+    ForeignCluster,
+    /// Older than the maximum age.
+    #[error("sent {:.1} s ago", .0.as_secs_f64())]
     Stale(Micros),
-    /// Sent so far in the future.
-    Ahead(Micros),
-    /// It came before.
+    /// Further in the future than clock skew explains.
+    #[error("sent {:.1} s in the future", .0.as_secs_f64())]
+    FromFuture(Micros),
+    /// A datagram that was received before.
+    #[error("received before")]
     Replayed,
-    /// A call that only members may make, or a part that nobody asked for.
-    Unasked,
-    /// On duties, which this proxy has none of, or whose worker has too much to do.
-    Unheard,
-    /// Membership refuses it.
-    Swim(foca::Error),
+    /// A request from a sender that is no member, or a response that nobody requested.
+    #[error("from no member, or not requested")]
+    Unsolicited,
+    /// A coordination message, while this proxy runs no coordination or its queue is full.
+    #[error("a coordination message, with nobody here to take it")]
+    Unhandled,
+    /// The SWIM implementation rejects it.
+    #[error("membership: {0}")]
+    Swim(#[source] foca::Error),
 }
 
-impl Refused {
+impl DatagramError {
     /// A stable name for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
-            Refused::Oversized(_) => "oversized",
-            Refused::Short(_) => "short",
-            Refused::Magic => "magic",
-            Refused::Version(_) => "version",
-            Refused::Checksum => "checksum",
-            Refused::Garbled(_) => "garbled",
-            Refused::Cluster => "cluster",
-            Refused::Stale(_) => "stale",
-            Refused::Ahead(_) => "ahead",
-            Refused::Replayed => "replayed",
-            Refused::Unasked => "unasked",
-            Refused::Unheard => "unheard",
-            Refused::Swim(_) => "swim",
+            DatagramError::Oversized { .. } => "oversized",
+            DatagramError::TooShort { .. } => "short",
+            DatagramError::BadMagic => "magic",
+            DatagramError::UnsupportedVersion(_) => "version",
+            DatagramError::ChecksumMismatch => "checksum",
+            DatagramError::Malformed(_) => "garbled",
+            DatagramError::ForeignCluster => "cluster",
+            DatagramError::Stale(_) => "stale",
+            DatagramError::FromFuture(_) => "ahead",
+            DatagramError::Replayed => "replayed",
+            DatagramError::Unsolicited => "unasked",
+            DatagramError::Unhandled => "unheard",
+            DatagramError::Swim(_) => "swim",
         }
     }
-}
 
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::Oversized(n) => write!(f, "{n} bytes or more, over the {MOST} allowed"),
-            Refused::Short(n) => write!(f, "{n} bytes, shorter than any datagram"),
-            Refused::Magic => write!(f, "not a proxy's datagram"),
-            Refused::Version(v) => write!(f, "version {v}, this program reads {VERSION}"),
-            Refused::Checksum => write!(f, "the checksum does not hold"),
-            Refused::Garbled(e) => write!(f, "does not decode: {e}"),
-            Refused::Cluster => write!(f, "from another cluster"),
-            Refused::Stale(age) => write!(f, "sent {:.1} s ago", age.as_secs_f64()),
-            Refused::Ahead(by) => write!(f, "sent {:.1} s in the future", by.as_secs_f64()),
-            Refused::Replayed => write!(f, "it came before"),
-            Refused::Unasked => write!(f, "from no member, or not asked for"),
-            Refused::Unheard => write!(f, "on duties, with nobody here to take it"),
-            Refused::Swim(e) => write!(f, "membership: {e}"),
-        }
+    /// The error for content that decodes, but not to anything valid.
+    pub(super) fn invalid_content() -> DatagramError {
+        DatagramError::Malformed(postcard::Error::DeserializeBadEncoding)
     }
 }
 
-impl std::error::Error for Refused {}
-
-/// The sending side of one proxy's datagrams: whichever thread sends, each has a later time than the one before.
+/// Encodes one proxy's datagrams; whichever thread sends, each gets a later sending time than the one before.
 #[derive(Debug)]
-pub struct Seal {
-    cluster: Cluster,
-    own: SocketAddr,
-    /// The last datagram's time.
-    last_us: AtomicU64,
+pub struct DatagramSealer {
+    cluster: ClusterId,
+    own_address: SocketAddr,
+    last_sent_us: AtomicU64,
 }
 
-impl Seal {
-    /// For datagrams from `own`, the sender's advertised address, within the cluster.
-    pub fn new(cluster: Cluster, own: SocketAddr) -> Seal {
-        Seal {
+impl DatagramSealer {
+    /// For datagrams within that cluster from `own_address`, the sender's advertised address.
+    pub fn new(cluster: ClusterId, own_address: SocketAddr) -> DatagramSealer {
+        DatagramSealer {
             cluster,
-            own,
-            last_us: AtomicU64::new(0),
+            own_address,
+            last_sent_us: AtomicU64::new(0),
         }
     }
 
@@ -170,128 +178,141 @@
     ///
     /// # Errors
     /// Where the body is too large for one datagram.
-    pub fn seal(&self, body: Body, now_us: u64) -> Result<Vec<u8>, Refused> {
+    pub fn seal(&self, body: Body, now_us: u64) -> Result<Vec<u8>, DatagramError> {
         let next = |last: u64| now_us.max(last.saturating_add(1));
         let last = self
-            .last_us
+            .last_sent_us
             .fetch_update(Relaxed, Relaxed, |last| Some(next(last)));
         let sent_us = last.map_or(now_us, next);
         encode(&Envelope {
             cluster: self.cluster,
-            from: self.own,
+            from: self.own_address,
             sent_us,
             body,
         })
     }
 }
 
-/// The datagram's bytes.
+/// Encodes an envelope to a datagram.
 ///
 /// # Errors
 /// Where the envelope is too large for one datagram.
-pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, Refused> {
-    let body = postcard::to_stdvec(envelope).map_err(Refused::Garbled)?;
-    let length = PREFIX + body.len();
-    if length > MOST {
-        return Err(Refused::Oversized(length));
+pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
+    let content = postcard::to_stdvec(envelope).map_err(DatagramError::Malformed)?;
+    let length = PREFIX_BYTES + content.len();
+    if length > MAX_DATAGRAM_BYTES {
+        return Err(DatagramError::Oversized { length });
     }
     let mut bytes = Vec::with_capacity(length);
     bytes.extend_from_slice(&MAGIC);
     bytes.push(VERSION);
-    bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
-    bytes.extend_from_slice(&body);
+    bytes.extend_from_slice(&crc32fast::hash(&content).to_le_bytes());
+    bytes.extend_from_slice(&content);
     Ok(bytes)
 }
 
-/// An envelope from a datagram's bytes.
+/// Decodes a datagram to its envelope.
 ///
 /// # Errors
-/// Why they are no whole datagram of this version.
-pub fn decode(bytes: &[u8]) -> Result<Envelope, Refused> {
-    if bytes.len() > MOST {
-        return Err(Refused::Oversized(bytes.len()));
+/// Why the bytes are no complete datagram of this version.
+pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
+    let length = bytes.len();
+    if length > MAX_DATAGRAM_BYTES {
+        return Err(DatagramError::Oversized { length });
     }
-    let (prefix, body) = bytes
-        .split_at_checked(PREFIX)
-        .ok_or(Refused::Short(bytes.len()))?;
+    let (prefix, content) = bytes
+        .split_at_checked(PREFIX_BYTES)
+        .ok_or(DatagramError::TooShort { length })?;
     if prefix[..4] != MAGIC {
-        return Err(Refused::Magic);
+        return Err(DatagramError::BadMagic);
     }
     if prefix[4] != VERSION {
-        return Err(Refused::Version(prefix[4]));
+        return Err(DatagramError::UnsupportedVersion(prefix[4]));
     }
-    if prefix[5..] != crc32fast::hash(body).to_le_bytes() {
-        return Err(Refused::Checksum);
+    if prefix[5..] != crc32fast::hash(content).to_le_bytes() {
+        return Err(DatagramError::ChecksumMismatch);
     }
-    match postcard::take_from_bytes(body) {
+    match postcard::take_from_bytes(content) {
         Ok((envelope, [])) => Ok(envelope),
-        Ok(_) => Err(Refused::Garbled(postcard::Error::DeserializeBadEncoding)),
-        Err(e) => Err(Refused::Garbled(e)),
+        Ok(_) => Err(DatagramError::invalid_content()),
+        Err(error) => Err(DatagramError::Malformed(error)),
     }
 }
 
-/// Lets each datagram of the cluster in once, and none that is older than the bound.
+/// Identifies a datagram: sending times strictly increase for each sender.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct DatagramId {
+    from: SocketAddr,
+    sent_us: u64,
+}
+
+/// Accepts each datagram of the cluster once, and none that is older than the maximum age.
 #[derive(Debug)]
-pub struct Gate {
-    cluster: Cluster,
-    bound: Micros,
-    seen: HashSet<(SocketAddr, u64)>,
-    /// The same by arrival.
-    order: VecDeque<(SocketAddr, u64)>,
+pub struct ReplayFilter {
+    cluster: ClusterId,
+    max_age: Micros,
+    seen: HashSet<DatagramId>,
+    /// The same, in order of arrival.
+    arrivals: VecDeque<DatagramId>,
 }
 
-impl Gate {
-    /// For that cluster; `bound`: how old a datagram may be.
-    pub fn new(cluster: Cluster, bound: Micros) -> Gate {
-        Gate {
+impl ReplayFilter {
+    /// For datagrams of that cluster which are at most `max_age` old.
+    pub fn new(cluster: ClusterId, max_age: Micros) -> ReplayFilter {
+        ReplayFilter {
             cluster,
-            bound,
+            max_age,
             seen: HashSet::new(),
-            order: VecDeque::new(),
+            arrivals: VecDeque::new(),
         }
     }
 
-    /// Checks an envelope at wall time `now_us`.
+    /// Checks an envelope at wall time `now_us`, and remembers it if it is accepted.
     ///
     /// # Errors
-    /// Why it is not let in.
-    pub fn admit(&mut self, envelope: &Envelope, now_us: u64) -> Result<(), Refused> {
+    /// Why it is rejected.
+    pub fn check(&mut self, envelope: &Envelope, now_us: u64) -> Result<(), DatagramError> {
         if envelope.cluster != self.cluster {
-            return Err(Refused::Cluster);
-        }
-        fresh(envelope.sent_us, now_us, self.bound)?;
-        // What is past the bound is refused by its age: it need not be remembered.
-        let past = |at: u64| at.saturating_add(self.bound.0) < now_us;
-        while self.order.front().is_some_and(|(_, at)| past(*at)) || self.order.len() >= REMEMBERED
-        {
-            let Some(key) = self.order.pop_front() else {
-                break;
-            };
-            self.seen.remove(&key);
+            return Err(DatagramError::ForeignCluster);
         }
-        let key = (envelope.from, envelope.sent_us);
-        if !self.seen.insert(key) {
-            return Err(Refused::Replayed);
+        check_age(envelope.sent_us, now_us, self.max_age)?;
+        self.forget_expired(now_us);
+        let id = DatagramId {
+            from: envelope.from,
+            sent_us: envelope.sent_us,
+        };
+        if !self.seen.insert(id) {
+            return Err(DatagramError::Replayed);
         }
-        self.order.push_back(key);
+        self.arrivals.push_back(id);
         Ok(())
     }
+
+    /// Forgets datagrams that would be rejected for their age anyway, and the oldest while the filter is full.
+    fn forget_expired(&mut self, now_us: u64) {
+        while let Some(oldest) = self.arrivals.front().copied() {
+            let expired = oldest.sent_us.saturating_add(self.max_age.0) < now_us;
+            if !expired && self.arrivals.len() < REPLAY_FILTER_DATAGRAMS {
+                break;
+            }
+            self.arrivals.pop_front();
+            self.seen.remove(&oldest);
+        }
+    }
 }
 
-/// The age of what was made at `then_us`, if it is within the bound.
+/// The age of what was created at wall time `created_us`, if it is at most `max_age`.
 ///
 /// # Errors
 /// Where it is too old or too far in the future.
-pub fn fresh(then_us: u64, now_us: u64, bound: Micros) -> Result<Micros, Refused> {
-    let (ahead, age) = (
-        Micros(then_us.saturating_sub(now_us)),
-        Micros(now_us.saturating_sub(then_us)),
-    );
-    if ahead > AHEAD {
-        return Err(Refused::Ahead(ahead));
+pub fn check_age(created_us: u64, now_us: u64, max_age: Micros) -> Result<Micros, DatagramError> {
+    let ahead = Micros(created_us.saturating_sub(now_us));
+    if ahead > MAX_CLOCK_SKEW {
+        return Err(DatagramError::FromFuture(ahead));
     }
-    if age > bound {
-        return Err(Refused::Stale(age));
+    let age = Micros(now_us.saturating_sub(created_us));
+    if age > max_age {
+        return Err(DatagramError::Stale(age));
     }
     Ok(age)
 }
--- a/src/fleet/relay.rs
+++ b/src/fleet/relay.rs
@@ -6,7 +6,7 @@
 //! a few of them the origin's. Every proxy cuts by its own view of the members: where views differ, where a member is dead or a
 //! datagram gets lost, a part goes untold; the next broadcast has another tree.
 
-use crate::fleet::membership::wire::{self, fresh};
+use crate::fleet::membership::wire::{self, check_age};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -57,7 +57,7 @@
     /// It came before, or is this proxy's own.
     Repeated,
     /// Said too long ago, or in the future: being passed on makes it no younger.
-    Time(wire::Refused),
+    Time(wire::DatagramError),
 }
 
 impl Refused {
@@ -159,7 +159,7 @@
         if header.incarnation == self.incarnation {
             return Err(Refused::Repeated);
         }
-        fresh(header.said_us, now_us, self.bound).map_err(Refused::Time)?;
+        check_age(header.said_us, now_us, self.bound).map_err(Refused::Time)?;
         self.note(header, now_us).ok_or(Refused::Repeated)
     }
 
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -1,7 +1,7 @@
 //! What proxies say to each other about duties, windows and the configuration: a version byte and one message in postcard, as the body
-//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
+//! [`Body::Coordination`](crate::net::cluster::gossip::wire::Body::Coordination) of a checked datagram. Nothing here panics on input.
 
-use crate::net::cluster::gossip::wire::MOST_BODY;
+use crate::net::cluster::gossip::wire::MAX_BODY_BYTES;
 use meadowproxy::fleet::calendar::Digest;
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
@@ -12,7 +12,7 @@
 /// Raised whenever a message's shape changes.
 const VERSION: u8 = 3;
 /// Bytes of the entries or names in one message at most, so that it fits a body with all else in it.
-const MOST_LOAD: usize = MOST_BODY - 80;
+const MOST_LOAD: usize = MAX_BODY_BYTES - 80;
 
 /// What one proxy of the fleet does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -226,7 +226,8 @@
     pub fn send(&self, mail: Mail) {
         let count = mail.len() as u64;
         for (to, message) in mail {
-            self.post.send(to, Body::Duty(message::encode(&message)));
+            self.post
+                .send(to, Body::Coordination(message::encode(&message)));
         }
         if count > 0 {
             self.outbox.lock().sent += count;
--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -8,7 +8,9 @@
 use crate::net::config::Sharing;
 use crate::net::host::Host;
 use crate::net::state::snapshot::{self, wall_us, Header, Snapshot, Stands};
-use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
+use meadowproxy::fleet::membership::{
+    ClockReading, Membership, MembershipConfig, MembershipEvent, Output,
+};
 use meadowproxy::{Micros, Time, Verdict};
 use post::Post;
 use std::cell::{Cell, RefCell};
@@ -22,7 +24,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::{info, warn};
-use wire::Refused;
+use wire::DatagramError;
 
 /// Own verdicts that wait to go out: far more than a proxy ejects between two turns of the loop.
 const QUEUE: usize = 1024;
@@ -64,15 +66,15 @@
         sending.set_nonblocking(true)?;
         let socket = UdpSocket::from_std(sending.try_clone()?)?;
         let own = rules.advertise.unwrap_or(socket.local_addr()?);
-        let cluster = wire::cluster(&rules.cluster);
+        let cluster = wire::cluster_id(&rules.cluster);
         let post = Arc::new(Post::new(sending, cluster, own));
         let max_age = Micros::from_secs_f64(rules.max_age_s);
         let started = Instant::now();
-        let machine_rules = Rules {
+        let machine_rules = MembershipConfig {
             cluster,
             seeds: rules.seeds.clone(),
             max_age,
-            fleet,
+            fleet_size: fleet,
         };
         let membership = Membership::new(machine_rules, own, seed, cold, now_since(started));
         let (tell, told) = mpsc::channel(QUEUE);
@@ -98,73 +100,76 @@
     }
 
     async fn run(self: Rc<Self>, mut told: mpsc::Receiver<(String, Verdict)>) {
-        let mut buffer = [0; wire::MOST + 1];
+        let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.started + Duration::from_micros(self.membership.borrow().due().0);
+            let due = self.started + Duration::from_micros(self.membership.borrow().next_due().0);
             tokio::select! {
                 got = self.socket.recv_from(&mut buffer) => match got {
-                    Ok((length, _)) => self.turn(|m, now, out| m.datagram(&buffer[..length], now, out)),
+                    Ok((length, _)) => self.turn(|m, now, out| m.handle_datagram(&buffer[..length], now, out)),
                     // On loopback a send to a dead peer comes back as an error of the next receive.
                     Err(_) => tokio::task::yield_now().await,
                 },
-                () = tokio::time::sleep_until(due) => self.turn(Membership::pass),
+                () = tokio::time::sleep_until(due) => self.turn(Membership::run_timers),
                 Some((backend, verdict)) = told.recv() => {
-                    self.turn(|m, now, out| m.tell(backend, verdict, now, out));
+                    self.turn(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
                 }
             }
         }
     }
 
-    fn now(&self) -> Now {
+    fn now(&self) -> ClockReading {
         now_since(self.started)
     }
 
     /// One turn of the membership, and what comes of it.
-    fn turn(&self, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
+    fn turn(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let mut out = Vec::new();
         step(&mut self.membership.borrow_mut(), self.now(), &mut out);
         for output in out {
             match output {
-                Output::Send(to, body) => self.post.send(to, body),
-                Output::News(news) => self.news(news),
+                Output::Send { to, body } => self.post.send(to, body),
+                Output::Event(news) => self.news(news),
             }
         }
     }
 
-    fn news(&self, news: News) {
+    fn news(&self, news: MembershipEvent) {
         match news {
-            News::Up { peer, members } => {
+            MembershipEvent::MemberUp { peer, members } => {
                 info!(event = "peer_up", peer = %peer, members, "peer is up");
             }
-            News::Down { peer, members } => {
+            MembershipEvent::MemberDown { peer, members } => {
                 info!(event = "peer_down", peer = %peer, members, "peer is down");
             }
-            News::Replaced { .. } => {} // where it came or went by that, this is told as well
-            News::Rejoined { members } => {
+            MembershipEvent::MemberReplaced { .. } => {} // where it came or went by that, this is told as well
+            MembershipEvent::Rejoined { members } => {
                 info!(
                     event = "peers_rejoined",
                     members, "taken for down, joined again"
                 );
             }
-            News::Heard(backend, heard) => self.host.heard(&backend, heard), // the host knows its number
-            News::Duty(from, bytes) => self.duty((from, bytes)),
-            News::Wanted { to, nonce } => self.give(to, nonce),
-            News::Snapshot(bytes) => self.take(&bytes),
-            News::NoSnapshot { asked } => {
+            MembershipEvent::VerdictReceived {
+                backend,
+                verdict: heard,
+            } => self.host.heard(&backend, heard), // the host knows its number
+            MembershipEvent::CoordinationMessage { from, bytes } => self.duty((from, bytes)),
+            MembershipEvent::SnapshotRequested { from, nonce } => self.give(from, nonce),
+            MembershipEvent::SnapshotReceived { bytes } => self.take(&bytes),
+            MembershipEvent::SnapshotUnavailable { requests: asked } => {
                 info!(
                     event = "peer_snapshot_missing",
                     asked, "no peer had a snapshot: cold start"
                 );
             }
-            News::Refused(why) => {
+            MembershipEvent::DatagramRejected(why) => {
                 warn!(
                     event = "datagram_refused",
                     cause = why.cause(),
                     "datagram refused: {why}"
                 );
             }
-            News::TimerFailed(e) => warn!(event = "membership_timer", "membership: {e}"),
-            News::AnnounceFailed(to, e) => {
+            MembershipEvent::TimerFailed(e) => warn!(event = "membership_timer", "membership: {e}"),
+            MembershipEvent::AnnounceFailed { to, error: e } => {
                 warn!(event = "membership_announce", to = %to, "membership: {e}");
             }
         }
@@ -177,7 +182,7 @@
             .as_ref()
             .is_some_and(|to| to.try_send(passed).is_ok());
         if !taken {
-            self.turn(|m, now, out| m.refuse(Refused::Unheard, now, out));
+            self.turn(|m, now, out| m.reject_datagram(DatagramError::Unhandled, now, out));
         }
     }
 
@@ -193,7 +198,7 @@
             return;
         };
         self.turn(|m, _, out| {
-            if let Err(e) = m.give(to, nonce, &bytes, out) {
+            if let Err(e) = m.send_snapshot(to, nonce, &bytes, out) {
                 warn!(
                     event = "peer_snapshot_too_large",
                     bytes = bytes.len(),
@@ -267,13 +272,13 @@
     /// Members and counts, for the operators' door: JSON.
     pub fn status(&self) -> String {
         let m = self.membership.borrow();
-        let c = m.counts();
+        let c = m.counters();
         let [sent, sent_bytes, unsent] = self.post.counts();
         serde_json::json!({
             "own": self.own.to_string(), "members": m.members(), "sent": sent, "sent_bytes": sent_bytes,
-            "unsent": unsent, "received": c.received, "refused": c.refused, "facts_told": c.told,
-            "facts_untold": c.untold, "facts_heard": c.heard, "facts_stale": c.stale,
-            "waiting": m.waiting(),
+            "unsent": unsent, "received": c.received, "refused": c.rejected, "facts_told": c.verdicts_sent,
+            "facts_untold": c.verdicts_unsent, "facts_heard": c.verdicts_received, "facts_stale": c.verdicts_stale,
+            "waiting": m.verdict_backlog(),
         })
         .to_string()
             + "\n"
@@ -281,9 +286,9 @@
 }
 
 /// Both clocks, the monotonic one from a beginning.
-fn now_since(started: Instant) -> Now {
-    Now {
-        time: Time(started.elapsed().as_micros() as u64),
+fn now_since(started: Instant) -> ClockReading {
+    ClockReading {
+        monotonic: Time(started.elapsed().as_micros() as u64),
         wall_us: wall_us(),
     }
 }
--- a/src/net/cluster/gossip/post.rs
+++ b/src/net/cluster/gossip/post.rs
@@ -1,7 +1,7 @@
 //! The sending side of the peers' socket: the request loop and the duties' workers share it, and with it one series of
 //! sending times.
 
-use super::wire::{Body, Cluster, Seal};
+use super::wire::{Body, ClusterId, DatagramSealer};
 use crate::net::state::snapshot::wall_us;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -9,18 +9,18 @@
 pub struct Post {
     /// Does not block.
     socket: UdpSocket,
-    seal: Seal,
+    seal: DatagramSealer,
     sent: AtomicU64,
     sent_bytes: AtomicU64,
     unsent: AtomicU64,
 }
 
 impl Post {
-    pub fn new(socket: UdpSocket, cluster: Cluster, own: SocketAddr) -> Post {
+    pub fn new(socket: UdpSocket, cluster: ClusterId, own: SocketAddr) -> Post {
         let (sent, sent_bytes, unsent) = Default::default();
         Post {
             socket,
-            seal: Seal::new(cluster, own),
+            seal: DatagramSealer::new(cluster, own),
             sent,
             sent_bytes,
             unsent,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,415 +1,479 @@
-//! Membership on clocks that the test drives by hand, with every datagram the same time on its way.
+//! Membership on simulated clocks and a simulated network with a constant latency.
 
-use meadowproxy::fleet::membership::wire::{self, Seal};
-use meadowproxy::fleet::membership::{Membership, News, Now, Output, Rules};
+use meadowproxy::fleet::membership::wire::{self, Body, DatagramSealer};
+use meadowproxy::fleet::membership::{
+    ClockReading, Membership, MembershipConfig, MembershipEvent, Output,
+};
 use meadowproxy::{Micros, Time, Verdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const SECOND: u64 = 1_000_000;
-/// Wall time at the beginning.
-const WALL: u64 = 1_700_000_000 * SECOND;
-/// How long a datagram is on its way.
-const WAY: u64 = 500;
+const SECOND_US: u64 = 1_000_000;
+/// Wall time at the start.
+const WALL_START_US: u64 = 1_700_000_000 * SECOND_US;
+/// How long each datagram takes.
+const LATENCY_US: u64 = 500;
 
 fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1000 + n as u16))
 }
 
-struct One {
+/// The number of the proxy with that address.
+fn number(address: SocketAddr) -> usize {
+    usize::from(address.port()) - 1000
+}
+
+fn ejected() -> Verdict {
+    Verdict::Ejected {
+        duration: Micros(SECOND_US),
+        consecutive_ejections: 1,
+    }
+}
+
+struct Proxy {
     membership: Membership,
-    seal: Seal,
-    news: Vec<News>,
+    sealer: DatagramSealer,
+    events: Vec<MembershipEvent>,
 }
 
-/// Proxies by place, and what is on its way between them.
+/// A datagram in flight.
+struct InFlight {
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+#[derive(Clone, Copy)]
+struct ClockSkew {
+    proxy: usize,
+    ahead_us: u64,
+}
+
+/// The proxies of a fleet, by number, and the network between them.
 struct Fleet {
-    now: u64,
+    now_us: u64,
     size: usize,
-    ones: BTreeMap<usize, One>,
-    way: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
+    proxies: BTreeMap<usize, Proxy>,
+    /// By arrival time and order of sending.
+    in_flight: BTreeMap<(u64, u64), InFlight>,
     sent: u64,
-    /// Bytes sent by each.
-    bytes: BTreeMap<usize, u64>,
-    /// Nothing passes between these and the others.
-    cut: BTreeSet<usize>,
-    /// Of so many datagrams one is lost, by a seeded draw.
-    lose_one_in: Option<u32>,
+    /// Bytes sent by each proxy.
+    sent_bytes: BTreeMap<usize, u64>,
+    /// These are partitioned from the others.
+    partitioned: BTreeSet<usize>,
+    /// One in so many datagrams is lost, by a seeded draw.
+    loss_one_in: Option<u32>,
     random: Pcg32,
-    /// This one's wall clock is ahead by so much.
-    ahead: Option<(usize, u64)>,
+    /// A proxy whose wall clock is ahead.
+    clock_skew: Option<ClockSkew>,
 }
 
 impl Fleet {
     fn new(size: usize) -> Fleet {
-        let (ones, way, bytes, cut) = Default::default();
-        let random = Pcg32::seed_from_u64(5);
         let mut fleet = Fleet {
-            now: 0,
+            now_us: 0,
             size,
-            ones,
-            way,
+            proxies: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            bytes,
-            cut,
-            lose_one_in: None,
-            random,
-            ahead: None,
+            sent_bytes: BTreeMap::new(),
+            partitioned: BTreeSet::new(),
+            loss_one_in: None,
+            random: Pcg32::seed_from_u64(5),
+            clock_skew: None,
         };
         (0..size).for_each(|n| fleet.start(n));
         fleet
     }
 
-    fn clock(&self, n: usize) -> Now {
-        let ahead = self.ahead.filter(|a| a.0 == n).map_or(0, |a| a.1);
-        Now {
-            time: Time(self.now),
-            wall_us: WALL + self.now + ahead,
+    fn clock(&self, n: usize) -> ClockReading {
+        let skew = self.clock_skew.filter(|skew| skew.proxy == n);
+        let ahead_us = skew.map_or(0, |skew| skew.ahead_us);
+        ClockReading {
+            monotonic: Time(self.now_us),
+            wall_us: WALL_START_US + self.now_us + ahead_us,
         }
     }
 
     fn start(&mut self, n: usize) {
-        let cluster = wire::cluster("test");
-        let rules = Rules {
+        let cluster = wire::cluster_id("test");
+        let config = MembershipConfig {
             cluster,
             seeds: vec![address(0)],
-            max_age: Micros(5 * SECOND),
-            fleet: self.size as u32,
+            max_age: Micros(5 * SECOND_US),
+            fleet_size: self.size as u32,
         };
-        let membership = Membership::new(rules, address(n), 7 + n as u64, true, self.clock(n));
-        self.ones.insert(
-            n,
-            One {
-                membership,
-                seal: Seal::new(cluster, address(n)),
-                news: Vec::new(),
-            },
-        );
+        let proxy = Proxy {
+            membership: Membership::new(config, address(n), 7 + n as u64, true, self.clock(n)),
+            sealer: DatagramSealer::new(cluster, address(n)),
+            events: Vec::new(),
+        };
+        self.proxies.insert(n, proxy);
     }
 
-    fn turn(&mut self, n: usize, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
+    /// One step of a proxy, and what comes of it.
+    fn step(
+        &mut self,
+        n: usize,
+        step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>),
+    ) {
         let now = self.clock(n);
-        let Some(one) = self.ones.get_mut(&n) else {
+        let Some(proxy) = self.proxies.get_mut(&n) else {
             return;
         };
-        let mut out = Vec::new();
-        step(&mut one.membership, now, &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        step(&mut proxy.membership, now, &mut outputs);
+        for output in outputs {
             match output {
-                Output::News(news) => one.news.push(news),
-                Output::Send(to, body) => {
-                    let to = usize::from(to.port()) - 1000;
-                    self.sent += 1;
-                    let bytes = one.seal.seal(body, now.wall_us).expect("a body that fits");
-                    *self.bytes.entry(n).or_default() += bytes.len() as u64;
-                    let lost = self
-                        .lose_one_in
-                        .is_some_and(|of| self.random.next_u32().is_multiple_of(of));
-                    if lost || self.cut.contains(&n) != self.cut.contains(&to) {
-                        continue;
-                    }
-                    self.way.insert((self.now + WAY, self.sent), (to, bytes));
-                }
+                Output::Event(event) => self.proxies.get_mut(&n).expect("alive").events.push(event),
+                Output::Send { to, body } => self.send(n, to, body, now),
             }
         }
     }
 
-    fn play(&mut self, span: u64) {
-        let end = self.now + span;
+    fn send(&mut self, from: usize, to: SocketAddr, body: Body, now: ClockReading) {
+        let bytes = self.proxies[&from]
+            .sealer
+            .seal(body, now.wall_us)
+            .expect("a body that fits");
+        self.sent += 1;
+        *self.sent_bytes.entry(from).or_default() += bytes.len() as u64;
+        let is_lost = self
+            .loss_one_in
+            .is_some_and(|one_in| self.random.next_u32().is_multiple_of(one_in));
+        let to = number(to);
+        if is_lost || self.partitioned.contains(&from) != self.partitioned.contains(&to) {
+            return;
+        }
+        let arrival = (self.now_us + LATENCY_US, self.sent);
+        self.in_flight.insert(arrival, InFlight { to, bytes });
+    }
+
+    /// Runs the fleet for a span of simulated time.
+    fn run_for(&mut self, span_us: u64) {
+        let end_us = self.now_us + span_us;
         loop {
-            let due = self
-                .ones
+            let next_timer = self
+                .proxies
                 .iter()
-                .map(|(n, one)| (one.membership.due().0, *n))
+                .map(|(n, proxy)| (proxy.membership.next_due().0, *n))
                 .min();
-            let came = self.way.first_key_value().map(|(key, _)| key.0);
-            let next = due
-                .map(|d| d.0)
+            let next_arrival_us = self.in_flight.first_key_value().map(|(key, _)| key.0);
+            let next_us = next_timer
+                .map(|(due_us, _)| due_us)
                 .into_iter()
-                .chain(came)
+                .chain(next_arrival_us)
                 .min()
-                .unwrap_or(end);
-            if next >= end {
+                .unwrap_or(end_us);
+            if next_us >= end_us {
                 break;
             }
-            self.now = self.now.max(next);
-            if came == Some(next) {
-                let (_, (to, bytes)) = self.way.pop_first().expect("one that came");
-                self.turn(to, |m, now, out| m.datagram(&bytes, now, out));
-            } else if let Some((_, n)) = due {
-                self.turn(n, Membership::pass);
+            self.now_us = self.now_us.max(next_us);
+            if next_arrival_us == Some(next_us) {
+                let (_, datagram) = self.in_flight.pop_first().expect("one arrives");
+                self.step(datagram.to, |membership, now, outputs| {
+                    membership.handle_datagram(&datagram.bytes, now, outputs);
+                });
+            } else if let Some((_, n)) = next_timer {
+                self.step(n, Membership::run_timers);
             }
         }
-        self.now = end;
+        self.now_us = end_us;
+    }
+
+    fn broadcast_verdict(&mut self, n: usize, backend: &str, verdict: Verdict) {
+        self.step(n, |membership, now, outputs| {
+            membership.broadcast_verdict(backend.into(), verdict, now, outputs);
+        });
+    }
+
+    fn member_count(&self, n: usize) -> usize {
+        self.proxies[&n].membership.member_count()
     }
 
-    /// All know all.
-    fn whole(&self) -> bool {
-        self.ones
+    /// Whether each proxy knows all the others.
+    fn is_complete(&self) -> bool {
+        self.proxies
             .values()
-            .all(|one| one.membership.known() + 1 == self.size)
+            .all(|proxy| proxy.membership.member_count() + 1 == self.size)
+    }
+
+    /// How many of a proxy's events match.
+    fn count_events(&self, n: usize, matches: fn(&MembershipEvent) -> bool) -> usize {
+        let events = self.proxies[&n].events.iter();
+        events.filter(|event| matches(event)).count()
+    }
+
+    fn rejoins(&self, n: usize) -> usize {
+        self.count_events(n, |event| matches!(event, MembershipEvent::Rejoined { .. }))
+    }
+
+    fn members_down(&self, n: usize) -> usize {
+        self.count_events(n, |event| {
+            matches!(event, MembershipEvent::MemberDown { .. })
+        })
     }
 
-    fn said(&self, n: usize, what: fn(&News) -> bool) -> usize {
-        self.ones[&n].news.iter().filter(|news| what(news)).count()
+    /// Bytes sent by a proxy so far.
+    fn bytes_of(&self, n: usize) -> u64 {
+        self.sent_bytes[&n]
     }
 }
 
-/// A proxy that was taken for down by mistake joins again under a later start, and all know it by that.
+/// A proxy that was declared down by mistake rejoins under a later incarnation, and all know it by that.
 #[test]
-fn who_was_cut_off_joins_again() {
+fn a_partitioned_proxy_rejoins() {
     let mut fleet = Fleet::new(5);
-    fleet.play(5 * SECOND);
-    assert!(fleet.whole());
-    fleet.cut = BTreeSet::from([4]);
-    fleet.play(30 * SECOND);
-    assert_eq!(fleet.ones[&0].membership.known(), 3, "it was not missed");
-    fleet.cut.clear();
-    fleet.play(10 * SECOND);
-    assert!(fleet.whole());
-    assert!(fleet.said(4, |news| matches!(news, News::Rejoined { .. })) > 0);
+    fleet.run_for(5 * SECOND_US);
+    assert!(fleet.is_complete());
+    fleet.partitioned = BTreeSet::from([4]);
+    fleet.run_for(30 * SECOND_US);
+    assert_eq!(fleet.member_count(0), 3, "it was not declared down");
+    fleet.partitioned.clear();
+    fleet.run_for(10 * SECOND_US);
+    assert!(fleet.is_complete());
+    assert!(fleet.rejoins(4) > 0);
+    let replaced =
+        |event: &MembershipEvent| matches!(event, MembershipEvent::MemberReplaced { .. });
     assert!(
-        fleet.said(0, |news| matches!(news, News::Replaced { .. })) > 0,
-        "by a later start"
+        fleet.count_events(0, replaced) > 0,
+        "by a later incarnation"
     );
 }
 
-/// A proxy whose clock was ahead is followed by one that starts earlier by its own clock: this one renews itself by the
-/// wall time that it is told, and is known once that has passed the other's start.
+/// A proxy whose clock was ahead is followed by one that starts earlier by its own clock: this one renews its incarnation
+/// by wall time, and is known once that has passed the start of the other.
 #[test]
-fn a_start_by_a_clock_that_was_ahead_is_outlived() {
+fn a_restart_after_a_clock_that_was_ahead_is_accepted() {
     let mut fleet = Fleet::new(5);
-    fleet.ones.remove(&1);
-    fleet.ahead = Some((1, 900_000));
+    fleet.proxies.remove(&1);
+    fleet.clock_skew = Some(ClockSkew {
+        proxy: 1,
+        ahead_us: 900_000,
+    });
     fleet.start(1);
-    fleet.play(400_000);
-    assert!((0..5).all(|n| fleet.ones[&n].membership.known() > 0));
-    fleet.ahead = None;
+    fleet.run_for(400_000);
+    assert!((0..5).all(|n| fleet.member_count(n) > 0));
+    fleet.clock_skew = None;
     fleet.start(1);
-    fleet.play(10 * SECOND);
-    assert!(fleet.whole());
-    assert!(
-        fleet.said(1, |news| matches!(news, News::Rejoined { .. })) > 0,
-        "it had no need to"
-    );
+    fleet.run_for(10 * SECOND_US);
+    assert!(fleet.is_complete());
+    assert!(fleet.rejoins(1) > 0, "it had no need to");
 }
 
-/// One that stops without a word is down everywhere within the time that suspicion takes; nobody else is.
+/// A proxy that crashes is detected by each of the others once, within the time that suspicion takes; no other proxy is
+/// declared down.
 #[test]
-fn one_that_dies_is_known_everywhere_and_nobody_else_is_taken_for_dead() {
+fn a_crashed_proxy_is_detected_by_all_and_no_live_one_is_declared_down() {
     let mut fleet = Fleet::new(40);
-    fleet.play(10 * SECOND);
-    assert!(fleet.whole());
-    let downs = |fleet: &Fleet, n: usize| fleet.said(n, |news| matches!(news, News::Down { .. }));
+    fleet.run_for(10 * SECOND_US);
+    assert!(fleet.is_complete());
     assert!(
-        (0..40).all(|n| downs(&fleet, n) == 0),
-        "somebody was taken for dead"
+        (0..40).all(|n| fleet.members_down(n) == 0),
+        "a live proxy was declared down"
     );
-    fleet.ones.remove(&20);
-    fleet.play(30 * SECOND);
-    let live: Vec<usize> = fleet.ones.keys().copied().collect();
+    fleet.proxies.remove(&20);
+    fleet.run_for(30 * SECOND_US);
     assert!(
-        live.iter().all(|n| downs(&fleet, *n) == 1),
-        "each finds out once"
+        fleet.proxies.keys().all(|n| fleet.members_down(*n) == 1),
+        "each detects it once"
     );
 }
 
-/// A snapshot that a member asks for comes whole through the parts that the driver sends; one too large is refused.
+/// A requested snapshot arrives complete in the chunks that are sent; one that is too large is not sent.
 #[test]
-fn a_new_proxy_gets_the_snapshot_that_it_asked_for() {
+fn a_new_proxy_gets_the_snapshot_that_it_requested() {
     let mut fleet = Fleet::new(2);
-    fleet.play(600_000); // a member is asked each half second from the start, and at first none is known
-    let wanted = fleet.ones[&0].news.iter().find_map(|news| match news {
-        News::Wanted { to, nonce } => Some((*to, *nonce)),
-        _ => None,
-    });
-    let (to, nonce) = wanted.expect("it asked");
-    let bytes: Vec<u8> = (0..5_000u32).map(|n| n as u8).collect();
-    fleet.turn(0, |m, _, out| {
-        m.give(to, nonce, &bytes, out).expect("small enough");
-    });
-    fleet.play(100_000);
-    let got = fleet.ones[&1].news.iter().find_map(|news| match news {
-        News::Snapshot(got) => Some(got.clone()),
-        _ => None,
+    fleet.run_for(600_000); // a request goes out each half second, and at the start no member is known
+    let request = fleet.proxies[&0]
+        .events
+        .iter()
+        .find_map(|event| match event {
+            MembershipEvent::SnapshotRequested { from, nonce } => Some((*from, *nonce)),
+            _ => None,
+        });
+    let (requester, nonce) = request.expect("a request");
+    let snapshot: Vec<u8> = (0..5_000u32).map(|n| n as u8).collect();
+    fleet.step(0, |membership, _, outputs| {
+        membership
+            .send_snapshot(requester, nonce, &snapshot, outputs)
+            .expect("small enough");
     });
-    assert_eq!(got, Some(bytes));
-    fleet.turn(0, |m, _, out| {
-        let large = vec![0; 1 << 20];
-        assert!(m.give(to, nonce, &large, out).is_err() && out.is_empty());
+    fleet.run_for(100_000);
+    let received = fleet.proxies[&1]
+        .events
+        .iter()
+        .find_map(|event| match event {
+            MembershipEvent::SnapshotReceived { bytes } => Some(bytes.clone()),
+            _ => None,
+        });
+    assert_eq!(received, Some(snapshot));
+    fleet.step(0, |membership, _, outputs| {
+        let too_large = vec![0; 1 << 20];
+        let sent = membership.send_snapshot(requester, nonce, &too_large, outputs);
+        assert!(sent.is_err() && outputs.is_empty());
     });
 }
 
-/// A verdict told by one is heard once by each other, with the turns shared out: each has the place that its address
-/// has among all but the origin, which is the last.
+/// A verdict is received once by each other proxy, with the turns distributed: each has the place that its address has
+/// among all but the origin, which is the last.
 #[test]
 fn a_verdict_reaches_all_others_once_with_a_turn_each() {
+    const ORIGIN: usize = 3;
+    const CRASHED: usize = 5;
     let mut fleet = Fleet::new(12);
-    fleet.play(10 * SECOND);
-    fleet.ones.remove(&5);
-    fleet.play(20 * SECOND);
-    let verdict = Verdict::Ejected {
-        duration: Micros(SECOND),
-        consecutive_ejections: 1,
-    };
-    let born_us = WALL + fleet.now;
-    fleet.turn(3, |m, now, out| m.tell("b7".into(), verdict, now, out));
-    fleet.play(3 * SECOND);
-    let mark = |n: usize| {
-        let mut hash = crc32fast::Hasher::new_with_initial((born_us >> 8) as u32);
-        hash.update(&born_us.to_le_bytes());
+    fleet.run_for(10 * SECOND_US);
+    fleet.proxies.remove(&CRASHED);
+    fleet.run_for(20 * SECOND_US);
+    let created_us = WALL_START_US + fleet.now_us;
+    fleet.broadcast_verdict(ORIGIN, "b7", ejected());
+    fleet.run_for(3 * SECOND_US);
+    let position = |n: usize| {
+        let mut hash = crc32fast::Hasher::new_with_initial((created_us >> 8) as u32);
+        hash.update(&created_us.to_le_bytes());
         hash.update(address(n).to_string().as_bytes());
         (hash.finalize(), n)
     };
-    let mut order: Vec<usize> = (0..12).filter(|n| ![3, 5].contains(n)).collect();
-    order.sort_by_key(|n| mark(*n));
-    order.push(3);
+    let mut order: Vec<usize> = (0..12).filter(|n| ![ORIGIN, CRASHED].contains(n)).collect();
+    order.sort_by_key(|n| position(*n));
+    order.push(ORIGIN);
     for (turn, n) in order.into_iter().enumerate() {
-        let heard = fleet.ones[&n].news.iter().filter_map(|news| match news {
-            News::Heard(backend, heard) => Some((
-                backend.as_str(),
-                heard.verdict,
-                heard.health_check_turn,
-                heard.live_peers,
-            )),
-            _ => None,
-        });
+        let received = fleet.proxies[&n]
+            .events
+            .iter()
+            .filter_map(|event| match event {
+                MembershipEvent::VerdictReceived { backend, verdict } => Some((
+                    backend.as_str(),
+                    verdict.verdict,
+                    verdict.health_check_turn,
+                    verdict.live_peers,
+                )),
+                _ => None,
+            });
         assert_eq!(
-            heard.collect::<Vec<_>>(),
-            [("b7", verdict, turn as u32, 10)],
+            received.collect::<Vec<_>>(),
+            [("b7", ejected(), turn as u32, 10)],
             "proxy {n}"
         );
     }
 }
 
-/// Whatever there is to tell, a proxy sends no more than its rate and what it saved up, beside bare probes and answers:
-/// 3.5 KB a second, 5 KB saved up, and for the probes five datagrams of 100 bytes a second.
+/// However many verdicts there are to broadcast, a proxy sends no more than its rate limit and burst, bare probes and
+/// acknowledgements excluded: 3.5 KB a second, a burst of 5 KB, and for the probes five datagrams of 100 bytes a second.
 #[test]
-fn what_a_proxy_tells_stays_within_its_rate() {
+fn what_a_proxy_sends_stays_within_its_rate_limit() {
     let mut fleet = Fleet::new(60);
-    fleet.play(20 * SECOND);
-    assert!(fleet.whole());
-    let begin = fleet.bytes.clone();
-    let verdict = Verdict::Ejected {
-        duration: Micros(SECOND),
-        consecutive_ejections: 1,
-    };
+    fleet.run_for(20 * SECOND_US);
+    assert!(fleet.is_complete());
+    let bytes_before = fleet.sent_bytes.clone();
     for second in 1..=8 {
         for n in 0..60 {
-            for b in 0..10 {
-                let backend = format!("backend-{n}-{second}-{b}");
-                fleet.turn(n, |m, now, out| m.tell(backend, verdict, now, out));
+            for index in 0..10 {
+                let backend = format!("backend-{n}-{second}-{index}");
+                fleet.broadcast_verdict(n, &backend, ejected());
             }
         }
-        fleet.play(SECOND);
+        fleet.run_for(SECOND_US);
         let most = (0..60)
-            .map(|n| fleet.bytes[&n] - begin[&n])
+            .map(|n| fleet.bytes_of(n) - bytes_before[&n])
             .max()
             .expect("sixty");
         assert!(most <= 5_000 + second * 4_000, "{most} bytes in {second} s");
     }
-    assert!((0..60).all(|n| fleet.said(n, |news| matches!(news, News::Down { .. })) == 0));
+    assert!((0..60).all(|n| fleet.members_down(n) == 0));
 }
 
-/// A word of a backend reaches all others soon while far more news of others waits than may be sent.
+/// Some verdicts on a backend reach all others soon while far more of them wait than may be sent.
 #[test]
-fn of_hundreds_of_verdicts_on_one_backend_all_hear_some_at_once() {
+fn of_hundreds_of_verdicts_on_one_backend_all_receive_some_at_once() {
     let mut fleet = Fleet::new(100);
-    fleet.play(30 * SECOND);
-    assert!(fleet.whole());
-    let (begin, verdict) = (
-        fleet.bytes.clone(),
-        Verdict::Ejected {
-            duration: Micros(SECOND),
-            consecutive_ejections: 1,
-        },
-    );
+    fleet.run_for(30 * SECOND_US);
+    assert!(fleet.is_complete());
+    let bytes_before = fleet.sent_bytes.clone();
     for n in 0..100 {
-        fleet.turn(n, |m, now, out| m.tell("dead".into(), verdict, now, out));
-        fleet.play(5_000);
+        fleet.broadcast_verdict(n, "dead", ejected());
+        fleet.run_for(5_000);
     }
-    fleet.play(SECOND);
+    fleet.run_for(SECOND_US);
+    let from_another = |event: &MembershipEvent| matches!(event, MembershipEvent::VerdictReceived { verdict, .. } if verdict.origin.is_some());
     for n in 0..100 {
-        let others = fleet.said(
-            n,
-            |news| matches!(news, News::Heard(_, heard) if heard.origin.is_some()),
-        );
-        assert!(others >= 2, "proxy {n} heard {others}");
+        let others = fleet.count_events(n, from_another);
+        assert!(others >= 2, "proxy {n} received {others}");
     }
-    fleet.play(SECOND);
-    let sum: u64 = (0..100).map(|n| fleet.bytes[&n] - begin[&n]).sum();
+    fleet.run_for(SECOND_US);
+    let bytes: u64 = (0..100).map(|n| fleet.bytes_of(n) - bytes_before[&n]).sum();
     assert!(
-        sum / 100 <= 6_000,
+        bytes / 100 <= 6_000,
         "{} bytes each, as if all were passed on",
-        sum / 100
+        bytes / 100
     );
 }
 
-/// Hundreds that start at once all know all in the end, by lists that are compared until they are equal; and then
-/// comparing costs next to nothing.
+/// Hundreds that start at once all know each other in the end, by anti-entropy; and once lists are equal, comparing them
+/// costs next to nothing.
 #[test]
-fn lists_of_members_end_whole() {
+fn member_lists_become_complete() {
     let mut fleet = Fleet::new(200);
-    fleet.play(40 * SECOND);
-    let lacking = fleet
-        .ones
-        .values()
-        .filter(|one| one.membership.known() != 199)
-        .count();
-    assert_eq!(lacking, 0, "proxies that lack another");
-    fleet.play(20 * SECOND); // what is still passed on runs out
-    let before: u64 = fleet.bytes.values().sum();
-    fleet.play(10 * SECOND);
-    let each = (fleet.bytes.values().sum::<u64>() - before) / 200 / 10;
-    assert!(each <= 200, "{each} bytes a second while nothing happens");
+    fleet.run_for(40 * SECOND_US);
+    let incomplete = (0..200).filter(|n| fleet.member_count(*n) != 199).count();
+    assert_eq!(incomplete, 0, "proxies that lack another");
+    fleet.run_for(20 * SECOND_US); // the remaining gossip ends
+    let bytes_before: u64 = fleet.sent_bytes.values().sum();
+    fleet.run_for(10 * SECOND_US);
+    let bytes = fleet.sent_bytes.values().sum::<u64>() - bytes_before;
+    let bytes_per_s = bytes / 200 / 10;
+    assert!(
+        bytes_per_s <= 200,
+        "{bytes_per_s} bytes a second while nothing happens"
+    );
 }
 
-/// A region that was cut off and found again comes back under later starts, and those that it comes back to stay who
-/// they are; in neither is anybody taken for dead by those that heard it all the while.
+/// After a partition the proxies of the smaller side rejoin under later incarnations, and those of the larger side keep
+/// theirs; on neither side is a proxy declared down by another one of that side.
 #[test]
-fn a_healed_region_needs_nobody_else_to_be_taken_for_dead() {
+fn after_a_partition_only_the_smaller_side_rejoins() {
     const REGION: usize = 42;
     let mut fleet = Fleet::new(50);
-    fleet.play(15 * SECOND);
-    assert!(fleet.whole());
-    fleet.cut = (REGION..50).collect();
-    fleet.play(60 * SECOND);
+    fleet.run_for(15 * SECOND_US);
+    assert!(fleet.is_complete());
+    fleet.partitioned = (REGION..50).collect();
+    fleet.run_for(60 * SECOND_US);
     assert!(
-        (0..REGION).all(|n| fleet.ones[&n].membership.known() == REGION - 1),
-        "it was not missed"
-    );
-    fleet.cut.clear();
-    fleet.ones.values_mut().for_each(|one| one.news.clear());
-    fleet.play(20 * SECOND);
-    assert!(fleet.whole());
-    let rejoined = |n: &usize| fleet.said(*n, |news| matches!(news, News::Rejoined { .. })) > 0;
-    assert_eq!(
-        (0..50).filter(rejoined).collect::<Vec<_>>(),
-        (REGION..50).collect::<Vec<_>>()
+        (0..REGION).all(|n| fleet.member_count(n) == REGION - 1),
+        "it was not declared down"
     );
-    let inside = |n: usize| n >= REGION;
-    for n in 0..50 {
-        for news in &fleet.ones[&n].news {
-            let News::Down { peer, .. } = news else {
+    fleet.partitioned.clear();
+    for proxy in fleet.proxies.values_mut() {
+        proxy.events.clear();
+    }
+    fleet.run_for(20 * SECOND_US);
+    assert!(fleet.is_complete());
+    let rejoined: Vec<usize> = (0..50).filter(|n| fleet.rejoins(*n) > 0).collect();
+    assert_eq!(rejoined, (REGION..50).collect::<Vec<_>>());
+    let is_in_region = |n: usize| n >= REGION;
+    for (n, proxy) in &fleet.proxies {
+        for event in &proxy.events {
+            let MembershipEvent::MemberDown { peer, .. } = event else {
                 continue;
             };
-            let other = usize::from(peer.port()) - 1000;
-            assert_ne!(inside(n), inside(other), "{n} took {other} for dead");
+            let other = number(*peer);
+            assert_ne!(
+                is_in_region(*n),
+                is_in_region(other),
+                "{n} declared {other} down"
+            );
         }
     }
 }
 
-/// With a tenth of the datagrams lost many are suspected; who said that it lives is told by nobody that it is down.
+/// With a tenth of the datagrams lost many are suspected; a proxy that refutes the suspicion is not told that it is down.
 #[test]
-fn nobody_rejoins_for_a_suspicion_that_was_refuted() {
+fn no_proxy_rejoins_for_a_suspicion_that_was_refuted() {
     let mut fleet = Fleet::new(60);
-    fleet.play(10 * SECOND);
-    fleet.lose_one_in = Some(10);
-    fleet.play(120 * SECOND);
-    let rejoined = (0..60)
-        .map(|n| fleet.said(n, |news| matches!(news, News::Rejoined { .. })))
-        .sum::<usize>();
-    assert_eq!(rejoined, 0);
+    fleet.run_for(10 * SECOND_US);
+    fleet.loss_one_in = Some(10);
+    fleet.run_for(120 * SECOND_US);
+    let rejoins: usize = (0..60).map(|n| fleet.rejoins(n)).sum();
+    assert_eq!(rejoins, 0);
 }
