--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -5,7 +5,7 @@
 use meadowproxy::fleet::config::{Event, Replica, Rules, Surroundings};
 use meadowproxy::fleet::lease;
 use meadowproxy::fleet::membership::{ClockReading, Membership};
-use meadowproxy::fleet::relay::{Header, Relay};
+use meadowproxy::fleet::relay::{BroadcastHeader, Relay};
 use meadowproxy::{Micros, Time};
 use std::net::SocketAddr;
 
@@ -78,16 +78,21 @@
     }
 
     /// Takes a broadcast and passes it on; nothing where it is not used.
-    fn pass_on(&mut self, header: &Header, said: &Said, now: ClockReading) -> Mail {
-        if self.relay.take(header, now.wall_us).is_err() {
+    fn pass_on(&mut self, header: &BroadcastHeader, said: &Said, now: ClockReading) -> Mail {
+        if self.relay.accept(header, now.wall_us).is_err() {
             return Mail::new();
         }
         if said.tokens.iter().any(|(duty, _)| *duty == Duty::Config) {
             self.holder = Some(header.origin);
         }
-        let next = self.relay.pass_on(header, &self.members);
+        let next = self.relay.forward(header, &self.members);
         next.into_iter()
-            .map(|(to, h)| (to, message::encode(&Duties::Broadcast(h, said.clone()))))
+            .map(|next| {
+                (
+                    next.to,
+                    message::encode(&Duties::Broadcast(next.header, said.clone())),
+                )
+            })
             .collect()
     }
 
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -5,7 +5,7 @@
 use meadowproxy::fleet::calendar::Digest;
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
-use meadowproxy::fleet::relay::{self, Header};
+use meadowproxy::fleet::relay::{self, BroadcastHeader};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -67,7 +67,7 @@
     /// Windows as the sender keeps them: bytes of entries.
     Entries { entries: Vec<Vec<u8>> },
     /// To all, passed on by all.
-    Broadcast(Header, Said),
+    Broadcast(BroadcastHeader, Said),
     /// To a late holder: a higher token was seen.
     Fenced { duty: Duty, highest: Token },
     /// To the holder: open requests on backends that the sender keeps out for windows.
@@ -92,7 +92,7 @@
     /// A token with a number that no clock gives: above it none could follow.
     Number(u64),
     /// A broadcast that is neither used nor passed on.
-    Broadcast(relay::Refused),
+    Broadcast(relay::BroadcastError),
     /// About the configuration: why its state machine does not use it.
     Config(config::Refused),
 }
@@ -282,18 +282,18 @@
     }
 
     /// Some that are fit to be taken now, some that are not.
-    fn header() -> impl Strategy<Value = Header> {
-        let part = (0u32..9, (u32::MAX - 9).., 0u8..12);
-        let part = part.prop_map(|(from, to, hops)| relay::Part { from, to, hops });
+    fn header() -> impl Strategy<Value = BroadcastHeader> {
+        let range = (0u32..9, (u32::MAX - 9).., 0u8..12);
+        let range = range.prop_map(|(first, last, hops)| relay::HashRange { first, last, hops });
         let wall = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
         let said = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
-        (9u16..14, 0u64..4, said, part).prop_map(|(port, incarnation, said_us, part)| {
+        (9u16..14, 0u64..4, said, range).prop_map(|(port, incarnation, sent_us, range)| {
             let origin = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-            Header {
+            BroadcastHeader {
                 origin,
                 incarnation,
-                said_us,
-                part,
+                sent_us,
+                range,
             }
         })
     }
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -9,7 +9,7 @@
 use crate::net::cluster::gossip::wire::Body;
 use crate::net::host::RosterRow;
 use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
-use meadowproxy::fleet::relay::{Header, Relay};
+use meadowproxy::fleet::relay::{BroadcastHeader, Relay};
 use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -240,7 +240,7 @@
             return;
         }
         for said in &said {
-            let header = self.relay.lock().begin(wall().0);
+            let header = self.relay.lock().originate(wall().0);
             self.pass_on(&header, said);
         }
         let now = mono();
@@ -255,13 +255,13 @@
     }
 
     /// Says a broadcast to those that are to pass it on from here.
-    pub fn pass_on(&self, header: &Header, said: &Said) {
+    pub fn pass_on(&self, header: &BroadcastHeader, said: &Said) {
         let seen = self.roster.lock().seen.clone();
         let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
-        let next = self.relay.lock().pass_on(header, members);
+        let next = self.relay.lock().forward(header, members);
         self.send(
             next.into_iter()
-                .map(|(to, h)| (to, Duties::Broadcast(h, said.clone())))
+                .map(|next| (next.to, Duties::Broadcast(next.header, said.clone())))
                 .collect(),
         );
     }
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -8,7 +8,7 @@
 use crate::net::cluster::gossip::Passed;
 use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
 use meadowproxy::fleet::lease::Token;
-use meadowproxy::fleet::relay::Header;
+use meadowproxy::fleet::relay::BroadcastHeader;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::sync::Arc;
@@ -98,14 +98,14 @@
 /// Takes what one proxy says to all, and passes it on; not what stands under a token that a higher one followed.
 fn broadcast(
     tables: &Tables,
-    header: &Header,
+    header: &BroadcastHeader,
     mut said: Said,
     mail: &mut Mail,
 ) -> Result<(), Refused> {
     let newest = tables
         .relay
         .lock()
-        .take(header, wall().0)
+        .accept(header, wall().0)
         .map_err(Refused::Broadcast)?;
     let tokens = said.tokens.len();
     said.tokens.retain(|(duty, token)| {
@@ -241,7 +241,7 @@
     use hyper::{Method, StatusCode};
     use meadowproxy::fleet::calendar::{Put, Spec, Stamp};
     use meadowproxy::fleet::lease::Ballot;
-    use meadowproxy::fleet::relay::Part;
+    use meadowproxy::fleet::relay::HashRange;
     use proptest::prelude::*;
     use std::collections::BTreeSet;
 
@@ -315,18 +315,18 @@
     fn a_word_that_was_passed_on_proves_no_more_than_the_holders_own() {
         let (tables, _told) = Tables::example();
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let part = Part {
-            from: 0,
-            to: u32::MAX,
+        let range = HashRange {
+            first: 0,
+            last: u32::MAX,
             hops: 1,
         };
         let now = wall().0;
-        let say = |port, number, said_us| {
-            let header = Header {
+        let say = |port, number, sent_us| {
+            let header = BroadcastHeader {
                 origin: at(port),
                 incarnation: u64::from(port),
-                said_us,
-                part,
+                sent_us,
+                range,
             };
             let tokens = vec![(
                 Duty::Calendar,
