--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -412,3 +412,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -217,3 +217,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -292,3 +292,6 @@
         wall_us: wall_us(),
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -234,11 +234,11 @@
         "Follow",
         "second attempts",
         "ejected",
-        "on the word",
-        "is back",
-        "zone left",
+        "on the verdicts",
+        "readmitted",
+        "zone taken out of use",
         "zone returning",
-        "not taken",
+        "configuration rejected",
     ] {
         assert!(
             all.get(what).is_some_and(|n| *n >= 2),
