--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
 use net::admin::prometheus::Figures;
 use net::admin::{DutiesDoor, Keepers};
 use net::cluster::coordination::{copy::Kept, Duties};
-use net::cluster::gossip::Peers;
+use net::cluster::gossip::{GossipDriver, GossipOptions};
 use net::config::overlay::Overlay;
 use net::config::reload::{Aside, Door, Reload};
 use net::config::{self, Node, Source};
@@ -224,16 +224,14 @@
     let peers = match node.peers {
         Some(rules) => {
             let socket = claimed("peers: ", rules.listen, UdpSocket::bind).await?;
-            let fleet = config.proxy_count;
-            let peers = Peers::start(
-                host.clone(),
-                socket,
-                rules,
-                shared.clone(),
-                fleet,
-                node.seed,
-                cold,
-            );
+            let options = GossipOptions {
+                sharing: rules,
+                settings_hash: shared.clone(),
+                fleet_size: config.proxy_count,
+                seed: node.seed,
+                wants_snapshot: cold,
+            };
+            let peers = GossipDriver::start(host.clone(), socket, options);
             Some(peers.map_err(|e| format!("peers: {e}"))?)
         }
         None => None,
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::net::admin::disabled_backends::Maintenance;
 use crate::net::admin::prometheus::Figures;
-use crate::net::cluster::gossip::Peers;
+use crate::net::cluster::gossip::GossipDriver;
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
 use crate::net::observed_stream::Stream;
@@ -61,7 +61,7 @@
     pub host: Rc<Host>,
     pub server: Rc<Server>,
     pub maintenance: Rc<Maintenance>,
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipDriver>>,
     /// `None`: there are no duties, no windows and no configuration of the fleet.
     pub duties: Option<Rc<dyn DutiesDoor>>,
     /// What the process's recorder holds.
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -19,7 +19,7 @@
 mod wire;
 
 use crate::net::admin::{DutiesDoor, Later};
-use crate::net::cluster::gossip::Peers;
+use crate::net::cluster::gossip::GossipDriver;
 use crate::net::config::overlay::Overlay;
 use crate::net::config::Voting;
 use crate::net::host::{Host, RosterRow, Why};
@@ -133,13 +133,13 @@
     )]
     pub fn start(
         host: Rc<Host>,
-        peers: &Rc<Peers>,
+        peers: &Rc<GossipDriver>,
         rules: &Voting,
         ramp: Micros,
         overlay: Rc<Overlay>,
         kept: Option<Kept>,
     ) -> io::Result<Rc<Duties>> {
-        let own = peers.own();
+        let own = peers.own_address();
         let leases = rules
             .leases()
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -183,7 +183,7 @@
             roster: Ranked::new(3, Roster::starting()),
             outbox: Ranked::new(4, Outbox::new(effects)),
             relay: Ranked::new(5, Relay::new(own, incarnation, peers.max_age())),
-            post: peers.post(),
+            post: peers.sender(),
             incarnation,
         });
         if let Some(table) = kept.as_ref().and_then(|kept| kept.recall(own)) {
@@ -193,7 +193,7 @@
         let (commands, calls) = sync_channel(CALLS);
         let (show, seen) = watch::channel(None);
         let (ask, need) = watch::channel(Need::Decides);
-        let clock = Clock::new(tables.clone(), seen, ask, own, peers.alone());
+        let clock = Clock::new(tables.clone(), seen, ask, own, peers.is_only_proxy());
         let (wake, copied) = (commands.clone(), tables.clone());
         let thread = |name: &str| std::thread::Builder::new().name(format!("duties-{name}"));
         thread("wire").spawn(move || wire::run(&tables, &came, &wake))?;
@@ -201,7 +201,7 @@
         if let Some(kept) = kept {
             thread("copy").spawn(move || kept.keep(&copied, own))?;
         }
-        peers.pass_duties(pass);
+        peers.deliver_coordination_to(pass);
         info!(event = "duties_start", own = %own, voters = rules.voters.len(), lease_ms = rules.lease_ms,
             "takes part in the fleet's duties");
         let applied = Rc::new(Applied {
@@ -314,7 +314,7 @@
 /// Shows the workers what the request loop sees: at once where they need more than before.
 async fn shows(
     host: Rc<Host>,
-    peers: Rc<Peers>,
+    peers: Rc<GossipDriver>,
     applied: Rc<Applied>,
     show: watch::Sender<Option<Arc<Seen>>>,
     mut need: watch::Receiver<Need>,
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -5,8 +5,8 @@
 use super::message::{self, Duties, Refused, Said};
 use super::ranked::Ranked;
 use super::{mono, wall, Effect, Rows, Seen};
-use crate::net::cluster::gossip::post::Post;
 use crate::net::cluster::gossip::wire::Body;
+use crate::net::cluster::gossip::DatagramSender;
 use crate::net::host::RosterRow;
 use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
 use meadowproxy::fleet::relay::{BroadcastHeader, Relay};
@@ -30,7 +30,7 @@
     pub outbox: Ranked<Outbox>,
     pub relay: Ranked<Relay>,
     /// The socket's sending side, which needs no lock.
-    pub post: Arc<Post>,
+    pub post: Arc<DatagramSender>,
     /// Drawn at this start, as no other.
     pub incarnation: u64,
 }
@@ -373,7 +373,7 @@
             ),
             outbox: Ranked::new(4, Outbox::new(effects)),
             relay: Ranked::new(5, Relay::new(own, 7, max_age)),
-            post: Arc::new(Post::new(socket, [0; 8], own)),
+            post: Arc::new(DatagramSender::new(socket, [0; 8], own)),
             incarnation: 7,
         };
         (tables, told)
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -5,7 +5,7 @@
 use super::message::{self, sound, Duties, Duty, Refused, Said, Word};
 use super::tables::Tables;
 use super::wall;
-use crate::net::cluster::gossip::Passed;
+use crate::net::cluster::gossip::CoordinationDatagram;
 use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::fleet::relay::BroadcastHeader;
@@ -17,8 +17,12 @@
 const MOST_REPORTED: usize = 1024;
 
 /// Takes messages until the socket's side is gone.
-pub fn run(tables: &Arc<Tables>, came: &Receiver<Passed>, clock: &SyncSender<Command>) {
-    while let Ok((from, bytes)) = came.recv() {
+pub fn run(
+    tables: &Arc<Tables>,
+    came: &Receiver<CoordinationDatagram>,
+    clock: &SyncSender<Command>,
+) {
+    while let Ok(CoordinationDatagram { from, bytes }) = came.recv() {
         let mut mail = Mail::new();
         let held = holds(tables);
         let taken = message::decode(&bytes).and_then(|m| take(tables, from, m, &mut mail));
--- /dev/null
+++ b/src/net/cluster/gossip/snapshot_exchange.rs
@@ -0,0 +1,72 @@
+//! The content of the snapshots of learned state that proxies of a fleet transfer to each other.
+
+use crate::net::host::Host;
+use crate::net::state::snapshot::{self, Header, Snapshot, Stands};
+use meadowproxy::Micros;
+use std::cell::Cell;
+use std::rc::Rc;
+use tracing::{info, warn};
+
+/// Encodes the host's learned state for another proxy, and restores what another proxy sent.
+pub struct SnapshotExchange {
+    host: Rc<Host>,
+    /// Hash of the settings in force, which a reload changes; a snapshot is valid only under equal ones.
+    settings_hash: Rc<Cell<[u8; 32]>>,
+    /// The age past which a snapshot is rejected.
+    max_age: Micros,
+}
+
+impl SnapshotExchange {
+    pub fn new(
+        host: Rc<Host>,
+        settings_hash: Rc<Cell<[u8; 32]>>,
+        max_age: Micros,
+    ) -> SnapshotExchange {
+        SnapshotExchange {
+            host,
+            settings_hash,
+            max_age,
+        }
+    }
+
+    /// The learned state of this proxy, or nothing while it has learned nothing. Which backends operators disabled isn't
+    /// part of it, as that holds for this proxy alone.
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        let mut saved = self.host.learned_state();
+        saved.withdrawn.clear();
+        if saved.overall.count == 0.0 {
+            return None;
+        }
+        let header = Header::now(self.scope());
+        snapshot::encode(&Snapshot { header, saved }).ok()
+    }
+
+    /// Restores a snapshot of another proxy, if it is valid here.
+    pub fn restore(&self, bytes: &[u8]) {
+        let checked = snapshot::decode(bytes)
+            .and_then(|snapshot| snapshot.checked(&self.scope(), self.max_age));
+        match checked {
+            Ok((snapshot, age)) => {
+                info!(
+                    event = "peer_snapshot_taken",
+                    age_s = age.as_secs_f64(),
+                    bytes = bytes.len(),
+                    kinds = snapshot.saved.kinds.len(),
+                    "restored a peer's snapshot: warm start"
+                );
+                self.host.recall(snapshot.saved, age);
+            }
+            Err(error) => {
+                warn!(
+                    event = "snapshot_refused",
+                    cause = error.cause(),
+                    "rejected a peer's snapshot: {error}"
+                );
+            }
+        }
+    }
+
+    fn scope(&self) -> Stands {
+        Stands::fleet(self.settings_hash.get())
+    }
+}
--- a/src/net/cluster/gossip/stored_formats.rs
+++ b/src/net/cluster/gossip/stored_formats.rs
@@ -1,25 +1,37 @@
-//! The answer to `GET /peers`.
+//! The response to `GET /peers`.
 
-use super::*;
+use super::wire::DatagramError;
+use super::{GossipDriver, GossipOptions};
 use crate::fixtures::assert_lines;
+use crate::net::config::Sharing;
+use crate::net::host::Host;
+use std::net::{SocketAddr, UdpSocket};
+use std::rc::Rc;
 
 #[tokio::test]
-async fn the_state_of_sharing_keeps_its_json() {
+async fn the_status_of_gossip_keeps_its_json() {
     let scope = tokio::task::LocalSet::new();
     let status = scope.run_until(async {
-        let own: SocketAddr = "127.0.0.1:7000".parse().unwrap();
-        let rules = Sharing {
-            listen: own,
-            advertise: Some(own),
-            cluster: "lagos".into(),
-            seeds: Vec::new(),
-            max_age_s: 5.0,
+        let own_address: SocketAddr = "127.0.0.1:7000".parse().unwrap();
+        let options = GossipOptions {
+            sharing: Sharing {
+                listen: own_address,
+                advertise: Some(own_address),
+                cluster: "lagos".into(),
+                seeds: Vec::new(),
+                max_age_s: 5.0,
+            },
+            settings_hash: Rc::default(),
+            fleet_size: 1,
+            seed: 1,
+            wants_snapshot: false,
         };
-        let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-        let host = Host::example();
-        let peers = Peers::start(host, socket, rules, Rc::default(), 1, 1, false).unwrap();
-        peers.turn(|m, now, out| m.reject_datagram(DatagramError::BadMagic, now, out));
-        peers.status()
+        let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+        let driver = GossipDriver::start(Host::example(), socket, options).unwrap();
+        driver.step(|membership, now, outputs| {
+            membership.reject_datagram(DatagramError::BadMagic, now, outputs);
+        });
+        driver.status()
     });
     assert_lines("peers-status.txt", &[("alone", status.await)]);
 }
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The socket side of what the proxies of a fleet share and decide together.
+//! The cluster of a fleet's proxies: [`gossip`] shares state between them, and [`coordination`] decides what needs agreement.
 
 pub mod coordination;
 pub mod gossip;
