--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -19,6 +19,7 @@
 mod rejection_report;
 mod snapshot_transfer;
 mod swim;
+mod timer_queue;
 mod verdict_broadcast;
 pub mod wire;
 
--- a/src/fleet/membership/peer_ordering.rs
+++ b/src/fleet/membership/peer_ordering.rs
@@ -23,6 +23,14 @@
     }
 }
 
+/// A member's place in the order after one verdict.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Position {
+    hash: u32,
+    /// Decides between equal hashes.
+    address: SocketAddr,
+}
+
 /// Determines this proxy's turn after each verdict, and numbers the proxies that verdicts come from.
 pub(super) struct PeerOrdering {
     own: NamedAddress,
@@ -75,10 +83,9 @@
             return self.live_count();
         }
         let draw = OrderDraw::new(broadcast.created_us);
-        let own_position = (draw.hash(&self.own.text), self.own.address);
+        let own_position = draw.position(&self.own);
         let is_earlier = |member: &&NamedAddress| {
-            member.address != broadcast.origin
-                && (draw.hash(&member.text), member.address) < own_position
+            member.address != broadcast.origin && draw.position(member) < own_position
         };
         let live = self.live.as_deref().unwrap_or_default();
         live.iter().filter(is_earlier).count() as u32
@@ -115,9 +122,12 @@
         OrderDraw(hasher)
     }
 
-    fn hash(&self, address: &str) -> u32 {
+    fn position(&self, member: &NamedAddress) -> Position {
         let mut hasher = self.0.clone();
-        hasher.update(address.as_bytes());
-        hasher.finalize()
+        hasher.update(member.text.as_bytes());
+        Position {
+            hash: hasher.finalize(),
+            address: member.address,
+        }
     }
 }
--- a/src/fleet/membership/swim.rs
+++ b/src/fleet/membership/swim.rs
@@ -5,6 +5,7 @@
 use super::egress_limit::{EgressLimit, RateLimitedCodec, RateLimitedRuntime, SharedEgressLimit};
 use super::event::{MembershipEvent, Output};
 use super::member::{Member, WallClock};
+use super::timer_queue::TimerQueue;
 use super::verdict_broadcast::{
     SharedVerdictStore, VerdictBroadcast, VerdictHandler, VerdictStore,
 };
@@ -13,8 +14,6 @@
 use foca::{Foca, OwnedNotification, PeriodicParams, State, Timer};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use std::cell::RefMut;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -39,30 +38,6 @@
 
 type Swim = Foca<Member, RateLimitedCodec, StdRng, VerdictHandler>;
 
-/// foca's timers, by when they expire; the sequence number orders those of one moment.
-#[derive(Default)]
-struct TimerQueue {
-    timers: BTreeMap<(Time, u64), Timer<Member>>,
-    scheduled: u64,
-}
-
-impl TimerQueue {
-    fn schedule(&mut self, at: Time, timer: Timer<Member>) {
-        self.scheduled += 1;
-        self.timers.insert((at, self.scheduled), timer);
-    }
-
-    fn next_due(&self) -> Option<Time> {
-        self.timers.first_key_value().map(|((at, _), _)| *at)
-    }
-
-    fn pop_due(&mut self, now: Time) -> Option<Timer<Member>> {
-        let first = self.timers.first_entry()?;
-        let (due, _) = *first.key();
-        (due <= now).then(|| first.remove())
-    }
-}
-
 /// This proxy's node in the SWIM protocol.
 pub(super) struct SwimNode {
     foca: Swim,
@@ -145,13 +120,15 @@
 
     /// How many timers were scheduled so far.
     pub(super) fn scheduled_timers(&self) -> u64 {
-        self.timers.scheduled
+        self.timers.scheduled()
     }
 
     /// Pays for a datagram with a body of so many bytes, if the egress limit allows it.
     pub(super) fn try_spend_datagram(&self, body_bytes: usize) -> bool {
-        let mut egress: RefMut<'_, EgressLimit> = self.egress.borrow_mut();
-        egress.bucket.try_spend_datagram(body_bytes)
+        self.egress
+            .borrow_mut()
+            .bucket
+            .try_spend_datagram(body_bytes)
     }
 
     /// Processes a SWIM message.
@@ -191,7 +168,7 @@
         identity: Member,
         known_members: Vec<KnownMember>,
     ) -> Result<(), foca::Error> {
-        self.timers.timers.clear();
+        self.timers.clear();
         self.foca = new_foca(
             identity,
             self.fleet_size,
--- a/src/fleet/membership/verdict_broadcast.rs
+++ b/src/fleet/membership/verdict_broadcast.rs
@@ -2,7 +2,8 @@
 //! receiver, among the newest on its backend, and within the maximum age.
 
 use super::member::{Member, WallClock};
-use super::wire::{check_age, DatagramError};
+use super::wire::DatagramError;
+use crate::fleet::message_age::check_age;
 use crate::interface::{Micros, Verdict};
 use foca::{BroadcastHandler, Invalidates};
 use serde::{Deserialize, Serialize};
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -4,6 +4,7 @@
 //! postcard. [`DatagramSealer`] encodes outgoing ones, [`decode`] and [`ReplayFilter`] check incoming ones. Any other
 //! input is rejected with a [`DatagramError`]; nothing here panics on input.
 
+use crate::fleet::message_age::{check_age, AgeError};
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashSet, VecDeque};
@@ -19,8 +20,6 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The largest body: prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
 pub const MAX_BODY_BYTES: usize = 1300;
-/// How far a sender's wall clock may run ahead of the receiver's.
-const MAX_CLOCK_SKEW: Micros = Micros(1_000_000);
 /// How many datagrams a [`ReplayFilter`] remembers at most.
 const REPLAY_FILTER_DATAGRAMS: usize = 16_384;
 
@@ -110,12 +109,9 @@
     /// From another cluster.
     #[error("from another cluster")]
     ForeignCluster,
-    /// Older than the maximum age.
-    #[error("sent {:.1} s ago", .0.as_secs_f64())]
-    Stale(Micros),
-    /// Further in the future than clock skew explains.
-    #[error("sent {:.1} s in the future", .0.as_secs_f64())]
-    FromFuture(Micros),
+    /// Too old, or sent in the future.
+    #[error(transparent)]
+    Age(#[from] AgeError),
     /// A datagram that was received before.
     #[error("received before")]
     Replayed,
@@ -141,8 +137,7 @@
             DatagramError::ChecksumMismatch => "checksum",
             DatagramError::Malformed(_) => "garbled",
             DatagramError::ForeignCluster => "cluster",
-            DatagramError::Stale(_) => "stale",
-            DatagramError::FromFuture(_) => "ahead",
+            DatagramError::Age(error) => error.cause(),
             DatagramError::Replayed => "replayed",
             DatagramError::Unsolicited => "unasked",
             DatagramError::Unhandled => "unheard",
@@ -300,19 +295,3 @@
         }
     }
 }
-
-/// The age of what was created at wall time `created_us`, if it is at most `max_age`.
-///
-/// # Errors
-/// Where it is too old or too far in the future.
-pub fn check_age(created_us: u64, now_us: u64, max_age: Micros) -> Result<Micros, DatagramError> {
-    let ahead = Micros(created_us.saturating_sub(now_us));
-    if ahead > MAX_CLOCK_SKEW {
-        return Err(DatagramError::FromFuture(ahead));
-    }
-    let age = Micros(now_us.saturating_sub(created_us));
-    if age > max_age {
-        return Err(DatagramError::Stale(age));
-    }
-    Ok(age)
-}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -6,4 +6,5 @@
 pub mod fence;
 pub mod lease;
 pub mod membership;
+pub mod message_age;
 pub mod relay;
--- a/src/fleet/relay/mod.rs
+++ b/src/fleet/relay/mod.rs
@@ -10,7 +10,7 @@
 
 pub use tree::{HashRange, FAN_OUT, MAX_HOPS};
 
-use crate::fleet::membership::wire::{check_age, DatagramError};
+use crate::fleet::message_age::{check_age, AgeError};
 use crate::Micros;
 use duplicate_filter::DuplicateFilter;
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
     Duplicate,
     /// Originated too long ago, or in the future: its time isn't renewed when it is forwarded.
     #[error(transparent)]
-    Age(DatagramError),
+    Age(#[from] AgeError),
 }
 
 impl BroadcastError {
@@ -137,7 +137,7 @@
         if header.incarnation == self.incarnation {
             return Err(BroadcastError::Duplicate);
         }
-        check_age(header.sent_us, now_us, self.max_age).map_err(BroadcastError::Age)?;
+        check_age(header.sent_us, now_us, self.max_age)?;
         self.received
             .insert(header.incarnation, header.sent_us, now_us)
             .ok_or(BroadcastError::Duplicate)
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -38,6 +38,13 @@
     events: Vec<MembershipEvent>,
 }
 
+/// When a datagram arrives; of those that arrive together, the one sent first comes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at_us: u64,
+    sequence: u64,
+}
+
 /// A datagram in flight.
 struct InFlight {
     to: usize,
@@ -55,8 +62,7 @@
     now_us: u64,
     size: usize,
     proxies: BTreeMap<usize, Proxy>,
-    /// By arrival time and order of sending.
-    in_flight: BTreeMap<(u64, u64), InFlight>,
+    in_flight: BTreeMap<Arrival, InFlight>,
     sent: u64,
     /// Bytes sent by each proxy.
     sent_bytes: BTreeMap<usize, u64>,
@@ -146,7 +152,10 @@
         if is_lost || self.partitioned.contains(&from) != self.partitioned.contains(&to) {
             return;
         }
-        let arrival = (self.now_us + LATENCY_US, self.sent);
+        let arrival = Arrival {
+            at_us: self.now_us + LATENCY_US,
+            sequence: self.sent,
+        };
         self.in_flight.insert(arrival, InFlight { to, bytes });
     }
 
@@ -159,7 +168,10 @@
                 .iter()
                 .map(|(n, proxy)| (proxy.membership.next_due().0, *n))
                 .min();
-            let next_arrival_us = self.in_flight.first_key_value().map(|(key, _)| key.0);
+            let next_arrival_us = self
+                .in_flight
+                .first_key_value()
+                .map(|(arrival, _)| arrival.at_us);
             let next_us = next_timer
                 .map(|(due_us, _)| due_us)
                 .into_iter()
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -80,12 +80,19 @@
     updated_at_us: Option<u64>,
 }
 
+/// An event at its time; of those at one time, the one scheduled first comes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at_us: u64,
+    sequence: u64,
+    event: Event,
+}
+
 struct Fleet {
     proxies: Vec<Proxy>,
     alive: Vec<bool>,
     headers: Vec<BroadcastHeader>,
-    /// Events by time and order of scheduling.
-    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    events: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     now_us: u64,
     loss: f64,
@@ -135,8 +142,11 @@
 impl Fleet {
     fn schedule(&mut self, delay_us: u64, event: Event) {
         self.scheduled += 1;
-        let at_us = self.now_us + delay_us;
-        self.events.push(Reverse((at_us, self.scheduled, event)));
+        self.events.push(Reverse(Scheduled {
+            at_us: self.now_us + delay_us,
+            sequence: self.scheduled,
+            event,
+        }));
     }
 
     /// A datagram takes 1 to 60 ms, or gets lost.
@@ -149,13 +159,13 @@
     }
 
     fn run_until(&mut self, end_us: u64) {
-        while let Some(Reverse((at_us, _, event))) = self.events.peek().copied() {
-            if at_us > end_us {
+        while let Some(Reverse(next)) = self.events.peek().copied() {
+            if next.at_us > end_us {
                 break;
             }
             self.events.pop();
-            self.now_us = at_us;
-            self.handle(event);
+            self.now_us = next.at_us;
+            self.handle(next.event);
         }
         self.now_us = end_us;
     }
