--- a/src/fleet/membership/anti_entropy.rs
+++ b/src/fleet/membership/anti_entropy/mod.rs
@@ -1,14 +1,18 @@
 //! Anti-entropy of member lists: a proxy sends another one a digest of the members it knows, a checksum for each bucket
 //! of them, and gets the other's members of the buckets that differ. Members that come in a list are not gossiped.
 
+mod list_digest;
+mod member_list;
+
 use super::config::ClockReading;
-use super::egress_limit::ENVELOPE_BYTES;
 use super::event::Output;
 use super::member::Member;
 use super::swim::{KnownMember, SwimNode};
-use super::wire::{Body, DatagramError, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES};
+use super::wire::{Body, DatagramError};
 use crate::interface::{Micros, Time};
 use foca::State;
+use list_digest::{bucket, checksum, ListDigest};
+use member_list::{decode_members, encode_lists, Feed};
 use std::net::SocketAddr;
 
 /// The pause until the next comparison after this proxy joined or a list contained new members.
@@ -19,16 +23,9 @@
 const INTERVAL_GROWTH: f64 = 1.5;
 /// The pause until the next comparison after gossip brought a member up, as this proxy may have missed others.
 const AFTER_GOSSIP_INTERVAL: Micros = Micros(1_000_000);
-/// The mean number of members in a bucket: they fit into a datagram with a margin for uneven buckets.
-const MEMBERS_PER_BUCKET: usize = 48;
-const MAX_BUCKETS: usize = 256;
-/// Bytes of a bucket's checksum.
-const CHECKSUM_BYTES: usize = 4;
 /// The most datagrams in response to one digest.
 const MAX_RESPONSE_DATAGRAMS: usize = 3;
 
-const _: () = assert!(MAX_BODY_BYTES + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES);
-
 /// When digests are sent: often while there is something new, then less and less.
 struct AntiEntropySchedule {
     next_at: Time,
@@ -95,15 +92,7 @@
         let Some(to) = pick_member(swim, now) else {
             return;
         };
-        let buckets = swim
-            .live_count()
-            .div_ceil(MEMBERS_PER_BUCKET)
-            .min(MAX_BUCKETS);
-        let digest: Vec<u8> = ListDigest::of(swim, buckets)
-            .checksums
-            .into_iter()
-            .flat_map(u32::to_le_bytes)
-            .collect();
+        let digest = ListDigest::of(swim, ListDigest::buckets_for(swim.live_count())).encode();
         if swim.try_spend_datagram(digest.len()) {
             let body = Body::ListDigest(digest);
             outputs.push(Output::Send { to, body });
@@ -181,7 +170,7 @@
     if !swim.is_live(to) {
         return Err(DatagramError::Unsolicited);
     }
-    let buckets = theirs.checksums.len();
+    let buckets = theirs.buckets();
     let ours = ListDigest::of(swim, buckets);
     let own = foca::Member::alive(swim.identity().clone());
     let bucket_of = |member: &KnownMember| bucket(member.id().address, buckets);
@@ -213,111 +202,3 @@
     let index = (draw as usize).checked_rem(swim.live_count())?;
     swim.live_addresses().nth(index)
 }
-
-/// The checksums over the members of each bucket. Equal lists have equal digests with any number of buckets.
-struct ListDigest {
-    checksums: Vec<u32>,
-}
-
-impl ListDigest {
-    /// Of the live members that this proxy knows, itself included.
-    fn of(swim: &SwimNode, buckets: usize) -> ListDigest {
-        let mut checksums = vec![0u32; buckets];
-        let live = swim.live_members().map(foca::Member::id);
-        for member in live.chain([swim.identity()]) {
-            let sum = &mut checksums[bucket(member.address, buckets)];
-            *sum = sum.wrapping_add(checksum(member));
-        }
-        ListDigest { checksums }
-    }
-
-    fn decode(bytes: &[u8]) -> Result<ListDigest, DatagramError> {
-        let chunks = bytes.chunks_exact(CHECKSUM_BYTES);
-        let is_complete = chunks.remainder().is_empty();
-        if !is_complete || !(1..=MAX_BUCKETS).contains(&chunks.len()) {
-            return Err(DatagramError::invalid_content());
-        }
-        let checksums = chunks
-            .map(|chunk| u32::from_le_bytes([chunk[0], chunk[1], chunk[2], chunk[3]]))
-            .collect();
-        Ok(ListDigest { checksums })
-    }
-
-    fn differs(&self, other: &ListDigest, bucket: usize) -> bool {
-        self.checksums[bucket] != other.checksums[bucket]
-    }
-}
-
-fn checksum(member: &Member) -> u32 {
-    let bytes = postcard::to_stdvec(member).unwrap_or_default(); // an address and a number always encode
-    crc32fast::hash(&bytes)
-}
-
-/// The bucket of a member: by its address, so that a later incarnation is in the same one.
-fn bucket(address: SocketAddr, buckets: usize) -> usize {
-    let bytes = postcard::to_stdvec(&address).unwrap_or_default();
-    crc32fast::hash(&bytes) as usize % buckets
-}
-
-/// Encodes members to lists that fit into a datagram each.
-fn encode_lists(members: Vec<&KnownMember>) -> Vec<Vec<u8>> {
-    let mut lists: Vec<Vec<u8>> = Vec::new();
-    for member in members {
-        let Ok(bytes) = postcard::to_stdvec(member) else {
-            continue;
-        };
-        match lists.last_mut() {
-            Some(list) if list.len() + bytes.len() <= MAX_BODY_BYTES => list.extend(bytes),
-            _ => lists.push(bytes),
-        }
-    }
-    lists
-}
-
-/// Decoded members, and the bytes after them.
-struct DecodedMembers<'a> {
-    members: Vec<KnownMember>,
-    rest: &'a [u8],
-}
-
-/// Decodes at most `limit` members.
-fn decode_members(bytes: &[u8], limit: usize) -> Result<DecodedMembers<'_>, DatagramError> {
-    let mut members = Vec::new();
-    let mut rest = bytes;
-    while !rest.is_empty() && members.len() < limit {
-        let (member, after) = postcard::take_from_bytes(rest).map_err(DatagramError::Malformed)?;
-        members.push(member);
-        rest = after;
-    }
-    Ok(DecodedMembers { members, rest })
-}
-
-/// A feed message, with its members taken out.
-struct Feed {
-    members: Vec<KnownMember>,
-    without_members: Vec<u8>,
-}
-
-impl Feed {
-    /// After the header come the number of members (u16, big endian), the members, and custom broadcasts.
-    fn decode(message: &[u8]) -> Result<Feed, DatagramError> {
-        const NO_MEMBERS: [u8; 2] = 0u16.to_be_bytes();
-        let (_, content) = postcard::take_from_bytes::<foca::Header<Member>>(message)
-            .map_err(DatagramError::Malformed)?;
-        let header = &message[..message.len() - content.len()];
-        let decoded = match content.split_first_chunk() {
-            Some((count, list)) => {
-                let count = u16::from_be_bytes(*count);
-                decode_members(list, usize::from(count))?
-            }
-            None => DecodedMembers {
-                members: Vec::new(),
-                rest: content,
-            },
-        };
-        Ok(Feed {
-            without_members: [header, &NO_MEMBERS, decoded.rest].concat(),
-            members: decoded.members,
-        })
-    }
-}
--- a/src/fleet/membership/config.rs
+++ b/src/fleet/membership/config.rs
@@ -1,4 +1,4 @@
-//! What the membership state machine is given: its configuration, and the clocks at each step.
+//! The inputs of the membership state machine: its configuration, and the clocks at each step.
 
 use super::wire::ClusterId;
 use crate::interface::{Micros, Time};
--- a/src/fleet/membership/snapshot_transfer.rs
+++ b/src/fleet/membership/snapshot_transfer.rs
@@ -6,7 +6,7 @@
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// How long a member has to send its snapshot before another one is asked.
+/// How long a member has to send its snapshot before it is requested from another one.
 pub(super) const REQUEST_TIMEOUT: Micros = Micros(500_000);
 /// How many members the snapshot is requested from.
 const MAX_REQUESTS: u32 = 3;
--- a/src/fleet/membership/verdict_broadcast.rs
+++ b/src/fleet/membership/verdict_broadcast.rs
@@ -147,7 +147,7 @@
             return None; // the sender had it in time: the datagram itself is valid
         }
         let is_echo = broadcast.origin == self.own_address && !is_own;
-        if is_echo || self.is_known(&broadcast) || !self.make_room(now_us) {
+        if is_echo || self.is_known(&broadcast) || !self.evict_expired(now_us) {
             return None;
         }
         let key = broadcast.key();
@@ -172,8 +172,8 @@
             .is_some_and(|latest_us| *latest_us >= broadcast.created_us)
     }
 
-    /// Forgets expired verdicts when the store is full; whether it can take one more.
-    fn make_room(&mut self, now_us: u64) -> bool {
+    /// Forgets expired verdicts when the store is full; whether it has capacity for one more.
+    fn evict_expired(&mut self, now_us: u64) -> bool {
         if self.latest_us.len() < MAX_REMEMBERED {
             return true;
         }
--- a/src/fleet/relay/duplicate_filter.rs
+++ b/src/fleet/relay/duplicate_filter.rs
@@ -38,15 +38,15 @@
     pub(super) fn insert(&mut self, incarnation: u64, sent_us: u64, now_us: u64) -> Option<bool> {
         let expired_before_us = now_us.saturating_sub(self.max_age.0);
         if !self.origins.contains_key(&incarnation) {
-            self.make_room(expired_before_us);
+            self.evict(expired_before_us);
         }
         let origin = self.origins.entry(incarnation).or_default();
         origin.insert(sent_us, expired_before_us)
     }
 
-    /// Makes room for one more origin: forgets those without current broadcasts, and if need be the one that was silent
+    /// Ensures capacity for one more origin: forgets those without current broadcasts, and if need be the one that was silent
     /// for longest.
-    fn make_room(&mut self, expired_before_us: u64) {
+    fn evict(&mut self, expired_before_us: u64) {
         if self.origins.len() < MAX_ORIGINS {
             return;
         }
--- a/src/net/cluster/gossip/snapshot_exchange.rs
+++ b/src/net/cluster/gossip/snapshot_exchange.rs
@@ -30,7 +30,7 @@
     }
 
     /// The learned state of this proxy, or nothing while it has learned nothing. Which backends operators disabled isn't
-    /// part of it, as that holds for this proxy alone.
+    /// part of it, as that applies to this proxy only.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let mut saved = self.host.learned_state();
         saved.withdrawn.clear();
