--- a/src/fleet/membership/stored_formats.rs
+++ b/src/fleet/membership/stored_formats.rs
@@ -1,9 +1,10 @@
-//! What proxies say to each other about their membership, byte for byte.
+//! The bytes of membership's datagrams and of what they carry.
 
-use super::facts::Fact;
+use super::anti_entropy::respond_to_digest;
 use super::member::Member;
-use super::wire::{cluster, decode, encode, Body, Envelope, Seal};
-use super::{Membership, Now, Output, Rules};
+use super::verdict_broadcast::VerdictBroadcast;
+use super::wire::{cluster_id, decode, encode, Body, DatagramSealer, Envelope, SnapshotChunk};
+use super::{ClockReading, Membership, MembershipConfig, Output};
 use crate::fixtures::{assert_bytes, assert_lines};
 use crate::interface::{Micros, Time, Verdict};
 use std::collections::VecDeque;
@@ -15,38 +16,38 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A body's name; whoever adds a kind has to name it here and to give one of it below.
+/// The name of a kind of body in the fixtures; a new kind needs a name here and an example below.
 fn name(body: &Body) -> &'static str {
     match body {
         Body::Swim(_) => "swim",
-        Body::Ask { .. } => "ask",
-        Body::Part { .. } => "part",
-        Body::Duty(_) => "duty",
-        Body::Compare(_) => "compare",
-        Body::Members(_) => "members",
+        Body::SnapshotRequest { .. } => "ask",
+        Body::SnapshotChunk(_) => "part",
+        Body::Coordination(_) => "duty",
+        Body::ListDigest(_) => "compare",
+        Body::MemberList(_) => "members",
     }
 }
 
 fn bodies() -> Vec<Body> {
     vec![
         Body::Swim(vec![1, 2, 3]),
-        Body::Ask { nonce: u64::MAX },
-        Body::Part {
+        Body::SnapshotRequest { nonce: u64::MAX },
+        Body::SnapshotChunk(SnapshotChunk {
             nonce: 1 << 40,
             index: 300,
-            of: 301,
+            count: 301,
             bytes: vec![0, 255],
-        },
-        Body::Duty(vec![4; 200]),
-        Body::Compare(vec![5, 6]),
-        Body::Members(vec![]),
+        }),
+        Body::Coordination(vec![4; 200]),
+        Body::ListDigest(vec![5, 6]),
+        Body::MemberList(vec![]),
     ]
 }
 
 #[test]
 fn every_kind_of_datagram_keeps_its_bytes() {
     let envelope = |body| Envelope {
-        cluster: cluster("lagos"),
+        cluster: cluster_id("lagos"),
         from: at(7000),
         sent_us: WALL_US,
         body,
@@ -60,10 +61,11 @@
         "from ipv6",
         Envelope {
             from,
-            ..envelope(Body::Ask { nonce: 1 })
+            ..envelope(Body::SnapshotRequest { nonce: 1 })
         },
     ));
-    let sealed = Seal::new(cluster("lagos"), at(7000)).seal(bodies().remove(0), WALL_US);
+    let sealed =
+        DatagramSealer::new(cluster_id("lagos"), at(7000)).seal(bodies().remove(0), WALL_US);
     assert_eq!(sealed.unwrap(), encode(&forms[0].1).unwrap());
     assert_bytes(
         "datagrams.txt",
@@ -89,18 +91,18 @@
         },
         Verdict::Readmitted,
     ];
-    let fact = |verdict| Fact {
+    let broadcast = |verdict| VerdictBroadcast {
         origin: at(7000),
-        born_us: WALL_US,
+        created_us: WALL_US,
         backend: "größer-1".into(),
         verdict,
     };
-    let forms = verdicts.map(|verdict| (verdict_name(&verdict), fact(verdict)));
+    let forms = verdicts.map(|verdict| (verdict_name(&verdict), broadcast(verdict)));
     assert_bytes(
         "facts.txt",
         &forms,
-        |f| f.encode().unwrap(),
-        |b| postcard::from_bytes(b).unwrap(),
+        |broadcast| broadcast.encode().unwrap(),
+        |bytes| postcard::from_bytes(bytes).unwrap(),
     );
 }
 
@@ -119,122 +121,143 @@
     });
 }
 
-/// Two proxies from the first one's knock at the other to its leave, on a clock of their own.
+/// Two proxies from the first announcement to the leave of one, on simulated clocks.
 struct Pair {
     proxies: [Membership; 2],
-    seals: [Seal; 2],
-    us: u64,
-    said: Vec<(usize, String)>,
+    sealers: [DatagramSealer; 2],
+    elapsed_us: u64,
+    /// The datagrams in the order of sending.
+    sent: Vec<SentDatagram>,
 }
 
-impl Pair {
-    fn now(us: u64) -> Now {
-        Now {
-            time: Time(1_000_000 + us),
-            wall_us: WALL_US + us,
-        }
+struct SentDatagram {
+    from: usize,
+    hex: String,
+}
+
+/// The clocks at a time after the start.
+fn clock(elapsed_us: u64) -> ClockReading {
+    ClockReading {
+        monotonic: Time(1_000_000 + elapsed_us),
+        wall_us: WALL_US + elapsed_us,
+    }
+}
+
+fn config(seeds: Vec<SocketAddr>, fleet_size: u32) -> MembershipConfig {
+    MembershipConfig {
+        cluster: cluster_id("lagos"),
+        seeds,
+        max_age: Micros(5_000_000),
+        fleet_size,
     }
+}
 
+impl Pair {
     fn new() -> Pair {
-        let rules = Rules {
-            cluster: cluster("lagos"),
-            seeds: vec![at(1), at(2)],
-            max_age: Micros(5_000_000),
-            fleet: 2,
-        };
-        let proxy = |n: u16| Membership::new(rules.clone(), at(n), n.into(), n == 1, Pair::now(0));
-        let seal = |n| Seal::new(rules.cluster, at(n));
+        let config = config(vec![at(1), at(2)], 2);
+        let proxy = |n: u16| Membership::new(config.clone(), at(n), n.into(), n == 1, clock(0));
+        let sealer = |n| DatagramSealer::new(config.cluster, at(n));
         Pair {
             proxies: [proxy(1), proxy(2)],
-            seals: [seal(1), seal(2)],
-            us: 0,
-            said: Vec::new(),
+            sealers: [sealer(1), sealer(2)],
+            elapsed_us: 0,
+            sent: Vec::new(),
         }
     }
 
-    /// One proxy acts; what it sends arrives at once, and so on.
-    fn act(&mut self, who: usize, step: impl FnOnce(&mut Membership, Now, &mut Vec<Output>)) {
-        let mut out = Vec::new();
-        step(&mut self.proxies[who], Pair::now(self.us), &mut out);
-        let mut open = VecDeque::from([(who, out)]);
-        while let Some((who, out)) = open.pop_front() {
-            for output in out {
-                let Output::Send(to, body) = output else {
+    /// One step of a proxy; what it sends arrives at once, and so do the responses.
+    fn step(
+        &mut self,
+        n: usize,
+        step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>),
+    ) {
+        let now = clock(self.elapsed_us);
+        let mut outputs = Vec::new();
+        step(&mut self.proxies[n], now, &mut outputs);
+        let mut pending = VecDeque::from([(n, outputs)]);
+        while let Some((from, outputs)) = pending.pop_front() {
+            for output in outputs {
+                let Output::Send { to, body } = output else {
                     continue;
                 };
-                let other = 1 - who;
+                let other = 1 - from;
                 assert_eq!(to, at(other as u16 + 1));
-                let bytes = self.seals[who].seal(body, WALL_US + self.us).unwrap();
-                let mut answers = Vec::new();
-                self.proxies[other].datagram(&bytes, Pair::now(self.us), &mut answers);
-                self.said.push((who, hex::encode(&bytes)));
-                open.push_back((other, answers));
+                let bytes = self.sealers[from].seal(body, now.wall_us).unwrap();
+                let mut responses = Vec::new();
+                self.proxies[other].handle_datagram(&bytes, now, &mut responses);
+                let hex = hex::encode(&bytes);
+                self.sent.push(SentDatagram { from, hex });
+                pending.push_back((other, responses));
             }
         }
     }
 
-    fn pass(&mut self, for_us: u64) {
-        for _ in 0..for_us / 10_000 {
-            self.us += 10_000;
-            (0..2).for_each(|who| self.act(who, Membership::pass));
+    fn run_for(&mut self, span_us: u64) {
+        const TICK_US: u64 = 10_000;
+        for _ in 0..span_us / TICK_US {
+            self.elapsed_us += TICK_US;
+            (0..2).for_each(|n| self.step(n, Membership::run_timers));
         }
     }
 }
 
-/// A change of what is said at which time records this one anew, and says so.
+/// Compares all datagrams of a dialogue: a change of what is sent at which time differs from the fixture.
 #[test]
-fn two_proxies_say_the_same_datagrams_to_each_other() {
+fn two_proxies_send_each_other_the_same_datagrams() {
     let mut pair = Pair::new();
-    pair.pass(2_000_000);
-    let out = Verdict::Ejected {
+    pair.run_for(2_000_000);
+    let ejected = Verdict::Ejected {
         duration: Micros(1_000_000),
         consecutive_ejections: 1,
     };
-    pair.act(0, |m, now, out_list| {
-        m.tell("s-1".into(), out, now, out_list);
+    pair.step(0, |membership, now, outputs| {
+        membership.broadcast_verdict("s-1".into(), ejected, now, outputs);
     });
-    pair.pass(1_000_000);
-    pair.act(1, |m, now, out| {
-        m.tell("s-2".into(), Verdict::Readmitted, now, out);
+    pair.run_for(1_000_000);
+    pair.step(1, |membership, now, outputs| {
+        membership.broadcast_verdict("s-2".into(), Verdict::Readmitted, now, outputs);
     });
-    pair.act(0, |m, _, out| m.give(at(2), 9, &[7; 1500], out).unwrap());
-    pair.pass(12_000_000);
-    pair.act(1, Membership::leave);
-    pair.pass(1_000_000);
+    pair.step(0, |membership, _, outputs| {
+        membership
+            .send_snapshot(at(2), 9, &[7; 1500], outputs)
+            .unwrap();
+    });
+    pair.run_for(12_000_000);
+    pair.step(1, Membership::leave);
+    pair.run_for(1_000_000);
     let names: Vec<String> = (0..)
-        .zip(&pair.said)
-        .map(|(n, (who, _))| format!("{n} by {who}"))
+        .zip(&pair.sent)
+        .map(|(n, datagram)| format!("{n} by {}", datagram.from))
         .collect();
-    let said = names.iter().zip(&pair.said);
-    let forms: Vec<(&str, String)> = said
-        .map(|(name, (_, hex))| (name.as_str(), hex.clone()))
+    let forms: Vec<(&str, String)> = names
+        .iter()
+        .zip(&pair.sent)
+        .map(|(name, datagram)| (name.as_str(), datagram.hex.clone()))
         .collect();
     assert_lines("membership-dialogue.txt", &forms);
 }
 
-/// The parts into which members fall, and the sums over them, have to be the same at all proxies.
+/// The buckets of members and their checksums have to be the same at all proxies.
 #[test]
-fn comparisons_and_lists_of_members_keep_their_bytes() {
-    let rules = Rules {
-        cluster: cluster("lagos"),
-        seeds: Vec::new(),
-        max_age: Micros(5_000_000),
-        fleet: 120,
-    };
-    let now = Pair::now(0);
-    let mut proxy = Membership::new(rules, at(1), 1, false, now);
+fn list_digests_and_member_lists_keep_their_bytes() {
+    let now = clock(0);
+    let mut proxy = Membership::new(config(Vec::new(), 120), at(1), 1, false, now);
     let others = (2..=120).map(|n| foca::Member::alive(Member::new(at(n), WALL_US + u64::from(n))));
-    proxy.list(others.collect(), now).unwrap();
-    let mut out = Vec::new();
-    proxy.compare(now, &mut out);
-    proxy.compared(at(2), &[0; 12], now, &mut out).unwrap();
+    proxy.swim.merge(others).unwrap();
+    let mut outputs = Vec::new();
+    let due = ClockReading {
+        monotonic: proxy.anti_entropy.next_due(),
+        ..now
+    };
+    proxy.anti_entropy.run(&proxy.swim, due, &mut outputs);
+    respond_to_digest(&proxy.swim, at(2), &[0; 12], now, &mut outputs).unwrap();
     let mut forms = Vec::new();
-    for output in out {
-        let Output::Send(to, body) = output else {
+    for output in outputs {
+        let Output::Send { to, body } = output else {
             continue;
         };
         let envelope = Envelope {
-            cluster: cluster("lagos"),
+            cluster: cluster_id("lagos"),
             from: to,
             sent_us: WALL_US,
             body,
@@ -253,7 +276,7 @@
     assert_bytes(
         "member-lists.txt",
         &forms,
-        |e| encode(e).unwrap(),
+        |envelope| encode(envelope).unwrap(),
         |bytes| decode(bytes).unwrap(),
     );
 }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -15,7 +15,7 @@
 mod routes;
 pub mod server;
 
-use crate::net::cluster::gossip::Peers;
+use crate::net::cluster::gossip::GossipDriver;
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
 use bytes::Bytes;
@@ -43,7 +43,7 @@
     pub server: Rc<Server>,
     pub disabled_backends: Rc<DisabledBackends>,
     /// Gossip with the fleet's other proxies, where state is shared.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipDriver>>,
     /// `None`: there are no maintenance windows, leases or configuration of a fleet.
     pub fleet: Option<Rc<dyn FleetAdmin>>,
     /// The metrics of this process.
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -1,18 +1,18 @@
 //! What proxies say to each other about duties, windows and the configuration: a version byte and one message in postcard, as the body
-//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
+//! [`Body::Coordination`](crate::net::cluster::gossip::wire::Body::Coordination) of a checked datagram. Nothing here panics on input.
 
-use crate::net::cluster::gossip::wire::MOST_BODY;
+use crate::net::cluster::gossip::wire::MAX_BODY_BYTES;
 use meadowproxy::fleet::calendar::Digest;
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
-use meadowproxy::fleet::relay::{self, Header};
+use meadowproxy::fleet::relay::{self, BroadcastHeader};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// Raised whenever a message's shape changes.
 const VERSION: u8 = 3;
 /// Bytes of the entries or names in one message at most, so that it fits a body with all else in it.
-const MOST_LOAD: usize = MOST_BODY - 80;
+const MOST_LOAD: usize = MAX_BODY_BYTES - 80;
 
 /// What one proxy of the fleet does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     /// Windows as the sender keeps them: bytes of entries.
     Entries { entries: Vec<Vec<u8>> },
     /// To all, passed on by all.
-    Broadcast(Header, Said),
+    Broadcast(BroadcastHeader, Said),
     /// To a late holder: a higher token was seen.
     Fenced { duty: Duty, highest: Token },
     /// To the holder: open requests on backends that the sender keeps out for windows.
@@ -92,7 +92,7 @@
     /// A token with a number that no clock gives: above it none could follow.
     Number(u64),
     /// A broadcast that is neither used nor passed on.
-    Broadcast(relay::Refused),
+    Broadcast(relay::BroadcastError),
     /// About the configuration: why its state machine does not use it.
     Config(config::Refused),
 }
@@ -282,18 +282,18 @@
     }
 
     /// Some that are fit to be taken now, some that are not.
-    fn header() -> impl Strategy<Value = Header> {
-        let part = (0u32..9, (u32::MAX - 9).., 0u8..12);
-        let part = part.prop_map(|(from, to, hops)| relay::Part { from, to, hops });
+    fn header() -> impl Strategy<Value = BroadcastHeader> {
+        let range = (0u32..9, (u32::MAX - 9).., 0u8..12);
+        let range = range.prop_map(|(first, last, hops)| relay::HashRange { first, last, hops });
         let wall = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
         let said = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
-        (9u16..14, 0u64..4, said, part).prop_map(|(port, incarnation, said_us, part)| {
+        (9u16..14, 0u64..4, said, range).prop_map(|(port, incarnation, sent_us, range)| {
             let origin = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-            Header {
+            BroadcastHeader {
                 origin,
                 incarnation,
-                said_us,
-                part,
+                sent_us,
+                range,
             }
         })
     }
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -7,7 +7,7 @@
     self, Change, Edit, Entry, Invalid, Key, Kind, Memory, Node, Paxos, Rejected, Submission, Value,
 };
 use meadowproxy::fleet::lease::{Ballot, Message, Token};
-use meadowproxy::fleet::relay::{Header, Part};
+use meadowproxy::fleet::relay::{BroadcastHeader, HashRange};
 
 fn token(number: u64) -> Token {
     Ballot {
@@ -272,17 +272,17 @@
         to: u64::MAX,
         rows: vec![(2, 3), (1 << 63, 0)],
     };
-    let part = Part {
-        from: 7,
-        to: u32::MAX,
+    let range = HashRange {
+        first: 7,
+        last: u32::MAX,
         hops: 2,
     };
     let origin = "10.1.2.3:7000".parse().unwrap();
-    let header = Header {
+    let header = BroadcastHeader {
         origin,
         incarnation: 0x55aa,
-        said_us: 1_764_748_800_123_456,
-        part,
+        sent_us: 1_764_748_800_123_456,
+        range,
     };
     let tokens = vec![(Duty::Calendar, token(5)), (Duty::Config, token(6))];
     let entries = vec![vec![1, 2, 3], vec![], vec![255]];
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -5,11 +5,11 @@
 use super::message::{self, Duties, Refused, Said};
 use super::ranked::Ranked;
 use super::{mono, wall, Effect, Rows, Seen};
-use crate::net::cluster::gossip::post::Post;
 use crate::net::cluster::gossip::wire::Body;
+use crate::net::cluster::gossip::DatagramSender;
 use crate::net::host::BackendStatus;
 use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
-use meadowproxy::fleet::relay::{Header, Relay};
+use meadowproxy::fleet::relay::{BroadcastHeader, Relay};
 use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     pub outbox: Ranked<Outbox>,
     pub relay: Ranked<Relay>,
     /// The socket's sending side, which needs no lock.
-    pub post: Arc<Post>,
+    pub post: Arc<DatagramSender>,
     /// Drawn at this start, as no other.
     pub incarnation: u64,
 }
@@ -226,7 +226,8 @@
     pub fn send(&self, mail: Mail) {
         let count = mail.len() as u64;
         for (to, message) in mail {
-            self.post.send(to, Body::Duty(message::encode(&message)));
+            self.post
+                .send(to, Body::Coordination(message::encode(&message)));
         }
         if count > 0 {
             self.outbox.lock().sent += count;
@@ -239,7 +240,7 @@
             return;
         }
         for said in &said {
-            let header = self.relay.lock().begin(wall().0);
+            let header = self.relay.lock().originate(wall().0);
             self.pass_on(&header, said);
         }
         let now = mono();
@@ -254,13 +255,13 @@
     }
 
     /// Says a broadcast to those that are to pass it on from here.
-    pub fn pass_on(&self, header: &Header, said: &Said) {
+    pub fn pass_on(&self, header: &BroadcastHeader, said: &Said) {
         let seen = self.roster.lock().seen.clone();
         let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
-        let next = self.relay.lock().pass_on(header, members);
+        let next = self.relay.lock().forward(header, members);
         self.send(
             next.into_iter()
-                .map(|(to, h)| (to, Duties::Broadcast(h, said.clone())))
+                .map(|next| (next.to, Duties::Broadcast(next.header, said.clone())))
                 .collect(),
         );
     }
@@ -372,7 +373,7 @@
             ),
             outbox: Ranked::new(4, Outbox::new(effects)),
             relay: Ranked::new(5, Relay::new(own, 7, max_age)),
-            post: Arc::new(Post::new(socket, [0; 8], own)),
+            post: Arc::new(DatagramSender::new(socket, [0; 8], own)),
             incarnation: 7,
         };
         (tables, told)
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -5,10 +5,10 @@
 use super::message::{self, sound, Duties, Duty, Refused, Said, Word};
 use super::tables::Tables;
 use super::wall;
-use crate::net::cluster::gossip::Passed;
+use crate::net::cluster::gossip::CoordinationDatagram;
 use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
 use meadowproxy::fleet::lease::Token;
-use meadowproxy::fleet::relay::Header;
+use meadowproxy::fleet::relay::BroadcastHeader;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::sync::Arc;
@@ -17,8 +17,12 @@
 const MOST_REPORTED: usize = 1024;
 
 /// Takes messages until the socket's side is gone.
-pub fn run(tables: &Arc<Tables>, came: &Receiver<Passed>, clock: &SyncSender<Command>) {
-    while let Ok((from, bytes)) = came.recv() {
+pub fn run(
+    tables: &Arc<Tables>,
+    came: &Receiver<CoordinationDatagram>,
+    clock: &SyncSender<Command>,
+) {
+    while let Ok(CoordinationDatagram { from, bytes }) = came.recv() {
         let mut mail = Mail::new();
         let held = holds(tables);
         let taken = message::decode(&bytes).and_then(|m| take(tables, from, m, &mut mail));
@@ -98,14 +102,14 @@
 /// Takes what one proxy says to all, and passes it on; not what stands under a token that a higher one followed.
 fn broadcast(
     tables: &Tables,
-    header: &Header,
+    header: &BroadcastHeader,
     mut said: Said,
     mail: &mut Mail,
 ) -> Result<(), Refused> {
     let newest = tables
         .relay
         .lock()
-        .take(header, wall().0)
+        .accept(header, wall().0)
         .map_err(Refused::Broadcast)?;
     let tokens = said.tokens.len();
     said.tokens.retain(|(duty, token)| {
@@ -241,7 +245,7 @@
     use hyper::{Method, StatusCode};
     use meadowproxy::fleet::calendar::{Put, Spec, Stamp};
     use meadowproxy::fleet::lease::Ballot;
-    use meadowproxy::fleet::relay::Part;
+    use meadowproxy::fleet::relay::HashRange;
     use proptest::prelude::*;
     use std::collections::BTreeSet;
 
@@ -315,18 +319,18 @@
     fn a_word_that_was_passed_on_proves_no_more_than_the_holders_own() {
         let (tables, _told) = Tables::example();
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let part = Part {
-            from: 0,
-            to: u32::MAX,
+        let range = HashRange {
+            first: 0,
+            last: u32::MAX,
             hops: 1,
         };
         let now = wall().0;
-        let say = |port, number, said_us| {
-            let header = Header {
+        let say = |port, number, sent_us| {
+            let header = BroadcastHeader {
                 origin: at(port),
                 incarnation: u64::from(port),
-                said_us,
-                part,
+                sent_us,
+                range,
             };
             let tokens = vec![(
                 Duty::Calendar,
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -5,7 +5,7 @@
 use super::StartError;
 use crate::net::admin::FleetAdmin;
 use crate::net::cluster::coordination::{copy::Kept, Duties};
-use crate::net::cluster::gossip::Peers;
+use crate::net::cluster::gossip::{GossipDriver, GossipOptions};
 use crate::net::config::overlay::Overlay;
 use crate::net::config::Node;
 use crate::net::host::Host;
@@ -29,7 +29,7 @@
 /// This proxy's part in its fleet.
 pub struct Fleet {
     /// Gossip with the other proxies.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipDriver>>,
     /// Leases, maintenance windows and the fleet's configuration.
     duties: Option<Rc<Duties>>,
 }
@@ -74,26 +74,25 @@
     }
 }
 
-async fn start_peers(start: &FleetStart<'_>) -> Result<Option<Rc<Peers>>, StartError> {
+async fn start_peers(start: &FleetStart<'_>) -> Result<Option<Rc<GossipDriver>>, StartError> {
     let Some(sharing) = start.node.peers.clone() else {
         return Ok(None);
     };
     let socket = bind_with_retry("peers: ", sharing.listen, UdpSocket::bind).await?;
-    let peers = Peers::start(
-        start.host.clone(),
-        socket,
+    let options = GossipOptions {
         sharing,
-        start.shared_settings.clone(),
-        start.config.proxy_count,
-        start.node.seed,
-        start.is_cold_start,
-    );
+        settings_hash: start.shared_settings.clone(),
+        fleet_size: start.config.proxy_count,
+        seed: start.node.seed,
+        wants_snapshot: start.is_cold_start,
+    };
+    let peers = GossipDriver::start(start.host.clone(), socket, options);
     peers.map(Some).map_err(StartError::Peers)
 }
 
 fn start_duties(
     start: &FleetStart<'_>,
-    peers: &Rc<Peers>,
+    peers: &Rc<GossipDriver>,
 ) -> Result<Option<Rc<Duties>>, StartError> {
     let Some(voting) = &start.node.duties else {
         return Ok(None);
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -10,7 +10,7 @@
     Targets, Wall, When,
 };
 use meadowproxy::fleet::lease::Ballot;
-use meadowproxy::fleet::relay::{Header, Part, Relay};
+use meadowproxy::fleet::relay::{BroadcastHeader, Forward, HashRange, Relay};
 use meadowproxy::Micros;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -293,24 +293,31 @@
     assert_lines("window-refusals.txt", &forms);
 }
 
-/// Proxies of one fleet cut a broadcast's range alike: whom a broadcast goes to is said by nobody.
+/// All proxies of a fleet have to split a broadcast's range alike, as datagrams don't say whom it is forwarded to.
 #[test]
-fn broadcasts_are_passed_on_by_the_same_tree() {
+fn broadcasts_are_forwarded_over_the_same_tree() {
     let v4 = (1..=40).map(|n| SocketAddr::from(([10, 0, 0, n], 7000)));
     let v6 = (1..=3).map(|n| SocketAddr::from(([0x2001, 0xdb8, 0, 0, 0, 0, 0, n], 7000)));
     let members: Vec<SocketAddr> = v4.chain(v6).collect();
     let mut origin = Relay::new(members[0], 0x55aa, Micros(5_000_000));
-    let first = origin.begin(NOW.0);
-    let told = origin.pass_on(&first, &members);
-    let part = Part {
-        from: 5,
-        to: u32::MAX / 2,
+    let at_origin = origin.originate(NOW.0);
+    let from_origin = origin.forward(&at_origin, &members);
+    let range = HashRange {
+        first: 5,
+        last: u32::MAX / 2,
         hops: 1,
     };
-    let relayed =
-        Relay::new(members[7], 9, Micros(5_000_000)).pass_on(&Header { part, ..first }, &members);
-    let forms = [("by its origin", told), ("by another", relayed)];
-    let encode = |told: &Vec<(SocketAddr, Header)>| postcard::to_stdvec(told).unwrap();
+    let at_member = BroadcastHeader { range, ..at_origin };
+    let member = Relay::new(members[7], 9, Micros(5_000_000));
+    let from_member = member.forward(&at_member, &members);
+    let pairs = |next: Vec<Forward>| -> Vec<(SocketAddr, BroadcastHeader)> {
+        next.into_iter().map(|f| (f.to, f.header)).collect()
+    };
+    let forms = [
+        ("by its origin", pairs(from_origin)),
+        ("by another", pairs(from_member)),
+    ];
+    let encode = |next: &Vec<(SocketAddr, BroadcastHeader)>| postcard::to_stdvec(next).unwrap();
     assert_bytes("broadcast-tree.txt", &forms, encode, |bytes| {
         postcard::from_bytes(bytes).unwrap()
     });
