--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -2,7 +2,7 @@
 //! compares digests and repairs, as every proxy does.
 
 use super::message::{self, Duties, Duty, Said};
-use meadowproxy::fleet::config::{Event, Replica, Rules, Surroundings};
+use meadowproxy::fleet::config::{Context, Event, Outbox, Replica, Rules};
 use meadowproxy::fleet::lease;
 use meadowproxy::fleet::membership::{Membership, Now};
 use meadowproxy::fleet::relay::{Header, Relay};
@@ -60,8 +60,8 @@
             self.show_at = now.time + SHOW;
             self.members = membership.members();
         }
-        self.act(now, |replica, around, out| {
-            replica.tick(now.time, around, out);
+        self.act(now, |replica, context, out| {
+            replica.tick(now.time, context, out);
         })
     }
 
@@ -69,8 +69,8 @@
     pub fn take(&mut self, from: SocketAddr, bytes: &[u8], now: Now) -> Mail {
         match message::decode(bytes) {
             Ok(Duties::Broadcast(header, said)) => self.pass_on(&header, &said, now),
-            Ok(Duties::Config(message)) => self.act(now, |replica, around, out| {
-                let _ = replica.handle(now.time, around, from, message, out); // refused: it changed nothing
+            Ok(Duties::Config(message)) => self.act(now, |replica, context, out| {
+                let _ = replica.handle(now.time, context, from, message, out); // refused: it changed nothing
             }),
             _ => Mail::new(),
         }
@@ -90,38 +90,34 @@
             .collect()
     }
 
-    fn act(
-        &mut self,
-        now: Now,
-        step: impl FnOnce(
-            &mut Replica,
-            &Surroundings,
-            &mut Vec<(SocketAddr, meadowproxy::fleet::config::Message)>,
-        ),
-    ) -> Mail {
-        let around = Surroundings {
+    fn act(&mut self, now: Now, step: impl FnOnce(&mut Replica, &Context, &mut Outbox)) -> Mail {
+        let context = Context {
             wall_ms: now.wall_us / 1000,
             members: &self.members,
-            near: &[],
-            holding: None,
-            holder: self.holder,
+            zone_members: &[],
+            lease: None,
+            leader: self.holder,
         };
-        let mut out = Vec::new();
-        step(&mut self.replica, &around, &mut out);
+        let mut out = Outbox::new();
+        step(&mut self.replica, &context, &mut out);
         out.into_iter()
-            .map(|(to, message)| (to, message::encode(&Duties::Config(message))))
+            .map(|sent| (sent.to, message::encode(&Duties::Config(sent.message))))
             .collect()
     }
 
     /// Names of the entries that came into force.
     pub fn in_force(&mut self) -> Vec<String> {
         let names = |event| match event {
-            Event::InForce { entries, .. } => {
+            Event::TableChanged { entries, .. } => {
                 entries.into_iter().map(|e| e.edit.key.name).collect()
             }
             _ => Vec::new(),
         };
-        self.replica.events().into_iter().flat_map(names).collect()
+        self.replica
+            .take_events()
+            .into_iter()
+            .flat_map(names)
+            .collect()
     }
 
     /// The version that this copy is at.
--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -1,281 +1,299 @@
-//! A voter's part: what it promised and what it keeps, in memory only.
+//! The acceptor of Paxos: a voter's promise and the change that it accepted, in memory only.
 //!
-//! One that starts has forgotten both. It is silent for as long as a lease's grant lives, so that no round counts an answer
-//! of its former life and one of this. Then it asks the other voters, and takes part once a majority of all voters, itself
-//! not among them, told it what they remember: that majority shares a voter with every one that its former life
-//! completed. Where a majority has forgotten, the answers of all others do: nobody alive knows more. As what
-//! is lost may have had numbers, none up to the wall clock in milliseconds is given then.
+//! A voter that restarts has forgotten both. It is silent for as long as a lease's grant lives, so that no round counts a
+//! reply from before the restart and one from after it. Then it asks the other voters for their state, and votes once a
+//! majority of all voters, itself not among them, replied with complete states: that majority shares a voter with every
+//! majority that its former process was part of. Where a majority has restarted, the replies of all others do: nobody alive
+//! knows more. As forgotten changes may have had versions, none up to the wall clock in milliseconds is used then.
 
-use super::message::{Memory, Paxos};
-use super::{Change, MOST_NUMBER};
+use super::limits::VERSION_LIMIT;
+use super::message::{AcceptedChange, AcceptorState, Paxos};
 use crate::fleet::lease::{Rules, Token};
 use crate::interface::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// A copy that is not at its version by then asks again which one that is.
-const REACHED: Micros = Micros(60_000_000);
+/// A voter whose table has not caught up by then recovers anew: nobody may have that version any more.
+const CATCH_UP_TIMEOUT: Micros = Micros(60_000_000);
 
+/// Another voter's state, as it replied to a recovery request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum State {
-    /// It says nothing until then.
+struct KnownState {
+    is_complete: bool,
+    state: AcceptorState,
+}
+
+/// Another voter's reply to a recovery request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecoveryReply {
+    /// The index of the voter that replied.
+    pub voter: usize,
+    /// The request's nonce.
+    pub nonce: u64,
+    /// That voter's state.
+    pub state: AcceptorState,
+    /// Whether that voter has voted without interruption.
+    pub is_complete: bool,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Phase {
+    /// It sends nothing until then.
     Silent { until: Time },
-    /// It asks the others since then; from each place whether it remembers, and what.
-    Asking {
+    /// It waits for the other voters' states, by voter.
+    Recovering {
         since: Time,
-        known: BTreeMap<usize, (bool, Memory)>,
+        replies: BTreeMap<usize, KnownState>,
     },
-    /// It knows what it has to, and its copy is on the way to that version, since then.
-    Reaching { version: u64, since: Time },
-    /// It takes part.
+    /// It knows the state it needs, and its table is catching up to that version.
+    CatchingUp { version: u64, since: Time },
+    /// It votes.
     Voting,
 }
 
-/// One voter's memory of the configuration's duty.
+/// One voter of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     rules: Rules,
-    /// Its place among the voters.
-    place: usize,
-    /// The question that is open, or the last one.
+    /// Its index among the voters.
+    index: usize,
+    /// Of the last recovery request.
     nonce: u64,
-    state: State,
+    phase: Phase,
     promised: Token,
-    accepted: Option<(Token, Change)>,
-    floor: u64,
+    accepted: Option<AcceptedChange>,
+    version_floor: u64,
 }
 
 impl Acceptor {
-    /// A voter that has just started and remembers nothing. `place`: its own among the voters, from 0; `nonce` is drawn at random
-    /// at each start, so that no answer to a former life is taken for one to this.
-    pub fn new(rules: Rules, place: usize, nonce: u64, now: Time) -> Acceptor {
-        let state = State::Silent {
+    /// A voter that has just started and knows nothing. `index`: its own among the voters, from 0; `nonce` is drawn at
+    /// random at each start, so that no reply to a former process is taken for one to this.
+    pub fn new(rules: Rules, index: usize, nonce: u64, now: Time) -> Acceptor {
+        let phase = Phase::Silent {
             until: now + rules.grant_life(),
         };
-        let (promised, accepted, floor) = Default::default();
         Acceptor {
             rules,
-            place,
+            index,
             nonce,
-            state,
-            promised,
-            accepted,
-            floor,
+            phase,
+            promised: Token::default(),
+            accepted: None,
+            version_floor: 0,
         }
     }
 
-    /// Whether it takes part; else it is silent or recovers.
-    pub fn votes(&self) -> bool {
-        self.state == State::Voting
+    /// Whether it votes; else it is silent or recovers.
+    pub fn is_voting(&self) -> bool {
+        self.phase == Phase::Voting
     }
 
-    /// The number of the change that it keeps and does not know to be decided.
-    pub fn keeps(&self) -> Option<u64> {
-        self.accepted.as_ref().map(|(_, change)| change.number)
+    /// The version of the change that it accepted and does not know to be committed.
+    pub fn accepted_version(&self) -> Option<u64> {
+        self.accepted
+            .as_ref()
+            .map(|accepted| accepted.change.version)
     }
 
-    /// The version that its copy has to reach before it takes part.
-    pub fn reaching(&self) -> Option<u64> {
-        match self.state {
-            State::Reaching { version, .. } => Some(version),
+    /// The version that its table has to catch up to before it votes.
+    pub fn catch_up_target(&self) -> Option<u64> {
+        match self.phase {
+            Phase::CatchingUp { version, .. } => Some(version),
             _ => None,
         }
     }
 
-    /// The places of the voters that have not answered it, while it asks.
+    /// The indices of the voters that have not replied, while it recovers.
     pub fn unanswered(&self) -> Vec<usize> {
-        let State::Asking { known, .. } = &self.state else {
+        let Phase::Recovering { replies, .. } = &self.phase else {
             return Vec::new();
         };
         (0..self.rules.voters())
-            .filter(|place| *place != self.place && !known.contains_key(place))
+            .filter(|voter| *voter != self.index && !replies.contains_key(voter))
             .collect()
     }
 
-    /// Lets time pass. `wall_ms`: the wall clock in milliseconds since 1970; `version`: of this proxy's copy. What is put into
-    /// `out` goes to every other voter. To be called each tenth of a second or so.
+    /// Lets time pass. `wall_ms`: the wall clock in milliseconds since 1970; `version`: of this proxy's table. What is put
+    /// into `out` goes to every other voter. Call it about every tenth of a second.
     pub fn tick(&mut self, now: Time, wall_ms: u64, version: u64, out: &mut Vec<Paxos>) {
-        self.settle(version);
-        let ask = match &self.state {
-            State::Silent { until } => now >= *until,
-            // Answers count together only if they came within one round's time.
-            State::Asking { since, .. } => now - *since >= self.rules.patience(),
-            // Whoever told of that version may have forgotten it since, and nobody else have it.
-            State::Reaching { since, .. } => now - *since >= REACHED,
-            State::Voting => false,
+        self.drop_committed(version);
+        let request_due = match &self.phase {
+            Phase::Silent { until } => now >= *until,
+            // Replies count together only if they came within one round's time.
+            Phase::Recovering { since, .. } => now - *since >= self.rules.patience(),
+            Phase::CatchingUp { since, .. } => now - *since >= CATCH_UP_TIMEOUT,
+            Phase::Voting => false,
         };
-        if ask {
+        if request_due {
             self.nonce = self.nonce.wrapping_add(1);
-            self.state = State::Asking {
+            self.phase = Phase::Recovering {
                 since: now,
-                known: BTreeMap::new(),
+                replies: BTreeMap::new(),
             };
             out.push(Paxos::Recover { nonce: self.nonce });
         }
-        self.recover(now, wall_ms, version);
+        self.finish_recovery(now, wall_ms, version);
     }
 
-    /// Takes a holder's message or another voter's question and gives the answer to it, if there is one.
+    /// Handles a request of the leader or of a recovering voter, and returns the reply to it, if there is one.
     pub fn handle(&mut self, message: Paxos, version: u64) -> Option<Paxos> {
-        self.settle(version);
+        self.drop_committed(version);
         match message {
-            Paxos::Recover { nonce } if !matches!(self.state, State::Silent { .. }) => {
-                Some(Paxos::Known {
+            Paxos::Recover { nonce } if !matches!(self.phase, Phase::Silent { .. }) => {
+                Some(Paxos::RecoverReply {
                     nonce,
-                    memory: self.memory(version),
-                    remembers: self.votes(),
+                    state: self.state(version),
+                    is_complete: self.is_voting(),
                 })
             }
-            Paxos::Prepare { token, round } if self.votes() => {
+            Paxos::Prepare { token, round } if self.is_voting() => {
                 Some(self.prepare(token, round, version))
             }
             Paxos::Accept {
                 token,
                 round,
                 change,
-            } if self.votes() => self.accept(token, round, change, version),
+            } if self.is_voting() => self.accept(AcceptedChange { token, change }, round, version),
             _ => None,
         }
     }
 
-    /// Takes another voter's answer to its own question.
-    pub fn known(
+    /// Takes another voter's reply to this voter's recovery request.
+    pub fn on_recovery_reply(
         &mut self,
         now: Time,
         wall_ms: u64,
         version: u64,
-        from: usize,
-        nonce: u64,
-        (remembers, memory): (bool, Memory),
+        reply: RecoveryReply,
     ) {
-        let State::Asking { since, known } = &mut self.state else {
+        let Phase::Recovering { since, replies } = &mut self.phase else {
             return;
         };
-        let other = from < self.rules.voters() && from != self.place;
-        if other && nonce == self.nonce && now - *since < self.rules.patience() {
-            known.insert(from, (remembers, memory));
-            self.recover(now, wall_ms, version);
+        let from_other = reply.voter < self.rules.voters() && reply.voter != self.index;
+        let in_time = now - *since < self.rules.patience();
+        if from_other && reply.nonce == self.nonce && in_time {
+            let known = KnownState {
+                is_complete: reply.is_complete,
+                state: reply.state,
+            };
+            replies.insert(reply.voter, known);
+            self.finish_recovery(now, wall_ms, version);
         }
     }
 
-    fn memory(&self, version: u64) -> Memory {
-        let (promised, accepted, floor) = (self.promised, self.accepted.clone(), self.floor);
-        Memory {
-            promised,
+    fn state(&self, version: u64) -> AcceptorState {
+        AcceptorState {
+            promised: self.promised,
             version,
-            accepted,
-            floor,
+            accepted: self.accepted.clone(),
+            version_floor: self.version_floor,
+        }
+    }
+
+    fn nack(&self, token: Token) -> Paxos {
+        Paxos::Nack {
+            token,
+            highest: self.promised,
         }
     }
 
     fn prepare(&mut self, token: Token, round: u32, version: u64) -> Paxos {
         if token < self.promised {
-            return Paxos::Refused {
-                token,
-                highest: self.promised,
-            };
+            return self.nack(token);
         }
         self.promised = token;
-        let Memory {
-            accepted, floor, ..
-        } = self.memory(version);
         Paxos::Promise {
             token,
             round,
             version,
-            accepted,
-            floor,
+            accepted: self.accepted.clone(),
+            version_floor: self.version_floor,
         }
     }
 
-    fn accept(&mut self, token: Token, round: u32, change: Change, version: u64) -> Option<Paxos> {
+    fn accept(&mut self, proposal: AcceptedChange, round: u32, version: u64) -> Option<Paxos> {
+        let token = proposal.token;
         if token < self.promised {
-            return Some(Paxos::Refused {
-                token,
-                highest: self.promised,
-            });
+            return Some(self.nack(token));
         }
         self.promised = token;
-        if change.after > version {
+        if proposal.change.previous > version {
             return Some(Paxos::Behind {
                 token,
                 round,
                 version,
             });
         }
-        if change.after < version {
-            return None; // what follows that version is decided, and was heard of here
+        if proposal.change.previous < version {
+            return None; // this voter's table has the change that was committed there
         }
-        if change.number <= self.floor {
-            // A holder that learned what there is before a majority forgot may give a number again. Under another token it
-            // learns anew.
+        if proposal.change.version <= self.version_floor {
+            // A leader that prepared before a majority restarted may use a version again. Under another token it prepares
+            // anew.
             self.promised = token.above();
-            return Some(Paxos::Refused {
-                token,
-                highest: self.promised,
-            });
+            return Some(self.nack(token));
         }
-        self.accepted = Some((token, change));
+        self.accepted = Some(proposal);
         Some(Paxos::Accepted { token, round })
     }
 
-    /// What is decided need not be kept.
-    fn settle(&mut self, version: u64) {
-        if self
+    /// Drops an accepted change once the table is past it.
+    fn drop_committed(&mut self, version: u64) {
+        let committed = self
             .accepted
             .as_ref()
-            .is_some_and(|(_, change)| change.after < version)
-        {
+            .is_some_and(|accepted| accepted.change.previous < version);
+        if committed {
             self.accepted = None;
         }
     }
 
-    /// Goes on with its recovery where it can.
-    fn recover(&mut self, now: Time, wall_ms: u64, version: u64) {
-        if let State::Asking { known, .. } = &self.state {
-            let remember = known.values().filter(|(remembers, _)| *remembers).count();
-            let majority = remember > self.rules.voters() / 2;
-            if !majority && known.len() + 1 < self.rules.voters() {
+    /// Goes on with the recovery as far as the replies and the table allow.
+    fn finish_recovery(&mut self, now: Time, wall_ms: u64, version: u64) {
+        if let Phase::Recovering { replies, .. } = &self.phase {
+            let complete = replies.values().filter(|reply| reply.is_complete).count();
+            let has_majority = complete > self.rules.voters() / 2;
+            let all_replied = replies.len() + 1 >= self.rules.voters();
+            if !has_majority && !all_replied {
                 return;
             }
-            let memories = || known.values().map(|(_, memory)| memory);
-            let highest = memories()
-                .map(|m| m.version)
-                .max()
-                .unwrap_or_default()
-                .max(version);
-            // What it was told when it asked before counts as well.
-            let accepted = memories()
-                .map(|m| &m.accepted)
-                .chain([&self.accepted])
-                .flatten();
-            let accepted = accepted
-                .filter(|(_, change)| change.after == highest)
-                .max()
-                .cloned();
-            self.promised = memories()
-                .map(|m| m.promised)
-                .chain([self.promised])
-                .max()
-                .unwrap_or_default();
-            let floor = memories()
-                .map(|m| m.floor)
-                .chain([self.floor])
-                .max()
-                .unwrap_or_default();
-            self.accepted = accepted;
-            self.floor = if majority {
-                floor
-            } else {
-                floor.max(wall_ms.min(MOST_NUMBER / 2))
-            };
-            self.state = State::Reaching {
-                version: highest,
+            let states: Vec<AcceptorState> =
+                replies.values().map(|reply| reply.state.clone()).collect();
+            let target = self.adopt(states, version);
+            if !has_majority {
+                let floor = wall_ms.min(VERSION_LIMIT / 2);
+                self.version_floor = self.version_floor.max(floor);
+            }
+            self.phase = Phase::CatchingUp {
+                version: target,
                 since: now,
             };
         }
-        if matches!(self.state, State::Reaching { version: needed, .. } if needed <= version) {
-            self.state = State::Voting;
-            self.settle(version);
+        if self
+            .catch_up_target()
+            .is_some_and(|target| target <= version)
+        {
+            self.phase = Phase::Voting;
+            self.drop_committed(version);
+        }
+    }
+
+    /// Merges the other voters' states into its own, which earlier recovery requests may have filled. Returns the version
+    /// to catch up to.
+    fn adopt(&mut self, states: Vec<AcceptorState>, version: u64) -> u64 {
+        let mut merged = self.state(version);
+        for state in &states {
+            merged.promised = merged.promised.max(state.promised);
+            merged.version = merged.version.max(state.version);
+            merged.version_floor = merged.version_floor.max(state.version_floor);
         }
+        self.accepted = states
+            .into_iter()
+            .filter_map(|state| state.accepted)
+            .chain(merged.accepted)
+            .filter(|accepted| accepted.change.previous == merged.version)
+            .max();
+        self.promised = merged.promised;
+        self.version_floor = merged.version_floor;
+        merged.version
     }
 }
--- /dev/null
+++ b/src/fleet/config/batch.rs
@@ -0,0 +1,21 @@
+//! Splits lists into parts that each fit into one message.
+
+/// The most bytes of changes or entries in one message.
+pub(super) const MAX_MESSAGE_BYTES: usize = 1150;
+
+/// Splits items, by their sizes in bytes, in order. An item that is larger than a message gets a part of its own.
+pub(super) fn split<T>(items: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+    let mut parts: Vec<Vec<T>> = Vec::new();
+    let mut part_bytes = 0;
+    for item in items {
+        part_bytes += size(&item);
+        match parts.last_mut().filter(|_| part_bytes <= MAX_MESSAGE_BYTES) {
+            Some(part) => part.push(item),
+            None => {
+                part_bytes = size(&item);
+                parts.push(vec![item]);
+            }
+        }
+    }
+    parts
+}
--- a/src/fleet/config/message.rs
+++ b/src/fleet/config/message.rs
@@ -1,164 +1,173 @@
-//! What proxies say to each other about the configuration.
+//! The messages that proxies exchange about the replicated configuration. The encoding depends on the order of variants
+//! and fields, which must not change.
 
-use super::submit::{Rejected, Submission};
-use super::table::{Digest, Entry};
-use super::tree::{Node, CHILDREN};
-use super::{Change, Refused};
+use super::change::Change;
+use super::entry::Entry;
+use super::error::MessageError;
+use super::merkle::{Digest, Node, PositionRange, CHILDREN};
+use super::submission::{Submission, SubmitError};
 use crate::fleet::lease::Token;
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
 
-/// Between the holder of the duty and the voters, and among voters. Rounds and nonces tie an answer to its question.
+/// A change that a voter accepted and does not know to be committed.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct AcceptedChange {
+    /// The token that it was accepted under.
+    pub token: Token,
+    /// The change.
+    pub change: Change,
+}
+
+/// The messages of Paxos between the leader and the voters, and among voters. The leader's token is the ballot; rounds and
+/// nonces tie a reply to its request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Paxos {
-    /// Holder: keep nothing under a lower token any more, and tell what you have.
+    /// Leader to voter: promise to accept nothing under a lower token, and tell what you accepted.
     Prepare {
-        /// The holder's.
+        /// The leader's token.
         token: Token,
-        /// Which of its rounds.
+        /// Which of the leader's rounds.
         round: u32,
     },
-    /// Voter: so be it.
+    /// Voter to leader: promised.
     Promise {
         /// The token that it promised.
         token: Token,
         /// The round that it answers.
         round: u32,
-        /// Its copy's version.
+        /// The version of the voter's table.
         version: u64,
-        /// The change that it keeps after that version, and under which token.
-        accepted: Option<(Token, Change)>,
-        /// New numbers have to be above this: what had those may be forgotten.
-        floor: u64,
+        /// The change that it accepted after that version.
+        accepted: Option<AcceptedChange>,
+        /// New versions have to be above this: lower ones may have been used and forgotten.
+        version_floor: u64,
     },
-    /// Holder: keep this.
+    /// Leader to voter: accept this change.
     Accept {
-        /// The holder's.
+        /// The leader's token.
         token: Token,
-        /// Which of its rounds.
+        /// Which of the leader's rounds.
         round: u32,
-        /// What is to be kept.
+        /// The change.
         change: Change,
     },
-    /// Voter: it is kept.
+    /// Voter to leader: accepted.
     Accepted {
-        /// Under which token.
+        /// The token that it was accepted under.
         token: Token,
         /// The round that it answers.
         round: u32,
     },
-    /// Voter: not yet, as this copy lacks what comes before.
+    /// Voter to leader: not accepted, as this voter's table lacks earlier changes.
     Behind {
-        /// Whose change it was.
+        /// The token of the change.
         token: Token,
         /// The round that it answers.
         round: u32,
-        /// The voter's version.
+        /// The version of the voter's table.
         version: u64,
     },
-    /// Voter: no, as it promised a higher token.
-    Refused {
-        /// The token that it refuses.
+    /// Voter to leader: rejected, as it promised a higher token.
+    Nack {
+        /// The token that it rejects.
         token: Token,
         /// The highest that it promised.
         highest: Token,
     },
-    /// A voter without memory: what do you know?
+    /// A voter that restarted to the other voters: tell me your state.
     Recover {
-        /// Names this question.
+        /// Identifies this request.
         nonce: u64,
     },
-    /// Another voter.
-    Known {
-        /// The question.
+    /// Another voter's reply to [`Paxos::Recover`].
+    RecoverReply {
+        /// The request's.
         nonce: u64,
-        /// What it keeps.
-        memory: Memory,
-        /// Whether that is all that it ever kept, and not itself still to be recovered.
-        remembers: bool,
+        /// The replying voter's state.
+        state: AcceptorState,
+        /// Whether that voter has voted without interruption, and is not itself recovering.
+        is_complete: bool,
     },
 }
 
 /// What a voter must not forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Memory {
+pub struct AcceptorState {
     /// The highest token that it promised.
     pub promised: Token,
-    /// Its copy's version.
+    /// The version of its table.
     pub version: u64,
-    /// The change that it keeps after that version, and under which token.
-    pub accepted: Option<(Token, Change)>,
-    /// New numbers have to be above this.
-    pub floor: u64,
+    /// The change that it accepted after that version.
+    pub accepted: Option<AcceptedChange>,
+    /// New versions have to be above this.
+    pub version_floor: u64,
 }
 
-/// One message.
+/// A message about the replicated configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// About what is to be decided.
+    /// About the change that is to be committed.
     Paxos(Paxos),
-    /// Decided changes in order, and the version of the sender's copy. `push`: they are news.
+    /// Committed changes in order.
     Changes {
         /// The changes.
         changes: Vec<Change>,
-        /// The sender's version.
+        /// The version of the sender's table.
         version: u64,
-        /// Whether they are new to the sender as well.
+        /// Whether they are new to the sender as well, and so are to be passed on.
         push: bool,
     },
-    /// What the sender has.
+    /// The state of the sender's table.
     Digest {
         /// Its version and root.
         digest: Digest,
         /// The sender has just started and may lack anything.
-        new: bool,
-        /// The receiver's own is wanted, also where it is equal.
-        ask: bool,
+        is_new: bool,
+        /// The receiver is to reply with its own digest, also where it is equal.
+        wants_reply: bool,
     },
-    /// What followed this version?
-    Since {
-        /// The sender's version.
+    /// A request for the changes after the sender's version.
+    ChangesSince {
+        /// The version of the sender's table.
         version: u64,
     },
-    /// What are the hashes of that range's children?
-    Hashes {
-        /// The range.
+    /// A request for the hashes of a node's children.
+    CompareNode {
+        /// The node.
         node: Node,
     },
-    /// These; also the answer to [`Message::Since`] where the log does not reach.
-    Children {
-        /// What the sender has.
+    /// The reply to [`Message::CompareNode`]; also to [`Message::ChangesSince`] where the log does not reach back so far.
+    NodeHashes {
+        /// The state of the sender's table.
         digest: Digest,
-        /// The range.
+        /// The node.
         node: Node,
         /// Its children's hashes, in order.
         hashes: Vec<u64>,
     },
-    /// What lies between these positions?
-    Range {
-        /// The first.
-        from: u64,
-        /// The last.
-        to: u64,
+    /// A request for the entries of a range.
+    FetchRange {
+        /// The range.
+        range: PositionRange,
     },
-    /// All that lies between these positions, as much as one message holds.
-    Part {
-        /// What the sender has.
+    /// The reply to [`Message::FetchRange`]: all entries of a range, which ends early where one message is full.
+    RangeEntries {
+        /// The state of the sender's table.
         digest: Digest,
-        /// The first position.
-        from: u64,
-        /// The last, which may be less than was asked for.
-        to: u64,
+        /// The range, which may be shorter than the requested one.
+        range: PositionRange,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// To the holder: an operator's change.
+    /// An operator's change, to the leader.
     Submit(Submission),
-    /// The holder's answer to it: the change's number, or why not.
+    /// The leader's reply to [`Message::Submit`].
     Outcome {
         /// The submission's.
         id: u64,
-        /// What became of it.
-        result: Result<u64, Rejected>,
+        /// The change's version, or why it is rejected.
+        result: Result<u64, SubmitError>,
     },
 }
 
@@ -175,33 +184,51 @@
             | Paxos::Behind { token, .. } => vec![*token],
             Paxos::Promise {
                 token, accepted, ..
-            } => accepted.iter().map(|(by, _)| *by).chain([*token]).collect(),
-            Paxos::Refused { token, highest } => vec![*token, *highest],
+            } => tokens_with(accepted.as_ref(), *token),
+            Paxos::Nack { token, highest } => vec![*token, *highest],
             Paxos::Recover { .. } => Vec::new(),
-            Paxos::Known { memory, .. } => memory
-                .accepted
-                .iter()
-                .map(|(by, _)| *by)
-                .chain([memory.promised])
-                .collect(),
+            Paxos::RecoverReply { state, .. } => {
+                tokens_with(state.accepted.as_ref(), state.promised)
+            }
         }
     }
 
-    /// Checks what the state machines rely on, entries of parts and changes aside: those are checked where they are taken.
+    /// Checks what the state machines rely on. Changes and entries are checked where they are applied.
     ///
     /// # Errors
-    /// A range that is none.
-    pub(super) fn check(&self) -> Result<(), Refused> {
-        let sound = match self {
-            Message::Hashes { node } => node.is_sound(),
-            Message::Children { node, hashes, .. } => node.is_sound() && hashes.len() <= CHILDREN,
-            Message::Range { from, to } | Message::Part { from, to, .. } => from <= to,
+    /// A node or a range that does not exist.
+    pub(super) fn check(&self) -> Result<(), MessageError> {
+        let valid = match self {
+            Message::CompareNode { node } => node.is_valid(),
+            Message::NodeHashes { node, hashes, .. } => node.is_valid() && hashes.len() <= CHILDREN,
+            Message::FetchRange { range } | Message::RangeEntries { range, .. } => range.is_valid(),
             _ => true,
         };
-        if sound {
+        if valid {
             Ok(())
         } else {
-            Err(Refused::Unasked)
+            Err(MessageError::Unsolicited)
         }
     }
 }
+
+fn tokens_with(accepted: Option<&AcceptedChange>, token: Token) -> Vec<Token> {
+    let mut tokens: Vec<Token> = accepted
+        .map(|accepted| accepted.token)
+        .into_iter()
+        .collect();
+    tokens.push(token);
+    tokens
+}
+
+/// A message on its way to another proxy.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Outgoing {
+    /// The receiver.
+    pub to: SocketAddr,
+    /// The message.
+    pub message: Message,
+}
+
+/// The messages that a step of a replica sends, in order.
+pub type Outbox = Vec<Outgoing>;
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -1,62 +1,91 @@
-//! The holder's part: it learns from a majority what is decided and what is under way, finishes that, and then proposes
-//! one change after the other.
+//! The proposer of Paxos: the leader prepares with a majority of the voters, finishes the change that an earlier leader
+//! left, and then proposes one change after the other.
 
-use super::message::Paxos;
-use super::{Change, Edit, MOST_NUMBER};
+use super::change::Change;
+use super::entry::Edit;
+use super::limits::VERSION_LIMIT;
+use super::message::{AcceptedChange, Paxos};
 use crate::fleet::lease::{Rules, Token};
 use crate::interface::Time;
 use std::collections::BTreeMap;
 
-/// A promise: the voter's version, what it keeps after that, and what new numbers have to be above.
-type Promise = (u64, Option<(Token, Change)>, u64);
+/// A voter's promise.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Promise {
+    /// The version of the voter's table.
+    version: u64,
+    /// The change that it accepted after that version.
+    accepted: Option<AcceptedChange>,
+    /// New versions have to be above this.
+    version_floor: u64,
+}
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It asks for promises; those that came, by the voter's place.
-    Preparing(BTreeMap<usize, Promise>),
-    /// Its copy is on the way to that version; what is under way after it.
-    Reaching(u64, Option<Change>),
+    /// It waits for promises; those that came, by voter.
+    Preparing { promises: BTreeMap<usize, Promise> },
+    /// Its table is catching up to that version; the accepted change that follows it.
+    CatchingUp {
+        version: u64,
+        pending: Option<Change>,
+    },
     /// A change may be proposed.
     Ready,
-    /// This is proposed; the voters that keep it, a bit each.
-    Proposed(Change, u8),
+    /// A change is proposed; the voters that accepted it, a bit each.
+    Proposing { change: Change, votes: u8 },
+}
+
+/// The content of a change that is to be proposed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Proposal {
+    /// The submission's id.
+    pub id: u64,
+    /// What it sets.
+    pub edits: Vec<Edit>,
 }
 
-/// What came of a message.
+/// What a voter's reply led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing yet.
     Wait,
-    /// The change is decided.
-    Decided(Change),
-    /// That voter's copy lacks the changes after this version; it is asked again behind them.
-    Lacks(u64, Paxos),
-    /// Another holds the duty under this token, or will.
+    /// A majority accepted the change.
+    Committed(Change),
+    /// The voter's table lacks changes.
+    VoterBehind {
+        /// The version of the voter's table.
+        version: u64,
+        /// The request to send once more, after the changes that it lacks.
+        retry: Paxos,
+    },
+    /// Another leader has this higher token, or will.
     Superseded(Token),
 }
 
-/// What a proxy does while it holds the duty.
+/// What a proxy does while it is the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     rules: Rules,
     token: Token,
     round: u32,
+    /// When the round began.
     sent: Time,
-    floor: u64,
+    version_floor: u64,
     phase: Phase,
 }
 
 impl Proposer {
-    /// One that has just come to hold the duty under that token. Its first tick asks the voters.
+    /// A new leader under that token. Its first tick sends the first round.
     pub fn new(rules: Rules, token: Token) -> Proposer {
-        let phase = Phase::Preparing(BTreeMap::new());
         Proposer {
             rules,
             token,
             round: 0,
             sent: Time(0),
-            floor: 0,
-            phase,
+            version_floor: 0,
+            phase: Phase::Preparing {
+                promises: BTreeMap::new(),
+            },
         }
     }
 
@@ -73,65 +102,61 @@
     /// The change that waits for a majority.
     pub fn proposed(&self) -> Option<&Change> {
         match &self.phase {
-            Phase::Proposed(change, _) => Some(change),
+            Phase::Proposing { change, .. } => Some(change),
             _ => None,
         }
     }
 
-    /// The version that its copy has to reach first.
-    pub fn reaching(&self) -> Option<u64> {
+    /// The version that its table has to catch up to first.
+    pub fn catch_up_target(&self) -> Option<u64> {
         match self.phase {
-            Phase::Reaching(version, _) => Some(version),
+            Phase::CatchingUp { version, .. } => Some(version),
             _ => None,
         }
     }
 
-    /// Lets time pass: asks again what no majority answered in a round's time. `version`: of this proxy's copy. What is put
-    /// into `out` goes to every voter. Only to be called while the duty is held, by the clock.
+    /// Lets time pass: begins a new round where no majority replied to the last one in time. `version`: of this proxy's
+    /// table. What is put into `out` goes to every voter. Call it only while the lease is valid by the clock.
     pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
-        self.reach(now, version, out);
-        let waits = matches!(self.phase, Phase::Preparing(_) | Phase::Proposed(..));
-        if waits && (self.round == 0 || now - self.sent >= self.rules.patience()) {
-            self.ask(now, out);
+        self.advance(now, version, out);
+        let waiting = matches!(
+            self.phase,
+            Phase::Preparing { .. } | Phase::Proposing { .. }
+        );
+        if waiting && (self.round == 0 || now - self.sent >= self.rules.patience()) {
+            self.send_round(now, out);
         }
     }
 
-    /// Proposes a change after this copy's version; its number, or none while it is not [ready](Proposer::is_ready).
-    /// `wall_ms`: the wall clock in milliseconds since 1970.
+    /// Proposes a change after this table's version; returns the new version, or none while it is not
+    /// [ready](Proposer::is_ready). `wall_ms`: the wall clock in milliseconds since 1970.
     pub fn propose(
         &mut self,
         now: Time,
         wall_ms: u64,
         version: u64,
-        (id, edits): (u64, Vec<Edit>),
+        proposal: Proposal,
         out: &mut Vec<Paxos>,
     ) -> Option<u64> {
         if !self.is_ready() {
             return None;
         }
-        // Voters that recovered later than those that promised have higher floors, and these are not above the clock.
-        let recovering = self.floor > version && wall_ms < MOST_NUMBER / 2;
-        let floor = if recovering {
-            self.floor.max(wall_ms)
-        } else {
-            self.floor
-        };
-        let number = version.max(floor).saturating_add(1);
-        self.phase = Phase::Proposed(
-            Change {
-                number,
-                after: version,
-                id,
-                edits,
+        let new_version = self.next_version(wall_ms, version);
+        self.phase = Phase::Proposing {
+            change: Change {
+                version: new_version,
+                previous: version,
+                id: proposal.id,
+                edits: proposal.edits,
             },
-            0,
-        );
-        self.ask(now, out);
-        Some(number)
+            votes: 0,
+        };
+        self.send_round(now, out);
+        Some(new_version)
     }
 
-    /// Takes a voter's answer; `voter` is its place, from 0. An answer counts for the round that is open, and while it is.
-    pub fn heard(
+    /// Handles a voter's reply; `voter` is its index, from 0. A reply counts for the current round, and only in its time.
+    pub fn handle(
         &mut self,
         now: Time,
         version: u64,
@@ -139,74 +164,81 @@
         message: Paxos,
         out: &mut Vec<Paxos>,
     ) -> Step {
-        self.reach(now, version, out);
-        let open = voter < self.rules.voters() && now - self.sent < self.rules.patience();
+        self.advance(now, version, out);
+        let in_time = voter < self.rules.voters() && now - self.sent < self.rules.patience();
+        let own_token = self.token;
+        let own_round = self.round;
+        let counts = |token: Token, round: u32| in_time && token == own_token && round == own_round;
         match message {
-            Paxos::Refused { token, highest } if token == self.token && highest > token => {
-                return Step::Superseded(highest);
+            Paxos::Nack { token, highest } if token == own_token && highest > token => {
+                Step::Superseded(highest)
             }
             Paxos::Promise {
                 token,
                 round,
-                version: theirs,
+                version: their_version,
                 accepted,
-                floor,
-            } if open && (token, round) == (self.token, self.round) => {
-                self.promised(now, version, voter, (theirs, accepted, floor), out);
-            }
-            Paxos::Accepted { token, round }
-                if open && (token, round) == (self.token, self.round) =>
-            {
-                return self.accepted(voter);
+                version_floor,
+            } if counts(token, round) => {
+                let promise = Promise {
+                    version: their_version,
+                    accepted,
+                    version_floor,
+                };
+                self.on_promise(now, version, voter, promise, out);
+                Step::Wait
             }
+            Paxos::Accepted { token, round } if counts(token, round) => self.on_accepted(voter),
             Paxos::Behind {
                 token,
                 round,
-                version: theirs,
-            } => {
-                if let Phase::Proposed(change, _) = &self.phase {
-                    if open && (token, round) == (self.token, self.round) && theirs < change.after {
-                        let again = Paxos::Accept {
-                            token,
-                            round,
-                            change: change.clone(),
-                        };
-                        return Step::Lacks(theirs, again);
-                    }
-                }
-            }
-            _ => {}
+                version: their_version,
+            } if counts(token, round) => self.on_behind(their_version),
+            _ => Step::Wait,
         }
-        Step::Wait
     }
 
     fn majority(&self) -> usize {
         self.rules.voters() / 2 + 1
     }
 
-    /// A new round: answers to earlier ones count no more.
-    fn ask(&mut self, now: Time, out: &mut Vec<Paxos>) {
+    /// The version of the next change. Voters that recovered later than those that promised have higher floors, and these
+    /// are not above the clock.
+    fn next_version(&self, wall_ms: u64, version: u64) -> u64 {
+        let voters_recovered = self.version_floor > version && wall_ms < VERSION_LIMIT / 2;
+        let floor = if voters_recovered {
+            self.version_floor.max(wall_ms)
+        } else {
+            self.version_floor
+        };
+        version.max(floor).saturating_add(1)
+    }
+
+    /// Begins a new round: replies to earlier ones count no more.
+    fn send_round(&mut self, now: Time, out: &mut Vec<Paxos>) {
         self.round = self.round.saturating_add(1);
         self.sent = now;
-        let (token, round) = (self.token, self.round);
         match &mut self.phase {
-            Phase::Preparing(promises) => {
+            Phase::Preparing { promises } => {
                 promises.clear();
-                out.push(Paxos::Prepare { token, round });
+                out.push(Paxos::Prepare {
+                    token: self.token,
+                    round: self.round,
+                });
             }
-            Phase::Proposed(change, votes) => {
+            Phase::Proposing { change, votes } => {
                 *votes = 0;
                 out.push(Paxos::Accept {
-                    token,
-                    round,
+                    token: self.token,
+                    round: self.round,
                     change: change.clone(),
                 });
             }
-            Phase::Reaching(..) | Phase::Ready => {}
+            Phase::CatchingUp { .. } | Phase::Ready => {}
         }
     }
 
-    fn promised(
+    fn on_promise(
         &mut self,
         now: Time,
         version: u64,
@@ -215,70 +247,93 @@
         out: &mut Vec<Paxos>,
     ) {
         let majority = self.majority();
-        let Phase::Preparing(promises) = &mut self.phase else {
+        let Phase::Preparing { promises } = &mut self.phase else {
             return;
         };
         promises.insert(voter, promise);
         if promises.len() < majority {
             return;
         }
-        let highest = promises
-            .values()
-            .map(|(version, ..)| *version)
-            .max()
-            .unwrap_or_default();
-        let accepted = promises
-            .values()
-            .filter_map(|(_, accepted, _)| accepted.clone());
-        // Of what is under way the newest holder's counts: had another been decided, that holder would have proposed it.
-        let pending = accepted.filter(|(_, change)| change.after == highest).max();
-        self.floor = promises
-            .values()
-            .map(|(.., floor)| *floor)
-            .max()
-            .unwrap_or_default();
-        // What a minority still remembers of a time that the others forgot is proposed under a new number.
-        let floor = self.floor;
-        let renumbered = |change: Change| Change {
-            number: change.number.max(floor.saturating_add(1)),
-            ..change
+        let promises = std::mem::take(promises);
+        let floors = promises.values().map(|promise| promise.version_floor);
+        self.version_floor = floors.max().unwrap_or_default();
+        let versions = promises.values().map(|promise| promise.version);
+        let highest = versions.max().unwrap_or_default();
+        // Of the accepted changes the one with the highest token counts: had another been committed, that leader would have
+        // proposed it.
+        let pending = promises
+            .into_values()
+            .filter_map(|promise| promise.accepted)
+            .filter(|accepted| accepted.change.previous == highest)
+            .max();
+        self.phase = Phase::CatchingUp {
+            version: highest,
+            pending: pending.map(|accepted| self.above_floor(accepted.change)),
         };
-        self.phase = Phase::Reaching(highest, pending.map(|(_, change)| renumbered(change)));
-        self.reach(now, version, out);
+        self.advance(now, version, out);
     }
 
-    /// Goes on once this proxy's copy has all that is known to be decided; also where it heard from others what was decided
-    /// in place of what it proposes, or that this is: an earlier holder had its majority.
-    fn reach(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
-        if matches!(&self.phase, Phase::Proposed(change, _) if change.after < version) {
+    /// A change that only a minority remembers since the others recovered gets a new version.
+    fn above_floor(&self, change: Change) -> Change {
+        Change {
+            version: change.version.max(self.version_floor.saturating_add(1)),
+            ..change
+        }
+    }
+
+    /// Goes on once this proxy's table has caught up, and gives up a proposal that the table is past: an earlier leader's
+    /// change was committed there, or this one was.
+    fn advance(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
+        if self
+            .proposed()
+            .is_some_and(|change| change.previous < version)
+        {
             self.phase = Phase::Ready;
         }
-        let Phase::Reaching(needed, pending) = &mut self.phase else {
+        let Phase::CatchingUp {
+            version: target,
+            pending,
+        } = &mut self.phase
+        else {
             return;
         };
-        if version < *needed {
+        if version < *target {
             return;
         }
-        match pending.take().filter(|change| change.after == version) {
+        match pending.take().filter(|change| change.previous == version) {
             Some(change) => {
-                self.phase = Phase::Proposed(change, 0);
-                self.ask(now, out);
+                self.phase = Phase::Proposing { change, votes: 0 };
+                self.send_round(now, out);
             }
             None => self.phase = Phase::Ready,
         }
     }
 
-    fn accepted(&mut self, voter: usize) -> Step {
+    fn on_accepted(&mut self, voter: usize) -> Step {
         let majority = self.majority() as u32;
-        let Phase::Proposed(change, votes) = &mut self.phase else {
+        let Phase::Proposing { change, votes } = &mut self.phase else {
             return Step::Wait;
         };
         *votes |= 1 << voter;
         if votes.count_ones() < majority {
             return Step::Wait;
         }
-        let decided = change.clone();
+        let committed = change.clone();
         self.phase = Phase::Ready;
-        Step::Decided(decided)
+        Step::Committed(committed)
+    }
+
+    fn on_behind(&self, their_version: u64) -> Step {
+        match self.proposed() {
+            Some(change) if their_version < change.previous => Step::VoterBehind {
+                version: their_version,
+                retry: Paxos::Accept {
+                    token: self.token,
+                    round: self.round,
+                    change: change.clone(),
+                },
+            },
+            _ => Step::Wait,
+        }
     }
 }
--- /dev/null
+++ b/src/fleet/config/replica/consensus.rs
@@ -0,0 +1,235 @@
+//! Drives Paxos: routes its messages to this proxy's roles, begins and ends the leader's role with the lease, and hands
+//! committed changes on.
+
+use super::{Event, Replica};
+use crate::fleet::config::acceptor::RecoveryReply;
+use crate::fleet::config::change::Change;
+use crate::fleet::config::error::MessageError;
+use crate::fleet::config::gossip;
+use crate::fleet::config::message::{AcceptedChange, Message, Outbox, Outgoing, Paxos};
+use crate::fleet::config::peers::Context;
+use crate::fleet::config::proposer::{Proposer, Step};
+use crate::fleet::config::table::Applied;
+use crate::interface::Time;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+impl Replica {
+    pub(super) fn on_paxos(
+        &mut self,
+        now: Time,
+        context: &Context,
+        from: SocketAddr,
+        message: Paxos,
+        out: &mut Outbox,
+    ) -> Result<(), MessageError> {
+        let sender = self.rules.voter_index(from);
+        match message {
+            Paxos::Prepare { .. } | Paxos::Accept { .. } | Paxos::Recover { .. } => {
+                self.on_voter_request(from, message, out)
+            }
+            Paxos::RecoverReply {
+                nonce,
+                state,
+                is_complete,
+            } => {
+                let voter = sender.ok_or(MessageError::SenderNotVoter)?;
+                let reply = RecoveryReply {
+                    voter,
+                    nonce,
+                    state,
+                    is_complete,
+                };
+                self.on_recovery_reply(now, context, reply)
+            }
+            Paxos::Promise { .. }
+            | Paxos::Accepted { .. }
+            | Paxos::Behind { .. }
+            | Paxos::Nack { .. } => {
+                let voter = sender.ok_or(MessageError::SenderNotVoter)?;
+                if let Paxos::Promise { accepted, .. } = &message {
+                    check_accepted(accepted.as_ref())?;
+                }
+                let mut requests = Vec::new();
+                self.on_voter_reply(now, context, voter, message, &mut requests, out);
+                self.send_to_voters(now, context, requests, out);
+                self.propose_next(now, context, out);
+                Ok(())
+            }
+        }
+    }
+
+    /// A request to this proxy as a voter.
+    fn on_voter_request(
+        &mut self,
+        from: SocketAddr,
+        message: Paxos,
+        out: &mut Outbox,
+    ) -> Result<(), MessageError> {
+        if let Paxos::Accept { change, .. } = &message {
+            change.check()?;
+        }
+        let acceptor = self.acceptor.as_mut().ok_or(MessageError::NotVoter)?;
+        if let Some(reply) = acceptor.handle(message, self.table.version()) {
+            out.push(Outgoing {
+                to: from,
+                message: Message::Paxos(reply),
+            });
+        }
+        Ok(())
+    }
+
+    fn on_recovery_reply(
+        &mut self,
+        now: Time,
+        context: &Context,
+        reply: RecoveryReply,
+    ) -> Result<(), MessageError> {
+        check_accepted(reply.state.accepted.as_ref())?;
+        let acceptor = self.acceptor.as_mut().ok_or(MessageError::NotVoter)?;
+        acceptor.on_recovery_reply(now, context.wall_ms, self.table.version(), reply);
+        Ok(())
+    }
+
+    /// A voter's reply to the leader. Requests that follow from it go to all voters.
+    fn on_voter_reply(
+        &mut self,
+        now: Time,
+        context: &Context,
+        voter: usize,
+        reply: Paxos,
+        requests: &mut Vec<Paxos>,
+        out: &mut Outbox,
+    ) {
+        // A leader that was paused has to look at its lease before it counts anything.
+        let Some(proposer) = self
+            .proposer
+            .as_mut()
+            .filter(|proposer| context.lease == Some(proposer.token()))
+        else {
+            return;
+        };
+        match proposer.handle(now, self.table.version(), voter, reply, requests) {
+            Step::Wait => {}
+            Step::Committed(change) => self.on_committed(now, context, &change, out),
+            Step::VoterBehind { version, retry } => {
+                let to = self.rules.voters[voter];
+                self.catch_up_source
+                    .send_changes(now, to, &self.table, version, out);
+                let message = Message::Paxos(retry);
+                out.push(Outgoing { to, message });
+            }
+            Step::Superseded(token) => {
+                self.stop_leading();
+                self.events.push(Event::Superseded(token));
+            }
+        }
+    }
+
+    /// Sends the leader's requests to every voter; where this proxy is one it replies here.
+    pub(super) fn send_to_voters(
+        &mut self,
+        now: Time,
+        context: &Context,
+        requests: Vec<Paxos>,
+        out: &mut Outbox,
+    ) {
+        let mut requests = VecDeque::from(requests);
+        while let Some(request) = requests.pop_front() {
+            for (index, voter) in self.rules.voters.clone().into_iter().enumerate() {
+                if voter != self.rules.own {
+                    let message = Message::Paxos(request.clone());
+                    out.push(Outgoing { to: voter, message });
+                    continue;
+                }
+                let version = self.table.version();
+                let reply = self
+                    .acceptor
+                    .as_mut()
+                    .and_then(|acceptor| acceptor.handle(request.clone(), version));
+                if let Some(reply) = reply {
+                    let mut next = Vec::new();
+                    self.on_voter_reply(now, context, index, reply, &mut next, out);
+                    requests.extend(next);
+                }
+            }
+        }
+    }
+
+    /// A majority of the voters accepted a change of this leader.
+    fn on_committed(&mut self, now: Time, context: &Context, change: &Change, out: &mut Outbox) {
+        if self.apply_or_keep(change) == Ok(Applied::New) {
+            let message = Message::Changes {
+                changes: vec![change.clone()],
+                version: change.version,
+                push: true,
+            };
+            self.send_to_other_voters(&message, out);
+            gossip::push_changes(
+                std::slice::from_ref(change),
+                self.table.version(),
+                context,
+                &mut self.peers,
+                out,
+            );
+            self.repeats.schedule(now, change);
+        }
+        if let Some(submitter) = self.queue.close(change.id) {
+            self.send_outcome(submitter, change.id, Ok(change.version), out);
+        }
+    }
+
+    /// A voter that restarted requests the other voters' states.
+    pub(super) fn recover_voter(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+        let Some(acceptor) = &mut self.acceptor else {
+            return;
+        };
+        let mut requests = Vec::new();
+        acceptor.tick(now, context.wall_ms, self.table.version(), &mut requests);
+        for request in requests {
+            self.send_to_other_voters(&Message::Paxos(request), out);
+        }
+    }
+
+    /// Begins and ends the leader's role with the lease, and goes on with it.
+    pub(super) fn lead(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+        let lease_lost = self
+            .proposer
+            .as_ref()
+            .is_some_and(|proposer| context.lease != Some(proposer.token()));
+        if lease_lost {
+            self.stop_leading();
+        }
+        let new_token = context.lease.filter(|token| *token > self.last_token);
+        if let Some(token) = new_token.filter(|_| self.proposer.is_none()) {
+            self.last_token = token;
+            self.proposer = Some(Proposer::new(self.rules.lease, token));
+        }
+        let Some(proposer) = &mut self.proposer else {
+            return;
+        };
+        let mut requests = Vec::new();
+        proposer.tick(now, self.table.version(), &mut requests);
+        self.send_to_voters(now, context, requests, out);
+        self.propose_next(now, context, out);
+    }
+
+    fn stop_leading(&mut self) {
+        self.proposer = None;
+        self.queue.clear();
+    }
+
+    fn send_to_other_voters(&self, message: &Message, out: &mut Outbox) {
+        for to in self.rules.other_voters() {
+            let message = message.clone();
+            out.push(Outgoing { to, message });
+        }
+    }
+}
+
+fn check_accepted(accepted: Option<&AcceptedChange>) -> Result<(), MessageError> {
+    if let Some(accepted) = accepted {
+        accepted.change.check()?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/fleet/config/replica/submissions.rs
@@ -0,0 +1,149 @@
+//! Takes operators' changes from the proxy that received them to the leader, and their outcomes back.
+
+use super::{Event, Replica};
+use crate::fleet::config::change::check_edits;
+use crate::fleet::config::message::{Message, Outbox, Outgoing};
+use crate::fleet::config::peers::Context;
+use crate::fleet::config::proposer::{Proposal, Proposer};
+use crate::fleet::config::submission::{Submission, SubmitError};
+use crate::fleet::config::submit::{validate, Queued, Validated};
+use crate::interface::Time;
+use std::net::SocketAddr;
+
+impl Replica {
+    /// Submits an operator's change; its outcome comes as an event.
+    ///
+    /// # Errors
+    /// What can be said at once.
+    pub fn submit(
+        &mut self,
+        now: Time,
+        context: &Context,
+        submission: Submission,
+        out: &mut Outbox,
+    ) -> Result<(), SubmitError> {
+        check_edits(&submission.edits).map_err(SubmitError::Invalid)?;
+        if self.pending.is_full() {
+            return Err(SubmitError::Busy);
+        }
+        if context.lease.is_none() && context.leader.is_none() {
+            return Err(SubmitError::NoLeader);
+        }
+        self.pending.add(now, submission);
+        self.resend_submissions(now, context, out);
+        Ok(())
+    }
+
+    /// Stops sending a submission to the leader: the operator was answered that its outcome is not known.
+    pub fn withdraw(&mut self, id: u64) {
+        self.pending.remove(id);
+    }
+
+    /// Sends the submissions without an outcome to the leader, and gives up the old ones.
+    pub(super) fn resend_submissions(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+        for id in self.pending.remove_expired(now) {
+            self.events.push(Event::Outcome {
+                id,
+                result: Err(SubmitError::Unknown),
+            });
+        }
+        for submission in self.pending.take_due(now) {
+            if context.lease.is_some() {
+                self.enqueue(now, context, self.rules.own, submission, out);
+            } else if let Some(leader) = context.leader {
+                out.push(Outgoing {
+                    to: leader,
+                    message: Message::Submit(submission),
+                });
+            }
+        }
+    }
+
+    /// Queues a submission, if this proxy is the leader; else the submitter sends it to another.
+    pub(super) fn enqueue(
+        &mut self,
+        now: Time,
+        context: &Context,
+        submitter: SocketAddr,
+        submission: Submission,
+        out: &mut Outbox,
+    ) {
+        let Some(proposer) = &self.proposer else {
+            return;
+        };
+        let id = submission.id;
+        if let Some(version) = self.table.version_of(id) {
+            return self.send_outcome(submitter, id, Ok(version), out);
+        }
+        let is_proposed = proposer.proposed().is_some_and(|change| change.id == id);
+        if is_proposed || self.queue.contains(id) {
+            return;
+        }
+        match self.queue.push(submitter, submission) {
+            Ok(()) => self.propose_next(now, context, out),
+            Err(error) => self.send_outcome(submitter, id, Err(error), out),
+        }
+    }
+
+    /// Proposes the next valid submission, while no change is proposed.
+    pub(super) fn propose_next(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+        while self.proposer.as_ref().is_some_and(Proposer::is_ready) {
+            let Some(Queued {
+                submitter,
+                submission,
+            }) = self.queue.pop()
+            else {
+                return;
+            };
+            let id = submission.id;
+            match validate(&self.table, &submission) {
+                Ok(Validated::Change) => {
+                    self.queue.open(submitter, id);
+                    self.propose(now, context, submission, out);
+                }
+                Ok(Validated::NoChange) => {
+                    self.send_outcome(submitter, id, Ok(self.table.version()), out);
+                }
+                Err(error) => self.send_outcome(submitter, id, Err(error), out),
+            }
+        }
+    }
+
+    fn propose(&mut self, now: Time, context: &Context, submission: Submission, out: &mut Outbox) {
+        let proposal = Proposal {
+            id: submission.id,
+            edits: submission.edits,
+        };
+        let version = self.table.version();
+        let mut requests = Vec::new();
+        if let Some(proposer) = &mut self.proposer {
+            proposer.propose(now, context.wall_ms, version, proposal, &mut requests);
+        }
+        self.send_to_voters(now, context, requests, out);
+    }
+
+    /// Answers a submission.
+    pub(super) fn send_outcome(
+        &mut self,
+        submitter: SocketAddr,
+        id: u64,
+        result: Result<u64, SubmitError>,
+        out: &mut Outbox,
+    ) {
+        if submitter == self.rules.own {
+            self.on_outcome(id, result);
+        } else {
+            out.push(Outgoing {
+                to: submitter,
+                message: Message::Outcome { id, result },
+            });
+        }
+    }
+
+    /// An outcome came; the first one counts.
+    pub(super) fn on_outcome(&mut self, id: u64, result: Result<u64, SubmitError>) {
+        if self.pending.remove(id) {
+            self.events.push(Event::Outcome { id, result });
+        }
+    }
+}
--- a/src/fleet/config/submit.rs
+++ b/src/fleet/config/submit.rs
@@ -1,320 +1,198 @@
-//! Operators' changes on their way: at the proxy that was called, and in the holder's queue.
+//! Operators' changes on their way: the submissions of this proxy until their outcome is known, and the leader's queue.
 
-use super::message::{Message, Paxos};
-use super::proposer::Proposer;
-use super::replica::{Event, Replica, Surroundings};
+use super::change::check_edits;
+use super::entry::Edit;
+use super::limits::MAX_QUEUED;
+use super::submission::{Submission, SubmitError};
 use super::table::Table;
-use super::{check, Edit, Invalid, MOST_WAITING};
 use crate::interface::{Micros, Time};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use std::fmt;
 use std::net::SocketAddr;
 
-/// How often a change is sent to the holder until its outcome is known, and for how long.
-const REPEAT: Micros = Micros(250_000);
-const PATIENCE: Micros = Micros(10_000_000);
+/// How often a submission is sent to the leader until its outcome is known.
+const RESEND_INTERVAL: Micros = Micros(250_000);
+/// For how long it is sent.
+const SUBMIT_TIMEOUT: Micros = Micros(10_000_000);
 
-/// An operator's change, as a proxy sends it to the holder.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Submission {
-    /// Drawn at random by the proxy that was called.
-    pub id: u64,
-    /// The version that the change was made from.
-    pub base: u64,
-    /// What it sets.
-    pub edits: Vec<Edit>,
+/// A submission that waits for its outcome.
+#[derive(Clone, Debug)]
+struct Pending {
+    submission: Submission,
+    since: Time,
+    last_sent: Option<Time>,
 }
 
-/// Why a change is not taken.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Rejected {
-    /// An entry was changed, by that number, after the version that this change was made from.
-    Conflict {
-        /// The entry's key.
-        key: String,
-        /// The number of its last change.
-        number: u64,
-    },
-    /// An entry is out of its bounds.
-    Invalid(Invalid),
-    /// The table is full.
-    Full,
-    /// Too many changes wait.
-    Busy,
-    /// No proxy is known to hold the duty.
-    NoHolder,
-    /// No outcome came in time: it may come into force yet.
-    Unknown,
+/// The submissions of this proxy whose outcome is not known.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PendingSubmissions {
+    by_id: BTreeMap<u64, Pending>,
 }
 
-impl Rejected {
-    /// The HTTP status that says so.
-    pub fn status(&self) -> u16 {
-        match self {
-            Rejected::Conflict { .. } => 409,
-            Rejected::Invalid(_) => 422,
-            Rejected::Full => 507,
-            Rejected::Busy | Rejected::NoHolder | Rejected::Unknown => 503,
-        }
+impl PendingSubmissions {
+    pub(super) fn is_full(&self) -> bool {
+        self.by_id.len() >= MAX_QUEUED
     }
-}
 
-impl fmt::Display for Rejected {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Rejected::Conflict { key, number } => {
-                write!(f, "{key}: change {number} came in between")
-            }
-            Rejected::Invalid(why) => write!(f, "{why}"),
-            Rejected::Full => f.write_str("the configuration's table is full"),
-            Rejected::Busy => write!(f, "{MOST_WAITING} changes wait already"),
-            Rejected::NoHolder => {
-                f.write_str("no proxy holds the duty: no majority of the voters answers")
-            }
-            Rejected::Unknown => {
-                f.write_str("no answer in time: the change may come into force yet")
+    pub(super) fn add(&mut self, now: Time, submission: Submission) {
+        let pending = Pending {
+            submission,
+            since: now,
+            last_sent: None,
+        };
+        self.by_id.insert(pending.submission.id, pending);
+    }
+
+    /// Removes a submission whose outcome came; whether it waited for one.
+    pub(super) fn remove(&mut self, id: u64) -> bool {
+        self.by_id.remove(&id).is_some()
+    }
+
+    /// Removes the submissions that no outcome came for in time and returns their ids.
+    pub(super) fn remove_expired(&mut self, now: Time) -> Vec<u64> {
+        let is_expired = |pending: &Pending| now - pending.since >= SUBMIT_TIMEOUT;
+        let expired: Vec<u64> = self
+            .by_id
+            .iter()
+            .filter(|(_, pending)| is_expired(pending))
+            .map(|(id, _)| *id)
+            .collect();
+        self.by_id.retain(|_, pending| !is_expired(pending));
+        expired
+    }
+
+    /// The submissions that are to be sent to the leader now.
+    pub(super) fn take_due(&mut self, now: Time) -> Vec<Submission> {
+        let mut due = Vec::new();
+        for pending in self.by_id.values_mut() {
+            let is_due = pending
+                .last_sent
+                .is_none_or(|sent| now - sent >= RESEND_INTERVAL);
+            if is_due {
+                pending.last_sent = Some(now);
+                due.push(pending.submission.clone());
             }
         }
+        due
     }
 }
 
-impl std::error::Error for Rejected {}
-
-/// A change that this proxy was asked for.
+/// A submission at the leader.
 #[derive(Clone, Debug)]
-pub(super) struct Mine {
-    submission: Submission,
-    since: Time,
-    sent: Option<Time>,
+pub(super) struct Queued {
+    /// The proxy that sent it.
+    pub(super) submitter: SocketAddr,
+    pub(super) submission: Submission,
 }
 
-/// Changes that this proxy was asked for, and those that wait here while it is the holder.
+/// The submission whose change is proposed.
+#[derive(Clone, Copy, Debug)]
+struct Open {
+    submitter: SocketAddr,
+    id: u64,
+}
+
+/// The submissions that wait at the leader.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Submissions {
-    mine: BTreeMap<u64, Mine>,
-    queue: VecDeque<(SocketAddr, Submission)>,
-    /// Who asked for the change that is proposed, and its id.
-    open: Option<(SocketAddr, u64)>,
+pub(super) struct SubmissionQueue {
+    waiting: VecDeque<Queued>,
+    open: Option<Open>,
 }
 
-impl Submissions {
-    /// What waits at the holder is sent again to the next one by those who were asked for it.
-    pub(super) fn forget_queue(&mut self) {
-        self.queue.clear();
+impl SubmissionQueue {
+    /// This proxy is the leader no more: the submitters send theirs to the next one.
+    pub(super) fn clear(&mut self) {
+        self.waiting.clear();
         self.open = None;
     }
 
-    /// An outcome is known.
-    pub(super) fn settle(&mut self, id: u64) -> bool {
-        self.mine.remove(&id).is_some()
+    pub(super) fn contains(&self, id: u64) -> bool {
+        self.waiting.iter().any(|queued| queued.submission.id == id)
     }
-}
 
-/// Whether a change may follow on the table: `Ok(false)` where all is so already.
-fn fits(table: &Table, submission: &Submission) -> Result<bool, Rejected> {
-    check(&submission.edits).map_err(Rejected::Invalid)?;
-    let mut changes = false;
-    for edit in &submission.edits {
-        let entry = table.get(edit.key.position());
-        if entry.is_some_and(|entry| entry.edit == *edit) {
-            continue;
-        }
-        changes = true;
-        if edit
-            .contained()
-            .is_some_and(|number| number > table.version() || number < table.contained())
-        {
-            let why = format!("expected {} to {}", table.contained(), table.version());
-            return Err(Rejected::Invalid(Invalid {
-                key: edit.key.to_string(),
-                why,
-            }));
-        }
-        match entry {
-            Some(entry) if entry.edit.key != edit.key => {
-                let why = format!("its name's hash is that of {}", entry.edit.key);
-                return Err(Rejected::Invalid(Invalid {
-                    key: edit.key.to_string(),
-                    why,
-                }));
-            }
-            Some(entry) if entry.number > submission.base => {
-                return Err(Rejected::Conflict {
-                    key: edit.key.to_string(),
-                    number: entry.number,
-                });
-            }
-            _ => {}
-        }
-    }
-    table.room(&submission.edits).map_err(|_| Rejected::Full)?;
-    Ok(changes)
-}
-
-impl Replica {
-    /// Takes an operator's change; its outcome comes as an event.
+    /// Appends a submission.
     ///
     /// # Errors
-    /// What can be said at once.
-    pub fn submit(
+    /// [`SubmitError::Busy`].
+    pub(super) fn push(
         &mut self,
-        now: Time,
-        around: &Surroundings,
+        submitter: SocketAddr,
         submission: Submission,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) -> Result<(), Rejected> {
-        check(&submission.edits).map_err(Rejected::Invalid)?;
-        if self.submissions.mine.len() >= MOST_WAITING {
-            return Err(Rejected::Busy);
-        }
-        if around.holding.is_none() && around.holder.is_none() {
-            return Err(Rejected::NoHolder);
-        }
-        let id = submission.id;
-        self.submissions.mine.insert(
-            id,
-            Mine {
-                submission,
-                since: now,
-                sent: None,
-            },
-        );
-        self.resend(now, around, out);
+    ) -> Result<(), SubmitError> {
+        if self.waiting.len() >= MAX_QUEUED {
+            return Err(SubmitError::Busy);
+        }
+        self.waiting.push_back(Queued {
+            submitter,
+            submission,
+        });
         Ok(())
     }
 
-    /// Sends a change to the holder no more: who asked for it was told that its outcome is not known.
-    pub fn withdraw(&mut self, id: u64) {
-        self.submissions.settle(id);
+    pub(super) fn pop(&mut self) -> Option<Queued> {
+        self.waiting.pop_front()
     }
 
-    /// Sends what has no outcome yet to the holder.
-    pub(super) fn resend(
-        &mut self,
-        now: Time,
-        around: &Surroundings,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) {
-        let mut due = Vec::new();
-        for (id, mine) in &mut self.submissions.mine {
-            if now - mine.since >= PATIENCE {
-                self.events.push(Event::Outcome {
-                    id: *id,
-                    result: Err(Rejected::Unknown),
-                });
-            } else if mine.sent.is_none_or(|sent| now - sent >= REPEAT) {
-                mine.sent = Some(now);
-                due.push(mine.submission.clone());
-            }
-        }
-        self.submissions
-            .mine
-            .retain(|_, mine| now - mine.since < PATIENCE);
-        for submission in due {
-            if around.holding.is_some() {
-                self.queue(now, around, self.rules.own, submission, out);
-            } else if let Some(holder) = around.holder {
-                out.push((holder, Message::Submit(submission)));
-            }
-        }
+    /// A submission's change is proposed.
+    pub(super) fn open(&mut self, submitter: SocketAddr, id: u64) {
+        self.open = Some(Open { submitter, id });
     }
 
-    /// Lets a change wait for its turn, if this proxy is the holder; else who asked sends it to another.
-    pub(super) fn queue(
-        &mut self,
-        now: Time,
-        around: &Surroundings,
-        asker: SocketAddr,
-        submission: Submission,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) {
-        if self.proposer.is_none() {
-            return;
-        }
-        let id = submission.id;
-        if let Some(number) = self.table.numbered(id) {
-            return self.outcome(asker, id, Ok(number), out);
-        }
-        let proposed = self
-            .proposer
-            .as_ref()
-            .and_then(Proposer::proposed)
-            .is_some_and(|c| c.id == id);
-        let queue = &mut self.submissions.queue;
-        if proposed || queue.iter().any(|(_, waiting)| waiting.id == id) {
-            return;
-        }
-        if queue.len() >= MOST_WAITING {
-            return self.outcome(asker, id, Err(Rejected::Busy), out);
-        }
-        queue.push_back((asker, submission));
-        self.propose(now, around, out);
+    /// A change was committed; returns the submitter, if the change was proposed here.
+    pub(super) fn close(&mut self, id: u64) -> Option<SocketAddr> {
+        self.open
+            .take_if(|open| open.id == id)
+            .map(|open| open.submitter)
     }
+}
 
-    /// Proposes the next change that can be, while none is open.
-    pub(super) fn propose(
-        &mut self,
-        now: Time,
-        around: &Surroundings,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) {
-        while self.proposer.as_ref().is_some_and(Proposer::is_ready) {
-            let Some((asker, submission)) = self.submissions.queue.pop_front() else {
-                return;
-            };
-            let id = submission.id;
-            match fits(&self.table, &submission) {
-                Ok(true) => {
-                    self.submissions.open = Some((asker, id));
-                    let (mut said, version) = (Vec::<Paxos>::new(), self.table.version());
-                    if let Some(proposer) = &mut self.proposer {
-                        proposer.propose(
-                            now,
-                            around.wall_ms,
-                            version,
-                            (id, submission.edits),
-                            &mut said,
-                        );
-                    }
-                    self.ask_voters(now, around, said, out);
-                }
-                Ok(false) => self.outcome(asker, id, Ok(self.table.version()), out),
-                Err(why) => self.outcome(asker, id, Err(why), out),
-            }
-        }
-    }
+/// What a valid submission would do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Validated {
+    /// It changes at least one entry.
+    Change,
+    /// All entries are as it wants them.
+    NoChange,
+}
 
-    /// A change that was proposed here is decided: who asked for it is told.
-    pub(super) fn decided_for(
-        &mut self,
-        id: u64,
-        number: u64,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) {
-        if let Some((asker, _)) = self.submissions.open.take_if(|(_, open)| *open == id) {
-            self.outcome(asker, id, Ok(number), out);
+/// Checks whether a submission may follow on the table.
+///
+/// # Errors
+/// It is invalid, conflicts with a later change, or does not fit into the table.
+pub(super) fn validate(table: &Table, submission: &Submission) -> Result<Validated, SubmitError> {
+    check_edits(&submission.edits).map_err(SubmitError::Invalid)?;
+    let mut validated = Validated::NoChange;
+    for edit in &submission.edits {
+        if validate_edit(table, edit, submission.base)? == Validated::Change {
+            validated = Validated::Change;
         }
     }
+    table
+        .check_capacity(&submission.edits)
+        .map_err(|_| SubmitError::Full)?;
+    Ok(validated)
+}
 
-    fn outcome(
-        &mut self,
-        asker: SocketAddr,
-        id: u64,
-        result: Result<u64, Rejected>,
-        out: &mut Vec<(SocketAddr, Message)>,
-    ) {
-        if asker != self.rules.own {
-            out.push((asker, Message::Outcome { id, result }));
-        } else {
-            self.settled(id, result);
-        }
+fn validate_edit(table: &Table, edit: &Edit, base: u64) -> Result<Validated, SubmitError> {
+    let entry = table.get(edit.key.position());
+    if entry.is_some_and(|entry| entry.edit == *edit) {
+        return Ok(Validated::NoChange);
     }
-
-    /// An outcome came; the first one counts.
-    pub(super) fn settled(&mut self, id: u64, result: Result<u64, Rejected>) {
-        if self.submissions.settle(id) {
-            self.events.push(Event::Outcome { id, result });
+    if let Some(compacted) = edit.compacted_version() {
+        let allowed = table.compacted_version()..=table.version();
+        if !allowed.contains(&compacted) {
+            let reason = format!("expected {} to {}", allowed.start(), allowed.end());
+            return Err(SubmitError::Invalid(edit.key.invalid(reason)));
         }
     }
+    match entry {
+        Some(entry) if entry.edit.key != edit.key => {
+            let reason = format!("its name's hash is that of {}", entry.edit.key);
+            Err(SubmitError::Invalid(edit.key.invalid(reason)))
+        }
+        Some(entry) if entry.version > base => Err(SubmitError::Conflict {
+            key: edit.key.to_string(),
+            version: entry.version,
+        }),
+        _ => Ok(Validated::Change),
+    }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,9 +11,9 @@
 use net::admin::disabled_backends::Maintenance;
 use net::admin::prometheus::Figures;
 use net::admin::{DutiesDoor, Keepers};
-use net::cluster::coordination::{copy::Kept, Duties};
+use net::cluster::coordination::{config_snapshot::SnapshotFile, Duties};
 use net::cluster::gossip::Peers;
-use net::config::overlay::Overlay;
+use net::config::fleet_overrides::FleetOverrides;
 use net::config::reload::{Aside, Door, Reload};
 use net::config::{self, Node, Source};
 use net::descriptor_limits::{room, share};
@@ -183,8 +183,8 @@
         host.beside(2); // before what was learned is taken: some of it the other process still uses
     }
     let shared = Rc::new(Cell::new(node.shared));
-    let copies = node.snapshot.as_ref().zip(node.peers.as_ref());
-    let copies = copies.map(|(kept, peers)| Kept {
+    let config_snapshot = node.snapshot.as_ref().zip(node.peers.as_ref());
+    let config_snapshot = config_snapshot.map(|(kept, peers)| SnapshotFile {
         dir: kept.dir.clone(),
         cluster: peers.cluster.clone(),
     });
@@ -235,7 +235,7 @@
         }
         None => None,
     };
-    let overlay = Rc::new(Overlay::new(in_force.clone(), node.version));
+    let fleet_overrides = Rc::new(FleetOverrides::new(in_force.clone(), node.version));
     let duties = match peers.as_ref().zip(node.duties.as_ref()) {
         Some((peers, rules)) => {
             let duties = Duties::start(
@@ -243,8 +243,8 @@
                 peers,
                 rules,
                 config.slow_start,
-                overlay.clone(),
-                copies,
+                fleet_overrides.clone(),
+                config_snapshot,
             );
             Some(duties.map_err(|e| format!("duties: {e}"))?)
         }
@@ -286,7 +286,7 @@
         source,
         aside,
         in_force,
-        overlay,
+        fleet_overrides,
         shared,
         keeper: keeper.clone(),
         owner,
--- a/src/net/cluster/coordination/clock.rs
+++ b/src/net/cluster/coordination/clock.rs
@@ -153,7 +153,7 @@
         }
         let new = self.tables.config.lock().replica.is_new();
         if new && enough {
-            self.tables.config.lock().replica.take_part();
+            self.tables.config.lock().replica.assume_up_to_date();
             self.tables.welcome();
         }
     }
--- a/src/net/cluster/coordination/copy/tests.rs
+++ b/src/net/cluster/coordination/config_snapshot/tests.rs
@@ -15,8 +15,8 @@
         }];
         table
             .apply(&Change {
-                number: n + 1,
-                after: n,
+                version: n + 1,
+                previous: n,
                 id: n,
                 edits,
             })
@@ -27,7 +27,7 @@
 
 fn body(table: &Table, cluster: &str) -> Body {
     let entries = table
-        .range(0, u64::MAX)
+        .range(PositionRange::ALL)
         .map(|(_, entry)| entry.clone())
         .collect();
     Body {
@@ -38,17 +38,17 @@
 }
 
 fn cause(bytes: &[u8]) -> &'static str {
-    decode(bytes, "fleet").map_or_else(|why| why.cause(), |_| "taken")
+    decode(bytes, "fleet").map_or_else(|why| why.cause(), |_| "loaded")
 }
 
 #[test]
-fn a_copy_comes_back_as_it_was_or_is_refused_by_cause() {
+fn a_snapshot_loads_as_it_was_or_is_rejected_by_cause() {
     let (table, older) = (table(900), table(3));
-    let whole = encode(&body(&table, "fleet")).unwrap();
-    let back = decode(&whole, "fleet").unwrap();
+    let complete = encode(&body(&table, "fleet")).unwrap();
+    let back = decode(&complete, "fleet").unwrap();
     assert_eq!((back.digest(), back.len()), (table.digest(), 700));
     let with = |at: usize, byte: u8| {
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         bytes[at] = byte;
         bytes
     };
@@ -58,21 +58,21 @@
         encode(&body).unwrap()
     };
     let cases = [
-        (whole[..4].to_vec(), "truncated"),
-        (whole[..whole.len() / 2].to_vec(), "checksum"),
+        (complete[..4].to_vec(), "truncated"),
+        (complete[..complete.len() / 2].to_vec(), "checksum"),
         (with(0, b'X'), "magic"),
         (with(4, 9), "format"),
         (
-            with(whole.len() - 3, whole[whole.len() - 3] ^ 1),
+            with(complete.len() - 3, complete[complete.len() - 3] ^ 1),
             "checksum",
         ),
-        (vec![0; MOST + 1], "too_large"),
+        (vec![0; MAX_FILE_BYTES + 1], "too_large"),
         (encode(&body(&table, "other")).unwrap(), "cluster"),
-        // Sound bytes that are no table.
+        // Valid bytes that are no table.
         (but(&|body| drop(body.entries.pop())), "table"),
         (but(&|body| body.digest = older.digest()), "table"),
         (but(&|body| body.digest.version = u64::MAX), "table"),
-        (but(&|body| body.entries[0].number = 901), "table"),
+        (but(&|body| body.entries[0].version = 901), "table"),
         (but(&|body| body.entries[0].edit.key.name.clear()), "table"),
         (
             but(&|body| body.entries.push(body.entries[0].clone())),
@@ -85,18 +85,22 @@
 }
 
 #[test]
-fn files_are_refused_by_what_they_are() {
+fn files_are_rejected_by_what_they_are() {
     let dir = std::env::temp_dir().join(format!("meadowproxy-copy-{}", std::process::id()));
-    let kept = Kept {
+    let snapshot = SnapshotFile {
         dir: dir.clone(),
         cluster: "fleet".into(),
     };
     let file = dir.join("x");
-    let cause = || kept.read(&file).map_or_else(|why| why.cause(), |_| "taken");
+    let cause = || {
+        snapshot
+            .read(&file)
+            .map_or_else(|why| why.cause(), |_| "loaded")
+    };
     assert_eq!(cause(), "missing");
     replace(&dir, "x", &encode(&body(&table(5), "fleet")).unwrap()).unwrap();
-    assert_eq!(cause(), "taken");
-    let old = SystemTime::now() - MOST_AGE - Duration::from_secs(10);
+    assert_eq!(cause(), "loaded");
+    let old = SystemTime::now() - MAX_AGE - Duration::from_secs(10);
     File::options()
         .write(true)
         .open(&file)
@@ -111,7 +115,7 @@
 }
 
 proptest! {
-    /// Whatever bytes a file has, it is a copy or a reason.
+    /// Whatever bytes a file has, they are a table or an error.
     #[test]
     fn no_bytes_break_a_start(at in any::<prop::sample::Index>(), flip in 1u8.., junk in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut bytes = encode(&body(&table(20), "fleet")).unwrap();
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -94,7 +94,7 @@
     /// A broadcast that is neither used nor passed on.
     Broadcast(relay::Refused),
     /// About the configuration: why its state machine does not use it.
-    Config(config::Refused),
+    Config(config::MessageError),
 }
 
 impl Refused {
@@ -212,6 +212,10 @@
     use meadowproxy::fleet::lease::Ballot;
     use proptest::prelude::*;
 
+    fn range() -> impl Strategy<Value = config::PositionRange> {
+        (any::<u64>(), any::<u64>()).prop_map(|(first, last)| config::PositionRange { first, last })
+    }
+
     /// Messages about the configuration; the machine's own tests have all kinds.
     fn config() -> impl Strategy<Value = Duties> {
         use config::{Change, Digest, Edit, Key, Kind, Message, Node, Paxos, Value};
@@ -234,9 +238,9 @@
             any::<u64>(),
             prop::collection::vec(edit, 0..3),
         )
-            .prop_map(|(number, after, id, edits)| Change {
-                number,
-                after,
+            .prop_map(|(version, previous, id, edits)| Change {
+                version,
+                previous,
                 id,
                 edits,
             });
@@ -251,7 +255,7 @@
                 })
             }),
             (token(), token())
-                .prop_map(|(token, highest)| Message::Paxos(Paxos::Refused { token, highest })),
+                .prop_map(|(token, highest)| Message::Paxos(Paxos::Nack { token, highest })),
             (prop::collection::vec(change, 0..3), 0u64..9, any::<bool>()).prop_map(
                 |(changes, version, push)| Message::Changes {
                     changes,
@@ -260,18 +264,18 @@
                 }
             ),
             (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(
-                |((version, root), (new, ask))| {
+                |((version, root), (is_new, wants_reply))| {
                     Message::Digest {
                         digest: Digest { version, root },
-                        new,
-                        ask,
+                        is_new,
+                        wants_reply,
                     }
                 }
             ),
-            (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::Hashes {
+            (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::CompareNode {
                 node: Node { level, index }
             }),
-            (any::<u64>(), any::<u64>()).prop_map(|(from, to)| Message::Range { from, to }),
+            range().prop_map(|range| Message::FetchRange { range }),
         ];
         message.prop_map(Duties::Config)
     }
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -2,7 +2,7 @@
 //! keeps: the socket side of [`meadowproxy::fleet`].
 //!
 //! Two threads work beside the request loop: `wire` takes the other proxies' messages, `clock` lets time pass; a third,
-//! `copy`, writes a snapshot of the configuration where one is kept. They share six tables. **Lock order**, checked at every
+//! `copy`, writes a snapshot of the configuration where one is saved. They share six tables. **Lock order**, checked at every
 //! lock ([`ranked`]): `leases` before `config` before `calendar` before `roster` before `outbox` before `relay`; whoever holds one takes
 //! only later ones. The request loop takes none of them. It gets effects from
 //! a bounded channel, and shows what it sees through a watch in which the newest wins; operators' calls go to the clock over a
@@ -10,7 +10,7 @@
 
 mod clock;
 mod config;
-pub mod copy;
+pub mod config_snapshot;
 pub mod door;
 mod leases;
 mod message;
@@ -20,13 +20,13 @@
 
 use crate::net::admin::{DutiesDoor, Later};
 use crate::net::cluster::gossip::Peers;
-use crate::net::config::overlay::Overlay;
+use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::Voting;
 use crate::net::host::{Host, RosterRow, Why};
 use bytes::Bytes;
 use clock::{Clock, Command};
-use config::Configuring;
-use copy::Kept;
+use config::ConfigDriver;
+use config_snapshot::SnapshotFile;
 use hyper::{Method, StatusCode};
 use leases::Leases;
 use meadowproxy::fleet::calendar::{Budget, Calendar, Rules, Wall};
@@ -121,12 +121,12 @@
     commands: SyncSender<Command>,
     ready: watch::Receiver<bool>,
     /// What changes are checked against.
-    overlay: Rc<Overlay>,
+    fleet_overrides: Rc<FleetOverrides>,
 }
 
 impl Duties {
-    /// Starts the workers. `ramp`: how long a backend that is back is in slow start; `kept`: where this proxy's copy of the
-    /// configuration is kept, if it is.
+    /// Starts the workers. `ramp`: how long a backend that is back is in slow start; `config_snapshot`: where this proxy's table of the
+    /// configuration is saved, if it is.
     #[expect(
         clippy::too_many_lines,
         reason = "issue 32: code that reads as well as it works"
@@ -136,8 +136,8 @@
         peers: &Rc<Peers>,
         rules: &Voting,
         ramp: Micros,
-        overlay: Rc<Overlay>,
-        kept: Option<Kept>,
+        fleet_overrides: Rc<FleetOverrides>,
+        config_snapshot: Option<SnapshotFile>,
     ) -> io::Result<Rc<Duties>> {
         let own = peers.own();
         let leases = rules
@@ -171,12 +171,12 @@
             ),
             config: Ranked::new(
                 1,
-                Configuring::new(
+                ConfigDriver::new(
                     leases,
                     rules.voters.clone(),
                     own,
                     incarnation,
-                    overlay.newest(),
+                    fleet_overrides.newest(),
                 ),
             ),
             calendar: Ranked::new(2, windows),
@@ -186,27 +186,27 @@
             post: peers.post(),
             incarnation,
         });
-        if let Some(table) = kept.as_ref().and_then(|kept| kept.recall(own)) {
-            tables.restore(table);
+        if let Some(table) = config_snapshot.as_ref().and_then(|file| file.load(own)) {
+            tables.restore_config(table);
         }
         let (pass, came) = sync_channel(MESSAGES);
         let (commands, calls) = sync_channel(CALLS);
         let (show, seen) = watch::channel(None);
         let (ask, need) = watch::channel(Need::Decides);
         let clock = Clock::new(tables.clone(), seen, ask, own, peers.alone());
-        let (wake, copied) = (commands.clone(), tables.clone());
+        let (wake, saved) = (commands.clone(), tables.clone());
         let thread = |name: &str| std::thread::Builder::new().name(format!("duties-{name}"));
         thread("wire").spawn(move || wire::run(&tables, &came, &wake))?;
         thread("clock").spawn(move || clock.run(&calls))?;
-        if let Some(kept) = kept {
-            thread("copy").spawn(move || kept.keep(&copied, own))?;
+        if let Some(file) = config_snapshot {
+            thread("copy").spawn(move || file.save_changes(&saved, own))?;
         }
         peers.pass_duties(pass);
         info!(event = "duties_start", own = %own, voters = rules.voters.len(), lease_ms = rules.lease_ms,
             "takes part in the fleet's duties");
         let applied = Rc::new(Applied {
             out: RefCell::default(),
-            overlay: overlay.clone(),
+            fleet_overrides: fleet_overrides.clone(),
         });
         let (tell, ready) = watch::channel(false);
         tokio::task::spawn_local(apply(host.clone(), told, applied.clone(), tell));
@@ -221,7 +221,7 @@
         Ok(Rc::new(Duties {
             commands,
             ready,
-            overlay,
+            fleet_overrides,
         }))
     }
 
@@ -245,10 +245,10 @@
             path,
             body,
         };
-        let command = match config::change(&call, &self.overlay) {
+        let command = match config::parse_change(&call, &self.fleet_overrides) {
             None => Command::Call(call, answer),
-            Some(Ok((base, edits))) => Command::Change(base, edits, answer),
-            Some(Err(said)) => return Box::pin(std::future::ready(said)),
+            Some(Ok(change)) => Command::Change(change.base, change.edits, answer),
+            Some(Err(error)) => return Box::pin(std::future::ready(error.answer())),
         };
         let queued = self.commands.try_send(command).is_ok();
         Box::pin(async move {
@@ -270,7 +270,7 @@
     /// Backends out for windows.
     out: RefCell<BTreeSet<String>>,
     /// The configuration's entries.
-    overlay: Rc<Overlay>,
+    fleet_overrides: Rc<FleetOverrides>,
 }
 
 /// Carries out what the workers ask.
@@ -302,9 +302,9 @@
                 );
                 applied.out.borrow_mut().remove(&name);
             }
-            Effect::Config(version, entries) => applied.overlay.add(version, entries),
+            Effect::Config(version, entries) => applied.fleet_overrides.apply(version, entries),
             Effect::Ready => {
-                applied.overlay.hear();
+                applied.fleet_overrides.confirm_file();
                 ready.send_replace(true);
             }
         }
@@ -334,8 +334,11 @@
                 rows: host.roster(),
             }));
         }
-        let (open, overlay) = (host.open_at(&applied.out.borrow()), &applied.overlay);
-        let (config, file) = (overlay.version(), overlay.file_version());
+        let (open, overrides) = (
+            host.open_at(&applied.out.borrow()),
+            &applied.fleet_overrides,
+        );
+        let (config, file) = (overrides.version(), overrides.file_version());
         let seen = Seen {
             rows: rows.clone(),
             open,
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -1,6 +1,6 @@
 //! The tables that the workers share, and what is done with several of them at once.
 
-use super::config::Configuring;
+use super::config::ConfigDriver;
 use super::leases::{Leases, Mail};
 use super::message::{self, Duties, Refused, Said};
 use super::ranked::Ranked;
@@ -24,7 +24,7 @@
 
 pub struct Tables {
     pub leases: Ranked<Leases>,
-    pub config: Ranked<Configuring>,
+    pub config: Ranked<ConfigDriver>,
     pub calendar: Ranked<Windows>,
     pub roster: Ranked<Roster>,
     pub outbox: Ranked<Outbox>,
@@ -340,8 +340,8 @@
             out: BTreeSet::new(),
             covered: Some(Vec::new()),
         };
-        let mut config = Configuring::new(rules, voters.clone(), own, 7, Default::default());
-        config.replica.take_part();
+        let mut config = ConfigDriver::new(rules, voters.clone(), own, 7, Default::default());
+        config.replica.assume_up_to_date();
         let rows = Some(Arc::new(Rows {
             at: mono(),
             rows: Vec::new(),
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -87,7 +87,9 @@
             leases(tables, duty, |l| l.learn(highest, mail));
             Ok(())
         }
-        Duties::Config(message) => tables.configured(from, message).map_err(Refused::Config),
+        Duties::Config(message) => tables
+            .handle_config_message(from, message)
+            .map_err(Refused::Config),
         Duties::Report { open } => {
             tables.roster.lock().report(from, open, MOST_REPORTED);
             Ok(())
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,11 +1,11 @@
 //! The configuration: what this proxy is told at its start, as JSON by the platform or as TOML by operators.
 
-pub mod overlay;
+pub mod fleet_overrides;
 pub mod reload;
 
 use crate::net::discovery::endpoint_list::{Lines, List, Pieces};
 use crate::net::state::snapshot;
-use meadowproxy::fleet::config::MOST_NUMBER;
+use meadowproxy::fleet::config::VERSION_LIMIT;
 use meadowproxy::fleet::lease;
 use meadowproxy::settings::{sift, Change, InForce, Lists, Reading, Settings, Sink};
 use meadowproxy::Micros;
@@ -312,9 +312,9 @@
 impl File {
     /// Checks what concerns the fleet.
     fn check(&self) -> Result<(), NodeError> {
-        if self.version.is_some_and(|version| version >= MOST_NUMBER) {
+        if self.version.is_some_and(|version| version >= VERSION_LIMIT) {
             return Err(NodeError::Version(format!(
-                "expected a version of the configuration, below {MOST_NUMBER}"
+                "expected a version of the configuration, below {VERSION_LIMIT}"
             )));
         }
         let checked = self
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::net::admin::{Control, Keepers};
 use crate::net::cluster::coordination::mono;
-use crate::net::config::overlay::{self, Overlay};
+use crate::net::config::fleet_overrides::{self, FleetOverrides, PendingEntries};
 use crate::net::config::{Again, Node, Source};
 use crate::net::descriptor_limits::room;
 use crate::net::downstream::server::{self, Rules, Server};
@@ -132,7 +132,7 @@
     /// Its zones and kinds are those of the last reading: the host's names know of later ones.
     pub in_force: InForce,
     /// What the fleet's configuration changes in them.
-    pub overlay: Rc<Overlay>,
+    pub fleet_overrides: Rc<FleetOverrides>,
     /// Digest of the settings that the fleet shares, for what peers learned under them.
     pub shared: Rc<Cell<[u8; 32]>>,
     pub keeper: Option<Rc<Keeper>>,
@@ -148,10 +148,10 @@
     /// while one reading goes on, one more follows it: so the last file counts, and never two are read at once.
     pub async fn run(mut self, mut hangup: Signal) {
         loop {
-            let overlay = self.overlay.clone();
+            let fleet_overrides = self.fleet_overrides.clone();
             tokio::select! {
                 hung_up = hangup.recv() => if hung_up.is_none() { return },
-                () = overlay.news() => {
+                () = fleet_overrides.changed() => {
                     self.amend().await;
                     continue;
                 }
@@ -176,7 +176,11 @@
     /// Reads, checks and compares, while requests go on. Nothing but [`Reload::take`] changes what it compares with,
     /// apart from places and kinds that lists name meanwhile, which that sees to.
     async fn read(&self) -> Result<(Again, Entries), String> {
-        let (source, keys, over) = (self.source.clone(), self.keys.clone(), self.overlay.over());
+        let (source, keys, over) = (
+            self.source.clone(),
+            self.keys.clone(),
+            self.fleet_overrides.snapshot(),
+        );
         let in_force = InForce {
             names: self.host.names(),
             ..self.in_force.clone()
@@ -184,16 +188,16 @@
         let read = move || {
             let again = Node::read_again(&source, &keys, &in_force).map_err(|e| e.to_string())?;
             let version = again.node.version;
-            over.check(version).map_err(|e| e.to_string())?;
+            over.check_file(version).map_err(|e| e.to_string())?;
             let file = again.change.as_ref().ok().map(|change| &change.to);
-            let (change, all) = file.map_or((None, true), |file| {
-                overlay::over(file, version, &over.overrides)
-            });
+            let amended =
+                file.map(|file| fleet_overrides::amend_file(file, version, &over.overrides));
+            let all_fit = amended.as_ref().is_none_or(|amended| amended.all_fit);
             Ok((
                 again,
                 Entries {
-                    change,
-                    version: all.then_some(over.version),
+                    change: amended.and_then(|amended| amended.change),
+                    version: all_fit.then_some(over.version),
                 },
             ))
         };
@@ -202,8 +206,8 @@
 
     /// Puts the entries that the fleet changed in force, all in one step: none of them where one does not fit.
     async fn amend(&mut self) {
-        let (version, entries) = match self.overlay.fresh() {
-            Ok(fresh) => fresh,
+        let PendingEntries { version, edits } = match self.fleet_overrides.pending() {
+            Ok(pending) => pending,
             Err(why) => {
                 warn!(
                     event = "config_file_old",
@@ -216,15 +220,16 @@
             names: self.host.names(),
             ..self.in_force.clone()
         };
-        let (file, count) = (self.overlay.file(), entries.len());
+        let (file, count) = (self.fleet_overrides.file(), edits.len());
         let amended =
-            move || overlay::amended(&base, &file, &entries).map_err(|why| why.join("; "));
+            move || fleet_overrides::amend(&base, &file, &edits).map_err(|why| why.join("; "));
         let amended = self.aside.run(amended).await;
         match amended.and_then(|change| change) {
             Ok(change) => {
                 let step = Instant::now();
                 self.put(change);
-                self.overlay.took(Some(version), self.in_force.clone());
+                self.fleet_overrides
+                    .set_in_force(Some(version), self.in_force.clone());
                 let step_us = step.elapsed().as_micros();
                 info!(
                     event = "config_in_force",
@@ -279,11 +284,13 @@
         self.host.pool.limit(room / 2);
         self.server.limit(room - room / 2);
         self.put(change);
-        self.overlay.took_file(self.in_force.clone(), node.version);
+        self.fleet_overrides
+            .set_file(self.in_force.clone(), node.version);
         if let Some(amended) = over.change {
             self.put(amended);
         }
-        self.overlay.took(over.version, self.in_force.clone());
+        self.fleet_overrides
+            .set_in_force(over.version, self.in_force.clone());
         self.shared.set(node.shared);
         self.owner.discovery = node.discovery;
         self.keeper
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -3,8 +3,9 @@
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use meadowproxy::fleet::config::{
-    Acceptor, Change, Digest, Edit, Entry, Event, Key, Kind, Memory, Message, Node, Paxos, Replica,
-    Rules, Submission, Surroundings, Table, Value,
+    AcceptedChange, Acceptor, AcceptorState, Change, Context, Digest, Edit, Entry, Event, Key,
+    Kind, Message, Node, Outbox, Outgoing, Paxos, PositionRange, RecoveryReply, Replica, Rules,
+    Submission, Table, Value,
 };
 use meadowproxy::fleet::lease::{self, Ballot, Token};
 use meadowproxy::{Micros, Time};
@@ -44,8 +45,8 @@
 
 struct Proxy {
     replica: Replica,
-    /// The token under which it believes to hold the duty.
-    holding: Option<Token>,
+    /// The token under which it believes to be the leader.
+    lease: Option<Token>,
     up: bool,
     /// Its version's history in this life.
     version: u64,
@@ -70,7 +71,7 @@
     sent: u64,
     random: Pcg32,
     token: u64,
-    holder: Option<usize>,
+    leader: Option<usize>,
     /// The root of each version that any proxy ever had, and the change that followed each.
     roots: BTreeMap<u64, u64>,
     links: BTreeMap<u64, Change>,
@@ -94,7 +95,7 @@
             sent: 0,
             random: Pcg32::seed_from_u64(seed),
             token: WALL,
-            holder: None,
+            leader: None,
             roots: BTreeMap::new(),
             links: BTreeMap::new(),
             kept: Vec::new(),
@@ -117,7 +118,7 @@
         let replica = Replica::new(rules, self.random.next_u64(), Time(self.now));
         Proxy {
             replica,
-            holding: None,
+            lease: None,
             up: true,
             version: 0,
         }
@@ -132,48 +133,48 @@
     }
 
     /// Lets one proxy act, and checks what its copy became.
-    fn act(
-        &mut self,
-        n: usize,
-        act: impl FnOnce(&mut Replica, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>),
-    ) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut Replica, Time, &Context, &mut Outbox)) {
         let members: Vec<SocketAddr> = (0..self.proxies.len())
             .filter(|m| *m != n)
             .map(address)
             .collect();
-        let holder = self.holder.map(address);
-        let around = Surroundings {
+        let leader = self.leader.map(address);
+        let context = Context {
             wall_ms: WALL + self.now / MS,
             members: &members,
-            near: &members[..members.len() / 4],
-            holding: self.proxies[n].holding,
-            holder,
+            zone_members: &members[..members.len() / 4],
+            lease: self.proxies[n].lease,
+            leader,
         };
         let mut out = Vec::new();
         act(
             &mut self.proxies[n].replica,
             Time(self.now),
-            &around,
+            &context,
             &mut out,
         );
-        for (to, message) in out {
+        for Outgoing { to, message } in out {
             self.post(n, to, message);
         }
         let proxy = &mut self.proxies[n];
         for change in proxy
             .replica
             .table()
-            .since(proxy.version)
+            .changes_since(proxy.version)
             .into_iter()
             .flatten()
         {
-            let link = self.links.entry(change.after).or_insert(change.clone());
-            assert_eq!(link, change, "two changes follow version {}", change.after);
+            let link = self.links.entry(change.previous).or_insert(change.clone());
+            assert_eq!(
+                link, change,
+                "two changes follow version {}",
+                change.previous
+            );
         }
         let mut versions = Vec::new();
-        for event in proxy.replica.events() {
+        for event in proxy.replica.take_events() {
             match event {
-                Event::InForce { version, entries } => {
+                Event::TableChanged { version, entries } => {
                     assert!(
                         version > proxy.version,
                         "proxy {n} went from {} to {version}",
@@ -188,7 +189,7 @@
                     result: Ok(number),
                 } => drop(self.acknowledged.insert(id, number)),
                 Event::Outcome { .. } => self.refused += 1,
-                Event::Superseded(_) => proxy.holding = None,
+                Event::Superseded(_) => proxy.lease = None,
                 Event::Diverged(other) => {
                     panic!("proxy {n} and {other} differ at version {}", proxy.version)
                 }
@@ -233,9 +234,9 @@
                 let ((at, _), (from, to, message)) = self.wire.pop_first().unwrap();
                 self.now = at;
                 if self.proxies[to].up && self.side[from] == self.side[to] {
-                    self.act(to, |r, now, around, out| {
+                    self.act(to, |r, now, context, out| {
                         // What is refused here came late: from a repair that is over, or from an earlier life.
-                        let _ = r.handle(now, around, address(from), message, out);
+                        let _ = r.handle(now, context, address(from), message, out);
                     });
                 }
             } else {
@@ -253,17 +254,17 @@
     /// Gives the duty to a proxy. The one before it does not know yet.
     fn elect(&mut self, n: usize) {
         self.token += 1;
-        self.proxies[n].holding = Some(Ballot {
+        self.proxies[n].lease = Some(Ballot {
             number: self.token,
             by: n as u64,
         });
-        self.holder = Some(n);
+        self.leader = Some(n);
     }
 
     /// Some seconds in which one proxy holds the duty, and bids again where it is told of a higher token.
     fn settle(&mut self, holder: usize, seconds: usize) {
         for _ in 0..seconds {
-            if self.proxies[holder].holding.is_none() || self.holder != Some(holder) {
+            if self.proxies[holder].lease.is_none() || self.leader != Some(holder) {
                 self.elect(holder);
             }
             self.run(1_000_000);
@@ -274,8 +275,8 @@
         self.submitted += 1;
         let (id, base) = (self.submitted, self.proxies[n].version);
         let submission = Submission { id, base, edits };
-        self.act(n, |r, now, around, out| {
-            drop(r.submit(now, around, submission, out));
+        self.act(n, |r, now, context, out| {
+            drop(r.submit(now, context, submission, out));
         });
         id
     }
@@ -308,7 +309,7 @@
             1 => {
                 // A holder ends: its lease is over, or it dies with its memory below.
                 let n = fleet.draw(size);
-                fleet.proxies[n].holding = None;
+                fleet.proxies[n].lease = None;
             }
             2 => {
                 let cut = fleet.draw(size);
@@ -320,7 +321,7 @@
                 let n = fleet.draw(size);
                 let now = fleet.now;
                 forgot.retain(|(n, at)| {
-                    let voting = fleet.proxies[*n].replica.votes() == Some(true);
+                    let voting = fleet.proxies[*n].replica.is_voting() == Some(true);
                     !voting || now - at < 8_000_000
                 });
                 if n >= voters || forgot.len() < voters / 2 && !forgot.iter().any(|f| f.0 == n) {
@@ -331,7 +332,7 @@
                     let begins = fleet.chance(0.5);
                     if let Some(table) = fleet.kept.get(n).filter(|_| begins).cloned() {
                         let entries = table
-                            .range(0, u64::MAX)
+                            .range(PositionRange::ALL)
                             .map(|(_, entry)| entry.clone())
                             .collect();
                         let table =
@@ -353,7 +354,7 @@
                     // Files are rolled out that contain a part of the changes, now and then one that nobody made.
                     let upto = (fleet.proxies[n].version + fleet.draw(2) as u64)
                         .saturating_sub(fleet.draw(9) as u64);
-                    fleet.submit(n, vec![Edit::contains(upto)]);
+                    fleet.submit(n, vec![Edit::compact_up_to(upto)]);
                     continue;
                 }
                 let edits: BTreeMap<usize, u64> = (0..1 + fleet.draw(3))
@@ -389,22 +390,22 @@
     );
     assert_eq!(fleet.versions().len(), 1, "all are equal");
     let chain = fleet.chain();
-    let ends = (chain[0].after, chain[chain.len() - 1].number);
+    let ends = (chain[0].previous, chain[chain.len() - 1].version);
     assert_eq!(
         (ends.0, Some(&ends.1)),
         (0, fleet.versions().first()),
         "all of it"
     );
     for pair in chain.windows(2) {
-        assert_eq!(pair[1].after, pair[0].number, "one chain");
+        assert_eq!(pair[1].previous, pair[0].version, "one chain");
     }
-    let ids: BTreeMap<u64, u64> = chain.iter().map(|c| (c.id, c.number)).collect();
+    let ids: BTreeMap<u64, u64> = chain.iter().map(|c| (c.id, c.version)).collect();
     assert_eq!(ids.len(), chain.len(), "no change twice");
     for (id, number) in &fleet.acknowledged {
         // One that changed nothing has the number of the state in which all was so already.
         let kept = ids
             .get(id)
-            .map_or(*number <= chain[chain.len() - 1].number, |n| n == number);
+            .map_or(*number <= chain[chain.len() - 1].version, |n| n == number);
         assert!(
             kept,
             "change {id} was acknowledged as {number}, and is {:?}",
@@ -491,13 +492,21 @@
         [Paxos::Recover { nonce }] => *nonce,
         _ => panic!("{out:?}"),
     };
-    let memory = |version| Memory {
-        version,
-        ..Memory::default()
+    let reply = |voter, nonce, is_complete, version| RecoveryReply {
+        voter,
+        nonce,
+        state: AcceptorState {
+            version,
+            ..AcceptorState::default()
+        },
+        is_complete,
     };
-    acceptor.known(now, WALL, 9, 0, asked(&out), (true, memory(10)));
-    acceptor.known(now, WALL, 9, 2, asked(&out), (false, memory(9)));
-    assert_eq!((acceptor.reaching(), acceptor.votes()), (Some(10), false));
+    acceptor.on_recovery_reply(now, WALL, 9, reply(0, asked(&out), true, 10));
+    acceptor.on_recovery_reply(now, WALL, 9, reply(2, asked(&out), false, 9));
+    assert_eq!(
+        (acceptor.catch_up_target(), acceptor.is_voting()),
+        (Some(10), false)
+    );
     now = now + Micros(59_000_000);
     out.clear();
     acceptor.tick(now, WALL, 9, &mut out);
@@ -505,9 +514,9 @@
     now = now + Micros(1_000_000);
     acceptor.tick(now, WALL, 9, &mut out);
     for other in [0, 2] {
-        acceptor.known(now, WALL, 9, other, asked(&out), (false, memory(9)));
+        acceptor.on_recovery_reply(now, WALL, 9, reply(other, asked(&out), false, 9));
     }
-    assert!(acceptor.votes());
+    assert!(acceptor.is_voting());
 }
 
 const OTHER: usize = 7;
@@ -524,7 +533,7 @@
     for change in changes {
         tell(&mut replica, vec![change]);
     }
-    replica.events();
+    replica.take_events();
     replica
 }
 
@@ -537,7 +546,7 @@
     replica
         .handle(
             Time(0),
-            &around(&[]),
+            &context(&[]),
             address(OTHER),
             message,
             &mut Vec::new(),
@@ -545,21 +554,21 @@
         .unwrap();
 }
 
-fn around(members: &[SocketAddr]) -> Surroundings<'_> {
-    Surroundings {
+fn context(members: &[SocketAddr]) -> Context<'_> {
+    Context {
         wall_ms: WALL,
         members,
-        near: &[],
-        holding: None,
-        holder: None,
+        zone_members: &[],
+        lease: None,
+        leader: None,
     }
 }
 
 /// A chain of changes, of these entries.
 fn changes(edits: impl Iterator<Item = Edit>) -> impl Iterator<Item = Change> {
     let numbered = |(n, edit): (u64, Edit)| Change {
-        number: n + 1,
-        after: n,
+        version: n + 1,
+        previous: n,
         id: n,
         edits: vec![edit],
     };
@@ -580,11 +589,11 @@
     while second.table().digest() != first.table().digest() || !later.is_empty() {
         now = now + Micros(50_000);
         let mut wire = Vec::new();
-        first.tick(now, &around(&[b]), &mut wire);
-        let mut wire: Vec<_> = wire.into_iter().map(|(to, m)| (a, to, m)).collect();
+        first.tick(now, &context(&[b]), &mut wire);
+        let mut wire: Vec<_> = wire.into_iter().map(|m| (a, m.to, m.message)).collect();
         let mut out = Vec::new();
-        second.tick(now, &around(&[a]), &mut out);
-        wire.extend(out.into_iter().map(|(to, m)| (b, to, m)));
+        second.tick(now, &context(&[a]), &mut out);
+        wire.extend(out.into_iter().map(|m| (b, m.to, m.message)));
         while let Some((from, to, message)) = wire.pop() {
             if f64::from(random.next_u32()) / 4_294_967_296.0 < loss || (to != a && to != b) {
                 continue;
@@ -594,14 +603,14 @@
             let (mut out, members) = (Vec::new(), [a, b]);
             let replica = if to == a { &mut *first } else { &mut *second };
             for _ in 0..1 + usize::from(random.next_u32() % 10 == 0) {
-                let _ = replica.handle(now, &around(&members), from, message.clone(), &mut out);
+                let _ = replica.handle(now, &context(&members), from, message.clone(), &mut out);
             }
-            wire.extend(out.into_iter().map(|(next, m)| (to, next, m)));
+            wire.extend(out.into_iter().map(|m| (to, m.to, m.message)));
         }
         if passed > 20 && !later.is_empty() {
             tell(first, vec![later.remove(0)]);
         }
-        events.extend(second.events());
+        events.extend(second.take_events());
         assert!(
             now < Time(600_000_000),
             "still {:?} of {:?}",
@@ -611,7 +620,7 @@
     }
     let entries = |r: &Replica| {
         r.table()
-            .range(0, u64::MAX)
+            .range(PositionRange::ALL)
             .map(|(_, e)| e.clone())
             .collect::<Vec<_>>()
     };
@@ -627,7 +636,7 @@
     let mut first = filled(8, chain.into_iter());
     let mut second = filled(9, std::iter::empty());
     let (passed, events) = repair(&mut first, &mut second, 0.02, later);
-    let Event::InForce { version, entries } = &events[0] else {
+    let Event::TableChanged { version, entries } = &events[0] else {
         panic!("{:?}", events[0])
     };
     println!(
@@ -647,7 +656,7 @@
 fn a_fetched_state_says_nothing_of_what_the_files_contain() {
     let edits = (0..9000).map(|n| {
         if n == 8000 {
-            Edit::contains(4000)
+            Edit::compact_up_to(4000)
         } else {
             edit(n, 9)
         }
@@ -656,11 +665,11 @@
     let mut second = filled(9, chain[..3000].iter().cloned());
     let mut first = filled(8, chain.into_iter());
     assert_eq!(
-        (first.table().len(), first.table().contained()),
+        (first.table().len(), first.table().compacted_version()),
         (5000, 4000)
     );
     let (_, events) = repair(&mut first, &mut second, 0.0, Vec::new());
-    let Event::InForce { version, entries } = &events[0] else {
+    let Event::TableChanged { version, entries } = &events[0] else {
         panic!("{:?}", events[0])
     };
     assert_eq!((*version, entries.len()), (9000, 5000));
@@ -682,7 +691,7 @@
     let mut second = filled(9, chain[..most].iter().cloned());
     let mut first = filled(8, chain.into_iter());
     let (passed, events) = repair(&mut first, &mut second, 0.0, Vec::new());
-    let Event::InForce { version, entries } = &events[0] else {
+    let Event::TableChanged { version, entries } = &events[0] else {
         panic!("{:?}", events[0])
     };
     assert_eq!((*version, entries.len()), (most as u64 + 5000, 10));
@@ -694,8 +703,8 @@
 #[test]
 fn equal_copies_cost_one_small_message_at_151_000_entries() {
     let many = |n: u64| Change {
-        number: n + 1,
-        after: n,
+        version: n + 1,
+        previous: n,
         id: n,
         edits: (0..16).map(|m| edit(n as usize * 16 + m, 9)).collect(),
     };
@@ -703,19 +712,19 @@
     let mut second = first.clone();
     assert!(first.table().len() >= 151_000);
     let mut out = Vec::new();
-    first.take_part();
-    first.tick(Time(10_000_000), &around(&[address(9)]), &mut out);
+    first.assume_up_to_date();
+    first.tick(Time(10_000_000), &context(&[address(9)]), &mut out);
     assert_eq!(out.len(), 1);
-    let bytes = postcard::to_stdvec(&out[0].1).unwrap();
+    let bytes = postcard::to_stdvec(&out[0].message).unwrap();
     println!("{} bytes", bytes.len());
     assert!(bytes.len() <= 20, "{} bytes", bytes.len());
     let mut answers = Vec::new();
     second
         .handle(
             Time(0),
-            &around(&[]),
+            &context(&[]),
             address(8),
-            out.remove(0).1,
+            out.remove(0).message,
             &mut answers,
         )
         .unwrap();
@@ -745,29 +754,36 @@
         any::<u64>(),
         prop::collection::vec(any_edit(), 0..3),
     )
-        .prop_map(|(number, after, id, edits)| Change {
-            number,
-            after,
+        .prop_map(|(version, previous, id, edits)| Change {
+            version,
+            previous,
             id,
             edits,
         })
 }
 
+fn any_range() -> impl Strategy<Value = PositionRange> {
+    any::<(u64, u64)>().prop_map(|(first, last)| PositionRange { first, last })
+}
+
 fn any_message() -> impl Strategy<Value = Message> {
     let digest = || (0u64..8, any::<u64>()).prop_map(|(version, root)| Digest { version, root });
     let node = || (0u8..6, any::<u16>()).prop_map(|(level, index)| Node { level, index });
     let token = || (0u64..5, 0u64..3).prop_map(|(number, by)| Ballot { number, by });
-    let entry = || (any_edit(), 0u64..9).prop_map(|(edit, number)| Entry { edit, number });
-    let accepted = move || prop::option::of((token(), any_change()));
+    let entry = || (any_edit(), 0u64..9).prop_map(|(edit, version)| Entry { edit, version });
+    let accepted = move || {
+        let accepted = (token(), any_change());
+        prop::option::of(accepted.prop_map(|(token, change)| AcceptedChange { token, change }))
+    };
     let paxos = prop_oneof![
         (token(), 0u32..3).prop_map(|(token, round)| Paxos::Prepare { token, round }),
         (token(), 0u32..3, 0u64..6, accepted(), 0u64..3).prop_map(
-            |(token, round, version, accepted, floor)| Paxos::Promise {
+            |(token, round, version, accepted, version_floor)| Paxos::Promise {
                 token,
                 round,
                 version,
                 accepted,
-                floor
+                version_floor
             }
         ),
         (token(), 0u32..3, any_change()).prop_map(|(token, round, change)| Paxos::Accept {
@@ -781,12 +797,12 @@
             round,
             version
         }),
-        (token(), token()).prop_map(|(token, highest)| Paxos::Refused { token, highest }),
+        (token(), token()).prop_map(|(token, highest)| Paxos::Nack { token, highest }),
         any::<u64>().prop_map(|nonce| Paxos::Recover { nonce }),
-        (any::<u64>(), any::<bool>()).prop_map(|(nonce, remembers)| Paxos::Known {
+        (any::<u64>(), any::<bool>()).prop_map(|(nonce, is_complete)| Paxos::RecoverReply {
             nonce,
-            memory: Default::default(),
-            remembers
+            state: AcceptorState::default(),
+            is_complete
         }),
     ];
     prop_oneof![
@@ -801,32 +817,30 @@
                 version,
                 push
             }),
-        (digest(), any::<(bool, bool)>()).prop_map(|(digest, (new, ask))| Message::Digest {
-            digest,
-            new,
-            ask
+        (digest(), any::<(bool, bool)>()).prop_map(|(digest, (is_new, wants_reply))| {
+            Message::Digest {
+                digest,
+                is_new,
+                wants_reply,
+            }
         }),
-        (0u64..9).prop_map(|version| Message::Since { version }),
-        node().prop_map(|node| Message::Hashes { node }),
+        (0u64..9).prop_map(|version| Message::ChangesSince { version }),
+        node().prop_map(|node| Message::CompareNode { node }),
         (digest(), node(), prop::collection::vec(any::<u64>(), 0..20)).prop_map(
-            |(digest, node, hashes)| Message::Children {
+            |(digest, node, hashes)| Message::NodeHashes {
                 digest,
                 node,
                 hashes
             }
         ),
-        any::<(u64, u64)>().prop_map(|(from, to)| Message::Range { from, to }),
-        (
-            digest(),
-            any::<(u64, u64)>(),
-            prop::collection::vec(entry(), 0..4)
-        )
-            .prop_map(|(digest, (from, to), entries)| Message::Part {
+        any_range().prop_map(|range| Message::FetchRange { range }),
+        (digest(), any_range(), prop::collection::vec(entry(), 0..4)).prop_map(
+            |(digest, range, entries)| Message::RangeEntries {
                 digest,
-                from,
-                to,
+                range,
                 entries
-            }),
+            }
+        ),
         (
             any::<u64>(),
             0u64..9,
@@ -843,25 +857,25 @@
 proptest! {
     /// Whatever is said by whom: nothing panics, no copy goes back, and what is refused changes nothing.
     #[test]
-    fn no_words_break_a_copy(
-        own in 0usize..8, said in prop::collection::vec((0usize..9, any_message(), any::<bool>()), 1..60),
+    fn no_messages_break_a_replica(
+        own in 0usize..8, sent in prop::collection::vec((0usize..9, any_message(), any::<bool>()), 1..60),
     ) {
         let mut replica = filled(own, std::iter::empty());
         let members: Vec<SocketAddr> = (0..9).filter(|n| *n != own).map(address).collect();
         let mut now = Time(0);
         let mut version = 0;
-        for (from, message, holds) in said {
+        for (from, message, leads) in sent {
             now = now + Micros(400_000);
-            let holding = holds.then_some(Ballot { number: 4, by: 1 });
-            let around = Surroundings { holding, ..around(&members) };
+            let lease = leads.then_some(Ballot { number: 4, by: 1 });
+            let context = Context { lease, ..context(&members) };
             let before = replica.table().digest();
             let mut out = Vec::new();
-            if replica.handle(now, &around, address(from), message, &mut out).is_err() {
+            if replica.handle(now, &context, address(from), message, &mut out).is_err() {
                 prop_assert_eq!(replica.table().digest(), before);
             }
-            replica.tick(now, &around, &mut out);
-            for event in replica.events() {
-                if let Event::InForce { version: new, .. } = event {
+            replica.tick(now, &context, &mut out);
+            for event in replica.take_events() {
+                if let Event::TableChanged { version: new, .. } = event {
                     prop_assert!(new > version);
                     version = new;
                 }
@@ -883,9 +897,9 @@
         },
         value: Value::Set(vec![0; value]),
     };
-    let change = |number: u64, after: u64, edits: Vec<Edit>| Change {
-        number,
-        after,
+    let change = |version: u64, previous: u64, edits: Vec<Edit>| Change {
+        version,
+        previous,
         id: 1,
         edits,
     };
@@ -903,7 +917,7 @@
     let mut cause = |message: Message, from: usize| {
         let refused = replica.handle(
             Time(0),
-            &around(&[]),
+            &context(&[]),
             address(from),
             message,
             &mut Vec::new(),
@@ -930,26 +944,33 @@
     );
     assert_eq!(
         cause(
-            Message::Hashes {
+            Message::CompareNode {
                 node: Node { level: 4, index: 0 }
             },
             OTHER
         ),
         "unasked"
     );
-    assert_eq!(cause(Message::Range { from: 2, to: 1 }, OTHER), "unasked");
+    assert_eq!(
+        cause(
+            Message::FetchRange {
+                range: PositionRange { first: 2, last: 1 }
+            },
+            OTHER
+        ),
+        "unasked"
+    );
     let digest = Digest {
         version: 9,
         root: 1,
     };
-    let part = Message::Part {
+    let part = Message::RangeEntries {
         digest,
-        from: 0,
-        to: 9,
+        range: PositionRange { first: 0, last: 9 },
         entries: Vec::new(),
     };
     assert_eq!(cause(part, OTHER), "unasked");
-    let children = Message::Children {
+    let children = Message::NodeHashes {
         digest,
         node: Node::ROOT,
         hashes: vec![0; 16],
--- a/tests/config_files.rs
+++ b/tests/config_files.rs
@@ -1,8 +1,10 @@
-//! The platform's files beside the fleet's configuration, under a model checker: proxies with files of any versions, rolled out
-//! and back in any order, while changes are decided, spread, fetched and dropped from the table as the files contain them. The
-//! machines are the real ones.
+//! The platform's files and the fleet's configuration, under a model checker: proxies with files of any versions, rolled out
+//! and back in any order, while changes are committed, spread, fetched and compacted into the files. The machines are the
+//! real ones.
 
-use meadowproxy::fleet::config::{Change, Edit, Entry, Key, Kind, Overrides, Table, Value};
+use meadowproxy::fleet::config::{
+    Change, Edit, Entry, Key, Kind, Overrides, PositionRange, Table, Value,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
@@ -10,8 +12,8 @@
 const PROXIES: usize = 1;
 const CHANGES: usize = 4;
 
-const STATE: &str = "what is in force is one state of the chain, each change of it whole";
-const NEWEST: &str = "it is that of the copy or of the file, whichever is later";
+const STATE: &str = "what is in force is one state of the chain, each change of it complete";
+const NEWEST: &str = "it is that of the table or of the file, whichever is later";
 const BACK: &str = "it never goes back while a proxy lives";
 const DROPPED: &str = "an entry may be dropped that an older file lacks";
 const LACKING: &str = "a proxy may be started with a file that is too old";
@@ -41,16 +43,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
-    copy: u64,
+    table_version: u64,
     overrides: Overrides,
     file: u64,
-    /// Somebody told it which version is the newest.
-    heard: bool,
+    /// It knows which version is the newest.
+    knows_newest: bool,
     in_force: State,
-    waiting: Vec<(Key, Value)>,
-    /// The latest state that it ever had in force since it was told.
+    waiting: Vec<Edit>,
+    /// The latest state that it ever had in force since then.
     reached: u64,
-    back: bool,
+    went_back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -67,31 +69,31 @@
     /// A change of two names, of the first alone, or of what the files contain.
     Both,
     One,
-    Contained(u64),
-    /// A proxy's copy gets the next change, or the newest state in one step.
+    Compact(u64),
+    /// A proxy's table gets the next change, or the newest state in one step.
     Spread(usize),
     Fetch(usize),
-    /// It is told the newest version.
-    Hear(usize),
+    /// It learns the newest version.
+    LearnNewest(usize),
     /// It reads a file that contains the changes up to that one.
     Read(usize, u64),
     /// It starts anew with such a file.
     Start(usize, u64),
 }
 
-fn set(name: &str, number: u64) -> Edit {
+fn set(name: &str, version: u64) -> Edit {
     Edit {
         key: Key {
             kind: Kind::Tenant,
             name: name.into(),
         },
-        value: Value::Set(vec![number as u8]),
+        value: Value::Set(vec![version as u8]),
     }
 }
 
-fn put(state: &mut State, key: &Key, value: &Value) {
-    if let Value::Set(bytes) = value {
-        state.insert(key.name.clone(), u64::from(bytes[0]));
+fn put(state: &mut State, edit: &Edit) {
+    if let Value::Set(bytes) = &edit.value {
+        state.insert(edit.key.name.clone(), u64::from(bytes[0]));
     }
 }
 
@@ -108,7 +110,7 @@
             .flat_map(|change| &change.edits);
         edits
             .filter(|edit| edit.key.kind == Kind::Tenant)
-            .for_each(|e| put(&mut state, &e.key, &e.value));
+            .for_each(|edit| put(&mut state, edit));
         state
     }
 
@@ -127,20 +129,20 @@
         table
     }
 
-    fn decide(&mut self, edits: Vec<Edit>) {
-        let after = self.newest();
+    fn commit(&mut self, edits: Vec<Edit>) {
+        let previous = self.newest();
         self.chain.push(Change {
-            number: after + 1,
-            after,
-            id: after,
+            version: previous + 1,
+            previous,
+            id: previous,
             edits,
         });
     }
 }
 
 impl Files {
-    /// What the machine is told of a file's version.
-    fn told(&self, version: u64) -> u64 {
+    /// The version that the machine gets for a file.
+    fn claimed(&self, version: u64) -> u64 {
         match self.fault {
             Fault::HidesAbove => version + 1,
             Fault::NoVersion => 0,
@@ -149,31 +151,30 @@
     }
 
     fn start(&self, world: &World, version: u64) -> Proxy {
-        let overrides = Overrides::new(self.told(version));
+        let overrides = Overrides::new(self.claimed(version));
         let (in_force, waiting) = (world.state(version), Vec::new());
-        let (copy, file, heard, reached, back) = (0, version, false, 0, false);
         Proxy {
-            copy,
+            table_version: 0,
             overrides,
-            file,
-            heard,
+            file: version,
+            knows_newest: false,
             in_force,
             waiting,
-            reached,
-            back,
+            reached: 0,
+            went_back: false,
         }
     }
 
-    /// A copy came to another version, as the event says.
-    fn take(&self, world: &mut World, p: usize, version: u64, entries: Vec<Entry>) {
+    /// A table came to another version, as the event says.
+    fn apply(&self, world: &mut World, p: usize, version: u64, entries: Vec<Entry>) {
         let proxy = &mut world.proxies[p];
-        proxy.copy = version;
-        let over = proxy.overrides.take(version, entries);
+        proxy.table_version = version;
+        let over = proxy.overrides.apply(version, entries);
         proxy.waiting.extend(over);
-        world.lacking |= proxy.overrides.lacks().is_some();
-        if proxy.overrides.lacks().is_none() || self.fault == Fault::OverAny {
-            for (key, value) in std::mem::take(&mut proxy.waiting) {
-                put(&mut proxy.in_force, &key, &value);
+        world.lacking |= proxy.overrides.missing_version().is_some();
+        if proxy.overrides.missing_version().is_none() || self.fault == Fault::OverAny {
+            for edit in std::mem::take(&mut proxy.waiting) {
+                put(&mut proxy.in_force, &edit);
             }
         }
     }
@@ -181,16 +182,17 @@
     fn read(&self, world: &mut World, p: usize, version: u64) {
         let (newest, state) = (world.newest(), world.state(version));
         let proxy = &mut world.proxies[p];
-        let (heard, told) = (proxy.heard.then_some(newest), self.told(version));
-        if proxy.overrides.check(told, heard).is_err() && self.fault != Fault::NoCheck {
+        let known = proxy.knows_newest.then_some(newest);
+        let claimed = self.claimed(version);
+        if proxy.overrides.check_file(claimed, known).is_err() && self.fault != Fault::NoCheck {
             world.refused = true;
             return;
         }
-        proxy.overrides.read(told, heard);
+        proxy.overrides.set_file(claimed, known);
         proxy.waiting.clear();
         (proxy.file, proxy.in_force) = (version, state);
-        for (key, value) in proxy.overrides.over(told) {
-            put(&mut proxy.in_force, key, value);
+        for edit in proxy.overrides.entries_over(claimed) {
+            put(&mut proxy.in_force, &edit);
         }
     }
 }
@@ -216,13 +218,13 @@
         let newest = world.newest();
         if world.chain.len() < CHANGES {
             actions.extend([Act::Both, Act::One]);
-            actions.extend((1..=newest).map(Act::Contained));
+            actions.extend((1..=newest).map(Act::Compact));
         }
         for p in 0..PROXIES {
-            if world.proxies[p].copy < newest {
+            if world.proxies[p].table_version < newest {
                 actions.extend([Act::Spread(p), Act::Fetch(p)]);
             }
-            actions.push(Act::Hear(p));
+            actions.push(Act::LearnNewest(p));
             for version in 0..=newest {
                 actions.extend([Act::Read(p, version), Act::Start(p, version)]);
             }
@@ -231,40 +233,40 @@
 
     fn next_state(&self, before: &World, act: Act) -> Option<World> {
         let mut world = before.clone();
-        let (number, mut fresh) = (world.newest() + 1, false);
+        let (version, mut fresh) = (world.newest() + 1, false);
         match act {
-            Act::Both => world.decide(vec![set("a", number), set("b", number)]),
-            Act::One => world.decide(vec![set("a", number)]),
-            Act::Contained(upto) => {
-                let so_far = world.table(world.newest()).contained();
+            Act::Both => world.commit(vec![set("a", version), set("b", version)]),
+            Act::One => world.commit(vec![set("a", version)]),
+            Act::Compact(upto) => {
+                let so_far = world.table(world.newest()).compacted_version();
                 if upto <= so_far {
                     return None;
                 }
-                world.decide(vec![Edit::contains(upto)]);
+                world.commit(vec![Edit::compact_up_to(upto)]);
                 world.dropped |= world.proxies.iter().any(|proxy| proxy.file < upto);
             }
             Act::Spread(p) => {
-                let change = world.chain[world.proxies[p].copy as usize].clone();
-                self.take(&mut world, p, change.number, change.entries());
+                let change = world.chain[world.proxies[p].table_version as usize].clone();
+                self.apply(&mut world, p, change.version, change.entries());
             }
             Act::Fetch(p) => {
                 let (mine, theirs) = (
-                    world.table(world.proxies[p].copy),
+                    world.table(world.proxies[p].table_version),
                     world.table(world.newest()),
                 );
                 let entries = theirs
-                    .range(0, u64::MAX)
+                    .range(PositionRange::ALL)
                     .filter(|(at, entry)| mine.get(*at) != Some(entry));
                 let entries = entries.map(|(_, entry)| entry.clone()).collect();
                 let newest = world.newest();
-                self.take(&mut world, p, newest, entries);
+                self.apply(&mut world, p, newest, entries);
             }
-            Act::Hear(p) => {
+            Act::LearnNewest(p) => {
                 let newest = world.newest();
                 let proxy = &mut world.proxies[p];
-                proxy.heard = true;
+                proxy.knows_newest = true;
                 if newest > 0 {
-                    proxy.overrides.heard(newest).ok()?;
+                    proxy.overrides.confirm_file(newest).ok()?;
                 }
             }
             Act::Read(p, version) => self.read(&mut world, p, version),
@@ -278,8 +280,8 @@
                 .version_of(&world.proxies[p].in_force)
                 .unwrap_or_default();
             let proxy = &mut world.proxies[p];
-            let counts = proxy.heard && !fresh;
-            proxy.back |= counts && now < proxy.reached;
+            let counts = proxy.knows_newest && !fresh;
+            proxy.went_back |= counts && now < proxy.reached;
             proxy.reached = if counts { now } else { 0 };
         }
         (world != *before).then_some(world)
@@ -294,14 +296,14 @@
                     .all(|proxy| world.version_of(&proxy.in_force).is_some())
             }),
             Property::always(NEWEST, |_, world: &World| {
-                let of = |proxy: &Proxy| match proxy.overrides.lacks() {
-                    None => world.state(proxy.copy.max(proxy.file)) == proxy.in_force,
+                let of = |proxy: &Proxy| match proxy.overrides.missing_version() {
+                    None => world.state(proxy.table_version.max(proxy.file)) == proxy.in_force,
                     Some(_) => true,
                 };
                 world.proxies.iter().all(of)
             }),
             Property::always(BACK, |_, world: &World| {
-                !world.proxies.iter().any(|proxy| proxy.back)
+                !world.proxies.iter().any(|proxy| proxy.went_back)
             }),
             Property::sometimes(DROPPED, |_, world: &World| world.dropped),
             Property::sometimes(LACKING, |_, world: &World| world.lacking),
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -1,40 +1,43 @@
-//! How changes of the configuration are numbered and decided, under a model checker: every order of events of a small
-//! fleet, within bounds. The machines are the real ones; `config.rs` beside this has random storms of a larger fleet.
+//! How changes of the configuration get versions and are committed, under a model checker: every order of events of a small
+//! fleet, within bounds. The machines are the real ones; `config.rs` has random faults in a larger fleet.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-use meadowproxy::fleet::config::{Acceptor, Change, Edit, Key, Kind, Paxos, Proposer, Step, Value};
+use meadowproxy::fleet::config::{
+    Acceptor, AcceptorState, Change, Edit, Key, Kind, Paxos, Proposal, Proposer, RecoveryReply,
+    Step, Value,
+};
 use meadowproxy::fleet::lease::{Ballot, Rules, Token};
 use meadowproxy::{Micros, Time};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 const VOTERS: usize = 3;
-const HOLDERS: usize = 2;
+const LEADERS: usize = 2;
 /// The wall clock when voters start, in milliseconds.
 const WALL: u64 = 1000;
 
-const NUMBER: &str = "no two changes have one number";
-const KEPT: &str =
-    "no two changes are decided after one version, so none that was acknowledged is lost";
+const VERSION: &str = "no two changes have one version";
+const DURABLE: &str =
+    "no two changes are committed after one version, so none that was acknowledged is lost";
 const CHAIN: &str =
-    "every copy is a prefix of one chain, so a change comes into force everywhere or nowhere";
-const FINISHED: &str = "a change of one holder may be finished by the next";
+    "every table is a prefix of one chain, so a change is applied everywhere or nowhere";
+const FINISHED: &str = "a change of one leader may be finished by the next";
 const DROPPED: &str = "a change that was proposed may be dropped";
-const RECOVERED: &str = "a change is possible with a voter that had forgotten";
+const RECOVERED: &str = "a change is possible with a voter that had restarted";
 
 /// What is wrong around the machines under test, on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A holder proposes without having asked a majority what there is.
-    NoRead,
-    /// A voter that starts anew asks and votes at once.
+    /// A leader proposes without a majority's promises.
+    NoPrepare,
+    /// A voter that restarts recovers and votes at once.
     NoSilence,
-    /// It takes part without having asked the others.
+    /// It votes without the other voters' states.
     NoRecovery,
-    /// It asks for what is promised and decided, and not for what is under way.
+    /// It recovers promises and versions, and not the accepted change.
     NoAccepted,
-    /// Numbers go on from what is known though a majority forgot.
+    /// Versions go on from what is known though a majority restarted.
     NoFloor,
 }
 
@@ -42,29 +45,29 @@
 #[derive(Clone)]
 struct Fleet {
     fault: Fault,
-    /// How often a voter forgets; with `all` all of them at once.
+    /// How often a voter restarts; with `all` all of them at once.
     restarts: u8,
     all: bool,
-    /// Rounds that each holder gives up for another, and changes that it proposes.
+    /// Rounds that each leader gives up for another, and changes that it proposes.
     retries: u8,
     changes: u8,
 }
 
-/// A voter's seat: its machine, none while it is silent, its copy, and those of its answers that may still count.
+/// A voter: its acceptor, none while it is silent, its table's changes, and those of its replies that may still count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seat {
+struct Voter {
     acceptor: Option<Acceptor>,
-    copy: Vec<Change>,
-    answers: BTreeSet<(usize, Paxos)>,
-    /// The rounds that were open as it forgot: its silence outlasts them.
-    open: Vec<Option<u32>>,
+    chain: Vec<Change>,
+    replies: BTreeSet<(usize, Paxos)>,
+    /// The rounds that were open as it restarted: its silence outlasts them.
+    open_rounds: Vec<Option<u32>>,
 }
 
-/// A proxy that comes to hold the duty; the second one's token is above the first one's.
+/// A proxy that becomes the leader; the second one's token is above the first one's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Player {
+struct Leader {
     proposer: Option<Proposer>,
-    copy: Vec<Change>,
+    chain: Vec<Change>,
     now: Time,
     /// The round that is open.
     round: Option<u32>,
@@ -74,14 +77,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    seats: Vec<Seat>,
-    players: Vec<Player>,
-    /// All that holders ever said: it may arrive at any time, any number of times, or never.
-    said: BTreeSet<(usize, Paxos)>,
-    /// What was decided, by what it follows, and whether something else was decided in its place.
-    decided: BTreeMap<u64, Change>,
-    again: bool,
-    twice: bool,
+    voters: Vec<Voter>,
+    leaders: Vec<Leader>,
+    /// All requests that leaders ever sent: each may arrive at any time, any number of times, or never.
+    sent: BTreeSet<(usize, Paxos)>,
+    /// The committed changes, by the version that they follow.
+    committed: BTreeMap<u64, Change>,
+    /// Another change was committed in the place of one.
+    overwritten: bool,
+    /// Two changes had one version.
+    version_reused: bool,
     restarts: u8,
     finished: bool,
     dropped: bool,
@@ -90,34 +95,34 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Act {
-    /// A proxy comes to hold the duty. The one before it may not know.
-    Gain(usize),
-    /// A holder's round is over without a majority.
+    /// A proxy becomes the leader. The one before it may not know.
+    Elect(usize),
+    /// A leader's round is over without a majority.
     Retry(usize),
-    /// A holder proposes an operator's change.
+    /// A leader proposes an operator's change.
     Propose(usize),
-    /// What a holder said arrives at a seat.
+    /// A leader's request arrives at a voter.
     Arrive(usize, Paxos, usize),
-    /// The answers of two seats to a holder's round arrive: one alone changes nothing, and it stays good while the round is open.
+    /// The replies of two voters to a leader's round arrive: one alone changes nothing, and it stays valid while the round is open.
     Agree(usize, [usize; 2]),
-    /// A copy gets the next change from a holder's, by push or by repair: nobody has what no holder has. Seats come first.
+    /// A proxy gets the next change from a leader, by gossip or by catch-up: nobody has what no leader has. Voters come first.
     Spread(usize, usize),
-    /// A voter forgets all. It is the first one: voters are alike.
+    /// A voter restarts and forgets all. It is the first one: voters are alike.
     Restart,
     /// All voters do.
     RestartAll,
-    /// Its silence is over, and it asks the others; with `all` they all do.
+    /// Its silence is over, and it requests the others' states; with `all` they all do.
     Wake(usize),
-    /// The first one answers the second; with `all` everybody does.
-    Tell(usize, usize),
+    /// The first one replies to the second; with `all` everybody does.
+    RecoverReply(usize, usize),
 }
 
 fn rules() -> Rules {
     Rules::new(VOTERS, Micros(4000), 0.0).unwrap()
 }
 
-fn version(copy: &[Change]) -> u64 {
-    copy.last().map_or(0, |change| change.number)
+fn version(chain: &[Change]) -> u64 {
+    chain.last().map_or(0, |change| change.version)
 }
 
 fn token(p: usize) -> Token {
@@ -149,26 +154,36 @@
     Time(0) + rules().grant_life()
 }
 
-impl Seat {
-    /// A voter that takes part since long.
-    fn old(place: usize) -> Seat {
-        let mut acceptor = woken(place);
-        for other in (0..VOTERS).filter(|other| *other != place) {
-            acceptor.known(awake(), 0, 0, other, 1, (true, Default::default()));
+impl Voter {
+    /// A voter that has voted for long.
+    fn long_running(index: usize) -> Voter {
+        let mut acceptor = woken(index);
+        for other in (0..VOTERS).filter(|other| *other != index) {
+            acceptor.on_recovery_reply(awake(), 0, 0, empty_reply(other));
         }
-        assert!(acceptor.votes());
-        Seat {
+        assert!(acceptor.is_voting());
+        Voter {
             acceptor: Some(acceptor),
-            copy: Vec::new(),
-            answers: BTreeSet::new(),
-            open: Vec::new(),
+            chain: Vec::new(),
+            replies: BTreeSet::new(),
+            open_rounds: Vec::new(),
         }
     }
 }
 
-/// A voter that starts, as its silence is over and it has asked its first question.
-fn woken(place: usize) -> Acceptor {
-    let mut acceptor = Acceptor::new(rules(), place, 0, Time(0));
+/// The reply of a voter that never accepted anything.
+fn empty_reply(voter: usize) -> RecoveryReply {
+    RecoveryReply {
+        voter,
+        nonce: 1,
+        state: AcceptorState::default(),
+        is_complete: true,
+    }
+}
+
+/// A voter that starts, as its silence is over and it has sent its first recovery request.
+fn woken(index: usize) -> Acceptor {
+    let mut acceptor = Acceptor::new(rules(), index, 0, Time(0));
     let mut out = Vec::new();
     acceptor.tick(awake(), WALL, 0, &mut out);
     assert_eq!(out, [Paxos::Recover { nonce: 1 }]);
@@ -176,74 +191,75 @@
 }
 
 impl World {
-    fn copy(&mut self, node: usize) -> &mut Vec<Change> {
+    fn chain(&mut self, node: usize) -> &mut Vec<Change> {
         match node.checked_sub(VOTERS) {
-            None => &mut self.seats[node].copy,
-            Some(p) => &mut self.players[p].copy,
+            None => &mut self.voters[node].chain,
+            Some(p) => &mut self.leaders[p].chain,
         }
     }
 
-    fn copies(&self) -> impl Iterator<Item = &Vec<Change>> {
-        self.seats
+    fn chains(&self) -> impl Iterator<Item = &Vec<Change>> {
+        self.voters
             .iter()
-            .map(|s| &s.copy)
-            .chain(self.players.iter().map(|p| &p.copy))
+            .map(|voter| &voter.chain)
+            .chain(self.leaders.iter().map(|leader| &leader.chain))
     }
 
-    /// Takes what a holder put out.
-    fn say(&mut self, p: usize, out: Vec<Paxos>) {
+    /// Records the requests that a leader sends.
+    fn send(&mut self, p: usize, out: Vec<Paxos>) {
         for message in out {
             if let Paxos::Prepare { round, .. } | Paxos::Accept { round, .. } = message {
-                self.players[p].round = Some(round);
+                self.leaders[p].round = Some(round);
             }
-            self.said.insert((p, message));
+            self.sent.insert((p, message));
         }
-        self.forget();
+        self.drop_late_replies();
     }
 
-    /// Drops what means nothing any more: answers to rounds that are over.
-    fn forget(&mut self) {
-        let rounds: Vec<Option<u32>> = self.players.iter().map(|p| p.round).collect();
-        for seat in &mut self.seats {
-            seat.answers
-                .retain(|(p, answer)| round_of(answer) == rounds[*p]);
+    /// Drops the replies to rounds that are over.
+    fn drop_late_replies(&mut self) {
+        let rounds: Vec<Option<u32>> = self.leaders.iter().map(|p| p.round).collect();
+        for voter in &mut self.voters {
+            voter
+                .replies
+                .retain(|(p, reply)| round_of(reply) == rounds[*p]);
         }
     }
 
-    /// Lets a holder hear an answer.
-    fn hear(&mut self, p: usize, voter: usize, answer: Paxos) {
-        let player = &mut self.players[p];
-        let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
-        let Some(proposer) = &mut player.proposer else {
+    /// A reply arrives at a leader.
+    fn deliver_reply(&mut self, p: usize, voter: usize, reply: Paxos) {
+        let leader = &mut self.leaders[p];
+        let (now, version, mut out) = (leader.now, version(&leader.chain), Vec::new());
+        let Some(proposer) = &mut leader.proposer else {
             return;
         };
-        let step = proposer.heard(now, version, voter, answer, &mut out);
-        if proposer.is_ready() || proposer.reaching().is_some() {
-            player.round = None;
+        let step = proposer.handle(now, version, voter, reply, &mut out);
+        if proposer.is_ready() || proposer.catch_up_target().is_some() {
+            leader.round = None;
         }
         match step {
-            Step::Decided(change) => self.decide(p, change),
-            Step::Superseded(_) => self.players[p].proposer = None,
-            Step::Wait | Step::Lacks(..) => {}
+            Step::Committed(change) => self.commit(p, change),
+            Step::Superseded(_) => self.leaders[p].proposer = None,
+            Step::Wait | Step::VoterBehind { .. } => {}
         }
-        self.say(p, out);
+        self.send(p, out);
     }
 
-    fn decide(&mut self, p: usize, change: Change) {
+    fn commit(&mut self, p: usize, change: Change) {
         let by = change.id as usize;
         self.finished |= by != p;
         self.recovered |= self.restarts > 0;
-        let same = |other: &&Change| other.number == change.number && **other != change;
-        self.twice |= self.decided.values().find(same).is_some();
-        match self.decided.get(&change.after) {
-            Some(other) if *other != change => self.again = true,
-            _ => drop(self.decided.insert(change.after, change.clone())),
+        let same = |other: &&Change| other.version == change.version && **other != change;
+        self.version_reused |= self.committed.values().find(same).is_some();
+        match self.committed.get(&change.previous) {
+            Some(other) if *other != change => self.overwritten = true,
+            _ => drop(self.committed.insert(change.previous, change.clone())),
         }
-        let kept = |m: &&(usize, Paxos)| matches!(&m.1, Paxos::Accept { change: c, .. } if c.after == change.after && *c != change);
-        self.dropped |= self.said.iter().find(kept).is_some();
-        let copy = &mut self.players[p].copy;
-        if version(copy) == change.after {
-            copy.push(change);
+        let competes = |m: &&(usize, Paxos)| matches!(&m.1, Paxos::Accept { change: c, .. } if c.previous == change.previous && *c != change);
+        self.dropped |= self.sent.iter().find(competes).is_some();
+        let chain = &mut self.leaders[p].chain;
+        if version(chain) == change.previous {
+            chain.push(change);
         }
     }
 }
@@ -253,21 +269,21 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let player = Player {
+        let leader = Leader {
             proposer: None,
-            copy: Vec::new(),
+            chain: Vec::new(),
             now: Time(0),
             round: None,
             retries: 0,
             proposed: 0,
         };
         vec![World {
-            seats: (0..VOTERS).map(Seat::old).collect(),
-            players: vec![player; HOLDERS],
-            said: BTreeSet::new(),
-            decided: BTreeMap::new(),
-            again: false,
-            twice: false,
+            voters: (0..VOTERS).map(Voter::long_running).collect(),
+            leaders: vec![leader; LEADERS],
+            sent: BTreeSet::new(),
+            committed: BTreeMap::new(),
+            overwritten: false,
+            version_reused: false,
             restarts: 0,
             finished: false,
             dropped: false,
@@ -276,41 +292,41 @@
     }
 
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        for (p, player) in world.players.iter().enumerate() {
-            match &player.proposer {
-                None if player.now == Time(0) && player.round.is_none() && player.proposed == 0 => {
-                    acts.push(Act::Gain(p));
+        for (p, leader) in world.leaders.iter().enumerate() {
+            match &leader.proposer {
+                None if leader.now == Time(0) && leader.round.is_none() && leader.proposed == 0 => {
+                    acts.push(Act::Elect(p));
                 }
                 None => {}
-                Some(proposer) if proposer.is_ready() && player.proposed < self.changes => {
+                Some(proposer) if proposer.is_ready() && leader.proposed < self.changes => {
                     acts.push(Act::Propose(p));
                 }
-                Some(_) if player.round.is_some() && player.retries < self.retries => {
+                Some(_) if leader.round.is_some() && leader.retries < self.retries => {
                     acts.push(Act::Retry(p));
                 }
                 Some(_) => {}
             }
         }
-        for (p, message) in &world.said {
-            acts.extend((0..VOTERS).map(|seat| Act::Arrive(*p, message.clone(), seat)));
+        for (p, message) in &world.sent {
+            acts.extend((0..VOTERS).map(|voter| Act::Arrive(*p, message.clone(), voter)));
         }
-        for (voter, seat) in world.seats.iter().enumerate() {
-            match &seat.acceptor {
-                None if self.all && voter > 0 => {}
-                None => acts.push(Act::Wake(voter)),
-                Some(acceptor) if acceptor.votes() => {}
-                Some(_) if self.all => acts.push(Act::Tell(voter, voter)),
-                Some(_) => acts.extend((0..VOTERS).map(|other| Act::Tell(other, voter))),
+        for (index, voter) in world.voters.iter().enumerate() {
+            match &voter.acceptor {
+                None if self.all && index > 0 => {}
+                None => acts.push(Act::Wake(index)),
+                Some(acceptor) if acceptor.is_voting() => {}
+                Some(_) if self.all => acts.push(Act::RecoverReply(index, index)),
+                Some(_) => acts.extend((0..VOTERS).map(|other| Act::RecoverReply(other, index))),
             }
         }
-        for p in 0..HOLDERS {
-            let answered = |seat: &Seat| seat.answers.iter().any(|(to, _)| *to == p);
+        for p in 0..LEADERS {
+            let replied = |voter: &Voter| voter.replies.iter().any(|(to, _)| *to == p);
             let pairs = [[0, 1], [0, 2], [1, 2]];
-            let answered = pairs
+            let replied = pairs
                 .iter()
-                .filter(|pair| pair.iter().all(|n| answered(&world.seats[*n])));
-            acts.extend(answered.map(|pair| Act::Agree(p, *pair)));
-            acts.extend((0..VOTERS + HOLDERS).map(|to| Act::Spread(p, to)));
+                .filter(|pair| pair.iter().all(|n| replied(&world.voters[*n])));
+            acts.extend(replied.map(|pair| Act::Agree(p, *pair)));
+            acts.extend((0..VOTERS + LEADERS).map(|to| Act::Spread(p, to)));
         }
         if world.restarts < self.restarts {
             acts.push(if self.all {
@@ -324,90 +340,98 @@
     fn next_state(&self, before: &World, act: Act) -> Option<World> {
         let mut world = before.clone();
         match act {
-            Act::Gain(p) => {
+            Act::Elect(p) => {
                 let mut proposer = Proposer::new(rules(), token(p));
-                let (mut out, known) = (Vec::new(), version(&world.players[p].copy));
+                let (mut out, known) = (Vec::new(), version(&world.leaders[p].chain));
                 proposer.tick(Time(0), known, &mut out);
-                world.players[p].proposer = Some(proposer);
-                world.say(p, out);
-                if self.fault == Fault::NoRead {
+                world.leaders[p].proposer = Some(proposer);
+                world.send(p, out);
+                if self.fault == Fault::NoPrepare {
                     for voter in 0..VOTERS / 2 + 1 {
-                        let (token, version) = (token(p), version(&world.players[p].copy));
+                        let (token, version) = (token(p), version(&world.leaders[p].chain));
                         let promise = Paxos::Promise {
                             token,
                             round: 1,
                             version,
                             accepted: None,
-                            floor: 0,
+                            version_floor: 0,
                         };
-                        world.hear(p, voter, promise);
+                        world.deliver_reply(p, voter, promise);
                     }
                 }
             }
             Act::Retry(p) => {
-                let player = &mut world.players[p];
-                player.retries += 1;
-                player.now = player.now + rules().patience();
-                let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
-                player.proposer.as_mut()?.tick(now, version, &mut out);
-                world.say(p, out);
+                let leader = &mut world.leaders[p];
+                leader.retries += 1;
+                leader.now = leader.now + rules().patience();
+                let (now, version, mut out) = (leader.now, version(&leader.chain), Vec::new());
+                leader.proposer.as_mut()?.tick(now, version, &mut out);
+                world.send(p, out);
             }
             Act::Propose(p) => {
-                let player = &mut world.players[p];
-                player.proposed += 1;
-                let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
-                player.proposer.as_mut()?.propose(
+                let leader = &mut world.leaders[p];
+                leader.proposed += 1;
+                let (now, version, mut out) = (leader.now, version(&leader.chain), Vec::new());
+                leader.proposer.as_mut()?.propose(
                     now,
                     0,
                     version,
-                    (p as u64, edits()),
+                    Proposal {
+                        id: p as u64,
+                        edits: edits(),
+                    },
                     &mut out,
                 )?;
-                world.say(p, out);
+                world.send(p, out);
             }
             Act::Arrive(p, message, voter) => {
-                let seat = &mut world.seats[voter];
-                let answer = seat.acceptor.as_mut()?.handle(message, version(&seat.copy));
-                // A holder that does not hear that it is none does more than one that does.
-                seat.answers.extend(
-                    answer
-                        .filter(|a| round_of(a).is_some())
-                        .map(|answer| (p, answer)),
+                let voter = &mut world.voters[voter];
+                let reply = voter
+                    .acceptor
+                    .as_mut()?
+                    .handle(message, version(&voter.chain));
+                // A leader that is not told that it is none does more than one that is.
+                voter.replies.extend(
+                    reply
+                        .filter(|reply| round_of(reply).is_some())
+                        .map(|reply| (p, reply)),
                 );
-                world.forget();
+                world.drop_late_replies();
             }
-            Act::Agree(p, seats) => {
-                for voter in seats {
-                    let answer = world.seats[voter]
-                        .answers
+            Act::Agree(p, voters) => {
+                for voter in voters {
+                    let reply = world.voters[voter]
+                        .replies
                         .iter()
                         .find(|(to, _)| *to == p)?
                         .1
                         .clone();
-                    world.hear(p, voter, answer);
+                    world.deliver_reply(p, voter, reply);
                 }
             }
             Act::Spread(from, to) => {
-                let theirs = world.players[from].copy.clone();
-                let mine = world.copy(to);
+                let theirs = world.leaders[from].chain.clone();
+                let mine = world.chain(to);
                 if theirs.len() <= mine.len() || theirs[..mine.len()] != mine[..] {
                     return None;
                 }
                 mine.push(theirs[mine.len()].clone());
                 let version = version(mine);
-                if let Some(seat) = world.seats.get_mut(to) {
-                    seat.acceptor
-                        .iter_mut()
-                        .for_each(|a| a.tick(awake(), WALL, version, &mut Vec::new()));
+                if let Some(voter) = world.voters.get_mut(to) {
+                    if let Some(acceptor) = &mut voter.acceptor {
+                        acceptor.tick(awake(), WALL, version, &mut Vec::new());
+                    }
                 } else {
-                    let player = &mut world.players[to - VOTERS];
+                    let leader = &mut world.leaders[to - VOTERS];
                     let mut out = Vec::new();
-                    if let Some(proposer) =
-                        player.proposer.as_mut().filter(|p| p.reaching().is_some())
+                    if let Some(proposer) = leader
+                        .proposer
+                        .as_mut()
+                        .filter(|p| p.catch_up_target().is_some())
                     {
-                        proposer.tick(player.now, version, &mut out);
+                        proposer.tick(leader.now, version, &mut out);
                     }
-                    world.say(to - VOTERS, out);
+                    world.send(to - VOTERS, out);
                 }
             }
             Act::Restart => {
@@ -424,28 +448,32 @@
                 }
             }
             Act::Wake(voter) => self.wake(&mut world, voter)?,
-            Act::Tell(_, to) if self.all => {
+            Act::RecoverReply(_, to) if self.all => {
                 for from in 0..VOTERS {
-                    self.tell(&mut world, from, to);
+                    self.reply_to_recovery(&mut world, from, to);
                 }
             }
-            Act::Tell(from, to) => self.tell(&mut world, from, to)?,
+            Act::RecoverReply(from, to) => self.reply_to_recovery(&mut world, from, to)?,
         }
         (world != *before).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Fleet>> {
-        let mut properties = vec![Property::always(NUMBER, |_, world: &World| !world.twice)];
-        // Whoever lets a majority forget at once cannot be promised more than numbers.
+        let mut properties = vec![Property::always(VERSION, |_, world: &World| {
+            !world.version_reused
+        })];
+        // A fleet whose majority restarts at once cannot be promised more than versions.
         if !self.all {
-            properties.push(Property::always(KEPT, |_, world: &World| !world.again));
+            properties.push(Property::always(DURABLE, |_, world: &World| {
+                !world.overwritten
+            }));
             properties.push(Property::always(CHAIN, |_, world: &World| {
                 let longest = world
-                    .copies()
-                    .max_by_key(|copy| copy.len())
+                    .chains()
+                    .max_by_key(|chain| chain.len())
                     .cloned()
                     .unwrap_or_default();
-                world.copies().all(|copy| longest.starts_with(copy))
+                world.chains().all(|chain| longest.starts_with(chain))
             }));
             properties.push(Property::sometimes(FINISHED, |_, world: &World| {
                 world.finished
@@ -458,9 +486,9 @@
             properties.push(Property::sometimes(RECOVERED, |_, world: &World| {
                 world.recovered
                     && world
-                        .seats
+                        .voters
                         .iter()
-                        .all(|s| s.acceptor.as_ref().is_some_and(Acceptor::votes))
+                        .all(|voter| voter.acceptor.as_ref().is_some_and(Acceptor::is_voting))
             }));
         }
         properties
@@ -469,64 +497,71 @@
 
 impl World {
     fn restart(&mut self, voter: usize) {
-        let open = self.players.iter().map(|p| p.round).collect();
-        let seat = &mut self.seats[voter];
-        // What it answered may still arrive.
-        *seat = Seat {
+        let open_rounds = self.leaders.iter().map(|p| p.round).collect();
+        let voter = &mut self.voters[voter];
+        // Its replies may still arrive.
+        *voter = Voter {
             acceptor: None,
-            copy: Vec::new(),
-            answers: std::mem::take(&mut seat.answers),
-            open,
+            chain: Vec::new(),
+            replies: std::mem::take(&mut voter.replies),
+            open_rounds,
         };
     }
 }
 
 impl Fleet {
     fn wake(&self, world: &mut World, voter: usize) -> Option<()> {
-        let rounds: Vec<Option<u32>> = world.players.iter().map(|p| p.round).collect();
-        let seat = &mut world.seats[voter];
+        let rounds: Vec<Option<u32>> = world.leaders.iter().map(|p| p.round).collect();
+        let restarted = &mut world.voters[voter];
         let same = |(then, now): (&Option<u32>, &Option<u32>)| then.is_some() && then == now;
-        if self.fault != Fault::NoSilence && seat.open.iter().zip(&rounds).any(same) {
+        if self.fault != Fault::NoSilence && restarted.open_rounds.iter().zip(&rounds).any(same) {
             return None; // its silence outlasts any round
         }
-        seat.open.clear();
+        restarted.open_rounds.clear();
         let mut acceptor = woken(voter);
         if self.fault == Fault::NoRecovery {
             for other in (0..VOTERS).filter(|other| *other != voter) {
-                acceptor.known(awake(), WALL, 0, other, 1, (true, Default::default()));
+                acceptor.on_recovery_reply(awake(), WALL, 0, empty_reply(other));
             }
         }
-        seat.acceptor = Some(acceptor);
+        restarted.acceptor = Some(acceptor);
         Some(())
     }
 
-    fn tell(&self, world: &mut World, from: usize, to: usize) -> Option<()> {
-        let known = version(&world.seats[from].copy);
-        let answer = world.seats[from]
+    fn reply_to_recovery(&self, world: &mut World, from: usize, to: usize) -> Option<()> {
+        let known = version(&world.voters[from].chain);
+        let reply = world.voters[from]
             .acceptor
             .as_mut()?
             .handle(Paxos::Recover { nonce: 1 }, known)?;
-        let Paxos::Known {
+        let Paxos::RecoverReply {
             nonce,
-            mut memory,
-            remembers,
-        } = answer
+            mut state,
+            is_complete,
+        } = reply
         else {
             return None;
         };
         if self.fault == Fault::NoAccepted {
-            memory.accepted = None;
+            state.accepted = None;
         }
         let wall = if self.fault == Fault::NoFloor {
             0
         } else {
             WALL
         };
-        let seat = &mut world.seats[to];
-        let version = version(&seat.copy);
-        seat.acceptor
+        let voter = &mut world.voters[to];
+        let version = version(&voter.chain);
+        let reply = RecoveryReply {
+            voter: from,
+            nonce,
+            state,
+            is_complete,
+        };
+        voter
+            .acceptor
             .as_mut()?
-            .known(awake(), wall, version, from, nonce, (remembers, memory));
+            .on_recovery_reply(awake(), wall, version, reply);
         Some(())
     }
 
@@ -565,17 +600,17 @@
 fn no_order_of_events_splits_the_chain() {
     let searches = [
         (
-            "two holders, one change each",
+            "two leaders, one change each",
             Fleet::of(0, 0, 1),
             vec![FINISHED, DROPPED],
         ),
         (
-            "a voter forgets",
+            "a voter restarts",
             Fleet::of(1, 0, 1),
             vec![FINISHED, DROPPED, RECOVERED],
         ),
         (
-            "all voters forget at once",
+            "all voters restart at once",
             Fleet {
                 all: true,
                 ..Fleet::of(1, 0, 1)
@@ -598,17 +633,17 @@
 #[test]
 fn each_fault_is_found() {
     let faults = [
-        (Fault::NoRead, Fleet::of(0, 0, 1), KEPT),
-        (Fault::NoSilence, Fleet::of(1, 0, 1), KEPT),
-        (Fault::NoRecovery, Fleet::of(1, 0, 1), KEPT),
-        (Fault::NoAccepted, Fleet::of(1, 0, 1), KEPT),
+        (Fault::NoPrepare, Fleet::of(0, 0, 1), DURABLE),
+        (Fault::NoSilence, Fleet::of(1, 0, 1), DURABLE),
+        (Fault::NoRecovery, Fleet::of(1, 0, 1), DURABLE),
+        (Fault::NoAccepted, Fleet::of(1, 0, 1), DURABLE),
         (
             Fault::NoFloor,
             Fleet {
                 all: true,
                 ..Fleet::of(1, 0, 1)
             },
-            NUMBER,
+            VERSION,
         ),
     ];
     for (fault, fleet, property) in faults {
--- a/tests/config_scale.rs
+++ b/tests/config_scale.rs
@@ -2,7 +2,7 @@
 //! last of them, and what it costs. Seeded, and the same on any machine.
 
 use meadowproxy::fleet::config::{
-    Edit, Event, Key, Kind, Message, Replica, Rules, Submission, Surroundings, Value,
+    Context, Edit, Event, Key, Kind, Message, Outbox, Outgoing, Replica, Rules, Submission, Value,
 };
 use meadowproxy::fleet::lease::{self, Ballot};
 use meadowproxy::{Micros, Time};
@@ -36,7 +36,7 @@
     /// Since a cut the last region and all others take each other for dead: the members of each side, twice over.
     sides: Option<[Vec<SocketAddr>; 2]>,
     random: Pcg32,
-    /// The first one's, which holds the duty.
+    /// The first one's, which is the leader.
     token: u64,
     /// Bytes sent by each.
     bytes: Vec<u64>,
@@ -78,7 +78,7 @@
         };
         let proxies = (0..size).map(|n| {
             let mut replica = Replica::new(of(n), random.next_u64(), Time(0));
-            replica.take_part();
+            replica.assume_up_to_date();
             replica
         });
         let proxies: Vec<Replica> = proxies.collect();
@@ -106,11 +106,7 @@
         }
     }
 
-    fn act(
-        &mut self,
-        n: usize,
-        act: impl FnOnce(&mut Replica, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>),
-    ) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut Replica, Time, &Context, &mut Outbox)) {
         let size = self.proxies.len();
         let sides = self.sides.take();
         let members = match &sides {
@@ -118,22 +114,22 @@
             Some([others, _]) if !outside(n) => following(others, n - n / REGIONS),
             Some([_, last]) => following(last, n / REGIONS),
         };
-        let around = Surroundings {
+        let context = Context {
             wall_ms: 1_800_000_000_000 + self.now / MS,
             members,
-            near: &[],
-            holding: (n == 0).then_some(Ballot {
+            zone_members: &[],
+            lease: (n == 0).then_some(Ballot {
                 number: self.token,
                 by: 1,
             }),
-            holder: Some(address(0)),
+            leader: Some(address(0)),
         };
-        let mut out = Vec::new();
-        act(&mut self.proxies[n], Time(self.now), &around, &mut out);
+        let mut out = Outbox::new();
+        act(&mut self.proxies[n], Time(self.now), &context, &mut out);
         self.sides = sides;
-        for event in self.proxies[n].events() {
+        for event in self.proxies[n].take_events() {
             match event {
-                Event::InForce { version, .. } => {
+                Event::TableChanged { version, .. } => {
                     assert!(version > self.versions[n]);
                     (self.versions[n], self.at[n]) = (version, self.now);
                 }
@@ -142,7 +138,7 @@
                 Event::Diverged(other) => panic!("{n} and {other} differ"),
             }
         }
-        for (to, message) in out {
+        for Outgoing { to, message } in out {
             let to = place(to);
             self.bytes[n] += (postcard::to_stdvec(&message).unwrap().len() + ENVELOPE) as u64;
             let lost = f64::from(self.random.next_u32()) / 4_294_967_296.0 < self.loss;
@@ -179,8 +175,8 @@
                 Some((from, slot)) => {
                     self.free.push(slot);
                     let message = self.messages[slot].take().unwrap();
-                    self.act(n, |r, now, around, out| {
-                        let _ = r.handle(now, around, address(from), message, out);
+                    self.act(n, |r, now, context, out| {
+                        let _ = r.handle(now, context, address(from), message, out);
                     });
                 }
                 None => {
@@ -205,8 +201,8 @@
         }];
         let (begun, base) = (self.now, self.versions[by]);
         let before = self.versions.clone();
-        self.act(by, |r, now, around, out| {
-            r.submit(now, around, Submission { id, base, edits }, out)
+        self.act(by, |r, now, context, out| {
+            r.submit(now, context, Submission { id, base, edits }, out)
                 .unwrap();
         });
         self.run(span);
@@ -264,7 +260,7 @@
         let a_change = (mean - quiet * span) / changes as f64;
         println!(
             "{:.0}% lost: {changes} changes, at the last proxy after {last:?} ms; quiet {quiet:.0} bytes/s a proxy, a change \
-             {a_change:.0} bytes more; the holder {:.0} bytes/s",
+             {a_change:.0} bytes more; the leader {:.0} bytes/s",
             loss * 100.0,
             sent[0] as f64 / span
         );
