--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,7 +1,7 @@
 //! Which requests are admitted and which load is shed.
 
 use super::{
-    Balancer, Micros, Request, RequestArrival, Tenant, Time, HOLD, KIND_SAMPLES, RETRY_RATIO,
+    Balancer, Micros, PendingRequest, RequestArrival, Tenant, Time, HOLD, KIND_SAMPLES, RETRY_RATIO,
 };
 
 /// What a proxy holds tells it nothing of the others before it has watched for so long, s.
@@ -59,7 +59,7 @@
         let most = self.cfg.max_attempts as usize;
         self.requests.insert(
             new.request,
-            Request {
+            PendingRequest {
                 class,
                 came,
                 aim,
@@ -99,7 +99,7 @@
     /// Whether it has less time left than its answer usually takes, where others wait for that room: a
     /// client that came again brings what is left of its time, and its attempt would mostly be called back
     /// unfinished.
-    pub(super) fn hopeless(&self, now: Time, r: &Request) -> bool {
+    pub(super) fn hopeless(&self, now: Time, r: &PendingRequest) -> bool {
         now + self.usual(r.class) > r.deadline && !r.uploading && self.fuller(HOLD / 2.0)
     }
 
@@ -107,7 +107,7 @@
     /// has no room to count: it takes the others to be like itself, but for its part of the traffic.
     pub(super) fn fuller(&self, limit: f64) -> bool {
         let proxies = f64::from(self.cfg.proxy_count);
-        let ready: f64 = self.kinds.values().map(|k| k.ready).sum();
+        let ready: f64 = self.kinds.values().map(|k| k.ready_endpoints).sum();
         let held = self.crowd.per_s().unwrap_or(0.0) * proxies / (self.busy() / BURST).max(1.0);
         proxies > HOLD && self.crowd.seen() > CROWD_KNOWN && held > limit * ready
     }
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -338,3 +338,6 @@
 fn random_id() -> u64 {
     RandomState::new().build_hasher().finish()
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/coordination/config/change_call.rs
+++ b/src/net/cluster/coordination/config/change_call.rs
@@ -307,3 +307,6 @@
         .map_err(|error| FieldError::new("value", error.reason))?;
     Ok(edit)
 }
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -0,0 +1,129 @@
+//! The answers to operators' calls on the configuration: status and JSON.
+
+use super::*;
+use crate::fixtures::assert_lines;
+use meadowproxy::fleet::config::{Change, InvalidEntry, Kind};
+
+fn text((status, body): Answer) -> String {
+    format!("{} {body}", status.as_u16())
+}
+
+/// A result's name; whoever adds a reason has to name it here and to give one below.
+fn name(result: &Result<u64, SubmitError>) -> &'static str {
+    match result {
+        Ok(_) => "taken",
+        Err(SubmitError::Conflict { .. }) => "conflict",
+        Err(SubmitError::Invalid(_)) => "invalid",
+        Err(SubmitError::Full) => "full",
+        Err(SubmitError::Busy) => "busy",
+        Err(SubmitError::NoLeader) => "no holder",
+        Err(SubmitError::Unknown) => "unknown",
+    }
+}
+
+#[test]
+fn outcomes_of_changes_keep_their_status_and_json() {
+    let (tables, _told) = Tables::example();
+    let key = "tenants.acme".to_string();
+    let results = [
+        Ok(1_764_748_800_124),
+        Err(SubmitError::Conflict {
+            key: key.clone(),
+            version: 8,
+        }),
+        Err(SubmitError::Invalid(InvalidEntry {
+            key,
+            reason: "expected an object".into(),
+        })),
+        Err(SubmitError::Full),
+        Err(SubmitError::Busy),
+        Err(SubmitError::NoLeader),
+        Err(SubmitError::Unknown),
+    ];
+    let config = tables.config.lock();
+    let forms = results.map(|result| (name(&result), text(config.answer(result))));
+    assert_lines("config-outcomes.txt", &forms);
+}
+
+fn edit(kind: Kind, name: &str, value: Value) -> Edit {
+    Edit {
+        key: Key {
+            kind,
+            name: name.into(),
+        },
+        value,
+    }
+}
+
+fn change() -> Change {
+    let route = br#"{"name":"/read/*","class":"read"}"#;
+    let edits = vec![
+        edit(Kind::Route, "/read/*", Value::Set(route.to_vec())),
+        edit(Kind::Tenant, "acme", Value::Removed),
+        edit(Kind::Tenant, "größer", Value::AsFile),
+    ];
+    Change {
+        version: 1_764_748_800_123,
+        previous: 0,
+        id: 1,
+        edits,
+    }
+}
+
+#[test]
+fn entries_of_the_configuration_keep_their_json() {
+    let (tables, _told) = Tables::example();
+    let changes = Message::Changes {
+        changes: vec![change()],
+        version: change().version,
+        push: true,
+    };
+    tables
+        .handle_config_message(SocketAddr::from(([127, 0, 0, 1], 10)), changes)
+        .unwrap();
+    let forms = [
+        ("set", text(tables.config_entry("routes", "/read/*"))),
+        ("removed", text(tables.config_entry("tenants", "acme"))),
+        ("taken back", text(tables.config_entry("tenants", "größer"))),
+        (
+            "never changed",
+            text(tables.config_entry("tenants", "other")),
+        ),
+        ("unknown kind", text(tables.config_entry("classes", "acme"))),
+    ];
+    assert_lines("config-entries.txt", &forms);
+}
+
+#[test]
+fn the_state_of_the_configuration_keeps_its_json() {
+    let (tables, _told) = Tables::example();
+    let mut before = tables.config_status();
+    assert!(before["silent"].is_boolean());
+    before["silent"] = true.into(); // by the clock, as below
+    let from = SocketAddr::from(([127, 0, 0, 1], 10));
+    let changes = Message::Changes {
+        changes: vec![change()],
+        version: change().version,
+        push: true,
+    };
+    tables.handle_config_message(from, changes).unwrap();
+    let token = lease::Ballot {
+        number: 1_764_748_800_000,
+        by: 0x55aa,
+    };
+    tables
+        .config
+        .lock()
+        .leases
+        .effect(from, token, true, &mut Mail::new())
+        .unwrap();
+    let mut after = tables.config_status();
+    assert!(after["heard_ms"].is_u64());
+    after["heard_ms"] = 0.into();
+    after["silent"] = true.into();
+    let forms = [
+        ("empty", before.to_string()),
+        ("with a holder", after.to_string()),
+    ];
+    assert_lines("config-status.txt", &forms);
+}
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -328,3 +328,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -359,3 +359,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -287,3 +287,6 @@
         wall_us: wall_us(),
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -695,3 +695,6 @@
         Ok((node, settings))
     }
 }
+
+#[cfg(test)]
+mod stored_formats;
