--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -1,6 +1,5 @@
 //! The fleet's configuration in real processes: changes at any proxy, in force at all of them, while datagrams are lost and
 //! leaders are killed, paused and partitioned in the middle of a change (`rig::faults`).
-#![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
 
@@ -34,26 +33,43 @@
     for n in ALL {
         assert_eq!(quota(&fleet, 4 - n, &format!("t{n}")), Some(10 + n as u64));
     }
-    // Made from an older version: rejected where the entry changed since, and only there.
-    let (code, answer) = put_answered(&fleet, 3, "t4", last - 1, 99);
+    check_conflicts(&fleet, last);
+    let now = check_several_edits(&fleet);
+    check_invalid_calls(&fleet, now);
+    assert_eq!(equal(&fleet, &ALL, 0), now);
+    // The metrics have the same version.
+    fleet.wait("the metrics", |fleet| {
+        let text = String::from_utf8(fleet.proxies[3].call("GET /metrics").body).unwrap();
+        text.contains(&format!("meadowproxy_config_version {now}\n"))
+            .then_some(())
+    });
+    consistent(&fleet);
+}
+
+/// A change made from an older version is rejected where the entry changed since, and only there.
+fn check_conflicts(fleet: &Fleet, last: u64) {
+    let (code, answer) = put_answered(fleet, 3, "t4", last - 1, 99);
     assert_eq!(
         (code, &answer["field"], &answer["version"]),
         (409, &json!("tenants.t4"), &json!(last)),
         "{answer}"
     );
-    assert_eq!(put_answered(&fleet, 3, "t0", last - 1, 99).0, 200);
-    let (code, answer) = put_answered(&fleet, 2, "t0", last, 99);
+    assert_eq!(put_answered(fleet, 3, "t0", last - 1, 99).0, 200);
+    let (code, answer) = put_answered(fleet, 2, "t0", last, 99);
     assert_eq!(code, 200, "the same again: {answer}");
-    // Several at once.
-    let now = version(&fleet, 1);
+}
+
+/// A change of several entries, and one that removes an entry; returns the version after them.
+fn check_several_edits(fleet: &Fleet) -> u64 {
+    let now = version(fleet, 1);
     let several = json!({ "version": now, "entries": [
         { "kind": "tenants", "name": "t1" }, { "kind": "tenants", "name": "north" },
         { "kind": "tenants", "name": "t2", "value": { "name": "t2", "quota_rps": 3.5 } },
     ]});
-    let (code, answer) = answered(&fleet, 1, "PUT /config", &several.to_string());
+    let (code, answer) = answered(fleet, 1, "PUT /config", &several.to_string());
     assert_eq!(code, 200, "{answer}");
     let now = answer["version"].as_u64().unwrap();
-    equal(&fleet, &ALL, now);
+    equal(fleet, &ALL, now);
     let state =
         |path: &str| said(&fleet.call(0, &format!("GET /config/{path}"), "")).1["state"].clone();
     assert_eq!(
@@ -65,21 +81,24 @@
         ["removed", "removed", "set"]
     );
     let (code, answer) = answered(
-        &fleet,
+        fleet,
         2,
         "DELETE /config/tenants/t3",
         &json!({ "version": now }).to_string(),
     );
     assert_eq!(code, 200, "{answer}");
-    // The answer names all errors by key, and nothing is changed.
-    let now = equal(&fleet, &ALL, answer["version"].as_u64().unwrap());
+    equal(fleet, &ALL, answer["version"].as_u64().unwrap())
+}
+
+/// The answer to an invalid call names all errors by key, and nothing is changed.
+fn check_invalid_calls(fleet: &Fleet, now: u64) {
     let wrong = json!({ "version": now, "entries": [
         { "kind": "tenants", "name": "not-set", "value": { "name": "not-set", "quota_rps": 1.0 } },
         { "kind": "cells", "name": "a", "value": {} }, { "kind": "tenants", "name": "", "value": {} },
         { "kind": "tenants", "name": "b", "value": 5 }, { "kind": "tenants", "name": "b", "value": { "name": "c" } },
         { "kind": "tenants", "name": "c", "value": { "name": "c", "x": "y".repeat(600) } },
     ]});
-    let (code, answer) = answered(&fleet, 1, "PUT /config", &wrong.to_string());
+    let (code, answer) = answered(fleet, 1, "PUT /config", &wrong.to_string());
     let fields: Vec<&str> = answer["errors"]
         .as_array()
         .unwrap()
@@ -94,6 +113,11 @@
         "entries[5].value",
     ];
     assert_eq!((code, &fields[..]), (422, &expected[..]), "{answer}");
+    check_invalid_fields(fleet);
+}
+
+/// The answer to a call with one error names its field.
+fn check_invalid_fields(fleet: &Fleet) {
     let bad = [
         (
             "PUT /config/tenants/a",
@@ -136,7 +160,7 @@
         ("GET /config/tenants/never", "", 404, "path"),
     ];
     for (line, body, code, key) in bad {
-        let (status, answer) = answered(&fleet, 0, line, body);
+        let (status, answer) = answered(fleet, 0, line, body);
         assert_eq!(
             (status, answer["field"].as_str()),
             (code, Some(key)),
@@ -145,14 +169,6 @@
     }
     assert_eq!(fleet.call(0, "GET /config/cells/a", "").status(), 404);
     assert_eq!(fleet.call(0, "POST /config", "").status(), 405);
-    assert_eq!(equal(&fleet, &ALL, 0), now);
-    // The metrics have the same version.
-    fleet.wait("the metrics", |fleet| {
-        let text = String::from_utf8(fleet.proxies[3].call("GET /metrics").body).unwrap();
-        text.contains(&format!("meadowproxy_config_version {now}\n"))
-            .then_some(())
-    });
-    consistent(&fleet);
 }
 
 /// A route that operators set serves at every proxy, one that they removed is rejected at every proxy, and both outlive a file
@@ -285,57 +301,23 @@
         (Delivered::Requests, Failure::Partitioned),
     ];
     for (n, (delivered, failure)) in cases.into_iter().enumerate() {
-        equal(
-            &fleet,
-            &ALL,
-            put_surely(&fleet, 4, &format!("before-{n}"), 1),
-        );
+        let before = put_surely(&fleet, 4, &format!("before-{n}"), 1);
+        equal(&fleet, &ALL, before);
         let votes = |f: &Fleet| (0..3).all(|n| status(f, n)["votes"] == true).then_some(());
         fleet.wait("all voters to vote", votes);
         let (at, token) = leader(&fleet, &(0, String::new()));
         let others: Vec<usize> = ALL.into_iter().filter(|other| *other != at).collect();
-        let voters = others.iter().filter(|other| **other < 3).count();
         let cut = others.iter().map(|other| match delivered {
             Delivered::None => (at, *other),
             Delivered::Requests => (*other, at),
         });
         fleet.faults.rules.lock().unwrap().cut.extend(cut);
-        let (name, base) = (format!("middle-{n}"), version(&fleet, at));
-        let body =
-            json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
-        let length = body.len();
-        let call = format!(
-            "PUT /config/tenants/{name} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"
-        );
-        let mut caller = Client::connect(fleet.proxies[at].control.expect("a control address"));
-        caller.0.get_mut().write_all(call.as_bytes()).unwrap();
-        fleet.wait("the change to be proposed", |f| {
-            status(f, at)["proposed"].as_u64()
-        });
+        let name = format!("middle-{n}");
+        let mut caller = begin_change(&fleet, at, &name);
         if delivered == Delivered::Requests {
-            let accepted_by_all = |f: &Fleet| {
-                // Or has it in force, where a successor was quick.
-                let accepted =
-                    |n: usize| !status(f, n)["keeps"].is_null() || quota(f, n, &name).is_some();
-                (others.iter().filter(|n| **n < 3 && accepted(**n)).count() == voters).then_some(())
-            };
-            fleet.wait("the voters to accept it", accepted_by_all);
-        }
-        match failure {
-            Failure::Killed => {}
-            Failure::Paused => fleet.proxies[at].signal("-STOP"),
-            Failure::Partitioned => {
-                fleet.faults.split(&[&[at], &others]);
-                let (code, answer) = said(&caller.answer().expect("an answer"));
-                assert_eq!(code, 503, "{answer}");
-            }
-        }
-        if failure == Failure::Killed {
-            fleet.kill(&[at]);
-        }
-        if failure != Failure::Partitioned {
-            fleet.faults.split(&[&[at], &others]); // datagrams in flight do not arrive
+            wait_until_accepted(&fleet, &others, &name);
         }
+        fail_leader(&mut fleet, at, &others, &mut caller, failure);
         leader(&fleet, &token);
         match failure {
             Failure::Killed => fleet.restart(at),
@@ -345,25 +327,76 @@
         fleet.faults.heal();
         let after = put_surely(&fleet, (at + 1) % 5, &format!("after-{n}"), 1);
         equal(&fleet, &ALL, after);
-        let has: Vec<Option<u64>> = ALL.iter().map(|n| quota(&fleet, *n, &name)).collect();
-        eprintln!("{delivered:?}, {failure:?}: {has:?}");
-        assert!(
-            has.iter().all(|q| *q == has[0]),
-            "{delivered:?}, {failure:?}: {has:?}"
-        );
-        if delivered == Delivered::Requests {
-            assert_eq!(
-                has[0],
-                Some(7),
-                "a majority of the voters accepted it: {failure:?}"
-            );
-        } else if failure == Failure::Killed {
-            assert_eq!(has[0], None, "nobody else had it");
-        }
+        check_outcome(&fleet, &name, delivered, failure);
     }
     consistent(&fleet);
 }
 
+/// Sends a change to the leader, and waits until it is proposed.
+fn begin_change(fleet: &Fleet, leader: usize, name: &str) -> Client {
+    let base = version(fleet, leader);
+    let body = json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
+    let length = body.len();
+    let call =
+        format!("PUT /config/tenants/{name} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
+    let mut caller = Client::connect(fleet.proxies[leader].control.expect("a control address"));
+    caller.0.get_mut().write_all(call.as_bytes()).unwrap();
+    fleet.wait("the change to be proposed", |f| {
+        status(f, leader)["proposed"].as_u64()
+    });
+    caller
+}
+
+/// Waits until all voters among these have accepted the change, or have it in force, where a new leader was quick.
+fn wait_until_accepted(fleet: &Fleet, others: &[usize], name: &str) {
+    let voters: Vec<usize> = others.iter().copied().filter(|n| *n < 3).collect();
+    fleet.wait("the voters to accept it", |f| {
+        let accepted = |n: usize| !status(f, n)["keeps"].is_null() || quota(f, n, name).is_some();
+        let count = voters.iter().filter(|n| accepted(**n)).count();
+        (count == voters.len()).then_some(())
+    });
+}
+
+fn fail_leader(
+    fleet: &mut Fleet,
+    leader: usize,
+    others: &[usize],
+    caller: &mut Client,
+    failure: Failure,
+) {
+    match failure {
+        Failure::Killed => fleet.kill(&[leader]),
+        Failure::Paused => fleet.proxies[leader].signal("-STOP"),
+        Failure::Partitioned => {
+            fleet.faults.split(&[&[leader], others]);
+            let (code, answer) = said(&caller.answer().expect("an answer"));
+            assert_eq!(code, 503, "{answer}");
+        }
+    }
+    if failure != Failure::Partitioned {
+        fleet.faults.split(&[&[leader], others]); // datagrams in flight do not arrive
+    }
+}
+
+/// Checks that the change is in force everywhere or nowhere, and where it must be.
+fn check_outcome(fleet: &Fleet, name: &str, delivered: Delivered, failure: Failure) {
+    let has: Vec<Option<u64>> = ALL.iter().map(|n| quota(fleet, *n, name)).collect();
+    eprintln!("{delivered:?}, {failure:?}: {has:?}");
+    assert!(
+        has.iter().all(|q| *q == has[0]),
+        "{delivered:?}, {failure:?}: {has:?}"
+    );
+    if delivered == Delivered::Requests {
+        assert_eq!(
+            has[0],
+            Some(7),
+            "a majority of the voters accepted it: {failure:?}"
+        );
+    } else if failure == Failure::Killed {
+        assert_eq!(has[0], None, "nobody else had it");
+    }
+}
+
 /// With lost, duplicated, delayed, corrupted and replayed datagrams changes at all proxies come into force, and what was
 /// acknowledged is there after voters, one by one and then all at once, restarted.
 #[test]
