--- a/src/fleet/config/mod.rs
+++ b/src/fleet/config/mod.rs
@@ -6,6 +6,17 @@
 //! the lease's token as the ballot and one slot open at a time. Committed changes spread by gossip, and a replica that
 //! missed some catches up from another one's log or by anti-entropy over a Merkle tree.
 //!
+//! ```
+//! use meadowproxy::fleet::config::{Applied, Change, Edit, Key, Kind, Table, Value};
+//!
+//! let key = Key { kind: Kind::Tenant, name: "acme".into() };
+//! let edits = vec![Edit { key, value: Value::Set(b"{}".to_vec()) }];
+//! let change = Change { version: 1, previous: 0, id: 7, edits };
+//! let mut table = Table::default();
+//! assert_eq!(table.apply(&change), Ok(Applied::New));
+//! assert_eq!(table.apply(&change), Ok(Applied::Known));
+//! ```
+//!
 //! The modules use each other in one direction, from the top of this list to its end:
 //!
 //! | module | job |
--- a/src/net/cluster/coordination/clock.rs
+++ b/src/net/cluster/coordination/clock.rs
@@ -1,5 +1,6 @@
 //! The worker that lets time pass: lease timers, the holder's steps, digests, reports, and the operators' calls.
 
+use super::config::ConfigChange;
 use super::door;
 use super::leases::{text, Mail};
 use super::message::{self, Duties, Duty, Said};
@@ -7,7 +8,6 @@
 use super::wire::digests;
 use super::{mono, wall, Need, Seen};
 use meadowproxy::fleet::calendar::{Entry, Reports, Transition};
-use meadowproxy::fleet::config::Edit;
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,8 +34,8 @@
 pub enum Command {
     /// An operator's call, and where its answer goes.
     Call(door::Call, oneshot::Sender<door::Answer>),
-    /// An operator's change of the configuration, the version it was made from first.
-    Change(u64, Vec<Edit>, oneshot::Sender<door::Answer>),
+    /// An operator's change of the configuration.
+    Change(ConfigChange, oneshot::Sender<door::Answer>),
     /// This proxy goes: its duties are given up.
     Leave,
     /// Something is due now.
@@ -98,8 +98,8 @@
                 Ok(Command::Call(call, answer)) => {
                     let _ = answer.send(door::answer(&self.tables, &call)); // who asked may be gone
                 }
-                Ok(Command::Change(base, edits, answer)) => {
-                    self.tables.config_change(base, edits, answer);
+                Ok(Command::Change(change, answer)) => {
+                    self.tables.config_change(change, answer);
                 }
                 Ok(Command::Leave) => {
                     let mut mail = Mail::new();
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,166 +1,27 @@
-//! Drives the fleet's replicated configuration at this proxy: its [`Replica`] and the leader's lease under one lock, the
-//! operators' calls on them, and the changes that go to the request loop.
+//! The fleet's replicated configuration at this proxy, under one lock: the steps of its [`ConfigDriver`], and the operators'
+//! calls on it.
 
 mod change_call;
+mod driver;
 
-pub use change_call::parse_change;
+pub use change_call::{parse_change, ConfigChange};
+pub use driver::ConfigDriver;
 
 use super::door::{line, Answer};
-use super::leases::{Leases, Mail};
-use super::message::{Duties, Duty};
+use super::leases::Mail;
+use super::message::Duties;
 use super::tables::Tables;
 use super::{mono, wall, Effect};
-use crate::net::config::fleet_overrides::NewestVersion;
 use change_call::kind_named;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
-    Context, Edit, Entry, Event, Key, Message, MessageError, Outbox, Replica, Rules, Submission,
-    SubmitError, Table, Value,
+    Context, Key, Message, MessageError, Outbox, Replica, Table, Value,
 };
-use meadowproxy::fleet::lease;
-use meadowproxy::{Micros, Time};
+use meadowproxy::Time;
 use serde_json::json;
-use std::collections::BTreeMap;
-use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
-use tracing::{info, warn};
-
-/// A call is answered within this time, before the operators' connection gives up.
-const CALL_TIMEOUT: Micros = Micros(800_000);
-/// How often the metrics are set.
-const METRICS_INTERVAL: Micros = Micros(1_000_000);
-
-/// An operator's call that waits for its change's outcome.
-struct WaitingCall {
-    answer: oneshot::Sender<Answer>,
-    since: Time,
-}
-
-/// Changes that the request loop does not have yet.
-#[derive(Default)]
-struct UnsentChanges {
-    version: u64,
-    /// The last value of each entry.
-    entries: BTreeMap<Key, Entry>,
-}
-
-pub struct ConfigDriver {
-    pub leases: Leases,
-    pub replica: Replica,
-    /// By the submission's id.
-    calls: BTreeMap<u64, WaitingCall>,
-    unsent: Option<UnsentChanges>,
-    /// The newest version that this proxy knows of, for the request loop.
-    newest: NewestVersion,
-    metrics_due: Time,
-}
-
-impl ConfigDriver {
-    pub fn new(
-        lease: lease::Rules,
-        voters: Vec<SocketAddr>,
-        own: SocketAddr,
-        incarnation: u64,
-        newest: NewestVersion,
-    ) -> ConfigDriver {
-        let now = mono();
-        let rules = Rules {
-            lease,
-            voters: voters.clone(),
-            own,
-        };
-        ConfigDriver {
-            leases: Leases::new(Duty::Config, lease, voters, own, incarnation),
-            replica: Replica::new(rules, random_id(), now),
-            calls: BTreeMap::new(),
-            unsent: None,
-            newest,
-            metrics_due: now,
-        }
-    }
-
-    /// Carries out the replica's events.
-    fn carry_out_events(&mut self, mail: &mut Mail) {
-        for event in self.replica.take_events() {
-            match event {
-                Event::TableChanged { version, entries } => {
-                    let unsent = self.unsent.get_or_insert_default();
-                    unsent.version = version;
-                    let entries = entries.into_iter();
-                    unsent
-                        .entries
-                        .extend(entries.map(|entry| (entry.edit.key.clone(), entry)));
-                }
-                Event::Outcome { id, result } => self.answer_call(id, result),
-                Event::Superseded(token) => self.leases.learn(token, mail),
-                Event::Diverged(other) => {
-                    let digest = self.replica.table().digest();
-                    warn!(event = "config_diverged", version = digest.version, other = %other,
-                        "another replica has other content at this version");
-                }
-            }
-        }
-    }
-
-    fn answer_call(&mut self, id: u64, result: Result<u64, SubmitError>) {
-        if let Some(call) = self.calls.remove(&id) {
-            let _ = call.answer.send(self.answer(result)); // the caller may have gone
-        }
-    }
-
-    fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
-        let error = match result {
-            Ok(version) => return (StatusCode::OK, line(&json!({ "version": version }))),
-            Err(error) => error,
-        };
-        let status =
-            StatusCode::from_u16(error.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-        let body = match &error {
-            SubmitError::Conflict { key, version } => {
-                json!({ "field": key, "why": error.to_string(), "version": version })
-            }
-            SubmitError::Invalid(invalid) => {
-                json!({ "field": invalid.key, "why": invalid.reason })
-            }
-            SubmitError::NoLeader => {
-                json!({ "field": "holder", "why": self.leases.why_no_holder() })
-            }
-            error => json!({ "field": "holder", "why": error.to_string() }),
-        };
-        (status, line(&body))
-    }
-
-    /// Answers the calls that no outcome came for in time.
-    fn time_out_calls(&mut self, now: Time) {
-        let late: Vec<u64> = self
-            .calls
-            .iter()
-            .filter(|(_, call)| now - call.since >= CALL_TIMEOUT)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in late {
-            self.replica.withdraw(id);
-            self.answer_call(id, Err(SubmitError::Unknown));
-        }
-    }
-
-    fn set_metrics(&self) {
-        let table = self.replica.table();
-        let digest = table.digest();
-        metrics::gauge!("meadowproxy_config_version").set(digest.version as f64);
-        metrics::gauge!("meadowproxy_config_newest_version")
-            .set(self.replica.newest_version() as f64);
-        // As many bits as a float has: equal versions have equal ones.
-        metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
-        metrics::gauge!("meadowproxy_config_entries").set(table.len() as f64);
-        let heard = self.leases.heard();
-        if heard.0 < u64::MAX {
-            metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
-        }
-    }
-}
+use tracing::info;
 
 impl Tables {
     /// Runs a step of the configuration, and carries out what comes of it.
@@ -187,13 +48,9 @@
             let result = step(&mut config, now, &context, &mut out);
             config.carry_out_events(&mut mail);
             log_version(&config.replica, previous_version, now);
-            let is_new = config.replica.is_new();
-            if !is_new {
-                let newest = config.replica.newest_version();
-                config.newest.store(newest, Ordering::Relaxed);
-            }
+            config.publish_newest_version();
             self.send_config_changes(&mut config);
-            (result, was_new && !is_new)
+            (result, was_new && !config.replica.is_new())
         };
         let messages = out.into_iter();
         mail.extend(messages.map(|outgoing| (outgoing.to, Duties::Config(outgoing.message))));
@@ -230,11 +87,7 @@
                 config.leases.ready();
             }
             let lease_due = config.leases.tick(&mut mail);
-            let now = mono();
-            if now >= config.metrics_due {
-                config.metrics_due = now + METRICS_INTERVAL;
-                config.set_metrics();
-            }
+            config.update_metrics(mono());
             lease_due
         };
         self.send(mail);
@@ -257,17 +110,13 @@
     }
 
     /// Submits an operator's change, which is answered once its outcome is known.
-    pub fn config_change(&self, base: u64, edits: Vec<Edit>, answer: oneshot::Sender<Answer>) {
+    pub fn config_change(&self, change: ConfigChange, answer: oneshot::Sender<Answer>) {
         self.config_step(|config, now, context, out| {
-            let id = random_id();
-            config.calls.insert(id, WaitingCall { answer, since: now });
-            let submission = Submission { id, base, edits };
-            if let Err(error) = config.replica.submit(now, context, submission, out) {
-                config.answer_call(id, Err(error));
-            }
+            config.submit(now, context, change, answer, out);
         });
     }
 
+    /// One entry, to an operator.
     pub fn config_entry(&self, kind: &str, name: &str) -> Answer {
         let key = kind_named(kind).map(|kind| Key {
             kind,
@@ -293,6 +142,7 @@
         (StatusCode::OK, line(&body))
     }
 
+    /// The state of the configuration, to an operator.
     pub fn config_status(&self) -> serde_json::Value {
         let config = self.config.lock();
         let seen = self
@@ -334,10 +184,5 @@
     }
 }
 
-/// A number that no other proxy draws.
-fn random_id() -> u64 {
-    RandomState::new().build_hasher().finish()
-}
-
 #[cfg(test)]
 mod stored_formats;
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 use crate::fixtures::assert_lines;
-use meadowproxy::fleet::config::{Change, InvalidEntry, Kind};
+use meadowproxy::fleet::config::{Change, Edit, InvalidEntry, Kind, SubmitError};
+use meadowproxy::fleet::lease;
 
 fn text((status, body): Answer) -> String {
     format!("{} {body}", status.as_u16())
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -247,7 +247,7 @@
         };
         let command = match config::parse_change(&call, &self.fleet_overrides) {
             None => Command::Call(call, answer),
-            Some(Ok(change)) => Command::Change(change.base, change.edits, answer),
+            Some(Ok(change)) => Command::Change(change, answer),
             Some(Err(error)) => return Box::pin(std::future::ready(error.answer())),
         };
         let queued = self.commands.try_send(command).is_ok();
