--- a/src/net/cluster/coordination/config/change_call.rs
+++ b/src/net/cluster/coordination/config/change_call.rs
@@ -2,7 +2,7 @@
 //! its errors are the operator's answer.
 
 use super::super::door::{line, Answer, Call};
-use crate::net::config::fleet_overrides::FleetOverrides;
+use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{check_edits, Edit, InvalidEntry, Key, Kind, Value};
 use serde::Deserialize;
@@ -63,6 +63,13 @@
     NotFound(Vec<FieldError>),
 }
 
+impl From<AmendError> for CallError {
+    fn from(error: AmendError) -> CallError {
+        let texts = error.0.iter().map(ToString::to_string);
+        CallError::Invalid(texts.map(|text| FieldError::from_text(&text)).collect())
+    }
+}
+
 impl CallError {
     fn one(field: &str, reason: impl Into<String>) -> CallError {
         CallError::Invalid(vec![FieldError::new(field, reason)])
@@ -145,12 +152,8 @@
     };
     Some(parsed.and_then(|change| {
         check_reverts(&change.edits, overrides)?;
-        let errors = overrides.check(&change.edits);
-        if errors.is_empty() {
-            return Ok(change);
-        }
-        let errors = errors.iter().map(|text| FieldError::from_text(text));
-        Err(CallError::Invalid(errors.collect()))
+        overrides.check(&change.edits)?;
+        Ok(change)
     }))
 }
 
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -3,11 +3,12 @@
 //! puts them in force.
 
 use meadowproxy::fleet::config::{Edit, Entry, FileError, Key, Kind, Overrides, Value};
-use meadowproxy::settings::{Amendment, Change, InForce};
+use meadowproxy::settings::{Amendment, Change, InForce, SettingsError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
+use thiserror::Error;
 use tokio::sync::Notify;
 use tracing::warn;
 
@@ -189,24 +190,36 @@
         self.overrides.borrow().is_over_file(key)
     }
 
-    /// All that is wrong with a change of the settings in force, each by its key path.
-    pub fn check(&self, edits: &[Edit]) -> Vec<String> {
-        amend(&self.in_force.borrow(), &self.file.borrow(), edits)
-            .err()
-            .unwrap_or_default()
+    /// Checks a change against the settings in force.
+    ///
+    /// # Errors
+    /// All that is wrong with it.
+    pub fn check(&self, edits: &[Edit]) -> Result<(), AmendError> {
+        amend(&self.in_force.borrow(), &self.file.borrow(), edits)?;
+        Ok(())
     }
 }
 
+/// Entries that do not fit the settings: all that is wrong, each by its key path.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}", join(.0))]
+pub struct AmendError(pub Vec<SettingsError>);
+
+fn join(errors: &[SettingsError]) -> String {
+    let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    texts.join("; ")
+}
+
 /// Sets the entries in these settings, all or none; `file` has the file's values. Takes time by the number of entries.
 ///
 /// # Errors
-/// All that is wrong, each by its key path.
-pub fn amend(base: &InForce, file: &InForce, edits: &[Edit]) -> Result<Change, Vec<String>> {
+/// All that is wrong with them.
+pub fn amend(base: &InForce, file: &InForce, edits: &[Edit]) -> Result<Change, AmendError> {
     let amendments: Vec<Amendment> = edits
         .iter()
         .filter_map(|edit| amendment(base, file, edit))
         .collect();
-    base.amend(&amendments)
+    base.amend(&amendments).map_err(AmendError)
 }
 
 /// The amendment of these settings that sets an entry. One that is to be removed and does not exist needs none.
@@ -277,8 +290,8 @@
 fn fits(file: &InForce, edit: &Edit) -> bool {
     match amend(file, file, std::slice::from_ref(edit)) {
         Ok(_) => true,
-        Err(errors) => {
-            warn!(event = "config_unfit", entry = %edit.key, "an entry does not fit the file: {}", errors.join("; "));
+        Err(error) => {
+            warn!(event = "config_unfit", entry = %edit.key, "an entry does not fit the file: {error}");
             false
         }
     }
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -222,7 +222,7 @@
         };
         let (file, count) = (self.fleet_overrides.file(), edits.len());
         let amended =
-            move || fleet_overrides::amend(&base, &file, &edits).map_err(|why| why.join("; "));
+            move || fleet_overrides::amend(&base, &file, &edits).map_err(|error| error.to_string());
         let amended = self.aside.run(amended).await;
         match amended.and_then(|change| change) {
             Ok(change) => {
