--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -1,6 +1,6 @@
 //! Why there is no usable configuration.
 
-use meadowproxy::fleet::config::MOST_NUMBER;
+use meadowproxy::fleet::config::VERSION_LIMIT;
 use meadowproxy::fleet::lease;
 use meadowproxy::settings::SettingsError;
 use std::io;
@@ -52,7 +52,7 @@
     #[error("duties: {0}")]
     Coordination(#[from] CoordinationError),
     /// The version of the fleet's configuration is too large.
-    #[error("version: expected a version of the configuration, below {MOST_NUMBER}")]
+    #[error("version: expected a version of the configuration, below {VERSION_LIMIT}")]
     Version,
 }
 
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -5,7 +5,7 @@
 use super::source::{is_toml, Source};
 use super::text_reader::TextReader;
 use crate::net::discovery::endpoint_list::{EntryChunks, List, ParsedEntries};
-use meadowproxy::fleet::config::MOST_NUMBER;
+use meadowproxy::fleet::config::VERSION_LIMIT;
 use meadowproxy::settings::{extract_lists, InForce, ListSink, Lists, Reading, Settings};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -69,7 +69,7 @@
 impl ConfigFile {
     /// Checks what concerns the fleet.
     pub fn check_fleet(&self) -> Result<(), NodeError> {
-        if self.version.is_some_and(|version| version >= MOST_NUMBER) {
+        if self.version.is_some_and(|version| version >= VERSION_LIMIT) {
             return Err(NodeError::Version);
         }
         if let Some(duties) = &self.duties {
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -6,14 +6,14 @@
 use crate::net::admin::listener::{AdminListenError, AdminListener};
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
 use crate::net::cluster::coordination::mono;
-use crate::net::config::overlay::{self, Overlay};
+use crate::net::config::fleet_overrides::{self, AmendError, FleetOverrides, PendingEntries};
 use crate::net::config::{Again, Node, NodeError, Source};
 use crate::net::descriptor_limits::ConnectionLimits;
 use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
 use crate::net::state::snapshot::ProxyIdentity;
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
-use meadowproxy::fleet::config::FileRefused;
+use meadowproxy::fleet::config::FileError;
 use meadowproxy::settings::{Change, InForce, SettingsError};
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -37,13 +37,13 @@
     Node(#[from] NodeError),
     /// The file is older than the fleet's configuration in force, or newer than any known.
     #[error(transparent)]
-    FleetVersion(#[from] FileRefused),
+    FleetVersion(#[from] FileError),
     /// The file's settings do not fit those in force.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The fleet's changes do not fit the settings in force.
-    #[error("{}", .0.join("; "))]
-    FleetChanges(Vec<String>),
+    #[error(transparent)]
+    FleetChanges(#[from] AmendError),
     /// Discovery was added or removed.
     #[error("discovery: expected as before, it comes and goes only with a restart")]
     DiscoveryToggled,
@@ -76,7 +76,7 @@
     /// Its zones and kinds are those of the last reading: the host's names include later ones.
     pub in_force: InForce,
     /// The fleet's changes on top of the file.
-    pub overlay: Rc<Overlay>,
+    pub fleet_overrides: Rc<FleetOverrides>,
     /// Digest of the settings that all proxies of the fleet have in common: state learned under them can be shared.
     pub shared_settings: Rc<Cell<[u8; 32]>>,
     pub keeper: Option<Rc<SnapshotKeeper>>,
@@ -94,13 +94,13 @@
     /// arrive during a reading are followed by one more reading: the last file counts, and never two are read at once.
     pub async fn run(mut self, mut reload_signal: Signal) {
         loop {
-            let overlay = self.overlay.clone();
+            let fleet_overrides = self.fleet_overrides.clone();
             tokio::select! {
                 signal = reload_signal.recv() => match signal {
                     Some(()) => self.reload().await,
                     None => return,
                 },
-                () = overlay.news() => self.apply_fleet_changes().await,
+                () = fleet_overrides.changed() => self.apply_fleet_changes().await,
             }
         }
     }
@@ -127,19 +127,20 @@
     async fn read(&self) -> Result<ReadConfig, ReloadError> {
         let source = self.source.clone();
         let keys = self.keys.clone();
-        let fleet = self.overlay.over();
+        let fleet = self.fleet_overrides.snapshot();
         let in_force = self.in_force_with_current_names();
         let read = move || {
             let file = Node::read_again(&source, &keys, &in_force)?;
             let file_version = file.node.version;
-            fleet.check(file_version)?;
-            let (change, is_complete) = match &file.change {
-                Ok(change) => overlay::over(&change.to, file_version, &fleet.overrides),
-                Err(_) => (None, true),
-            };
+            fleet.check_file(file_version)?;
+            let from_file = file.change.as_ref().ok();
+            let amended = from_file.map(|change| {
+                fleet_overrides::amend_file(&change.to, file_version, &fleet.overrides)
+            });
+            let all_fit = amended.as_ref().is_none_or(|amended| amended.all_fit);
             let fleet = FleetChanges {
-                change,
-                version: is_complete.then_some(fleet.version),
+                change: amended.and_then(|amended| amended.change),
+                version: all_fit.then_some(fleet.version),
             };
             Ok(ReadConfig { file, fleet })
         };
@@ -155,8 +156,8 @@
 
     /// Puts the entries that the fleet changed in force, all in one step: none of them where one does not fit.
     async fn apply_fleet_changes(&mut self) {
-        let (version, entries) = match self.overlay.fresh() {
-            Ok(fresh) => fresh,
+        let PendingEntries { version, edits } = match self.fleet_overrides.pending() {
+            Ok(pending) => pending,
             Err(error) => {
                 warn!(
                     event = "config_file_old",
@@ -166,10 +167,11 @@
             }
         };
         let in_force = self.in_force_with_current_names();
-        let file = self.overlay.file();
-        let entry_count = entries.len();
-        let amend =
-            move || overlay::amended(&in_force, &file, &entries).map_err(ReloadError::FleetChanges);
+        let file = self.fleet_overrides.file();
+        let entry_count = edits.len();
+        let amend = move || {
+            fleet_overrides::amend(&in_force, &file, &edits).map_err(ReloadError::FleetChanges)
+        };
         let amended = self.background.run(amend).await;
         match amended.map_err(ReloadError::from).and_then(|change| change) {
             Ok(change) => self.put_fleet_changes_in_force(change, version, entry_count),
@@ -183,7 +185,8 @@
     fn put_fleet_changes_in_force(&mut self, change: Change, version: u64, entry_count: usize) {
         let step = Instant::now();
         self.apply_settings(change);
-        self.overlay.took(Some(version), self.in_force.clone());
+        self.fleet_overrides
+            .set_in_force(Some(version), self.in_force.clone());
         let step_us = step.elapsed().as_micros();
         info!(
             event = "config_in_force",
@@ -223,12 +226,13 @@
         }
         self.apply_descriptor_limit(node.sockets);
         self.apply_settings(change);
-        self.overlay.took_file(self.in_force.clone(), node.version);
+        self.fleet_overrides
+            .set_file(self.in_force.clone(), node.version);
         if let Some(change) = config.fleet.change {
             self.apply_settings(change);
         }
-        self.overlay
-            .took(config.fleet.version, self.in_force.clone());
+        self.fleet_overrides
+            .set_in_force(config.fleet.version, self.in_force.clone());
         self.shared_settings.set(node.shared);
         self.identity.discovery = node.discovery;
         if let Some(keeper) = &self.keeper {
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -4,9 +4,9 @@
 use super::bind::bind_with_retry;
 use super::StartError;
 use crate::net::admin::FleetAdmin;
-use crate::net::cluster::coordination::{copy::Kept, Duties};
+use crate::net::cluster::coordination::{config_snapshot::SnapshotFile, Duties};
 use crate::net::cluster::gossip::{GossipDriver, GossipOptions};
-use crate::net::config::overlay::Overlay;
+use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::Node;
 use crate::net::host::Host;
 use meadowproxy::Config;
@@ -21,7 +21,7 @@
     pub host: &'a Rc<Host>,
     /// Digest of the settings that all proxies of the fleet have in common.
     pub shared_settings: &'a Rc<Cell<[u8; 32]>>,
-    pub overlay: &'a Rc<Overlay>,
+    pub fleet_overrides: &'a Rc<FleetOverrides>,
     /// No snapshot was restored: learned state is requested from the other proxies.
     pub is_cold_start: bool,
 }
@@ -102,17 +102,17 @@
         peers,
         voting,
         start.config.slow_start,
-        start.overlay.clone(),
-        config_copies(start.node),
+        start.fleet_overrides.clone(),
+        config_snapshot_file(start.node),
     );
     duties.map(Some).map_err(StartError::Duties)
 }
 
 /// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
-fn config_copies(node: &Node) -> Option<Kept> {
+fn config_snapshot_file(node: &Node) -> Option<SnapshotFile> {
     let snapshots = node.snapshot.as_ref()?;
     let peers = node.peers.as_ref()?;
-    Some(Kept {
+    Some(SnapshotFile {
         dir: snapshots.dir.clone(),
         cluster: peers.cluster.clone(),
     })
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -9,7 +9,7 @@
 use crate::net::admin::prometheus::PrometheusRecorder;
 use crate::net::admin::AdminContext;
 use crate::net::background_thread::BackgroundThread;
-use crate::net::config::overlay::Overlay;
+use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::reload::ConfigReloader;
 use crate::net::config::Node;
 use crate::net::descriptor_limits::{follow_other_process, ConnectionLimits};
@@ -118,14 +118,14 @@
         tokio::task::spawn_local(self.host.clone().run_timers());
         tokio::task::spawn_local(self.host.pool.clone().close_idle_connections());
         let discovery = self.spawn_discovery(&node, &loaded.in_force);
-        let overlay = Rc::new(Overlay::new(loaded.in_force.clone(), node.version));
+        let fleet_overrides = Rc::new(FleetOverrides::new(loaded.in_force.clone(), node.version));
         let shared_settings = Rc::new(Cell::new(node.shared));
         let fleet = Fleet::start(FleetStart {
             node: &node,
             config: &loaded.in_force.config,
             host: &self.host,
             shared_settings: &shared_settings,
-            overlay: &overlay,
+            fleet_overrides: &fleet_overrides,
             is_cold_start: self.is_cold_start,
         })
         .await?;
@@ -143,7 +143,7 @@
             source: loaded.source,
             background: loaded.background,
             in_force: loaded.in_force,
-            overlay,
+            fleet_overrides,
             shared_settings,
             keeper: self.keeper.clone(),
             identity: self.identity.clone(),
