--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -85,6 +85,7 @@
         request: &PendingRequest,
         proven_capacities: &mut ProvenCapacities,
     ) -> Option<BackendId> {
+        let work = self.classes.relative_work(request.class);
         let mut is_candidate = |index: usize| {
             let record = self.backends.record_at(index);
             let load = &self.backends.loads[index];
@@ -98,7 +99,7 @@
             ejection_over
                 && idle
                 && usable
-                && self.fits_slow_start(now, index, request.class, proven_capacities)
+                && self.fits_slow_start(now, index, work, proven_capacities)
         };
         let mut ejected = self.backends.ejected.iter().map(|index| *index as usize);
         let index = ejected.find(|index| is_candidate(*index))?;
@@ -113,12 +114,13 @@
         request: &PendingRequest,
         proven_capacities: &mut ProvenCapacities,
     ) -> Vec<WeightOverride> {
+        let work = self.classes.relative_work(request.class);
         let low_priority = request.value < LOW_PRIORITY_VALUE;
         let mut overrides = Vec::new();
         for index in self.backends.restricted.iter().map(|index| *index as usize) {
             let drawable = now >= self.backends.record_at(index).faults().overloaded_until
                 && self.backends.has_capacity(index, low_priority)
-                && self.fits_slow_start(now, index, request.class, proven_capacities);
+                && self.fits_slow_start(now, index, work, proven_capacities);
             let weight = if drawable {
                 self.backends.weight(index)
             } else {
@@ -164,15 +166,14 @@
         }
     }
 
-    /// Whether the backend is warm, or may still be sent the work of such a request while it warms up.
+    /// Whether the backend is warm, or may still be sent the work of a request (relative to the mean) while it warms up.
     fn fits_slow_start(
         &self,
         now: Time,
         index: usize,
-        class: usize,
+        work: f64,
         proven_capacities: &mut ProvenCapacities,
     ) -> bool {
-        let work = self.classes.relative_work(class);
         let offset = self.backends.loads[index].rotation_offset;
         let exceeded =
             self.remaining_warm_up_budget(now, index, proven_capacities) < work * (1.0 - offset);
