--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -49,7 +49,7 @@
     /// at each start, so that no answer to a former life is taken for one to this.
     pub fn new(rules: Rules, place: usize, nonce: u64, now: Time) -> Acceptor {
         let state = State::Silent {
-            until: now + rules.grant_life(),
+            until: now + rules.grant_duration(),
         };
         let (promised, accepted, floor) = Default::default();
         Acceptor {
@@ -98,7 +98,7 @@
         let ask = match &self.state {
             State::Silent { until } => now >= *until,
             // Answers count together only if they came within one round's time.
-            State::Asking { since, .. } => now - *since >= self.rules.patience(),
+            State::Asking { since, .. } => now - *since >= self.rules.bid_timeout(),
             // Whoever told of that version may have forgotten it since, and nobody else have it.
             State::Reaching { since, .. } => now - *since >= REACHED,
             State::Voting => false,
@@ -151,7 +151,7 @@
             return;
         };
         let other = from < self.rules.voters() && from != self.place;
-        if other && nonce == self.nonce && now - *since < self.rules.patience() {
+        if other && nonce == self.nonce && now - *since < self.rules.bid_timeout() {
             known.insert(from, (remembers, memory));
             self.recover(now, wall_ms, version);
         }
@@ -208,7 +208,7 @@
         if change.number <= self.floor {
             // A holder that learned what there is before a majority forgot may give a number again. Under another token it
             // learns anew.
-            self.promised = token.above();
+            self.promised = token.successor();
             return Some(Paxos::Refused {
                 token,
                 highest: self.promised,
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -91,7 +91,7 @@
     pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
         self.reach(now, version, out);
         let waits = matches!(self.phase, Phase::Preparing(_) | Phase::Proposed(..));
-        if waits && (self.round == 0 || now - self.sent >= self.rules.patience()) {
+        if waits && (self.round == 0 || now - self.sent >= self.rules.bid_timeout()) {
             self.ask(now, out);
         }
     }
@@ -140,7 +140,7 @@
         out: &mut Vec<Paxos>,
     ) -> Step {
         self.reach(now, version, out);
-        let open = voter < self.rules.voters() && now - self.sent < self.rules.patience();
+        let open = voter < self.rules.voters() && now - self.sent < self.rules.bid_timeout();
         match message {
             Paxos::Refused { token, highest } if token == self.token && highest > token => {
                 return Step::Superseded(highest);
--- a/src/fleet/fence.rs
+++ b/src/fleet/fencing.rs
@@ -1,4 +1,7 @@
-//! Refuses late effects: of each duty only the highest token seen so far may act.
+//! Fencing: rejects effects of former lease holders.
+//!
+//! Whatever a lease holder does elsewhere carries its fencing token. Whoever carries the effect out checks it with
+//! [`Fence::admit`] first: of each duty only the highest token seen so far may act.
 
 use super::lease::Token;
 use std::collections::BTreeMap;
@@ -7,14 +10,14 @@
 #[derive(Clone, Debug)]
 pub struct Fence<K> {
     highest: BTreeMap<K, Token>,
-    refused: u64,
+    rejected: u64,
 }
 
 impl<K> Default for Fence<K> {
     fn default() -> Fence<K> {
         Fence {
             highest: BTreeMap::new(),
-            refused: 0,
+            rejected: 0,
         }
     }
 }
@@ -23,19 +26,19 @@
     /// Whether an effect under this token may still be carried out; the token counts as seen from then on.
     ///
     /// # Errors
-    /// The highest token, where this one is lower: its holder lost the duty and is to be told so.
-    pub fn admit(&mut self, duty: K, token: Token) -> Result<(), Token> {
+    /// The token is stale: its holder lost the duty and is to be notified.
+    pub fn admit(&mut self, duty: K, token: Token) -> Result<(), StaleToken> {
         let highest = self.highest.entry(duty).or_insert(token);
         if token < *highest {
-            self.refused = self.refused.saturating_add(1);
-            return Err(*highest);
+            self.rejected = self.rejected.saturating_add(1);
+            return Err(StaleToken { highest: *highest });
         }
         *highest = token;
         Ok(())
     }
 
     /// A token was seen without an effect: in another proxy's digest, or as this proxy's own.
-    pub fn learn(&mut self, duty: K, token: Token) {
+    pub fn observe(&mut self, duty: K, token: Token) {
         let highest = self.highest.entry(duty).or_insert(token);
         *highest = token.max(*highest);
     }
@@ -45,13 +48,21 @@
         self.highest.get(duty).copied()
     }
 
-    /// The highest token of each duty, for the digests that other proxies are sent.
+    /// The highest token of each duty, for the digests that go to other proxies.
     pub fn tokens(&self) -> impl Iterator<Item = (&K, Token)> {
         self.highest.iter().map(|(duty, token)| (duty, *token))
     }
 
-    /// How many effects were refused so far, over all duties.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// How many effects were rejected so far, over all duties.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 }
+
+/// Why an effect was rejected: a higher token was seen for its duty.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a higher fencing token was seen")]
+pub struct StaleToken {
+    /// The highest token seen.
+    pub highest: Token,
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod calendar;
 pub mod config;
-pub mod fence;
+pub mod fencing;
 pub mod lease;
 pub mod membership;
 pub mod relay;
--- a/src/net/cluster/coordination/clock/tests.rs
+++ b/src/net/cluster/coordination/clock/tests.rs
@@ -79,7 +79,10 @@
 
     /// A holder's word came just now; with `step` one on the window as well.
     fn hear(&self, step: Option<Step>) {
-        let token = Ballot { number: 5, by: 10 };
+        let token = Ballot {
+            number: 5,
+            incarnation: 10,
+        };
         let mut mail = Mail::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
         self.tables()
--- a/src/net/cluster/coordination/leases.rs
+++ b/src/net/cluster/coordination/leases.rs
@@ -3,7 +3,7 @@
 
 use super::message::{Duties, Duty, Refused, Word};
 use super::mono;
-use meadowproxy::fleet::fence::Fence;
+use meadowproxy::fleet::fencing::Fence;
 use meadowproxy::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
 use meadowproxy::{Micros, Time};
 use std::collections::VecDeque;
@@ -86,7 +86,7 @@
 
     /// The token under which this proxy holds the duty at this instant.
     pub fn holds(&self) -> Option<Token> {
-        self.candidate.holds(mono())
+        self.candidate.held_token(mono())
     }
 
     /// Whether and where the holder is, as far as it is known here.
@@ -95,7 +95,7 @@
             Some(_) => Some(self.own),
             None => {
                 let other = |h: &Holder| {
-                    h.at != Some(self.own) && mono() - h.heard < self.rules.grant_life()
+                    h.at != Some(self.own) && mono() - h.heard < self.rules.grant_duration()
                 };
                 self.holder.filter(other).and_then(|h| h.at)
             }
@@ -120,7 +120,7 @@
         self.post(now, said, mail);
         self.settle(now);
         self.majority(now, wanted);
-        self.candidate.next()
+        self.candidate.next_tick_at()
     }
 
     /// A voter bids as soon as its own vote is free; any other candidate once it has heard of no holder for long, so that in
@@ -129,15 +129,15 @@
         if !self.able || self.leaving {
             return false;
         }
-        if self.candidate.holds(now).is_some() {
+        if self.candidate.held_token(now).is_some() {
             return true;
         }
         match &self.voter {
             Some(voter) => {
-                !voter.silent(now)
+                !voter.is_silent(now)
                     && voter
-                        .granted(now)
-                        .is_none_or(|ballot| ballot.by == self.incarnation)
+                        .granted_ballot(now)
+                        .is_none_or(|ballot| ballot.incarnation == self.incarnation)
             }
             None => now - self.holder.map_or(self.started, |h| h.heard) > self.shy,
         }
@@ -152,7 +152,7 @@
     ) -> Result<(), Refused> {
         let now = mono();
         match message {
-            Message::Ask { .. } | Message::Propose { .. } | Message::Release { .. } => {
+            Message::PreVote { .. } | Message::RequestGrant { .. } | Message::Release { .. } => {
                 let answer = self.voter.as_mut().and_then(|v| v.handle(now, message));
                 mail.extend(answer.map(|message| {
                     (
@@ -164,7 +164,7 @@
                     )
                 }));
             }
-            Message::Free { .. } | Message::Accepted { .. } | Message::Refused { .. } => {
+            Message::PreVoteGranted { .. } | Message::Granted { .. } | Message::Denied { .. } => {
                 let place = self
                     .voters
                     .iter()
@@ -172,7 +172,8 @@
                     .ok_or(Refused::Stranger)?;
                 let mut said = Vec::new();
                 self.answered[place] = Some(now);
-                self.candidate.heard(now, place, message, &mut said);
+                self.candidate
+                    .handle_response(now, place, message, &mut said);
                 self.post(now, said, mail);
             }
         }
@@ -189,12 +190,12 @@
         newest: bool,
         mail: &mut Mail,
     ) -> Result<(), Refused> {
-        if let Err(highest) = self.fence.admit(self.duty, token) {
+        if let Err(stale) = self.fence.admit(self.duty, token) {
             mail.push((
                 from,
                 Duties::Fenced {
                     duty: self.duty,
-                    highest,
+                    highest: stale.highest,
                 },
             ));
             return Err(Refused::Token);
@@ -234,10 +235,10 @@
     /// A token was seen: nothing lower counts from now on, here and at this proxy's vote.
     pub fn learn(&mut self, token: Token, mail: &mut Mail) {
         let now = mono();
-        self.fence.learn(self.duty, token);
-        self.voter.iter_mut().for_each(|v| v.learn(token));
+        self.fence.observe(self.duty, token);
+        self.voter.iter_mut().for_each(|v| v.observe_token(token));
         let mut said = Vec::new();
-        self.candidate.learn(now, token, &mut said);
+        self.candidate.observe_token(now, token, &mut said);
         self.post(now, said, mail);
         self.settle(now);
     }
@@ -245,7 +246,7 @@
     /// What this proxy tells the others of the duty.
     pub fn words(&self) -> Vec<Word> {
         let now = mono();
-        let own = self.candidate.holds(now);
+        let own = self.candidate.held_token(now);
         let word = |(duty, token): (&Duty, Token)| {
             let age = match self.holder.filter(|h| h.token == token) {
                 _ if own == Some(token) => Some(Micros(0)),
@@ -292,7 +293,8 @@
                 };
                 self.answered[place] = Some(now);
                 let mut more = Vec::new();
-                self.candidate.heard(now, place, answer, &mut more);
+                self.candidate
+                    .handle_response(now, place, answer, &mut more);
                 said.extend(more);
             }
         }
@@ -300,11 +302,11 @@
 
     /// Says what became of the holding.
     fn settle(&mut self, now: Time) {
-        for change in self.candidate.changes() {
+        for change in self.candidate.take_changes() {
             match change {
-                Change::Gained(token) => {
-                    self.fence.learn(self.duty, token);
-                    self.voter.iter_mut().for_each(|v| v.learn(token));
+                Change::Acquired(token) => {
+                    self.fence.observe(self.duty, token);
+                    self.voter.iter_mut().for_each(|v| v.observe_token(token));
                     info!(event = "duty_held", duty = self.duty.name(), token = %text(token), mono_us = now.0,
                         "holds the duty");
                 }
@@ -313,7 +315,7 @@
                     let end = self.until.map_or(now, |until| until.min(now));
                     let why = match why {
                         Loss::Released => "released".to_string(),
-                        Loss::TermOver => "term over".to_string(),
+                        Loss::Expired => "term over".to_string(),
                         Loss::Superseded(by) => format!("superseded by {}", text(by)),
                     };
                     info!(event = "duty_over", duty = self.duty.name(), token = %text(token), mono_us = end.0,
@@ -321,8 +323,8 @@
                 }
             }
         }
-        self.until = self.candidate.holds_until();
-        if let Some(token) = self.candidate.holds(now) {
+        self.until = self.candidate.lease_expires_at();
+        if let Some(token) = self.candidate.held_token(now) {
             self.holder = Some(Holder {
                 token,
                 at: Some(self.own),
@@ -339,7 +341,7 @@
             return;
         }
         let (since, said) = self.wanting.get_or_insert((now, false));
-        if !*said && now - *since > self.rules.grant_life() {
+        if !*said && now - *since > self.rules.grant_duration() {
             *said = true;
             warn!(
                 event = "duty_no_majority",
@@ -393,21 +395,21 @@
             "duty": self.duty.name(),
             "own": self.own.to_string(),
             "holder": self.holder().map(|at| at.to_string()),
-            "held": self.candidate.holds(now).map(text),
+            "held": self.candidate.held_token(now).map(text),
             "token": self.fence.highest(&self.duty).map(text),
             "heard_ms": Some(self.heard()).filter(|age| age.0 < u64::MAX).map(|age| age.0 / 1000),
             "voters": self.voters.iter().map(std::string::ToString::to_string).collect::<Vec<_>>(),
             "voters_heard": heard,
             "voter": self.voter.is_some(),
-            "silent": self.voter.as_ref().is_some_and(|v| v.silent(now)),
-            "effects_refused": self.fence.refused(),
+            "silent": self.voter.as_ref().is_some_and(|v| v.is_silent(now)),
+            "effects_refused": self.fence.rejected(),
         })
     }
 }
 
 /// A token as logs and the door show it.
 pub fn text(token: Token) -> String {
-    format!("{}-{:016x}", token.number, token.by)
+    format!("{}-{:016x}", token.number, token.incarnation)
 }
 
 fn wall_ms() -> u64 {
--- /dev/null
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -0,0 +1,203 @@
+//! Tests of encoding and decoding, and strategies for random messages.
+
+use super::*;
+use meadowproxy::fleet::lease::Ballot;
+use proptest::prelude::*;
+
+fn token() -> impl Strategy<Value = Ballot> {
+    (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, incarnation)| Ballot {
+        number,
+        incarnation,
+    })
+}
+
+/// Changes of the configuration of a few keys.
+fn config_change() -> impl Strategy<Value = config::Change> {
+    use config::{Change, Edit, Key, Kind, Value};
+    let edit = (
+        "[a-c]{0,3}",
+        prop::option::of(prop::collection::vec(any::<u8>(), 0..200)),
+    )
+        .prop_map(|(name, value)| Edit {
+            key: Key {
+                kind: Kind::Tenant,
+                name,
+            },
+            value: value.map_or(Value::Removed, Value::Set),
+        });
+    (
+        0u64..5,
+        0u64..5,
+        any::<u64>(),
+        prop::collection::vec(edit, 0..3),
+    )
+        .prop_map(|(number, after, id, edits)| Change {
+            number,
+            after,
+            id,
+            edits,
+        })
+}
+
+/// Messages about the configuration; the machine's own tests have all kinds.
+fn config() -> impl Strategy<Value = Duties> {
+    use config::{Digest, Message, Node, Paxos};
+    let message = prop_oneof![
+        (token(), any::<u32>())
+            .prop_map(|(token, round)| Message::Paxos(Paxos::Prepare { token, round })),
+        (token(), any::<u32>(), config_change()).prop_map(|(token, round, change)| {
+            Message::Paxos(Paxos::Accept {
+                token,
+                round,
+                change,
+            })
+        }),
+        (token(), token())
+            .prop_map(|(token, highest)| Message::Paxos(Paxos::Refused { token, highest })),
+        (
+            prop::collection::vec(config_change(), 0..3),
+            0u64..9,
+            any::<bool>()
+        )
+            .prop_map(|(changes, version, push)| Message::Changes {
+                changes,
+                version,
+                push
+            }),
+        (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(|((version, root), (new, ask))| {
+            Message::Digest {
+                digest: Digest { version, root },
+                new,
+                ask,
+            }
+        }),
+        (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::Hashes {
+            node: Node { level, index }
+        }),
+        (any::<u64>(), any::<u64>()).prop_map(|(from, to)| Message::Range { from, to }),
+    ];
+    message.prop_map(Duties::Config)
+}
+
+/// Any message, of any of its kinds.
+pub fn message() -> impl Strategy<Value = Duties> {
+    prop_oneof![7 => of_duty(Duty::Calendar), 2 => of_duty(Duty::Config), 3 => config()]
+}
+
+/// Some that are fit to be taken now, some that are not.
+fn header() -> impl Strategy<Value = Header> {
+    let part = (0u32..9, (u32::MAX - 9).., 0u8..12);
+    let part = part.prop_map(|(from, to, hops)| relay::Part { from, to, hops });
+    let wall = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
+    let said = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
+    (9u16..14, 0u64..4, said, part).prop_map(|(port, incarnation, said_us, part)| {
+        let origin = std::net::SocketAddr::from(([127, 0, 0, 1], port));
+        Header {
+            origin,
+            incarnation,
+            said_us,
+            part,
+        }
+    })
+}
+
+fn of_duty(duty: Duty) -> impl Strategy<Value = Duties> {
+    let entries = || prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..6);
+    let word = move |(token, age_ms)| Word {
+        duty,
+        token,
+        age_ms,
+    };
+    let rows = prop::collection::vec(any::<(u64, u64)>(), 0..50);
+    let words = prop::collection::vec((token(), any::<Option<u32>>()).prop_map(word), 0..2);
+    prop_oneof![
+        (token(), token(), any::<u32>(), 0..6).prop_map(move |(ballot, highest, round, kind)| {
+            let message = match kind {
+                0 => Message::PreVote { ballot },
+                1 => Message::PreVoteGranted { ballot },
+                2 => Message::RequestGrant { ballot, round },
+                3 => Message::Granted { ballot, round },
+                4 => Message::Denied {
+                    ballot,
+                    round,
+                    highest,
+                },
+                _ => Message::Release { ballot },
+            };
+            Duties::Lease { duty, message }
+        }),
+        (words, any::<(u64, u64, bool)>(), rows).prop_map(|(words, (from, to, new), rows)| {
+            Duties::Digest {
+                words,
+                digest: Digest { from, to, rows },
+                new,
+                ask: !new,
+            }
+        }),
+        prop::collection::vec(any::<u64>(), 0..50).prop_map(|ids| Duties::Ask { ids }),
+        entries().prop_map(|entries| Duties::Entries { entries }),
+        (header(), prop::collection::vec(token(), 0..3), entries()).prop_map(
+            move |(header, tokens, entries)| {
+                let tokens = tokens.into_iter().map(|token| (duty, token)).collect();
+                Duties::Broadcast(header, Said { tokens, entries })
+            }
+        ),
+        token().prop_map(move |highest| Duties::Fenced { duty, highest }),
+        prop::collection::vec(("[a-z0-9-]{0,64}", any::<u32>()), 0..9)
+            .prop_map(|open| Duties::Report { open }),
+    ]
+}
+
+proptest! {
+    /// A message decodes to what was said; cut or with more behind it it is refused, and one with changed bytes, or
+    /// junk, never panics and never becomes another version's.
+    #[test]
+    fn only_whole_messages_are_read(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
+                                    junk in prop::collection::vec(any::<u8>(), 1..64)) {
+        let bytes = encode(&m);
+        prop_assert_eq!(&decode(&bytes).unwrap(), &m);
+        prop_assert!(decode(&bytes[..at.index(bytes.len())]).is_err());
+        prop_assert!(decode(&[&bytes[..], &junk].concat()).is_err());
+        let mut changed = bytes.clone();
+        changed[at.index(bytes.len())] ^= flip;
+        prop_assert!(changed[0] == VERSION || decode(&changed).is_err());
+        let _ = decode(&changed);
+        let _ = decode(&junk);
+    }
+
+    /// A token above which no other could come is refused, wherever it stands.
+    #[test]
+    fn no_token_is_the_last(m in message(), number in MOST_NUMBER..) {
+        let last = Ballot { number, incarnation: 0 };
+        let said = match m {
+            Duties::Lease { duty, message: Message::Denied { ballot, round, .. } } => {
+                Duties::Lease { duty, message: Message::Denied { ballot, round, highest: last } }
+            }
+            Duties::Lease { duty, .. } => Duties::Lease { duty, message: Message::PreVote { ballot: last } },
+            Duties::Digest { mut words, digest, new, ask } => {
+                words.push(Word { duty: Duty::Calendar, token: last, age_ms: None });
+                Duties::Digest { words, digest, new, ask }
+            }
+            Duties::Broadcast(header, mut said) => {
+                said.tokens.push((Duty::Config, last));
+                Duties::Broadcast(header, said)
+            }
+            Duties::Config(_) => {
+                let prepare = config::Paxos::Prepare { token: last, round: 1 };
+                Duties::Config(config::Message::Paxos(prepare))
+            }
+            _ => Duties::Fenced { duty: Duty::Calendar, highest: last },
+        };
+        prop_assert!(matches!(decode(&encode(&said)), Err(Refused::Number(n)) if n == number));
+    }
+
+    /// Every item is in one part, in order, and no part is over the bound unless it is one item.
+    #[test]
+    fn parts_hold_all_and_fit(sizes in prop::collection::vec(0usize..1400, 0..40)) {
+        let parts = parts(sizes.clone(), |size| *size);
+        prop_assert_eq!(parts.concat(), sizes);
+        for part in parts {
+            prop_assert!(part.len() == 1 || part.iter().sum::<usize>() <= MOST_LOAD);
+        }
+    }
+}
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -332,7 +332,7 @@
                 Duty::Calendar,
                 Ballot {
                     number,
-                    by: u64::from(port),
+                    incarnation: u64::from(port),
                 },
             )];
             let mut mail = Mail::new();
@@ -363,7 +363,10 @@
             "an overtaken word counted as heard"
         );
         let (refused, told) = say(11, 4, now);
-        let highest = Ballot { number: 5, by: 10 };
+        let highest = Ballot {
+            number: 5,
+            incarnation: 10,
+        };
         assert_eq!(
             (refused, told),
             (
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -32,7 +32,10 @@
 }
 
 fn token(number: u64) -> Token {
-    Token { number, by: 7 }
+    Token {
+        number,
+        incarnation: 7,
+    }
 }
 
 fn stamp(secs: u64) -> Stamp {
@@ -677,7 +680,7 @@
     });
     let token = Token {
         number: NOON.0 / 1000,
-        by: u64::MAX,
+        incarnation: u64::MAX,
     };
     let mark = Mark {
         occurrence: at(0),
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -255,7 +255,7 @@
         self.token += 1;
         self.proxies[n].holding = Some(Ballot {
             number: self.token,
-            by: n as u64,
+            incarnation: n as u64,
         });
         self.holder = Some(n);
     }
@@ -485,7 +485,7 @@
 fn voters_do_not_wait_for_ever_for_a_version_that_nobody_has() {
     let rules = lease_rules(3);
     let mut acceptor = Acceptor::new(rules, 1, 7, Time(0));
-    let (mut now, mut out) = (Time(0) + rules.grant_life(), Vec::new());
+    let (mut now, mut out) = (Time(0) + rules.grant_duration(), Vec::new());
     acceptor.tick(now, WALL, 9, &mut out);
     let asked = |out: &[Paxos]| match out {
         [Paxos::Recover { nonce }] => *nonce,
@@ -756,7 +756,12 @@
 fn any_message() -> impl Strategy<Value = Message> {
     let digest = || (0u64..8, any::<u64>()).prop_map(|(version, root)| Digest { version, root });
     let node = || (0u8..6, any::<u16>()).prop_map(|(level, index)| Node { level, index });
-    let token = || (0u64..5, 0u64..3).prop_map(|(number, by)| Ballot { number, by });
+    let token = || {
+        (0u64..5, 0u64..3).prop_map(|(number, by)| Ballot {
+            number,
+            incarnation: by,
+        })
+    };
     let entry = || (any_edit(), 0u64..9).prop_map(|(edit, number)| Entry { edit, number });
     let accepted = move || prop::option::of((token(), any_change()));
     let paxos = prop_oneof![
@@ -852,7 +857,7 @@
         let mut version = 0;
         for (from, message, holds) in said {
             now = now + Micros(400_000);
-            let holding = holds.then_some(Ballot { number: 4, by: 1 });
+            let holding = holds.then_some(Ballot { number: 4, incarnation: 1 });
             let around = Surroundings { holding, ..around(&members) };
             let before = replica.table().digest();
             let mut out = Vec::new();
@@ -919,7 +924,10 @@
         };
         assert_eq!(cause(told, OTHER), why, "{change:?}");
     }
-    let token = Ballot { number: 1, by: 1 };
+    let token = Ballot {
+        number: 1,
+        incarnation: 1,
+    };
     assert_eq!(
         cause(Message::Paxos(Paxos::Accepted { token, round: 1 }), OTHER),
         "stranger"
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -123,7 +123,7 @@
 fn token(p: usize) -> Token {
     Ballot {
         number: p as u64 + 1,
-        by: 0,
+        incarnation: 0,
     }
 }
 
@@ -146,7 +146,7 @@
 
 /// After its silence.
 fn awake() -> Time {
-    Time(0) + rules().grant_life()
+    Time(0) + rules().grant_duration()
 }
 
 impl Seat {
@@ -347,7 +347,7 @@
             Act::Retry(p) => {
                 let player = &mut world.players[p];
                 player.retries += 1;
-                player.now = player.now + rules().patience();
+                player.now = player.now + rules().bid_timeout();
                 let (now, version, mut out) = (player.now, version(&player.copy), Vec::new());
                 player.proposer.as_mut()?.tick(now, version, &mut out);
                 world.say(p, out);
--- a/tests/config_scale.rs
+++ b/tests/config_scale.rs
@@ -124,7 +124,7 @@
             near: &[],
             holding: (n == 0).then_some(Ballot {
                 number: self.token,
-                by: 1,
+                incarnation: 1,
             }),
             holder: Some(address(0)),
         };
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -14,7 +14,7 @@
 const START: u64 = 100;
 /// Clocks go 1 or 2 units a tick of true time: 1.5 units, give or take a third.
 const DRIFT: f64 = 1.0 / 3.0;
-/// Four ticks on the slowest clock; a grant's life is 8 units then, four ticks on the fastest.
+/// Four ticks on the slowest clock; a grant lasts 8 units then, four ticks on the fastest.
 const TERM: Micros = Micros(2);
 /// Milliseconds in a tick, for a term of three seconds.
 const WALL: u64 = 750;
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A voter that starts anew speaks at once.
-    NoSilence,
+    /// A voter answers right after its start.
+    NoInitialSilence,
     /// The term counts from the answer's arrival.
     FromAnswer,
-    /// A grant lives as long as a term.
+    /// A grant is live for no longer than a term.
     NoMargin,
     /// Ballots ignore the wall clock.
     NoWall,
@@ -48,29 +48,29 @@
     paces: Vec<([u64; VOTERS], [u64; CANDIDATES])>,
     restarts: u8,
     quits: u8,
-    /// Whether voters answer asks and refuse. Else refusals are lost, and a majority says yes to any ask at any time,
-    /// whatever is granted: as an ask binds nobody, these are more orders of events than there can be.
-    voters_say_no: bool,
+    /// Whether voters answer pre-votes and deny. Else denials are lost, and a majority grants any pre-vote at any time,
+    /// whatever is granted: as a pre-vote binds nobody, these are more orders of events than there can be.
+    voters_deny: bool,
 }
 
-/// A voter's seat: its machine, its clock's units a tick, and those of its answers that may still count.
+/// A voter: its machine, its clock's units a tick, and those of its answers that may still count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seat {
-    voter: Voter,
+struct VoterNode {
+    machine: Voter,
     pace: u64,
     answers: BTreeSet<(usize, Message)>,
 }
 
-/// A candidate, its latest round, and how far its clock was put back by [`Fault::FromAnswer`].
+/// A candidate, its latest round, and how far its clock was set back by [`Fault::FromAnswer`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Player {
+struct CandidateNode {
     machine: Candidate,
     pace: u64,
     round: (Ballot, u32),
     /// That round has had its majority.
     won: bool,
-    asked: Time,
-    put_back: u64,
+    request_sent_at: Time,
+    set_back: u64,
     bids: u8,
 }
 
@@ -78,17 +78,17 @@
 struct World {
     ticks: u64,
     /// In the order of their fingerprints: voters are alike.
-    seats: Vec<Seat>,
-    players: Vec<Player>,
-    /// All that candidates ever said: it may arrive at any time, any number of times, or never.
-    said: BTreeSet<(usize, Message)>,
+    voters: Vec<VoterNode>,
+    candidates: Vec<CandidateNode>,
+    /// All messages that candidates ever sent: each may arrive at any time, any number of times, or never.
+    sent: BTreeSet<(usize, Message)>,
     restarts: u8,
     quits: u8,
-    /// The latest holding's token, and whether an earlier one was as high.
+    /// The latest lease's token, and whether an earlier one was as high.
     latest: Option<Token>,
-    shrank: bool,
-    /// Holdings begun.
-    gains: u8,
+    token_not_higher: bool,
+    /// Leases acquired.
+    acquisitions: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,116 +99,123 @@
     Wake(usize),
     /// A candidate's host drains.
     Quit(usize),
-    /// What a candidate said arrives at a seat.
+    /// A message that a candidate sent arrives at a voter.
     Arrive(usize, Message, usize),
     /// The answers of a majority that agrees arrive: one by one they change nothing before the last.
     Agree(usize),
-    /// A refusal that names a higher ballot arrives from a seat.
+    /// A denial that names a higher ballot arrives from a voter.
     Deny(usize, usize),
-    /// The refusals of a majority arrive: lower ones change nothing before the last.
+    /// The denials of a majority arrive: lower ones change nothing before the last.
     DenyAll(usize),
-    /// A voter starts anew with empty memory.
+    /// A voter restarts with empty memory.
     Restart(usize),
 }
 
-fn fingerprint(seat: &Seat) -> u64 {
+fn fingerprint(voter: &VoterNode) -> u64 {
     let mut hasher = DefaultHasher::new();
-    seat.hash(&mut hasher);
+    voter.hash(&mut hasher);
     hasher.finish()
 }
 
 /// The ballot and round that an answer names, and whether it agrees.
 fn meaning(answer: &Message) -> ((Ballot, u32), bool) {
     match answer {
-        Message::Free { ballot } => ((*ballot, 0), true),
-        Message::Accepted { ballot, round } => ((*ballot, *round), true),
-        Message::Refused { ballot, round, .. } => ((*ballot, *round), false),
+        Message::PreVoteGranted { ballot } => ((*ballot, 0), true),
+        Message::Granted { ballot, round } => ((*ballot, *round), true),
+        Message::Denied { ballot, round, .. } => ((*ballot, *round), false),
         _ => unreachable!("voters only answer"),
     }
 }
 
 impl World {
-    fn voter_clock(&self, seat: usize) -> Time {
-        Time(START + self.ticks * self.seats[seat].pace)
+    fn voter_clock(&self, voter: usize) -> Time {
+        Time(START + self.ticks * self.voters[voter].pace)
     }
 
     fn clock(&self, c: usize) -> Time {
-        Time(START + self.ticks * self.players[c].pace - self.players[c].put_back)
+        Time(START + self.ticks * self.candidates[c].pace - self.candidates[c].set_back)
     }
 
     fn holders(&self) -> usize {
         (0..CANDIDATES)
-            .filter(|c| self.players[*c].machine.holds(self.clock(*c)).is_some())
+            .filter(|c| {
+                self.candidates[*c]
+                    .machine
+                    .held_token(self.clock(*c))
+                    .is_some()
+            })
             .count()
     }
 
-    /// One answer a seat to a candidate's present round that agrees, or refuses.
+    /// One answer a voter to a candidate's present round that grants, or denies.
     fn answers(&self, c: usize, agrees: bool) -> Vec<Message> {
         let counts = |(to, answer): &&(usize, Message)| *to == c && meaning(answer).1 == agrees;
-        self.seats
+        self.voters
             .iter()
-            .filter_map(|seat| seat.answers.iter().find(counts).map(|a| a.1))
+            .filter_map(|voter| voter.answers.iter().find(counts).map(|a| a.1))
             .collect()
     }
 
-    /// Lets a candidate hear answers, of distinct voters: which ones they are makes no difference to it.
-    fn hear(&mut self, c: usize, answers: &[Message]) -> Vec<Message> {
+    /// Delivers responses of distinct voters to a candidate: which ones they are makes no difference to it.
+    fn deliver_responses(&mut self, c: usize, answers: &[Message]) -> Vec<Message> {
         let (mut out, now) = (Vec::new(), self.clock(c));
         for (voter, answer) in answers.iter().enumerate() {
-            self.players[c].machine.heard(now, voter, *answer, &mut out);
+            self.candidates[c]
+                .machine
+                .handle_response(now, voter, *answer, &mut out);
         }
         out
     }
 
-    /// Takes what a candidate put out, and what became of it.
-    fn settle(&mut self, c: usize, out: Vec<Message>) {
+    /// Takes the messages that a candidate emitted, and the changes of its lease.
+    fn apply_output(&mut self, c: usize, out: Vec<Message>) {
         let now = self.clock(c);
-        let player = &mut self.players[c];
+        let candidate = &mut self.candidates[c];
         for message in out {
             match message {
-                Message::Ask { ballot } => {
-                    player.bids += 1;
-                    (player.round, player.won) = ((ballot, 0), false);
+                Message::PreVote { ballot } => {
+                    candidate.bids += 1;
+                    (candidate.round, candidate.won) = ((ballot, 0), false);
                 }
-                Message::Propose { ballot, round } => {
-                    (player.round, player.won) = ((ballot, round), false);
-                    player.asked = now;
+                Message::RequestGrant { ballot, round } => {
+                    (candidate.round, candidate.won) = ((ballot, round), false);
+                    candidate.request_sent_at = now;
                 }
                 _ => {}
             }
             // An older round that arrives late does what the newest does, and its answer means nothing.
-            if let Message::Propose { ballot, round } = message {
-                self.said.remove(&(
+            if let Message::RequestGrant { ballot, round } = message {
+                self.sent.remove(&(
                     c,
-                    Message::Propose {
+                    Message::RequestGrant {
                         ballot,
                         round: round.saturating_sub(1),
                     },
                 ));
             }
-            self.said.insert((c, message));
+            self.sent.insert((c, message));
         }
-        for change in player.machine.changes() {
-            if let Change::Gained(token) = change {
-                self.shrank |= self.latest.is_some_and(|latest| token <= latest);
+        for change in candidate.machine.take_changes() {
+            if let Change::Acquired(token) = change {
+                self.token_not_higher |= self.latest.is_some_and(|latest| token <= latest);
                 self.latest = Some(token);
-                self.gains += 1;
+                self.acquisitions += 1;
             }
         }
-        self.forget();
+        self.drop_stale_answers();
     }
 
-    /// Drops answers that mean nothing any more: a candidate never goes back to an earlier round, and what more agree
-    /// with one that has its majority changes nothing.
-    fn forget(&mut self) {
+    /// Drops answers that mean nothing any more: a candidate never goes back to an earlier round, and further
+    /// grants of one that has its majority change nothing.
+    fn drop_stale_answers(&mut self) {
         let counts = |(to, answer): &(usize, Message)| {
             let (round, agrees) = meaning(answer);
-            let player = &self.players[*to];
-            round == player.round && !(agrees && player.won)
+            let candidate = &self.candidates[*to];
+            round == candidate.round && !(agrees && candidate.won)
         };
-        self.seats
+        self.voters
             .iter_mut()
-            .for_each(|seat| seat.answers.retain(counts));
+            .for_each(|voter| voter.answers.retain(counts));
     }
 }
 
@@ -228,7 +235,10 @@
 
     /// One that started so long ago that its silence is over.
     fn old_voter(&self, now: Time) -> Voter {
-        Voter::new(self.voter_rules(), now - self.voter_rules().grant_life())
+        Voter::new(
+            self.voter_rules(),
+            now - self.voter_rules().grant_duration(),
+        )
     }
 
     /// Wall clocks are half a term apart: the second candidate's goes behind.
@@ -245,34 +255,34 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let player = |c, pace| Player {
+        let candidate = |c, pace| CandidateNode {
             machine: Candidate::new(self.rules(), (CANDIDATES - c) as u64),
             pace,
             round: (Ballot::default(), 0),
             won: false,
-            asked: Time(0),
-            put_back: 0,
+            request_sent_at: Time(0),
+            set_back: 0,
             bids: 0,
         };
-        let seat = |pace| Seat {
-            voter: self.old_voter(Time(START)),
+        let voter = |pace| VoterNode {
+            machine: self.old_voter(Time(START)),
             pace,
             answers: BTreeSet::new(),
         };
         let world = |(voters, candidates): &([u64; VOTERS], [u64; CANDIDATES])| World {
             ticks: 0,
-            seats: voters.iter().map(|pace| seat(*pace)).collect(),
-            players: candidates
+            voters: voters.iter().map(|pace| voter(*pace)).collect(),
+            candidates: candidates
                 .iter()
                 .enumerate()
-                .map(|(c, pace)| player(c, *pace))
+                .map(|(c, pace)| candidate(c, *pace))
                 .collect(),
-            said: BTreeSet::new(),
+            sent: BTreeSet::new(),
             restarts: 0,
             quits: 0,
             latest: None,
-            shrank: false,
-            gains: 0,
+            token_not_higher: false,
+            acquisitions: 0,
         };
         self.paces.iter().map(world).collect()
     }
@@ -282,28 +292,28 @@
             steps.push(Step::Pass);
         }
         for c in 0..CANDIDATES {
-            let machine = &world.players[c].machine;
-            if machine.next().is_none_or(|at| at <= world.clock(c)) {
+            let machine = &world.candidates[c].machine;
+            if machine.next_tick_at().is_none_or(|at| at <= world.clock(c)) {
                 steps.push(Step::Wake(c));
             }
-            if world.quits < self.quits && machine.holds(world.clock(c)).is_some() {
+            if world.quits < self.quits && machine.held_token(world.clock(c)).is_some() {
                 steps.push(Step::Quit(c));
             }
             if world.answers(c, true).len() > VOTERS / 2
-                || !self.voters_say_no && world.players[c].round.1 == 0
+                || !self.voters_deny && world.candidates[c].round.1 == 0
             {
                 steps.push(Step::Agree(c));
             }
-            if self.voters_say_no {
+            if self.voters_deny {
                 steps.push(Step::DenyAll(c));
-                steps.extend((0..VOTERS).map(|seat| Step::Deny(c, seat)));
+                steps.extend((0..VOTERS).map(|voter| Step::Deny(c, voter)));
             }
         }
-        for (c, message) in &world.said {
-            if !self.voters_say_no && matches!(message, Message::Ask { .. }) {
+        for (c, message) in &world.sent {
+            if !self.voters_deny && matches!(message, Message::PreVote { .. }) {
                 continue;
             }
-            steps.extend((0..VOTERS).map(|seat| Step::Arrive(*c, *message, seat)));
+            steps.extend((0..VOTERS).map(|voter| Step::Arrive(*c, *message, voter)));
         }
         if world.restarts < self.restarts {
             steps.extend((0..VOTERS).map(Step::Restart));
@@ -316,12 +326,12 @@
         match step {
             Step::Pass => {
                 world.ticks += 1;
-                // A question that changes nothing lets voters forget what is over: fewer states that differ in nothing.
-                for seat in 0..VOTERS {
-                    let now = world.voter_clock(seat);
-                    world.seats[seat].voter.handle(
+                // A pre-vote that changes nothing lets voters drop expired grants: fewer states that differ in nothing.
+                for voter in 0..VOTERS {
+                    let now = world.voter_clock(voter);
+                    world.voters[voter].machine.handle(
                         now,
-                        Message::Ask {
+                        Message::PreVote {
                             ballot: Ballot::default(),
                         },
                     );
@@ -329,31 +339,31 @@
             }
             Step::Wake(c) => {
                 let (now, wall, mut out) = (world.clock(c), self.wall(&world, c), Vec::new());
-                world.players[c].machine.tick(now, wall, true, &mut out);
-                world.settle(c, out);
+                world.candidates[c].machine.tick(now, wall, true, &mut out);
+                world.apply_output(c, out);
             }
             Step::Quit(c) => {
                 let (now, mut out) = (world.clock(c), Vec::new());
                 world.quits += 1;
-                world.players[c].machine.release(now, &mut out);
-                world.settle(c, out);
+                world.candidates[c].machine.release(now, &mut out);
+                world.apply_output(c, out);
             }
-            Step::Arrive(c, message, seat) => {
-                let now = world.voter_clock(seat);
-                let answer = world.seats[seat].voter.handle(now, message);
-                world.seats[seat].answers.extend(
+            Step::Arrive(c, message, voter) => {
+                let now = world.voter_clock(voter);
+                let answer = world.voters[voter].machine.handle(now, message);
+                world.voters[voter].answers.extend(
                     answer
-                        .filter(|a| self.voters_say_no || meaning(a).1)
+                        .filter(|a| self.voters_deny || meaning(a).1)
                         .map(|answer| (c, answer)),
                 );
-                world.forget();
+                world.drop_stale_answers();
             }
             Step::Agree(c) => {
                 let mut answers = world.answers(c, true);
-                if !self.voters_say_no && world.players[c].round.1 == 0 {
+                if !self.voters_deny && world.candidates[c].round.1 == 0 {
                     answers = vec![
-                        Message::Free {
-                            ballot: world.players[c].round.0
+                        Message::PreVoteGranted {
+                            ballot: world.candidates[c].round.0
                         };
                         majority
                     ];
@@ -361,58 +371,59 @@
                 if answers.len() < majority {
                     return None;
                 }
-                if self.fault == Fault::FromAnswer && matches!(answers[0], Message::Accepted { .. })
+                if self.fault == Fault::FromAnswer && matches!(answers[0], Message::Granted { .. })
                 {
-                    world.players[c].put_back += (world.clock(c) - world.players[c].asked).0;
+                    world.candidates[c].set_back +=
+                        (world.clock(c) - world.candidates[c].request_sent_at).0;
                 }
-                let out = world.hear(c, &answers[..majority]);
-                world.players[c].won = true;
-                world.settle(c, out);
+                let out = world.deliver_responses(c, &answers[..majority]);
+                world.candidates[c].won = true;
+                world.apply_output(c, out);
             }
-            Step::Deny(c, seat) => {
+            Step::Deny(c, voter) => {
                 let higher = |(to, answer): &&(usize, Message)| {
                     *to == c
-                        && matches!(answer, Message::Refused { ballot, highest, .. } if highest > ballot)
+                        && matches!(answer, Message::Denied { ballot, highest, .. } if highest > ballot)
                 };
-                let answer = world.seats[seat].answers.iter().find(higher)?.1;
-                let out = world.hear(c, &[answer]);
-                world.settle(c, out);
+                let answer = world.voters[voter].answers.iter().find(higher)?.1;
+                let out = world.deliver_responses(c, &[answer]);
+                world.apply_output(c, out);
             }
             Step::DenyAll(c) => {
                 let answers = world.answers(c, false);
                 if answers.len() < majority {
                     return None;
                 }
-                let out = world.hear(c, &answers);
-                world.settle(c, out);
+                let out = world.deliver_responses(c, &answers);
+                world.apply_output(c, out);
             }
-            Step::Restart(seat) => {
-                let now = world.voter_clock(seat);
+            Step::Restart(voter) => {
+                let now = world.voter_clock(voter);
                 world.restarts += 1;
-                world.seats[seat].voter = match self.fault {
-                    Fault::NoSilence => self.old_voter(now),
+                world.voters[voter].machine = match self.fault {
+                    Fault::NoInitialSilence => self.old_voter(now),
                     _ => Voter::new(self.voter_rules(), now),
                 };
             }
         }
-        world.seats.sort_by_cached_key(fingerprint);
+        world.voters.sort_by_cached_key(fingerprint);
         (world != *before).then_some(world)
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        let rounds = world.said.iter().all(|(_, m)| match m {
-            Message::Propose { round, .. } => *round <= self.rounds,
+        let rounds = world.sent.iter().all(|(_, m)| match m {
+            Message::RequestGrant { round, .. } => *round <= self.rounds,
             _ => true,
         });
-        rounds && world.players.iter().all(|p| p.bids <= self.bids)
+        rounds && world.candidates.iter().all(|p| p.bids <= self.bids)
     }
 
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
             Property::always(ONE, |_, world: &World| world.holders() <= 1),
-            Property::always(GROW, |_, world: &World| !world.shrank),
+            Property::always(GROW, |_, world: &World| !world.token_not_higher),
             Property::sometimes(AGAIN, |_, world: &World| {
-                world.gains > 1 && world.holders() == 1
+                world.acquisitions > 1 && world.holders() == 1
             }),
         ]
     }
@@ -432,7 +443,7 @@
             paces,
             restarts,
             quits: 0,
-            voters_say_no: false,
+            voters_deny: false,
         }
     }
 
@@ -483,9 +494,9 @@
             },
         ),
         (
-            "voters answer asks and refuse",
+            "voters answer pre-votes and deny",
             Fleet {
-                voters_say_no: true,
+                voters_deny: true,
                 ..Fleet::worst(1, 1, 0)
             },
         ),
@@ -508,7 +519,7 @@
 #[test]
 fn each_fault_is_found() {
     let faults = [
-        (Fault::NoSilence, Fleet::worst(1, 1, 1), ONE),
+        (Fault::NoInitialSilence, Fleet::worst(1, 1, 1), ONE),
         (Fault::FromAnswer, Fleet::worst(2, 1, 0), ONE),
         (Fault::NoMargin, Fleet::worst(1, 1, 0), ONE),
         (Fault::NoWall, Fleet::worst(2, 1, 1), GROW),
