--- /dev/null
+++ b/src/fleet/calendar/spec/mod.rs
@@ -0,0 +1,340 @@
+//! The content of a maintenance window, as an operator requests it: targets, schedule, lead and overrun.
+
+mod call_body;
+
+use super::WallTime;
+use crate::Micros;
+use jiff::civil::{Date, Time};
+use jiff::tz::TimeZone;
+use jiff::{Timestamp, ToSpan, ZonedDateTime};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+
+/// Seconds of drain lead where the body names none.
+pub const DEFAULT_LEAD_S: u32 = 30;
+/// The longest drain lead, in seconds.
+pub const MAX_LEAD_S: u32 = 3600;
+/// The longest overrun, in seconds.
+pub const MAX_OVERRUN_S: u32 = 24 * 3600;
+/// The longest window, in seconds.
+pub const MAX_DURATION_S: u32 = 7 * 24 * 3600;
+/// The longest that a recurring window may last with its lead and overrun, in seconds: one occurrence is
+/// over before the next one drains, also on a day that daylight changes shorten.
+pub const MAX_RECURRING_S: u32 = 21 * 3600;
+/// The weekdays of a daily window.
+const EVERY_DAY: u8 = 0x7f;
+const MINUTES_PER_DAY: u16 = 24 * 60;
+/// The longest id, name, zone or kind, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The most bytes that the names in `ids` may take together, one more for each, so that a window fits one datagram.
+pub const MAX_IDS_BYTES: usize = 640;
+
+/// Why a call is rejected: the field, and what is wrong with it. As JSON it is the body of the answer.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, thiserror::Error)]
+#[error("{field}: {reason}")]
+pub struct InvalidField {
+    /// The field of the body, or `id` for the window's own, or `body` for a body that is no such object.
+    pub field: String,
+    /// What is wrong, for a person.
+    #[serde(rename = "why")]
+    pub reason: String,
+}
+
+impl InvalidField {
+    pub(in crate::fleet::calendar) fn new(field: &str, reason: impl Into<String>) -> InvalidField {
+        InvalidField {
+            field: field.into(),
+            reason: reason.into(),
+        }
+    }
+}
+
+/// A window's content, as the operators gave it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Spec {
+    /// Which backends get no requests.
+    pub targets: Targets,
+    /// When.
+    pub schedule: Schedule,
+    /// How long before its begin it stops new requests, in seconds.
+    pub lead_s: u32,
+    /// How long past its end it waits for its backends to be listed as serving again, in seconds.
+    pub overrun_s: u32,
+    /// Who requested it.
+    pub requested_by: String,
+}
+
+/// Which backends a window targets.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Targets {
+    /// These backends.
+    Ids(BTreeSet<String>),
+    /// All backends of a zone.
+    Zone(String),
+    /// All backends of a kind.
+    Kind(String),
+    /// All backends of a cell (a group of the list).
+    Cell(u64),
+}
+
+/// When a window is.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum Schedule {
+    /// Once.
+    Once(Span),
+    /// At a local time on some days of the week. A time that daylight changes skip moves to after the
+    /// gap by the gap's length; of a time that comes twice the first one counts.
+    Recurring {
+        /// The days, bit 0 being Monday.
+        weekdays: u8,
+        /// The minute of the day, 0 to 1,439.
+        minute_of_day: u16,
+        /// The IANA name of the time zone in which the minute counts.
+        time_zone: String,
+        /// How long it lasts, in seconds of elapsed time.
+        duration_s: u32,
+    },
+}
+
+/// From begin to end, the end not included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Span {
+    /// The first instant.
+    pub begin: WallTime,
+    /// The first instant after it.
+    pub end: WallTime,
+}
+
+impl Spec {
+    /// Whether every field is within its bounds, whoever sent it.
+    pub fn check(&self) -> Result<(), InvalidField> {
+        self.targets.check()?;
+        check_seconds("lead_s", self.lead_s, MAX_LEAD_S)?;
+        check_seconds("overrun_s", self.overrun_s, MAX_OVERRUN_S)?;
+        check_name("by", &self.requested_by)?;
+        match &self.schedule {
+            Schedule::Once(span) => span.check(),
+            Schedule::Recurring { duration_s, .. } => {
+                self.schedule.check_recurrence()?;
+                let total_s = duration_s
+                    .saturating_add(self.lead_s)
+                    .saturating_add(self.overrun_s);
+                check_seconds("recurring.lasts_s", total_s, MAX_RECURRING_S).map_err(|invalid| {
+                    InvalidField {
+                        reason: format!("with lead and overrun {}", invalid.reason),
+                        ..invalid
+                    }
+                })
+            }
+        }
+    }
+
+    /// The first occurrence that begins at that time or later.
+    pub fn next_occurrence(&self, at_or_after: WallTime) -> Option<Span> {
+        match &self.schedule {
+            Schedule::Once(span) => (span.begin >= at_or_after).then_some(*span),
+            Schedule::Recurring {
+                weekdays,
+                minute_of_day,
+                time_zone,
+                duration_s,
+            } => {
+                let time_zone = TimeZone::get(time_zone).ok()?;
+                let hour = (minute_of_day / 60) as i8;
+                let minute = (minute_of_day % 60) as i8;
+                let time = Time::new(hour, minute, 0, 0).ok()?;
+                let begin = next_local_time(*weekdays, time, &time_zone, at_or_after)?;
+                Some(Span {
+                    begin,
+                    end: begin + secs(*duration_s),
+                })
+            }
+        }
+    }
+
+    /// The first field of the call's body in which two differ.
+    pub(super) fn first_difference(&self, other: &Spec) -> Option<&'static str> {
+        let fields = [
+            ("targets", self.targets == other.targets),
+            ("when", self.schedule == other.schedule),
+            ("lead_s", self.lead_s == other.lead_s),
+            ("overrun_s", self.overrun_s == other.overrun_s),
+            ("by", self.requested_by == other.requested_by),
+        ];
+        fields
+            .iter()
+            .find(|(_, same)| !same)
+            .map(|(field, _)| *field)
+    }
+
+    /// How long an occurrence lasts as planned.
+    pub(super) fn duration(&self) -> Micros {
+        match &self.schedule {
+            Schedule::Once(span) => span.end - span.begin,
+            Schedule::Recurring { duration_s, .. } => secs(*duration_s),
+        }
+    }
+}
+
+impl Schedule {
+    /// Whether a recurring schedule's days, time and duration are within their bounds.
+    fn check_recurrence(&self) -> Result<(), InvalidField> {
+        let Schedule::Recurring {
+            weekdays,
+            minute_of_day,
+            time_zone,
+            duration_s,
+        } = self
+        else {
+            return Ok(());
+        };
+        if *weekdays == 0 || *weekdays > EVERY_DAY {
+            return Err(InvalidField::new("recurring.days", "no day of the week"));
+        }
+        if *minute_of_day >= MINUTES_PER_DAY {
+            return Err(InvalidField::new("recurring.at", "no minute of a day"));
+        }
+        check_time_zone(time_zone)?;
+        if *duration_s == 0 {
+            return Err(InvalidField::new("recurring.lasts_s", "has to be over 0"));
+        }
+        Ok(())
+    }
+}
+
+impl Span {
+    fn check(&self) -> Result<(), InvalidField> {
+        if self.end <= self.begin {
+            return Err(InvalidField::new("end", "not after begin"));
+        }
+        if self.end - self.begin > secs(MAX_DURATION_S) {
+            return Err(InvalidField::new("end", "more than 7 days after begin"));
+        }
+        match self.end.timestamp() {
+            Some(_) => Ok(()),
+            None => Err(InvalidField::new("end", "no time that a calendar names")),
+        }
+    }
+}
+
+impl Targets {
+    fn check(&self) -> Result<(), InvalidField> {
+        match self {
+            Targets::Ids(ids) if ids.is_empty() => {
+                Err(InvalidField::new("ids", "names no backend"))
+            }
+            Targets::Ids(ids) => {
+                ids.iter().try_for_each(|id| check_name("ids", id))?;
+                let bytes: usize = ids.iter().map(|id| id.len() + 1).sum();
+                if bytes > MAX_IDS_BYTES {
+                    let why = format!("{} names take {bytes} bytes of {MAX_IDS_BYTES}: name a zone, a kind or a cell, or put several windows", ids.len());
+                    return Err(InvalidField::new("ids", why));
+                }
+                Ok(())
+            }
+            Targets::Zone(zone) => check_name("zone", zone),
+            Targets::Kind(kind) => check_name("kind", kind),
+            Targets::Cell(_) => Ok(()),
+        }
+    }
+}
+
+/// Reads an instant: RFC 3339 with an offset, or RFC 9557 with a zone in brackets.
+pub fn parse_instant(field: &str, text: &str) -> Result<WallTime, InvalidField> {
+    let read = match text.contains('[') {
+        true => text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp()),
+        false => text.parse::<Timestamp>(),
+    };
+    let at = read.map_err(|e| InvalidField::new(field, e.to_string()))?;
+    match u64::try_from(at.as_microsecond()) {
+        Ok(micros) => Ok(WallTime(micros)),
+        Err(_) => Err(InvalidField::new(field, "before 1970")),
+    }
+}
+
+/// Whether a window may have that id: letters, digits, `-`, `_` and `.`, as it stands in a path.
+pub fn check_id(id: &str) -> Result<(), InvalidField> {
+    check_name("id", id)?;
+    match id
+        .bytes()
+        .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+    {
+        true => Ok(()),
+        false => Err(InvalidField::new(
+            "id",
+            "may hold letters, digits, '-', '_' and '.' only",
+        )),
+    }
+}
+
+/// So many seconds.
+pub(in crate::fleet::calendar) fn secs(seconds: u32) -> Micros {
+    Micros(u64::from(seconds) * 1_000_000)
+}
+
+fn check_name(field: &str, text: &str) -> Result<(), InvalidField> {
+    if text.trim().is_empty() {
+        return Err(InvalidField::new(field, "is empty"));
+    }
+    if text.len() > MAX_NAME_BYTES {
+        return Err(InvalidField::new(
+            field,
+            format!("{} bytes, over {MAX_NAME_BYTES}", text.len()),
+        ));
+    }
+    match text.chars().any(char::is_control) {
+        true => Err(InvalidField::new(field, "holds control characters")),
+        false => Ok(()),
+    }
+}
+
+fn check_time_zone(time_zone: &str) -> Result<TimeZone, InvalidField> {
+    check_name("recurring.zone", time_zone)?;
+    TimeZone::get(time_zone).map_err(|e| InvalidField::new("recurring.zone", e.to_string()))
+}
+
+fn check_seconds(field: &str, value_s: u32, max_s: u32) -> Result<(), InvalidField> {
+    if value_s > max_s {
+        let reason = format!("{value_s} s is over {max_s} s");
+        return Err(InvalidField::new(field, reason));
+    }
+    Ok(())
+}
+
+/// The first instant at or after a time at which local clocks show that time of day on one of those weekdays.
+fn next_local_time(
+    weekdays: u8,
+    time: Time,
+    time_zone: &TimeZone,
+    at_or_after: WallTime,
+) -> Option<WallTime> {
+    // From a day early, as a skipped time moves on; two weeks have every day of the week even where a zone skipped a
+    // whole day.
+    let mut date = at_or_after
+        .timestamp()?
+        .to_zoned_datetime(time_zone.clone())
+        .date()
+        .yesterday()
+        .ok()?;
+    for _ in 0..16 {
+        let is_listed = weekdays & 1 << date.weekday().to_monday_zero_offset() != 0;
+        if let Some(begin) = is_listed.then(|| instant(date, time, time_zone)).flatten() {
+            if begin >= at_or_after {
+                return Some(begin);
+            }
+        }
+        date = date.checked_add(1.day()).ok()?;
+    }
+    None
+}
+
+fn instant(date: Date, time: Time, zone: &TimeZone) -> Option<WallTime> {
+    // `to_zoned_datetime` is RFC 5545's rule: after a gap, the first of a fold.
+    let at = date
+        .to_datetime(time)
+        .to_zoned_datetime(zone.clone())
+        .ok()?
+        .timestamp();
+    u64::try_from(at.as_microsecond()).ok().map(WallTime)
+}
--- a/src/net/cluster/coordination/clock.rs
+++ b/src/net/cluster/coordination/clock.rs
@@ -6,7 +6,7 @@
 use super::tables::Tables;
 use super::wire::digests;
 use super::{mono, wall, Need, Seen};
-use meadowproxy::fleet::calendar::{Entry, Reports, Transition};
+use meadowproxy::fleet::calendar::{OpenRequestReports, Transition, Window};
 use meadowproxy::fleet::config::Edit;
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::{Micros, Time};
@@ -27,7 +27,7 @@
 const CAUGHT_UP: Micros = Micros(3_000_000);
 /// To how many members a digest goes.
 const TOLD: usize = 2;
-/// When a change is said again.
+/// Schedule a change is said again.
 pub const AGAIN: [Micros; 2] = [Micros(200_000), Micros(600_000)];
 
 /// What the request loop asks of this worker.
@@ -166,13 +166,14 @@
         };
         let windows = self.tables.calendar.lock();
         let calendar = &windows.calendar;
-        let decides = (holds || heard > calendar.rules.max_age) && calendar.needs_fleet(wall());
+        let decides =
+            (holds || heard > calendar.rules.max_holder_silence) && calendar.needs_fleet(wall());
         // What windows name is out without more; whether one that is to come back is listed has to be seen.
         let known =
             |named: &BTreeSet<&str>| windows.out.iter().all(|name| named.contains(name.as_str()));
         let need = match windows.covered.is_some() || decides {
             true => Need::Decides,
-            false if calendar.named_out().as_ref().is_some_and(known) => Need::Nothing,
+            false if calendar.named_in_maintenance().as_ref().is_some_and(known) => Need::Nothing,
             false => Need::KeepsOut,
         };
         let mut roster = self.tables.roster.lock();
@@ -191,7 +192,7 @@
             leases.holds()?;
             let mut windows = self.tables.calendar.lock();
             let mut roster = self.tables.roster.lock();
-            let (now, mut fleet, mut reports) = (wall(), Arc::default(), Reports::new());
+            let (now, mut fleet, mut reports) = (wall(), Arc::default(), OpenRequestReports::new());
             if windows.calendar.needs_fleet(now) {
                 let Some(shown) = roster.fleet(&windows.out, true) else {
                     return leases.holds(); // a step waits for what is seen now
@@ -200,8 +201,8 @@
             }
             let at = mono();
             let token = leases.holds()?;
-            let steps = windows.calendar.step(now, token, &fleet, &reports);
-            (token, at, steps, windows.calendar.changed())
+            let steps = windows.calendar.advance(now, token, &fleet, &reports);
+            (token, at, steps, windows.calendar.take_changed())
         };
         steps.iter().for_each(|step| tell(step, at));
         let effect = |entries| Said {
@@ -302,8 +303,8 @@
 }
 
 /// Entries in bytes, in parts that fit into a message each.
-pub fn entries(entries: Vec<Entry>) -> Vec<Vec<Vec<u8>>> {
-    message::parts(entries.iter().map(Entry::encode).collect(), |bytes| {
+pub fn entries(entries: Vec<Window>) -> Vec<Vec<Vec<u8>>> {
+    message::parts(entries.iter().map(Window::encode).collect(), |bytes| {
         bytes.len() + 2
     })
 }
--- a/src/net/cluster/coordination/clock/tests.rs
+++ b/src/net/cluster/coordination/clock/tests.rs
@@ -1,10 +1,10 @@
-//! When the listed backends are asked of the request loop, and what waits for them.
+//! Schedule the listed backends are asked of the request loop, and what waits for them.
 
 use super::super::tables::{Roster, Tables};
 use super::super::{Effect, Rows};
 use super::*;
 use crate::net::host::RosterRow;
-use meadowproxy::fleet::calendar::{Mark, Spec, Stamp, Step, Wall};
+use meadowproxy::fleet::calendar::{Phase, Progress, Spec, Version, WallTime};
 use meadowproxy::fleet::lease::Ballot;
 
 const S: u64 = 1_000_000;
@@ -61,7 +61,7 @@
 
     /// A window that takes one or all, and begins in so many seconds.
     fn put(&self, id: &str, targets: &str, begin: u64) {
-        let at = |secs| Wall(wall().0 + secs * S);
+        let at = |secs| WallTime(wall().0 + secs * S);
         let body = format!(
             r#"{{{targets},"begin":"{}","end":"{}","lead_s":1,"by":"x"}}"#,
             at(begin),
@@ -71,14 +71,17 @@
         let put = self.tables().calendar.lock().calendar.put(
             id,
             spec,
-            Stamp { at: wall(), by: 1 },
+            Version {
+                called_at: wall(),
+                incarnation: 1,
+            },
             wall(),
         );
         put.unwrap();
     }
 
     /// A holder's word came just now; with `step` one on the window as well.
-    fn hear(&self, step: Option<Step>) {
+    fn hear(&self, step: Option<Phase>) {
         let token = Ballot {
             number: 5,
             incarnation: 10,
@@ -93,16 +96,16 @@
         let Some(step) = step else { return };
         let mut windows = self.tables().calendar.lock();
         let mut entry = windows.calendar.get("w").unwrap().clone();
-        let occurrence = match entry.spec.value.when {
-            meadowproxy::fleet::calendar::When::Once(span) => span.begin,
+        let occurrence = match entry.spec.value.schedule {
+            meadowproxy::fleet::calendar::Schedule::Once(span) => span.begin,
             _ => unreachable!("it comes once"),
         };
-        entry.mark = Some(Mark {
+        entry.progress = Some(Progress {
             occurrence,
             token,
-            step,
-            at: wall(),
-            why: String::new(),
+            phase: step,
+            since: wall(),
+            reason: String::new(),
         });
         windows.calendar.merge(&entry, wall()).unwrap();
     }
@@ -148,11 +151,11 @@
     );
     one.hear(None);
     assert!(one.needs() == Need::Nothing, "the holder decides");
-    one.hear(Some(Step::Draining));
+    one.hear(Some(Phase::Draining));
     assert!(one.needs() == Need::Nothing, "the window names it");
     assert_eq!(one.moved(), moves('-', &["a"]));
     assert!(one.needs() == Need::Nothing, "the window names it");
-    one.hear(Some(Step::Done));
+    one.hear(Some(Phase::Done));
     assert!(one.needs() == Need::KeepsOut, "it is not back yet");
     one.show(mono());
     assert_eq!(one.moved(), moves('+', &["a"]));
@@ -179,11 +182,11 @@
 fn the_holders_word_waits_for_no_more_than_it_names() {
     let mut one = One::new();
     one.put("w", r#""ids":["a"]"#, 3);
-    one.hear(Some(Step::Draining));
+    one.hear(Some(Phase::Draining));
     assert_eq!(one.moved(), moves('-', &["a"]));
     let mut one = One::new();
     one.put("w", r#""zone":"z""#, 3);
-    one.hear(Some(Step::Draining));
+    one.hear(Some(Phase::Draining));
     assert_eq!(one.moved(), []);
     assert!(one.needs() == Need::KeepsOut);
     one.show(mono());
--- a/src/net/cluster/coordination/door.rs
+++ b/src/net/cluster/coordination/door.rs
@@ -5,7 +5,9 @@
 use super::wire::spread_edits;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use meadowproxy::fleet::calendar::{parse_instant, Invalid, Put, Rejected, Spec, Stamp, Wall};
+use meadowproxy::fleet::calendar::{
+    parse_instant, CallError, CallOutcome, InvalidField, Spec, Version, WallTime,
+};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -30,9 +32,9 @@
 /// Carries a call out.
 pub fn answer(tables: &Tables, call: &Call) -> Answer {
     let now = wall();
-    let stamp = Stamp {
-        at: now,
-        by: tables.incarnation,
+    let stamp = Version {
+        called_at: now,
+        incarnation: tables.incarnation,
     };
     let parts: Vec<&str> = call.path.iter().map(String::as_str).collect();
     let edited = match (call.method.as_str(), parts.as_slice()) {
@@ -44,11 +46,11 @@
             return (StatusCode::OK, line(&json!({ "windows": windows })));
         }
         ("PUT", ["windows", id]) => Spec::from_json(&call.body)
-            .map_err(Rejected::Invalid)
+            .map_err(CallError::Invalid)
             .and_then(|spec| tables.calendar.lock().calendar.put(id, spec, stamp, now)),
         ("DELETE", ["windows", id]) => tables.calendar.lock().calendar.cancel(id, stamp, now),
         ("POST", ["windows", id, "extend"]) => until(&call.body)
-            .map_err(Rejected::Invalid)
+            .map_err(CallError::Invalid)
             .and_then(|until| {
                 tables
                     .calendar
@@ -57,7 +59,7 @@
                     .extend(id, until, stamp, now)
             }),
         ("POST", ["windows", id, "begin"]) => {
-            tables.calendar.lock().calendar.begin_now(id, stamp, now)
+            tables.calendar.lock().calendar.start_now(id, stamp, now)
         }
         _ => {
             return (
@@ -68,22 +70,25 @@
     };
     match edited {
         Ok(put) => {
-            let changed = tables.calendar.lock().calendar.changed();
+            let changed = tables.calendar.lock().calendar.take_changed();
             spread_edits(tables, changed);
             tables.derive();
-            (StatusCode::OK, line(&json!({ "changed": put == Put::New })))
+            (
+                StatusCode::OK,
+                line(&json!({ "changed": put == CallOutcome::Changed })),
+            )
         }
         Err(why) => {
             let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::BAD_REQUEST);
-            (status, line(&json!(why.why())))
+            (status, line(&json!(why.invalid_field())))
         }
     }
 }
 
-fn until(body: &[u8]) -> Result<Wall, Invalid> {
-    let read: Extend = serde_json::from_slice(body).map_err(|e| Invalid {
+fn until(body: &[u8]) -> Result<WallTime, InvalidField> {
+    let read: Extend = serde_json::from_slice(body).map_err(|e| InvalidField {
         field: "until".into(),
-        why: e.to_string(),
+        reason: e.to_string(),
     })?;
     parse_instant("until", &read.until)
 }
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of encoding and decoding, and strategies for random messages.
 
 use super::*;
+use meadowproxy::fleet::calendar::DigestRow;
 use meadowproxy::fleet::lease::Ballot;
 use proptest::prelude::*;
 
@@ -108,7 +109,11 @@
         token,
         age_ms,
     };
-    let rows = prop::collection::vec(any::<(u64, u64)>(), 0..50);
+    let row = any::<(u64, u64)>().prop_map(|(id_hash, content_hash)| DigestRow {
+        id_hash,
+        content_hash,
+    });
+    let rows = prop::collection::vec(row, 0..50);
     let words = prop::collection::vec((token(), any::<Option<u32>>()).prop_map(word), 0..2);
     prop_oneof![
         (token(), token(), any::<u32>(), 0..6).prop_map(move |(ballot, highest, round, kind)| {
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -29,7 +29,7 @@
 use copy::Kept;
 use hyper::{Method, StatusCode};
 use leases::Leases;
-use meadowproxy::fleet::calendar::{Budget, Calendar, Rules, Wall};
+use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules, WallTime};
 use meadowproxy::fleet::config::Entry;
 use meadowproxy::fleet::relay::Relay;
 use meadowproxy::{Micros, Time};
@@ -112,8 +112,8 @@
     )
 }
 
-fn wall() -> Wall {
-    Wall(crate::net::state::snapshot::wall_us())
+fn wall() -> WallTime {
+    WallTime(crate::net::state::snapshot::wall_us())
 }
 
 /// This proxy's part in the fleet's duties.
@@ -146,12 +146,12 @@
         let incarnation = RandomState::new().build_hasher().finish();
         let (effects, told) = mpsc::channel(EFFECTS);
         let calendar = Calendar::new(Rules {
-            budget: Budget {
-                kind: rules.floor,
-                zone: rules.zone_floor.unwrap_or(rules.floor),
+            budget: DisruptionBudget {
+                kind_floor: rules.floor,
+                zone_floor: rules.zone_floor.unwrap_or(rules.floor),
             },
-            ramp,
-            max_age: peers.max_age(),
+            slow_start: ramp,
+            max_holder_silence: peers.max_age(),
         });
         let windows = Windows {
             calendar,
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -8,7 +8,9 @@
 use crate::net::cluster::gossip::post::Post;
 use crate::net::cluster::gossip::wire::Body;
 use crate::net::host::RosterRow;
-use meadowproxy::fleet::calendar::{Backend, Calendar, Digest, Fleet, Report, Reports};
+use meadowproxy::fleet::calendar::{
+    Backend, Calendar, Digest, Fleet, OpenRequestReport, OpenRequestReports,
+};
 use meadowproxy::fleet::relay::{Header, Relay};
 use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -161,12 +163,12 @@
             kind: row.kind.clone(),
             cell: row.cell,
             serving: row.serving,
-            ready: if out.contains(&row.name) {
+            readiness: if out.contains(&row.name) {
                 1.0
             } else {
                 row.ready
             },
-            out_by_hand: row.by_hand,
+            disabled: row.by_hand,
             capacity: 1.0,
         };
         let rows = shown.rows.iter().filter(|row| row.listed);
@@ -178,7 +180,7 @@
 
     /// Open requests on the backends that are out, as all live members and this proxy say. Of whom did not say, one
     /// request is taken to be open on each.
-    pub fn reports(&self, own: SocketAddr, out: &BTreeSet<String>) -> Reports {
+    pub fn reports(&self, own: SocketAddr, out: &BTreeSet<String>) -> OpenRequestReports {
         let now = mono();
         let nothing = BTreeMap::new();
         let of = |member: SocketAddr| {
@@ -196,7 +198,7 @@
                 .iter()
                 .map(|name| count(name).map_or(Micros(0), |(_, at)| now - at))
                 .max();
-            Report {
+            OpenRequestReport {
                 age: age.unwrap_or_default(),
                 open,
             }
@@ -271,8 +273,9 @@
         let heard = self.leases.lock().heard();
         let mut windows = self.calendar.lock();
         let (windows, now) = (&mut *windows, wall());
-        let decides = heard > windows.calendar.rules.max_age && windows.calendar.needs_fleet(now);
-        if !decides && windows.out.is_empty() && !windows.calendar.any_out() {
+        let decides =
+            heard > windows.calendar.rules.max_holder_silence && windows.calendar.needs_fleet(now);
+        if !decides && windows.out.is_empty() && !windows.calendar.any_in_effect() {
             return;
         }
         let fleet = match self.roster.lock().fleet(&windows.out, decides) {
@@ -281,7 +284,7 @@
             None if decides || windows.covered.is_some() => return,
             None => Arc::default(),
         };
-        let out = windows.calendar.out(now, heard, &fleet);
+        let out = windows.calendar.backends_in_maintenance(now, heard, &fleet);
         let outbox = self.outbox.lock();
         for name in &out {
             if !windows.out.contains(name)
@@ -319,7 +322,7 @@
     /// The tables of a voter that serves, and what the request loop is asked.
     pub fn example() -> (Tables, mpsc::Receiver<Effect>) {
         use super::message::Duty;
-        use meadowproxy::fleet::calendar::{Budget, Rules};
+        use meadowproxy::fleet::calendar::{DisruptionBudget, Rules};
         use meadowproxy::fleet::lease;
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
         let voters = [9, 10, 11]
@@ -328,12 +331,12 @@
         let rules = lease::Rules::new(voters.len(), Micros(1_000_000), 0.01).unwrap();
         let (ramp, max_age) = (Micros(1_000_000), Micros(5_000_000));
         let calendar = Calendar::new(Rules {
-            budget: Budget {
-                kind: 0.5,
-                zone: 0.5,
+            budget: DisruptionBudget {
+                kind_floor: 0.5,
+                zone_floor: 0.5,
             },
-            ramp,
-            max_age,
+            slow_start: ramp,
+            max_holder_silence: max_age,
         });
         let windows = Windows {
             calendar,
--- a/src/net/cluster/coordination/wire.rs
+++ b/src/net/cluster/coordination/wire.rs
@@ -6,7 +6,7 @@
 use super::tables::Tables;
 use super::wall;
 use crate::net::cluster::gossip::Passed;
-use meadowproxy::fleet::calendar::{Digest, Entry, Garbled};
+use meadowproxy::fleet::calendar::{Digest, Window, WindowError};
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::fleet::relay::Header;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
             Ok(())
         }
         Duties::Ask { ids } => {
-            let asked = tables.calendar.lock().calendar.asked(&ids, wall());
+            let asked = tables.calendar.lock().calendar.requested(&ids, wall());
             mail.extend(
                 entries(asked)
                     .into_iter()
@@ -146,16 +146,21 @@
     let seen = tables.roster.lock().seen.is_some();
     let (lacking, covered) = {
         let mut windows = tables.calendar.lock();
-        let lacking = windows.calendar.lacking(digest, wall());
+        let lacking = windows.calendar.compare(digest, wall());
         // Another new proxy knows as little as this one.
-        let covered = seen && !new && lacking.ask.is_empty() && windows.cover(digest);
+        let covered = seen && !new && lacking.to_request.is_empty() && windows.cover(digest);
         (lacking, covered)
     };
-    if !lacking.ask.is_empty() {
-        mail.push((from, Duties::Ask { ids: lacking.ask }));
+    if !lacking.to_request.is_empty() {
+        mail.push((
+            from,
+            Duties::Ask {
+                ids: lacking.to_request,
+            },
+        ));
     }
     mail.extend(
-        entries(lacking.send)
+        entries(lacking.to_send)
             .into_iter()
             .map(|entries| (from, Duties::Entries { entries })),
     );
@@ -184,9 +189,9 @@
     let now = wall();
     let mut wrong = None;
     let decode = |bytes: &Vec<u8>| {
-        let entry = Entry::decode(bytes, now).map_err(refused)?;
+        let entry = Window::decode(bytes, now).map_err(refused)?;
         entry
-            .mark
+            .progress
             .as_ref()
             .map_or(Ok(()), |mark| sound(mark.token))
             .map(|()| entry)
@@ -202,7 +207,7 @@
                 Err(e) => drop(wrong.get_or_insert(e)),
             }
         }
-        (changed, windows.calendar.highest())
+        (changed, windows.calendar.highest_token())
     };
     if changed {
         if highest != Default::default() {
@@ -213,16 +218,16 @@
     wrong.map_or(Ok(()), Err)
 }
 
-fn refused(why: Garbled) -> Refused {
+fn refused(why: WindowError) -> Refused {
     match why {
-        Garbled::Full => Refused::Full,
-        Garbled::Bytes => Refused::Entry("does not decode".into()),
-        Garbled::Field(why) => Refused::Entry(why.to_string()),
+        WindowError::Full => Refused::Full,
+        WindowError::Malformed => Refused::Entry("does not decode".into()),
+        WindowError::Field(why) => Refused::Entry(why.to_string()),
     }
 }
 
 /// What operators changed here goes to all members.
-pub fn spread_edits(tables: &Tables, changed: Vec<Entry>) {
+pub fn spread_edits(tables: &Tables, changed: Vec<Window>) {
     let said = |entries| Said {
         tokens: Vec::new(),
         entries,
@@ -239,7 +244,7 @@
     use super::*;
     use bytes::Bytes;
     use hyper::{Method, StatusCode};
-    use meadowproxy::fleet::calendar::{Put, Spec, Stamp};
+    use meadowproxy::fleet::calendar::{CallOutcome, Spec, Version};
     use meadowproxy::fleet::lease::Ballot;
     use meadowproxy::fleet::relay::Part;
     use proptest::prelude::*;
@@ -252,9 +257,9 @@
         fn no_words_break_the_tables(said in prop::collection::vec((9u16..14, message()), 1..40)) {
             let (tables, _told) = Tables::example();
             let spec = Spec::from_json(br#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"x"}"#);
-            let stamp = Stamp { at: wall(), by: 1 };
+            let stamp = Version { called_at: wall(), incarnation: 1 };
             let put = tables.calendar.lock().calendar.put("w", spec.unwrap(), stamp, wall());
-            prop_assert_eq!(put, Ok(Put::New));
+            prop_assert_eq!(put, Ok(CallOutcome::Changed));
             let window = |tables: &Tables| tables.calendar.lock().calendar.get("w").cloned();
             let (before, mut highest) = (window(&tables), None);
             for (port, message) in said {
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -1,4 +1,4 @@
-//! The calendar of maintenance windows: bodies, local time, phases, budget, merging, cut-off proxies.
+//! The calendar of maintenance windows: bodies, local time, phases, budget, merging, isolated proxies.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use meadowproxy::fleet::calendar::*;
@@ -8,26 +8,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// 2026-12-02, noon.
-const NOON: Wall = Wall(1_796_212_800_000_000);
+const NOON: WallTime = WallTime(1_796_212_800_000_000);
 const RAMP: u64 = 10;
 
-fn at(secs: u64) -> Wall {
+fn at(secs: u64) -> WallTime {
     NOON + Micros(secs * 1_000_000)
 }
 
-fn instant(text: &str) -> Wall {
+fn instant(text: &str) -> WallTime {
     parse_instant("", text).unwrap()
 }
 
 fn calendar(floor: f64) -> Calendar {
-    let budget = Budget {
-        kind: floor,
-        zone: floor,
+    let budget = DisruptionBudget {
+        kind_floor: floor,
+        zone_floor: floor,
     };
     Calendar::new(Rules {
         budget,
-        ramp: Micros(RAMP * 1_000_000),
-        max_age: Micros(5_000_000),
+        slow_start: Micros(RAMP * 1_000_000),
+        max_holder_silence: Micros(5_000_000),
     })
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-fn stamp(secs: u64) -> Stamp {
-    Stamp {
-        at: at(secs),
-        by: 1,
+fn version(secs: u64) -> Version {
+    Version {
+        called_at: at(secs),
+        incarnation: 1,
     }
 }
 
@@ -51,16 +51,16 @@
 
 /// From second to second after noon.
 fn once(targets: Targets, begin: u64, end: u64, lead_s: u32, overrun_s: u32) -> Spec {
-    let when = When::Once(Span {
+    let when = Schedule::Once(Span {
         begin: at(begin),
         end: at(end),
     });
     Spec {
         targets,
-        when,
+        schedule: when,
         lead_s,
         overrun_s,
-        by: "ops".into(),
+        requested_by: "ops".into(),
     }
 }
 
@@ -71,19 +71,19 @@
         kind: ["m1", "m2"][i % 2].into(),
         cell: i as u64 / 4,
         serving: true,
-        ready: 1.0,
-        out_by_hand: false,
+        readiness: 1.0,
+        disabled: false,
         capacity: 1.0,
     };
     (0..12).map(|i| (format!("s{i}"), backend(i))).collect()
 }
 
 /// One proxy without open requests, that just said so.
-fn idle() -> Reports {
-    BTreeMap::from([(1, Report::default())])
+fn idle() -> OpenRequestReports {
+    BTreeMap::from([(1, OpenRequestReport::default())])
 }
 
-fn phase(calendar: &Calendar, id: &str, now: Wall) -> Step {
+fn phase(calendar: &Calendar, id: &str, now: WallTime) -> Phase {
     calendar
         .list(now)
         .into_iter()
@@ -97,10 +97,10 @@
     calendar: &mut Calendar,
     secs: std::ops::Range<u64>,
     fleet: &Fleet,
-    reports: &Reports,
+    reports: &OpenRequestReports,
 ) -> Vec<String> {
     let steps = secs.flat_map(|s| {
-        let steps = calendar.step(at(s), token(1), fleet, reports);
+        let steps = calendar.advance(at(s), token(1), fleet, reports);
         steps
             .into_iter()
             .map(move |t| format!("{s} {} {}", t.window, t.to.name()))
@@ -210,11 +210,11 @@
     }
     let spec = Spec::from_json(format!(r#"{{"ids":["a"],{base}}}"#).as_bytes()).unwrap();
     assert_eq!(
-        (spec.lead_s, spec.overrun_s, spec.by.as_str()),
-        (LEAD_S, 0, "ops")
+        (spec.lead_s, spec.overrun_s, spec.requested_by.as_str()),
+        (DEFAULT_LEAD_S, 0, "ops")
     );
     assert_eq!(
-        spec.occurrence(Wall(0)),
+        spec.next_occurrence(WallTime(0)),
         Some(Span {
             begin: at(3600),
             end: at(7200)
@@ -226,70 +226,93 @@
 fn a_call_conflicts_repeats_or_comes_too_late() {
     let mut c = calendar(0.5);
     let spec = || once(ids(&[0]), 100, 200, 30, 0);
-    assert_eq!(c.put("w", spec(), stamp(0), at(0)), Ok(Put::New));
-    assert_eq!(c.put("w", spec(), stamp(9), at(9)), Ok(Put::Same));
-    let status = |answer: Result<Put, Rejected>| {
-        answer.map_err(|r| (r.status(), r.why().field)).unwrap_err()
+    assert_eq!(
+        c.put("w", spec(), version(0), at(0)),
+        Ok(CallOutcome::Changed)
+    );
+    assert_eq!(
+        c.put("w", spec(), version(9), at(9)),
+        Ok(CallOutcome::Unchanged)
+    );
+    let status = |answer: Result<CallOutcome, CallError>| {
+        answer
+            .map_err(|r| (r.status(), r.invalid_field().field))
+            .unwrap_err()
     };
     assert_eq!(
-        status(c.put("w", once(ids(&[1]), 100, 200, 30, 0), stamp(9), at(9))),
+        status(c.put("w", once(ids(&[1]), 100, 200, 30, 0), version(9), at(9))),
         (409, "targets".into())
     );
     assert_eq!(
-        status(c.put("a/b", spec(), stamp(9), at(9))),
+        status(c.put("a/b", spec(), version(9), at(9))),
         (422, "id".into())
     );
     assert_eq!(
-        status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), stamp(0), at(200))),
+        status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), version(0), at(200))),
         (422, "end".into())
     );
     assert_eq!(
-        status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), stamp(0), at(170))),
+        status(c.put("x", once(ids(&[1]), 100, 200, 30, 0), version(0), at(170))),
         (422, "lead_s".into())
     );
-    assert_eq!(status(c.cancel("x", stamp(9), at(9))), (404, "id".into()));
+    assert_eq!(status(c.cancel("x", version(9), at(9))), (404, "id".into()));
     assert_eq!(
-        status(c.extend("w", at(199), stamp(9), at(9))),
+        status(c.extend("w", at(199), version(9), at(9))),
         (422, "until".into())
     );
     assert_eq!(
-        status(c.extend("w", at(8 * 24 * 3600), stamp(9), at(9))),
+        status(c.extend("w", at(8 * 24 * 3600), version(9), at(9))),
         (422, "until".into())
     );
-    assert_eq!(c.extend("w", at(300), stamp(9), at(9)), Ok(Put::New));
+    assert_eq!(
+        c.extend("w", at(300), version(9), at(9)),
+        Ok(CallOutcome::Changed)
+    );
     // A later call wins, though it came to a proxy whose clock is behind.
     let before = c.get("w").unwrap().clone();
-    assert_eq!(c.extend("w", at(400), stamp(1), at(9)), Ok(Put::New));
+    assert_eq!(
+        c.extend("w", at(400), version(1), at(9)),
+        Ok(CallOutcome::Changed)
+    );
     assert_eq!(c.merge(&before, at(9)), Ok(false));
-    assert_eq!(c.extend("w", at(400), stamp(9), at(9)), Ok(Put::Same));
+    assert_eq!(
+        c.extend("w", at(400), version(9), at(9)),
+        Ok(CallOutcome::Unchanged)
+    );
     assert_eq!(
         c.list(at(9))[0].end.as_deref(),
         Some("2026-12-02T12:06:40Z")
     );
-    assert_eq!(c.cancel("w", stamp(10), at(10)), Ok(Put::New));
-    assert_eq!(c.cancel("w", stamp(11), at(11)), Ok(Put::Same));
+    assert_eq!(c.cancel("w", version(10), at(10)), Ok(CallOutcome::Changed));
+    assert_eq!(
+        c.cancel("w", version(11), at(11)),
+        Ok(CallOutcome::Unchanged)
+    );
     assert_eq!(
-        status(c.put("w", spec(), stamp(11), at(11))),
+        status(c.put("w", spec(), version(11), at(11))),
         (409, "id".into())
     );
     assert_eq!(
-        status(c.begin_now("w", stamp(11), at(11))),
+        status(c.start_now("w", version(11), at(11))),
         (409, "id".into())
     );
-    assert_eq!(phase(&c, "w", at(11)), Step::Cancelled);
+    assert_eq!(phase(&c, "w", at(11)), Phase::Cancelled);
     // An hour later the id is free, and so is its place.
     let later = once(ids(&[1]), 5000, 6000, 30, 0);
-    for i in 1..MOST_WINDOWS {
+    for i in 1..MAX_WINDOWS {
         assert_eq!(
-            c.put(&format!("w{i}"), later.clone(), stamp(11), at(11)),
-            Ok(Put::New)
+            c.put(&format!("w{i}"), later.clone(), version(11), at(11)),
+            Ok(CallOutcome::Changed)
         );
     }
     assert_eq!(
-        status(c.put("v", later.clone(), stamp(11), at(11))),
+        status(c.put("v", later.clone(), version(11), at(11))),
         (507, "id".into())
     );
-    assert_eq!(c.put("w", later, stamp(3610), at(3610)), Ok(Put::New));
+    assert_eq!(
+        c.put("w", later, version(3610), at(3610)),
+        Ok(CallOutcome::Changed)
+    );
 }
 
 #[test]
@@ -300,8 +323,8 @@
             .unwrap()
     };
     let begins = |spec: &Spec, from: &str, n: usize| -> Vec<String> {
-        let next = |s: &Span| spec.occurrence(s.begin + Micros(1));
-        let all = std::iter::successors(spec.occurrence(instant(from)), next).take(n);
+        let next = |s: &Span| spec.next_occurrence(s.begin + Micros(1));
+        let all = std::iter::successors(spec.next_occurrence(instant(from)), next).take(n);
         all.inspect(|s| assert_eq!(s.end - s.begin, Micros(3_600_000_000)))
             .map(|s| s.begin.to_string())
             .collect()
@@ -346,16 +369,16 @@
 #[test]
 fn a_window_goes_through_its_phases() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
-    c.put("w", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0))
+    c.put("w", once(ids(&[0]), 100, 200, 30, 60), version(0), at(0))
         .unwrap();
-    // Drained only after every report is younger than the word, and says zero.
-    let old = Report {
+    // Drained only after every report is younger than the notification, and has no open request.
+    let old = OpenRequestReport {
         age: Micros(4_000_000),
-        ..Report::default()
+        ..OpenRequestReport::default()
     };
-    let busy = Report {
+    let busy = OpenRequestReport {
         open: BTreeMap::from([("s0".into(), 1)]),
-        ..Report::default()
+        ..OpenRequestReport::default()
     };
     assert_eq!(
         run(&mut c, 0..75, &fleet, &BTreeMap::from([(1, old)])),
@@ -366,7 +389,7 @@
             &mut c,
             75..90,
             &fleet,
-            &BTreeMap::from([(1, busy), (2, Report::default())])
+            &BTreeMap::from([(1, busy), (2, OpenRequestReport::default())])
         ),
         [""; 0]
     );
@@ -384,15 +407,15 @@
     );
 
     let mut c = calendar(0.5);
-    c.put("late", once(ids(&[0]), 100, 200, 30, 60), stamp(0), at(0))
+    c.put("late", once(ids(&[0]), 100, 200, 30, 60), version(0), at(0))
         .unwrap();
-    c.put("off", once(ids(&[1]), 100, 200, 30, 60), stamp(0), at(0))
+    c.put("off", once(ids(&[1]), 100, 200, 30, 60), version(0), at(0))
         .unwrap();
     let busy = BTreeMap::from([(
         1,
-        Report {
+        OpenRequestReport {
             open: [("s0".into(), 3)].into(),
-            ..Report::default()
+            ..OpenRequestReport::default()
         },
     )]);
     let steps = run(&mut c, 0..150, &fleet, &busy);
@@ -405,7 +428,7 @@
             "100 off open"
         ]
     );
-    c.cancel("off", stamp(150), at(150)).unwrap();
+    c.cancel("off", version(150), at(150)).unwrap();
     fleet.remove("s0");
     let steps = run(&mut c, 150..300, &fleet, &idle());
     assert_eq!(
@@ -415,18 +438,18 @@
 
     // Begun by hand, it opens when drained, lasts as long as planned, and comes again the next day.
     let mut c = calendar(0.5);
-    let when = When::Recurring {
-        days: 0x7f,
-        minute: 14 * 60,
-        zone: "UTC".into(),
-        lasts_s: 100,
+    let when = Schedule::Recurring {
+        weekdays: 0x7f,
+        minute_of_day: 14 * 60,
+        time_zone: "UTC".into(),
+        duration_s: 100,
     };
     let spec = Spec {
-        when,
+        schedule: when,
         ..once(ids(&[1]), 0, 0, 30, 0)
     };
-    c.put("often", spec, stamp(0), at(0)).unwrap();
-    c.begin_now("often", stamp(10), at(10)).unwrap();
+    c.put("often", spec, version(0), at(0)).unwrap();
+    c.start_now("often", version(10), at(10)).unwrap();
     let steps = run(&mut c, 10..200, &fleet, &idle());
     let once = [
         "10 often draining",
@@ -459,18 +482,18 @@
 #[test]
 fn windows_wait_for_the_budget_in_order() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
-    // Kind m1 has six: each takes two, and only one fits beside a banned one.
-    c.put("b", once(ids(&[0, 2]), 100, 300, 30, 0), stamp(0), at(0))
+    // Kind m1 has six: each takes two, and only one fits beside a disabled one.
+    c.put("b", once(ids(&[0, 2]), 100, 300, 30, 0), version(0), at(0))
         .unwrap();
-    c.put("a", once(ids(&[4, 6]), 100, 400, 30, 0), stamp(0), at(0))
+    c.put("a", once(ids(&[4, 6]), 100, 400, 30, 0), version(0), at(0))
         .unwrap();
-    c.put("c", once(ids(&[8, 10]), 90, 900, 30, 0), stamp(0), at(0))
+    c.put("c", once(ids(&[8, 10]), 90, 900, 30, 0), version(0), at(0))
         .unwrap();
-    c.put("d", once(ids(&[0]), 110, 330, 30, 0), stamp(0), at(0))
+    c.put("d", once(ids(&[0]), 110, 330, 30, 0), version(0), at(0))
         .unwrap();
-    c.put("m2", once(ids(&[1]), 120, 130, 30, 0), stamp(0), at(0))
+    c.put("m2", once(ids(&[1]), 120, 130, 30, 0), version(0), at(0))
         .unwrap();
-    fleet.get_mut("s0").unwrap().out_by_hand = true;
+    fleet.get_mut("s0").unwrap().disabled = true;
     let mut steps = run(&mut c, 0..200, &fleet, &idle());
     let waiting = |c: &Calendar, id| {
         c.list(at(200))
@@ -488,8 +511,8 @@
     steps.retain(|s| s.ends_with("draining"));
     assert_eq!(steps, ["60 c draining", "90 m2 draining"]);
     // a is next even though b takes less; b's time runs out.
-    fleet.get_mut("s0").unwrap().out_by_hand = false;
-    fleet.get_mut("s4").unwrap().ready = 0.0;
+    fleet.get_mut("s0").unwrap().disabled = false;
+    fleet.get_mut("s4").unwrap().readiness = 0.0;
     let mut steps = run(&mut c, 200..500, &fleet, &idle());
     steps.retain(|s| !s.contains(" c "));
     assert_eq!(steps, ["270 b refused", "300 d refused", "370 a refused"]);
@@ -501,45 +524,50 @@
 }
 
 #[test]
-fn a_late_holders_word_loses_everywhere() {
+fn a_former_holders_decision_loses_everywhere() {
     let (mut late, mut next, fleet) = (calendar(0.5), calendar(0.5), fleet());
     for c in [&mut late, &mut next] {
-        c.put("w", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0))
-            .unwrap();
-        c.put("v", once(ids(&[2, 4, 6]), 99, 200, 30, 0), stamp(0), at(0))
+        c.put("w", once(ids(&[0]), 100, 200, 30, 0), version(0), at(0))
             .unwrap();
+        c.put(
+            "v",
+            once(ids(&[2, 4, 6]), 99, 200, 30, 0),
+            version(0),
+            at(0),
+        )
+        .unwrap();
     }
     // The one holds, steps and stops before anyone hears it; the other, its clock a little behind, is next.
-    assert_eq!(late.step(at(69), token(1), &fleet, &idle()).len(), 1);
-    assert_eq!(next.step(at(67), token(2), &fleet, &idle()), []);
-    for entry in late.changed() {
+    assert_eq!(late.advance(at(69), token(1), &fleet, &idle()).len(), 1);
+    assert_eq!(next.advance(at(67), token(2), &fleet, &idle()), []);
+    for entry in late.take_changed() {
         next.merge(&entry, at(71)).unwrap();
     }
-    for entry in next.changed() {
+    for entry in next.take_changed() {
         late.merge(&entry, at(71)).unwrap();
     }
     assert_eq!(late.get("v"), next.get("v"));
     assert_eq!(
         phase(&late, "v", at(71)),
-        Step::Planned,
-        "the word of the higher token"
+        Phase::Planned,
+        "the decision of the higher token"
     );
     assert_eq!(
-        late.step(at(72), token(1), &fleet, &idle()),
+        late.advance(at(72), token(1), &fleet, &idle()),
         [],
-        "and the late one is told so"
+        "and the former holder is notified"
     );
     // What is under way goes on under the next token from where it stands.
-    assert_eq!(next.step(at(72), token(2), &fleet, &idle()).len(), 1);
-    tell(&mut late, &next.changed(), at(72));
-    assert_eq!(late.step(at(73), token(3), &fleet, &idle()), []);
+    assert_eq!(next.advance(at(72), token(2), &fleet, &idle()).len(), 1);
+    merge_all(&mut late, &next.take_changed(), at(72));
+    assert_eq!(late.advance(at(73), token(3), &fleet, &idle()), []);
     let (old, new) = (
-        next.get("v").unwrap().mark.clone().unwrap(),
-        late.get("v").unwrap().mark.clone().unwrap(),
+        next.get("v").unwrap().progress.clone().unwrap(),
+        late.get("v").unwrap().progress.clone().unwrap(),
     );
     assert_eq!(
         new,
-        Mark {
+        Progress {
             token: token(3),
             ..old
         }
@@ -550,82 +578,118 @@
 fn a_proxy_that_is_cut_off_goes_by_its_copy() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
     let names = |out: BTreeSet<String>| out.into_iter().collect::<Vec<_>>().join(" ");
-    let (heard, lost) = (Micros(5_000_000), Micros(5_000_001));
-    c.put("on", once(ids(&[0]), 50, 300, 30, 60), stamp(0), at(0))
+    let (since_holder, lost) = (Micros(5_000_000), Micros(5_000_001));
+    c.put("on", once(ids(&[0]), 50, 300, 30, 60), version(0), at(0))
         .unwrap();
     c.put(
         "due",
         once(Targets::Cell(0), 100, 200, 30, 0),
-        stamp(0),
+        version(0),
         at(0),
     )
     .unwrap();
     c.put(
         "much",
         once(Targets::Zone("b".into()), 100, 200, 30, 0),
-        stamp(0),
+        version(0),
         at(0),
     )
     .unwrap();
     run(&mut c, 0..60, &fleet, &idle());
     assert_eq!(
-        names(c.clone().out(at(80), heard, &fleet)),
+        names(
+            c.clone()
+                .backends_in_maintenance(at(80), since_holder, &fleet)
+        ),
         "s0",
-        "the holder's word alone"
+        "the decision of the holder"
     );
-    assert_eq!(names(c.out(at(69), lost, &fleet)), "s0");
+    assert_eq!(names(c.backends_in_maintenance(at(69), lost, &fleet)), "s0");
     // Due by its own clock, where the budget allows; a zone as a whole is over it.
-    assert_eq!(names(c.out(at(70), lost, &fleet)), "s0 s1 s2 s3");
-    // Once begun it stays, though the budget would not allow it any more, and after a word that names others.
-    (4..9).for_each(|i| fleet.get_mut(&format!("s{i}")).unwrap().ready = 0.0);
-    assert_eq!(names(c.out(at(150), lost, &fleet)), "s0 s1 s2 s3");
-    assert_eq!(names(c.out(at(160), heard, &fleet)), "s0 s1 s2 s3");
-    // Until the holder's newer word on it, or its end.
-    let (mut told, mut other) = (c.clone(), calendar(0.5));
+    assert_eq!(
+        names(c.backends_in_maintenance(at(70), lost, &fleet)),
+        "s0 s1 s2 s3"
+    );
+    // Once begun it stays, though the budget would not allow it any more, and after a decision that names others.
+    (4..9).for_each(|i| fleet.get_mut(&format!("s{i}")).unwrap().readiness = 0.0);
+    assert_eq!(
+        names(c.backends_in_maintenance(at(150), lost, &fleet)),
+        "s0 s1 s2 s3"
+    );
+    assert_eq!(
+        names(c.backends_in_maintenance(at(160), since_holder, &fleet)),
+        "s0 s1 s2 s3"
+    );
+    // Until the holder's newer decision on it, or its end.
+    let (mut notified, mut other) = (c.clone(), calendar(0.5));
     for id in ["on", "due", "much"] {
         other.merge(c.get(id).unwrap(), at(160)).unwrap();
     }
-    other.step(at(161), token(2), &fleet, &idle());
-    tell(&mut told, &other.changed(), at(161));
-    assert_eq!(names(told.out(at(161), heard, &fleet)), "s0");
-    // Whoever comes to hold the duty goes on with what it drained alone: no budget and no lead, which is longer
+    other.advance(at(161), token(2), &fleet, &idle());
+    merge_all(&mut notified, &other.take_changed(), at(161));
+    assert_eq!(
+        names(notified.backends_in_maintenance(at(161), since_holder, &fleet)),
+        "s0"
+    );
+    // Whoever comes to hold the duty continues what it drained while isolated: no budget and no lead, which is longer
     // than the time left, brings it back into its window.
     let mut holder = c.clone();
-    let steps = holder.step(at(180), token(2), &fleet, &idle());
+    let steps = holder.advance(at(180), token(2), &fleet, &idle());
     assert_eq!(
         steps.iter().map(|t| (&*t.window, t.to)).collect::<Vec<_>>(),
-        [("due", Step::Draining), ("much", Step::Refused)]
+        [("due", Phase::Draining), ("much", Phase::Refused)]
+    );
+    assert_eq!(
+        names(holder.backends_in_maintenance(at(180), since_holder, &fleet)),
+        "s0 s1 s2 s3"
+    );
+    (181..200).for_each(|s| drop(holder.advance(at(s), token(2), &fleet, &idle())));
+    assert_eq!(phase(&holder, "due", at(199)), Phase::Open);
+    holder.advance(at(200), token(2), &fleet, &idle());
+    assert_eq!(
+        names(holder.backends_in_maintenance(at(200), since_holder, &fleet)),
+        "s0"
+    );
+    assert_eq!(
+        names(c.backends_in_maintenance(at(200), lost, &fleet)),
+        "s0"
     );
-    assert_eq!(names(holder.out(at(180), heard, &fleet)), "s0 s1 s2 s3");
-    (181..200).for_each(|s| drop(holder.step(at(s), token(2), &fleet, &idle())));
-    assert_eq!(phase(&holder, "due", at(199)), Step::Open);
-    holder.step(at(200), token(2), &fleet, &idle());
-    assert_eq!(names(holder.out(at(200), heard, &fleet)), "s0");
-    assert_eq!(names(c.out(at(200), lost, &fleet)), "s0");
     // The holder's own end would wait for the overrun; who is cut off restores at the end, and stays so.
-    assert_eq!(names(c.out(at(299), lost, &fleet)), "s0");
-    assert_eq!(names(c.clone().out(at(300), heard, &fleet)), "s0");
-    assert_eq!(names(c.out(at(300), lost, &fleet)), "");
-    assert_eq!(names(c.out(at(310), heard, &fleet)), "");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(299), lost, &fleet)),
+        "s0"
+    );
+    assert_eq!(
+        names(
+            c.clone()
+                .backends_in_maintenance(at(300), since_holder, &fleet)
+        ),
+        "s0"
+    );
+    assert_eq!(names(c.backends_in_maintenance(at(300), lost, &fleet)), "");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(310), since_holder, &fleet)),
+        ""
+    );
     // Begun by hand and over, it does not come again at its planned time, but the next day.
     let (mut c, fleet) = (calendar(0.5), self::fleet());
-    let when = When::Recurring {
-        days: 0x7f,
-        minute: 14 * 60,
-        zone: "UTC".into(),
-        lasts_s: 100,
+    let when = Schedule::Recurring {
+        weekdays: 0x7f,
+        minute_of_day: 14 * 60,
+        time_zone: "UTC".into(),
+        duration_s: 100,
     };
     c.put(
         "often",
         Spec {
-            when,
+            schedule: when,
             ..once(ids(&[1]), 0, 0, 30, 0)
         },
-        stamp(0),
+        version(0),
         at(0),
     )
     .unwrap();
-    c.begin_now("often", stamp(10), at(10)).unwrap();
+    c.start_now("often", version(10), at(10)).unwrap();
     let outs = [
         10,
         139,
@@ -635,7 +699,7 @@
         26 * 3600 - 30,
         26 * 3600 + 100,
     ];
-    let outs = outs.map(|s| names(c.out(at(s), lost, &fleet)));
+    let outs = outs.map(|s| names(c.backends_in_maintenance(at(s), lost, &fleet)));
     assert_eq!(outs, ["s1", "s1", "", "", "", "s1", ""]);
     assert_eq!(
         c.list(at(5000))[0].begin.as_deref(),
@@ -643,37 +707,37 @@
     );
     // An operator's cancel that reached the copy counts at once.
     let mut c = calendar(0.5);
-    c.put("off", once(ids(&[0]), 50, 300, 30, 0), stamp(0), at(0))
+    c.put("off", once(ids(&[0]), 50, 300, 30, 0), version(0), at(0))
         .unwrap();
-    assert_eq!(names(c.out(at(60), lost, &fleet)), "s0");
-    c.cancel("off", stamp(61), at(61)).unwrap();
-    assert_eq!(names(c.out(at(62), lost, &fleet)), "");
+    assert_eq!(names(c.backends_in_maintenance(at(60), lost, &fleet)), "s0");
+    c.cancel("off", version(61), at(61)).unwrap();
+    assert_eq!(names(c.backends_in_maintenance(at(62), lost, &fleet)), "");
 }
 
 /// An entry with every field as long as it may be.
-fn largest() -> Entry {
+fn largest() -> Window {
     let name = |i: usize| format!("{i:0>63}");
-    let when = When::Recurring {
-        days: 0x7f,
-        minute: 1439,
-        zone: "America/Argentina/ComodRivadavia".into(),
-        lasts_s: 9999,
+    let when = Schedule::Recurring {
+        weekdays: 0x7f,
+        minute_of_day: 1439,
+        time_zone: "America/Argentina/ComodRivadavia".into(),
+        duration_s: 9999,
     };
     let spec = Spec {
-        targets: Targets::Ids((0..MOST_IDS / 64).map(name).collect()),
-        when,
-        lead_s: MOST_LEAD_S,
+        targets: Targets::Ids((0..MAX_IDS_BYTES / 64).map(name).collect()),
+        schedule: when,
+        lead_s: MAX_LEAD_S,
         overrun_s: 9999,
-        by: "x".repeat(MOST_NAME),
+        requested_by: "x".repeat(MAX_NAME_BYTES),
     };
     spec.check().unwrap();
-    let stamp = Stamp {
-        at: at(0),
-        by: u64::MAX,
+    let version = Version {
+        called_at: at(0),
+        incarnation: u64::MAX,
     };
-    let change = Some(Stamped {
-        stamp,
-        value: Change {
+    let change = Some(Versioned {
+        version,
+        value: OccurrenceChange {
             occurrence: at(0),
             at: at(100),
         },
@@ -682,21 +746,28 @@
         number: NOON.0 / 1000,
         incarnation: u64::MAX,
     };
-    let mark = Mark {
+    let mark = Progress {
         occurrence: at(0),
         token,
-        step: Step::Refused,
-        at: at(0),
-        why: "y".repeat(160),
+        phase: Phase::Refused,
+        since: at(0),
+        reason: "y".repeat(160),
     };
-    let (spec, cancelled, mark) = (Stamped { stamp, value: spec }, Some(stamp), Some(mark));
-    Entry {
-        id: "z".repeat(MOST_NAME),
+    let (spec, cancelled, mark) = (
+        Versioned {
+            version,
+            value: spec,
+        },
+        Some(version),
+        Some(mark),
+    );
+    Window {
+        id: "z".repeat(MAX_NAME_BYTES),
         spec,
-        extended: change.clone(),
-        begun: change,
+        extension: change.clone(),
+        early_start: change,
         cancelled,
-        mark,
+        progress: mark,
     }
 }
 
@@ -704,50 +775,60 @@
 fn the_largest_entry_fits_a_datagram() {
     let bytes = largest().encode();
     assert!(
-        (1000..=MOST_ENTRY).contains(&bytes.len()),
+        (1000..=MAX_WINDOW_BYTES).contains(&bytes.len()),
         "{}",
         bytes.len()
     );
-    assert_eq!(Entry::decode(&bytes, at(0)), Ok(largest()));
+    assert_eq!(Window::decode(&bytes, at(0)), Ok(largest()));
     let digest = Digest {
         from: u64::MAX,
         to: u64::MAX,
-        rows: vec![(u64::MAX, u64::MAX); MOST_ROWS],
+        rows: vec![
+            DigestRow {
+                id_hash: u64::MAX,
+                content_hash: u64::MAX
+            };
+            MAX_DIGEST_ROWS
+        ],
     };
-    assert!(postcard::to_stdvec(&digest).unwrap().len() <= MOST_ENTRY);
+    assert!(postcard::to_stdvec(&digest).unwrap().len() <= MAX_WINDOW_BYTES);
     let mut odd = largest();
-    odd.mark.as_mut().unwrap().token.number = u64::MAX;
+    odd.progress.as_mut().unwrap().token.number = u64::MAX;
     assert!(
-        matches!(Entry::decode(&odd.encode(), at(0)), Err(Garbled::Field(f)) if f.field == "mark")
+        matches!(Window::decode(&odd.encode(), at(0)), Err(WindowError::Field(f)) if f.field == "mark")
     );
 }
 
 #[test]
 fn who_joins_late_is_sent_all() {
     let (mut full, mut fresh, mut rounds) = (calendar(0.5), calendar(0.5), 0);
-    for i in 0..MOST_WINDOWS {
+    for i in 0..MAX_WINDOWS {
         full.put(
             &format!("w{i}"),
             once(ids(&[i % 12]), 100, 200, 30, 0),
-            stamp(0),
+            version(0),
             at(0),
         )
         .unwrap();
     }
     fresh
-        .put("own", once(ids(&[0]), 100, 200, 30, 0), stamp(0), at(0))
+        .put("own", once(ids(&[0]), 100, 200, 30, 0), version(0), at(0))
         .unwrap();
     while full.digests(at(1)) != fresh.digests(at(1)) {
         rounds += 1;
         assert!(rounds < 10);
         for digest in fresh.digests(at(1)) {
-            let lacking = full.lacking(&digest, at(1));
-            assert!(lacking.send.len() <= MOST_SENT);
-            tell(&mut full, &fresh.asked(&lacking.ask, at(1)), at(1));
-            tell(&mut fresh, &lacking.send, at(1));
+            let lacking = full.compare(&digest, at(1));
+            assert!(lacking.to_send.len() <= MAX_WINDOWS_PER_ANSWER);
+            merge_all(
+                &mut full,
+                &fresh.requested(&lacking.to_request, at(1)),
+                at(1),
+            );
+            merge_all(&mut fresh, &lacking.to_send, at(1));
         }
     }
-    assert_eq!(full.list(at(1)).len(), MOST_WINDOWS + 1);
+    assert_eq!(full.list(at(1)).len(), MAX_WINDOWS + 1);
     // What is forgotten is neither sent nor taken.
     let entry = full.get("own").unwrap().clone();
     assert!(full.digests(at(3800)).iter().all(|d| d.rows.is_empty()));
@@ -755,26 +836,31 @@
 }
 
 /// Windows whose ids, times, tokens and stamps meet often.
-fn entries() -> impl Strategy<Value = Entry> {
-    let stamp = || (0..3u64, 0..3u64).prop_map(|(s, by)| Stamp { at: at(s), by });
+fn entries() -> impl Strategy<Value = Window> {
+    let version = || {
+        (0..3u64, 0..3u64).prop_map(|(s, by)| Version {
+            called_at: at(s),
+            incarnation: by,
+        })
+    };
     let change = || {
-        let of = |(stamp, s): (Stamp, u64)| Stamped {
-            stamp,
-            value: Change {
+        let of = |(version, s): (Version, u64)| Versioned {
+            version,
+            value: OccurrenceChange {
                 occurrence: at(100),
                 at: at(s),
             },
         };
-        proptest::option::of((stamp(), 200..203u64).prop_map(of))
+        proptest::option::of((version(), 200..203u64).prop_map(of))
     };
     let steps = [
-        Step::Planned,
-        Step::Draining,
-        Step::Drained,
-        Step::Open,
-        Step::Restoring,
-        Step::Done,
-        Step::Refused,
+        Phase::Planned,
+        Phase::Draining,
+        Phase::Drained,
+        Phase::Open,
+        Phase::Restoring,
+        Phase::Done,
+        Phase::Refused,
     ];
     let mark = (
         0..2u64,
@@ -782,43 +868,43 @@
         proptest::sample::select(steps.to_vec()),
         0..3u64,
     );
-    let mark = mark.prop_map(|(o, t, step, s)| Mark {
+    let mark = mark.prop_map(|(o, t, step, s)| Progress {
         occurrence: at(100 + o),
         token: token(t),
-        step,
-        at: at(s),
-        why: format!("{s}"),
+        phase: step,
+        since: at(s),
+        reason: format!("{s}"),
     });
     let fields = (
-        stamp(),
+        version(),
         0..2usize,
         change(),
         change(),
-        proptest::option::of(stamp()),
+        proptest::option::of(version()),
         proptest::option::of(mark),
     );
-    fields.prop_map(|(stamp, i, extended, begun, cancelled, mark)| {
-        let spec = Stamped {
-            stamp,
+    fields.prop_map(|(version, i, extended, begun, cancelled, mark)| {
+        let spec = Versioned {
+            version,
             value: once(ids(&[i]), 100, 200, 30, 0),
         };
-        Entry {
+        Window {
             id: "w".into(),
             spec,
-            extended,
-            begun,
+            extension: extended,
+            early_start: begun,
             cancelled,
-            mark,
+            progress: mark,
         }
     })
 }
 
-fn merged(mut one: Entry, other: &Entry) -> Entry {
+fn merged(mut one: Window, other: &Window) -> Window {
     one.merge(other);
     one
 }
 
-fn tell(to: &mut Calendar, entries: &[Entry], now: Wall) {
+fn merge_all(to: &mut Calendar, entries: &[Window], now: WallTime) {
     entries
         .iter()
         .for_each(|e| assert!(to.merge(e, now).is_ok()));
@@ -828,9 +914,9 @@
 fn call(c: &mut Calendar, kind: u8, i: usize, now: u64) {
     let (id, s) = (
         format!("w{}", i % 6),
-        Stamp {
-            at: at(now),
-            by: kind.into(),
+        Version {
+            called_at: at(now),
+            incarnation: kind.into(),
         },
     );
     let _ = match kind {
@@ -853,8 +939,8 @@
         }
         4 => c.cancel(&id, s, at(now)),
         5 => c.extend(&id, at(now + 60), s, at(now)),
-        6 => c.begin_now(&id, s, at(now)),
-        _ => Ok(Put::Same),
+        6 => c.start_now(&id, s, at(now)),
+        _ => Ok(CallOutcome::Unchanged),
     };
 }
 
@@ -868,21 +954,21 @@
 fn change_fleet(fleet: &mut Fleet, i: usize, kind: u8) {
     let backend = fleet.get_mut(&format!("s{i}")).unwrap();
     match kind {
-        0 => backend.ready = 0.0,
-        1 => backend.ready = 0.4,
-        2 => backend.out_by_hand ^= true,
+        0 => backend.readiness = 0.0,
+        1 => backend.readiness = 0.4,
+        2 => backend.disabled ^= true,
         3 => backend.serving ^= true,
-        4..=6 => (backend.ready, backend.out_by_hand, backend.serving) = (1.0, false, true),
+        4..=6 => (backend.readiness, backend.disabled, backend.serving) = (1.0, false, true),
         _ => {}
     }
 }
 
 /// The names that windows in these steps have, by an own reading of the list.
-fn had(
+fn occupied_backends(
     c: &Calendar,
     fleet: &Fleet,
-    now: Wall,
-    steps: &[Step],
+    now: WallTime,
+    steps: &[Phase],
     of: &dyn Fn(&str) -> bool,
 ) -> BTreeSet<String> {
     let views = c
@@ -910,8 +996,13 @@
     names.collect()
 }
 
-const OUT: [Step; 3] = [Step::Draining, Step::Drained, Step::Open];
-const HELD: [Step; 4] = [Step::Draining, Step::Drained, Step::Open, Step::Restoring];
+const IN_EFFECT: [Phase; 3] = [Phase::Draining, Phase::Drained, Phase::Open];
+const OCCUPIED: [Phase; 4] = [
+    Phase::Draining,
+    Phase::Drained,
+    Phase::Open,
+    Phase::Restoring,
+];
 
 /// Listed and free capacity of the kind or zone, without these.
 fn capacity(fleet: &Fleet, group: &str, without: &BTreeSet<String>) -> (f64, f64) {
@@ -919,8 +1010,8 @@
         .iter()
         .filter(|(_, b)| b.kind == group || b.zone == group);
     of.fold((0.0, 0.0), |(listed, free), (name, b)| {
-        let usable = b.serving && !b.out_by_hand && !without.contains(name);
-        (listed + 1.0, free + if usable { b.ready } else { 0.0 })
+        let usable = b.serving && !b.disabled && !without.contains(name);
+        (listed + 1.0, free + if usable { b.readiness } else { 0.0 })
     })
 }
 
@@ -944,34 +1035,34 @@
         prop_assert_eq!(merged(ab.clone(), &c), merged(a.clone(), &merged(b.clone(), &c)));
         prop_assert_eq!(merged(ab.clone(), &a), ab.clone());
         prop_assert!(!ab.clone().merge(&b), "nothing new the second time");
-        prop_assert!(ab.cancelled >= a.cancelled && ab.mark >= a.mark);
-        if a.mark.as_ref().zip(b.mark.as_ref()).is_some_and(|(a, b)| a.occurrence == b.occurrence && a.token > b.token) {
-            prop_assert_eq!(ab.mark, a.mark, "the higher token's word");
+        prop_assert!(ab.cancelled >= a.cancelled && ab.progress >= a.progress);
+        if a.progress.as_ref().zip(b.progress.as_ref()).is_some_and(|(a, b)| a.occurrence == b.occurrence && a.token > b.token) {
+            prop_assert_eq!(ab.progress, a.progress, "the higher token's decision");
         }
-        if a.spec.stamp > b.spec.stamp {
+        if a.spec.version > b.spec.version {
             prop_assert_eq!(ab.spec, a.spec, "the later call");
         }
     }
 
-    /// Three proxies take calls and hold in turn; what one says is lost, doubled or late on its way, and
+    /// Three proxies take calls and hold in turn; what one sends is lost, duplicated or delayed, and
     /// digests repair it.
     #[test]
-    fn replicas_become_equal(seconds in seconds(), fates in proptest::collection::vec(0..4u8, 64)) {
+    fn replicas_become_equal(seconds in seconds(), deliveries in proptest::collection::vec(0..4u8, 64)) {
         let (mut proxies, fleet, mut holding) = (vec![calendar(0.5); 3], fleet(), 1);
-        let mut fates = fates.into_iter().cycle();
-        let mut late: Vec<(usize, Entry)> = Vec::new();
+        let mut deliveries = deliveries.into_iter().cycle();
+        let mut late: Vec<(usize, Window)> = Vec::new();
         for (s, (kind, i, _, _, turn)) in seconds.into_iter().enumerate() {
             let now = s as u64;
             call(&mut proxies[i % 3], kind, i, now);
             holding += u64::from(turn == 0);
-            proxies[holding as usize % 3].step(at(now), token(holding), &fleet, &idle());
+            proxies[holding as usize % 3].advance(at(now), token(holding), &fleet, &idle());
             for from in 0..3 {
-                for entry in proxies[from].changed() {
+                for entry in proxies[from].take_changed() {
                     for to in (0..3).filter(|to| *to != from) {
-                        match fates.next().unwrap() {
+                        match deliveries.next().unwrap() {
                             0 => {}
                             1 => late.push((to, entry.clone())),
-                            n => (1..n).for_each(|_| tell(&mut proxies[to], std::slice::from_ref(&entry), at(now))),
+                            n => (1..n).for_each(|_| merge_all(&mut proxies[to], std::slice::from_ref(&entry), at(now))),
                         }
                     }
                 }
@@ -979,13 +1070,13 @@
         }
         let now = at(150);
         late.reverse();
-        late.into_iter().for_each(|(to, entry)| tell(&mut proxies[to], &[entry], now));
+        late.into_iter().for_each(|(to, entry)| merge_all(&mut proxies[to], &[entry], now));
         for (from, to) in [(0, 1), (1, 2), (0, 1), (2, 0)] {
             for digest in proxies[from].digests(now) {
-                let lacking = proxies[to].lacking(&digest, now);
-                let answers = proxies[from].asked(&lacking.ask, now);
-                tell(&mut proxies[to], &answers, now);
-                tell(&mut proxies[from], &lacking.send, now);
+                let lacking = proxies[to].compare(&digest, now);
+                let answers = proxies[from].requested(&lacking.to_request, now);
+                merge_all(&mut proxies[to], &answers, now);
+                merge_all(&mut proxies[from], &lacking.to_send, now);
             }
         }
         for other in &proxies[1..] {
@@ -1011,22 +1102,22 @@
         let body = br#"{"kind":"m1","recurring":{"days":["mon","wed"],"at":"12:02","zone":"Africa/Lagos","lasts_s":60},"by":"x"}"#;
         for bytes in [body.to_vec(), edit(body.to_vec())] {
             if let Ok(spec) = Spec::from_json(&bytes) {
-                let _ = c.put("w", spec, stamp(s), now);
+                let _ = c.put("w", spec, version(s), now);
             }
         }
         let known = c.get("w").unwrap().encode();
         for bytes in [edit(largest().encode()), edit(known)] {
-            if let Ok(entry) = Entry::decode(&bytes, now) {
+            if let Ok(entry) = Window::decode(&bytes, now) {
                 let _ = c.merge(&entry, now);
-                prop_assert!(c.get(&entry.id).is_none_or(|e| e.encode().len() <= MOST_ENTRY));
+                prop_assert!(c.get(&entry.id).is_none_or(|e| e.encode().len() <= MAX_WINDOW_BYTES));
             }
         }
         if let Ok(digest) = postcard::from_bytes::<Digest>(&edit(postcard::to_stdvec(&c.digests(now)[0]).unwrap())) {
-            c.lacking(&digest, now);
+            c.compare(&digest, now);
         }
-        for later in [now, at(s + 90), Wall(u64::MAX), Wall(0)] {
-            c.step(later, token(9), &fleet(), &idle());
-            c.out(later, Micros(u64::MAX), &fleet());
+        for later in [now, at(s + 90), WallTime(u64::MAX), WallTime(0)] {
+            c.advance(later, token(9), &fleet(), &idle());
+            c.backends_in_maintenance(later, Micros(u64::MAX), &fleet());
             c.list(later);
         }
     }
@@ -1041,7 +1132,7 @@
     fn the_floor_holds_and_all_return(seconds in seconds()) {
         let floor = 0.5;
         let (mut holder, mut follower, mut fleet) = (calendar(floor), calendar(floor), fleet());
-        let (mut token_now, mut seen) = (1, BTreeMap::<(String, Step), usize>::new());
+        let (mut token_now, mut seen) = (1, BTreeMap::<(String, Phase), usize>::new());
         let (mut out, mut back) = (BTreeSet::new(), BTreeMap::<String, usize>::new());
         for s in 0..400u64 {
             let now = at(s);
@@ -1052,13 +1143,13 @@
                     token_now += 1;
                     std::mem::swap(&mut holder, &mut follower);
                 }
-                tell(&mut holder, &follower.changed(), now);
+                merge_all(&mut holder, &follower.take_changed(), now);
             }
-            let steps = holder.step(now, token(token_now), &fleet, &idle());
-            tell(&mut follower, &holder.changed(), now);
-            let begun: Vec<String> = steps.iter().filter(|t| t.to == Step::Draining).map(|t| t.window.clone()).collect();
-            let taken = had(&holder, &fleet, now, &[Step::Draining], &|id| begun.contains(&id.to_string()));
-            let held = had(&holder, &fleet, now, &HELD, &|_| true);
+            let steps = holder.advance(now, token(token_now), &fleet, &idle());
+            merge_all(&mut follower, &holder.take_changed(), now);
+            let begun: Vec<String> = steps.iter().filter(|t| t.to == Phase::Draining).map(|t| t.window.clone()).collect();
+            let taken = occupied_backends(&holder, &fleet, now, &[Phase::Draining], &|id| begun.contains(&id.to_string()));
+            let held = occupied_backends(&holder, &fleet, now, &OCCUPIED, &|_| true);
             let touched = taken.iter().filter_map(|n| fleet.get(n)).flat_map(|b| [&b.kind, &b.zone]);
             for group in touched.collect::<BTreeSet<_>>() {
                 let (listed, free) = capacity(&fleet, group, &held);
@@ -1068,10 +1159,10 @@
                 prop_assert!(step.to > step.from && step.token == token(token_now));
                 *seen.entry((step.window.clone(), step.to)).or_default() += 1;
             }
-            let again = holder.clone().step(now, token(token_now), &fleet, &idle());
+            let again = holder.clone().advance(now, token(token_now), &fleet, &idle());
             prop_assert!(again.iter().all(|t| !seen.contains_key(&(t.window.clone(), t.to))), "{again:?}");
-            let kept = follower.out(now, Micros(0), &fleet);
-            prop_assert_eq!(&kept, &had(&holder, &fleet, now, &OUT, &|_| true));
+            let kept = follower.backends_in_maintenance(now, Micros(0), &fleet);
+            prop_assert_eq!(&kept, &occupied_backends(&holder, &fleet, now, &IN_EFFECT, &|_| true));
             for name in out.difference(&kept) {
                 *back.entry(String::clone(name)).or_default() += 1;
             }
@@ -1080,16 +1171,16 @@
         prop_assert!(out.is_empty(), "{out:?} never came back");
         prop_assert!(seen.values().all(|times| *times == 1), "{seen:?}");
         let times = |step| seen.keys().filter(|(_, s)| *s == step).count();
-        prop_assert_eq!(times(Step::Draining), times(Step::Restoring) + times(Step::Overrun));
-        prop_assert!(back.values().all(|n| *n <= times(Step::Draining)));
+        prop_assert_eq!(times(Phase::Draining), times(Phase::Restoring) + times(Phase::Overrun));
+        prop_assert!(back.values().all(|n| *n <= times(Phase::Draining)));
     }
 }
 
 proptest! {
-    /// While it says that it needs no fleet, a calendar steps the same with one and without, and keeps the same out, heard or
-    /// cut off; and so it does from then on.
+    /// While it says that it needs no fleet, a calendar steps the same with one and without, and has the same backends in maintenance, isolated or
+    /// not; and so it does from then on.
     #[test]
-    fn without_need_the_fleet_makes_no_difference(
+    fn while_the_fleet_is_not_needed_it_makes_no_difference(
         windows in prop::collection::vec((0u64..200, 1u64..100, 0u32..30, 0usize..4, any::<bool>()), 1..5),
         times in prop::collection::vec((0u64..400, any::<bool>()), 1..20),
     ) {
@@ -1098,31 +1189,31 @@
         for (n, (begin, lasts, lead, what, cancelled)) in windows.into_iter().enumerate() {
             let targets = [ids(&[n, n + 3]), Targets::Zone("a".into()), Targets::Kind("m1".into()), Targets::Cell(1)];
             let id = format!("w{n}");
-            let put = held.put(&id, once(targets[what].clone(), begin + 1, begin + 1 + lasts.max(1) + u64::from(lead), lead, 5), stamp(0), at(0));
+            let put = held.put(&id, once(targets[what].clone(), begin + 1, begin + 1 + lasts.max(1) + u64::from(lead), lead, 5), version(0), at(0));
             prop_assert!(put.is_ok(), "{put:?}");
             if cancelled {
-                prop_assert!(held.cancel(&id, stamp(1), at(0)).is_ok());
+                prop_assert!(held.cancel(&id, version(1), at(0)).is_ok());
             }
         }
         let mut times = times;
         times.sort_unstable();
-        let heard = [Micros(0), Micros(u64::MAX)];
+        let since_holder = [Micros(0), Micros(u64::MAX)];
         for (secs, cut) in times {
             let now = at(secs);
             if !held.needs_fleet(now) {
                 let mut blind = held.clone();
                 let mut seeing = held.clone();
                 let none = Fleet::new();
-                for heard in heard {
-                    prop_assert_eq!(blind.out(now, heard, &none), seeing.out(now, heard, &fleet));
+                for since_holder in since_holder {
+                    prop_assert_eq!(blind.backends_in_maintenance(now, since_holder, &none), seeing.backends_in_maintenance(now, since_holder, &fleet));
                 }
-                prop_assert_eq!(blind.step(now, token(9), &none, &Reports::new()), seeing.step(now, token(9), &fleet, &idle()));
-                prop_assert_eq!(blind.changed(), seeing.changed());
+                prop_assert_eq!(blind.advance(now, token(9), &none, &OpenRequestReports::new()), seeing.advance(now, token(9), &fleet, &idle()));
+                prop_assert_eq!(blind.take_changed(), seeing.take_changed());
             }
             if cut {
-                held.out(now, heard[1], &fleet);
+                held.backends_in_maintenance(now, since_holder[1], &fleet);
             } else {
-                held.step(now, token(8), &fleet, &idle());
+                held.advance(now, token(8), &fleet, &idle());
             }
         }
     }
@@ -1132,13 +1223,13 @@
 #[test]
 fn the_fleet_is_needed_around_windows_only() {
     let mut calendar = calendar(0.4);
-    assert!(!calendar.needs_fleet(at(0)) && !calendar.any_out());
+    assert!(!calendar.needs_fleet(at(0)) && !calendar.any_in_effect());
     calendar
-        .put("w", once(ids(&[1]), 100, 130, 10, 0), stamp(0), at(0))
+        .put("w", once(ids(&[1]), 100, 130, 10, 0), version(0), at(0))
         .unwrap();
     let mut needed = Vec::new();
     for secs in 0..200 {
-        calendar.step(at(secs), token(8), &fleet(), &idle());
+        calendar.advance(at(secs), token(8), &fleet(), &idle());
         if calendar.needs_fleet(at(secs)) {
             needed.push(secs);
         }
