--- a/src/net/state/hot_restart.rs
+++ b/src/net/state/hot_restart.rs
@@ -141,3 +141,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_formats;
--- /dev/null
+++ b/tests/stored_formats.rs
@@ -0,0 +1,436 @@
+//! Forms that proxies of different versions exchange, and texts that operators' tools read, against what the program wrote
+//! when the fixtures were recorded.
+
+#[path = "fixtures/mod.rs"]
+mod fixtures;
+
+use fixtures::{assert_bytes, assert_lines, assert_text};
+use meadowproxy::fleet::calendar::{
+    Calendar, CallError, CallOutcome, DisruptionBudget, OccurrenceChange, Phase, Progress, Rules,
+    Schedule, Span, Spec, Targets, Version, Versioned, WallTime, Window,
+};
+use meadowproxy::fleet::lease::Ballot;
+use meadowproxy::fleet::relay::{Header, Part, Relay};
+use meadowproxy::Micros;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// 2025-12-03T08:00:00Z.
+const NOW: WallTime = WallTime(1_764_748_800_000_000);
+
+fn at(seconds: u64) -> WallTime {
+    NOW + Micros(seconds * 1_000_000)
+}
+
+fn stamp(by: u64) -> Version {
+    Version {
+        called_at: at(1),
+        incarnation: by,
+    }
+}
+
+fn once() -> Schedule {
+    Schedule::Once(Span {
+        begin: at(600),
+        end: at(4200),
+    })
+}
+
+fn recurring() -> Schedule {
+    Schedule::Recurring {
+        weekdays: 0b001_0011,
+        minute_of_day: 150,
+        time_zone: "Africa/Lagos".into(),
+        duration_s: 3600,
+    }
+}
+
+/// A name for each kind; whoever adds one has to name it here and to give one of it below.
+fn targets_name(targets: &Targets) -> &'static str {
+    match targets {
+        Targets::Ids(_) => "ids",
+        Targets::Zone(_) => "zone",
+        Targets::Kind(_) => "kind",
+        Targets::Cell(_) => "cell",
+    }
+}
+
+fn when_name(when: &Schedule) -> &'static str {
+    match when {
+        Schedule::Once(_) => "once",
+        Schedule::Recurring { .. } => "recurring",
+    }
+}
+
+/// All steps, by the one that follows.
+fn next(step: Phase) -> Option<Phase> {
+    match step {
+        Phase::Planned => Some(Phase::Draining),
+        Phase::Draining => Some(Phase::Drained),
+        Phase::Drained => Some(Phase::Open),
+        Phase::Open => Some(Phase::Restoring),
+        Phase::Restoring => Some(Phase::Done),
+        Phase::Done => Some(Phase::Cancelled),
+        Phase::Cancelled => Some(Phase::Overrun),
+        Phase::Overrun => Some(Phase::Refused),
+        Phase::Refused => None,
+    }
+}
+
+fn steps() -> Vec<Phase> {
+    std::iter::successors(Some(Phase::Planned), |step| next(*step)).collect()
+}
+
+fn window(targets: Targets, when: Schedule, step: Phase) -> Window {
+    let id = format!(
+        "{}-{}-{}",
+        targets_name(&targets),
+        when_name(&when),
+        step.name()
+    );
+    let begin = match &when {
+        Schedule::Once(span) => span.begin,
+        // 02:30 in Lagos, the first Thursday, Monday or Tuesday after now.
+        Schedule::Recurring { .. } => WallTime(1_765_157_400_000_000),
+    };
+    let change = |by, at| {
+        Some(Versioned {
+            version: stamp(by),
+            value: OccurrenceChange {
+                occurrence: begin,
+                at,
+            },
+        })
+    };
+    let token = Ballot {
+        number: 1_764_748_800_123,
+        incarnation: 0x0123_4567_89ab_cdef,
+    };
+    Window {
+        id,
+        spec: Versioned {
+            version: stamp(1),
+            value: Spec {
+                targets,
+                schedule: when,
+                lead_s: 45,
+                overrun_s: 900,
+                requested_by: "größer@ops".into(),
+            },
+        },
+        extension: change(2, begin + Micros(7_200_000_000)),
+        early_start: change(3, at(300)),
+        cancelled: (step == Phase::Cancelled).then(|| stamp(4)),
+        progress: Some(Progress {
+            occurrence: begin,
+            token,
+            phase: step,
+            since: at(30),
+            reason: "zone east: 2 of 3 out".into(),
+        }),
+    }
+}
+
+fn windows() -> Vec<Window> {
+    let ids = Targets::Ids(["s-1", "größer"].map(String::from).into());
+    let others = [
+        Targets::Zone("east".into()),
+        Targets::Kind("small".into()),
+        Targets::Cell(u64::MAX),
+    ];
+    let mut windows: Vec<Window> = steps()
+        .into_iter()
+        .map(|step| window(ids.clone(), once(), step))
+        .collect();
+    windows.extend(others.map(|targets| window(targets, recurring(), Phase::Open)));
+    let plain = window(ids, once(), Phase::Planned);
+    windows.push(Window {
+        id: "bare".into(),
+        extension: None,
+        early_start: None,
+        progress: None,
+        ..plain
+    });
+    windows
+}
+
+fn calendar() -> Calendar {
+    let budget = DisruptionBudget {
+        kind_floor: 0.5,
+        zone_floor: 0.5,
+    };
+    Calendar::new(Rules {
+        budget,
+        slow_start: Micros(1_000_000),
+        max_holder_silence: Micros(5_000_000),
+    })
+}
+
+#[test]
+fn windows_keep_their_bytes() {
+    let windows = windows();
+    let forms: Vec<(&str, Window)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
+    assert_bytes("windows.txt", &forms, Window::encode, |bytes| {
+        Window::decode(bytes, NOW).unwrap()
+    });
+}
+
+/// Digests name windows by hashes, which have to be the same at every proxy.
+#[test]
+fn digests_of_windows_keep_their_bytes() {
+    let mut calendar = calendar();
+    windows()
+        .iter()
+        .for_each(|w| assert!(calendar.merge(w, NOW).unwrap()));
+    let digests = calendar.digests(NOW);
+    let forms = [("all windows", digests[0].clone())];
+    assert_eq!(digests.len(), 1);
+    let encode = |digest: &_| postcard::to_stdvec(digest).unwrap();
+    assert_bytes("window-digest.txt", &forms, encode, |bytes| {
+        postcard::from_bytes(bytes).unwrap()
+    });
+}
+
+#[test]
+fn the_list_of_windows_keeps_its_json() {
+    let mut calendar = calendar();
+    windows()
+        .iter()
+        .for_each(|w| assert!(calendar.merge(w, NOW).unwrap()));
+    let views = calendar.list(NOW);
+    assert_eq!(views.len(), windows().len());
+    let text = |view| serde_json::to_string(view).unwrap();
+    let forms: Vec<_> = views
+        .iter()
+        .map(|view| (view.id.as_str(), text(view)))
+        .collect();
+    assert_lines("window-list.txt", &forms);
+}
+
+const ONCE: &str = r#"{"ids":["s-2","s-1"],"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00+01:00[Africa/Lagos]","by":"ops"}"#;
+const BODIES: [(&str, &str); 6] = [
+    (
+        "once",
+        r#"{"ids":["s-2","s-1"],"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T11:00:00+01:00[Africa/Lagos]","lead_s":60,"overrun_s":120,"by":"ops"}"#,
+    ),
+    (
+        "zone",
+        r#"{"zone":"east","begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#,
+    ),
+    (
+        "kind",
+        r#"{"kind":"small","begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#,
+    ),
+    (
+        "cell",
+        r#"{"cell":7,"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00Z","by":"ops"}"#,
+    ),
+    (
+        "daily",
+        r#"{"zone":"east","recurring":{"days":"daily","at":"02:30","zone":"Africa/Lagos","lasts_s":3600},"by":"ops"}"#,
+    ),
+    (
+        "days",
+        r#"{"zone":"east","recurring":{"days":["mon","sun"],"at":"23:59","zone":"Europe/Berlin","lasts_s":60},"by":"ops"}"#,
+    ),
+];
+const BAD_BODIES: [(&str, &str); 6] = [
+    ("cut short", "{"),
+    ("unknown key", r#"{"zones":"east"}"#),
+    ("nobody asks", r#"{"zone":"east"}"#),
+    ("label", r#"{"label":{"a":"b"},"by":"ops"}"#),
+    ("two targets", r#"{"zone":"east","cell":1,"by":"ops"}"#),
+    ("ends before it begins", ONCE),
+];
+
+/// The body of a call is read to the window that it was read to.
+#[test]
+fn bodies_of_calls_on_windows_are_read_the_same() {
+    let read = |body: &str| Spec::from_json(body.as_bytes());
+    let forms: Vec<(&str, Spec)> = BODIES
+        .iter()
+        .map(|(name, body)| (*name, read(body).unwrap()))
+        .collect();
+    let encode = |spec: &Spec| postcard::to_stdvec(spec).unwrap();
+    assert_bytes("window-bodies.txt", &forms, encode, |bytes| {
+        postcard::from_bytes(bytes).unwrap()
+    });
+    let refused = |body| serde_json::to_string(&read(body).unwrap_err()).unwrap();
+    let forms: Vec<_> = BAD_BODIES
+        .iter()
+        .map(|(name, body)| (*name, refused(body)))
+        .collect();
+    assert_lines("window-bodies-refused.txt", &forms);
+}
+
+fn rejected_name(rejected: &CallError) -> &'static str {
+    match rejected {
+        CallError::Invalid(_) => "invalid",
+        CallError::Conflict(_) => "conflict",
+        CallError::Unknown => "unknown",
+        CallError::Full => "full",
+    }
+}
+
+#[test]
+fn refusals_of_calls_on_windows_keep_their_status_and_json() {
+    let mut calendar = calendar();
+    let put = |calendar: &mut Calendar, id: &str, body: &str| {
+        calendar.put(id, Spec::from_json(body.as_bytes()).unwrap(), stamp(1), NOW)
+    };
+    assert_eq!(
+        put(&mut calendar, "w", BODIES[0].1),
+        Ok(CallOutcome::Changed)
+    );
+    let invalid = put(&mut calendar, "a b", BODIES[0].1).unwrap_err();
+    let conflict = put(&mut calendar, "w", BODIES[1].1).unwrap_err();
+    let unknown = calendar.cancel("x", stamp(1), NOW).unwrap_err();
+    let forms = [invalid, conflict, unknown, CallError::Full];
+    let text = |r: &CallError| {
+        format!(
+            "{} {}",
+            r.status(),
+            serde_json::to_string(&r.invalid_field()).unwrap()
+        )
+    };
+    let forms: Vec<_> = forms.iter().map(|r| (rejected_name(r), text(r))).collect();
+    assert_lines("window-refusals.txt", &forms);
+}
+
+/// Proxies of one fleet cut a broadcast's range alike: whom a broadcast goes to is said by nobody.
+#[test]
+fn broadcasts_are_passed_on_by_the_same_tree() {
+    let v4 = (1..=40).map(|n| SocketAddr::from(([10, 0, 0, n], 7000)));
+    let v6 = (1..=3).map(|n| SocketAddr::from(([0x2001, 0xdb8, 0, 0, 0, 0, 0, n], 7000)));
+    let members: Vec<SocketAddr> = v4.chain(v6).collect();
+    let mut origin = Relay::new(members[0], 0x55aa, Micros(5_000_000));
+    let first = origin.begin(NOW.0);
+    let told = origin.pass_on(&first, &members);
+    let part = Part {
+        from: 5,
+        to: u32::MAX / 2,
+        hops: 1,
+    };
+    let relayed =
+        Relay::new(members[7], 9, Micros(5_000_000)).pass_on(&Header { part, ..first }, &members);
+    let forms = [("by its origin", told), ("by another", relayed)];
+    let encode = |told: &Vec<(SocketAddr, Header)>| postcard::to_stdvec(told).unwrap();
+    assert_bytes("broadcast-tree.txt", &forms, encode, |bytes| {
+        postcard::from_bytes(bytes).unwrap()
+    });
+}
+
+const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml");
+
+fn program() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_meadowproxy"));
+    for name in [
+        "NODE_CONFIG",
+        "NODE_CONTROL",
+        "NODE_SOCKET_FD",
+        "NODE_SNAPSHOT",
+        "NODE_LOG_FORMAT",
+    ] {
+        command.env_remove(name);
+    }
+    command
+}
+
+#[test]
+fn show_config_keeps_its_text() {
+    let output = program().args(["show-config", EXAMPLE]).output().unwrap();
+    assert!(output.status.success(), "{output:?}");
+    assert_text(
+        "show-config.txt",
+        &String::from_utf8(output.stdout).unwrap(),
+    );
+}
+
+/// The sections of a proxy in a fleet, with their defaults.
+#[test]
+fn show_config_of_a_proxy_in_a_fleet_keeps_its_text() {
+    let sets = [
+        "version=1764748800123",
+        "discovery=127.0.0.1:8500",
+        "limits.cores=2.0",
+        "limits.memory_mb=512.0",
+        "snapshot.dir=/var/lib/proxy",
+        "peers.listen=127.0.0.1:7000",
+        "peers.advertise=10.0.0.1:7000",
+        "peers.cluster=lagos",
+        r#"peers.seeds=["10.0.0.2:7000"]"#,
+        r#"duties.voters=["10.0.0.1:7000","10.0.0.2:7000","10.0.0.3:7000"]"#,
+        "duties.zone_floor=0.25",
+    ];
+    let mut command = program();
+    command.args(["show-config", EXAMPLE]);
+    for set in sets {
+        command.args(["--set", set]);
+    }
+    let output = command.output().unwrap();
+    assert!(output.status.success(), "{output:?}");
+    assert_text(
+        "show-config-fleet.txt",
+        &String::from_utf8(output.stdout).unwrap(),
+    );
+}
+
+/// All files below a folder, digits of times and processes aside.
+fn files(below: &Path, folder: &Path, found: &mut Vec<String>) {
+    for entry in std::fs::read_dir(folder).into_iter().flatten() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            files(below, &path, found);
+        } else {
+            let name = path
+                .strip_prefix(below)
+                .unwrap()
+                .to_string_lossy()
+                .into_owned();
+            let pattern = name
+                .split_once("process-")
+                .map(|(before, _)| format!("{before}process-"));
+            found.push(pattern.unwrap_or(name));
+        }
+    }
+}
+
+/// Another version that runs beside or after this one looks there.
+#[test]
+fn the_running_program_keeps_its_files_where_it_did() {
+    let folder = std::env::temp_dir().join(format!("fixtures-files-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let mut command = program();
+    command.arg("run");
+    let snapshots = format!("snapshot.dir={}", folder.join("kept").display());
+    let sets = [
+        "listen=127.0.0.1:0",
+        "control=127.0.0.1:0",
+        "snapshot.every_ms=50",
+        &snapshots,
+    ];
+    for set in sets {
+        command.args(["--set", set]);
+    }
+    command.args(["--config", EXAMPLE]).env("TMPDIR", &folder);
+    let mut child = command.stderr(Stdio::null()).spawn().unwrap();
+    let (begun, mut found) = (Instant::now(), Vec::new());
+    let whole = |found: &[String]| {
+        found.len() == 2
+            && !found
+                .iter()
+                .any(|f| f.contains("/.process") || f.ends_with(".part"))
+    };
+    while !whole(&found) && begun.elapsed() < Duration::from_secs(20) {
+        std::thread::sleep(Duration::from_millis(20));
+        found.clear();
+        files(&folder, &folder, &mut found);
+    }
+    child.kill().unwrap();
+    child.wait().unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
+    found.sort();
+    assert_text("files.txt", &(found.join("\n") + "\n"));
+}
