--- a/benches/scale/carry.rs
+++ b/benches/scale/carry.rs
@@ -1,7 +1,7 @@
 //! A hollow proxy's copy of the fleet's configuration, and its part in others' broadcasts. It holds no duty: it passes on,
 //! compares digests and repairs, as every proxy does.
 
-use super::message::{self, Duties, Duty, Said};
+use super::message::{self, Announcement, Duty, DutyMessage};
 use meadowproxy::fleet::config::{Event, Replica, Rules, Surroundings};
 use meadowproxy::fleet::lease;
 use meadowproxy::fleet::membership::{Membership, Now};
@@ -68,8 +68,8 @@
     /// Takes another proxy's message; nothing where it is not about the configuration, or not used.
     pub fn take(&mut self, from: SocketAddr, bytes: &[u8], now: Now) -> Mail {
         match message::decode(bytes) {
-            Ok(Duties::Broadcast(header, said)) => self.pass_on(&header, &said, now),
-            Ok(Duties::Config(message)) => self.act(now, |replica, around, out| {
+            Ok(DutyMessage::Broadcast(header, said)) => self.pass_on(&header, &said, now),
+            Ok(DutyMessage::Config(message)) => self.act(now, |replica, around, out| {
                 let _ = replica.handle(now.time, around, from, message, out); // refused: it changed nothing
             }),
             _ => Mail::new(),
@@ -77,16 +77,21 @@
     }
 
     /// Takes a broadcast and passes it on; nothing where it is not used.
-    fn pass_on(&mut self, header: &Header, said: &Said, now: Now) -> Mail {
+    fn pass_on(&mut self, header: &Header, said: &Announcement, now: Now) -> Mail {
         if self.relay.take(header, now.wall_us).is_err() {
             return Mail::new();
         }
-        if said.tokens.iter().any(|(duty, _)| *duty == Duty::Config) {
+        if said.held.iter().any(|held| held.duty == Duty::Config) {
             self.holder = Some(header.origin);
         }
         let next = self.relay.pass_on(header, &self.members);
         next.into_iter()
-            .map(|(to, h)| (to, message::encode(&Duties::Broadcast(h, said.clone()))))
+            .map(|(to, h)| {
+                (
+                    to,
+                    message::encode(&DutyMessage::Broadcast(h, said.clone())),
+                )
+            })
             .collect()
     }
 
@@ -109,7 +114,7 @@
         let mut out = Vec::new();
         step(&mut self.replica, &around, &mut out);
         out.into_iter()
-            .map(|(to, message)| (to, message::encode(&Duties::Config(message))))
+            .map(|(to, message)| (to, message::encode(&DutyMessage::Config(message))))
             .collect()
     }
 
--- /dev/null
+++ b/src/net/cluster/coordination/admin_calls.rs
@@ -0,0 +1,125 @@
+//! The operators' calls on duties and maintenance windows, carried out by the timer worker.
+
+use super::call::{json_line, Answer, Call};
+use super::clocks::wall;
+use super::tables::Tables;
+use hyper::StatusCode;
+use meadowproxy::fleet::calendar::{
+    parse_instant, CallError, CallOutcome, InvalidField, Spec, Version, WallTime,
+};
+use serde::Deserialize;
+use serde_json::json;
+
+/// The body of an extension.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct Extension {
+    until: String,
+}
+
+/// Carries a call out.
+pub fn answer(tables: &Tables, call: &Call) -> Answer {
+    let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
+    match (call.method.as_str(), path.as_slice()) {
+        ("GET", ["config"]) => ok(&tables.config_status()),
+        ("GET", ["config", kind, name]) => tables.config_entry(kind, name),
+        ("GET", ["duties"]) => ok(&duties(tables)),
+        ("GET", ["windows"]) => {
+            let windows = tables.calendar.lock().calendar.list(wall());
+            ok(&json!({ "windows": windows }))
+        }
+        (method, ["windows", id, action @ ..]) => match change(tables, method, id, action, call) {
+            Some(changed) => answer_change(tables, changed),
+            None => no_such_call(),
+        },
+        _ => no_such_call(),
+    }
+}
+
+/// Carries a call out that changes a window; `None` where there is no such call.
+fn change(
+    tables: &Tables,
+    method: &str,
+    id: &str,
+    action: &[&str],
+    call: &Call,
+) -> Option<Result<CallOutcome, CallError>> {
+    let now = wall();
+    let version = Version {
+        called_at: now,
+        incarnation: tables.incarnation,
+    };
+    let changed = match (method, action) {
+        ("PUT", []) => Spec::from_json(&call.body)
+            .map_err(CallError::Invalid)
+            .and_then(|spec| tables.calendar.lock().calendar.put(id, spec, version, now)),
+        ("DELETE", []) => tables.calendar.lock().calendar.cancel(id, version, now),
+        ("POST", ["extend"]) => extension_end(&call.body)
+            .map_err(CallError::Invalid)
+            .and_then(|until| {
+                let calendar = &mut tables.calendar.lock().calendar;
+                calendar.extend(id, until, version, now)
+            }),
+        ("POST", ["begin"]) => tables.calendar.lock().calendar.start_now(id, version, now),
+        _ => return None,
+    };
+    Some(changed)
+}
+
+fn answer_change(tables: &Tables, changed: Result<CallOutcome, CallError>) -> Answer {
+    match changed {
+        Ok(outcome) => {
+            let windows = tables.calendar.lock().calendar.take_changed();
+            tables.announce_windows(&windows, None);
+            tables.update_maintenance();
+            ok(&json!({ "changed": outcome == CallOutcome::Changed }))
+        }
+        Err(error) => {
+            let status = StatusCode::from_u16(error.status()).unwrap_or(StatusCode::BAD_REQUEST);
+            (status, json_line(&json!(error.invalid_field())))
+        }
+    }
+}
+
+fn ok(value: &serde_json::Value) -> Answer {
+    (StatusCode::OK, json_line(value))
+}
+
+fn no_such_call() -> Answer {
+    let body = json!({ "field": "path", "why": "no such call" });
+    (StatusCode::NOT_FOUND, json_line(&body))
+}
+
+fn extension_end(body: &[u8]) -> Result<WallTime, InvalidField> {
+    let extension: Extension = serde_json::from_slice(body).map_err(|error| InvalidField {
+        field: "until".into(),
+        reason: error.to_string(),
+    })?;
+    parse_instant("until", &extension.until)
+}
+
+/// The state of the calendar's duty; the names are the operators' ones.
+fn duties(tables: &Tables) -> serde_json::Value {
+    let mut status = tables.leases.lock().status();
+    let (windows, in_maintenance, ready) = {
+        let maintenance = tables.calendar.lock();
+        (
+            maintenance.calendar.list(wall()).len(),
+            maintenance.in_maintenance.clone(),
+            maintenance.has_caught_up(),
+        )
+    };
+    let members = tables.roster.lock().members().len();
+    let outbox = tables.outbox.lock();
+    let more = json!({
+        "windows": windows, "out": in_maintenance, "ready": ready, "members": members, "sent": outbox.sent,
+        "received": outbox.received, "refused": outbox.rejected,
+    });
+    if let (Some(status), serde_json::Value::Object(more)) = (status.as_object_mut(), more) {
+        status.extend(more);
+    }
+    status
+}
+
+#[cfg(test)]
+mod stored_formats;
--- a/src/net/cluster/coordination/door/stored_formats.rs
+++ b/src/net/cluster/coordination/admin_calls/stored_formats.rs
@@ -1,8 +1,9 @@
 //! The answers to operators' calls on duties and windows: status and JSON.
 
-use super::super::leases::Mail;
+use super::super::duty_lease::Outgoing;
 use super::*;
 use crate::fixtures::assert_lines;
+use bytes::Bytes;
 use meadowproxy::fleet::lease::Ballot;
 use std::net::SocketAddr;
 
@@ -81,7 +82,7 @@
     let before = state(&tables);
     assert!(call(&tables, "GET /duties", "").starts_with("200 {"));
     call(&tables, "PUT /windows/w", WINDOW);
-    tables.calendar.lock().out.insert("a".into());
+    tables.calendar.lock().in_maintenance.insert("a".into());
     let from = SocketAddr::from(([127, 0, 0, 1], 10));
     let token = Ballot {
         number: 1_764_748_800_000,
@@ -90,9 +91,9 @@
     tables
         .leases
         .lock()
-        .effect(from, token, true, &mut Mail::new())
+        .admit_effect(from, token, true, &mut Outgoing::new())
         .unwrap();
-    tables.outbox.lock().refused.insert("token", 3);
+    tables.outbox.lock().rejected.insert("token", 3);
     let forms = [("at the start", before), ("with a holder", state(&tables))];
     assert_lines("duties-status.txt", &forms);
 }
--- /dev/null
+++ b/src/net/cluster/coordination/clocks.rs
@@ -0,0 +1,21 @@
+//! The clocks that the workers read.
+
+use crate::net::state::snapshot::wall_us;
+use meadowproxy::fleet::calendar::WallTime;
+use meadowproxy::Time;
+use rustix::time::{clock_gettime, ClockId};
+
+/// The monotonic clock, which all processes of a machine share.
+pub fn mono() -> Time {
+    let now = clock_gettime(ClockId::Monotonic);
+    Time(
+        (now.tv_sec as u64)
+            .saturating_mul(1_000_000)
+            .saturating_add(now.tv_nsec as u64 / 1000),
+    )
+}
+
+/// The wall clock, which is compared between proxies.
+pub fn wall() -> WallTime {
+    WallTime(wall_us())
+}
--- /dev/null
+++ b/src/net/cluster/coordination/command.rs
@@ -0,0 +1,22 @@
+//! What the request loop asks of the timer worker.
+
+use super::call::{Answer, Call};
+use meadowproxy::fleet::config::Edit;
+use tokio::sync::oneshot;
+
+/// One command.
+pub enum Command {
+    /// An operator's call, and where its answer goes.
+    Call(Call, oneshot::Sender<Answer>),
+    /// An operator's change of the configuration.
+    ChangeConfig {
+        /// The version that the change was made from.
+        base: u64,
+        edits: Vec<Edit>,
+        answer: oneshot::Sender<Answer>,
+    },
+    /// This proxy shuts down: its leases are released.
+    Leave,
+    /// Something is due now.
+    Wake,
+}
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,11 +1,12 @@
 //! The fleet's configuration at this proxy: its copy and its part in the duty under one lock, operators' calls on it, and
 //! what the request loop is told.
 
-use super::door::{line, Answer, Call};
-use super::leases::{Leases, Mail};
-use super::message::{Duties, Duty};
+use super::call::{json_line as line, Answer, Call};
+use super::clocks::{mono, wall};
+use super::duty_lease::{DutyLease, Outgoing};
+use super::message::{Duty, DutyMessage};
+use super::request_loop::Effect;
 use super::tables::Tables;
-use super::{mono, wall, Effect};
 use crate::net::config::overlay::{Newest, Overlay};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{
@@ -29,7 +30,7 @@
 const BEAT: Micros = Micros(1_000_000);
 
 pub struct Configuring {
-    pub leases: Leases,
+    pub leases: DutyLease,
     pub replica: Replica,
     /// Who waits for the outcome of a change, since when.
     calls: BTreeMap<u64, (oneshot::Sender<Answer>, Time)>,
@@ -55,7 +56,7 @@
             own,
         };
         Configuring {
-            leases: Leases::new(Duty::Config, rules, voters, own, incarnation),
+            leases: DutyLease::new(Duty::Config, rules, voters, own, incarnation),
             replica: Replica::new(of, drawn(), now),
             calls: BTreeMap::new(),
             untold: None,
@@ -65,7 +66,7 @@
     }
 
     /// Carries out what the copy's machine says.
-    fn settle(&mut self, mail: &mut Mail) {
+    fn settle(&mut self, mail: &mut Outgoing) {
         for event in self.replica.events() {
             match event {
                 Event::InForce { version, entries } => {
@@ -82,7 +83,7 @@
                         let _ = answer.send(self.outcome(result)); // who asked may be gone
                     }
                 }
-                Event::Superseded(token) => self.leases.learn(token, mail),
+                Event::Superseded(token) => self.leases.observe_token(token, mail),
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
                     warn!(event = "config_diverged", version = digest.version, other = %other,
@@ -122,7 +123,7 @@
         &self,
         act: impl FnOnce(&mut Configuring, Time, &Surroundings, &mut Vec<(SocketAddr, Message)>) -> T,
     ) -> T {
-        let (mut mail, mut out) = (Mail::new(), Vec::new());
+        let (mut mail, mut out) = (Outgoing::new(), Vec::new());
         let (result, started) = {
             let mut config = self.config.lock();
             let seen = self.roster.lock().seen.clone();
@@ -133,7 +134,7 @@
                 wall_ms: wall().0 / 1000,
                 members,
                 near: &[],
-                holding: config.leases.holds(),
+                holding: config.leases.held_token(),
                 holder: config.leases.holder(),
             };
             let result = act(&mut config, now, &around, &mut out);
@@ -158,11 +159,11 @@
         };
         mail.extend(
             out.into_iter()
-                .map(|(to, message)| (to, Duties::Config(message))),
+                .map(|(to, message)| (to, DutyMessage::Config(message))),
         );
         self.send(mail);
         if started {
-            self.welcome();
+            self.admit_clients();
         }
         result
     }
@@ -177,7 +178,10 @@
             .outbox
             .lock()
             .effects
-            .try_send(Effect::Config(version, list))
+            .try_send(Effect::ChangeConfig {
+                version,
+                entries: list,
+            })
             .is_err()
         {
             config.untold = Some((version, entries));
@@ -191,11 +195,11 @@
 
     /// Lets time pass for the configuration; when its lease is to be looked at next.
     pub fn config_tick(&self) -> Option<Time> {
-        let mut mail = Mail::new();
+        let mut mail = Outgoing::new();
         let next = {
             let mut config = self.config.lock();
             if !config.replica.is_new() {
-                config.leases.ready();
+                config.leases.set_eligible();
             }
             let next = config.leases.tick(&mut mail);
             let now = mono();
@@ -373,7 +377,7 @@
     // As many bits as a figure has: equal versions have equal ones.
     metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
     metrics::gauge!("meadowproxy_config_entries").set(config.replica.table().len() as f64);
-    let heard = config.leases.heard();
+    let heard = config.leases.since_heartbeat();
     if heard.0 < u64::MAX {
         metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
     }
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -116,7 +116,7 @@
         .config
         .lock()
         .leases
-        .effect(from, token, true, &mut Mail::new())
+        .admit_effect(from, token, true, &mut Outgoing::new())
         .unwrap();
     let mut after = tables.config_status();
     assert!(after["heard_ms"].is_u64());
@@ -204,6 +204,6 @@
         body: Bytes::new(),
     };
     let (tables, _told) = Tables::example();
-    let answer = super::super::door::answer(&tables, &call(&["config", "tenants", "x"]));
+    let answer = super::super::admin_calls::answer(&tables, &call(&["config", "tenants", "x"]));
     assert_eq!(answer, tables.config_entry("tenants", "x"));
 }
--- /dev/null
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -0,0 +1,461 @@
+//! This proxy's part in the lease of one duty: as a voter, as a candidate, behind the fence that rejects effects of
+//! former holders, and with what it knows of the holder.
+
+use super::clocks::{mono, wall};
+use super::message::{Duty, DutyMessage, MessageError, TokenReport};
+use meadowproxy::fleet::fencing::Fence;
+use meadowproxy::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
+use meadowproxy::{Micros, Time};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use tracing::{info, warn};
+
+/// Messages to send, each with its receiver.
+pub type Outgoing = Vec<(SocketAddr, DutyMessage)>;
+
+/// In a small region every voter sends a digest here within this time.
+const DIGEST_INTERVAL_BOUND: Micros = Micros(3_000_000);
+
+/// What is known of the lease holder.
+#[derive(Clone, Copy)]
+struct Holder {
+    token: Token,
+    /// Its address, once one of its own heartbeats came here.
+    address: Option<SocketAddr>,
+    /// When its last heartbeat was sent, on this proxy's clock.
+    heartbeat_at: Time,
+}
+
+/// One of the voters, and when it was last heard of.
+struct VoterContact {
+    address: SocketAddr,
+    /// When it last answered this proxy's candidate.
+    answered_at: Option<Time>,
+    /// When any message of it came.
+    message_at: Option<Time>,
+}
+
+/// A time in which the duty is wanted and no quorum answers.
+#[derive(Clone, Copy)]
+struct QuorumLoss {
+    since: Time,
+    is_logged: bool,
+}
+
+/// The lease of one duty, as this proxy takes part in it.
+pub struct DutyLease {
+    duty: Duty,
+    rules: Rules,
+    own: SocketAddr,
+    voters: Vec<VoterContact>,
+    /// Where this proxy is one of the voters.
+    voter: Option<Voter>,
+    candidate: Candidate,
+    fence: Fence<Duty>,
+    holder: Option<Holder>,
+    quorum_loss: Option<QuorumLoss>,
+    /// How long a candidate that is no voter waits for a holder's heartbeat before it bids.
+    bid_delay: Micros,
+    /// The end of the term, while this proxy holds the duty.
+    expires_at: Option<Time>,
+    incarnation: u64,
+    started_at: Time,
+    /// It has caught up with what the duty is about.
+    is_eligible: bool,
+    is_leaving: bool,
+}
+
+impl DutyLease {
+    pub fn new(
+        duty: Duty,
+        rules: Rules,
+        voters: Vec<SocketAddr>,
+        own: SocketAddr,
+        incarnation: u64,
+    ) -> DutyLease {
+        let now = mono();
+        // Two to three terms, drawn once: not all of a large fleet bid together.
+        let bid_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
+        let is_voter = voters.contains(&own);
+        let contact = |address| VoterContact {
+            address,
+            answered_at: None,
+            message_at: None,
+        };
+        DutyLease {
+            duty,
+            rules,
+            own,
+            voters: voters.into_iter().map(contact).collect(),
+            voter: is_voter.then(|| Voter::new(rules, now)),
+            candidate: Candidate::new(rules, incarnation),
+            fence: Fence::default(),
+            holder: None,
+            quorum_loss: Some(QuorumLoss {
+                since: now,
+                is_logged: false,
+            }),
+            bid_delay,
+            expires_at: None,
+            incarnation,
+            started_at: now,
+            is_eligible: false,
+            is_leaving: false,
+        }
+    }
+
+    /// The token under which this proxy holds the duty at this instant.
+    pub fn held_token(&self) -> Option<Token> {
+        self.candidate.held_token(mono())
+    }
+
+    /// The holder's address, as far as it is known here.
+    pub fn holder(&self) -> Option<SocketAddr> {
+        if self.held_token().is_some() {
+            return Some(self.own);
+        }
+        let holder = self.holder.filter(|holder| {
+            let is_recent = mono() - holder.heartbeat_at < self.rules.grant_duration();
+            holder.address != Some(self.own) && is_recent
+        })?;
+        holder.address
+    }
+
+    /// How long ago the holder's last heartbeat was sent; zero while this proxy is the holder.
+    pub fn since_heartbeat(&self) -> Micros {
+        match (self.held_token(), &self.holder) {
+            (Some(_), _) => Micros(0),
+            (None, Some(holder)) => mono() - holder.heartbeat_at,
+            (None, None) => Micros(u64::MAX),
+        }
+    }
+
+    /// Lets time pass, and gives the time of the next call at the latest.
+    pub fn tick(&mut self, outgoing: &mut Outgoing) -> Option<Time> {
+        let now = mono();
+        let is_wanted = self.is_wanted(now);
+        let wall_ms = wall().0 / 1000;
+        let mut requests = Vec::new();
+        self.candidate.tick(now, wall_ms, is_wanted, &mut requests);
+        self.send_to_voters(now, requests, outgoing);
+        self.apply_changes(now);
+        self.check_quorum(now, is_wanted);
+        self.candidate.next_tick_at()
+    }
+
+    /// A voter bids as soon as its own vote is free; any other candidate once it has had no holder's heartbeat for long,
+    /// so that in a large fleet a holder's end leads to the voters' bids only.
+    fn is_wanted(&self, now: Time) -> bool {
+        if !self.is_eligible || self.is_leaving {
+            return false;
+        }
+        if self.candidate.held_token(now).is_some() {
+            return true;
+        }
+        let Some(voter) = &self.voter else {
+            let heartbeat_at = self
+                .holder
+                .map_or(self.started_at, |holder| holder.heartbeat_at);
+            return now - heartbeat_at > self.bid_delay;
+        };
+        let is_free = voter
+            .granted_ballot(now)
+            .is_none_or(|ballot| ballot.incarnation == self.incarnation);
+        is_free && !voter.is_silent(now)
+    }
+
+    /// Takes a lease message from another proxy.
+    pub fn handle_message(
+        &mut self,
+        from: SocketAddr,
+        message: Message,
+        outgoing: &mut Outgoing,
+    ) -> Result<(), MessageError> {
+        let now = mono();
+        match message {
+            Message::PreVote { .. } | Message::RequestGrant { .. } | Message::Release { .. } => {
+                let voter = self.voter.as_mut();
+                if let Some(response) = voter.and_then(|voter| voter.handle(now, message)) {
+                    outgoing.push((from, self.lease_message(response)));
+                }
+            }
+            Message::PreVoteGranted { .. } | Message::Granted { .. } | Message::Denied { .. } => {
+                let place = self.voter_place(from).ok_or(MessageError::NotAVoter)?;
+                let mut requests = Vec::new();
+                self.voters[place].answered_at = Some(now);
+                self.candidate
+                    .handle_response(now, place, message, &mut requests);
+                self.send_to_voters(now, requests, outgoing);
+            }
+        }
+        self.apply_changes(now);
+        Ok(())
+    }
+
+    /// Admits an effect of the proxy at `from`, whoever relayed it; it is that holder's heartbeat, too, unless a newer
+    /// one has come.
+    ///
+    /// # Errors
+    /// A higher token was seen.
+    pub fn admit_effect(
+        &mut self,
+        from: SocketAddr,
+        token: Token,
+        is_newest: bool,
+        outgoing: &mut Outgoing,
+    ) -> Result<(), MessageError> {
+        if let Err(stale) = self.fence.admit(self.duty, token) {
+            let fenced = DutyMessage::Fenced {
+                duty: self.duty,
+                highest: stale.highest,
+            };
+            outgoing.push((from, fenced));
+            return Err(MessageError::StaleToken);
+        }
+        let now = mono();
+        self.observe_token(token, outgoing);
+        if is_newest {
+            self.holder = Some(Holder {
+                token,
+                address: Some(from),
+                heartbeat_at: now,
+            });
+        }
+        Ok(())
+    }
+
+    /// Takes what another proxy knows of the duty; of the highest token the youngest heartbeat counts.
+    pub fn handle_token_report(&mut self, report: &TokenReport, outgoing: &mut Outgoing) {
+        self.observe_token(report.token, outgoing);
+        let Some(age_ms) = report.heartbeat_age_ms else {
+            return;
+        };
+        let age_us = u64::from(age_ms).saturating_mul(1000);
+        let heartbeat_at = Time(mono().0.saturating_sub(age_us));
+        if self.fence.highest(&self.duty) != Some(report.token) {
+            return;
+        }
+        match &mut self.holder {
+            Some(holder) if holder.token == report.token => {
+                holder.heartbeat_at = holder.heartbeat_at.max(heartbeat_at);
+            }
+            holder => {
+                *holder = Some(Holder {
+                    token: report.token,
+                    address: None,
+                    heartbeat_at,
+                });
+            }
+        }
+    }
+
+    /// A token was seen: nothing lower counts from now on, for effects here and for this proxy's vote.
+    pub fn observe_token(&mut self, token: Token, outgoing: &mut Outgoing) {
+        let now = mono();
+        self.raise_token(token);
+        let mut requests = Vec::new();
+        self.candidate.observe_token(now, token, &mut requests);
+        self.send_to_voters(now, requests, outgoing);
+        self.apply_changes(now);
+    }
+
+    /// What this proxy knows of the duty, for its digests.
+    pub fn token_reports(&self) -> Vec<TokenReport> {
+        let now = mono();
+        let held = self.candidate.held_token(now);
+        self.fence
+            .tokens()
+            .map(|(duty, token)| {
+                let age = if held == Some(token) {
+                    Some(Micros(0))
+                } else {
+                    let holder = self.holder.filter(|holder| holder.token == token);
+                    holder.map(|holder| now - holder.heartbeat_at)
+                };
+                TokenReport {
+                    duty: *duty,
+                    token,
+                    heartbeat_age_ms: age.and_then(|age| u32::try_from(age.0 / 1000).ok()),
+                }
+            })
+            .collect()
+    }
+
+    /// Gives the duty up for good, as this proxy shuts down.
+    pub fn leave(&mut self, outgoing: &mut Outgoing) {
+        self.is_leaving = true;
+        self.tick(outgoing);
+    }
+
+    /// From now on this proxy may bid for the duty: it has caught up with what it is about.
+    pub fn set_eligible(&mut self) {
+        self.is_eligible = true;
+    }
+
+    fn lease_message(&self, message: Message) -> DutyMessage {
+        DutyMessage::Lease {
+            duty: self.duty,
+            message,
+        }
+    }
+
+    fn voter_place(&self, address: SocketAddr) -> Option<usize> {
+        self.voters
+            .iter()
+            .position(|voter| voter.address == address)
+    }
+
+    fn raise_token(&mut self, token: Token) {
+        self.fence.observe(self.duty, token);
+        if let Some(voter) = &mut self.voter {
+            voter.observe_token(token);
+        }
+    }
+
+    /// Sends requests to every voter; this proxy's own vote is taken here.
+    fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut Outgoing) {
+        let mut requests = VecDeque::from(requests);
+        while let Some(message) = requests.pop_front() {
+            for place in 0..self.voters.len() {
+                let address = self.voters[place].address;
+                if address != self.own {
+                    outgoing.push((address, self.lease_message(message)));
+                    continue;
+                }
+                let voter = self.voter.as_mut();
+                let Some(response) = voter.and_then(|voter| voter.handle(now, message)) else {
+                    continue;
+                };
+                self.voters[place].answered_at = Some(now);
+                let mut further = Vec::new();
+                self.candidate
+                    .handle_response(now, place, response, &mut further);
+                requests.extend(further);
+            }
+        }
+    }
+
+    /// Logs what became of the lease, and records it.
+    fn apply_changes(&mut self, now: Time) {
+        for change in self.candidate.take_changes() {
+            match change {
+                Change::Acquired(token) => {
+                    self.raise_token(token);
+                    info!(event = "duty_held", duty = self.duty.name(), token = %token_text(token), mono_us = now.0,
+                        "acquired the lease of a duty");
+                }
+                Change::Lost(token, loss) => self.log_loss(token, loss, now),
+            }
+        }
+        self.expires_at = self.candidate.lease_expires_at();
+        if let Some(token) = self.candidate.held_token(now) {
+            self.holder = Some(Holder {
+                token,
+                address: Some(self.own),
+                heartbeat_at: now,
+            });
+        }
+    }
+
+    /// A stalled holder learns late that its lease is over; it ended with its term.
+    fn log_loss(&self, token: Token, loss: Loss, now: Time) {
+        let ended_at = self
+            .expires_at
+            .map_or(now, |expires_at| expires_at.min(now));
+        let reason = match loss {
+            Loss::Released => "released".to_string(),
+            Loss::Expired => "term over".to_string(),
+            Loss::Superseded(by) => format!("superseded by {}", token_text(by)),
+        };
+        info!(event = "duty_over", duty = self.duty.name(), token = %token_text(token), mono_us = ended_at.0,
+            seen_us = now.0, reason, "lost the lease of a duty");
+    }
+
+    /// Warns once where no quorum of the voters answers for a whole term.
+    fn check_quorum(&mut self, now: Time, is_wanted: bool) {
+        let answering = self.answering_voters(now);
+        if !is_wanted || answering > self.voters.len() / 2 {
+            self.quorum_loss = None;
+            return;
+        }
+        let loss = self.quorum_loss.get_or_insert(QuorumLoss {
+            since: now,
+            is_logged: false,
+        });
+        if !loss.is_logged && now - loss.since > self.rules.grant_duration() {
+            loss.is_logged = true;
+            warn!(
+                event = "duty_no_majority",
+                duty = self.duty.name(),
+                voters = self.voters.len(),
+                answering,
+                "no quorum of the voters answers: no proxy can hold the duty's lease"
+            );
+        }
+    }
+
+    /// How many voters answered within the last term.
+    fn answering_voters(&self, now: Time) -> usize {
+        self.voters
+            .iter()
+            .filter_map(|voter| voter.answered_at)
+            .filter(|answered_at| now - *answered_at <= self.rules.term())
+            .count()
+    }
+
+    /// A message came from that proxy, which may be a voter.
+    pub fn record_contact(&mut self, from: SocketAddr) {
+        if let Some(place) = self.voter_place(from) {
+            self.voters[place].message_at = Some(mono());
+        }
+    }
+
+    /// Why no proxy is known to hold the duty, for operators.
+    pub fn why_no_holder(&self) -> String {
+        let reachable = self.reachable_voters(mono(), DIGEST_INTERVAL_BOUND).len();
+        let voters = self.voters.len();
+        if reachable > voters / 2 {
+            format!("no proxy holds the duty yet: {reachable} of {voters} voters answer")
+        } else {
+            format!("no majority of the voters answers: {reachable} of {voters}")
+        }
+    }
+
+    /// The voters of which any message came within the last term, or within `at_least` if that is longer.
+    fn reachable_voters(&self, now: Time, at_least: Micros) -> Vec<String> {
+        let span = self.rules.term().max(at_least);
+        self.voters
+            .iter()
+            .filter(|voter| {
+                let is_recent = voter.message_at.is_some_and(|at| now - at <= span);
+                voter.address == self.own || is_recent
+            })
+            .map(|voter| voter.address.to_string())
+            .collect()
+    }
+
+    /// For the operators' calls; the names are the operators' ones.
+    pub fn status(&self) -> serde_json::Value {
+        let now = mono();
+        let voters = self.voters.iter().map(|voter| voter.address.to_string());
+        let since_heartbeat = Some(self.since_heartbeat()).filter(|age| age.0 < u64::MAX);
+        serde_json::json!({
+            "duty": self.duty.name(),
+            "own": self.own.to_string(),
+            "holder": self.holder().map(|address| address.to_string()),
+            "held": self.candidate.held_token(now).map(token_text),
+            "token": self.fence.highest(&self.duty).map(token_text),
+            "heard_ms": since_heartbeat.map(|age| age.0 / 1000),
+            "voters": voters.collect::<Vec<_>>(),
+            "voters_heard": self.reachable_voters(now, Micros(0)),
+            "voter": self.voter.is_some(),
+            "silent": self.voter.as_ref().is_some_and(|voter| voter.is_silent(now)),
+            "effects_refused": self.fence.rejected(),
+        })
+    }
+}
+
+/// A token as logs and answers show it.
+pub fn token_text(token: Token) -> String {
+    format!("{}-{:016x}", token.number, token.incarnation)
+}
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -1,29 +1,32 @@
-//! What proxies say to each other about duties, windows and the configuration: a version byte and one message in postcard, as the body
-//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a checked datagram. Nothing here panics on input.
+//! The messages that proxies exchange about duties, maintenance windows and the configuration.
+//!
+//! One message is a version byte and a [`DutyMessage`] in postcard, as the body
+//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a datagram with a checksum. Nothing here panics on
+//! input. Names may change; the order of variants and fields is the format.
 
 use crate::net::cluster::gossip::wire::MOST_BODY;
-use meadowproxy::fleet::calendar::Digest;
+use meadowproxy::fleet::calendar::{Digest, WindowError};
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
 use meadowproxy::fleet::relay::{self, Header};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
-/// Raised whenever a message's shape changes.
+/// Raised whenever a message's format changes.
 const VERSION: u8 = 3;
-/// Bytes of the entries or names in one message at most, so that it fits a body with all else in it.
-const MOST_LOAD: usize = MOST_BODY - 80;
+/// Bytes of the items in one message at most, so that it fits a body with all else in it.
+const MAX_LOAD_BYTES: usize = MOST_BODY - 80;
 
-/// What one proxy of the fleet does for all.
+/// What one proxy of the fleet, the lease holder, does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Duty {
-    /// To step the calendar of maintenance windows.
+    /// To advance the calendar of maintenance windows.
     Calendar,
     /// To order the changes of the configuration.
     Config,
 }
 
 impl Duty {
+    /// The name in logs and answers.
     pub fn name(self) -> &'static str {
         match self {
             Duty::Calendar => "calendar",
@@ -34,171 +37,191 @@
 
 /// The highest token that the sender has seen for a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct TokenReport {
     pub duty: Duty,
     pub token: Token,
-    /// How long ago, in milliseconds, its holder was heard of, over however many proxies; `None` where it never was.
-    pub age_ms: Option<u32>,
+    /// How long ago, in milliseconds, the holder's last heartbeat was sent, over however many proxies it came; `None`
+    /// where there never was one.
+    pub heartbeat_age_ms: Option<u32>,
 }
 
-/// What one proxy says to all.
+/// A duty and its holder's token.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HeldDuty {
+    pub duty: Duty,
+    pub token: Token,
+}
+
+/// What one proxy sends to all members.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Said {
-    /// The duties that it says it for, as their holder; none where an operator asked for it.
-    pub tokens: Vec<(Duty, Token)>,
-    /// Windows that it changed, or none where a holder only says that it is there.
-    pub entries: Vec<Vec<u8>>,
+pub struct Announcement {
+    /// The duties that it holds and acts for; none where an operator's call is the cause.
+    pub held: Vec<HeldDuty>,
+    /// Encoded windows that it changed; none in a holder's heartbeat.
+    pub windows: Vec<Vec<u8>>,
+}
+
+/// How many requests are open at a backend.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct OpenRequestCount {
+    pub backend: String,
+    pub open: u32,
 }
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Duties {
+pub enum DutyMessage {
     /// Between a candidate and a voter.
     Lease { duty: Duty, message: Message },
-    /// What the sender knows. `new`: it has just started and may lack anything. `ask`: the receiver's digests are wanted.
+    /// Anti-entropy: what the sender knows.
     Digest {
-        words: Vec<Word>,
+        tokens: Vec<TokenReport>,
         digest: Digest,
-        new: bool,
-        ask: bool,
+        /// The sender has just started and may lack anything.
+        is_new: bool,
+        /// The receiver's digests are requested.
+        wants_reply: bool,
     },
-    /// Asks for windows by the hashes of their ids.
-    Ask { ids: Vec<u64> },
-    /// Windows as the sender keeps them: bytes of entries.
-    Entries { entries: Vec<Vec<u8>> },
-    /// To all, passed on by all.
-    Broadcast(Header, Said),
-    /// To a late holder: a higher token was seen.
+    /// Requests windows by the hashes of their ids.
+    RequestWindows { id_hashes: Vec<u64> },
+    /// Encoded windows as the sender has them.
+    Windows { windows: Vec<Vec<u8>> },
+    /// To all members, relayed by all.
+    Broadcast(Header, Announcement),
+    /// To a former holder: a higher token was seen.
     Fenced { duty: Duty, highest: Token },
-    /// To the holder: open requests on backends that the sender keeps out for windows.
-    Report { open: Vec<(String, u32)> },
+    /// To the holder: open requests at backends that are in maintenance at the sender.
+    OpenRequests { open: Vec<OpenRequestCount> },
     /// About the configuration.
     Config(config::Message),
 }
 
 /// Why a message is not used.
-#[derive(Debug)]
-pub enum Refused {
-    Version(Option<u8>),
-    Garbled(postcard::Error),
-    /// An entry inside makes no sense.
-    Entry(String),
-    /// The calendar is full.
-    Full,
-    /// An answer that only voters give, from another.
-    Stranger,
-    /// An effect under a token that a higher one followed.
-    Token,
+#[derive(Debug, thiserror::Error)]
+pub enum MessageError {
+    #[error("empty")]
+    Empty,
+    #[error("version {0}, this program reads {VERSION}")]
+    Version(u8),
+    #[error("does not decode: {0}")]
+    Malformed(#[source] postcard::Error),
+    #[error("a maintenance window: {0}")]
+    Window(#[from] WindowError),
+    #[error("a voter's response from a proxy that is no voter")]
+    NotAVoter,
+    #[error("a higher fencing token was seen")]
+    StaleToken,
     /// A token with a number that no clock gives: above it none could follow.
-    Number(u64),
-    /// A broadcast that is neither used nor passed on.
+    #[error("no token has number {0}")]
+    TokenNumber(u64),
+    /// A broadcast that is neither used nor relayed.
+    #[error("{0}")]
     Broadcast(relay::Refused),
-    /// About the configuration: why its state machine does not use it.
+    /// The configuration's state machine does not use it.
+    #[error("{0}")]
     Config(config::Refused),
 }
 
-impl Refused {
+impl MessageError {
     /// A stable name for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
-            Refused::Version(_) => "version",
-            Refused::Garbled(_) => "garbled",
-            Refused::Entry(_) => "entry",
-            Refused::Full => "full",
-            Refused::Stranger => "stranger",
-            Refused::Token => "token",
-            Refused::Number(_) => "number",
-            Refused::Broadcast(why) => why.cause(),
-            Refused::Config(why) => why.cause(),
-        }
-    }
-}
-
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::Version(Some(v)) => write!(f, "version {v}, this program reads {VERSION}"),
-            Refused::Version(None) => write!(f, "empty"),
-            Refused::Garbled(e) => write!(f, "does not decode: {e}"),
-            Refused::Entry(why) => write!(f, "an entry of the calendar: {why}"),
-            Refused::Full => write!(f, "the calendar is full"),
-            Refused::Stranger => write!(f, "a voter's answer from no voter"),
-            Refused::Token => write!(f, "a higher token was seen"),
-            Refused::Number(number) => write!(f, "no token has number {number}"),
-            Refused::Broadcast(why) => write!(f, "{why}"),
-            Refused::Config(why) => write!(f, "{why}"),
+            MessageError::Empty | MessageError::Version(_) => "version",
+            MessageError::Malformed(_) => "garbled",
+            MessageError::Window(WindowError::Full) => "full",
+            MessageError::Window(_) => "entry",
+            MessageError::NotAVoter => "stranger",
+            MessageError::StaleToken => "token",
+            MessageError::TokenNumber(_) => "number",
+            MessageError::Broadcast(error) => error.cause(),
+            MessageError::Config(error) => error.cause(),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+/// Tokens' numbers are milliseconds since 1970 or little more: this is far in the future, and far from the largest `u64`.
+const MAX_TOKEN_NUMBER: u64 = 1 << 53;
 
-/// Tokens' numbers are milliseconds since 1970 or little more: this is far in the future, and far from the end of numbers.
-const MOST_NUMBER: u64 = 1 << 53;
-
-/// A token that others may follow.
-pub fn sound(token: Token) -> Result<(), Refused> {
-    if token.number < MOST_NUMBER {
+/// Whether other tokens can follow this one.
+///
+/// # Errors
+/// Its number is too high.
+pub fn check_token(token: Token) -> Result<(), MessageError> {
+    if token.number < MAX_TOKEN_NUMBER {
         Ok(())
     } else {
-        Err(Refused::Number(token.number))
+        Err(MessageError::TokenNumber(token.number))
     }
 }
 
-impl Duties {
-    /// Whether every token in it, entries' aside, is one that others may follow.
-    fn check(&self) -> Result<(), Refused> {
+impl DutyMessage {
+    /// Whether other tokens can follow every token in it; encoded windows are checked when they are merged.
+    fn check(&self) -> Result<(), MessageError> {
         match self {
-            Duties::Lease { message, .. } => match message {
-                Message::Denied {
-                    ballot, highest, ..
-                } => sound(*ballot).and_then(|()| sound(*highest)),
-                Message::PreVote { ballot }
-                | Message::PreVoteGranted { ballot }
-                | Message::RequestGrant { ballot, .. }
-                | Message::Granted { ballot, .. }
-                | Message::Release { ballot } => sound(*ballot),
-            },
-            Duties::Digest { words, .. } => words.iter().try_for_each(|word| sound(word.token)),
-            Duties::Broadcast(_, said) => {
-                said.tokens.iter().try_for_each(|(_, token)| sound(*token))
-            }
-            Duties::Fenced { highest, .. } => sound(*highest),
-            Duties::Config(message) => message.tokens().into_iter().try_for_each(sound),
-            Duties::Ask { .. } | Duties::Entries { .. } | Duties::Report { .. } => Ok(()),
+            DutyMessage::Lease { message, .. } => check_lease_message(message),
+            DutyMessage::Digest { tokens, .. } => tokens
+                .iter()
+                .try_for_each(|report| check_token(report.token)),
+            DutyMessage::Broadcast(_, announcement) => announcement
+                .held
+                .iter()
+                .try_for_each(|held| check_token(held.token)),
+            DutyMessage::Fenced { highest, .. } => check_token(*highest),
+            DutyMessage::Config(message) => message.tokens().into_iter().try_for_each(check_token),
+            DutyMessage::RequestWindows { .. }
+            | DutyMessage::Windows { .. }
+            | DutyMessage::OpenRequests { .. } => Ok(()),
+        }
+    }
+}
+
+fn check_lease_message(message: &Message) -> Result<(), MessageError> {
+    match message {
+        Message::Denied {
+            ballot, highest, ..
+        } => {
+            check_token(*ballot)?;
+            check_token(*highest)
         }
+        Message::PreVote { ballot }
+        | Message::PreVoteGranted { ballot }
+        | Message::RequestGrant { ballot, .. }
+        | Message::Granted { ballot, .. }
+        | Message::Release { ballot } => check_token(*ballot),
     }
 }
 
 /// The message's bytes.
-pub fn encode(message: &Duties) -> Vec<u8> {
-    // Plain data always encodes; were it not to, an empty body is refused like any other garbage.
+pub fn encode(message: &DutyMessage) -> Vec<u8> {
+    // Plain data always encodes; were it not to, receivers would reject the empty body.
     postcard::to_extend(message, vec![VERSION]).unwrap_or_default()
 }
 
 /// A message from a body's bytes.
-pub fn decode(bytes: &[u8]) -> Result<Duties, Refused> {
-    let (version, body) = bytes.split_first().ok_or(Refused::Version(None))?;
+pub fn decode(bytes: &[u8]) -> Result<DutyMessage, MessageError> {
+    let (version, body) = bytes.split_first().ok_or(MessageError::Empty)?;
     if *version != VERSION {
-        return Err(Refused::Version(Some(*version)));
+        return Err(MessageError::Version(*version));
     }
-    match postcard::take_from_bytes::<Duties>(body) {
+    match postcard::take_from_bytes::<DutyMessage>(body) {
         Ok((message, [])) => message.check().map(|()| message),
-        Ok(_) => Err(Refused::Garbled(postcard::Error::DeserializeBadEncoding)),
-        Err(e) => Err(Refused::Garbled(e)),
+        Ok(_) => Err(MessageError::Malformed(
+            postcard::Error::DeserializeBadEncoding,
+        )),
+        Err(e) => Err(MessageError::Malformed(e)),
     }
 }
 
-/// Parts of a list that each fit into one message; `size` is about an item's bytes.
-pub fn parts<T>(items: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+/// Splits a list into parts that each fit into one message; `size_bytes` is about an item's encoded size.
+pub fn split_to_fit<T>(items: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut filled = MOST_LOAD;
+    let mut filled = MAX_LOAD_BYTES;
     for item in items {
-        filled += size(&item);
-        match parts.last_mut().filter(|_| filled <= MOST_LOAD) {
+        filled += size_bytes(&item);
+        match parts.last_mut().filter(|_| filled <= MAX_LOAD_BYTES) {
             Some(part) => part.push(item),
             None => {
-                filled = size(&item);
+                filled = size_bytes(&item);
                 parts.push(vec![item]);
             }
         }
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 fn token() -> impl Strategy<Value = Ballot> {
-    (0..MOST_NUMBER, any::<u64>()).prop_map(|(number, incarnation)| Ballot {
+    (0..MAX_TOKEN_NUMBER, any::<u64>()).prop_map(|(number, incarnation)| Ballot {
         number,
         incarnation,
     })
@@ -41,7 +41,7 @@
 }
 
 /// Messages about the configuration; the machine's own tests have all kinds.
-fn config() -> impl Strategy<Value = Duties> {
+fn config() -> impl Strategy<Value = DutyMessage> {
     use config::{Digest, Message, Node, Paxos};
     let message = prop_oneof![
         (token(), any::<u32>())
@@ -77,11 +77,11 @@
         }),
         (any::<u64>(), any::<u64>()).prop_map(|(from, to)| Message::Range { from, to }),
     ];
-    message.prop_map(Duties::Config)
+    message.prop_map(DutyMessage::Config)
 }
 
 /// Any message, of any of its kinds.
-pub fn message() -> impl Strategy<Value = Duties> {
+pub fn message() -> impl Strategy<Value = DutyMessage> {
     prop_oneof![7 => of_duty(Duty::Calendar), 2 => of_duty(Duty::Config), 3 => config()]
 }
 
@@ -102,19 +102,21 @@
     })
 }
 
-fn of_duty(duty: Duty) -> impl Strategy<Value = Duties> {
-    let entries = || prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..6);
-    let word = move |(token, age_ms)| Word {
+fn of_duty(duty: Duty) -> impl Strategy<Value = DutyMessage> {
+    let count = ("[a-z0-9-]{0,64}", any::<u32>())
+        .prop_map(|(backend, open)| OpenRequestCount { backend, open });
+    let windows = || prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..6);
+    let report = move |(token, heartbeat_age_ms)| TokenReport {
         duty,
         token,
-        age_ms,
+        heartbeat_age_ms,
     };
     let row = any::<(u64, u64)>().prop_map(|(id_hash, content_hash)| DigestRow {
         id_hash,
         content_hash,
     });
     let rows = prop::collection::vec(row, 0..50);
-    let words = prop::collection::vec((token(), any::<Option<u32>>()).prop_map(word), 0..2);
+    let tokens = prop::collection::vec((token(), any::<Option<u32>>()).prop_map(report), 0..2);
     prop_oneof![
         (token(), token(), any::<u32>(), 0..6).prop_map(move |(ballot, highest, round, kind)| {
             let message = match kind {
@@ -129,35 +131,38 @@
                 },
                 _ => Message::Release { ballot },
             };
-            Duties::Lease { duty, message }
+            DutyMessage::Lease { duty, message }
         }),
-        (words, any::<(u64, u64, bool)>(), rows).prop_map(|(words, (from, to, new), rows)| {
-            Duties::Digest {
-                words,
+        (tokens, any::<(u64, u64, bool)>(), rows).prop_map(|(tokens, (from, to, is_new), rows)| {
+            DutyMessage::Digest {
+                tokens,
                 digest: Digest { from, to, rows },
-                new,
-                ask: !new,
+                is_new,
+                wants_reply: !is_new,
             }
         }),
-        prop::collection::vec(any::<u64>(), 0..50).prop_map(|ids| Duties::Ask { ids }),
-        entries().prop_map(|entries| Duties::Entries { entries }),
-        (header(), prop::collection::vec(token(), 0..3), entries()).prop_map(
-            move |(header, tokens, entries)| {
-                let tokens = tokens.into_iter().map(|token| (duty, token)).collect();
-                Duties::Broadcast(header, Said { tokens, entries })
+        prop::collection::vec(any::<u64>(), 0..50)
+            .prop_map(|id_hashes| DutyMessage::RequestWindows { id_hashes }),
+        windows().prop_map(|windows| DutyMessage::Windows { windows }),
+        (header(), prop::collection::vec(token(), 0..3), windows()).prop_map(
+            move |(header, tokens, windows)| {
+                let held = tokens
+                    .into_iter()
+                    .map(|token| HeldDuty { duty, token })
+                    .collect();
+                DutyMessage::Broadcast(header, Announcement { held, windows })
             }
         ),
-        token().prop_map(move |highest| Duties::Fenced { duty, highest }),
-        prop::collection::vec(("[a-z0-9-]{0,64}", any::<u32>()), 0..9)
-            .prop_map(|open| Duties::Report { open }),
+        token().prop_map(move |highest| DutyMessage::Fenced { duty, highest }),
+        prop::collection::vec(count, 0..9).prop_map(|open| DutyMessage::OpenRequests { open }),
     ]
 }
 
 proptest! {
-    /// A message decodes to what was said; cut or with more behind it it is refused, and one with changed bytes, or
-    /// junk, never panics and never becomes another version's.
+    /// A message decodes to what was encoded; cut short or with more bytes behind it is rejected, and one with changed bytes, or
+    /// random bytes, never panics and never becomes another version's.
     #[test]
-    fn only_whole_messages_are_read(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
+    fn only_complete_messages_are_decoded(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
                                     junk in prop::collection::vec(any::<u8>(), 1..64)) {
         let bytes = encode(&m);
         prop_assert_eq!(&decode(&bytes).unwrap(), &m);
@@ -170,39 +175,39 @@
         let _ = decode(&junk);
     }
 
-    /// A token above which no other could come is refused, wherever it stands.
+    /// A token above which no other could come is rejected, wherever it is.
     #[test]
-    fn no_token_is_the_last(m in message(), number in MOST_NUMBER..) {
+    fn no_token_is_the_last(m in message(), number in MAX_TOKEN_NUMBER..) {
         let last = Ballot { number, incarnation: 0 };
-        let said = match m {
-            Duties::Lease { duty, message: Message::Denied { ballot, round, .. } } => {
-                Duties::Lease { duty, message: Message::Denied { ballot, round, highest: last } }
+        let message = match m {
+            DutyMessage::Lease { duty, message: Message::Denied { ballot, round, .. } } => {
+                DutyMessage::Lease { duty, message: Message::Denied { ballot, round, highest: last } }
             }
-            Duties::Lease { duty, .. } => Duties::Lease { duty, message: Message::PreVote { ballot: last } },
-            Duties::Digest { mut words, digest, new, ask } => {
-                words.push(Word { duty: Duty::Calendar, token: last, age_ms: None });
-                Duties::Digest { words, digest, new, ask }
+            DutyMessage::Lease { duty, .. } => DutyMessage::Lease { duty, message: Message::PreVote { ballot: last } },
+            DutyMessage::Digest { mut tokens, digest, is_new, wants_reply } => {
+                tokens.push(TokenReport { duty: Duty::Calendar, token: last, heartbeat_age_ms: None });
+                DutyMessage::Digest { tokens, digest, is_new, wants_reply }
             }
-            Duties::Broadcast(header, mut said) => {
-                said.tokens.push((Duty::Config, last));
-                Duties::Broadcast(header, said)
+            DutyMessage::Broadcast(header, mut announcement) => {
+                announcement.held.push(HeldDuty { duty: Duty::Config, token: last });
+                DutyMessage::Broadcast(header, announcement)
             }
-            Duties::Config(_) => {
+            DutyMessage::Config(_) => {
                 let prepare = config::Paxos::Prepare { token: last, round: 1 };
-                Duties::Config(config::Message::Paxos(prepare))
+                DutyMessage::Config(config::Message::Paxos(prepare))
             }
-            _ => Duties::Fenced { duty: Duty::Calendar, highest: last },
+            _ => DutyMessage::Fenced { duty: Duty::Calendar, highest: last },
         };
-        prop_assert!(matches!(decode(&encode(&said)), Err(Refused::Number(n)) if n == number));
+        prop_assert!(matches!(decode(&encode(&message)), Err(MessageError::TokenNumber(n)) if n == number));
     }
 
     /// Every item is in one part, in order, and no part is over the bound unless it is one item.
     #[test]
-    fn parts_hold_all_and_fit(sizes in prop::collection::vec(0usize..1400, 0..40)) {
-        let parts = parts(sizes.clone(), |size| *size);
+    fn parts_have_all_items_and_fit(sizes in prop::collection::vec(0usize..1400, 0..40)) {
+        let parts = split_to_fit(sizes.clone(), |size| *size);
         prop_assert_eq!(parts.concat(), sizes);
         for part in parts {
-            prop_assert!(part.len() == 1 || part.iter().sum::<usize>() <= MOST_LOAD);
+            prop_assert!(part.len() == 1 || part.iter().sum::<usize>() <= MAX_LOAD_BYTES);
         }
     }
 }
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -1,262 +1,248 @@
-//! Duties that one proxy of the fleet holds at a time, and the maintenance windows that the holder of the calendar's duty
-//! keeps: the socket side of [`meadowproxy::fleet`].
+//! Coordination of the fleet's proxies: the leases of duties that one proxy performs at a time, the maintenance windows
+//! that the holder of the calendar's duty advances, and the configuration. The state machines are in
+//! [`meadowproxy::fleet`]; here are their sockets, clocks and threads.
 //!
-//! Two threads work beside the request loop: `wire` takes the other proxies' messages, `clock` lets time pass; a third,
-//! `copy`, writes a snapshot of the configuration where one is kept. They share six tables. **Lock order**, checked at every
-//! lock ([`ranked`]): `leases` before `config` before `calendar` before `roster` before `outbox` before `relay`; whoever holds one takes
-//! only later ones. The request loop takes none of them. It gets effects from
-//! a bounded channel, and shows what it sees through a watch in which the newest wins; operators' calls go to the clock over a
+//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker takes the other
+//! proxies' messages, the timer worker lets time pass; a third, `copy`, writes a snapshot of the configuration where one
+//! is wanted. They share [`tables`]. The request loop takes none of their locks: it gets effects from a bounded channel,
+//! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
 //! bounded queue and are answered by a oneshot.
+//!
+//! Modules use each other in one direction only, each those of the rows above it; `config` and `tables` alone use each
+//! other, as the configuration's methods are implemented on [`tables::Tables`].
+//!
+//! | modules | what they are |
+//! | --- | --- |
+//! | `message`, `call`, `clocks`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
+//! | `duty_lease`, `maintenance`, `outbox`, `roster` | one table each |
+//! | `tables`, `config` | the tables behind their locks, and the configuration |
+//! | `announcements`, `admin_calls`, `copy` | what is done with the tables |
+//! | `message_worker`, `timer_worker` | the threads |
 
-mod clock;
+mod admin_calls;
+mod announcements;
+mod call;
+mod clocks;
+mod command;
 mod config;
 pub mod copy;
-pub mod door;
-mod leases;
+mod duty_lease;
+mod maintenance;
 mod message;
-mod ranked;
+mod message_worker;
+mod ordered_locks;
+mod outbox;
+mod request_loop;
+mod roster;
+#[cfg(test)]
+mod stored_formats;
 mod tables;
-mod wire;
+mod timer_worker;
+
+pub use clocks::mono;
 
 use crate::net::admin::{DutiesDoor, Later};
-use crate::net::cluster::gossip::Peers;
+use crate::net::cluster::gossip::{Passed, Peers};
 use crate::net::config::overlay::Overlay;
 use crate::net::config::Voting;
-use crate::net::host::{Host, RosterRow, Why};
+use crate::net::host::{Host, Why};
 use bytes::Bytes;
-use clock::{Clock, Command};
+use call::Call;
+use command::Command;
 use config::Configuring;
 use copy::Kept;
+use duty_lease::DutyLease;
 use hyper::{Method, StatusCode};
-use leases::Leases;
-use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules, WallTime};
-use meadowproxy::fleet::config::Entry;
+use maintenance::Maintenance;
+use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
 use meadowproxy::fleet::relay::Relay;
-use meadowproxy::{Micros, Time};
+use meadowproxy::Micros;
 use message::Duty;
-use ranked::Ranked;
-use rustix::time::{clock_gettime, ClockId};
+use outbox::Outbox;
+use request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
+use roster::Roster;
 use std::cell::RefCell;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
-use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::mpsc::{sync_channel, SyncSender};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::Arc;
 use std::time::Duration;
-use tables::{Outbox, Roster, Tables, Windows};
+use tables::{TableParts, Tables};
+use timer_worker::TimerWorker;
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::info;
 
-/// Messages that wait for the workers at most; more are dropped, as UDP may.
-const MESSAGES: usize = 1024;
-/// Calls that wait at most.
-const CALLS: usize = 64;
-/// Effects that wait for the request loop at most: a window may take out a few hundred backends at once.
-const EFFECTS: usize = 1024;
+/// Messages that wait for the message worker at most; more are dropped, as UDP may.
+const MAX_QUEUED_MESSAGES: usize = 1024;
+/// Commands that wait for the timer worker at most.
+const MAX_QUEUED_COMMANDS: usize = 64;
+/// Effects that wait for the request loop at most: a window may target a few hundred backends at once.
+const MAX_QUEUED_EFFECTS: usize = 1024;
 /// How often the request loop shows what it sees.
-const SHOW: Duration = Duration::from_millis(250);
-/// How old the backends may be that it shows where nothing is decided on them.
-const KEPT: Micros = Micros(1_000_000);
-
-/// What the workers ask of the request loop.
-pub enum Effect {
-    /// Nothing new to that backend: a window has it.
-    Out(String),
-    /// No window has it any more.
-    Back(String),
-    /// These entries of the configuration changed together; that is its version now.
-    Config(u64, Vec<Entry>),
-    /// Calendar and configuration are as the others know them: clients may come.
-    Ready,
-}
-
-/// What the workers need to know of the listed backends.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    Nothing,
-    /// Something is out: they are shown now and then.
-    KeepsOut,
-    /// They are decided on, or this proxy starts: they are shown each time.
-    Decides,
-}
-
-/// The backends as the request loop sees them.
-pub struct Rows {
-    pub at: Time,
-    pub rows: Vec<RosterRow>,
-}
-
-/// What the request loop sees.
-pub struct Seen {
-    /// While they are needed.
-    pub rows: Option<Arc<Rows>>,
-    /// Its open requests at what is out for windows and listed.
-    pub open: BTreeMap<String, u32>,
-    /// Live members but this proxy.
-    pub members: Vec<SocketAddr>,
-    /// The configuration's version in force.
-    pub config: u64,
-    /// The changes up to this one are in the file in force, as that says.
-    pub file: u64,
-}
-
-/// The monotonic clock, which all processes of a machine share.
-pub fn mono() -> Time {
-    let now = clock_gettime(ClockId::Monotonic);
-    Time(
-        (now.tv_sec as u64)
-            .saturating_mul(1_000_000)
-            .saturating_add(now.tv_nsec as u64 / 1000),
-    )
-}
-
-fn wall() -> WallTime {
-    WallTime(crate::net::state::snapshot::wall_us())
-}
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// How old a snapshot of the backends may be where no decision depends on it.
+const MAX_OCCASIONAL_AGE: Micros = Micros(1_000_000);
 
 /// This proxy's part in the fleet's duties.
 pub struct Duties {
     commands: SyncSender<Command>,
-    ready: watch::Receiver<bool>,
-    /// What changes are checked against.
+    is_caught_up: watch::Receiver<bool>,
+    /// What changes of the configuration are checked against.
     overlay: Rc<Overlay>,
 }
 
 impl Duties {
-    /// Starts the workers. `ramp`: how long a backend that is back is in slow start; `kept`: where this proxy's copy of the
-    /// configuration is kept, if it is.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "issue 32: code that reads as well as it works"
-    )]
+    /// Starts the workers. `slow_start`: how long a backend is in slow start after a window; `kept`: where this proxy's
+    /// copy of the configuration is stored, if it is.
+    ///
+    /// # Errors
+    /// The rules of the leases are out of their range, or a thread does not start.
     pub fn start(
         host: Rc<Host>,
         peers: &Rc<Peers>,
-        rules: &Voting,
-        ramp: Micros,
+        voting: &Voting,
+        slow_start: Micros,
         overlay: Rc<Overlay>,
         kept: Option<Kept>,
     ) -> io::Result<Rc<Duties>> {
         let own = peers.own();
-        let leases = rules
-            .leases()
-            .map_err(|e| io::Error::other(e.to_string()))?;
-        let incarnation = RandomState::new().build_hasher().finish();
-        let (effects, told) = mpsc::channel(EFFECTS);
-        let calendar = Calendar::new(Rules {
-            budget: DisruptionBudget {
-                kind_floor: rules.floor,
-                zone_floor: rules.zone_floor.unwrap_or(rules.floor),
-            },
-            slow_start: ramp,
-            max_holder_silence: peers.max_age(),
-        });
-        let windows = Windows {
-            calendar,
-            out: BTreeSet::new(),
-            covered: Some(Vec::new()),
-        };
-        let tables = Arc::new(Tables {
-            leases: Ranked::new(
-                0,
-                Leases::new(
-                    Duty::Calendar,
-                    leases,
-                    rules.voters.clone(),
-                    own,
-                    incarnation,
-                ),
-            ),
-            config: Ranked::new(
-                1,
-                Configuring::new(
-                    leases,
-                    rules.voters.clone(),
-                    own,
-                    incarnation,
-                    overlay.newest(),
-                ),
-            ),
-            calendar: Ranked::new(2, windows),
-            roster: Ranked::new(3, Roster::starting()),
-            outbox: Ranked::new(4, Outbox::new(effects)),
-            relay: Ranked::new(5, Relay::new(own, incarnation, peers.max_age())),
-            post: peers.post(),
-            incarnation,
-        });
+        let (effects, pending_effects) = mpsc::channel(MAX_QUEUED_EFFECTS);
+        let tables = build_tables(peers, voting, slow_start, &overlay, effects)?;
         if let Some(table) = kept.as_ref().and_then(|kept| kept.recall(own)) {
             tables.restore(table);
         }
-        let (pass, came) = sync_channel(MESSAGES);
-        let (commands, calls) = sync_channel(CALLS);
+        let (messages, received) = sync_channel(MAX_QUEUED_MESSAGES);
+        let (commands, queued_commands) = sync_channel(MAX_QUEUED_COMMANDS);
         let (show, seen) = watch::channel(None);
-        let (ask, need) = watch::channel(Need::Decides);
-        let clock = Clock::new(tables.clone(), seen, ask, own, peers.alone());
-        let (wake, copied) = (commands.clone(), tables.clone());
-        let thread = |name: &str| std::thread::Builder::new().name(format!("duties-{name}"));
-        thread("wire").spawn(move || wire::run(&tables, &came, &wake))?;
-        thread("clock").spawn(move || clock.run(&calls))?;
+        let (demanded, demand) = watch::channel(BackendDemand::EachTime);
+        let timers = TimerWorker::new(tables.clone(), seen, demanded, own, peers.alone());
+        spawn_workers(&tables, timers, received, queued_commands, &commands)?;
         if let Some(kept) = kept {
-            thread("copy").spawn(move || kept.keep(&copied, own))?;
+            thread("copy").spawn(move || kept.keep(&tables, own))?;
         }
-        peers.pass_duties(pass);
-        info!(event = "duties_start", own = %own, voters = rules.voters.len(), lease_ms = rules.lease_ms,
-            "takes part in the fleet's duties");
-        let applied = Rc::new(Applied {
-            out: RefCell::default(),
+        peers.pass_duties(messages);
+        info!(event = "duties_start", own = %own, voters = voting.voters.len(), lease_ms = voting.lease_ms,
+            "takes part in the leases of the fleet's duties");
+        let applied = Rc::new(AppliedEffects {
+            in_maintenance: RefCell::default(),
             overlay: overlay.clone(),
         });
-        let (tell, ready) = watch::channel(false);
-        tokio::task::spawn_local(apply(host.clone(), told, applied.clone(), tell));
-        tokio::task::spawn_local(shows(
+        let (caught_up, is_caught_up) = watch::channel(false);
+        let apply = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
+        tokio::task::spawn_local(apply);
+        let shower = SnapshotTask {
             host,
-            peers.clone(),
+            peers: peers.clone(),
             applied,
             show,
-            need,
-            commands.clone(),
-        ));
+            demand,
+            commands: commands.clone(),
+        };
+        tokio::task::spawn_local(shower.run());
         Ok(Rc::new(Duties {
             commands,
-            ready,
+            is_caught_up,
             overlay,
         }))
     }
 
-    /// Until this proxy knows the calendar as another one does, or has waited long enough for it.
+    /// Until this proxy has caught up with the calendar and the configuration, or has waited long enough for that.
     pub async fn ready(&self) {
-        let _ = self.ready.clone().wait_for(|ready| *ready).await;
+        let _ = self.is_caught_up.clone().wait_for(|ready| *ready).await;
     }
 
-    /// Gives up what this proxy holds, as it goes.
+    /// Releases the leases that this proxy holds, as it shuts down.
     pub fn leave(&self) {
-        let _ = self.commands.try_send(Command::Leave); // full: the lease runs out by itself
+        let _ = self.commands.try_send(Command::Leave); // full: the lease expires by itself
     }
 }
 
+/// The tables at the start.
+fn build_tables(
+    peers: &Peers,
+    voting: &Voting,
+    slow_start: Micros,
+    overlay: &Overlay,
+    effects: mpsc::Sender<Effect>,
+) -> io::Result<Arc<Tables>> {
+    let own = peers.own();
+    let lease_rules = voting
+        .leases()
+        .map_err(|error| io::Error::other(error.to_string()))?;
+    let incarnation = RandomState::new().build_hasher().finish();
+    let calendar = Calendar::new(Rules {
+        budget: DisruptionBudget {
+            kind_floor: voting.floor,
+            zone_floor: voting.zone_floor.unwrap_or(voting.floor),
+        },
+        slow_start,
+        max_holder_silence: peers.max_age(),
+    });
+    let voters = voting.voters.clone();
+    let lease = DutyLease::new(
+        Duty::Calendar,
+        lease_rules,
+        voters.clone(),
+        own,
+        incarnation,
+    );
+    Ok(Arc::new(Tables::new(TableParts {
+        lease,
+        config: Configuring::new(lease_rules, voters, own, incarnation, overlay.newest()),
+        calendar: Maintenance::new(calendar),
+        roster: Roster::starting(),
+        outbox: Outbox::new(effects),
+        relay: Relay::new(own, incarnation, peers.max_age()),
+        post: peers.post(),
+        incarnation,
+    })))
+}
+
+fn thread(name: &str) -> std::thread::Builder {
+    std::thread::Builder::new().name(format!("duties-{name}"))
+}
+
+fn spawn_workers(
+    tables: &Arc<Tables>,
+    timers: TimerWorker,
+    messages: Receiver<Passed>,
+    queued_commands: Receiver<Command>,
+    commands: &SyncSender<Command>,
+) -> io::Result<()> {
+    let tables = tables.clone();
+    let commands = commands.clone();
+    thread("wire").spawn(move || message_worker::run(&tables, &messages, &commands))?;
+    thread("clock").spawn(move || timers.run(&queued_commands))?;
+    Ok(())
+}
+
 impl DutiesDoor for Duties {
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> Later {
         let (answer, wait) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
-        let call = door::Call {
+        let call = Call {
             method: method.clone(),
             path,
             body,
         };
         let command = match config::change(&call, &self.overlay) {
             None => Command::Call(call, answer),
-            Some(Ok((base, edits))) => Command::Change(base, edits, answer),
-            Some(Err(said)) => return Box::pin(std::future::ready(said)),
+            Some(Ok((base, edits))) => Command::ChangeConfig {
+                base,
+                edits,
+                answer,
+            },
+            Some(Err(rejected)) => return Box::pin(std::future::ready(rejected)),
         };
-        let queued = self.commands.try_send(command).is_ok();
+        let is_queued = self.commands.try_send(command).is_ok();
         Box::pin(async move {
             let busy = (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "too many calls at once\n".to_string(),
             );
-            if queued {
+            if is_queued {
                 wait.await.unwrap_or(busy)
             } else {
                 busy
@@ -265,97 +251,111 @@
     }
 }
 
-/// What was carried out of what the workers asked.
-struct Applied {
-    /// Backends out for windows.
-    out: RefCell<BTreeSet<String>>,
+/// What the workers' effects brought so far.
+struct AppliedEffects {
+    /// Backends in maintenance.
+    in_maintenance: RefCell<BTreeSet<String>>,
     /// The configuration's entries.
     overlay: Rc<Overlay>,
 }
 
-/// Carries out what the workers ask.
-async fn apply(
+/// Carries out the workers' effects.
+async fn apply_effects(
     host: Rc<Host>,
-    mut told: mpsc::Receiver<Effect>,
-    applied: Rc<Applied>,
-    ready: watch::Sender<bool>,
+    mut effects: mpsc::Receiver<Effect>,
+    applied: Rc<AppliedEffects>,
+    caught_up: watch::Sender<bool>,
 ) {
-    while let Some(effect) = told.recv().await {
+    while let Some(effect) = effects.recv().await {
         match effect {
-            Effect::Out(name) => {
-                host.withdraw_unheard(&name, Why::Window);
+            Effect::BeginMaintenance(backend) => {
+                host.withdraw_unheard(&backend, Why::Window);
                 info!(
                     event = "window_out",
-                    backend = name,
+                    backend,
                     mono_us = mono().0,
-                    "out for a window"
+                    "a backend is in maintenance: it gets no new requests"
                 );
-                applied.out.borrow_mut().insert(name);
+                applied.in_maintenance.borrow_mut().insert(backend);
             }
-            Effect::Back(name) => {
-                host.restore(&name, Why::Window, host.clock.now());
+            Effect::EndMaintenance(backend) => {
+                host.restore(&backend, Why::Window, host.clock.now());
                 info!(
                     event = "window_back",
-                    backend = name,
+                    backend,
                     mono_us = mono().0,
-                    "no window has it any more"
+                    "a backend is no longer in maintenance"
                 );
-                applied.out.borrow_mut().remove(&name);
+                applied.in_maintenance.borrow_mut().remove(&backend);
             }
-            Effect::Config(version, entries) => applied.overlay.add(version, entries),
-            Effect::Ready => {
+            Effect::ChangeConfig { version, entries } => applied.overlay.add(version, entries),
+            Effect::CaughtUp => {
                 applied.overlay.hear();
-                ready.send_replace(true);
+                caught_up.send_replace(true);
             }
         }
     }
 }
 
 /// Shows the workers what the request loop sees: at once where they need more than before.
-async fn shows(
+struct SnapshotTask {
     host: Rc<Host>,
     peers: Rc<Peers>,
-    applied: Rc<Applied>,
-    show: watch::Sender<Option<Arc<Seen>>>,
-    mut need: watch::Receiver<Need>,
-    wake: SyncSender<Command>,
-) {
-    let (mut rows, mut before) = (None, Need::Nothing);
-    loop {
-        let (asked, at) = (*need.borrow_and_update(), mono());
-        rows = match asked {
-            Need::Nothing => None,
-            Need::KeepsOut => rows.filter(|rows: &Arc<Rows>| at - rows.at < KEPT),
-            Need::Decides => None,
-        };
-        if rows.is_none() && asked != Need::Nothing {
-            rows = Some(Arc::new(Rows {
-                at,
-                rows: host.roster(),
-            }));
-        }
-        let (open, overlay) = (host.open_at(&applied.out.borrow()), &applied.overlay);
-        let (config, file) = (overlay.version(), overlay.file_version());
-        let seen = Seen {
-            rows: rows.clone(),
-            open,
-            members: peers.members(),
-            config,
-            file,
-        };
-        show.send_replace(Some(Arc::new(seen)));
-        if asked != before {
-            before = asked;
-            let _ = wake.try_send(Command::Wake); // full: it is awake anyway
+    applied: Rc<AppliedEffects>,
+    show: watch::Sender<Option<Arc<LoopSnapshot>>>,
+    demand: watch::Receiver<BackendDemand>,
+    commands: SyncSender<Command>,
+}
+
+impl SnapshotTask {
+    /// Runs until the workers are gone.
+    async fn run(mut self) {
+        let mut backends = None;
+        let mut previous_demand = BackendDemand::Nothing;
+        loop {
+            let demand = *self.demand.borrow_and_update();
+            backends = self.snapshot_backends(demand, backends);
+            self.show
+                .send_replace(Some(Arc::new(self.snapshot(&backends))));
+            if demand != previous_demand {
+                previous_demand = demand;
+                let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
+            }
+            tokio::select! {
+                () = tokio::time::sleep(SNAPSHOT_INTERVAL) => {}
+                changed = self.demand.changed() => if changed.is_err() {
+                    return;
+                }
+            }
         }
-        tokio::select! {
-            () = tokio::time::sleep(SHOW) => {}
-            changed = need.changed() => if changed.is_err() {
-                return;
+    }
+
+    fn snapshot_backends(
+        &self,
+        demand: BackendDemand,
+        previous: Option<Arc<BackendSnapshot>>,
+    ) -> Option<Arc<BackendSnapshot>> {
+        let now = mono();
+        let recent = previous.filter(|previous| now - previous.taken_at < MAX_OCCASIONAL_AGE);
+        match (demand, recent) {
+            (BackendDemand::Nothing, _) => None,
+            (BackendDemand::Occasional, Some(recent)) => Some(recent),
+            (BackendDemand::Occasional, None) | (BackendDemand::EachTime, _) => {
+                Some(Arc::new(BackendSnapshot {
+                    taken_at: now,
+                    rows: self.host.roster(),
+                }))
             }
         }
     }
-}
 
-#[cfg(test)]
-mod stored_formats;
+    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopSnapshot {
+        LoopSnapshot {
+            backends: backends.clone(),
+            open: self.host.open_at(&self.applied.in_maintenance.borrow()),
+            members: self.peers.members(),
+            config: self.applied.overlay.version(),
+            file: self.applied.overlay.file_version(),
+        }
+    }
+}
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -1,6 +1,8 @@
 //! One message of every kind on duties, windows and the configuration, byte for byte.
 
-use super::message::{decode, encode, Duties, Duty, Said, Word};
+use super::message::{
+    decode, encode, Announcement, Duty, DutyMessage, HeldDuty, OpenRequestCount, TokenReport,
+};
 use crate::fixtures::assert_bytes;
 use meadowproxy::fleet::calendar::{Digest, DigestRow};
 use meadowproxy::fleet::config::{
@@ -107,20 +109,20 @@
     }
 }
 
-fn name(message: &Duties) -> &'static str {
+fn name(message: &DutyMessage) -> &'static str {
     match message {
-        Duties::Lease { message, .. } => lease_name(message),
-        Duties::Digest { .. } => "windows digest",
-        Duties::Ask { .. } => "windows ask",
-        Duties::Entries { .. } => "windows entries",
-        Duties::Broadcast(..) => "broadcast",
-        Duties::Fenced { .. } => "fenced",
-        Duties::Report { .. } => "report",
-        Duties::Config(message) => config_name(message),
+        DutyMessage::Lease { message, .. } => lease_name(message),
+        DutyMessage::Digest { .. } => "windows digest",
+        DutyMessage::RequestWindows { .. } => "windows ask",
+        DutyMessage::Windows { .. } => "windows entries",
+        DutyMessage::Broadcast(..) => "broadcast",
+        DutyMessage::Fenced { .. } => "fenced",
+        DutyMessage::OpenRequests { .. } => "report",
+        DutyMessage::Config(message) => config_name(message),
     }
 }
 
-fn lease_messages() -> Vec<Duties> {
+fn lease_messages() -> Vec<DutyMessage> {
     let (ballot, highest) = (token(1_764_748_800_123), token(1_764_748_800_456));
     let messages = [
         (Duty::Calendar, Message::PreVote { ballot }),
@@ -138,7 +140,7 @@
         (Duty::Config, Message::Release { ballot }),
     ];
     messages
-        .map(|(duty, message)| Duties::Lease { duty, message })
+        .map(|(duty, message)| DutyMessage::Lease { duty, message })
         .to_vec()
 }
 
@@ -260,22 +262,34 @@
     messages
 }
 
-fn messages() -> Vec<Duties> {
-    let word = |duty, age_ms| Word {
+fn digest_message() -> DutyMessage {
+    let report = |duty, heartbeat_age_ms| TokenReport {
         duty,
         token: token(5),
-        age_ms,
+        heartbeat_age_ms,
     };
-    let words = vec![word(Duty::Calendar, Some(1500)), word(Duty::Config, None)];
+    let tokens = vec![
+        report(Duty::Calendar, Some(1500)),
+        report(Duty::Config, None),
+    ];
     let row = |id_hash, content_hash| DigestRow {
         id_hash,
         content_hash,
     };
-    let windows = Digest {
+    let digest = Digest {
         from: 1,
         to: u64::MAX,
         rows: vec![row(2, 3), row(1 << 63, 0)],
     };
+    DutyMessage::Digest {
+        tokens,
+        digest,
+        is_new: false,
+        wants_reply: true,
+    }
+}
+
+fn messages() -> Vec<DutyMessage> {
     let part = Part {
         from: 7,
         to: u32::MAX,
@@ -288,31 +302,34 @@
         said_us: 1_764_748_800_123_456,
         part,
     };
-    let tokens = vec![(Duty::Calendar, token(5)), (Duty::Config, token(6))];
-    let entries = vec![vec![1, 2, 3], vec![], vec![255]];
-    let open = vec![("s-1".to_string(), 0), ("größer".to_string(), 70_000)];
+    let holding = |duty, number| HeldDuty {
+        duty,
+        token: token(number),
+    };
+    let held = vec![holding(Duty::Calendar, 5), holding(Duty::Config, 6)];
+    let windows = vec![vec![1, 2, 3], vec![], vec![255]];
+    let count = |backend: &str, open| OpenRequestCount {
+        backend: backend.into(),
+        open,
+    };
+    let open = vec![count("s-1", 0), count("größer", 70_000)];
     let mut messages = vec![
-        Duties::Digest {
-            words,
-            digest: windows,
-            new: false,
-            ask: true,
-        },
-        Duties::Ask {
-            ids: vec![0, 300, u64::MAX],
+        digest_message(),
+        DutyMessage::RequestWindows {
+            id_hashes: vec![0, 300, u64::MAX],
         },
-        Duties::Entries {
-            entries: entries.clone(),
+        DutyMessage::Windows {
+            windows: windows.clone(),
         },
-        Duties::Broadcast(header, Said { tokens, entries }),
-        Duties::Fenced {
+        DutyMessage::Broadcast(header, Announcement { held, windows }),
+        DutyMessage::Fenced {
             duty: Duty::Config,
             highest: token(1 << 52),
         },
-        Duties::Report { open },
+        DutyMessage::OpenRequests { open },
     ];
     messages.extend(lease_messages());
-    messages.extend(config_messages().into_iter().map(Duties::Config));
+    messages.extend(config_messages().into_iter().map(DutyMessage::Config));
     messages
 }
 
--- /dev/null
+++ b/src/net/cluster/coordination/tables/example.rs
@@ -0,0 +1,69 @@
+//! Tables for the workers' tests.
+
+use super::super::clocks::mono;
+use super::super::request_loop::{BackendSnapshot, LoopSnapshot};
+use super::{
+    Configuring, Duty, DutyLease, Effect, Maintenance, Outbox, Relay, Roster, TableParts, Tables,
+};
+use crate::net::cluster::gossip::post::Post;
+use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
+use meadowproxy::fleet::lease;
+use meadowproxy::Micros;
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+const INCARNATION: u64 = 7;
+
+impl Tables {
+    /// The tables of a voter that serves, and the effects for its request loop.
+    pub fn example() -> (Tables, mpsc::Receiver<Effect>) {
+        let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
+        let own = address(9);
+        let voters = [9, 10, 11].map(address).to_vec();
+        let lease_rules = lease::Rules::new(voters.len(), Micros(1_000_000), 0.01).unwrap();
+        let max_age = Micros(5_000_000);
+        let calendar = Calendar::new(Rules {
+            budget: DisruptionBudget {
+                kind_floor: 0.5,
+                zone_floor: 0.5,
+            },
+            slow_start: Micros(1_000_000),
+            max_holder_silence: max_age,
+        });
+        let mut config = Configuring::new(
+            lease_rules,
+            voters.clone(),
+            own,
+            INCARNATION,
+            Default::default(),
+        );
+        config.replica.take_part();
+        let seen = LoopSnapshot {
+            backends: Some(Arc::new(BackendSnapshot {
+                taken_at: mono(),
+                rows: Vec::new(),
+            })),
+            open: BTreeMap::new(),
+            members: voters[1..].to_vec(),
+            config: 0,
+            file: 0,
+        };
+        let mut roster = Roster::starting();
+        roster.update(Arc::new(seen));
+        let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+        let (effects, effects_sent) = mpsc::channel(64);
+        let tables = Tables::new(TableParts {
+            lease: DutyLease::new(Duty::Calendar, lease_rules, voters, own, INCARNATION),
+            config,
+            calendar: Maintenance::new(calendar),
+            roster,
+            outbox: Outbox::new(effects),
+            relay: Relay::new(own, INCARNATION, max_age),
+            post: Arc::new(Post::new(socket, [0; 8], own)),
+            incarnation: INCARNATION,
+        });
+        (tables, effects_sent)
+    }
+}
--- a/src/net/cluster/coordination/clock/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -1,7 +1,7 @@
 //! Schedule the listed backends are asked of the request loop, and what waits for them.
 
-use super::super::tables::{Roster, Tables};
-use super::super::{Effect, Rows};
+use super::super::request_loop::{BackendSnapshot, Effect};
+use super::super::roster::Roster;
 use super::*;
 use crate::net::host::RosterRow;
 use meadowproxy::fleet::calendar::{Phase, Progress, Spec, Version, WallTime};
@@ -11,24 +11,24 @@
 
 /// A proxy that takes part, its clock, what the request loop is asked to show, and what it is asked to do.
 struct One {
-    clock: Clock,
-    need: watch::Receiver<Need>,
+    worker: TimerWorker,
+    need: watch::Receiver<BackendDemand>,
     told: tokio::sync::mpsc::Receiver<Effect>,
 }
 
 impl One {
     fn new() -> One {
         let (tables, told) = Tables::example();
-        tables.calendar.lock().covered = None;
+        tables.calendar.lock().compared_ranges = None;
         *tables.roster.lock() = Roster::default();
-        let (ask, need) = watch::channel(Need::Nothing);
+        let (ask, need) = watch::channel(BackendDemand::Nothing);
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
-        let clock = Clock::new(Arc::new(tables), watch::channel(None).1, ask, own, false);
-        One { clock, need, told }
+        let worker = TimerWorker::new(Arc::new(tables), watch::channel(None).1, ask, own, false);
+        One { worker, need, told }
     }
 
     fn tables(&self) -> &Tables {
-        &self.clock.tables
+        &self.worker.tables
     }
 
     /// Whatever is asked for is shown, as it is at that time.
@@ -44,19 +44,19 @@
             by_hand: false,
             open: 0,
         };
-        let rows = Rows {
-            at,
+        let rows = BackendSnapshot {
+            taken_at: at,
             rows: vec![row("a"), row("b")],
         };
-        let rows = Some(Arc::new(rows)).filter(|_| *self.need.borrow() != Need::Nothing);
-        let seen = Seen {
-            rows,
+        let rows = Some(Arc::new(rows)).filter(|_| *self.need.borrow() != BackendDemand::Nothing);
+        let seen = LoopSnapshot {
+            backends: rows,
             open: BTreeMap::new(),
             members: Vec::new(),
             config: 0,
             file: 0,
         };
-        self.tables().roster.lock().see(Arc::new(seen));
+        self.tables().roster.lock().update(Arc::new(seen));
     }
 
     /// A window that takes one or all, and begins in so many seconds.
@@ -86,12 +86,12 @@
             number: 5,
             incarnation: 10,
         };
-        let mut mail = Mail::new();
+        let mut mail = Outgoing::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
         self.tables()
             .leases
             .lock()
-            .effect(from, token, true, &mut mail)
+            .admit_effect(from, token, true, &mut mail)
             .unwrap();
         let Some(step) = step else { return };
         let mut windows = self.tables().calendar.lock();
@@ -110,17 +110,17 @@
         windows.calendar.merge(&entry, wall()).unwrap();
     }
 
-    fn needs(&self) -> Need {
-        self.clock.need();
+    fn needs(&self) -> BackendDemand {
+        self.worker.update_demand();
         *self.need.borrow()
     }
 
     /// What the request loop is asked to take out, and to take back.
     fn moved(&mut self) -> Vec<(char, String)> {
-        self.tables().derive();
+        self.tables().update_maintenance();
         let of = |effect| match effect {
-            Effect::Out(name) => ('-', name),
-            Effect::Back(name) => ('+', name),
+            Effect::BeginMaintenance(name) => ('-', name),
+            Effect::EndMaintenance(name) => ('+', name),
             _ => unreachable!("nothing else is asked here"),
         };
         std::iter::from_fn(|| self.told.try_recv().ok())
@@ -138,28 +138,34 @@
 #[test]
 fn only_who_needs_the_backends_asks_for_them() {
     let mut one = One::new();
-    assert!(one.needs() == Need::Nothing, "cut off, without windows");
+    assert!(
+        one.needs() == BackendDemand::Nothing,
+        "cut off, without windows"
+    );
     one.put("v", r#""ids":["b"]"#, 3600);
     assert!(
-        one.needs() == Need::Nothing,
+        one.needs() == BackendDemand::Nothing,
         "cut off, with a window in an hour"
     );
     one.put("w", r#""ids":["a"]"#, 3);
     assert!(
-        one.needs() == Need::Decides,
+        one.needs() == BackendDemand::EachTime,
         "cut off, with one that is due"
     );
     one.hear(None);
-    assert!(one.needs() == Need::Nothing, "the holder decides");
+    assert!(one.needs() == BackendDemand::Nothing, "the holder decides");
     one.hear(Some(Phase::Draining));
-    assert!(one.needs() == Need::Nothing, "the window names it");
+    assert!(one.needs() == BackendDemand::Nothing, "the window names it");
     assert_eq!(one.moved(), moves('-', &["a"]));
-    assert!(one.needs() == Need::Nothing, "the window names it");
+    assert!(one.needs() == BackendDemand::Nothing, "the window names it");
     one.hear(Some(Phase::Done));
-    assert!(one.needs() == Need::KeepsOut, "it is not back yet");
+    assert!(
+        one.needs() == BackendDemand::Occasional,
+        "it is not back yet"
+    );
     one.show(mono());
     assert_eq!(one.moved(), moves('+', &["a"]));
-    assert!(one.needs() == Need::Nothing);
+    assert!(one.needs() == BackendDemand::Nothing);
 }
 
 /// Who is cut off decides by what was shown since, and not by what it had been shown before.
@@ -168,12 +174,12 @@
     let mut one = One::new();
     one.put("w", r#""ids":["a"]"#, 1);
     let before = mono();
-    assert!(one.needs() == Need::Decides);
+    assert!(one.needs() == BackendDemand::EachTime);
     assert_eq!(one.moved(), [], "without any");
     one.show(Time(before.0 - 1));
     assert_eq!(one.moved(), [], "by what was shown before");
     one.show(mono());
-    assert!(one.needs() == Need::Decides);
+    assert!(one.needs() == BackendDemand::EachTime);
     assert_eq!(one.moved(), moves('-', &["a"]));
 }
 
@@ -188,7 +194,7 @@
     one.put("w", r#""zone":"z""#, 3);
     one.hear(Some(Phase::Draining));
     assert_eq!(one.moved(), []);
-    assert!(one.needs() == Need::KeepsOut);
+    assert!(one.needs() == BackendDemand::Occasional);
     one.show(mono());
     assert_eq!(one.moved(), moves('-', &["a", "b"]));
 }
