--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -15,22 +15,22 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever members and strangers say, in any order: nothing panics, no lock is taken out of order, the highest token
+    /// Whatever members and strangers send, in any order: nothing panics, no lock is taken out of order, the highest token
     /// never falls, and the window that is there stays as it was.
     #[test]
-    fn no_words_break_the_tables(said in prop::collection::vec((9u16..14, message()), 1..40)) {
-        let (tables, _told) = Tables::example();
+    fn no_messages_break_the_tables(messages in prop::collection::vec((9u16..14, message()), 1..40)) {
+        let (tables, _effects) = Tables::example();
         let spec = Spec::from_json(br#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"x"}"#);
         let stamp = Version { called_at: wall(), incarnation: 1 };
         let put = tables.calendar.lock().calendar.put("w", spec.unwrap(), stamp, wall());
         prop_assert_eq!(put, Ok(CallOutcome::Changed));
         let window = |tables: &Tables| tables.calendar.lock().calendar.get("w").cloned();
         let (before, mut highest) = (window(&tables), None);
-        for (port, message) in said {
-            let mut mail = Outgoing::new();
-            let _ = handle(&tables, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut mail);
-            mail.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
-            tables.leases.lock().tick(&mut mail);
+        for (port, message) in messages {
+            let mut outgoing = Outgoing::new();
+            let _ = handle(&tables, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
+            outgoing.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
+            tables.leases.lock().tick(&mut outgoing);
             tables.update_maintenance();
             let call = Call { method: Method::GET, path: vec!["duties".into()], body: Bytes::new() };
             prop_assert_eq!(answer(&tables, &call).0, StatusCode::OK);
@@ -45,7 +45,7 @@
 /// A proxy that starts is covered only once the ranges that were shown to it leave no gap, in whatever order.
 #[test]
 fn only_ranges_without_a_gap_cover_the_calendar() {
-    let (tables, _told) = Tables::example();
+    let (tables, _effects) = Tables::example();
     let calendar = tables.calendar.lock().calendar.clone();
     let covers = |ranges: &[(u64, u64)]| {
         let mut windows = Maintenance::new(calendar.clone());
@@ -70,110 +70,99 @@
     );
 }
 
-/// A holder's word counts as the holder's, whoever passed it on. One that a newer one overtook makes the holder no younger, one that
-/// came before or that stands under a lower token changes nothing, and the late holder itself is told.
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "issue 32: code that reads as well as it works"
-)]
-fn a_word_that_was_passed_on_proves_no_more_than_the_holders_own() {
-    let (tables, _told) = Tables::example();
-    let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn token_of(port: u16, number: u64) -> Ballot {
+    Ballot {
+        number,
+        incarnation: u64::from(port),
+    }
+}
+
+/// A heartbeat of the proxy at that port, to be relayed.
+fn heartbeat(port: u16, number: u64, said_us: u64) -> DutyMessage {
     let part = Part {
         from: 0,
         to: u32::MAX,
         hops: 1,
     };
+    let header = Header {
+        origin: address(port),
+        incarnation: u64::from(port),
+        said_us,
+        part,
+    };
+    let held = HeldDuty {
+        duty: Duty::Calendar,
+        token: token_of(port, number),
+    };
+    let announcement = Announcement {
+        held: vec![held],
+        windows: Vec::new(),
+    };
+    DutyMessage::Broadcast(header, announcement)
+}
+
+/// A holder's heartbeat counts as the holder's, whoever relayed it. One that a newer one overtook makes the holder's
+/// last heartbeat no younger, one that came before or that has a lower token changes nothing, and the former holder
+/// itself is notified.
+#[test]
+fn a_relayed_heartbeat_proves_no_more_than_the_holders_own() {
+    let (tables, _effects) = Tables::example();
     let now = wall().0;
-    let say = |port, number, said_us| {
-        let header = Header {
-            origin: at(port),
-            incarnation: u64::from(port),
-            said_us,
-            part,
-        };
-        let tokens = vec![HeldDuty {
-            duty: Duty::Calendar,
-            token: Ballot {
-                number,
-                incarnation: u64::from(port),
-            },
-        }];
-        let mut mail = Outgoing::new();
-        let said = DutyMessage::Broadcast(
-            header,
-            Announcement {
-                held: tokens,
-                windows: Vec::new(),
-            },
-        );
-        (
-            handle(&tables, at(12), said, &mut mail).map_err(|why| why.cause()),
-            mail,
-        )
+    let relay = |port, number, said_us| {
+        let mut outgoing = Outgoing::new();
+        let message = heartbeat(port, number, said_us);
+        let handled = handle(&tables, address(12), message, &mut outgoing);
+        (handled.map_err(|error| error.cause()), outgoing)
     };
     let holder = || tables.leases.lock().holder();
-    assert_eq!(say(10, 5, now), (Ok(()), Vec::new()));
-    assert_eq!(holder(), Some(at(10)), "not who passed it on");
+    assert_eq!(relay(10, 5, now), (Ok(()), Vec::new()));
+    assert_eq!(holder(), Some(address(10)), "not the one that relayed it");
     std::thread::sleep(std::time::Duration::from_millis(20));
     assert_eq!(
-        say(10, 5, now - 1),
+        relay(10, 5, now - 1),
         (Ok(()), Vec::new()),
         "its content counts"
     );
-    assert_eq!(say(10, 5, now).0, Err("repeated"));
+    assert_eq!(relay(10, 5, now).0, Err("repeated"));
     assert!(
         tables.leases.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
-        "an overtaken word counted as heard"
+        "an overtaken heartbeat counted as a new one"
     );
-    let (refused, told) = say(11, 4, now);
-    let highest = Ballot {
-        number: 5,
-        incarnation: 10,
+    let fenced = DutyMessage::Fenced {
+        duty: Duty::Calendar,
+        highest: token_of(10, 5),
     };
     assert_eq!(
-        (refused, told),
-        (
-            Err("token"),
-            vec![(
-                at(11),
-                DutyMessage::Fenced {
-                    duty: Duty::Calendar,
-                    highest
-                }
-            )]
-        )
+        relay(11, 4, now),
+        (Err("token"), vec![(address(11), fenced)])
     );
-    assert_eq!(holder(), Some(at(10)));
+    assert_eq!(holder(), Some(address(10)));
 }
 
-/// Who starts takes part on the word of one that does, and not of another that has just started.
+/// A proxy that starts has caught up after the digest of one that takes part, not of another that has just started.
 #[test]
 fn newcomers_do_not_confirm_each_other() {
-    let (tables, mut told) = Tables::example();
-    let mut hear = |new| {
+    let (tables, mut effects) = Tables::example();
+    let mut caught_up_after = |is_new| {
         let digest = Digest {
             from: 0,
             to: u64::MAX,
             rows: Vec::new(),
         };
-        let said = DutyMessage::Digest {
+        let message = DutyMessage::Digest {
             tokens: Vec::new(),
             digest,
-            is_new: new,
+            is_new,
             wants_reply: false,
         };
-        handle(
-            &tables,
-            SocketAddr::from(([127, 0, 0, 1], 10)),
-            said,
-            &mut Outgoing::new(),
-        )
-        .unwrap();
-        matches!(told.try_recv(), Ok(Effect::CaughtUp))
+        handle(&tables, address(10), message, &mut Outgoing::new()).unwrap();
+        matches!(effects.try_recv(), Ok(Effect::CaughtUp))
     };
-    assert!(!hear(true));
-    assert!(hear(false));
-    assert!(!hear(false), "once");
+    assert!(!caught_up_after(true));
+    assert!(caught_up_after(false));
+    assert!(!caught_up_after(false), "once");
 }
