--- a/benches/duties.rs
+++ b/benches/duties.rs
@@ -245,7 +245,7 @@
         (0..5).for_each(|n| drop(on.json(n, "/windows")));
         std::thread::sleep(Duration::from_millis(200));
     }
-    let stepped = |l: &holdings::Life| holdings::events(&l.log, "window").count();
+    let stepped = |l: &holdings::Incarnation| holdings::events(&l.log, "window").count();
     let steps: usize = on.lives().iter().map(stepped).sum();
     println!(
         "{steps} steps of windows in {:.0} s",
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -177,7 +177,7 @@
     relay: Relay,
     /// When its process was killed, if it is not restarted yet, and what earlier ones logged.
     killed: Option<u64>,
-    past: Vec<holdings::Life>,
+    past: Vec<holdings::Incarnation>,
 }
 
 impl Drop for RealProxy {
@@ -241,9 +241,9 @@
         self.place();
     }
 
-    fn life(&self) -> holdings::Life {
+    fn life(&self) -> holdings::Incarnation {
         let log = self.proxy.lines("event=").join("\n");
-        holdings::Life {
+        holdings::Incarnation {
             proxy: self.number as usize,
             log,
             killed: self.killed,
@@ -251,7 +251,7 @@
     }
 
     /// Every process that ever was in its place.
-    pub fn lives(&self) -> Vec<holdings::Life> {
+    pub fn lives(&self) -> Vec<holdings::Incarnation> {
         let now = self.life();
         self.past.iter().cloned().chain([now]).collect()
     }
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -1,4 +1,4 @@
-//! Schedule the listed backends are asked of the request loop, and what waits for them.
+//! When the request loop is asked to show the listed backends, and which decisions wait for them.
 
 use super::super::request_loop::{BackendSnapshot, Effect};
 use super::super::roster::Roster;
@@ -9,29 +9,39 @@
 
 const S: u64 = 1_000_000;
 
-/// A proxy that takes part, its clock, what the request loop is asked to show, and what it is asked to do.
-struct One {
+/// The timer worker of a proxy that takes part, what it demands of the request loop, and the effects for it.
+struct TestProxy {
     worker: TimerWorker,
-    need: watch::Receiver<BackendDemand>,
-    told: tokio::sync::mpsc::Receiver<Effect>,
+    demand: watch::Receiver<BackendDemand>,
+    effects: tokio::sync::mpsc::Receiver<Effect>,
 }
 
-impl One {
-    fn new() -> One {
-        let (tables, told) = Tables::example();
+impl TestProxy {
+    fn new() -> TestProxy {
+        let (tables, effects) = Tables::example();
         tables.calendar.lock().compared_ranges = None;
         *tables.roster.lock() = Roster::default();
-        let (ask, need) = watch::channel(BackendDemand::Nothing);
+        let (demanded, demand) = watch::channel(BackendDemand::Nothing);
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
-        let worker = TimerWorker::new(Arc::new(tables), watch::channel(None).1, ask, own, false);
-        One { worker, need, told }
+        let worker = TimerWorker::new(
+            Arc::new(tables),
+            watch::channel(None).1,
+            demanded,
+            own,
+            false,
+        );
+        TestProxy {
+            worker,
+            demand,
+            effects,
+        }
     }
 
     fn tables(&self) -> &Tables {
         &self.worker.tables
     }
 
-    /// Whatever is asked for is shown, as it is at that time.
+    /// The request loop shows what is demanded, as it is at that time.
     fn show(&self, at: Time) {
         let row = |name: &str| RosterRow {
             name: name.into(),
@@ -48,7 +58,7 @@
             taken_at: at,
             rows: vec![row("a"), row("b")],
         };
-        let rows = Some(Arc::new(rows)).filter(|_| *self.need.borrow() != BackendDemand::Nothing);
+        let rows = Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::Nothing);
         let seen = LoopSnapshot {
             backends: rows,
             open: BTreeMap::new(),
@@ -59,7 +69,7 @@
         self.tables().roster.lock().update(Arc::new(seen));
     }
 
-    /// A window that takes one or all, and begins in so many seconds.
+    /// Adds a window with those targets that begins in so many seconds.
     fn put(&self, id: &str, targets: &str, begin: u64) {
         let at = |secs| WallTime(wall().0 + secs * S);
         let body = format!(
@@ -80,121 +90,130 @@
         put.unwrap();
     }
 
-    /// A holder's word came just now; with `step` one on the window as well.
-    fn hear(&self, step: Option<Phase>) {
+    /// A holder's heartbeat came just now; with `phase` its decision on the window as well.
+    fn receive_heartbeat(&self, phase: Option<Phase>) {
         let token = Ballot {
             number: 5,
             incarnation: 10,
         };
-        let mut mail = Outgoing::new();
+        let mut outgoing = Outgoing::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
         self.tables()
             .leases
             .lock()
-            .admit_effect(from, token, true, &mut mail)
+            .admit_effect(from, token, true, &mut outgoing)
             .unwrap();
-        let Some(step) = step else { return };
-        let mut windows = self.tables().calendar.lock();
-        let mut entry = windows.calendar.get("w").unwrap().clone();
-        let occurrence = match entry.spec.value.schedule {
+        let Some(phase) = phase else { return };
+        let mut maintenance = self.tables().calendar.lock();
+        let mut window = maintenance.calendar.get("w").unwrap().clone();
+        let occurrence = match window.spec.value.schedule {
             meadowproxy::fleet::calendar::Schedule::Once(span) => span.begin,
             _ => unreachable!("it comes once"),
         };
-        entry.progress = Some(Progress {
+        window.progress = Some(Progress {
             occurrence,
             token,
-            phase: step,
+            phase,
             since: wall(),
             reason: String::new(),
         });
-        windows.calendar.merge(&entry, wall()).unwrap();
+        maintenance.calendar.merge(&window, wall()).unwrap();
     }
 
-    fn needs(&self) -> BackendDemand {
+    fn demand(&self) -> BackendDemand {
         self.worker.update_demand();
-        *self.need.borrow()
+        *self.demand.borrow()
     }
 
-    /// What the request loop is asked to take out, and to take back.
-    fn moved(&mut self) -> Vec<(char, String)> {
+    /// The backends whose maintenance begins (`-`) and ends (`+`).
+    fn take_effects(&mut self) -> Vec<(char, String)> {
         self.tables().update_maintenance();
         let of = |effect| match effect {
             Effect::BeginMaintenance(name) => ('-', name),
             Effect::EndMaintenance(name) => ('+', name),
-            _ => unreachable!("nothing else is asked here"),
+            _ => unreachable!("no other effects here"),
         };
-        std::iter::from_fn(|| self.told.try_recv().ok())
+        std::iter::from_fn(|| self.effects.try_recv().ok())
             .map(of)
             .collect()
     }
 }
 
-fn moves(way: char, names: &[&str]) -> Vec<(char, String)> {
-    names.iter().map(|name| (way, name.to_string())).collect()
+fn effects(sign: char, names: &[&str]) -> Vec<(char, String)> {
+    names.iter().map(|name| (sign, name.to_string())).collect()
 }
 
-/// A proxy that hears its holder never asks for the backends while nothing is out, whatever is due; one that is cut off does from
-/// shortly before a window.
+/// A proxy with a holder's heartbeats never demands the backends while none is in maintenance, whatever is due; an
+/// isolated one does from shortly before a window.
 #[test]
-fn only_who_needs_the_backends_asks_for_them() {
-    let mut one = One::new();
+fn backends_are_demanded_only_where_they_are_needed() {
+    let mut proxy = TestProxy::new();
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "isolated, without windows"
+    );
+    proxy.put("v", r#""ids":["b"]"#, 3600);
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "isolated, with a window in an hour"
+    );
+    proxy.put("w", r#""ids":["a"]"#, 3);
+    assert!(
+        proxy.demand() == BackendDemand::EachTime,
+        "isolated, with one that is due"
+    );
+    proxy.receive_heartbeat(None);
     assert!(
-        one.needs() == BackendDemand::Nothing,
-        "cut off, without windows"
+        proxy.demand() == BackendDemand::Nothing,
+        "the holder decides"
     );
-    one.put("v", r#""ids":["b"]"#, 3600);
+    proxy.receive_heartbeat(Some(Phase::Draining));
     assert!(
-        one.needs() == BackendDemand::Nothing,
-        "cut off, with a window in an hour"
+        proxy.demand() == BackendDemand::Nothing,
+        "the window names it"
     );
-    one.put("w", r#""ids":["a"]"#, 3);
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
     assert!(
-        one.needs() == BackendDemand::EachTime,
-        "cut off, with one that is due"
+        proxy.demand() == BackendDemand::Nothing,
+        "the window names it"
     );
-    one.hear(None);
-    assert!(one.needs() == BackendDemand::Nothing, "the holder decides");
-    one.hear(Some(Phase::Draining));
-    assert!(one.needs() == BackendDemand::Nothing, "the window names it");
-    assert_eq!(one.moved(), moves('-', &["a"]));
-    assert!(one.needs() == BackendDemand::Nothing, "the window names it");
-    one.hear(Some(Phase::Done));
+    proxy.receive_heartbeat(Some(Phase::Done));
     assert!(
-        one.needs() == BackendDemand::Occasional,
-        "it is not back yet"
+        proxy.demand() == BackendDemand::Occasional,
+        "its maintenance has not ended yet"
     );
-    one.show(mono());
-    assert_eq!(one.moved(), moves('+', &["a"]));
-    assert!(one.needs() == BackendDemand::Nothing);
+    proxy.show(mono());
+    assert_eq!(proxy.take_effects(), effects('+', &["a"]));
+    assert!(proxy.demand() == BackendDemand::Nothing);
 }
 
-/// Who is cut off decides by what was shown since, and not by what it had been shown before.
+/// An isolated proxy decides by snapshots since decisions depend on them, not by earlier ones.
 #[test]
-fn what_was_shown_before_decides_nothing() {
-    let mut one = One::new();
-    one.put("w", r#""ids":["a"]"#, 1);
+fn earlier_snapshots_decide_nothing() {
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""ids":["a"]"#, 1);
     let before = mono();
-    assert!(one.needs() == BackendDemand::EachTime);
-    assert_eq!(one.moved(), [], "without any");
-    one.show(Time(before.0 - 1));
-    assert_eq!(one.moved(), [], "by what was shown before");
-    one.show(mono());
-    assert!(one.needs() == BackendDemand::EachTime);
-    assert_eq!(one.moved(), moves('-', &["a"]));
+    assert!(proxy.demand() == BackendDemand::EachTime);
+    assert_eq!(proxy.take_effects(), [], "without any");
+    proxy.show(Time(before.0 - 1));
+    assert_eq!(proxy.take_effects(), [], "by an earlier snapshot");
+    proxy.show(mono());
+    assert!(proxy.demand() == BackendDemand::EachTime);
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
 }
 
-/// A window that names its backends goes out before any backend is shown; a zone's as soon as they are.
+/// A window that names its backends takes effect before any backend is shown; a zone's as soon as they are.
 #[test]
-fn the_holders_word_waits_for_no_more_than_it_names() {
-    let mut one = One::new();
-    one.put("w", r#""ids":["a"]"#, 3);
-    one.hear(Some(Phase::Draining));
-    assert_eq!(one.moved(), moves('-', &["a"]));
-    let mut one = One::new();
-    one.put("w", r#""zone":"z""#, 3);
-    one.hear(Some(Phase::Draining));
-    assert_eq!(one.moved(), []);
-    assert!(one.needs() == BackendDemand::Occasional);
-    one.show(mono());
-    assert_eq!(one.moved(), moves('-', &["a", "b"]));
+fn a_holders_decision_waits_for_no_more_than_it_names() {
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""ids":["a"]"#, 3);
+    proxy.receive_heartbeat(Some(Phase::Draining));
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""zone":"z""#, 3);
+    proxy.receive_heartbeat(Some(Phase::Draining));
+    assert_eq!(proxy.take_effects(), []);
+    assert!(proxy.demand() == BackendDemand::Occasional);
+    proxy.show(mono());
+    assert_eq!(proxy.take_effects(), effects('-', &["a", "b"]));
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -5,21 +5,21 @@
 mod rig;
 
 use rig::fleet::{Fleet, Shape};
-use rig::holdings::{contradictions, events, holdings, Life};
+use rig::holdings::{contradictions, events, holdings, Incarnation};
 use rig::*;
 use std::time::Duration;
 
-fn life(proxy: usize, killed: Option<u64>, log: &str) -> Life {
-    Life {
+fn incarnation(proxy: usize, killed: Option<u64>, log: &str) -> Incarnation {
+    Incarnation {
         proxy,
         log: log.into(),
         killed,
     }
 }
 
-/// The check that all tests below rest on: it accepts what is sound, and tells each way of being wrong.
+/// The check that all tests below rest on: it accepts a valid history, and finds each kind of contradiction.
 #[test]
-fn the_overlap_check_tells_two_holders_a_token_that_fell_and_a_late_act() {
+fn the_overlap_check_finds_two_holders_a_token_that_fell_and_a_late_act() {
     let held = |token: &str, at: u64| {
         format!(" event=\"duty_held\" duty=calendar token={token} mono_us={at}\n")
     };
@@ -33,54 +33,54 @@
     };
     let first = held("10-7", 100) + &act("10-7", 150) + &over("10-7", 300, 900); // it was stopped from 200 to 900
     let second = held("11-3", 400) + &act("11-3", 500);
-    let sound = [
-        life(0, None, &first),
-        life(1, Some(600), &second),
-        life(2, None, &held("12-1", 700)),
+    let valid = [
+        incarnation(0, None, &first),
+        incarnation(1, Some(600), &second),
+        incarnation(2, None, &held("12-1", 700)),
     ];
-    assert_eq!(contradictions(&sound), [""; 0]);
-    let told = |n: usize, text: &str, what: &str| {
-        let mut wrong = sound.clone();
+    assert_eq!(contradictions(&valid), [""; 0]);
+    let finds = |n: usize, text: &str, what: &str| {
+        let mut wrong = valid.clone();
         wrong[n].log = text.into();
         let wrong = contradictions(&wrong);
         assert!(
             wrong.iter().any(|w| w.contains(what)),
-            "{what} not told: {wrong:?}"
+            "{what} not found: {wrong:?}"
         );
     };
-    told(0, &held("10-7", 100), "two holders at once"); // never over
-    told(
+    finds(0, &held("10-7", 100), "two holders at once"); // never over
+    finds(
         0,
         &(held("10-7", 100) + &over("10-7", 401, 900)),
         "two holders at once",
     );
-    told(2, &held("12-1", 599), "two holders at once");
-    told(2, &held("11-2", 700), "did not grow");
-    told(
+    finds(2, &held("12-1", 599), "two holders at once");
+    finds(2, &held("11-2", 700), "did not grow");
+    finds(
         0,
         &(first.clone() + &act("10-7", 901)),
         "outside of its holding",
     );
-    told(2, &act("11-3", 500), "outside of its holding");
+    finds(2, &act("11-3", 500), "outside of its holding");
     // Each duty has a holder of its own.
     let other = |line: String| line.replace("duty=calendar", "duty=config");
     let both = [
-        sound.to_vec(),
-        vec![life(3, None, &other(held("10-7", 450)))],
+        valid.to_vec(),
+        vec![incarnation(3, None, &other(held("10-7", 450)))],
     ]
     .concat();
     assert_eq!(contradictions(&both), [""; 0]);
-    let two = [both, vec![life(4, None, &other(held("11-7", 460)))]].concat();
+    let two = [both, vec![incarnation(4, None, &other(held("11-7", 460)))]].concat();
     assert!(contradictions(&two)
         .iter()
         .any(|w| w.contains("two holders at once")));
 }
 
-/// Five proxies hand a duty on by leases while a seed picks what befalls the fleet: its holder is killed and started again
-/// with empty memory, is stopped past its lease, is cut off, hears nobody, is heard by nobody, or ends by SIGTERM; all the
-/// while datagrams are lost, doubled, late, spoiled and replayed. There is a holder again each time, and never two.
+/// Five proxies hand a duty on by leases while a seed picks faults: its holder is killed and started again
+/// with empty memory, is stopped past its lease, is partitioned, receives nothing, reaches nobody, or ends by SIGTERM; all the
+/// while datagrams are lost, duplicated, delayed, corrupted and replayed. There is a holder again each time, and never two.
 #[test]
-fn one_proxy_at_a_time_holds_a_duty_whatever_befalls_the_fleet() {
+fn one_proxy_at_a_time_holds_a_duty_under_faults() {
     let backend = BackendServer::start(|_| ok("x"));
     let known = vec![entry("b0", backend.address, "SERVING")];
     let shape = Shape {
@@ -100,8 +100,8 @@
         rules.late = Duration::from_millis(50);
     };
     let mut state = 0x9e37_79b9_7f4a_7c15u64;
-    let (mut befallen, mut ended) = (Vec::new(), Vec::new());
-    while befallen.len() < 10 {
+    let (mut faults_so_far, mut ended) = (Vec::new(), Vec::new());
+    while faults_so_far.len() < 10 {
         noise(&fleet);
         let (holder, token) = fleet.holder(&[]);
         let others: Vec<usize> = (0..5).filter(|n| *n != holder).collect();
@@ -110,13 +110,13 @@
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
-        let fate = if befallen.len() < 6 {
-            befallen.len() as u64
+        let fault = if faults_so_far.len() < 6 {
+            faults_so_far.len() as u64
         } else {
             state % 6
         };
-        befallen.push(fate);
-        match fate {
+        faults_so_far.push(fault);
+        match fault {
             0 => fleet.kill(&[holder]),
             1 => fleet.proxies[holder].signal("-STOP"),
             2 => fleet.faults.split(&[&[holder], &others]),
@@ -130,7 +130,7 @@
                 .any(|h| h.token > token)
                 .then_some(())
         });
-        match fate {
+        match fault {
             0 | 5 => fleet.restart(holder),
             1 => fleet.proxies[holder].signal("-CONT"),
             _ => {}
@@ -141,18 +141,21 @@
                 .iter()
                 .all(|h| h.token != token || h.to != u64::MAX)
         };
-        fleet.wait("the first holding to be over", |f| over(f).then_some(()));
+        fleet.wait("the first lease to be over", |f| over(f).then_some(()));
     }
-    let lives = fleet.lives();
-    let wrong = contradictions(&lives);
+    let incarnations = fleet.lives();
+    let wrong = contradictions(&incarnations);
     assert!(wrong.is_empty(), "{wrong:#?}");
-    let over = |l: &Life| events(&l.log, "duty_over").any(|line| line.contains("term over"));
-    assert!(lives.iter().any(over), "some holding ended by its term");
-    // Whoever goes by SIGTERM has said that it holds nothing any more.
-    let kept = |h: &&holdings::Holding| ended.contains(&(h.proxy, h.to));
-    assert_eq!(holdings(&lives).iter().find(kept), None);
+    let over = |l: &Incarnation| events(&l.log, "duty_over").any(|line| line.contains("term over"));
+    assert!(
+        incarnations.iter().any(over),
+        "some lease ended by its term"
+    );
+    // A process that ended by SIGTERM has released its leases and logged it.
+    let still_held = |h: &&holdings::Holding| ended.contains(&(h.proxy, h.to));
+    assert_eq!(holdings(&incarnations).iter().find(still_held), None);
     eprintln!(
-        "{befallen:?}: {} holdings, never two at once",
-        holdings(&lives).len()
+        "{faults_so_far:?}: {} leases, never two at once",
+        holdings(&incarnations).len()
     );
 }
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -417,7 +417,7 @@
 #[test]
 fn the_holdings_of_each_duty_are_told_apart() {
     let held = |duty: &str| format!(" event=\"duty_held\" duty={duty} token=10-7 mono_us=5\n");
-    let life = holdings::Life {
+    let life = holdings::Incarnation {
         proxy: 0,
         log: held("calendar") + &held("config"),
         killed: None,
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -2,7 +2,7 @@
 //! over all that these recorded.
 
 use super::faults::Faults;
-use super::holdings::{self, Life};
+use super::holdings::{self, Incarnation};
 use super::{
     entry, folder, pay, read, Arc, BufReader, Client, Duration, Message, Mutex, Ordering, Proxy,
     SocketAddr, TcpListener, TcpStream, Write, PATIENCE, SETTINGS,
@@ -239,14 +239,14 @@
     }
 
     /// Every process that ever was.
-    pub fn lives(&self) -> Vec<Life> {
-        let past = self.past.iter().map(|(n, p, at)| Life {
+    pub fn lives(&self) -> Vec<Incarnation> {
+        let past = self.past.iter().map(|(n, p, at)| Incarnation {
             proxy: *n,
             log: log(p),
             killed: Some(*at),
         });
         let now = self.proxies.iter().enumerate();
-        let now = now.map(|(n, p)| Life {
+        let now = now.map(|(n, p)| Incarnation {
             proxy: n,
             log: log(p),
             killed: self.killed.get(&n).copied(),
--- a/tests/rig/holdings.rs
+++ b/tests/rig/holdings.rs
@@ -1,11 +1,11 @@
-//! Who held a duty when, read from the logs of all processes of a fleet: two that held it at once, and acts outside of
-//! the actor's own holding, are told.
+//! Which process held a duty's lease when, read from the logs of all processes of a fleet: finds two that held it at
+//! once, and acts outside of the actor's own lease.
 
 use std::collections::HashMap;
 
 /// One process of a proxy: what it logged, and when it was killed, if it was.
 #[derive(Clone, Debug, Default)]
-pub struct Life {
+pub struct Incarnation {
     pub proxy: usize,
     pub log: String,
     /// Microseconds on the machine's monotonic clock, as all times here.
@@ -19,8 +19,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holding {
     pub proxy: usize,
-    /// Which of the lives, by its place.
-    pub life: usize,
+    /// The index of the process's incarnation.
+    pub incarnation: usize,
     pub token: Token,
     pub from: u64,
     /// `u64::MAX` while it goes on.
@@ -42,8 +42,8 @@
 }
 
 pub fn token(line: &str) -> Option<Token> {
-    let (number, by) = field(line, "token")?.split_once('-')?;
-    Some((number.parse().ok()?, by.into()))
+    let (number, incarnation) = field(line, "token")?.split_once('-')?;
+    Some((number.parse().ok()?, incarnation.into()))
 }
 
 /// The lines of one event.
@@ -54,27 +54,27 @@
 }
 
 /// Every holding of the calendar's duty, in the order of their begins.
-pub fn holdings(lives: &[Life]) -> Vec<Holding> {
-    holdings_of("calendar", lives)
+pub fn holdings(incarnations: &[Incarnation]) -> Vec<Holding> {
+    holdings_of("calendar", incarnations)
 }
 
 /// The same of any duty.
-pub fn holdings_of(duty: &str, lives: &[Life]) -> Vec<Holding> {
+pub fn holdings_of(duty: &str, incarnations: &[Incarnation]) -> Vec<Holding> {
     let of = |line: &&str| field(line, "duty") == Some(duty);
     let mut all = Vec::new();
-    for (n, life) in lives.iter().enumerate() {
-        let ends: HashMap<Token, u64> = events(&life.log, "duty_over")
+    for (n, incarnation) in incarnations.iter().enumerate() {
+        let ends: HashMap<Token, u64> = events(&incarnation.log, "duty_over")
             .filter(of)
             .filter_map(|l| Some((token(l)?, number(l, "mono_us")?))) // when it ended, whenever that was noticed
             .collect();
-        for line in events(&life.log, "duty_held").filter(of) {
+        for line in events(&incarnation.log, "duty_held").filter(of) {
             let token = token(line).unwrap_or_else(|| panic!("no token: {line}"));
             let from = number(line, "mono_us").unwrap_or_else(|| panic!("no time: {line}"));
             let end = ends.get(&token).copied().unwrap_or(u64::MAX);
-            let to = end.min(life.killed.unwrap_or(u64::MAX));
+            let to = end.min(incarnation.killed.unwrap_or(u64::MAX));
             all.push(Holding {
-                proxy: life.proxy,
-                life: n,
+                proxy: incarnation.proxy,
+                incarnation: n,
                 token,
                 from,
                 to,
@@ -85,11 +85,11 @@
     all
 }
 
-/// Whatever contradicts "one holder at a time, and only it acts", in words; empty where nothing does.
-pub fn contradictions(lives: &[Life]) -> Vec<String> {
-    let all = holdings(lives);
+/// Whatever contradicts "one holder at a time, and only it acts", as texts; empty where nothing does.
+pub fn contradictions(incarnations: &[Incarnation]) -> Vec<String> {
+    let all = holdings(incarnations);
     let mut wrong = Vec::new();
-    for all in [&all, &holdings_of("config", lives)] {
+    for all in [&all, &holdings_of("config", incarnations)] {
         for (n, one) in all.iter().enumerate() {
             for other in &all[n + 1..] {
                 if other.from < one.to {
@@ -101,16 +101,18 @@
             }
         }
     }
-    for (n, life) in lives.iter().enumerate() {
-        for line in events(&life.log, "window") {
-            let Some((by, at)) = token(line).zip(number(line, "mono_us")) else {
+    for (n, incarnation) in incarnations.iter().enumerate() {
+        for line in events(&incarnation.log, "window") {
+            let Some((acting, at)) = token(line).zip(number(line, "mono_us")) else {
                 continue;
             };
-            let own = |h: &&Holding| h.life == n && h.token == by && h.from <= at && at <= h.to;
+            let own = |h: &&Holding| {
+                h.incarnation == n && h.token == acting && h.from <= at && at <= h.to
+            };
             if all.iter().find(own).is_none() {
                 wrong.push(format!(
                     "proxy {} acted outside of its holding: {line}",
-                    life.proxy
+                    incarnation.proxy
                 ));
             }
         }
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -1,6 +1,6 @@
-//! Maintenance windows that a fleet keeps while its holder is killed, stopped or cut off: several real processes,
-//! faults between them (`rig::faults`), steady clients, and backends that write down what reached them. Every test ends
-//! with `check`: no client failed, nothing lost or doubled, nothing to a drained backend, never two holders.
+//! Maintenance windows of a fleet whose lease holder is killed, stopped or partitioned: several real processes,
+//! faults between them (`rig::faults`), steady clients, and backends that record what reached them. Every test ends
+//! with `check`: no client failed, nothing lost or duplicated, nothing to a drained backend, never two holders.
 
 mod rig;
 
@@ -9,10 +9,21 @@
 use std::time::Duration;
 
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-/// What the protocol grants between the word that a backend drains and the last new request to it.
+/// What the protocol grants between the decision that a backend drains and the last new request to it.
 const GRACE_US: u64 = 2_000_000;
-/// Begins in so many seconds, lasts so many, and drains so many ahead.
-const PLAN: (f64, f64, u32) = (11.0, 6.0, 4);
+/// When a window begins, in seconds from now, how long it lasts and its drain lead.
+#[derive(Clone, Copy)]
+struct Plan {
+    begin_s: f64,
+    lasts_s: f64,
+    lead_s: u32,
+}
+
+const PLAN: Plan = Plan {
+    begin_s: 11.0,
+    lasts_s: 6.0,
+    lead_s: 4,
+};
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// Five proxies, three of them voters, that know each other, and so many backends of one kind and zone.
@@ -38,13 +49,13 @@
     }
 }
 
-fn noise(fleet: &Fleet) {
+fn inject_noise(fleet: &Fleet) {
     let mut rules = fleet.faults.rules.lock().unwrap();
     (rules.drop, rules.double, rules.late) = (0.05, 0.05, Duration::from_millis(20));
     (rules.spoil, rules.replay) = (0.01, 0.02);
 }
 
-fn but(n: usize) -> Vec<usize> {
+fn all_but(n: usize) -> Vec<usize> {
     ALL.into_iter().filter(|other| *other != n).collect()
 }
 
@@ -54,12 +65,12 @@
     windows.iter().flat_map(of).collect()
 }
 
-/// Windows run while a twentieth of the datagrams is lost, doubled, spoiled or late; the holder is killed while the first
-/// one drains. Its successor goes on: every other proxy takes each backend out once and back once.
+/// Windows run while a twentieth of the datagrams is lost, duplicated, corrupted or delayed; the holder is killed while the first
+/// one drains. Its successor goes on: at every other proxy each backend enters and leaves maintenance once.
 #[test]
 fn a_successor_goes_on_where_a_killed_holder_stopped() {
     let (backends, mut fleet) = fleet(19, 6, shape());
-    noise(&fleet);
+    inject_noise(&fleet);
     let load = Load::start(&fleet, PAUSE);
     let (first, _) = fleet.holder(&[]);
     let windows = [
@@ -79,17 +90,17 @@
             fleet.stepped(&window.id, "done").token > token,
             "the successor's doing"
         );
-        fleet.out_and_back_once(&but(first), window);
+        fleet.out_and_back_once(&all_but(first), window);
     }
     let shut = decided(&fleet, &[&windows[0], &windows[1]]);
     check("holder killed", &fleet, &backends, &load.end(), &shut);
 }
 
-/// The holder stops past its lease while its words to some are still on their way. Another goes on, and what then comes
-/// late from the first is refused by its token. Continued, it finds its holding over before it acts.
+/// The holder stops past its lease while its messages to some are still on their way. Another goes on, and what then comes
+/// late from the first is rejected by its token. Continued, it finds its lease over before it acts.
 #[test]
-fn late_words_of_a_stopped_holder_are_refused_by_their_token() {
-    // A word may be late for a minute before it is refused for its age.
+fn late_effects_of_a_stopped_holder_are_rejected_by_their_token() {
+    // A broadcast may be late for a minute before it is rejected for its age.
     let (backends, fleet) = fleet(
         23,
         6,
@@ -102,7 +113,7 @@
     let load = Load::start(&fleet, PAUSE);
     let (first, token) = fleet.holder(&[]);
     load.away(&[first]);
-    let rest = but(first);
+    let rest = all_but(first);
     let late: Vec<usize> = rest.iter().copied().filter(|n| *n >= 3).collect(); // no voters: the lease goes on
     fleet.faults.rules.lock().unwrap().kept = late.iter().map(|n| (first, *n)).collect();
     let window = fleet.put(rest[0], "w0", &["b0"], 4.0, 14.0, 4);
@@ -119,11 +130,11 @@
     for n in &late {
         let refused = |l: &str| holdings::field(l, "cause") == Some("token");
         let late = |f: &Fleet| holdings::events(&f.log(*n), "effect_refused").any(refused);
-        fleet.wait("a late word refused", |f| late(f).then_some(()));
+        fleet.wait("a late effect to be rejected", |f| late(f).then_some(()));
     }
     fleet.proxies[first].signal("-CONT");
     let over = |f: &Fleet| holdings::events(&f.log(first), "duty_over").count() > 0;
-    fleet.wait("the stopped holder to find its holding over", |f| {
+    fleet.wait("the stopped holder to find its lease over", |f| {
         over(f).then_some(())
     });
     load.back(&fleet, &[first]);
@@ -133,18 +144,23 @@
     check("holder stopped", &fleet, &backends, &load.end(), &shut);
 }
 
-/// Two windows that do not fit together are known everywhere; then, at a step of the first, `cut` parts the fleet by its
-/// holder for longer than a proxy goes by a holder's last word. On every side the first opens on time and closes on
+/// Two windows that do not fit together are known everywhere; then, at a step of the first, `cut` partitions the fleet at its
+/// holder for longer than a proxy goes by a holder's last decision. On every side the first opens on time and closes on
 /// time, and the second waits for it until its own time is over.
-fn parted(
+fn partitioned(
     name: &str,
     seed: u64,
-    (begin, lasts, lead): (f64, f64, u32),
+    plan: Plan,
     step: &str,
     cut: impl Fn(&Fleet, usize, &Window),
 ) -> Fleet {
     let (backends, fleet) = fleet(seed, 6, shape());
     let load = Load::start(&fleet, PAUSE);
+    let Plan {
+        begin_s: begin,
+        lasts_s: lasts,
+        lead_s: lead,
+    } = plan;
     let (holder, _) = fleet.holder(&[]);
     let window = fleet.put(holder, "w0", &["b0", "b1"], begin, lasts, lead);
     let other = fleet.put(holder, "w1", &["b2", "b3"], begin + 0.1, lasts, lead);
@@ -175,24 +191,24 @@
 }
 
 #[test]
-fn windows_are_kept_on_time_with_the_holder_in_the_minority() {
-    let fleet = parted(
+fn windows_are_on_time_with_the_holder_in_the_minority() {
+    let fleet = partitioned(
         "holder in the minority",
         29,
         PLAN,
         "planned",
         |fleet, holder, _| {
-            fleet.faults.split(&[&[holder], &but(holder)]);
+            fleet.faults.split(&[&[holder], &all_but(holder)]);
             fleet.holder(&[holder]);
         },
     );
     assert!(fleet.stepped("w0", "done").token >= fleet.stepped("w0", "draining").token);
 }
 
-/// Cut off in an open window, the minority restores at its end by itself.
+/// Partitioned in an open window, the minority restores at its end by itself.
 #[test]
-fn windows_are_kept_on_time_with_the_holder_in_the_majority() {
-    let fleet = parted(
+fn windows_are_on_time_with_the_holder_in_the_majority() {
+    let fleet = partitioned(
         "holder in the majority",
         31,
         PLAN,
@@ -208,26 +224,30 @@
 }
 
 #[test]
-fn windows_are_kept_on_time_without_any_majority() {
-    let fleet = parted("no majority", 37, PLAN, "planned", |fleet, _, _| {
+fn windows_are_on_time_without_any_majority() {
+    let fleet = partitioned("no majority", 37, PLAN, "planned", |fleet, _, _| {
         fleet.faults.split(&[&[3, 4]]);
     });
-    let said = |n: &usize| holdings::events(&fleet.log(*n), "duty_no_majority").count() > 0;
+    let logged = |n: &usize| holdings::events(&fleet.log(*n), "duty_no_majority").count() > 0;
     assert!(
-        ALL.iter().any(said),
-        "nobody said that there is no majority"
+        ALL.iter().any(logged),
+        "no proxy logged that there is no quorum"
     );
     fleet.stepped("w0", "refused"); // nobody held the duty in all its time
 }
 
-/// Every proxy drains by itself; then the fleet is whole again in the open window, and its new holder takes it over,
-/// though less than the lead is left: its backends do not come back in between.
+/// Every proxy drains by itself; then the partition heals in the open window, and the new holder adopts it, though less
+/// than the lead is left: its backends do not come back in between.
 #[test]
-fn a_holder_that_comes_back_in_an_open_window_takes_it_over() {
-    let fleet = parted(
+fn a_holder_elected_in_an_open_window_adopts_it() {
+    let fleet = partitioned(
         "no majority, healed in the window",
         53,
-        (16.0, 10.0, 8),
+        Plan {
+            begin_s: 16.0,
+            lasts_s: 10.0,
+            lead_s: 8,
+        },
         "planned",
         |fleet, _, window| {
             fleet.faults.split(&[&[3, 4]]);
@@ -243,10 +263,10 @@
 }
 
 #[test]
-fn windows_are_kept_on_time_while_nobody_hears_the_holder() {
-    let fleet = parted("one way cut", 41, PLAN, "planned", |fleet, holder, _| {
+fn windows_are_on_time_while_the_holder_reaches_nobody() {
+    let fleet = partitioned("one way cut", 41, PLAN, "planned", |fleet, holder, _| {
         fleet.faults.rules.lock().unwrap().cut =
-            but(holder).into_iter().map(|n| (holder, n)).collect();
+            all_but(holder).into_iter().map(|n| (holder, n)).collect();
         fleet.holder(&[holder]);
     });
     fleet.stepped("w0", "done");
@@ -267,7 +287,7 @@
     fleet.kill(&voters);
     voters.iter().for_each(|n| fleet.restart(*n));
     let knows = |f: &Fleet| voters.iter().all(|n| !f.moves(*n, "b0").0.is_empty());
-    fleet.wait("the new processes to be told of the window", |f| {
+    fleet.wait("the new processes to learn of the window", |f| {
         knows(f).then_some(())
     });
     load.back(&fleet, &voters);
@@ -326,7 +346,7 @@
     fleet.stepped("w1", "open");
     load.away(&[first]);
     fleet.end(first);
-    let rest = but(first);
+    let rest = all_but(first);
     fleet.stepped("w3", "refused");
     assert!(
         fleet.steps("w3").iter().all(|d| d.to != "draining"),
