--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -3,6 +3,7 @@
 
 use super::clocks::{mono, wall};
 use super::message::{Duty, DutyMessage, MessageError, TokenReport};
+use super::voter_contacts::VoterContacts;
 use meadowproxy::fleet::fencing::Fence;
 use meadowproxy::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
 use meadowproxy::{Micros, Time};
@@ -26,15 +27,6 @@
     heartbeat_at: Time,
 }
 
-/// One of the voters, and when it was last heard of.
-struct VoterContact {
-    address: SocketAddr,
-    /// When it last answered this proxy's candidate.
-    answered_at: Option<Time>,
-    /// When any message of it came.
-    message_at: Option<Time>,
-}
-
 /// A time in which the duty is wanted and no quorum answers.
 #[derive(Clone, Copy)]
 struct QuorumLoss {
@@ -47,7 +39,7 @@
     duty: Duty,
     rules: Rules,
     own: SocketAddr,
-    voters: Vec<VoterContact>,
+    voters: VoterContacts,
     /// Where this proxy is one of the voters.
     voter: Option<Voter>,
     candidate: Candidate,
@@ -77,16 +69,11 @@
         // Two to three terms, drawn once: not all of a large fleet bid together.
         let bid_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
         let is_voter = voters.contains(&own);
-        let contact = |address| VoterContact {
-            address,
-            answered_at: None,
-            message_at: None,
-        };
         DutyLease {
             duty,
             rules,
             own,
-            voters: voters.into_iter().map(contact).collect(),
+            voters: VoterContacts::new(voters),
             voter: is_voter.then(|| Voter::new(rules, now)),
             candidate: Candidate::new(rules, incarnation),
             fence: Fence::default(),
@@ -180,9 +167,9 @@
                 }
             }
             Message::PreVoteGranted { .. } | Message::Granted { .. } | Message::Denied { .. } => {
-                let place = self.voter_place(from).ok_or(MessageError::NotAVoter)?;
+                let place = self.voters.place(from).ok_or(MessageError::NotAVoter)?;
                 let mut requests = Vec::new();
-                self.voters[place].answered_at = Some(now);
+                self.voters.record_answer(place, now);
                 self.candidate
                     .handle_response(now, place, message, &mut requests);
                 self.send_to_voters(now, requests, outgoing);
@@ -299,12 +286,6 @@
         }
     }
 
-    fn voter_place(&self, address: SocketAddr) -> Option<usize> {
-        self.voters
-            .iter()
-            .position(|voter| voter.address == address)
-    }
-
     fn raise_token(&mut self, token: Token) {
         self.fence.observe(self.duty, token);
         if let Some(voter) = &mut self.voter {
@@ -316,8 +297,8 @@
     fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut Outgoing) {
         let mut requests = VecDeque::from(requests);
         while let Some(message) = requests.pop_front() {
-            for place in 0..self.voters.len() {
-                let address = self.voters[place].address;
+            let addresses: Vec<SocketAddr> = self.voters.addresses().collect();
+            for (place, address) in addresses.into_iter().enumerate() {
                 if address != self.own {
                     outgoing.push((address, self.lease_message(message)));
                     continue;
@@ -326,7 +307,7 @@
                 let Some(response) = voter.and_then(|voter| voter.handle(now, message)) else {
                     continue;
                 };
-                self.voters[place].answered_at = Some(now);
+                self.voters.record_answer(place, now);
                 let mut further = Vec::new();
                 self.candidate
                     .handle_response(now, place, response, &mut further);
@@ -373,8 +354,8 @@
 
     /// Warns once where no quorum of the voters answers for a whole term.
     fn check_quorum(&mut self, now: Time, is_wanted: bool) {
-        let answering = self.answering_voters(now);
-        if !is_wanted || answering > self.voters.len() / 2 {
+        let answering = self.voters.answering(now, self.rules.term());
+        if !is_wanted || answering > self.voters.count() / 2 {
             self.quorum_loss = None;
             return;
         }
@@ -387,33 +368,22 @@
             warn!(
                 event = "duty_no_majority",
                 duty = self.duty.name(),
-                voters = self.voters.len(),
+                voters = self.voters.count(),
                 answering,
                 "no quorum of the voters answers: no proxy can hold the duty's lease"
             );
         }
     }
 
-    /// How many voters answered within the last term.
-    fn answering_voters(&self, now: Time) -> usize {
-        self.voters
-            .iter()
-            .filter_map(|voter| voter.answered_at)
-            .filter(|answered_at| now - *answered_at <= self.rules.term())
-            .count()
-    }
-
     /// A message came from that proxy, which may be a voter.
     pub fn record_contact(&mut self, from: SocketAddr) {
-        if let Some(place) = self.voter_place(from) {
-            self.voters[place].message_at = Some(mono());
-        }
+        self.voters.record_message(from, mono());
     }
 
     /// Why no proxy is known to hold the duty, for operators.
     pub fn why_no_holder(&self) -> String {
         let reachable = self.reachable_voters(mono(), DIGEST_INTERVAL_BOUND).len();
-        let voters = self.voters.len();
+        let voters = self.voters.count();
         if reachable > voters / 2 {
             format!("no proxy holds the duty yet: {reachable} of {voters} voters answer")
         } else {
@@ -423,21 +393,14 @@
 
     /// The voters of which any message came within the last term, or within `at_least` if that is longer.
     fn reachable_voters(&self, now: Time, at_least: Micros) -> Vec<String> {
-        let span = self.rules.term().max(at_least);
-        self.voters
-            .iter()
-            .filter(|voter| {
-                let is_recent = voter.message_at.is_some_and(|at| now - at <= span);
-                voter.address == self.own || is_recent
-            })
-            .map(|voter| voter.address.to_string())
-            .collect()
+        let within = self.rules.term().max(at_least);
+        self.voters.reachable(now, within, self.own)
     }
 
     /// For the operators' calls; the names are the operators' ones.
     pub fn status(&self) -> serde_json::Value {
         let now = mono();
-        let voters = self.voters.iter().map(|voter| voter.address.to_string());
+        let voters = self.voters.addresses().map(|voter| voter.to_string());
         let since_heartbeat = Some(self.since_heartbeat()).filter(|age| age.0 < u64::MAX);
         serde_json::json!({
             "duty": self.duty.name(),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -14,10 +14,10 @@
 //! | modules | what they are |
 //! | --- | --- |
 //! | `message`, `call`, `clocks`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `duty_lease`, `maintenance`, `outbox`, `roster` | one table each |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster` | one table each |
 //! | `tables`, `config` | the tables behind their locks, and the configuration |
 //! | `announcements`, `admin_calls`, `copy` | what is done with the tables |
-//! | `message_worker`, `timer_worker` | the threads |
+//! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
 
 mod admin_calls;
 mod announcements;
@@ -33,11 +33,13 @@
 mod ordered_locks;
 mod outbox;
 mod request_loop;
+mod request_loop_tasks;
 mod roster;
 #[cfg(test)]
 mod stored_formats;
 mod tables;
 mod timer_worker;
+mod voter_contacts;
 
 pub use clocks::mono;
 
@@ -45,7 +47,7 @@
 use crate::net::cluster::gossip::{Passed, Peers};
 use crate::net::config::overlay::Overlay;
 use crate::net::config::Voting;
-use crate::net::host::{Host, Why};
+use crate::net::host::Host;
 use bytes::Bytes;
 use call::Call;
 use command::Command;
@@ -59,16 +61,14 @@
 use meadowproxy::Micros;
 use message::Duty;
 use outbox::Outbox;
-use request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
+use request_loop::{BackendDemand, Effect};
+use request_loop_tasks::{apply_effects, AppliedEffects, SnapshotTask};
 use roster::Roster;
-use std::cell::RefCell;
-use std::collections::BTreeSet;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
 use std::rc::Rc;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::Arc;
-use std::time::Duration;
 use tables::{TableParts, Tables};
 use timer_worker::TimerWorker;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -80,11 +80,6 @@
 const MAX_QUEUED_COMMANDS: usize = 64;
 /// Effects that wait for the request loop at most: a window may target a few hundred backends at once.
 const MAX_QUEUED_EFFECTS: usize = 1024;
-/// How often the request loop shows what it sees.
-const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// How old a snapshot of the backends may be where no decision depends on it.
-const MAX_OCCASIONAL_AGE: Micros = Micros(1_000_000);
-
 /// This proxy's part in the fleet's duties.
 pub struct Duties {
     commands: SyncSender<Command>,
@@ -125,10 +120,7 @@
         peers.pass_duties(messages);
         info!(event = "duties_start", own = %own, voters = voting.voters.len(), lease_ms = voting.lease_ms,
             "takes part in the leases of the fleet's duties");
-        let applied = Rc::new(AppliedEffects {
-            in_maintenance: RefCell::default(),
-            overlay: overlay.clone(),
-        });
+        let applied = Rc::new(AppliedEffects::new(overlay.clone()));
         let (caught_up, is_caught_up) = watch::channel(false);
         let apply = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
         tokio::task::spawn_local(apply);
@@ -250,112 +242,3 @@
         })
     }
 }
-
-/// What the workers' effects brought so far.
-struct AppliedEffects {
-    /// Backends in maintenance.
-    in_maintenance: RefCell<BTreeSet<String>>,
-    /// The configuration's entries.
-    overlay: Rc<Overlay>,
-}
-
-/// Carries out the workers' effects.
-async fn apply_effects(
-    host: Rc<Host>,
-    mut effects: mpsc::Receiver<Effect>,
-    applied: Rc<AppliedEffects>,
-    caught_up: watch::Sender<bool>,
-) {
-    while let Some(effect) = effects.recv().await {
-        match effect {
-            Effect::BeginMaintenance(backend) => {
-                host.withdraw_unheard(&backend, Why::Window);
-                info!(
-                    event = "window_out",
-                    backend,
-                    mono_us = mono().0,
-                    "a backend is in maintenance: it gets no new requests"
-                );
-                applied.in_maintenance.borrow_mut().insert(backend);
-            }
-            Effect::EndMaintenance(backend) => {
-                host.restore(&backend, Why::Window, host.clock.now());
-                info!(
-                    event = "window_back",
-                    backend,
-                    mono_us = mono().0,
-                    "a backend is no longer in maintenance"
-                );
-                applied.in_maintenance.borrow_mut().remove(&backend);
-            }
-            Effect::ChangeConfig { version, entries } => applied.overlay.add(version, entries),
-            Effect::CaughtUp => {
-                applied.overlay.hear();
-                caught_up.send_replace(true);
-            }
-        }
-    }
-}
-
-/// Shows the workers what the request loop sees: at once where they need more than before.
-struct SnapshotTask {
-    host: Rc<Host>,
-    peers: Rc<Peers>,
-    applied: Rc<AppliedEffects>,
-    show: watch::Sender<Option<Arc<LoopSnapshot>>>,
-    demand: watch::Receiver<BackendDemand>,
-    commands: SyncSender<Command>,
-}
-
-impl SnapshotTask {
-    /// Runs until the workers are gone.
-    async fn run(mut self) {
-        let mut backends = None;
-        let mut previous_demand = BackendDemand::Nothing;
-        loop {
-            let demand = *self.demand.borrow_and_update();
-            backends = self.snapshot_backends(demand, backends);
-            self.show
-                .send_replace(Some(Arc::new(self.snapshot(&backends))));
-            if demand != previous_demand {
-                previous_demand = demand;
-                let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
-            }
-            tokio::select! {
-                () = tokio::time::sleep(SNAPSHOT_INTERVAL) => {}
-                changed = self.demand.changed() => if changed.is_err() {
-                    return;
-                }
-            }
-        }
-    }
-
-    fn snapshot_backends(
-        &self,
-        demand: BackendDemand,
-        previous: Option<Arc<BackendSnapshot>>,
-    ) -> Option<Arc<BackendSnapshot>> {
-        let now = mono();
-        let recent = previous.filter(|previous| now - previous.taken_at < MAX_OCCASIONAL_AGE);
-        match (demand, recent) {
-            (BackendDemand::Nothing, _) => None,
-            (BackendDemand::Occasional, Some(recent)) => Some(recent),
-            (BackendDemand::Occasional, None) | (BackendDemand::EachTime, _) => {
-                Some(Arc::new(BackendSnapshot {
-                    taken_at: now,
-                    rows: self.host.roster(),
-                }))
-            }
-        }
-    }
-
-    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopSnapshot {
-        LoopSnapshot {
-            backends: backends.clone(),
-            open: self.host.open_at(&self.applied.in_maintenance.borrow()),
-            members: self.peers.members(),
-            config: self.applied.overlay.version(),
-            file: self.applied.overlay.file_version(),
-        }
-    }
-}
--- /dev/null
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -0,0 +1,141 @@
+//! The request loop's side: carries out the workers' effects, and shows the workers what the loop sees.
+
+use super::clocks::mono;
+use super::command::Command;
+use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
+use crate::net::cluster::gossip::Peers;
+use crate::net::config::overlay::Overlay;
+use crate::net::host::{Host, Why};
+use meadowproxy::Micros;
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::sync::mpsc::SyncSender;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+use tracing::info;
+
+/// How often the request loop shows what it sees.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// How old a snapshot of the backends may be where no decision depends on it.
+const MAX_OCCASIONAL_AGE: Micros = Micros(1_000_000);
+
+/// What the workers' effects brought so far.
+pub struct AppliedEffects {
+    /// Backends in maintenance.
+    in_maintenance: RefCell<BTreeSet<String>>,
+    /// The configuration's entries.
+    overlay: Rc<Overlay>,
+}
+
+impl AppliedEffects {
+    /// No effects yet.
+    pub fn new(overlay: Rc<Overlay>) -> AppliedEffects {
+        AppliedEffects {
+            in_maintenance: RefCell::default(),
+            overlay,
+        }
+    }
+}
+
+/// Carries out the workers' effects.
+pub async fn apply_effects(
+    host: Rc<Host>,
+    mut effects: mpsc::Receiver<Effect>,
+    applied: Rc<AppliedEffects>,
+    caught_up: watch::Sender<bool>,
+) {
+    while let Some(effect) = effects.recv().await {
+        match effect {
+            Effect::BeginMaintenance(backend) => {
+                host.withdraw_unheard(&backend, Why::Window);
+                info!(
+                    event = "window_out",
+                    backend,
+                    mono_us = mono().0,
+                    "a backend is in maintenance: it gets no new requests"
+                );
+                applied.in_maintenance.borrow_mut().insert(backend);
+            }
+            Effect::EndMaintenance(backend) => {
+                host.restore(&backend, Why::Window, host.clock.now());
+                info!(
+                    event = "window_back",
+                    backend,
+                    mono_us = mono().0,
+                    "a backend is no longer in maintenance"
+                );
+                applied.in_maintenance.borrow_mut().remove(&backend);
+            }
+            Effect::ChangeConfig { version, entries } => applied.overlay.add(version, entries),
+            Effect::CaughtUp => {
+                applied.overlay.hear();
+                caught_up.send_replace(true);
+            }
+        }
+    }
+}
+
+/// Shows the workers what the request loop sees: at once where they need more than before.
+pub struct SnapshotTask {
+    pub host: Rc<Host>,
+    pub peers: Rc<Peers>,
+    pub applied: Rc<AppliedEffects>,
+    pub show: watch::Sender<Option<Arc<LoopSnapshot>>>,
+    pub demand: watch::Receiver<BackendDemand>,
+    pub commands: SyncSender<Command>,
+}
+
+impl SnapshotTask {
+    /// Runs until the workers are gone.
+    pub async fn run(mut self) {
+        let mut backends = None;
+        let mut previous_demand = BackendDemand::Nothing;
+        loop {
+            let demand = *self.demand.borrow_and_update();
+            backends = self.snapshot_backends(demand, backends);
+            self.show
+                .send_replace(Some(Arc::new(self.snapshot(&backends))));
+            if demand != previous_demand {
+                previous_demand = demand;
+                let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
+            }
+            tokio::select! {
+                () = tokio::time::sleep(SNAPSHOT_INTERVAL) => {}
+                changed = self.demand.changed() => if changed.is_err() {
+                    return;
+                }
+            }
+        }
+    }
+
+    fn snapshot_backends(
+        &self,
+        demand: BackendDemand,
+        previous: Option<Arc<BackendSnapshot>>,
+    ) -> Option<Arc<BackendSnapshot>> {
+        let now = mono();
+        let recent = previous.filter(|previous| now - previous.taken_at < MAX_OCCASIONAL_AGE);
+        match (demand, recent) {
+            (BackendDemand::Nothing, _) => None,
+            (BackendDemand::Occasional, Some(recent)) => Some(recent),
+            (BackendDemand::Occasional, None) | (BackendDemand::EachTime, _) => {
+                Some(Arc::new(BackendSnapshot {
+                    taken_at: now,
+                    rows: self.host.roster(),
+                }))
+            }
+        }
+    }
+
+    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopSnapshot {
+        LoopSnapshot {
+            backends: backends.clone(),
+            open: self.host.open_at(&self.applied.in_maintenance.borrow()),
+            members: self.peers.members(),
+            config: self.applied.overlay.version(),
+            file: self.applied.overlay.file_version(),
+        }
+    }
+}
