--- a/src/fleet/calendar/isolation.rs
+++ b/src/fleet/calendar/isolation.rs
@@ -8,7 +8,7 @@
 //! itself adopts it.
 
 use super::disruption_budget::{Fleet, RemainingCapacity};
-use super::phases::DueWindow;
+use super::due_window::DueWindow;
 use super::window::{Phase, Progress, Window};
 use super::{Calendar, WallTime};
 use crate::fleet::lease::Token;
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -12,6 +12,7 @@
 //! | `window` | one window with its progress, and the rule that merges two replicas of it |
 //! | `admin_calls` | the operators' calls and the list of windows |
 //! | `disruption_budget` | the capacity that windows have to leave |
+//! | `due_window` | the windows to start, in their order |
 //! | `phases` | the lease holder's transitions |
 //! | `isolation` | what a proxy decides that hears of no lease holder |
 //! | `fleet_usage` | when the list of backends is needed at all |
@@ -20,6 +21,7 @@
 mod admin_calls;
 mod anti_entropy;
 mod disruption_budget;
+mod due_window;
 mod fleet_usage;
 mod isolation;
 mod phases;
--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -1,6 +1,7 @@
 //! The lease holder's transitions: how windows go through their phases.
 
 use super::disruption_budget::{Fleet, RemainingCapacity};
+use super::due_window::DueWindow;
 use super::isolation::IsolatedWindow;
 use super::spec::Span;
 use super::window::{CurrentOccurrence, Phase, Progress, Window};
@@ -46,22 +47,6 @@
     pub token: Token,
 }
 
-/// A window whose time to drain has come.
-pub(super) struct DueWindow<'a> {
-    /// The occurrence's actual begin.
-    pub(super) begin: WallTime,
-    /// The occurrence, by its planned begin.
-    pub(super) occurrence: WallTime,
-    pub(super) window: &'a Window,
-}
-
-impl<'a> DueWindow<'a> {
-    /// Windows take from the budget in the order of begin and id.
-    pub(super) fn order(&self) -> (WallTime, &'a str) {
-        (self.begin, &self.window.id)
-    }
-}
-
 /// The phase that a window enters next, and why.
 struct NextPhase {
     phase: Phase,
