--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -231,7 +231,10 @@
     /// The windows whose time to drain has come, in the order in which they take from the budget.
     fn due_windows(&self, now: WallTime) -> Vec<DueWindow<'_>> {
         let mut due = Vec::new();
-        for window in self.windows.values().filter(|w| w.cancelled.is_none()) {
+        for window in self.windows.values() {
+            if window.cancelled.is_some() {
+                continue;
+            }
             let Some(current) = window.current_occurrence(now) else {
                 continue;
             };
@@ -260,9 +263,11 @@
             }
             let occurrence = current.planned.begin;
             let known = window.progress.take();
-            window.progress = Some(match known.filter(|p| p.occurrence == occurrence) {
-                Some(progress) => Progress { token, ..progress },
-                None => Progress::new(occurrence, token, Phase::Planned, now, ""),
+            window.progress = Some(match known {
+                Some(progress) if progress.occurrence == occurrence => {
+                    Progress { token, ..progress }
+                }
+                _ => Progress::new(occurrence, token, Phase::Planned, now, ""),
             });
             self.changed.insert(id.clone());
         }
--- a/src/fleet/calendar/spec/mod.rs
+++ b/src/fleet/calendar/spec/mod.rs
@@ -242,30 +242,26 @@
 
 /// Reads an instant: RFC 3339 with an offset, or RFC 9557 with a zone in brackets.
 pub fn parse_instant(field: &str, text: &str) -> Result<WallTime, InvalidField> {
-    let read = match text.contains('[') {
-        true => text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp()),
-        false => text.parse::<Timestamp>(),
+    let parsed = if text.contains('[') {
+        text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp())
+    } else {
+        text.parse::<Timestamp>()
     };
-    let at = read.map_err(|e| InvalidField::new(field, e.to_string()))?;
-    match u64::try_from(at.as_microsecond()) {
-        Ok(micros) => Ok(WallTime(micros)),
-        Err(_) => Err(InvalidField::new(field, "before 1970")),
-    }
+    let instant = parsed.map_err(|error| InvalidField::new(field, error.to_string()))?;
+    u64::try_from(instant.as_microsecond())
+        .map(WallTime)
+        .map_err(|_| InvalidField::new(field, "before 1970"))
 }
 
 /// Whether a window may have that id: letters, digits, `-`, `_` and `.`, as it stands in a path.
 pub fn check_id(id: &str) -> Result<(), InvalidField> {
     check_name("id", id)?;
-    match id
-        .bytes()
-        .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
-    {
-        true => Ok(()),
-        false => Err(InvalidField::new(
-            "id",
-            "may hold letters, digits, '-', '_' and '.' only",
-        )),
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if !id.bytes().all(is_allowed) {
+        let reason = "may hold letters, digits, '-', '_' and '.' only";
+        return Err(InvalidField::new("id", reason));
     }
+    Ok(())
 }
 
 /// So many seconds.
@@ -283,10 +279,10 @@
             format!("{} bytes, over {MAX_NAME_BYTES}", text.len()),
         ));
     }
-    match text.chars().any(char::is_control) {
-        true => Err(InvalidField::new(field, "holds control characters")),
-        false => Ok(()),
+    if text.chars().any(char::is_control) {
+        return Err(InvalidField::new(field, "holds control characters"));
     }
+    Ok(())
 }
 
 fn check_time_zone(time_zone: &str) -> Result<TimeZone, InvalidField> {
