--- a/src/fleet/calendar/spec/call_body.rs
+++ b/src/fleet/calendar/spec/call_body.rs
@@ -41,32 +41,21 @@
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 impl Spec {
-    /// Reads the JSON body of `PUT /windows/ID`. Whether its time is over already is asked by
+    /// Reads the JSON body of `PUT /windows/ID`. Whether its time is over already is checked by
     /// [`Calendar::put`](crate::fleet::calendar::Calendar::put), as a repeated call may come late.
-    pub fn from_json(body: &[u8]) -> Result<Spec, InvalidField> {
-        let mut reader = serde_json::Deserializer::from_slice(body);
-        let read: Body = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-            let path = e.path().to_string();
-            InvalidField::new(
-                if matches!(path.as_str(), "." | "?") {
-                    "body"
-                } else {
-                    &path
-                },
-                e.inner().to_string(),
-            )
-        })?;
-        reader
-            .end()
-            .map_err(|e| InvalidField::new("body", e.to_string()))?;
-        let requested_by = read
+    ///
+    /// # Errors
+    /// The first field that is missing, unknown or out of its bounds.
+    pub fn from_json(json: &[u8]) -> Result<Spec, InvalidField> {
+        let body = parse_body(json)?;
+        let requested_by = body
             .by
             .ok_or_else(|| InvalidField::new("by", "missing: who asks for the window"))?;
         let spec = Spec {
-            targets: targets(read.ids, read.zone, read.kind, read.cell, read.label)?,
-            schedule: schedule(read.begin, read.end, read.recurring)?,
-            lead_s: read.lead_s.unwrap_or(DEFAULT_LEAD_S),
-            overrun_s: read.overrun_s.unwrap_or(0),
+            targets: targets(body.ids, body.zone, body.kind, body.cell, body.label)?,
+            schedule: schedule(body.begin, body.end, body.recurring)?,
+            lead_s: body.lead_s.unwrap_or(DEFAULT_LEAD_S),
+            overrun_s: body.overrun_s.unwrap_or(0),
             requested_by,
         };
         spec.check()?;
@@ -74,6 +63,24 @@
     }
 }
 
+fn parse_body(json: &[u8]) -> Result<Body, InvalidField> {
+    let mut reader = serde_json::Deserializer::from_slice(json);
+    let body = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+        let path = error.path().to_string();
+        let field = if matches!(path.as_str(), "." | "?") {
+            "body"
+        } else {
+            &path
+        };
+        InvalidField::new(field, error.inner().to_string())
+    })?;
+    reader
+        .end()
+        .map_err(|error| InvalidField::new("body", error.to_string()))?;
+    Ok(body)
+}
+
+/// The targets, of which exactly one choice has to be given.
 fn targets(
     ids: Option<Vec<String>>,
     zone: Option<String>,
@@ -82,98 +89,102 @@
     label: Option<serde_json::Value>,
 ) -> Result<Targets, InvalidField> {
     if label.is_some() {
-        return Err(InvalidField::new(
-            "label",
-            "the list of servers carries no labels: use ids, zone, kind or cell",
-        ));
+        let reason = "the list of servers carries no labels: use ids, zone, kind or cell";
+        return Err(InvalidField::new("label", reason));
     }
-    let ids = ids.map(|ids| Targets::Ids(ids.into_iter().collect()));
-    let others = [
+    let choices = [
+        ids.map(|ids| Targets::Ids(ids.into_iter().collect())),
         zone.map(Targets::Zone),
         kind.map(Targets::Kind),
         cell.map(Targets::Cell),
     ];
-    let mut named = std::iter::once(ids).chain(others).flatten();
-    match (named.next(), named.next()) {
-        (Some(targets), None) => Ok(targets),
-        (None, _) => Err(InvalidField::new(
-            "ids",
-            "missing: one of ids, zone, kind and cell",
-        )),
-        (Some(_), Some(second)) => {
-            let field = match second {
-                Targets::Ids(_) => "ids",
-                Targets::Zone(_) => "zone",
-                Targets::Kind(_) => "kind",
-                Targets::Cell(_) => "cell",
-            };
-            Err(InvalidField::new(
-                field,
-                "one too many: exactly one of ids, zone, kind and cell",
-            ))
+    let mut given = choices.into_iter().flatten();
+    let Some(targets) = given.next() else {
+        let reason = "missing: one of ids, zone, kind and cell";
+        return Err(InvalidField::new("ids", reason));
+    };
+    match given.next() {
+        None => Ok(targets),
+        Some(second) => {
+            let reason = "one too many: exactly one of ids, zone, kind and cell";
+            Err(InvalidField::new(field_name(&second), reason))
         }
     }
 }
 
+fn field_name(targets: &Targets) -> &'static str {
+    match targets {
+        Targets::Ids(_) => "ids",
+        Targets::Zone(_) => "zone",
+        Targets::Kind(_) => "kind",
+        Targets::Cell(_) => "cell",
+    }
+}
+
 fn schedule(
     begin: Option<String>,
     end: Option<String>,
     recurring: Option<Recurring>,
 ) -> Result<Schedule, InvalidField> {
     let Some(recurring) = recurring else {
-        let begin = begin
-            .ok_or_else(|| InvalidField::new("begin", "missing, and there is no recurring"))?;
-        let end = end.ok_or_else(|| InvalidField::new("end", "missing"))?;
-        let span = Span {
-            begin: parse_instant("begin", &begin)?,
-            end: parse_instant("end", &end)?,
-        };
-        return Ok(Schedule::Once(span));
+        return once(begin, end);
     };
     if begin.is_some() || end.is_some() {
         let field = if begin.is_some() { "begin" } else { "end" };
-        return Err(InvalidField::new(
-            field,
-            "a recurring window has none: use recurring.at and lasts_s",
-        ));
+        let reason = "a recurring window has none: use recurring.at and lasts_s";
+        return Err(InvalidField::new(field, reason));
     }
-    let weekdays = match recurring.days {
-        Days::Name(name) if name == "daily" => EVERY_DAY,
-        Days::Name(_) => {
-            return Err(InvalidField::new(
-                "recurring.days",
-                "\"daily\" or a list of days",
-            ))
-        }
-        Days::List(list) => {
-            let day = |d: &String| DAYS.iter().position(|name| name == d);
-            let wrong = || {
-                InvalidField::new(
-                    "recurring.days",
-                    format!("each is one of {}", DAYS.join(", ")),
-                )
-            };
-            list.iter()
-                .try_fold(0, |days, d| Ok(days | 1 << day(d).ok_or_else(wrong)?))?
-        }
-    };
-    let minute_of_day = parse_minute_of_day(&recurring.at)
-        .ok_or_else(|| InvalidField::new("recurring.at", "not HH:MM"))?;
     Ok(Schedule::Recurring {
-        weekdays,
-        minute_of_day,
+        weekdays: weekdays(recurring.days)?,
+        minute_of_day: parse_minute_of_day(&recurring.at)
+            .ok_or_else(|| InvalidField::new("recurring.at", "not HH:MM"))?,
         time_zone: recurring.zone,
         duration_s: recurring.lasts_s,
     })
 }
 
+fn once(begin: Option<String>, end: Option<String>) -> Result<Schedule, InvalidField> {
+    let begin =
+        begin.ok_or_else(|| InvalidField::new("begin", "missing, and there is no recurring"))?;
+    let end = end.ok_or_else(|| InvalidField::new("end", "missing"))?;
+    Ok(Schedule::Once(Span {
+        begin: parse_instant("begin", &begin)?,
+        end: parse_instant("end", &end)?,
+    }))
+}
+
+/// The set of weekdays, bit 0 being Monday.
+fn weekdays(days: Days) -> Result<u8, InvalidField> {
+    let invalid = |reason: &str| InvalidField::new("recurring.days", reason);
+    let names = match days {
+        Days::Name(name) if name == "daily" => return Ok(EVERY_DAY),
+        Days::Name(_) => return Err(invalid("\"daily\" or a list of days")),
+        Days::List(names) => names,
+    };
+    let mut weekdays = 0;
+    for name in names {
+        let day = DAYS
+            .iter()
+            .position(|day| *day == name)
+            .ok_or_else(|| invalid(&format!("each is one of {}", DAYS.join(", "))))?;
+        weekdays |= 1 << day;
+    }
+    Ok(weekdays)
+}
+
 /// The minute of the day of `HH:MM`.
 fn parse_minute_of_day(text: &str) -> Option<u16> {
-    let digits = |at: usize| {
-        text.get(at..at + 2)
-            .filter(|d| d.bytes().all(|b| b.is_ascii_digit()))
-    };
-    let (hour, minute): (u16, u16) = (digits(0)?.parse().ok()?, digits(3)?.parse().ok()?);
-    (text.len() == 5 && text.as_bytes()[2] == b':' && hour < 24 && minute < 60)
-        .then_some(hour * 60 + minute)
+    if text.len() != 5 || text.as_bytes()[2] != b':' {
+        return None;
+    }
+    let hour = parse_two_digits(text.get(..2)?)?;
+    let minute = parse_two_digits(text.get(3..)?)?;
+    (hour < 24 && minute < 60).then_some(hour * 60 + minute)
+}
+
+fn parse_two_digits(text: &str) -> Option<u16> {
+    if !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    text.parse().ok()
 }
