--- a/src/net/cluster/coordination/copy/stored_formats.rs
+++ b/src/net/cluster/coordination/config_snapshot/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The file of the configuration's copy, byte for byte, and its name.
+//! The file of the configuration's snapshot, byte for byte, and its name.
 
 use super::*;
 use crate::fixtures::{assert_bytes, assert_lines};
@@ -24,12 +24,12 @@
             edit(Kind::Tenant, "acme", Value::Removed),
             edit(Kind::Tenant, "größer", Value::AsFile),
         ],
-        vec![Edit::contains(1000)],
+        vec![Edit::compact_up_to(1000)],
     ];
     for (n, edits) in (1u64..).zip(changes) {
         let change = Change {
-            number: n * 1000,
-            after: (n - 1) * 1000,
+            version: n * 1000,
+            previous: (n - 1) * 1000,
             id: n,
             edits,
         };
@@ -40,7 +40,7 @@
 
 fn body(table: &Table) -> Vec<u8> {
     let entries = table
-        .range(0, u64::MAX)
+        .range(PositionRange::ALL)
         .map(|(_, entry)| entry.clone())
         .collect();
     encode(&Body {
@@ -51,39 +51,43 @@
     .unwrap()
 }
 
-/// The log of changes is not kept, so a copy compares by what is.
-type Kept = (Digest, Vec<(u64, Entry)>);
+/// What of a table is in its snapshot: all but the log.
+type Saved = (Digest, Vec<(u64, Entry)>);
 
-fn kept(table: &Table) -> Kept {
+fn saved(table: &Table) -> Saved {
     (
         table.digest(),
         table
-            .range(0, u64::MAX)
+            .range(PositionRange::ALL)
             .map(|(at, entry)| (at, entry.clone()))
             .collect(),
     )
 }
 
 #[test]
-fn the_copy_of_the_configuration_keeps_its_bytes() {
+fn the_snapshot_of_the_configuration_keeps_its_bytes() {
     let restored =
-        |of: &Kept| Table::restore(of.0, of.1.iter().map(|(_, e)| e.clone()).collect()).unwrap();
+        |of: &Saved| Table::restore(of.0, of.1.iter().map(|(_, e)| e.clone()).collect()).unwrap();
     let forms = [
-        ("four entries", kept(&table())),
-        ("none", kept(&Table::default())),
+        ("four entries", saved(&table())),
+        ("none", saved(&Table::default())),
     ];
-    assert_eq!(forms[0].1 .1.len(), 4, "what the file contains is dropped");
+    assert_eq!(
+        forms[0].1 .1.len(),
+        4,
+        "what the platform's file contains is dropped"
+    );
     assert_bytes(
         "config-copy.txt",
         &forms,
         |of| body(&restored(of)),
-        |bytes| kept(&decode(bytes, "lagos").unwrap()),
+        |bytes| saved(&decode(bytes, "lagos").unwrap()),
     );
 }
 
 #[test]
-fn the_file_of_the_copy_keeps_its_name() {
-    let of = |cluster: &str| super::Kept {
+fn the_file_of_the_snapshot_keeps_its_name() {
+    let of = |cluster: &str| SnapshotFile {
         dir: PathBuf::new(),
         cluster: cluster.into(),
     };
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -119,7 +119,7 @@
     Broadcast(relay::Refused),
     /// The configuration's state machine does not use it.
     #[error("{0}")]
-    Config(config::Refused),
+    Config(config::MessageError),
 }
 
 impl MessageError {
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -32,9 +32,9 @@
         any::<u64>(),
         prop::collection::vec(edit, 0..3),
     )
-        .prop_map(|(number, after, id, edits)| Change {
-            number,
-            after,
+        .prop_map(|(version, previous, id, edits)| Change {
+            version,
+            previous,
             id,
             edits,
         })
@@ -54,7 +54,7 @@
             })
         }),
         (token(), token())
-            .prop_map(|(token, highest)| Message::Paxos(Paxos::Refused { token, highest })),
+            .prop_map(|(token, highest)| Message::Paxos(Paxos::Nack { token, highest })),
         (
             prop::collection::vec(config_change(), 0..3),
             0u64..9,
@@ -65,17 +65,21 @@
                 version,
                 push
             }),
-        (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(|((version, root), (new, ask))| {
-            Message::Digest {
-                digest: Digest { version, root },
-                new,
-                ask,
+        (any::<(u64, u64)>(), any::<(bool, bool)>()).prop_map(
+            |((version, root), (is_new, wants_reply))| {
+                Message::Digest {
+                    digest: Digest { version, root },
+                    is_new,
+                    wants_reply,
+                }
             }
-        }),
-        (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::Hashes {
+        ),
+        (0u8..5, any::<u16>()).prop_map(|(level, index)| Message::CompareNode {
             node: Node { level, index }
         }),
-        (any::<u64>(), any::<u64>()).prop_map(|(from, to)| Message::Range { from, to }),
+        (any::<u64>(), any::<u64>()).prop_map(|(first, last)| Message::FetchRange {
+            range: config::PositionRange { first, last }
+        }),
     ];
     message.prop_map(DutyMessage::Config)
 }
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -85,7 +85,7 @@
         }
         DutyMessage::Config(message) => {
             return tables
-                .configured(from, message)
+                .handle_config_message(from, message)
                 .map_err(MessageError::Config);
         }
         DutyMessage::OpenRequests { open } => {
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -16,7 +16,7 @@
 //! | `message`, `call`, `clocks`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
 //! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster` | one table each |
 //! | `tables`, `config` | the tables behind their locks, and the configuration |
-//! | `announcements`, `admin_calls`, `copy` | what is done with the tables |
+//! | `announcements`, `admin_calls`, `config_snapshot` | what is done with the tables |
 //! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
 
 mod admin_calls;
@@ -25,7 +25,7 @@
 mod clocks;
 mod command;
 mod config;
-pub mod copy;
+pub mod config_snapshot;
 mod duty_lease;
 mod maintenance;
 mod message;
@@ -45,14 +45,14 @@
 
 use crate::net::admin::{DutiesDoor, Later};
 use crate::net::cluster::gossip::{Passed, Peers};
-use crate::net::config::overlay::Overlay;
+use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::Voting;
 use crate::net::host::Host;
 use bytes::Bytes;
 use call::Call;
 use command::Command;
-use config::Configuring;
-use copy::Kept;
+use config::ConfigDriver;
+use config_snapshot::SnapshotFile;
 use duty_lease::DutyLease;
 use hyper::{Method, StatusCode};
 use maintenance::Maintenance;
@@ -85,12 +85,12 @@
     commands: SyncSender<Command>,
     is_caught_up: watch::Receiver<bool>,
     /// What changes of the configuration are checked against.
-    overlay: Rc<Overlay>,
+    fleet_overrides: Rc<FleetOverrides>,
 }
 
 impl Duties {
-    /// Starts the workers. `slow_start`: how long a backend is in slow start after a window; `kept`: where this proxy's
-    /// copy of the configuration is stored, if it is.
+    /// Starts the workers. `slow_start`: how long a backend is in slow start after a window; `config_snapshot`: where this
+    /// proxy's table of the configuration is saved, if it is.
     ///
     /// # Errors
     /// The rules of the leases are out of their range, or a thread does not start.
@@ -99,14 +99,14 @@
         peers: &Rc<Peers>,
         voting: &Voting,
         slow_start: Micros,
-        overlay: Rc<Overlay>,
-        kept: Option<Kept>,
+        fleet_overrides: Rc<FleetOverrides>,
+        config_snapshot: Option<SnapshotFile>,
     ) -> io::Result<Rc<Duties>> {
         let own = peers.own();
         let (effects, pending_effects) = mpsc::channel(MAX_QUEUED_EFFECTS);
-        let tables = build_tables(peers, voting, slow_start, &overlay, effects)?;
-        if let Some(table) = kept.as_ref().and_then(|kept| kept.recall(own)) {
-            tables.restore(table);
+        let tables = build_tables(peers, voting, slow_start, &fleet_overrides, effects)?;
+        if let Some(table) = config_snapshot.as_ref().and_then(|file| file.load(own)) {
+            tables.restore_config(table);
         }
         let (messages, received) = sync_channel(MAX_QUEUED_MESSAGES);
         let (commands, queued_commands) = sync_channel(MAX_QUEUED_COMMANDS);
@@ -114,13 +114,13 @@
         let (demanded, demand) = watch::channel(BackendDemand::EachTime);
         let timers = TimerWorker::new(tables.clone(), seen, demanded, own, peers.alone());
         spawn_workers(&tables, timers, received, queued_commands, &commands)?;
-        if let Some(kept) = kept {
-            thread("copy").spawn(move || kept.keep(&tables, own))?;
+        if let Some(file) = config_snapshot {
+            thread("copy").spawn(move || file.save_changes(&tables, own))?;
         }
         peers.pass_duties(messages);
         info!(event = "duties_start", own = %own, voters = voting.voters.len(), lease_ms = voting.lease_ms,
             "takes part in the leases of the fleet's duties");
-        let applied = Rc::new(AppliedEffects::new(overlay.clone()));
+        let applied = Rc::new(AppliedEffects::new(fleet_overrides.clone()));
         let (caught_up, is_caught_up) = watch::channel(false);
         let apply = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
         tokio::task::spawn_local(apply);
@@ -136,7 +136,7 @@
         Ok(Rc::new(Duties {
             commands,
             is_caught_up,
-            overlay,
+            fleet_overrides,
         }))
     }
 
@@ -156,7 +156,7 @@
     peers: &Peers,
     voting: &Voting,
     slow_start: Micros,
-    overlay: &Overlay,
+    fleet_overrides: &FleetOverrides,
     effects: mpsc::Sender<Effect>,
 ) -> io::Result<Arc<Tables>> {
     let own = peers.own();
@@ -182,7 +182,13 @@
     );
     Ok(Arc::new(Tables::new(TableParts {
         lease,
-        config: Configuring::new(lease_rules, voters, own, incarnation, overlay.newest()),
+        config: ConfigDriver::new(
+            lease_rules,
+            voters,
+            own,
+            incarnation,
+            fleet_overrides.newest(),
+        ),
         calendar: Maintenance::new(calendar),
         roster: Roster::starting(),
         outbox: Outbox::new(effects),
@@ -219,14 +225,10 @@
             path,
             body,
         };
-        let command = match config::change(&call, &self.overlay) {
+        let command = match config::parse_change(&call, &self.fleet_overrides) {
             None => Command::Call(call, answer),
-            Some(Ok((base, edits))) => Command::ChangeConfig {
-                base,
-                edits,
-                answer,
-            },
-            Some(Err(rejected)) => return Box::pin(std::future::ready(rejected)),
+            Some(Ok(change)) => Command::ChangeConfig(change, answer),
+            Some(Err(error)) => return Box::pin(std::future::ready(error.answer())),
         };
         let is_queued = self.commands.try_send(command).is_ok();
         Box::pin(async move {
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -4,7 +4,7 @@
 use super::command::Command;
 use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
 use crate::net::cluster::gossip::Peers;
-use crate::net::config::overlay::Overlay;
+use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::host::{Host, Why};
 use meadowproxy::Micros;
 use std::cell::RefCell;
@@ -26,15 +26,15 @@
     /// Backends in maintenance.
     in_maintenance: RefCell<BTreeSet<String>>,
     /// The configuration's entries.
-    overlay: Rc<Overlay>,
+    fleet_overrides: Rc<FleetOverrides>,
 }
 
 impl AppliedEffects {
     /// No effects yet.
-    pub fn new(overlay: Rc<Overlay>) -> AppliedEffects {
+    pub fn new(fleet_overrides: Rc<FleetOverrides>) -> AppliedEffects {
         AppliedEffects {
             in_maintenance: RefCell::default(),
-            overlay,
+            fleet_overrides,
         }
     }
 }
@@ -68,9 +68,11 @@
                 );
                 applied.in_maintenance.borrow_mut().remove(&backend);
             }
-            Effect::ChangeConfig { version, entries } => applied.overlay.add(version, entries),
+            Effect::ChangeConfig { version, entries } => {
+                applied.fleet_overrides.apply(version, entries);
+            }
             Effect::CaughtUp => {
-                applied.overlay.hear();
+                applied.fleet_overrides.confirm_file();
                 caught_up.send_replace(true);
             }
         }
@@ -134,8 +136,8 @@
             backends: backends.clone(),
             open: self.host.open_at(&self.applied.in_maintenance.borrow()),
             members: self.peers.members(),
-            config: self.applied.overlay.version(),
-            file: self.applied.overlay.file_version(),
+            config: self.applied.fleet_overrides.version(),
+            file: self.applied.fleet_overrides.file_version(),
         }
     }
 }
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -6,7 +6,8 @@
 use crate::fixtures::assert_bytes;
 use meadowproxy::fleet::calendar::{Digest, DigestRow};
 use meadowproxy::fleet::config::{
-    self, Change, Edit, Entry, Invalid, Key, Kind, Memory, Node, Paxos, Rejected, Submission, Value,
+    self, AcceptedChange, AcceptorState, Change, Edit, Entry, InvalidEntry, Key, Kind, Node, Paxos,
+    PositionRange, Submission, SubmitError, Value,
 };
 use meadowproxy::fleet::lease::{Ballot, Message, Token};
 use meadowproxy::fleet::relay::{Header, Part};
@@ -34,14 +35,14 @@
         ),
         edit(Kind::Tenant, "größer", Value::Removed),
         edit(Kind::Tenant, "acme", Value::AsFile),
-        Edit::contains(77),
+        Edit::compact_up_to(77),
     ]
 }
 
-fn change(number: u64) -> Change {
+fn change(version: u64) -> Change {
     Change {
-        number,
-        after: number - 1,
+        version,
+        previous: version - 1,
         id: 0xfedc_ba98,
         edits: edits(),
     }
@@ -76,21 +77,21 @@
         Paxos::Accept { .. } => "paxos accept",
         Paxos::Accepted { .. } => "paxos accepted",
         Paxos::Behind { .. } => "paxos behind",
-        Paxos::Refused { .. } => "paxos refused",
+        Paxos::Nack { .. } => "paxos refused",
         Paxos::Recover { .. } => "paxos recover",
-        Paxos::Known { .. } => "paxos known",
+        Paxos::RecoverReply { .. } => "paxos known",
     }
 }
 
-fn outcome_name(result: &Result<u64, Rejected>) -> &'static str {
+fn outcome_name(result: &Result<u64, SubmitError>) -> &'static str {
     match result {
         Ok(_) => "config outcome taken",
-        Err(Rejected::Conflict { .. }) => "config outcome conflict",
-        Err(Rejected::Invalid(_)) => "config outcome invalid",
-        Err(Rejected::Full) => "config outcome full",
-        Err(Rejected::Busy) => "config outcome busy",
-        Err(Rejected::NoHolder) => "config outcome no holder",
-        Err(Rejected::Unknown) => "config outcome unknown",
+        Err(SubmitError::Conflict { .. }) => "config outcome conflict",
+        Err(SubmitError::Invalid(_)) => "config outcome invalid",
+        Err(SubmitError::Full) => "config outcome full",
+        Err(SubmitError::Busy) => "config outcome busy",
+        Err(SubmitError::NoLeader) => "config outcome no holder",
+        Err(SubmitError::Unknown) => "config outcome unknown",
     }
 }
 
@@ -99,11 +100,11 @@
         config::Message::Paxos(message) => paxos_name(message),
         config::Message::Changes { .. } => "config changes",
         config::Message::Digest { .. } => "config digest",
-        config::Message::Since { .. } => "config since",
-        config::Message::Hashes { .. } => "config hashes",
-        config::Message::Children { .. } => "config children",
-        config::Message::Range { .. } => "config range",
-        config::Message::Part { .. } => "config part",
+        config::Message::ChangesSince { .. } => "config since",
+        config::Message::CompareNode { .. } => "config hashes",
+        config::Message::NodeHashes { .. } => "config children",
+        config::Message::FetchRange { .. } => "config range",
+        config::Message::RangeEntries { .. } => "config part",
         config::Message::Submit(_) => "config submit",
         config::Message::Outcome { result, .. } => outcome_name(result),
     }
@@ -146,12 +147,15 @@
 
 fn paxos_messages() -> Vec<Paxos> {
     let (token, highest, round, version) = (token(5), token(9), 70_000, 1_764_748_800_123);
-    let accepted = Some((highest, change(6)));
-    let memory = Memory {
+    let accepted = Some(AcceptedChange {
+        token: highest,
+        change: change(6),
+    });
+    let state = AcceptorState {
         promised: highest,
         version,
         accepted: accepted.clone(),
-        floor: 12,
+        version_floor: 12,
     };
     vec![
         Paxos::Prepare { token, round },
@@ -160,14 +164,14 @@
             round,
             version,
             accepted,
-            floor: 11,
+            version_floor: 11,
         },
         Paxos::Promise {
             token,
             round,
             version,
             accepted: None,
-            floor: 0,
+            version_floor: 0,
         },
         Paxos::Accept {
             token,
@@ -180,30 +184,30 @@
             round,
             version,
         },
-        Paxos::Refused { token, highest },
+        Paxos::Nack { token, highest },
         Paxos::Recover { nonce: u64::MAX },
-        Paxos::Known {
+        Paxos::RecoverReply {
             nonce: 1 << 40,
-            memory,
-            remembers: true,
+            state,
+            is_complete: true,
         },
     ]
 }
 
 fn outcomes() -> Vec<config::Message> {
     let key = "tenants.acme".to_string();
-    let invalid = Invalid {
+    let invalid = InvalidEntry {
         key: key.clone(),
-        why: "expected an object".into(),
+        reason: "expected an object".into(),
     };
     let results = [
         Ok(1_764_748_800_124),
-        Err(Rejected::Conflict { key, number: 8 }),
-        Err(Rejected::Invalid(invalid)),
-        Err(Rejected::Full),
-        Err(Rejected::Busy),
-        Err(Rejected::NoHolder),
-        Err(Rejected::Unknown),
+        Err(SubmitError::Conflict { key, version: 8 }),
+        Err(SubmitError::Invalid(invalid)),
+        Err(SubmitError::Full),
+        Err(SubmitError::Busy),
+        Err(SubmitError::NoLeader),
+        Err(SubmitError::Unknown),
     ];
     results
         .map(|result| config::Message::Outcome { id: 0xabcd, result })
@@ -220,7 +224,7 @@
     );
     let entries = change(9).entries();
     let last = Entry {
-        number: 3,
+        version: 3,
         ..entries[0].clone()
     };
     let mut messages = vec![
@@ -231,24 +235,25 @@
         },
         config::Message::Digest {
             digest: digest(),
-            new: true,
-            ask: false,
+            is_new: true,
+            wants_reply: false,
         },
-        config::Message::Since { version },
-        config::Message::Hashes { node },
-        config::Message::Children {
+        config::Message::ChangesSince { version },
+        config::Message::CompareNode { node },
+        config::Message::NodeHashes {
             digest: digest(),
             node,
             hashes: vec![0, 1, u64::MAX],
         },
-        config::Message::Range {
-            from: 1,
-            to: u64::MAX,
+        config::Message::FetchRange {
+            range: PositionRange {
+                first: 1,
+                last: u64::MAX,
+            },
         },
-        config::Message::Part {
+        config::Message::RangeEntries {
             digest: digest(),
-            from: 2,
-            to: 3,
+            range: PositionRange { first: 2, last: 3 },
             entries: [entries, vec![last]].concat(),
         },
         config::Message::Submit(Submission {
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -4,7 +4,7 @@
 //! `relay`. The request loop takes none of them.
 
 use super::clocks::wall;
-use super::config::Configuring;
+use super::config::ConfigDriver;
 use super::duty_lease::{DutyLease, Outgoing};
 use super::maintenance::Maintenance;
 use super::message;
@@ -26,7 +26,7 @@
     /// The lease of the calendar's duty.
     pub leases: OrderedLock<DutyLease>,
     /// The configuration, with the lease of its duty.
-    pub config: OrderedLock<Configuring>,
+    pub config: OrderedLock<ConfigDriver>,
     pub calendar: OrderedLock<Maintenance>,
     pub roster: OrderedLock<Roster>,
     pub outbox: OrderedLock<Outbox>,
@@ -40,7 +40,7 @@
 /// The unlocked parts of [`Tables`].
 pub struct TableParts {
     pub lease: DutyLease,
-    pub config: Configuring,
+    pub config: ConfigDriver,
     pub calendar: Maintenance,
     pub roster: Roster,
     pub outbox: Outbox,
--- a/src/net/cluster/coordination/tables/example.rs
+++ b/src/net/cluster/coordination/tables/example.rs
@@ -3,7 +3,7 @@
 use super::super::clocks::mono;
 use super::super::request_loop::{BackendSnapshot, LoopSnapshot};
 use super::{
-    Configuring, Duty, DutyLease, Effect, Maintenance, Outbox, Relay, Roster, TableParts, Tables,
+    ConfigDriver, Duty, DutyLease, Effect, Maintenance, Outbox, Relay, Roster, TableParts, Tables,
 };
 use crate::net::cluster::gossip::post::Post;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
@@ -32,14 +32,14 @@
             slow_start: Micros(1_000_000),
             max_holder_silence: max_age,
         });
-        let mut config = Configuring::new(
+        let mut config = ConfigDriver::new(
             lease_rules,
             voters.clone(),
             own,
             INCARNATION,
             Default::default(),
         );
-        config.replica.take_part();
+        config.replica.assume_up_to_date();
         let seen = LoopSnapshot {
             backends: Some(Arc::new(BackendSnapshot {
                 taken_at: mono(),
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -96,12 +96,8 @@
                     let _ = answer.send(admin_calls::answer(&self.tables, &call));
                     // the caller may be gone
                 }
-                Ok(Command::ChangeConfig {
-                    base,
-                    edits,
-                    answer,
-                }) => {
-                    self.tables.config_change(base, edits, answer);
+                Ok(Command::ChangeConfig(change, answer)) => {
+                    self.tables.config_change(change, answer);
                 }
                 Ok(Command::Leave) => self.leave(),
                 Ok(Command::Wake) | Err(RecvTimeoutError::Timeout) => {}
@@ -159,7 +155,7 @@
         }
         let is_new = self.tables.config.lock().replica.is_new();
         if is_new && takes_part {
-            self.tables.config.lock().replica.take_part();
+            self.tables.config.lock().replica.assume_up_to_date();
             self.tables.admit_clients();
         }
     }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,12 +1,12 @@
 //! What this process is told: as JSON by the platform or as TOML by operators, at its start and at each reload.
 //!
 //! A [`Source`] names the file, [`Node::read`] reads it, [`check`] lists its errors and [`show`] prints what is in
-//! force. [`reload`] puts a file that was read again in force, [`overlay`] the entries that operators set since.
+//! force. [`reload`] puts a file that was read again in force, [`fleet_overrides`] the entries that operators set since.
 
 mod error;
 mod file;
+pub mod fleet_overrides;
 mod node;
-pub mod overlay;
 pub mod reload;
 mod sections;
 mod source;
