--- a/src/net/cluster/coordination/command.rs
+++ b/src/net/cluster/coordination/command.rs
@@ -1,7 +1,7 @@
 //! What the request loop asks of the timer worker.
 
 use super::call::{Answer, Call};
-use super::config::ConfigChange;
+use super::config_change::ConfigChange;
 use tokio::sync::oneshot;
 
 /// One command.
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,19 +1,14 @@
 //! The fleet's replicated configuration at this proxy, under one lock: the steps of its [`ConfigDriver`], and the operators'
 //! calls on it.
 
-mod change_call;
-mod driver;
-
-pub use change_call::{parse_change, ConfigChange};
-pub use driver::ConfigDriver;
-
 use super::call::{json_line as line, Answer};
 use super::clocks::{mono, wall};
+use super::config_change::{kind_named, ConfigChange};
+use super::config_driver::ConfigDriver;
 use super::duty_lease::Outgoing;
 use super::message::DutyMessage;
 use super::request_loop::Effect;
 use super::tables::Tables;
-use change_call::kind_named;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
     Context, Key, Message, MessageError, Outbox, Replica, Table, Value,
--- a/src/net/cluster/coordination/config/change_call.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -1,7 +1,7 @@
 //! Reads an operator's call that changes the configuration, and checks it against the settings in force here. The texts of
 //! its errors are the operator's answer.
 
-use super::super::call::{json_line as line, Answer, Call};
+use super::call::{json_line as line, Answer, Call};
 use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{check_edits, Edit, InvalidEntry, Key, Kind, Value};
--- a/src/net/cluster/coordination/config/driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -1,11 +1,11 @@
 //! The state behind the lock: the replica, the leader's lease, the operators' calls that wait for an outcome, and the
 //! changes that the request loop does not have yet.
 
-use super::super::call::{json_line as line, Answer};
-use super::super::clocks::mono;
-use super::super::duty_lease::{DutyLease, Outgoing};
-use super::super::message::Duty;
-use super::change_call::ConfigChange;
+use super::call::{json_line as line, Answer};
+use super::clocks::mono;
+use super::config_change::ConfigChange;
+use super::duty_lease::{DutyLease, Outgoing};
+use super::message::Duty;
 use crate::net::config::fleet_overrides::NewestVersion;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
@@ -34,10 +34,10 @@
 
 /// Changes that the request loop does not have yet.
 #[derive(Default)]
-pub(super) struct UnsentChanges {
-    pub(super) version: u64,
+pub struct UnsentChanges {
+    pub version: u64,
     /// The last value of each entry.
-    pub(super) entries: BTreeMap<Key, Entry>,
+    pub entries: BTreeMap<Key, Entry>,
 }
 
 /// This proxy's part in the replicated configuration.
@@ -46,7 +46,7 @@
     pub replica: Replica,
     /// By the submission's id.
     calls: BTreeMap<u64, WaitingCall>,
-    pub(super) unsent: Option<UnsentChanges>,
+    pub unsent: Option<UnsentChanges>,
     /// The newest version that this proxy knows of, for the request loop.
     newest: NewestVersion,
     metrics_due: Time,
@@ -77,7 +77,7 @@
     }
 
     /// Carries out the replica's events.
-    pub(super) fn carry_out_events(&mut self, mail: &mut Outgoing) {
+    pub fn carry_out_events(&mut self, mail: &mut Outgoing) {
         for event in self.replica.take_events() {
             match event {
                 Event::TableChanged { version, entries } => {
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
+    pub fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
         let error = match result {
             Ok(version) => return (StatusCode::OK, line(&json!({ "version": version }))),
             Err(error) => error,
@@ -128,7 +128,7 @@
     }
 
     /// Submits an operator's change, which is answered once its outcome is known.
-    pub(super) fn submit(
+    pub fn submit(
         &mut self,
         now: Time,
         context: &Context,
@@ -149,7 +149,7 @@
     }
 
     /// Shows the request loop the newest version, once this replica is up to date.
-    pub(super) fn publish_newest_version(&self) {
+    pub fn publish_newest_version(&self) {
         if !self.replica.is_new() {
             let newest = self.replica.newest_version();
             self.newest.store(newest, Ordering::Relaxed);
@@ -157,7 +157,7 @@
     }
 
     /// Answers the calls that no outcome came for in time.
-    pub(super) fn time_out_calls(&mut self, now: Time) {
+    pub fn time_out_calls(&mut self, now: Time) {
         let late: Vec<u64> = self
             .calls
             .iter()
@@ -171,7 +171,7 @@
     }
 
     /// Sets the metrics, where they are due.
-    pub(super) fn update_metrics(&mut self, now: Time) {
+    pub fn update_metrics(&mut self, now: Time) {
         if now >= self.metrics_due {
             self.metrics_due = now + METRICS_INTERVAL;
             self.set_metrics();
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -8,15 +8,14 @@
 //! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
 //! bounded queue and are answered by a oneshot.
 //!
-//! Modules use each other in one direction only, each those of the rows above it; `config` and `tables` alone use each
-//! other, as the configuration's methods are implemented on [`tables::Tables`].
+//! Modules use each other in one direction only, each those of the rows above it or of its own.
 //!
 //! | modules | what they are |
 //! | --- | --- |
-//! | `message`, `call`, `clocks`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster` | one table each |
-//! | `tables`, `config` | the tables behind their locks, and the configuration |
-//! | `announcements`, `admin_calls`, `config_snapshot` | what is done with the tables |
+//! | `message`, `call`, `clocks`, `config_change`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster`, `config_driver` | one table each |
+//! | `tables` | the tables behind their locks |
+//! | `announcements`, `config`, `admin_calls`, `config_snapshot` | what is done with the tables |
 //! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
 
 mod admin_calls;
@@ -25,6 +24,8 @@
 mod clocks;
 mod command;
 mod config;
+mod config_change;
+mod config_driver;
 pub mod config_snapshot;
 mod duty_lease;
 mod maintenance;
@@ -51,7 +52,7 @@
 use bytes::Bytes;
 use call::Call;
 use command::Command;
-use config::ConfigDriver;
+use config_driver::ConfigDriver;
 use config_snapshot::SnapshotFile;
 use duty_lease::DutyLease;
 use hyper::{Method, StatusCode};
@@ -225,7 +226,7 @@
             path,
             body,
         };
-        let command = match config::parse_change(&call, &self.fleet_overrides) {
+        let command = match config_change::parse_change(&call, &self.fleet_overrides) {
             None => Command::Call(call, answer),
             Some(Ok(change)) => Command::ChangeConfig(change, answer),
             Some(Err(error)) => return Box::pin(std::future::ready(error.answer())),
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -4,7 +4,7 @@
 //! `relay`. The request loop takes none of them.
 
 use super::clocks::wall;
-use super::config::ConfigDriver;
+use super::config_driver::ConfigDriver;
 use super::duty_lease::{DutyLease, Outgoing};
 use super::maintenance::Maintenance;
 use super::message;
