--- a/benches/scale/hollow_replica.rs
+++ b/benches/scale/hollow_replica.rs
@@ -1,7 +1,7 @@
 //! A hollow proxy's replica of the fleet's configuration, and its part in others' broadcasts. It is never the leader: it passes
 //! changes on, compares digests and catches up, as every proxy does.
 
-use super::message::{self, Duties, Duty, Said};
+use super::message::{self, Announcement, Duty, DutyMessage};
 use meadowproxy::fleet::config::{Context, Event, Outbox, Replica, Rules};
 use meadowproxy::fleet::lease;
 use meadowproxy::fleet::membership::{ClockReading, Membership};
@@ -74,8 +74,8 @@
     /// Handles another proxy's message; sends nothing where it is not about the configuration, or rejected.
     pub fn handle(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Mail {
         match message::decode(bytes) {
-            Ok(Duties::Broadcast(header, said)) => self.pass_on(&header, &said, now),
-            Ok(Duties::Config(message)) => self.step(now, |replica, context, out| {
+            Ok(DutyMessage::Broadcast(header, said)) => self.pass_on(&header, &said, now),
+            Ok(DutyMessage::Config(message)) => self.step(now, |replica, context, out| {
                 let _ = replica.handle(now.monotonic, context, from, message, out);
                 // rejected: it changed nothing
             }),
@@ -84,17 +84,22 @@
     }
 
     /// Handles a broadcast and passes it on, unless it is rejected.
-    fn pass_on(&mut self, header: &BroadcastHeader, said: &Said, now: ClockReading) -> Mail {
+    fn pass_on(
+        &mut self,
+        header: &BroadcastHeader,
+        said: &Announcement,
+        now: ClockReading,
+    ) -> Mail {
         if self.relay.accept(header, now.wall_us).is_err() {
             return Mail::new();
         }
-        if said.tokens.iter().any(|(duty, _)| *duty == Duty::Config) {
+        if said.held.iter().any(|held| held.duty == Duty::Config) {
             self.leader = Some(header.origin);
         }
         let next = self.relay.forward(header, &self.members);
         next.into_iter()
             .map(|forward| {
-                let message = Duties::Broadcast(forward.header, said.clone());
+                let message = DutyMessage::Broadcast(forward.header, said.clone());
                 (forward.to, message::encode(&message))
             })
             .collect()
@@ -115,7 +120,7 @@
         let mut out = Outbox::new();
         step(&mut self.replica, &context, &mut out);
         out.into_iter()
-            .map(|sent| (sent.to, message::encode(&Duties::Config(sent.message))))
+            .map(|sent| (sent.to, message::encode(&DutyMessage::Config(sent.message))))
             .collect()
     }
 
--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -69,7 +69,7 @@
     /// random at each start, so that no reply to a former process is taken for one to this.
     pub fn new(rules: Rules, index: usize, nonce: u64, now: Time) -> Acceptor {
         let phase = Phase::Silent {
-            until: now + rules.grant_life(),
+            until: now + rules.grant_duration(),
         };
         Acceptor {
             rules,
@@ -119,7 +119,7 @@
         let request_due = match &self.phase {
             Phase::Silent { until } => now >= *until,
             // Replies count together only if they came within one round's time.
-            Phase::Recovering { since, .. } => now - *since >= self.rules.patience(),
+            Phase::Recovering { since, .. } => now - *since >= self.rules.bid_timeout(),
             Phase::CatchingUp { since, .. } => now - *since >= CATCH_UP_TIMEOUT,
             Phase::Voting => false,
         };
@@ -169,7 +169,7 @@
             return;
         };
         let from_other = reply.voter < self.rules.voters() && reply.voter != self.index;
-        let in_time = now - *since < self.rules.patience();
+        let in_time = now - *since < self.rules.bid_timeout();
         if from_other && reply.nonce == self.nonce && in_time {
             let known = KnownState {
                 is_complete: reply.is_complete,
@@ -229,7 +229,7 @@
         if proposal.change.version <= self.version_floor {
             // A leader that prepared before a majority restarted may use a version again. Under another token it prepares
             // anew.
-            self.promised = token.above();
+            self.promised = token.successor();
             return Some(self.nack(token));
         }
         self.accepted = Some(proposal);
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -123,7 +123,7 @@
             self.phase,
             Phase::Preparing { .. } | Phase::Proposing { .. }
         );
-        if waiting && (self.round == 0 || now - self.sent >= self.rules.patience()) {
+        if waiting && (self.round == 0 || now - self.sent >= self.rules.bid_timeout()) {
             self.send_round(now, out);
         }
     }
@@ -165,7 +165,7 @@
         out: &mut Vec<Paxos>,
     ) -> Step {
         self.advance(now, version, out);
-        let in_time = voter < self.rules.voters() && now - self.sent < self.rules.patience();
+        let in_time = voter < self.rules.voters() && now - self.sent < self.rules.bid_timeout();
         let own_token = self.token;
         let own_round = self.round;
         let counts = |token: Token, round: u32| in_time && token == own_token && round == own_round;
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,18 +1,14 @@
 //! The fleet's replicated configuration at this proxy, under one lock: the steps of its [`ConfigDriver`], and the operators'
 //! calls on it.
 
-mod change_call;
-mod driver;
-
-pub use change_call::{parse_change, ConfigChange};
-pub use driver::ConfigDriver;
-
-use super::door::{line, Answer};
-use super::leases::Mail;
-use super::message::Duties;
+use super::call::{json_line as line, Answer};
+use super::clocks::{mono, wall};
+use super::config_change::{kind_named, ConfigChange};
+use super::config_driver::ConfigDriver;
+use super::duty_lease::Outgoing;
+use super::message::DutyMessage;
+use super::request_loop::Effect;
 use super::tables::Tables;
-use super::{mono, wall, Effect};
-use change_call::kind_named;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
     Context, Key, Message, MessageError, Outbox, Replica, Table, Value,
@@ -29,7 +25,7 @@
         &self,
         step: impl FnOnce(&mut ConfigDriver, Time, &Context, &mut Outbox) -> T,
     ) -> T {
-        let mut mail = Mail::new();
+        let mut mail = Outgoing::new();
         let mut out = Outbox::new();
         let (result, became_ready) = {
             let mut config = self.config.lock();
@@ -42,7 +38,7 @@
                 wall_ms: wall().0 / 1000,
                 members,
                 zone_members: &[],
-                lease: config.leases.holds(),
+                lease: config.leases.held_token(),
                 leader: config.leases.holder(),
             };
             let result = step(&mut config, now, &context, &mut out);
@@ -53,10 +49,10 @@
             (result, was_new && !config.replica.is_new())
         };
         let messages = out.into_iter();
-        mail.extend(messages.map(|outgoing| (outgoing.to, Duties::Config(outgoing.message))));
+        mail.extend(messages.map(|outgoing| (outgoing.to, DutyMessage::Config(outgoing.message))));
         self.send(mail);
         if became_ready {
-            self.welcome();
+            self.admit_clients();
         }
         result
     }
@@ -67,7 +63,10 @@
             return;
         };
         let entries = unsent.entries.values().cloned().collect();
-        let effect = Effect::Config(unsent.version, entries);
+        let effect = Effect::ChangeConfig {
+            version: unsent.version,
+            entries,
+        };
         if self.outbox.lock().effects.try_send(effect).is_err() {
             config.unsent = Some(unsent);
         }
@@ -80,11 +79,11 @@
 
     /// Lets time pass for the configuration; returns when its lease is due next.
     pub fn config_tick(&self) -> Option<Time> {
-        let mut mail = Mail::new();
+        let mut mail = Outgoing::new();
         let lease_due = {
             let mut config = self.config.lock();
             if !config.replica.is_new() {
-                config.leases.ready();
+                config.leases.set_eligible();
             }
             let lease_due = config.leases.tick(&mut mail);
             config.update_metrics(mono());
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -110,13 +110,13 @@
     tables.handle_config_message(from, changes).unwrap();
     let token = lease::Ballot {
         number: 1_764_748_800_000,
-        by: 0x55aa,
+        incarnation: 0x55aa,
     };
     tables
         .config
         .lock()
         .leases
-        .effect(from, token, true, &mut Mail::new())
+        .admit_effect(from, token, true, &mut Outgoing::new())
         .unwrap();
     let mut after = tables.config_status();
     assert!(after["heard_ms"].is_u64());
--- a/src/net/cluster/coordination/config/change_call/stored_formats.rs
+++ b/src/net/cluster/coordination/config_change/stored_formats.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fixtures::assert_lines;
-use crate::net::cluster::coordination::door;
+use crate::net::cluster::coordination::admin_calls;
 use crate::net::cluster::coordination::tables::Tables;
 use bytes::Bytes;
 
@@ -91,6 +91,6 @@
         body: Bytes::new(),
     };
     let (tables, _told) = Tables::example();
-    let answer = door::answer(&tables, &call(&["config", "tenants", "x"]));
+    let answer = admin_calls::answer(&tables, &call(&["config", "tenants", "x"]));
     assert_eq!(answer, tables.config_entry("tenants", "x"));
 }
--- a/src/net/cluster/coordination/config/driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -1,11 +1,11 @@
 //! The state behind the lock: the replica, the leader's lease, the operators' calls that wait for an outcome, and the
 //! changes that the request loop does not have yet.
 
-use super::super::door::{line, Answer};
-use super::super::leases::{Leases, Mail};
-use super::super::message::Duty;
-use super::super::mono;
-use super::change_call::ConfigChange;
+use super::call::{json_line as line, Answer};
+use super::clocks::mono;
+use super::config_change::ConfigChange;
+use super::duty_lease::{DutyLease, Outgoing};
+use super::message::Duty;
 use crate::net::config::fleet_overrides::NewestVersion;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
@@ -34,19 +34,19 @@
 
 /// Changes that the request loop does not have yet.
 #[derive(Default)]
-pub(super) struct UnsentChanges {
-    pub(super) version: u64,
+pub struct UnsentChanges {
+    pub version: u64,
     /// The last value of each entry.
-    pub(super) entries: BTreeMap<Key, Entry>,
+    pub entries: BTreeMap<Key, Entry>,
 }
 
 /// This proxy's part in the replicated configuration.
 pub struct ConfigDriver {
-    pub leases: Leases,
+    pub leases: DutyLease,
     pub replica: Replica,
     /// By the submission's id.
     calls: BTreeMap<u64, WaitingCall>,
-    pub(super) unsent: Option<UnsentChanges>,
+    pub unsent: Option<UnsentChanges>,
     /// The newest version that this proxy knows of, for the request loop.
     newest: NewestVersion,
     metrics_due: Time,
@@ -67,7 +67,7 @@
             own,
         };
         ConfigDriver {
-            leases: Leases::new(Duty::Config, lease, voters, own, incarnation),
+            leases: DutyLease::new(Duty::Config, lease, voters, own, incarnation),
             replica: Replica::new(rules, random_id(), now),
             calls: BTreeMap::new(),
             unsent: None,
@@ -77,7 +77,7 @@
     }
 
     /// Carries out the replica's events.
-    pub(super) fn carry_out_events(&mut self, mail: &mut Mail) {
+    pub fn carry_out_events(&mut self, mail: &mut Outgoing) {
         for event in self.replica.take_events() {
             match event {
                 Event::TableChanged { version, entries } => {
@@ -89,7 +89,7 @@
                         .extend(entries.map(|entry| (entry.edit.key.clone(), entry)));
                 }
                 Event::Outcome { id, result } => self.answer_call(id, result),
-                Event::Superseded(token) => self.leases.learn(token, mail),
+                Event::Superseded(token) => self.leases.observe_token(token, mail),
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
                     warn!(event = "config_diverged", version = digest.version, other = %other,
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
+    pub fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
         let error = match result {
             Ok(version) => return (StatusCode::OK, line(&json!({ "version": version }))),
             Err(error) => error,
@@ -128,7 +128,7 @@
     }
 
     /// Submits an operator's change, which is answered once its outcome is known.
-    pub(super) fn submit(
+    pub fn submit(
         &mut self,
         now: Time,
         context: &Context,
@@ -149,7 +149,7 @@
     }
 
     /// Shows the request loop the newest version, once this replica is up to date.
-    pub(super) fn publish_newest_version(&self) {
+    pub fn publish_newest_version(&self) {
         if !self.replica.is_new() {
             let newest = self.replica.newest_version();
             self.newest.store(newest, Ordering::Relaxed);
@@ -157,7 +157,7 @@
     }
 
     /// Answers the calls that no outcome came for in time.
-    pub(super) fn time_out_calls(&mut self, now: Time) {
+    pub fn time_out_calls(&mut self, now: Time) {
         let late: Vec<u64> = self
             .calls
             .iter()
@@ -171,7 +171,7 @@
     }
 
     /// Sets the metrics, where they are due.
-    pub(super) fn update_metrics(&mut self, now: Time) {
+    pub fn update_metrics(&mut self, now: Time) {
         if now >= self.metrics_due {
             self.metrics_due = now + METRICS_INTERVAL;
             self.set_metrics();
@@ -187,7 +187,7 @@
         // As many bits as a float has: equal versions have equal ones.
         metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
         metrics::gauge!("meadowproxy_config_entries").set(table.len() as f64);
-        let heard = self.leases.heard();
+        let heard = self.leases.since_heartbeat();
         if heard.0 < u64::MAX {
             metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
         }
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -1,8 +1,10 @@
 //! One message of every kind on duties, windows and the configuration, byte for byte.
 
-use super::message::{decode, encode, Duties, Duty, Said, Word};
+use super::message::{
+    decode, encode, Announcement, Duty, DutyMessage, HeldDuty, OpenRequestCount, TokenReport,
+};
 use crate::fixtures::assert_bytes;
-use meadowproxy::fleet::calendar::Digest;
+use meadowproxy::fleet::calendar::{Digest, DigestRow};
 use meadowproxy::fleet::config::{
     self, AcceptedChange, AcceptorState, Change, Edit, Entry, InvalidEntry, Key, Kind, Node, Paxos,
     PositionRange, Submission, SubmitError, Value,
@@ -13,7 +15,7 @@
 fn token(number: u64) -> Token {
     Ballot {
         number,
-        by: 0x0123_4567_89ab_cdef,
+        incarnation: 0x0123_4567_89ab_cdef,
     }
 }
 
@@ -56,11 +58,11 @@
 /// A value's name; whoever adds a kind has to name it here and to give one of it below.
 fn lease_name(message: &Message) -> &'static str {
     match message {
-        Message::Ask { .. } => "lease ask",
-        Message::Free { .. } => "lease free",
-        Message::Propose { .. } => "lease propose",
-        Message::Accepted { .. } => "lease accepted",
-        Message::Refused { .. } => "lease refused",
+        Message::PreVote { .. } => "lease ask",
+        Message::PreVoteGranted { .. } => "lease free",
+        Message::RequestGrant { .. } => "lease propose",
+        Message::Granted { .. } => "lease accepted",
+        Message::Denied { .. } => "lease refused",
         Message::Release { .. } => "lease release",
     }
 }
@@ -108,29 +110,29 @@
     }
 }
 
-fn name(message: &Duties) -> &'static str {
+fn name(message: &DutyMessage) -> &'static str {
     match message {
-        Duties::Lease { message, .. } => lease_name(message),
-        Duties::Digest { .. } => "windows digest",
-        Duties::Ask { .. } => "windows ask",
-        Duties::Entries { .. } => "windows entries",
-        Duties::Broadcast(..) => "broadcast",
-        Duties::Fenced { .. } => "fenced",
-        Duties::Report { .. } => "report",
-        Duties::Config(message) => config_name(message),
+        DutyMessage::Lease { message, .. } => lease_name(message),
+        DutyMessage::Digest { .. } => "windows digest",
+        DutyMessage::RequestWindows { .. } => "windows ask",
+        DutyMessage::Windows { .. } => "windows entries",
+        DutyMessage::Broadcast(..) => "broadcast",
+        DutyMessage::Fenced { .. } => "fenced",
+        DutyMessage::OpenRequests { .. } => "report",
+        DutyMessage::Config(message) => config_name(message),
     }
 }
 
-fn lease_messages() -> Vec<Duties> {
+fn lease_messages() -> Vec<DutyMessage> {
     let (ballot, highest) = (token(1_764_748_800_123), token(1_764_748_800_456));
     let messages = [
-        (Duty::Calendar, Message::Ask { ballot }),
-        (Duty::Config, Message::Free { ballot }),
-        (Duty::Calendar, Message::Propose { ballot, round: 3 }),
-        (Duty::Config, Message::Accepted { ballot, round: 300 }),
+        (Duty::Calendar, Message::PreVote { ballot }),
+        (Duty::Config, Message::PreVoteGranted { ballot }),
+        (Duty::Calendar, Message::RequestGrant { ballot, round: 3 }),
+        (Duty::Config, Message::Granted { ballot, round: 300 }),
         (
             Duty::Calendar,
-            Message::Refused {
+            Message::Denied {
                 ballot,
                 round: 4,
                 highest,
@@ -139,7 +141,7 @@
         (Duty::Config, Message::Release { ballot }),
     ];
     messages
-        .map(|(duty, message)| Duties::Lease { duty, message })
+        .map(|(duty, message)| DutyMessage::Lease { duty, message })
         .to_vec()
 }
 
@@ -265,19 +267,35 @@
     messages
 }
 
-fn messages() -> Vec<Duties> {
-    let word = |duty, age_ms| Word {
+fn digest_message() -> DutyMessage {
+    let report = |duty, heartbeat_age_ms| TokenReport {
         duty,
         token: token(5),
-        age_ms,
+        heartbeat_age_ms,
+    };
+    let tokens = vec![
+        report(Duty::Calendar, Some(1500)),
+        report(Duty::Config, None),
+    ];
+    let row = |id_hash, content_hash| DigestRow {
+        id_hash,
+        content_hash,
     };
-    let words = vec![word(Duty::Calendar, Some(1500)), word(Duty::Config, None)];
-    let windows = Digest {
+    let digest = Digest {
         from: 1,
         to: u64::MAX,
-        rows: vec![(2, 3), (1 << 63, 0)],
+        rows: vec![row(2, 3), row(1 << 63, 0)],
     };
-    let range = HashRange {
+    DutyMessage::Digest {
+        tokens,
+        digest,
+        is_new: false,
+        wants_reply: true,
+    }
+}
+
+fn messages() -> Vec<DutyMessage> {
+    let part = HashRange {
         first: 7,
         last: u32::MAX,
         hops: 2,
@@ -287,33 +305,36 @@
         origin,
         incarnation: 0x55aa,
         sent_us: 1_764_748_800_123_456,
-        range,
+        range: part,
+    };
+    let holding = |duty, number| HeldDuty {
+        duty,
+        token: token(number),
     };
-    let tokens = vec![(Duty::Calendar, token(5)), (Duty::Config, token(6))];
-    let entries = vec![vec![1, 2, 3], vec![], vec![255]];
-    let open = vec![("s-1".to_string(), 0), ("größer".to_string(), 70_000)];
+    let held = vec![holding(Duty::Calendar, 5), holding(Duty::Config, 6)];
+    let windows = vec![vec![1, 2, 3], vec![], vec![255]];
+    let count = |backend: &str, open| OpenRequestCount {
+        backend: backend.into(),
+        open,
+    };
+    let open = vec![count("s-1", 0), count("größer", 70_000)];
     let mut messages = vec![
-        Duties::Digest {
-            words,
-            digest: windows,
-            new: false,
-            ask: true,
-        },
-        Duties::Ask {
-            ids: vec![0, 300, u64::MAX],
+        digest_message(),
+        DutyMessage::RequestWindows {
+            id_hashes: vec![0, 300, u64::MAX],
         },
-        Duties::Entries {
-            entries: entries.clone(),
+        DutyMessage::Windows {
+            windows: windows.clone(),
         },
-        Duties::Broadcast(header, Said { tokens, entries }),
-        Duties::Fenced {
+        DutyMessage::Broadcast(header, Announcement { held, windows }),
+        DutyMessage::Fenced {
             duty: Duty::Config,
             highest: token(1 << 52),
         },
-        Duties::Report { open },
+        DutyMessage::OpenRequests { open },
     ];
     messages.extend(lease_messages());
-    messages.extend(config_messages().into_iter().map(Duties::Config));
+    messages.extend(config_messages().into_iter().map(DutyMessage::Config));
     messages
 }
 
--- /dev/null
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -0,0 +1,219 @@
+//! When the request loop is asked to show the listed backends, and which decisions wait for them.
+
+use super::super::request_loop::{BackendSnapshot, Effect};
+use super::super::roster::Roster;
+use super::*;
+use crate::net::host::BackendStatus;
+use meadowproxy::fleet::calendar::{Phase, Progress, Spec, Version, WallTime};
+use meadowproxy::fleet::lease::Ballot;
+
+const S: u64 = 1_000_000;
+
+/// The timer worker of a proxy that takes part, what it demands of the request loop, and the effects for it.
+struct TestProxy {
+    worker: TimerWorker,
+    demand: watch::Receiver<BackendDemand>,
+    effects: tokio::sync::mpsc::Receiver<Effect>,
+}
+
+impl TestProxy {
+    fn new() -> TestProxy {
+        let (tables, effects) = Tables::example();
+        tables.calendar.lock().compared_ranges = None;
+        *tables.roster.lock() = Roster::default();
+        let (demanded, demand) = watch::channel(BackendDemand::Nothing);
+        let own = SocketAddr::from(([127, 0, 0, 1], 9));
+        let worker = TimerWorker::new(
+            Arc::new(tables),
+            watch::channel(None).1,
+            demanded,
+            own,
+            false,
+        );
+        TestProxy {
+            worker,
+            demand,
+            effects,
+        }
+    }
+
+    fn tables(&self) -> &Tables {
+        &self.worker.tables
+    }
+
+    /// The request loop shows what is demanded, as it is at that time.
+    fn show(&self, at: Time) {
+        let row = |name: &str| BackendStatus {
+            name: name.into(),
+            zone: "z".into(),
+            kind: "k".into(),
+            cell: 0,
+            listed: true,
+            serving: true,
+            ready: 1.0,
+            by_hand: false,
+            open: 0,
+        };
+        let rows = BackendSnapshot {
+            taken_at: at,
+            rows: vec![row("a"), row("b")],
+        };
+        let rows = Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::Nothing);
+        let seen = LoopSnapshot {
+            backends: rows,
+            open: BTreeMap::new(),
+            members: Vec::new(),
+            config: 0,
+            file: 0,
+        };
+        self.tables().roster.lock().update(Arc::new(seen));
+    }
+
+    /// Adds a window with those targets that begins in so many seconds.
+    fn put(&self, id: &str, targets: &str, begin: u64) {
+        let at = |secs| WallTime(wall().0 + secs * S);
+        let body = format!(
+            r#"{{{targets},"begin":"{}","end":"{}","lead_s":1,"by":"x"}}"#,
+            at(begin),
+            at(begin + 60)
+        );
+        let spec = Spec::from_json(body.as_bytes()).unwrap();
+        let put = self.tables().calendar.lock().calendar.put(
+            id,
+            spec,
+            Version {
+                called_at: wall(),
+                incarnation: 1,
+            },
+            wall(),
+        );
+        put.unwrap();
+    }
+
+    /// A holder's heartbeat came just now; with `phase` its decision on the window as well.
+    fn receive_heartbeat(&self, phase: Option<Phase>) {
+        let token = Ballot {
+            number: 5,
+            incarnation: 10,
+        };
+        let mut outgoing = Outgoing::new();
+        let from = SocketAddr::from(([127, 0, 0, 1], 10));
+        self.tables()
+            .leases
+            .lock()
+            .admit_effect(from, token, true, &mut outgoing)
+            .unwrap();
+        let Some(phase) = phase else { return };
+        let mut maintenance = self.tables().calendar.lock();
+        let mut window = maintenance.calendar.get("w").unwrap().clone();
+        let occurrence = match window.spec.value.schedule {
+            meadowproxy::fleet::calendar::Schedule::Once(span) => span.begin,
+            _ => unreachable!("it comes once"),
+        };
+        window.progress = Some(Progress {
+            occurrence,
+            token,
+            phase,
+            since: wall(),
+            reason: String::new(),
+        });
+        maintenance.calendar.merge(&window, wall()).unwrap();
+    }
+
+    fn demand(&self) -> BackendDemand {
+        self.worker.update_demand();
+        *self.demand.borrow()
+    }
+
+    /// The backends whose maintenance begins (`-`) and ends (`+`).
+    fn take_effects(&mut self) -> Vec<(char, String)> {
+        self.tables().update_maintenance();
+        let of = |effect| match effect {
+            Effect::BeginMaintenance(name) => ('-', name),
+            Effect::EndMaintenance(name) => ('+', name),
+            _ => unreachable!("no other effects here"),
+        };
+        std::iter::from_fn(|| self.effects.try_recv().ok())
+            .map(of)
+            .collect()
+    }
+}
+
+fn effects(sign: char, names: &[&str]) -> Vec<(char, String)> {
+    names.iter().map(|name| (sign, name.to_string())).collect()
+}
+
+/// A proxy with a holder's heartbeats never demands the backends while none is in maintenance, whatever is due; an
+/// isolated one does from shortly before a window.
+#[test]
+fn backends_are_demanded_only_where_they_are_needed() {
+    let mut proxy = TestProxy::new();
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "isolated, without windows"
+    );
+    proxy.put("v", r#""ids":["b"]"#, 3600);
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "isolated, with a window in an hour"
+    );
+    proxy.put("w", r#""ids":["a"]"#, 3);
+    assert!(
+        proxy.demand() == BackendDemand::EachTime,
+        "isolated, with one that is due"
+    );
+    proxy.receive_heartbeat(None);
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "the holder decides"
+    );
+    proxy.receive_heartbeat(Some(Phase::Draining));
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "the window names it"
+    );
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
+    assert!(
+        proxy.demand() == BackendDemand::Nothing,
+        "the window names it"
+    );
+    proxy.receive_heartbeat(Some(Phase::Done));
+    assert!(
+        proxy.demand() == BackendDemand::Occasional,
+        "its maintenance has not ended yet"
+    );
+    proxy.show(mono());
+    assert_eq!(proxy.take_effects(), effects('+', &["a"]));
+    assert!(proxy.demand() == BackendDemand::Nothing);
+}
+
+/// An isolated proxy decides by snapshots since decisions depend on them, not by earlier ones.
+#[test]
+fn earlier_snapshots_decide_nothing() {
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""ids":["a"]"#, 1);
+    let before = mono();
+    assert!(proxy.demand() == BackendDemand::EachTime);
+    assert_eq!(proxy.take_effects(), [], "without any");
+    proxy.show(Time(before.0 - 1));
+    assert_eq!(proxy.take_effects(), [], "by an earlier snapshot");
+    proxy.show(mono());
+    assert!(proxy.demand() == BackendDemand::EachTime);
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
+}
+
+/// A window that names its backends takes effect before any backend is shown; a zone's as soon as they are.
+#[test]
+fn a_holders_decision_waits_for_no_more_than_it_names() {
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""ids":["a"]"#, 3);
+    proxy.receive_heartbeat(Some(Phase::Draining));
+    assert_eq!(proxy.take_effects(), effects('-', &["a"]));
+    let mut proxy = TestProxy::new();
+    proxy.put("w", r#""zone":"z""#, 3);
+    proxy.receive_heartbeat(Some(Phase::Draining));
+    assert_eq!(proxy.take_effects(), []);
+    assert!(proxy.demand() == BackendDemand::Occasional);
+    proxy.show(mono());
+    assert_eq!(proxy.take_effects(), effects('-', &["a", "b"]));
+}
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -264,7 +264,7 @@
         self.token += 1;
         self.proxies[n].lease = Some(Ballot {
             number: self.token,
-            by: n as u64,
+            incarnation: n as u64,
         });
         self.leader = Some(n);
     }
@@ -531,7 +531,7 @@
 fn voters_do_not_wait_for_ever_for_a_version_that_nobody_has() {
     let rules = lease_rules(3);
     let mut acceptor = Acceptor::new(rules, 1, 7, Time(0));
-    let (mut now, mut out) = (Time(0) + rules.grant_life(), Vec::new());
+    let (mut now, mut out) = (Time(0) + rules.grant_duration(), Vec::new());
     acceptor.tick(now, WALL, 9, &mut out);
     let request = |out: &[Paxos]| match out {
         [Paxos::Recover { nonce }] => *nonce,
@@ -812,7 +812,10 @@
 }
 
 fn any_token() -> impl Strategy<Value = Token> {
-    (0u64..5, 0u64..3).prop_map(|(number, by)| Ballot { number, by })
+    (0u64..5, 0u64..3).prop_map(|(number, by)| Ballot {
+        number,
+        incarnation: by,
+    })
 }
 
 fn any_paxos() -> impl Strategy<Value = Paxos> {
@@ -917,7 +920,7 @@
         let mut version = 0;
         for (from, message, leads) in sent {
             now = now + Micros(400_000);
-            let lease = leads.then_some(Ballot { number: 4, by: 1 });
+            let lease = leads.then_some(Ballot { number: 4, incarnation: 1 });
             let context = Context { lease, ..context(&members) };
             let before = replica.table().digest();
             let mut out = Vec::new();
@@ -994,7 +997,10 @@
 #[test]
 fn unexpected_messages_are_rejected_by_cause() {
     let mut replica = filled(9, changes((0..3).map(|n| edit(n, 9))));
-    let token = Ballot { number: 1, by: 1 };
+    let token = Ballot {
+        number: 1,
+        incarnation: 1,
+    };
     let accepted = Message::Paxos(Paxos::Accepted { token, round: 1 });
     let prepare = Message::Paxos(Paxos::Prepare { token, round: 1 });
     let no_node = Message::CompareNode {
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -127,7 +127,7 @@
 fn token(p: usize) -> Token {
     Ballot {
         number: p as u64 + 1,
-        by: 0,
+        incarnation: 0,
     }
 }
 
@@ -150,7 +150,7 @@
 
 /// After its silence.
 fn awake() -> Time {
-    Time(0) + rules().grant_life()
+    Time(0) + rules().grant_duration()
 }
 
 impl Voter {
@@ -437,7 +437,7 @@
     fn retry(&mut self, p: usize) -> Option<()> {
         let leader = &mut self.leaders[p];
         leader.retries += 1;
-        leader.now = leader.now + rules().patience();
+        leader.now = leader.now + rules().bid_timeout();
         let version = version(&leader.chain);
         let mut out = Vec::new();
         let proposer = leader.proposer.as_mut()?;
--- a/tests/config_scale.rs
+++ b/tests/config_scale.rs
@@ -120,7 +120,7 @@
             zone_members: &[],
             lease: (n == 0).then_some(Ballot {
                 number: self.token,
-                by: 1,
+                incarnation: 1,
             }),
             leader: Some(address(0)),
         };
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -453,7 +453,7 @@
 #[test]
 fn the_holdings_of_each_lease_are_counted_apart() {
     let held = |duty: &str| format!(" event=\"duty_held\" duty={duty} token=10-7 mono_us=5\n");
-    let life = holdings::Life {
+    let life = holdings::Incarnation {
         proxy: 0,
         log: held("calendar") + &held("config"),
         killed: None,
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -6,8 +6,8 @@
 
 use fixtures::{assert_bytes, assert_lines, assert_text};
 use meadowproxy::fleet::calendar::{
-    Budget, Calendar, Change, Entry, Mark, Put, Rejected, Rules, Span, Spec, Stamp, Stamped, Step,
-    Targets, Wall, When,
+    Calendar, CallError, CallOutcome, DisruptionBudget, OccurrenceChange, Phase, Progress, Rules,
+    Schedule, Span, Spec, Targets, Version, Versioned, WallTime, Window,
 };
 use meadowproxy::fleet::lease::Ballot;
 use meadowproxy::fleet::relay::{BroadcastHeader, Forward, HashRange, Relay};
@@ -18,29 +18,32 @@
 use std::time::{Duration, Instant};
 
 /// 2025-12-03T08:00:00Z.
-const NOW: Wall = Wall(1_764_748_800_000_000);
+const NOW: WallTime = WallTime(1_764_748_800_000_000);
 
-fn at(seconds: u64) -> Wall {
+fn at(seconds: u64) -> WallTime {
     NOW + Micros(seconds * 1_000_000)
 }
 
-fn stamp(by: u64) -> Stamp {
-    Stamp { at: at(1), by }
+fn stamp(by: u64) -> Version {
+    Version {
+        called_at: at(1),
+        incarnation: by,
+    }
 }
 
-fn once() -> When {
-    When::Once(Span {
+fn once() -> Schedule {
+    Schedule::Once(Span {
         begin: at(600),
         end: at(4200),
     })
 }
 
-fn recurring() -> When {
-    When::Recurring {
-        days: 0b001_0011,
-        minute: 150,
-        zone: "Africa/Lagos".into(),
-        lasts_s: 3600,
+fn recurring() -> Schedule {
+    Schedule::Recurring {
+        weekdays: 0b001_0011,
+        minute_of_day: 150,
+        time_zone: "Africa/Lagos".into(),
+        duration_s: 3600,
     }
 }
 
@@ -54,33 +57,33 @@
     }
 }
 
-fn when_name(when: &When) -> &'static str {
+fn when_name(when: &Schedule) -> &'static str {
     match when {
-        When::Once(_) => "once",
-        When::Recurring { .. } => "recurring",
+        Schedule::Once(_) => "once",
+        Schedule::Recurring { .. } => "recurring",
     }
 }
 
 /// All steps, by the one that follows.
-fn next(step: Step) -> Option<Step> {
+fn next(step: Phase) -> Option<Phase> {
     match step {
-        Step::Planned => Some(Step::Draining),
-        Step::Draining => Some(Step::Drained),
-        Step::Drained => Some(Step::Open),
-        Step::Open => Some(Step::Restoring),
-        Step::Restoring => Some(Step::Done),
-        Step::Done => Some(Step::Cancelled),
-        Step::Cancelled => Some(Step::Overrun),
-        Step::Overrun => Some(Step::Refused),
-        Step::Refused => None,
+        Phase::Planned => Some(Phase::Draining),
+        Phase::Draining => Some(Phase::Drained),
+        Phase::Drained => Some(Phase::Open),
+        Phase::Open => Some(Phase::Restoring),
+        Phase::Restoring => Some(Phase::Done),
+        Phase::Done => Some(Phase::Cancelled),
+        Phase::Cancelled => Some(Phase::Overrun),
+        Phase::Overrun => Some(Phase::Refused),
+        Phase::Refused => None,
     }
 }
 
-fn steps() -> Vec<Step> {
-    std::iter::successors(Some(Step::Planned), |step| next(*step)).collect()
+fn steps() -> Vec<Phase> {
+    std::iter::successors(Some(Phase::Planned), |step| next(*step)).collect()
 }
 
-fn window(targets: Targets, when: When, step: Step) -> Entry {
+fn window(targets: Targets, when: Schedule, step: Phase) -> Window {
     let id = format!(
         "{}-{}-{}",
         targets_name(&targets),
@@ -88,14 +91,14 @@
         step.name()
     );
     let begin = match &when {
-        When::Once(span) => span.begin,
+        Schedule::Once(span) => span.begin,
         // 02:30 in Lagos, the first Thursday, Monday or Tuesday after now.
-        When::Recurring { .. } => Wall(1_765_157_400_000_000),
+        Schedule::Recurring { .. } => WallTime(1_765_157_400_000_000),
     };
     let change = |by, at| {
-        Some(Stamped {
-            stamp: stamp(by),
-            value: Change {
+        Some(Versioned {
+            version: stamp(by),
+            value: OccurrenceChange {
                 occurrence: begin,
                 at,
             },
@@ -103,74 +106,74 @@
     };
     let token = Ballot {
         number: 1_764_748_800_123,
-        by: 0x0123_4567_89ab_cdef,
+        incarnation: 0x0123_4567_89ab_cdef,
     };
-    Entry {
+    Window {
         id,
-        spec: Stamped {
-            stamp: stamp(1),
+        spec: Versioned {
+            version: stamp(1),
             value: Spec {
                 targets,
-                when,
+                schedule: when,
                 lead_s: 45,
                 overrun_s: 900,
-                by: "größer@ops".into(),
+                requested_by: "größer@ops".into(),
             },
         },
-        extended: change(2, begin + Micros(7_200_000_000)),
-        begun: change(3, at(300)),
-        cancelled: (step == Step::Cancelled).then(|| stamp(4)),
-        mark: Some(Mark {
+        extension: change(2, begin + Micros(7_200_000_000)),
+        early_start: change(3, at(300)),
+        cancelled: (step == Phase::Cancelled).then(|| stamp(4)),
+        progress: Some(Progress {
             occurrence: begin,
             token,
-            step,
-            at: at(30),
-            why: "zone east: 2 of 3 out".into(),
+            phase: step,
+            since: at(30),
+            reason: "zone east: 2 of 3 out".into(),
         }),
     }
 }
 
-fn windows() -> Vec<Entry> {
+fn windows() -> Vec<Window> {
     let ids = Targets::Ids(["s-1", "größer"].map(String::from).into());
     let others = [
         Targets::Zone("east".into()),
         Targets::Kind("small".into()),
         Targets::Cell(u64::MAX),
     ];
-    let mut windows: Vec<Entry> = steps()
+    let mut windows: Vec<Window> = steps()
         .into_iter()
         .map(|step| window(ids.clone(), once(), step))
         .collect();
-    windows.extend(others.map(|targets| window(targets, recurring(), Step::Open)));
-    let plain = window(ids, once(), Step::Planned);
-    windows.push(Entry {
+    windows.extend(others.map(|targets| window(targets, recurring(), Phase::Open)));
+    let plain = window(ids, once(), Phase::Planned);
+    windows.push(Window {
         id: "bare".into(),
-        extended: None,
-        begun: None,
-        mark: None,
+        extension: None,
+        early_start: None,
+        progress: None,
         ..plain
     });
     windows
 }
 
 fn calendar() -> Calendar {
-    let budget = Budget {
-        kind: 0.5,
-        zone: 0.5,
+    let budget = DisruptionBudget {
+        kind_floor: 0.5,
+        zone_floor: 0.5,
     };
     Calendar::new(Rules {
         budget,
-        ramp: Micros(1_000_000),
-        max_age: Micros(5_000_000),
+        slow_start: Micros(1_000_000),
+        max_holder_silence: Micros(5_000_000),
     })
 }
 
 #[test]
 fn windows_keep_their_bytes() {
     let windows = windows();
-    let forms: Vec<(&str, Entry)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
-    assert_bytes("windows.txt", &forms, Entry::encode, |bytes| {
-        Entry::decode(bytes, NOW).unwrap()
+    let forms: Vec<(&str, Window)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
+    assert_bytes("windows.txt", &forms, Window::encode, |bytes| {
+        Window::decode(bytes, NOW).unwrap()
     });
 }
 
@@ -262,12 +265,12 @@
     assert_lines("window-bodies-refused.txt", &forms);
 }
 
-fn rejected_name(rejected: &Rejected) -> &'static str {
+fn rejected_name(rejected: &CallError) -> &'static str {
     match rejected {
-        Rejected::Invalid(_) => "invalid",
-        Rejected::Conflict(_) => "conflict",
-        Rejected::Unknown => "unknown",
-        Rejected::Full => "full",
+        CallError::Invalid(_) => "invalid",
+        CallError::Conflict(_) => "conflict",
+        CallError::Unknown => "unknown",
+        CallError::Full => "full",
     }
 }
 
@@ -277,16 +280,19 @@
     let put = |calendar: &mut Calendar, id: &str, body: &str| {
         calendar.put(id, Spec::from_json(body.as_bytes()).unwrap(), stamp(1), NOW)
     };
-    assert_eq!(put(&mut calendar, "w", BODIES[0].1), Ok(Put::New));
+    assert_eq!(
+        put(&mut calendar, "w", BODIES[0].1),
+        Ok(CallOutcome::Changed)
+    );
     let invalid = put(&mut calendar, "a b", BODIES[0].1).unwrap_err();
     let conflict = put(&mut calendar, "w", BODIES[1].1).unwrap_err();
     let unknown = calendar.cancel("x", stamp(1), NOW).unwrap_err();
-    let forms = [invalid, conflict, unknown, Rejected::Full];
-    let text = |r: &Rejected| {
+    let forms = [invalid, conflict, unknown, CallError::Full];
+    let text = |r: &CallError| {
         format!(
             "{} {}",
             r.status(),
-            serde_json::to_string(&r.why()).unwrap()
+            serde_json::to_string(&r.invalid_field()).unwrap()
         )
     };
     let forms: Vec<_> = forms.iter().map(|r| (rejected_name(r), text(r))).collect();
