--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -47,7 +47,7 @@
     /// A probe of that number, see [`probe`].
     PeerVerdict,
     /// A change of that number, see [`change`].
-    InForce,
+    ActiveSettings,
 }
 
 /// When, of whom, and what.
@@ -241,7 +241,7 @@
         let numbers = names
             .iter()
             .filter_map(|name| name.strip_prefix("change-")?.parse().ok());
-        numbers.for_each(|number| self.keep(number, Change::InForce));
+        numbers.for_each(|number| self.keep(number, Change::ActiveSettings));
         true
     }
 
--- a/benches/scale/in_force.rs
+++ b/benches/scale/in_force.rs
@@ -20,7 +20,7 @@
         let in_force = news
             .iter()
             .rev()
-            .filter(|(.., change)| *change == Change::InForce);
+            .filter(|(.., change)| *change == Change::ActiveSettings);
         let first: HashMap<u32, u64> = in_force.map(|(at, number, _)| (*number, *at)).collect();
         for (number, from) in changes {
             merge(
--- a/benches/scale/learned.rs
+++ b/benches/scale/learned.rs
@@ -68,7 +68,11 @@
             count(
                 2,
                 *told,
-                first(*probe, *told, &[Change::PeerVerdict, Change::InForce]),
+                first(
+                    *probe,
+                    *told,
+                    &[Change::PeerVerdict, Change::ActiveSettings],
+                ),
             );
         }
     }
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -9,7 +9,7 @@
 mod rig;
 
 use generated::{request, settings, Size};
-use meadowproxy::settings::{Amendment, Change, InForce, Reading, Settings};
+use meadowproxy::settings::{ActiveSettings, Amendment, ReadOptions, Settings, SettingsChange};
 use meadowproxy::{Balancer, Event, Time};
 use rig::{entry, ok, BackendServer, Proxy};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -187,7 +187,7 @@
 /// What one amended entry costs where requests wait, in ms: the change itself, and the module's taking of it.
 fn amendments(name: &str, size: Size) {
     let text: serde_json::Value = serde_json::from_str(&settings(size, 1.0)).unwrap();
-    let mut tables = InForce::first(&Settings::of(&text, Reading::default())).unwrap();
+    let mut tables = ActiveSettings::first(&Settings::of(&text, ReadOptions::default())).unwrap();
     let mut balancer = Balancer::from_validated(tables.config.clone(), 1);
     let mut took = Vec::new();
     for n in 0..AMENDMENTS {
@@ -205,7 +205,7 @@
             }
         };
         let begun = Instant::now();
-        let Change {
+        let SettingsChange {
             to,
             retired,
             reinstated,
--- a/src/bin/meadowproxy-adapter/roster.rs
+++ b/src/bin/meadowproxy-adapter/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::error::MessageError;
 use crate::message::Message;
-use meadowproxy::settings::Row;
+use meadowproxy::settings::EndpointRow;
 use meadowproxy::{Backend, BackendState, CellId, Time};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
     /// Its address.
     pub address: String,
     /// Its entry, under the names of its zone and kind.
-    pub row: Row,
+    pub row: EndpointRow,
 }
 
 /// The lists by their numbers. A new list takes over its number from the one before.
@@ -92,7 +92,7 @@
         started_at: started_at_us.filter(|at| *at > 0).map(Time),
         ..Backend::default()
     };
-    let row = Row::new(
+    let row = EndpointRow::new(
         address,
         text(ZONE, "a zone")?,
         text(KIND, "a kind")?,
--- a/src/net/admin/server/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -7,7 +7,7 @@
 use crate::net::admin::AdminReply;
 use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
-use meadowproxy::settings::Network;
+use meadowproxy::settings::NetworkSettings;
 use meadowproxy::{Config, Micros};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -32,7 +32,7 @@
 /// The complete answers of a server, each to the bytes of one call.
 async fn answers(fleet: Option<Rc<dyn FleetAdmin>>, calls: &[Vec<u8>]) -> Vec<String> {
     let second = Micros(1_000_000);
-    let network = Network {
+    let network = NetworkSettings {
         connect_timeout: second,
         conn_idle: second,
         max_retry_after: second,
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -47,7 +47,7 @@
 use crate::net::admin::{AdminReply, FleetAdmin};
 use crate::net::cluster::gossip::{CoordinationDatagram, GossipDriver};
 use crate::net::config::fleet_overrides::FleetOverrides;
-use crate::net::config::Voting;
+use crate::net::config::CoordinationSection;
 use crate::net::host::Host;
 use bytes::Bytes;
 use call::Call;
@@ -98,7 +98,7 @@
     pub fn start(
         host: Rc<Host>,
         peers: &Rc<GossipDriver>,
-        voting: &Voting,
+        voting: &CoordinationSection,
         slow_start: Micros,
         fleet_overrides: Rc<FleetOverrides>,
         config_snapshot: Option<SnapshotFile>,
@@ -155,7 +155,7 @@
 /// The tables at the start.
 fn build_tables(
     peers: &GossipDriver,
-    voting: &Voting,
+    voting: &CoordinationSection,
     slow_start: Micros,
     fleet_overrides: &FleetOverrides,
     effects: mpsc::Sender<Effect>,
--- a/src/net/cluster/gossip/driver.rs
+++ b/src/net/cluster/gossip/driver.rs
@@ -3,7 +3,7 @@
 use super::datagram_sender::DatagramSender;
 use super::snapshot_exchange::SnapshotExchange;
 use super::wire::{self, DatagramError};
-use crate::net::config::Sharing;
+use crate::net::config::GossipSection;
 use crate::net::host::Host;
 use crate::net::state::snapshot::wall_us;
 use meadowproxy::fleet::membership::{
@@ -37,7 +37,7 @@
 /// What the driver is started with.
 pub struct GossipOptions {
     /// `peers` of the configuration.
-    pub sharing: Sharing,
+    pub sharing: GossipSection,
     /// Hash of the settings in force, which a reload changes.
     pub settings_hash: Rc<Cell<[u8; 32]>>,
     /// Expected number of proxies, this one included.
@@ -51,7 +51,7 @@
 /// This proxy's membership in the fleet.
 pub struct GossipDriver {
     host: Rc<Host>,
-    sharing: Sharing,
+    sharing: GossipSection,
     own_address: SocketAddr,
     fleet_size: u32,
     socket: UdpSocket,
--- a/src/net/cluster/gossip/stored_formats.rs
+++ b/src/net/cluster/gossip/stored_formats.rs
@@ -3,7 +3,7 @@
 use super::wire::DatagramError;
 use super::{GossipDriver, GossipOptions};
 use crate::fixtures::assert_lines;
-use crate::net::config::Sharing;
+use crate::net::config::GossipSection;
 use crate::net::host::Host;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
     let status = scope.run_until(async {
         let own_address: SocketAddr = "127.0.0.1:7000".parse().unwrap();
         let options = GossipOptions {
-            sharing: Sharing {
+            sharing: GossipSection {
                 listen: own_address,
                 advertise: Some(own_address),
                 cluster: "lagos".into(),
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -1,12 +1,14 @@
 //! The configuration file: its schema, and how it is read.
 
 use super::error::NodeError;
-use super::sections::{Sharing, Snapshots, Voting};
+use super::sections::{CoordinationSection, GossipSection, SnapshotSection};
 use super::source::{is_toml, Source};
 use super::text_reader::TextReader;
 use crate::net::discovery::endpoint_list::{EntryChunks, List, ParsedEntries};
 use meadowproxy::fleet::config::VERSION_LIMIT;
-use meadowproxy::settings::{extract_lists, InForce, ListSink, Lists, Reading, Settings};
+use meadowproxy::settings::{
+    extract_lists, ActiveSettings, ListSink, LongLists, ReadOptions, Settings,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -38,11 +40,11 @@
     pub known: List,
     pub settings: Value,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub snapshot: Option<Snapshots>,
+    pub snapshot: Option<SnapshotSection>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub peers: Option<Sharing>,
+    pub peers: Option<GossipSection>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub duties: Option<Voting>,
+    pub duties: Option<CoordinationSection>,
 }
 
 #[derive(Deserialize, Serialize)]
@@ -101,7 +103,7 @@
     /// All of it.
     Start,
     /// All but the endpoint list, in the place of the settings in force.
-    Reload(&'a InForce),
+    Reload(&'a ActiveSettings),
 }
 
 /// A file that has the schema's shape.
@@ -253,7 +255,7 @@
 
 /// The file's long lists while it is read.
 struct FileLists {
-    settings: Lists,
+    settings: LongLists,
     /// `known.endpoints`, if it is wanted.
     endpoints: Option<ParsedEntries>,
 }
@@ -268,13 +270,13 @@
     ];
 
     fn new(source: &Source, purpose: Purpose<'_>) -> FileLists {
-        let options = Reading {
+        let options = ReadOptions {
             strict: source.is_strict(),
             digested: !matches!(purpose, Purpose::Check),
         };
         let settings = match purpose {
-            Purpose::Reload(in_force) => Lists::over(options, in_force),
-            Purpose::Check | Purpose::Start => Lists::new(options),
+            Purpose::Reload(in_force) => LongLists::over(options, in_force),
+            Purpose::Check | Purpose::Start => LongLists::new(options),
         };
         let wants_endpoints = matches!(purpose, Purpose::Start);
         FileLists {
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -3,7 +3,7 @@
 //! puts them in force.
 
 use meadowproxy::fleet::config::{Edit, Entry, FileError, Key, Kind, Overrides, Value};
-use meadowproxy::settings::{Amendment, Change, InForce, SettingsError};
+use meadowproxy::settings::{ActiveSettings, Amendment, SettingsChange, SettingsError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,9 +24,9 @@
     /// The version in force.
     version_in_force: Cell<u64>,
     /// The file's settings.
-    file: RefCell<InForce>,
+    file: RefCell<ActiveSettings>,
     /// The settings in force: the file's with entries over them.
-    in_force: RefCell<InForce>,
+    in_force: RefCell<ActiveSettings>,
     newest: NewestVersion,
     changed: Notify,
 }
@@ -55,7 +55,7 @@
 
 impl FleetOverrides {
     /// No entries, over the settings of a file that contains the changes up to `file_version`.
-    pub fn new(file: InForce, file_version: u64) -> FleetOverrides {
+    pub fn new(file: ActiveSettings, file_version: u64) -> FleetOverrides {
         FleetOverrides {
             overrides: RefCell::new(Overrides::new(file_version)),
             pending: RefCell::default(),
@@ -145,7 +145,7 @@
     }
 
     /// A file that was checked is in force, with none of the entries yet.
-    pub fn set_file(&self, file: InForce, file_version: u64) {
+    pub fn set_file(&self, file: ActiveSettings, file_version: u64) {
         let mut overrides = self.overrides.borrow_mut();
         overrides.set_file(file_version, self.known_newest());
         self.pending
@@ -155,7 +155,7 @@
     }
 
     /// Settings with all entries of that version are in force; `None`: some entries of it do not fit.
-    pub fn set_in_force(&self, version: Option<u64>, in_force: InForce) {
+    pub fn set_in_force(&self, version: Option<u64>, in_force: ActiveSettings) {
         if let Some(version) = version {
             self.version_in_force.set(version);
             if version == self.received_version.get() {
@@ -176,7 +176,7 @@
     }
 
     /// The settings of the file in force.
-    pub fn file(&self) -> InForce {
+    pub fn file(&self) -> ActiveSettings {
         self.file.borrow().clone()
     }
 
@@ -214,7 +214,11 @@
 ///
 /// # Errors
 /// All that is wrong with them.
-pub fn amend(base: &InForce, file: &InForce, edits: &[Edit]) -> Result<Change, AmendError> {
+pub fn amend(
+    base: &ActiveSettings,
+    file: &ActiveSettings,
+    edits: &[Edit],
+) -> Result<SettingsChange, AmendError> {
     let amendments: Vec<Amendment> = edits
         .iter()
         .filter_map(|edit| amendment(base, file, edit))
@@ -223,7 +227,7 @@
 }
 
 /// The amendment of these settings that sets an entry. One that is to be removed and does not exist needs none.
-fn amendment(base: &InForce, file: &InForce, edit: &Edit) -> Option<Amendment> {
+fn amendment(base: &ActiveSettings, file: &ActiveSettings, edit: &Edit) -> Option<Amendment> {
     let name = &edit.key.name;
     match edit.key.kind {
         Kind::Route => match json_value(&edit.value, || file.profile(name)) {
@@ -259,14 +263,14 @@
 /// A file's settings with the fleet's entries over them.
 pub struct AmendedFile {
     /// The change from the file's settings, `None` where there is none.
-    pub change: Option<Change>,
+    pub change: Option<SettingsChange>,
     /// Whether all entries fit the file.
     pub all_fit: bool,
 }
 
 /// Sets all later entries in the settings of a file that contains the changes up to `file_version`. An entry that does not
 /// fit the file is logged and left out. Takes time by the number of entries.
-pub fn amend_file(file: &InForce, file_version: u64, overrides: &Overrides) -> AmendedFile {
+pub fn amend_file(file: &ActiveSettings, file_version: u64, overrides: &Overrides) -> AmendedFile {
     let edits = overrides.entries_over(file_version);
     if edits.is_empty() {
         return AmendedFile {
@@ -287,7 +291,7 @@
     }
 }
 
-fn fits(file: &InForce, edit: &Edit) -> bool {
+fn fits(file: &ActiveSettings, edit: &Edit) -> bool {
     match amend(file, file, std::slice::from_ref(edit)) {
         Ok(_) => true,
         Err(error) => {
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -14,8 +14,8 @@
 
 pub use error::NodeError;
 pub use file::show;
-pub use node::{check, Again, Node};
-pub use sections::{Sharing, Snapshots, Voting};
+pub use node::{check, Node, ReloadedConfig};
+pub use sections::{CoordinationSection, GossipSection, SnapshotSection};
 pub use source::{Override, Source};
 
 #[cfg(test)]
--- a/src/net/config/node.rs
+++ b/src/net/config/node.rs
@@ -2,10 +2,10 @@
 
 use super::error::NodeError;
 use super::file::{parse, Known, ParsedFile, Purpose};
-use super::sections::{Sharing, Snapshots, Voting};
+use super::sections::{CoordinationSection, GossipSection, SnapshotSection};
 use super::source::Source;
 use crate::net::state::snapshot;
-use meadowproxy::settings::{Change, InForce, Settings, SettingsError};
+use meadowproxy::settings::{ActiveSettings, Settings, SettingsChange, SettingsError};
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
@@ -42,26 +42,26 @@
     /// The paths of the file's keys but those inside lists.
     pub keys: BTreeSet<String>,
     /// How learned state is kept; without it none is.
-    pub snapshot: Option<Snapshots>,
+    pub snapshot: Option<SnapshotSection>,
     /// How state is shared with other proxies; without it none is.
-    pub peers: Option<Sharing>,
+    pub peers: Option<GossipSection>,
     /// What the fleet's proxies decide together; without it nothing.
-    pub duties: Option<Voting>,
+    pub duties: Option<CoordinationSection>,
 }
 
 /// A configuration that was read again, and what it makes of the settings in force.
-pub struct Again {
+pub struct ReloadedConfig {
     /// The configuration.
     pub node: Node,
     /// The change of the settings, or why there is none.
-    pub change: Result<Change, SettingsError>,
+    pub change: Result<SettingsChange, SettingsError>,
 }
 
 impl Node {
     /// Reads the file and the settings that it puts in force at the start.
-    pub fn read(source: &Source) -> Result<(Node, InForce), NodeError> {
+    pub fn read(source: &Source) -> Result<(Node, ActiveSettings), NodeError> {
         let (node, settings) = Node::from_file(parse(source, Purpose::Start)?)?;
-        let in_force = InForce::first(&settings)?;
+        let in_force = ActiveSettings::first(&settings)?;
         Ok((node, in_force))
     }
 
@@ -69,15 +69,15 @@
     pub fn read_again(
         source: &Source,
         keys: &BTreeSet<String>,
-        in_force: &InForce,
-    ) -> Result<Again, NodeError> {
+        in_force: &ActiveSettings,
+    ) -> Result<ReloadedConfig, NodeError> {
         refuse_pipe(source)?;
         let (node, settings) = Node::from_file(parse(source, Purpose::Reload(in_force))?)?;
         if let Some(key) = keys.difference(&node.keys).next() {
             return Err(NodeError::KeyMissing(key.clone()));
         }
         let change = in_force.change(&settings);
-        Ok(Again { node, change })
+        Ok(ReloadedConfig { node, change })
     }
 
     fn from_file(parsed: ParsedFile) -> Result<(Node, Settings), NodeError> {
@@ -158,9 +158,9 @@
     }
 }
 
-fn snapshot_section(from_file: Option<Snapshots>) -> Option<Snapshots> {
+fn snapshot_section(from_file: Option<SnapshotSection>) -> Option<SnapshotSection> {
     match std::env::var_os(SNAPSHOT_FOLDER_VARIABLE) {
-        Some(folder) if !folder.is_empty() => Some(Snapshots {
+        Some(folder) if !folder.is_empty() => Some(SnapshotSection {
             dir: folder.into(),
             ..from_file.unwrap_or_default()
         }),
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -7,14 +7,14 @@
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
 use crate::net::cluster::coordination::mono;
 use crate::net::config::fleet_overrides::{self, AmendError, FleetOverrides, PendingEntries};
-use crate::net::config::{Again, Node, NodeError, Source};
+use crate::net::config::{Node, NodeError, ReloadedConfig, Source};
 use crate::net::descriptor_limits::ConnectionLimits;
 use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
 use crate::net::state::snapshot::ProxyIdentity;
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
 use meadowproxy::fleet::config::FileError;
-use meadowproxy::settings::{Change, InForce, SettingsError};
+use meadowproxy::settings::{ActiveSettings, SettingsChange, SettingsError};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -54,14 +54,14 @@
 
 /// The fleet's changes on top of a file that was read.
 struct FleetChanges {
-    change: Option<Change>,
+    change: Option<SettingsChange>,
     /// The fleet's version, where the change contains all of it.
     version: Option<u64>,
 }
 
 /// A file that was read and checked.
 struct ReadConfig {
-    file: Again,
+    file: ReloadedConfig,
     fleet: FleetChanges,
 }
 
@@ -74,7 +74,7 @@
     pub source: Source,
     pub background: BackgroundThread,
     /// Its zones and kinds are those of the last reading: the host's names include later ones.
-    pub in_force: InForce,
+    pub in_force: ActiveSettings,
     /// The fleet's changes on top of the file.
     pub fleet_overrides: Rc<FleetOverrides>,
     /// Digest of the settings that all proxies of the fleet have in common: state learned under them can be shared.
@@ -147,8 +147,8 @@
         self.background.run(read).await?
     }
 
-    fn in_force_with_current_names(&self) -> InForce {
-        InForce {
+    fn in_force_with_current_names(&self) -> ActiveSettings {
+        ActiveSettings {
             names: self.host.names(),
             ..self.in_force.clone()
         }
@@ -182,7 +182,12 @@
         }
     }
 
-    fn put_fleet_changes_in_force(&mut self, change: Change, version: u64, entry_count: usize) {
+    fn put_fleet_changes_in_force(
+        &mut self,
+        change: SettingsChange,
+        version: u64,
+        entry_count: usize,
+    ) {
         let step = Instant::now();
         self.apply_settings(change);
         self.fleet_overrides
@@ -199,7 +204,7 @@
     }
 
     /// Replaces the settings in force, in one step.
-    fn apply_settings(&mut self, mut change: Change) {
+    fn apply_settings(&mut self, mut change: SettingsChange) {
         change.place(&self.host.names());
         let before = std::mem::replace(&mut self.in_force, change.to.clone());
         let network = &self.in_force.network;
@@ -213,7 +218,7 @@
     /// Puts a file in force: in one step in which nothing else runs, and whose parts take no time by the size of the
     /// tables. Returns a summary of what changed, for the log.
     fn put_in_force(&mut self, config: ReadConfig) -> Result<String, ReloadError> {
-        let Again { node, change } = config.file;
+        let ReloadedConfig { node, change } = config.file;
         if node.discovery.is_some() != self.discovery.is_some() {
             return Err(ReloadError::DiscoveryToggled);
         }
@@ -245,8 +250,8 @@
         Ok(summary)
     }
 
-    fn summary(&self, node: &Node, change: &Change) -> String {
-        let mut summary = change.told.clone();
+    fn summary(&self, node: &Node, change: &SettingsChange) -> String {
+        let mut summary = change.summary.clone();
         if let Some(address) = node.discovery {
             summary += &format!(", discovery at {address}");
         }
--- a/src/net/config/sections.rs
+++ b/src/net/config/sections.rs
@@ -11,21 +11,21 @@
 /// `snapshot` in the configuration.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Snapshots {
+pub struct SnapshotSection {
     /// The folder of the file; made where it is missing.
     pub dir: PathBuf,
     /// Milliseconds between two writes.
-    #[serde(default = "Snapshots::every_ms")]
+    #[serde(default = "SnapshotSection::every_ms")]
     pub every_ms: u64,
     /// Seconds after which a snapshot is refused.
-    #[serde(default = "Snapshots::max_age_s")]
+    #[serde(default = "SnapshotSection::max_age_s")]
     pub max_age_s: f64,
 }
 
 /// `peers` in the configuration: state shared with the fleet's other proxies.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sharing {
+pub struct GossipSection {
     /// Where this proxy takes datagrams (UDP).
     pub listen: SocketAddr,
     /// Where the others reach it; without it the address that it listens at.
@@ -36,11 +36,11 @@
     /// Members to join through, this one or not.
     pub seeds: Vec<SocketAddr>,
     /// Seconds after which a shared fact is neither used nor passed on.
-    #[serde(default = "Sharing::max_age_s")]
+    #[serde(default = "GossipSection::max_age_s")]
     pub max_age_s: f64,
 }
 
-impl Sharing {
+impl GossipSection {
     fn max_age_s() -> f64 {
         5.0
     }
@@ -49,24 +49,24 @@
 /// `duties` in the configuration: leases between proxies and the calendar of windows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Voting {
+pub struct CoordinationSection {
     /// The advertised addresses of the members that vote: 1, 3, 5 or 7.
     pub voters: Vec<SocketAddr>,
     /// Milliseconds that a holding lasts unless it is renewed.
-    #[serde(default = "Voting::lease_ms")]
+    #[serde(default = "CoordinationSection::lease_ms")]
     pub lease_ms: u64,
     /// Clock rates differ from true time by this part at most.
-    #[serde(default = "Voting::drift")]
+    #[serde(default = "CoordinationSection::drift")]
     pub drift: f64,
     /// The share of each kind's capacity below which no window drains.
-    #[serde(default = "Voting::floor")]
+    #[serde(default = "CoordinationSection::floor")]
     pub floor: f64,
     /// The same of each zone; without it `floor`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone_floor: Option<f64>,
 }
 
-impl Voting {
+impl CoordinationSection {
     fn lease_ms() -> u64 {
         3000
     }
@@ -87,18 +87,18 @@
     }
 
     /// Checks the section, and that the configuration has the `peers` that it needs.
-    pub fn check(&self, peers: Option<&Sharing>) -> Result<(), CoordinationError> {
+    pub fn check(&self, peers: Option<&GossipSection>) -> Result<(), CoordinationError> {
         let peers = peers.ok_or(CoordinationError::PeersMissing)?;
-        if peers.max_age_s < Voting::LEAST_AGE_S {
-            let least_s = Voting::LEAST_AGE_S;
+        if peers.max_age_s < CoordinationSection::LEAST_AGE_S {
+            let least_s = CoordinationSection::LEAST_AGE_S;
             return Err(CoordinationError::MaxAge { least_s });
         }
         let distinct: BTreeSet<&SocketAddr> = self.voters.iter().collect();
         if distinct.len() < self.voters.len() {
             return Err(CoordinationError::DuplicateVoter);
         }
-        if self.lease_ms < Voting::LEAST_LEASE_MS {
-            let least_ms = Voting::LEAST_LEASE_MS;
+        if self.lease_ms < CoordinationSection::LEAST_LEASE_MS {
+            let least_ms = CoordinationSection::LEAST_LEASE_MS;
             return Err(CoordinationError::LeaseTooShort { least_ms });
         }
         check_part("floor", Some(self.floor))?;
@@ -120,17 +120,17 @@
     Ok(())
 }
 
-impl Default for Snapshots {
-    fn default() -> Snapshots {
-        Snapshots {
+impl Default for SnapshotSection {
+    fn default() -> SnapshotSection {
+        SnapshotSection {
             dir: PathBuf::new(),
-            every_ms: Snapshots::every_ms(),
-            max_age_s: Snapshots::max_age_s(),
+            every_ms: SnapshotSection::every_ms(),
+            max_age_s: SnapshotSection::max_age_s(),
         }
     }
 }
 
-impl Snapshots {
+impl SnapshotSection {
     fn every_ms() -> u64 {
         2000
     }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -5,7 +5,7 @@
 
 use bytes::Buf;
 use compact_str::CompactString;
-use meadowproxy::settings::Row;
+use meadowproxy::settings::EndpointRow;
 use meadowproxy::{Backend, BackendState, CellId, Time};
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -31,7 +31,7 @@
 pub struct Endpoint {
     pub name: CompactString,
     pub address: SocketAddr,
-    pub row: Row,
+    pub row: EndpointRow,
 }
 
 #[derive(Deserialize)]
@@ -89,7 +89,7 @@
             ..Backend::default()
         };
         // The name is the same at every proxy; the address may not be.
-        let row = Row::new(&entry.name, &entry.zone, &entry.kind, backend);
+        let row = EndpointRow::new(&entry.name, &entry.zone, &entry.kind, backend);
         Ok(Endpoint {
             name: entry.name.into(),
             address,
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -273,7 +273,7 @@
 
 fn asking(discovery: Discovery) -> Rc<Host> {
     let second = Micros(SECOND);
-    let network = meadowproxy::settings::Network {
+    let network = meadowproxy::settings::NetworkSettings {
         connect_timeout: second,
         conn_idle: second,
         max_retry_after: second,
--- a/src/net/downstream/server.rs
+++ b/src/net/downstream/server.rs
@@ -12,7 +12,7 @@
 use crate::net::observed_stream::ObservedStream;
 use client_connection::{ClientConnection, IdleKind};
 use imbl::Vector;
-use meadowproxy::settings::Network;
+use meadowproxy::settings::NetworkSettings;
 use meadowproxy::{Config, Micros, RequestClass, Time};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -50,7 +50,7 @@
 
 impl RequestRules {
     /// Those of the settings in force.
-    pub fn new(config: &Config, network: &Network) -> RequestRules {
+    pub fn new(config: &Config, network: &NetworkSettings) -> RequestRules {
         RequestRules {
             classes: config.classes.clone(),
             deadlines: network.deadlines.clone(),
--- a/src/net/host/example.rs
+++ b/src/net/host/example.rs
@@ -4,7 +4,7 @@
 use crate::net::observed_stream::Peer;
 use crate::net::upstream::{ConnectionPool, ForwardedRequest, RequestBody};
 use crate::net::Clock;
-use meadowproxy::settings::{Names, Network};
+use meadowproxy::settings::{Names, NetworkSettings};
 use meadowproxy::{Balancer, ClassId, Config, Idempotency, Micros, RequestArrival, RequestId};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
     /// With the example's configuration and no backends.
     pub fn example() -> Rc<Host> {
         let second = Micros(1_000_000);
-        let network = Network {
+        let network = NetworkSettings {
             connect_timeout: second,
             conn_idle: second,
             max_retry_after: second,
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::net::upstream::ConnectionPool;
 use crate::net::Clock;
-use meadowproxy::settings::{Change, Names};
+use meadowproxy::settings::{Names, SettingsChange};
 use meadowproxy::{
     Action, AttemptEnd, AttemptNumber, Balancer, ClassId, Event, Micros, Outcome, PeerVerdict,
     RequestId, TenantId, Time, Verdict,
@@ -121,8 +121,8 @@
     }
 
     /// Puts settings in force that were read against [`Host::names`], which endpoint lists may have added to since.
-    pub fn apply_settings(self: &Rc<Self>, change: Change) {
-        let Change {
+    pub fn apply_settings(self: &Rc<Self>, change: SettingsChange) {
+        let SettingsChange {
             to,
             retired,
             reinstated,
--- a/src/net/state/snapshot_keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -3,7 +3,7 @@
 //! Make one [`SnapshotKeeper`] at the start, call [`SnapshotKeeper::restore`] before requests are served, and spawn
 //! [`SnapshotKeeper::write_periodically`].
 
-use crate::net::config::Snapshots;
+use crate::net::config::SnapshotSection;
 use crate::net::host::Host;
 use crate::net::state::snapshot::{
     self, Header, ProxyIdentity, Snapshot, SnapshotError, SnapshotScope, VerifiedSnapshot,
@@ -32,7 +32,7 @@
 
 /// The snapshots of one proxy.
 pub struct SnapshotKeeper {
-    config: Snapshots,
+    config: SnapshotSection,
     host: Rc<Host>,
     /// Whose the file is; a reload can change it.
     owner: RefCell<ProxyIdentity>,
@@ -44,7 +44,7 @@
 impl SnapshotKeeper {
     /// Starts the writer's thread. `settings` is the digest of the settings in force.
     pub fn new(
-        config: Snapshots,
+        config: SnapshotSection,
         host: Rc<Host>,
         owner: ProxyIdentity,
         settings: [u8; 32],
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -3,7 +3,7 @@
 use super::connection::{ConnectionSlot, PooledConnection};
 use crate::net::observed_stream::ObservedStream;
 use crate::net::span;
-use meadowproxy::settings::Network;
+use meadowproxy::settings::NetworkSettings;
 use meadowproxy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -42,7 +42,7 @@
 
 impl ConnectionPool {
     /// A pool of at most `max_open` connections.
-    pub fn new(network: &Network, max_open: usize) -> ConnectionPool {
+    pub fn new(network: &NetworkSettings, max_open: usize) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
             closed_backends: RefCell::default(),
@@ -66,7 +66,7 @@
     }
 
     /// Puts changed settings in force.
-    pub fn apply_settings(&self, network: &Network) {
+    pub fn apply_settings(&self, network: &NetworkSettings) {
         self.idle_timeout.set(idle_timeout(network));
         self.connect_timeout.set(span(network.connect_timeout));
     }
@@ -230,7 +230,7 @@
     }
 }
 
-fn idle_timeout(network: &Network) -> Duration {
+fn idle_timeout(network: &NetworkSettings) -> Duration {
     span(network.conn_idle.mul_f64(IDLE_TIMEOUT_PART))
 }
 
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::net::observed_stream::ObservedStream;
 use crate::net::MAX_BODY;
-use meadowproxy::settings::Network;
+use meadowproxy::settings::NetworkSettings;
 use meadowproxy::BackendId;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 fn pool(max: usize) -> ConnectionPool {
     let (connect_timeout, conn_idle) = (Micros(5_000_000), Micros(60_000_000));
-    let network = Network {
+    let network = NetworkSettings {
         connect_timeout,
         conn_idle,
         max_retry_after: Micros(0),
--- a/src/settings/active.rs
+++ b/src/settings/active.rs
@@ -9,7 +9,7 @@
 
 /// What only a proxy on real sockets needs of the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Network {
+pub struct NetworkSettings {
     /// A connection that is not up after this time counts as failed.
     pub connect_timeout: Micros,
     /// Backends close connections that were idle for so long.
@@ -22,20 +22,20 @@
 
 /// Complete settings. A clone shares all tables and costs nothing by their size.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InForce {
+pub struct ActiveSettings {
     /// The configuration of the decisions.
     pub config: ValidatedConfig,
     /// Names for all its numbers.
     pub names: Names,
     /// The sockets' part.
-    pub network: Network,
+    pub network: NetworkSettings,
 }
 
 /// Settings that replace others while requests are open.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct SettingsChange {
     /// What is in force from then on.
-    pub to: InForce,
+    pub to: ActiveSettings,
     /// Classes that are no longer in use.
     pub retired: Vec<ClassId>,
     /// Retired classes that are in use again.
@@ -43,7 +43,7 @@
     /// New classes whose name had other rules before.
     pub successors: Vec<ClassSuccessor>,
     /// What became of the classes, for the log.
-    pub told: String,
+    pub summary: String,
     /// The zones and kinds that had numbers when these settings were read.
     pub(super) numbered: NumberedPlaces,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-impl InForce {
+impl ActiveSettings {
     /// The class of that name as it stands in `profiles`, for [`Amendment::SetProfile`](super::Amendment::SetProfile); `None` if there is none.
     pub fn profile(&self, name: &str) -> Option<Value> {
         let ClassId(number) = self.names.class(name)?;
@@ -81,7 +81,7 @@
     }
 }
 
-impl Change {
+impl SettingsChange {
     /// Renumbers the zones and kinds that these settings named first, if endpoint lists have named others since they
     /// were read: `now` are the names in force. Costs nothing if none have.
     pub fn place(&mut self, now: &Names) {
--- a/src/settings/amendment.rs
+++ b/src/settings/amendment.rs
@@ -1,6 +1,6 @@
 //! Single entries of the settings in force, changed without the rest being read again.
 
-use super::active::{Change, InForce};
+use super::active::{ActiveSettings, SettingsChange};
 use super::draft::Draft;
 use super::entries::{NamedClass, NamedTenant, CUSTOMERS, PROFILES};
 use super::error::SettingsError;
@@ -44,10 +44,10 @@
     name.unwrap_or_default()
 }
 
-impl InForce {
+impl ActiveSettings {
     /// The settings in force with these entries changed, all or none of them: else every error. Takes time by the
     /// entries, and by how often these were changed before.
-    pub fn amend(&self, amendments: &[Amendment]) -> Result<Change, Vec<SettingsError>> {
+    pub fn amend(&self, amendments: &[Amendment]) -> Result<SettingsChange, Vec<SettingsError>> {
         let diagnostics = Diagnostics::new(false);
         let mut draft = Draft::new(self, self.clone());
         let mut paths = BTreeSet::new();
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,12 +1,12 @@
 //! Settings as they were read, and the configuration that follows from them: here the names of the settings are mapped
 //! to the terms of the code.
 
-use super::active::{InForce, Network};
+use super::active::{ActiveSettings, NetworkSettings};
 use super::entries::{CUSTOMERS, PROFILES};
 use super::error::SettingsError;
 use super::field::{collect_leaf_paths, Diagnostics, Field};
 use super::list_stream::extract_lists;
-use super::lists::{ClassTable, ListNotes, Lists, Reading, TenantTable};
+use super::lists::{ClassTable, ListNotes, LongLists, ReadOptions, TenantTable};
 use super::name_table::NameTable;
 use super::names::{ClassNames, Names, TenantNames};
 use super::replacement::ListReplacement;
@@ -19,7 +19,7 @@
 /// Settings whose long lists have been read, and the values of all else.
 pub struct Settings {
     rest: Value,
-    lists: Lists,
+    lists: LongLists,
 }
 
 /// A configuration and the entries of the long lists that it was made of.
@@ -31,22 +31,22 @@
 
 impl Settings {
     /// `rest`: the settings with an empty list in the place of each that `lists` took.
-    pub fn new(rest: Value, lists: Lists) -> Settings {
+    pub fn new(rest: Value, lists: LongLists) -> Settings {
         Settings { rest, lists }
     }
 
     /// Settings from one value.
-    pub fn of(settings: &Value, options: Reading) -> Settings {
-        Settings::from_value(settings, Lists::new(options))
+    pub fn of(settings: &Value, options: ReadOptions) -> Settings {
+        Settings::from_value(settings, LongLists::new(options))
     }
 
-    /// Settings that replace those in force, for [`InForce::change`] of the same `base`.
-    pub fn over(settings: &Value, options: Reading, base: &InForce) -> Settings {
-        Settings::from_value(settings, Lists::over(options, base))
+    /// Settings that replace those in force, for [`ActiveSettings::change`] of the same `base`.
+    pub fn over(settings: &Value, options: ReadOptions, base: &ActiveSettings) -> Settings {
+        Settings::from_value(settings, LongLists::over(options, base))
     }
 
-    fn from_value(settings: &Value, mut lists: Lists) -> Settings {
-        // Reading from a value in memory does not fail.
+    fn from_value(settings: &Value, mut lists: LongLists) -> Settings {
+        // ReadOptions from a value in memory does not fail.
         let rest = extract_lists(settings, &mut lists).unwrap_or_default();
         Settings { rest, lists }
     }
@@ -67,7 +67,7 @@
     }
 
     /// The sockets' part, or the first error.
-    pub fn network(&self) -> Result<Network, SettingsError> {
+    pub fn network(&self) -> Result<NetworkSettings, SettingsError> {
         let root = self.root();
         let network = self.read_network(&root);
         root.diagnostics.check(network)
@@ -210,10 +210,10 @@
         }
     }
 
-    fn read_network(&self, root: &Field) -> Network {
+    fn read_network(&self, root: &Field) -> NetworkSettings {
         let limits = root.get("limits");
         let classes = self.read_list(&self.root(), &self.lists.class_notes, &self.lists.classes);
-        Network {
+        NetworkSettings {
             connect_timeout: limits.get("dial_timeout_us").micros(),
             conn_idle: limits.get("conn_idle_us").micros(),
             max_retry_after: limits.get("max_retry_after_us").micros(),
@@ -233,12 +233,12 @@
     }
 }
 
-impl InForce {
+impl ActiveSettings {
     /// What is in force at the start, or the first error.
-    pub fn first(settings: &Settings) -> Result<InForce, SettingsError> {
+    pub fn first(settings: &Settings) -> Result<ActiveSettings, SettingsError> {
         let (config, names) = settings.config()?;
         let network = settings.network()?;
-        Ok(InForce {
+        Ok(ActiveSettings {
             config: config.validated()?,
             names,
             network,
--- a/src/settings/draft.rs
+++ b/src/settings/draft.rs
@@ -1,6 +1,6 @@
 //! A change of settings in the making: entry by entry, with every class and tenant keeping its number.
 
-use super::active::{Change, InForce, NumberedPlaces};
+use super::active::{ActiveSettings, NumberedPlaces, SettingsChange};
 use super::entries::{NamedClass, NamedTenant};
 use crate::interface::{
     ClassId, ClassSuccessor, ConfigError, Idempotency, KeyScope, RequestClass, Tenant, TenantId,
@@ -17,7 +17,7 @@
     class_count: usize,
     /// Tenant numbers given so far, this change included.
     pub tenant_count: usize,
-    pub to: InForce,
+    pub to: ActiveSettings,
     retired: BTreeSet<ClassId>,
     reinstated: BTreeSet<ClassId>,
     successors: Vec<ClassSuccessor>,
@@ -28,7 +28,7 @@
 
 impl Draft {
     /// A change from the settings `base` to `to`, of which no entry is changed yet.
-    pub fn new(base: &InForce, to: InForce) -> Draft {
+    pub fn new(base: &ActiveSettings, to: ActiveSettings) -> Draft {
         Draft {
             class_count: base.config.classes.len(),
             tenant_count: base.config.tenants.len(),
@@ -149,15 +149,15 @@
     }
 
     /// The change as it comes into force.
-    pub fn finish(mut self, base: &InForce) -> Result<Change, ConfigError> {
-        let told = self.summarize();
+    pub fn finish(mut self, base: &ActiveSettings) -> Result<SettingsChange, ConfigError> {
+        let summary = self.summarize();
         self.to.config.set_tenants(self.tenants)?;
-        Ok(Change {
+        Ok(SettingsChange {
             to: self.to,
             retired: self.retired.into_iter().collect(),
             reinstated: self.reinstated.into_iter().collect(),
             successors: self.successors,
-            told,
+            summary,
             numbered: NumberedPlaces::of(&base.names),
         })
     }
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -1,6 +1,6 @@
 //! The long lists of the settings, read item by item: each item's value is dropped once it is read.
 
-use super::active::InForce;
+use super::active::ActiveSettings;
 use super::entries::{NamedClass, NamedTenant, CUSTOMERS, PROFILES};
 use super::field::{collect_leaf_paths, Diagnostics, Field};
 use super::list_stream::ListSink;
@@ -98,7 +98,7 @@
 }
 
 impl ListNotes {
-    fn new(name: &'static str, options: Reading) -> ListNotes {
+    fn new(name: &'static str, options: ReadOptions) -> ListNotes {
         ListNotes {
             name,
             item_count: 0,
@@ -111,7 +111,7 @@
     fn read_item<T>(
         &mut self,
         value: &Value,
-        options: Reading,
+        options: ReadOptions,
         read: impl FnOnce(&Field) -> T,
     ) -> T {
         let path = format!("{}[{}]", self.name, self.item_count);
@@ -151,7 +151,7 @@
 
 /// What is wanted of the settings beside their meaning.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reading {
+pub struct ReadOptions {
     /// Which values nothing reads, see [`Settings::unknown`](super::Settings::unknown).
     pub strict: bool,
     /// Their digest, see [`Settings::digest`](super::Settings::digest).
@@ -159,8 +159,8 @@
 }
 
 /// The long lists of settings while they are read.
-pub struct Lists {
-    pub(super) options: Reading,
+pub struct LongLists {
+    pub(super) options: ReadOptions,
     pub(super) class_notes: ListNotes,
     pub(super) classes: ClassTable,
     pub(super) tenant_notes: ListNotes,
@@ -170,13 +170,13 @@
     pub(super) replacement: Option<Box<ListReplacement>>,
 }
 
-impl Lists {
+impl LongLists {
     /// The lists' paths inside the settings.
     pub const PATHS: [&'static str; 2] = [PROFILES, CUSTOMERS];
 
-    /// Lists of which no item has come yet.
-    pub fn new(options: Reading) -> Lists {
-        Lists {
+    /// LongLists of which no item has come yet.
+    pub fn new(options: ReadOptions) -> LongLists {
+        LongLists {
             options,
             class_notes: ListNotes::new(PROFILES, options),
             classes: ClassTable::default(),
@@ -186,15 +186,15 @@
         }
     }
 
-    /// Lists of settings that replace those in force, for [`InForce::change`] of the same `base`.
-    pub fn over(options: Reading, base: &InForce) -> Lists {
-        Lists {
+    /// LongLists of settings that replace those in force, for [`ActiveSettings::change`] of the same `base`.
+    pub fn over(options: ReadOptions, base: &ActiveSettings) -> LongLists {
+        LongLists {
             replacement: Some(Box::new(ListReplacement::new(base))),
-            ..Lists::new(options)
+            ..LongLists::new(options)
         }
     }
 
-    /// One of [`Lists::PATHS`] begins. If the settings have it twice, the last one counts.
+    /// One of [`LongLists::PATHS`] begins. If the settings have it twice, the last one counts.
     pub fn begin(&mut self, list: &str) {
         if list == PROFILES {
             self.class_notes = ListNotes::new(PROFILES, self.options);
@@ -249,16 +249,16 @@
     }
 }
 
-impl ListSink for Lists {
+impl ListSink for LongLists {
     fn list_paths(&self) -> &[&'static str] {
-        &Lists::PATHS
+        &LongLists::PATHS
     }
 
     fn begin(&mut self, list: &'static str) {
-        Lists::begin(self, list);
+        LongLists::begin(self, list);
     }
 
     fn item(&mut self, list: &'static str, item: Value) {
-        Lists::item(self, list, &item);
+        LongLists::item(self, list, &item);
     }
 }
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct BucketEntry {
-    /// Bits of the name's hash by which most other names of the bucket are told apart without reading them.
+    /// Bits of the name's hash by which most other names of the bucket are summary apart without reading them.
     fingerprint: u32,
     number: u32,
 }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -224,16 +224,16 @@
 
 /// An entry of an endpoint list under the names of its zone and kind; each process has its own numbers for these.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct EndpointRow {
     zone: CompactString,
     kind: CompactString,
     backend: Backend,
 }
 
-impl Row {
+impl EndpointRow {
     /// `address` is what every proxy calls the backend: the order that all proxies share is a hash of it.
-    pub fn new(address: &str, zone: &str, kind: &str, backend: Backend) -> Row {
-        Row {
+    pub fn new(address: &str, zone: &str, kind: &str, backend: Backend) -> EndpointRow {
+        EndpointRow {
             zone: zone.into(),
             kind: kind.into(),
             backend: Backend {
@@ -285,7 +285,7 @@
     }
 
     /// The row as this process numbers it.
-    pub fn entry(&mut self, row: &Row, id: BackendId) -> Backend {
+    pub fn entry(&mut self, row: &EndpointRow, id: BackendId) -> Backend {
         let zone = self.zones.get_or_insert(&row.zone);
         let kind = self.kinds.get_or_insert(&row.kind);
         Backend {
--- a/src/settings/replacement.rs
+++ b/src/settings/replacement.rs
@@ -1,7 +1,7 @@
 //! The long lists of settings that replace those in force, put in their place entry by entry as they are read: what is
 //! equal stays shared, and no second copy of it is ever made.
 
-use super::active::{InForce, Network};
+use super::active::{ActiveSettings, NetworkSettings};
 use super::draft::Draft;
 use super::entries::{NamedClass, NamedTenant};
 use super::names::Names;
@@ -12,7 +12,7 @@
 /// The lists read so far.
 #[derive(Clone)]
 pub(super) struct ListReplacement {
-    base: InForce,
+    base: ActiveSettings,
     classes: Draft,
     /// By the number of a class's name: whether the new settings have it.
     listed_class_names: Flags,
@@ -42,7 +42,7 @@
 }
 
 impl ListReplacement {
-    pub fn new(base: &InForce) -> ListReplacement {
+    pub fn new(base: &ActiveSettings) -> ListReplacement {
         ListReplacement {
             base: base.clone(),
             classes: Draft::new(base, base.clone()),
@@ -98,7 +98,7 @@
     }
 
     /// The change in one draft, under settings whose other values are those of `rest`. What did not come is dropped.
-    pub fn into_draft(mut self, rest: InForce) -> Result<Draft, ConfigError> {
+    pub fn into_draft(mut self, rest: ActiveSettings) -> Result<Draft, ConfigError> {
         self.drop_unlisted_classes();
         self.drop_unlisted_tenants();
         if let Some(error) = self.error {
@@ -110,14 +110,14 @@
             tenants: self.base.config.tenants.clone(),
             ..(*rest.config).clone()
         };
-        let to = InForce {
+        let to = ActiveSettings {
             config: config.validated()?,
             names: Names {
                 classes: classes.names.classes.clone(),
                 tenants: self.tenants.to.names.tenants,
                 ..rest.names
             },
-            network: Network {
+            network: NetworkSettings {
                 deadlines: classes.network.deadlines.clone(),
                 ..rest.network
             },
--- a/src/settings/successor.rs
+++ b/src/settings/successor.rs
@@ -1,15 +1,15 @@
 //! Settings that replace those in force as a whole.
 
-use super::active::{Change, InForce};
+use super::active::{ActiveSettings, SettingsChange};
 use super::document::{ParsedSettings, Settings};
 use super::error::SettingsError;
 use super::names::{ClassNames, Names, TenantNames};
 use super::replacement::ListReplacement;
 
-impl InForce {
+impl ActiveSettings {
     /// These settings in the place of `self`. A class or tenant keeps its number; a class whose rules differ gets a new
     /// one. Takes time by the size of all tables: not for the request loop.
-    pub fn change(&self, settings: &Settings) -> Result<Change, SettingsError> {
+    pub fn change(&self, settings: &Settings) -> Result<SettingsChange, SettingsError> {
         let mut names = Names {
             classes: ClassNames::default(),
             tenants: TenantNames::default(),
@@ -21,7 +21,7 @@
             Some(replacement) => replacement.clone(),
             None => replacement_from(&parsed, self),
         };
-        let rest = InForce {
+        let rest = ActiveSettings {
             config: parsed.config.validated()?,
             names,
             network,
@@ -37,7 +37,7 @@
     }
 }
 
-fn replacement_from(parsed: &ParsedSettings, base: &InForce) -> ListReplacement {
+fn replacement_from(parsed: &ParsedSettings, base: &ActiveSettings) -> ListReplacement {
     let mut replacement = ListReplacement::new(base);
     for class in parsed.classes.iter() {
         replacement.set_class(&class);
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -14,7 +14,7 @@
 use crate::net::state::hot_restart::{self, InheritError};
 use crate::net::state::snapshot_keeper::SnapshotKeeperError;
 use bind::{bind_client_listener, BindError};
-use meadowproxy::settings::InForce;
+use meadowproxy::settings::ActiveSettings;
 use proxy::Proxy;
 use std::io;
 use thiserror::Error;
@@ -56,7 +56,7 @@
 /// Where the configuration came from, what of it is in force, and the thread that reads it again.
 struct LoadedConfig {
     source: Source,
-    in_force: InForce,
+    in_force: ActiveSettings,
     background: BackgroundThread,
 }
 
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -20,7 +20,7 @@
 use crate::net::state::snapshot_keeper::{SnapshotKeeper, SnapshotKeeperError};
 use crate::net::upstream::ConnectionPool;
 use crate::net::Clock;
-use meadowproxy::settings::InForce;
+use meadowproxy::settings::ActiveSettings;
 use meadowproxy::{Balancer, EndpointUpdate};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -160,7 +160,7 @@
     fn spawn_discovery(
         &self,
         node: &Node,
-        in_force: &InForce,
+        in_force: &ActiveSettings,
     ) -> Option<watch::Sender<SocketAddr>> {
         let (moved, address) = watch::channel(node.discovery?);
         let config = &in_force.config;
@@ -246,7 +246,7 @@
     }
 }
 
-fn new_host(node: &Node, in_force: &InForce) -> Rc<Host> {
+fn new_host(node: &Node, in_force: &ActiveSettings) -> Rc<Host> {
     let limits = ConnectionLimits::for_single_process(node.sockets);
     let pool = ConnectionPool::new(&in_force.network, limits.upstreams);
     let balancer = Balancer::from_validated(in_force.config.clone(), node.seed);
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -4,7 +4,8 @@
 mod plain;
 
 use meadowproxy::settings::{
-    Amendment, Change, InForce, Names, Reading, Row, Settings, SettingsError,
+    ActiveSettings, Amendment, EndpointRow, Names, ReadOptions, Settings, SettingsChange,
+    SettingsError,
 };
 use meadowproxy::{Backend, BackendId, ClassId, Config, TenantId};
 use proptest::prelude::*;
@@ -13,7 +14,7 @@
 use std::collections::BTreeSet;
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
-const READING: Reading = Reading {
+const READING: ReadOptions = ReadOptions {
     strict: true,
     digested: true,
 };
@@ -172,7 +173,7 @@
 }
 
 /// The change to these settings: the same whether their lists are read beside the tables in force or over them.
-fn change(tables: &InForce, settings: &Value) -> Result<Change, String> {
+fn change(tables: &ActiveSettings, settings: &Value) -> Result<SettingsChange, String> {
     let (beside, over) = (read(settings), Settings::over(settings, READING, tables));
     assert_eq!(
         (beside.errors(), beside.first_error()),
@@ -192,7 +193,10 @@
 }
 
 fn meet(names: &mut Names, zone: &str, kind: &str) {
-    names.entry(&Row::new("b", zone, kind, Backend::default()), BackendId(0));
+    names.entry(
+        &EndpointRow::new("b", zone, kind, Backend::default()),
+        BackendId(0),
+    );
 }
 
 /// What the plain way has in force.
@@ -204,7 +208,7 @@
 }
 
 impl Plain {
-    fn same(&self, tables: &InForce) {
+    fn same(&self, tables: &ActiveSettings) {
         assert_eq!(self.config, *tables.config);
         let sum: f64 = self.config.tenants.iter().map(|t| t.quota_per_s).sum();
         assert_eq!(tables.config.quota_sum_per_s(), sum);
@@ -247,7 +251,7 @@
     }
 
     /// Takes what the plain way makes of the settings, or its error; the other way's must be the same.
-    fn take(&mut self, settings: &Value, change: &Result<Change, String>) {
+    fn take(&mut self, settings: &Value, change: &Result<SettingsChange, String>) {
         let plain = plain::change(settings, &self.names, &self.config, &self.network);
         let (plain, change) = match (plain, change) {
             (Ok(plain), Ok(change)) => (plain, change),
@@ -259,7 +263,7 @@
         };
         assert_eq!(
             (&plain.successors, &plain.told),
-            (&change.successors, &change.told)
+            (&change.successors, &change.summary)
         );
         let mut live = self.live.clone();
         live.resize(plain.live.len(), true);
@@ -323,7 +327,7 @@
     };
     let steps = prop::collection::vec((settings(), met(), met()), 1..12);
     let run = runner(1500).run(&(sound(), steps), |(first, steps)| {
-        let mut tables = InForce::first(&read(&first)).unwrap();
+        let mut tables = ActiveSettings::first(&read(&first)).unwrap();
         let (config, names) = plain::read(&first).unwrap();
         let (network, live) = (
             plain::network(&first).unwrap(),
@@ -404,7 +408,7 @@
         |(first, steps)| {
             let mut file = first;
             file["customers"] = distinct(file["customers"].as_array().unwrap().clone()).into();
-            let mut tables = InForce::first(&read(&file)).unwrap();
+            let mut tables = ActiveSettings::first(&read(&file)).unwrap();
             let mut by_difference = tables.clone();
             for (routes, customers) in steps {
                 let mut next = file.clone();
@@ -413,21 +417,21 @@
                 let whole = change(&tables, &next).unwrap();
                 let mut amended = tables.amend(&amendments(&file, &next, true)).unwrap();
                 // The log's line says first what is set; the file's numbers order what was dropped, and here the calls do.
-                let told = |change: &Change| {
+                let told = |change: &SettingsChange| {
                     change
-                        .told
+                        .summary
                         .split(", ")
                         .map(String::from)
                         .collect::<BTreeSet<_>>()
                 };
                 assert_eq!(told(&whole), told(&amended));
-                amended.told = whole.told.clone();
+                amended.summary = whole.summary.clone();
                 assert_eq!(whole, amended);
                 by_difference = by_difference
                     .amend(&amendments(&file, &next, false))
                     .unwrap()
                     .to;
-                let rules = |tables: &InForce, name: &str| {
+                let rules = |tables: &ActiveSettings, name: &str| {
                     let number = tables.names.class(name)?.0;
                     Some((
                         tables.config.classes[number].clone(),
@@ -474,7 +478,7 @@
 fn each_of_many_names_keeps_its_number() {
     let class = |n: usize| json!({"name":format!("c{n}"),"aim_us":1,"deadline_us":9,"effect":"free","gain":1.0,"late_worth":0.0});
     let tenant = |n: usize| json!({"name":format!("t{n}"),"quota_rps":1.0 + n as f64});
-    let found = |tables: &InForce, many: usize| {
+    let found = |tables: &ActiveSettings, many: usize| {
         assert_eq!(
             (tables.config.classes.len(), tables.config.tenants.len()),
             (many, many)
@@ -497,7 +501,7 @@
         let mut file = bare();
         file["profiles"] = (0..read_at_once).map(class).collect();
         file["customers"] = (0..read_at_once).map(tenant).collect();
-        let first = InForce::first(&read(&file)).unwrap();
+        let first = ActiveSettings::first(&read(&file)).unwrap();
         let mut tables = first.clone();
         for n in read_at_once..read_at_once + 100 {
             let both = [
@@ -517,7 +521,7 @@
     let route = |gain: f64| json!({"name":"a","aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
     let mut file = bare();
     file["profiles"] = json!([route(1.0)]);
-    let tables = InForce::first(&read(&file)).unwrap();
+    let tables = ActiveSettings::first(&read(&file)).unwrap();
     for gain in [0.0, 1.0, 2.0] {
         file["profiles"] = json!([route(gain), route(gain)]);
         let told = change(&tables, &file).unwrap_err();
@@ -534,7 +538,7 @@
         json!([route("a", 1.0)]),
         json!([{"name":"t","quota_rps":1.0}]),
     );
-    let tables = InForce::first(&read(&first)).unwrap();
+    let tables = ActiveSettings::first(&read(&first)).unwrap();
     let before = tables.clone();
     let mut late = route("c", 1.0);
     late["aim_us"] = json!(10);
@@ -570,7 +574,7 @@
     ];
     let change = tables.amend(&swap).unwrap();
     assert_eq!(
-        (change.told.as_str(), change.retired),
+        (change.summary.as_str(), change.retired),
         ("dropped a, new b", vec![ClassId(0)])
     );
     assert_eq!(
