--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -108,7 +108,7 @@
         errors
     }
 
-    /// Paths of values that nothing reads; known only if the settings were read strictly, see [`Reading`].
+    /// Paths of values that nothing reads; known only if the settings were read strictly, see [`ReadOptions`].
     pub fn unknown(&self) -> Vec<String> {
         let root = self.root();
         self.read(&root, &mut Names::default());
@@ -139,7 +139,7 @@
     }
 
     /// BLAKE3 of the settings as JSON with ordered keys, so that equal settings have equal digests; the keys `without`
-    /// are left out. Known only if the settings were read to be digested, see [`Reading`].
+    /// are left out. Known only if the settings were read to be digested, see [`ReadOptions`].
     pub fn digest(&self, without: &[&str]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         let Some(entries) = self.rest.as_object() else {
