--- a/src/bin/meadowproxy-adapter/event.rs
+++ b/src/bin/meadowproxy-adapter/event.rs
@@ -9,6 +9,30 @@
 };
 use serde_json::Value;
 
+/// Values of every message about a request, in the order of the wire.
+const REQUEST: usize = 1;
+const ATTEMPT: usize = 2;
+
+/// Values of [`MessageKind::EndpointsUpdated`].
+const ROSTER_NUMBER: usize = 1;
+const LIST_KIND: usize = 3;
+
+/// Values of [`MessageKind::RequestArrived`].
+const WORK_HINT_US: usize = 2;
+const TIME_LEFT_US: usize = 3;
+const TENANT: usize = 5;
+const FLAGS: usize = 6;
+const CLASS: usize = 7;
+
+/// Values of [`MessageKind::AttemptEnded`].
+const BACKEND: usize = 3;
+const OUTCOME: usize = 4;
+const LATENCY_US: usize = 5;
+const ANSWERED: usize = 6;
+
+/// Value of [`MessageKind::TimerFired`].
+const TIMER_TOKEN: usize = 1;
+
 /// Bits of a request's flags.
 const HAS_WORK_HINT: u64 = 1;
 const IS_CLIENT_RETRY: u64 = 2;
@@ -23,15 +47,15 @@
         MessageKind::EndpointsUpdated => endpoints_updated(message, instance, rosters)?,
         MessageKind::RequestArrived => Event::RequestArrived(request_arrival(message, instance)?),
         MessageKind::ResponseStarted => Event::ResponseStarted {
-            request: message.request(1)?,
-            attempt: message.attempt(2)?,
+            request: message.request(REQUEST)?,
+            attempt: message.attempt(ATTEMPT)?,
         },
         MessageKind::AttemptEnded => Event::AttemptEnded(attempt_end(message)?),
         MessageKind::ClientDisconnected => Event::ClientDisconnected {
-            request: message.request(1)?,
+            request: message.request(REQUEST)?,
         },
         MessageKind::TimerFired => Event::TimerFired {
-            token: TimerToken(message.integer(1, "a token")?),
+            token: TimerToken(message.integer(TIMER_TOKEN, "a token")?),
         },
         _ => return Ok(None),
     };
@@ -43,19 +67,19 @@
     instance: &mut Instance,
     rosters: &Rosters,
 ) -> Result<Event, MessageError> {
-    let update = match message.text(3, "a list kind")? {
+    let update = match message.text(LIST_KIND, "a list kind")? {
         "incr" => EndpointUpdate::Incremental,
         "total" => EndpointUpdate::Full,
         "warm_copy" => EndpointUpdate::Cached,
         "lost" => EndpointUpdate::Failed,
-        _ => return Err(message.unexpected(3, "incr, total, warm_copy or lost")),
+        _ => return Err(message.unexpected(LIST_KIND, "incr, total, warm_copy or lost")),
     };
     let mut backends = Vec::new();
     if update != EndpointUpdate::Failed {
-        let number = message.integer(1, "a roster number")?;
+        let number = message.integer(ROSTER_NUMBER, "a roster number")?;
         let entries = rosters
             .get(number)
-            .ok_or_else(|| message.unexpected(1, "a known roster number"))?;
+            .ok_or_else(|| message.unexpected(ROSTER_NUMBER, "a known roster number"))?;
         for entry in entries {
             let id = instance.backend(&entry.address);
             backends.push(instance.names.entry(&entry.row, id));
@@ -65,41 +89,41 @@
 }
 
 fn request_arrival(message: &Message, instance: &Instance) -> Result<RequestArrival, MessageError> {
-    let flags = message.json(6).as_u64().unwrap_or(0);
+    let flags = message.json(FLAGS).as_u64().unwrap_or(0);
     let has_work_hint = flags & HAS_WORK_HINT != 0;
-    let work_hint_us = message.json(2).as_u64();
+    let work_hint_us = message.json(WORK_HINT_US).as_u64();
     Ok(RequestArrival {
-        request: message.request(1)?,
+        request: message.request(REQUEST)?,
         work_hint: work_hint_us.filter(|_| has_work_hint).map(Micros),
         client_retry: flags & IS_CLIENT_RETRY != 0,
-        time_left: message.micros(3, "the time left in microseconds")?,
+        time_left: message.micros(TIME_LEFT_US, "the time left in microseconds")?,
         tenant: tenant(message, instance)?,
         class: class(message, instance)?,
     })
 }
 
 fn tenant(message: &Message, instance: &Instance) -> Result<Option<TenantId>, MessageError> {
-    let Value::String(name) = message.json(5) else {
+    let Value::String(name) = message.json(TENANT) else {
         return Ok(None);
     };
     let tenant = instance.names.tenant(name);
     tenant
         .map(Some)
-        .ok_or_else(|| message.unexpected(5, "a known tenant"))
+        .ok_or_else(|| message.unexpected(TENANT, "a known tenant"))
 }
 
 fn class(message: &Message, instance: &Instance) -> Result<ClassId, MessageError> {
-    let class = instance.names.class(message.text(7, "a class")?);
-    class.ok_or_else(|| message.unexpected(7, "a known class"))
+    let class = instance.names.class(message.text(CLASS, "a class")?);
+    class.ok_or_else(|| message.unexpected(CLASS, "a known class"))
 }
 
 fn attempt_end(message: &Message) -> Result<AttemptEnd, MessageError> {
-    message.text(3, "a backend")?;
+    message.text(BACKEND, "a backend")?;
     Ok(AttemptEnd {
-        request: message.request(1)?,
-        attempt: message.attempt(2)?,
-        outcome: message.outcome(4)?,
-        latency: message.micros(5, "a time in microseconds")?,
-        answered: message.flag(6)?,
+        request: message.request(REQUEST)?,
+        attempt: message.attempt(ATTEMPT)?,
+        outcome: message.outcome(OUTCOME)?,
+        latency: message.micros(LATENCY_US, "a time in microseconds")?,
+        answered: message.flag(ANSWERED)?,
     })
 }
--- a/src/bin/meadowproxy-adapter/message.rs
+++ b/src/bin/meadowproxy-adapter/message.rs
@@ -11,30 +11,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// `TICK`: a batch begins, with the clock.
+    ///
+    /// Values: clock in µs.
     BatchStarted,
     /// `END`: the batch is complete and a reply is due.
+    ///
+    /// Values: none.
     BatchEnded,
     /// `SNAPSHOT_ROWS`: an endpoint list under a number.
+    ///
+    /// Values: roster number, entries.
     Roster,
     /// `CREATE`: a proxy starts.
+    ///
+    /// Values: instance, seed, settings.
     InstanceCreated,
     /// `KILLED`: a proxy ends.
+    ///
+    /// Values: instance.
     InstanceKilled,
     /// `VIEW`: an endpoint list, or its loss, for one proxy.
+    ///
+    /// Values: instance, roster number, (not read), list kind.
     EndpointsUpdated,
     /// `JOB_IN`: a client's request.
+    ///
+    /// Values: instance, request, work hint in µs, time left in µs, (not read), tenant, flags, class.
     RequestArrived,
     /// `ESTABLISHED`: a response begins to stream.
+    ///
+    /// Values: instance, request, attempt, (not read) twice.
     ResponseStarted,
     /// `RETURNED`: an attempt ended.
+    ///
+    /// Values: instance, request, attempt, backend, outcome code, latency in µs, answered, (not read).
     AttemptEnded,
     /// `VANISHED`: a client disconnected.
+    ///
+    /// Values: instance, request.
     ClientDisconnected,
     /// `TIMEOUT_FIRED`: a timer fell due.
+    ///
+    /// Values: instance, token.
     TimerFired,
     /// `MEMO`: another proxy's message; this program sends none.
+    ///
+    /// Values: instance, (not read) twice.
     PeerMessage,
     /// `STATUS_BACK`: the result of a health check; this program asks for none.
+    ///
+    /// Values: instance, (not read) four times.
     HealthCheckResult,
 }
 
