--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -205,7 +205,7 @@
 
     /// Replaces the settings in force, in one step.
     fn apply_settings(&mut self, mut change: SettingsChange) {
-        change.place(&self.host.names());
+        change.renumber_zones_and_kinds(&self.host.names());
         let before = std::mem::replace(&mut self.in_force, change.to.clone());
         let network = &self.in_force.network;
         self.host.pool.apply_settings(network);
--- a/src/settings/active.rs
+++ b/src/settings/active.rs
@@ -45,19 +45,19 @@
     /// What became of the classes, for the log.
     pub summary: String,
     /// The zones and kinds that had numbers when these settings were read.
-    pub(super) numbered: NumberedPlaces,
+    pub(super) numbered: ZoneAndKindCounts,
 }
 
 /// How many zones and kinds have numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct NumberedPlaces {
+pub(super) struct ZoneAndKindCounts {
     zones: usize,
     kinds: usize,
 }
 
-impl NumberedPlaces {
-    pub fn of(names: &Names) -> NumberedPlaces {
-        NumberedPlaces {
+impl ZoneAndKindCounts {
+    pub fn of(names: &Names) -> ZoneAndKindCounts {
+        ZoneAndKindCounts {
             zones: names.zones.len(),
             kinds: names.kinds.len(),
         }
@@ -84,8 +84,8 @@
 impl SettingsChange {
     /// Renumbers the zones and kinds that these settings named first, if endpoint lists have named others since they
     /// were read: `now` are the names in force. Costs nothing if none have.
-    pub fn place(&mut self, now: &Names) {
-        if NumberedPlaces::of(now) == self.numbered {
+    pub fn renumber_zones_and_kinds(&mut self, now: &Names) {
+        if ZoneAndKindCounts::of(now) == self.numbered {
             return;
         }
         let mut zones = now.zones.clone();
@@ -107,6 +107,6 @@
         self.to.config.set_location(zone, regions);
         self.to.names.zones = zones;
         self.to.names.kinds = kinds;
-        self.numbered = NumberedPlaces::of(&self.to.names);
+        self.numbered = ZoneAndKindCounts::of(&self.to.names);
     }
 }
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -6,7 +6,7 @@
 use super::error::SettingsError;
 use super::field::{collect_leaf_paths, Diagnostics, Field};
 use super::list_stream::extract_lists;
-use super::lists::{ClassTable, ListNotes, LongLists, ReadOptions, TenantTable};
+use super::lists::{ListNotes, ListedClasses, ListedTenants, LongLists, ReadOptions};
 use super::name_table::NameTable;
 use super::names::{ClassNames, Names, TenantNames};
 use super::replacement::ListReplacement;
@@ -25,8 +25,8 @@
 /// A configuration and the entries of the long lists that it was made of.
 pub(super) struct ParsedSettings {
     pub config: Config,
-    pub classes: ClassTable,
-    pub tenants: TenantTable,
+    pub classes: ListedClasses,
+    pub tenants: ListedTenants,
 }
 
 impl Settings {
@@ -265,7 +265,7 @@
         name.and_then(|name| names.zones.get(name))
     };
     if number.is_some() || !zones_unreadable {
-        own_zone.expect(number, "one of zones", 0);
+        own_zone.or_stand_in(number, "one of zones", 0);
     }
     ZoneId(number.unwrap_or(0))
 }
@@ -278,7 +278,7 @@
         "subscribe" => Discovery::Poll {
             staleness_limit: staleness_limit.micros(),
         },
-        _ => discovery.expect(None, "automatic or subscribe", Discovery::Push),
+        _ => discovery.or_stand_in(None, "automatic or subscribe", Discovery::Push),
     }
 }
 
@@ -298,7 +298,7 @@
     };
     let empty = serde_json::Map::new();
     let table = value.as_object();
-    let table = regions.expect(table, "a table of zones and their regions", &empty);
+    let table = regions.or_stand_in(table, "a table of zones and their regions", &empty);
     let mut region_names = NameTable::default();
     let mut by_zone = BTreeMap::new();
     for zone in table.keys() {
--- a/src/settings/draft.rs
+++ b/src/settings/draft.rs
@@ -1,6 +1,6 @@
 //! A change of settings in the making: entry by entry, with every class and tenant keeping its number.
 
-use super::active::{ActiveSettings, NumberedPlaces, SettingsChange};
+use super::active::{ActiveSettings, SettingsChange, ZoneAndKindCounts};
 use super::entries::{NamedClass, NamedTenant};
 use crate::interface::{
     ClassId, ClassSuccessor, ConfigError, Idempotency, KeyScope, RequestClass, Tenant, TenantId,
@@ -158,7 +158,7 @@
             reinstated: self.reinstated.into_iter().collect(),
             successors: self.successors,
             summary,
-            numbered: NumberedPlaces::of(&base.names),
+            numbered: ZoneAndKindCounts::of(&base.names),
         })
     }
 
--- a/src/settings/entries.rs
+++ b/src/settings/entries.rs
@@ -95,7 +95,7 @@
             window: window.micros(),
         },
         "single_shot" => Idempotency::NonIdempotent,
-        _ => effect.expect(
+        _ => effect.or_stand_in(
             None,
             "free, guarded or single_shot",
             Idempotency::Idempotent,
@@ -108,7 +108,7 @@
         "all" => KeyScope::All,
         "zone" => KeyScope::Zone,
         "cell" => KeyScope::Cell,
-        _ => scope.expect(None, "all, zone or cell", KeyScope::All),
+        _ => scope.or_stand_in(None, "all, zone or cell", KeyScope::All),
     }
 }
 
@@ -127,7 +127,7 @@
     let deadline = entry.get("deadline_us");
     let both = objective.integer().zip(deadline.integer());
     if deadline.micros().0 == 0 {
-        deadline.expect(None, "a time above 0", ());
+        deadline.or_stand_in(None, "a time above 0", ());
     } else if both.is_some_and(|(objective_us, deadline_us)| objective_us > deadline_us) {
         objective.reject("expected no more than deadline_us");
     }
--- a/src/settings/field.rs
+++ b/src/settings/field.rs
@@ -10,7 +10,7 @@
 /// What reading came upon: errors, and which paths were read.
 #[derive(Default)]
 pub(super) struct Diagnostics {
-    /// Paths that were read; `None` where nobody wants to know.
+    /// Paths that were read; `None` where reads are not tracked.
     read_paths: Option<RefCell<BTreeSet<String>>>,
     errors: RefCell<Errors>,
 }
@@ -142,7 +142,7 @@
     }
 
     /// The value as `read`, or `stand_in` and an error where that is `None`.
-    pub fn expect<T>(&self, read: Option<T>, expected: &'static str, stand_in: T) -> T {
+    pub fn or_stand_in<T>(&self, read: Option<T>, expected: &'static str, stand_in: T) -> T {
         let Some(read) = read else {
             self.diagnostics
                 .note_error(&self.path, self.unexpected(expected));
@@ -164,15 +164,15 @@
     }
 
     pub fn text(&self) -> &'a str {
-        self.expect(self.value.and_then(Value::as_str), "text", "")
+        self.or_stand_in(self.value.and_then(Value::as_str), "text", "")
     }
 
     pub fn flag(&self) -> bool {
-        self.expect(self.value.and_then(Value::as_bool), "true or false", false)
+        self.or_stand_in(self.value.and_then(Value::as_bool), "true or false", false)
     }
 
     pub fn number(&self) -> f64 {
-        self.expect(self.value.and_then(Value::as_f64), "a number", 1.0)
+        self.or_stand_in(self.value.and_then(Value::as_f64), "a number", 1.0)
     }
 
     /// The value as a whole number, if it is one; nothing is noted.
@@ -181,18 +181,18 @@
     }
 
     pub fn micros(&self) -> Micros {
-        Micros(self.expect(self.integer(), "whole microseconds", 1))
+        Micros(self.or_stand_in(self.integer(), "whole microseconds", 1))
     }
 
     pub fn count(&self, stand_in: u32) -> u32 {
         let count = self.integer().and_then(|number| u32::try_from(number).ok());
-        self.expect(count, "a whole number", stand_in)
+        self.or_stand_in(count, "a whole number", stand_in)
     }
 
     /// The items of a list.
     pub fn list(&self) -> Vec<Field<'a>> {
         let items = self.value.and_then(Value::as_array).map(Vec::as_slice);
-        let items = self.expect(items, "an array", &[]);
+        let items = self.or_stand_in(items, "an array", &[]);
         let item = |(index, value)| {
             let path = format!("{}[{index}]", self.path);
             Field::at(path, value, self.diagnostics.clone())
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -20,14 +20,14 @@
 
 /// The request classes of the settings, in the form in which they come into force.
 #[derive(Clone, Default)]
-pub(super) struct ClassTable {
+pub(super) struct ListedClasses {
     pub names: NameTable,
     pub classes: Vector<RequestClass>,
     pub deadlines: Vector<Micros>,
 }
 
-impl ClassTable {
-    /// Adds a class, if its name did not come before.
+impl ListedClasses {
+    /// Adds a class; the caller has numbered its name.
     fn push(&mut self, class: NamedClass) {
         self.classes.push_back(class.class);
         self.deadlines.push_back(class.deadline);
@@ -54,14 +54,14 @@
 
 /// The tenants of the settings.
 #[derive(Clone, Default)]
-pub(super) struct TenantTable {
+pub(super) struct ListedTenants {
     pub names: NameTable,
     /// The number of each tenant's name: a name may stand twice.
     pub name_numbers: Vector<u32>,
     pub tenants: Vector<Tenant>,
 }
 
-impl TenantTable {
+impl ListedTenants {
     fn push(&mut self, tenant: NamedTenant) {
         let name = self.names.get_or_insert(&tenant.name);
         self.name_numbers.push_back(name);
@@ -162,9 +162,9 @@
 pub struct LongLists {
     pub(super) options: ReadOptions,
     pub(super) class_notes: ListNotes,
-    pub(super) classes: ClassTable,
+    pub(super) classes: ListedClasses,
     pub(super) tenant_notes: ListNotes,
-    pub(super) tenants: TenantTable,
+    pub(super) tenants: ListedTenants,
     /// Takes the entries if settings are in force already: then the tables above keep only what is out of its range,
     /// and one class.
     pub(super) replacement: Option<Box<ListReplacement>>,
@@ -179,9 +179,9 @@
         LongLists {
             options,
             class_notes: ListNotes::new(PROFILES, options),
-            classes: ClassTable::default(),
+            classes: ListedClasses::default(),
             tenant_notes: ListNotes::new(CUSTOMERS, options),
-            tenants: TenantTable::default(),
+            tenants: ListedTenants::default(),
             replacement: None,
         }
     }
@@ -198,13 +198,13 @@
     pub fn begin(&mut self, list: &str) {
         if list == PROFILES {
             self.class_notes = ListNotes::new(PROFILES, self.options);
-            self.classes = ClassTable::default();
+            self.classes = ListedClasses::default();
             if let Some(replacement) = &mut self.replacement {
                 replacement.begin_classes();
             }
         } else {
             self.tenant_notes = ListNotes::new(CUSTOMERS, self.options);
-            self.tenants = TenantTable::default();
+            self.tenants = ListedTenants::default();
             if let Some(replacement) = &mut self.replacement {
                 replacement.begin_tenants();
             }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -4,7 +4,7 @@
 //! others while requests are open: as a whole ([`ActiveSettings::change`]) or entry by entry ([`ActiveSettings::amend`]). The proxy
 //! and the simulator's adapter share all of it. One module uses another only downwards in this order:
 //! `successor`, `amendment`; `document`; `lists`; `replacement`; `draft`; `active`; `entries`, `names`;
-//! `field`, `name_table`; `error`.
+//! `list_stream`; `field`, `name_table`; `error`.
 
 mod active;
 mod amendment;
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -352,7 +352,7 @@
             let mut change = change(&tables, &settings);
             see(during, &mut now);
             if let Ok(change) = &mut change {
-                change.place(&now);
+                change.renumber_zones_and_kinds(&now);
             }
             plain.take(&settings, &change);
             tables.names = now;
