--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -21,7 +21,7 @@
     pub in_use: bool,
     /// Seconds from dispatch to response, of served requests only.
     pub latency: RunningMean,
-    /// Sum of the priority weights of all first attempts that arrived.
+    /// Sum of the priority weights of all original requests that arrived.
     pub offered_weight: f64,
     /// Sum of the priority weights that served requests earned.
     pub earned_weight: f64,
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -10,13 +10,13 @@
 
 /// The first interval after a failure; it doubles with each further one.
 const INITIAL_INTERVAL_S: f64 = 0.1;
-/// The maximum interval leaves all proxies together this interval between two polls, ...
+/// The maximum interval grows with the fleet: all proxies together then poll once in this time.
 const FLEET_INTERVAL_S: f64 = 0.05;
-/// ... and one proxy no less than this, ...
-const MIN_MAX_INTERVAL_S: f64 = 1.0;
-/// ... and no more than this: a proxy knows the list within 6 s after discovery can be reached again, with one more
-/// poll that runs into its time-out (docs/design.md).
-const MAX_MAX_INTERVAL_S: f64 = 3.9;
+/// The maximum interval of one proxy in a small fleet.
+const SMALLEST_INTERVAL_CAP_S: f64 = 1.0;
+/// The maximum interval of one proxy in a large fleet: it knows the list within 6 s after discovery can be reached
+/// again, with one more poll that runs into its time-out (docs/design.md).
+const LARGEST_INTERVAL_CAP_S: f64 = 3.9;
 /// The part of an interval that is not jitter while it grows: proxies that failed together soon spread evenly.
 const GROWING_FIXED_PART: f64 = 0.25;
 /// The same at the maximum: they stay spread.
@@ -29,9 +29,9 @@
 /// How long to wait for the response of a poll in discovery's queue: discovery itself rejects what waits for 3 s.
 const QUEUED_POLL_TIMEOUT_S: f64 = 3.2;
 
-/// The interval to which polls back off.
+/// The interval to which polls back off, unless half of the staleness limit is less.
 fn max_interval_s(proxies: u32) -> f64 {
-    (f64::from(proxies) * FLEET_INTERVAL_S).clamp(MIN_MAX_INTERVAL_S, MAX_MAX_INTERVAL_S)
+    (f64::from(proxies) * FLEET_INTERVAL_S).clamp(SMALLEST_INTERVAL_CAP_S, LARGEST_INTERVAL_CAP_S)
 }
 
 /// How long to wait for the response of a poll after one that discovery rejected.
@@ -48,7 +48,7 @@
     } else {
         (INITIAL_INTERVAL_S + interval_s) / 2.0
     };
-    let timeout_s = MAX_MAX_INTERVAL_S - until_next_s;
+    let timeout_s = LARGEST_INTERVAL_CAP_S - until_next_s;
     Micros::from_secs_f64(timeout_s.clamp(POLL_TIMEOUT.as_secs_f64(), QUEUED_POLL_TIMEOUT_S))
 }
 
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -38,9 +38,10 @@
     /// Attempts of this proxy that it may have in flight.
     pub capacity: f64,
     /// This proxy's part of what all proxies send it.
-    pub proxy_share: f64,
-    /// Its place, from 0 to 1, in the rotation that gives a capacity of less than one to the proxies in turn.
-    pub rotation_offset: f64,
+    pub own_part: f64,
+    /// From 0 to 1: rounds a fractional capacity up at some proxies and down at others, so that the sum over all
+    /// proxies is right.
+    pub rounding_offset: f64,
 }
 
 impl EndpointLoad {
@@ -78,8 +79,8 @@
     pub(super) fn reset_solution(&mut self) {
         self.readiness = 0.0;
         self.capacity = 0.0;
-        self.proxy_share = 0.0;
-        self.rotation_offset = 0.0;
+        self.own_part = 0.0;
+        self.rounding_offset = 0.0;
     }
 }
 
@@ -96,8 +97,8 @@
 }
 
 impl ProxyPosition {
-    /// The place of this proxy in an endpoint's rotation: evenly spread from 0 to 1 over all proxies.
-    pub(super) fn rotation_offset(self, address_hash: u64) -> f64 {
+    /// This proxy's rounding offset at an endpoint: the offsets of all proxies are evenly spread from 0 to 1.
+    pub(super) fn rounding_offset(self, address_hash: u64) -> f64 {
         let turn = address_hash.wrapping_add(u64::from(self.index));
         ((turn % u64::from(self.count)) as f64 + 0.5) / f64::from(self.count)
     }
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -28,7 +28,7 @@
     records: Vec<EndpointRecord>,
     pub loads: Vec<EndpointLoad>,
     /// Each endpoint's part of this proxy's traffic.
-    pub traffic_share: Vec<f64>,
+    pub own_traffic_share: Vec<f64>,
     /// Each endpoint's part of this proxy's subset of its kind.
     pub subset_share: Vec<f64>,
     address_hashes: Vec<u64>,
@@ -49,11 +49,11 @@
     pub restricted: BTreeSet<u32>,
     /// Endpoints that were silent at the last check.
     silent: Vec<BackendId>,
-    /// Removed from the list, but still of account.
+    /// Removed from the list, while their records are still needed.
     removed: Vec<BackendId>,
     /// Attempts in flight at endpoints in use.
     in_flight: u64,
-    /// The position for which rotation offsets were assigned.
+    /// The position for which rounding offsets were assigned.
     offsets_assigned_for: ProxyPosition,
 }
 
@@ -124,7 +124,7 @@
         if let Some(index) = self.position(id) {
             self.record_at_mut(index).reset();
             self.loads[index].reset_solution();
-            self.traffic_share[index] = 0.0;
+            self.own_traffic_share[index] = 0.0;
             self.subset_share[index] = 0.0;
         }
     }
@@ -168,12 +168,12 @@
     }
 
     /// Assigns rotation offsets, to all endpoints for a new position and else to those that have none.
-    pub fn assign_rotation_offsets(&mut self, position: ProxyPosition) {
+    pub fn assign_rounding_offsets(&mut self, position: ProxyPosition) {
         let has_changed = self.offsets_assigned_for != position;
         self.offsets_assigned_for = position;
         for (load, address_hash) in self.loads.iter_mut().zip(&self.address_hashes) {
-            if has_changed || load.rotation_offset == 0.0 {
-                load.rotation_offset = position.rotation_offset(*address_hash);
+            if has_changed || load.rounding_offset == 0.0 {
+                load.rounding_offset = position.rounding_offset(*address_hash);
             }
         }
     }
@@ -255,7 +255,7 @@
 
     /// What an endpoint that may be drawn weighs: its share of the subset, and for all others a last resort.
     pub fn weight(&self, index: usize) -> f64 {
-        draw_weight(self.subset_share[index], self.traffic_share[index])
+        draw_weight(self.subset_share[index], self.own_traffic_share[index])
     }
 
     fn set_weight(&mut self, index: usize, weight: f64) {
--- a/src/balancer/endpoints/update.rs
+++ b/src/balancer/endpoints/update.rs
@@ -85,7 +85,7 @@
         let readdressed = self.address_hashes[index] != entry.address_hash;
         let moved = readdressed || load.kind != entry.kind || load.zone != entry.zone;
         if readdressed {
-            load.rotation_offset = 0.0;
+            load.rounding_offset = 0.0;
         }
         load.kind = entry.kind;
         load.zone = entry.zone;
@@ -130,7 +130,7 @@
         retain_marked(&mut self.ids, &stays);
         retain_marked(&mut self.records, &stays);
         retain_marked(&mut self.loads, &stays);
-        retain_marked(&mut self.traffic_share, &stays);
+        retain_marked(&mut self.own_traffic_share, &stays);
         retain_marked(&mut self.subset_share, &stays);
         retain_marked(&mut self.address_hashes, &stays);
         self.by_address_hash.retain(|index| stays[*index as usize]);
@@ -148,7 +148,7 @@
             self.ids.push(entry.id);
             self.address_hashes.push(entry.address_hash);
             self.loads.push(EndpointLoad::new(entry.kind, entry.zone));
-            self.traffic_share.push(0.0);
+            self.own_traffic_share.push(0.0);
             self.subset_share.push(0.0);
             self.records.push(EndpointRecord::new(entry));
         }
@@ -162,7 +162,7 @@
         self.ids.reserve(added);
         self.records.reserve(added);
         self.loads.reserve(added);
-        self.traffic_share.reserve(added);
+        self.own_traffic_share.reserve(added);
         self.subset_share.reserve(added);
         self.address_hashes.reserve(added);
         self.by_address_hash.reserve(added);
@@ -181,7 +181,7 @@
             .collect();
         reorder(&mut self.ids, &old_positions);
         reorder(&mut self.loads, &old_positions);
-        reorder(&mut self.traffic_share, &old_positions);
+        reorder(&mut self.own_traffic_share, &old_positions);
         reorder(&mut self.subset_share, &old_positions);
         reorder(&mut self.address_hashes, &old_positions);
         self.by_address_hash = (0..self.len() as u32).collect();
--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -22,9 +22,9 @@
     /// Requests a second that one endpoint can serve.
     pub speed_per_s: f64,
     /// Its part of the traffic of all proxies.
-    pub traffic_share: f64,
+    pub fleet_traffic_share: f64,
     /// Its part of the traffic of this proxy.
-    pub proxy_share: f64,
+    pub own_traffic_share: f64,
     /// Requests of this proxy that were served there, for each ready endpoint.
     pub served_per_endpoint: EventRate,
 }
@@ -37,8 +37,8 @@
             concurrency_limit: ConcurrencyLimit::default(),
             ready_endpoints: 0.0,
             speed_per_s: 0.0,
-            traffic_share: 0.0,
-            proxy_share: 0.0,
+            fleet_traffic_share: 0.0,
+            own_traffic_share: 0.0,
             served_per_endpoint: EventRate::new(SERVED_MEMORY_S),
         }
     }
@@ -64,7 +64,7 @@
     /// it could serve beyond that. 0 while there is no latency.
     pub fn update_speed(&mut self, fleet_rate_per_s: f64) {
         let served_per_s = if self.ready_endpoints > 0.0 {
-            fleet_rate_per_s * self.traffic_share / self.ready_endpoints
+            fleet_rate_per_s * self.fleet_traffic_share / self.ready_endpoints
         } else {
             0.0
         };
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt while the first is still in flight, on a backend that was ejected or removed.
+//! Hedged requests: a second attempt while the first is still in flight, on a backend that is ejected.
 //!
 //! Age alone is no reason for one: hedges of requests that are merely heavy would load every backend.
 
@@ -25,12 +25,12 @@
     }
 
     fn is_lost(&self, attempt: &Attempt) -> bool {
-        let ejected_or_removed = || {
+        let on_ejected_backend = || {
             self.backends
                 .get(attempt.backend.id)
                 .is_none_or(EndpointRecord::is_ejected)
         };
-        attempt.in_flight && ejected_or_removed()
+        attempt.in_flight && on_ejected_backend()
     }
 
     /// Queues a second attempt. Where no two may run at once, the first is cancelled to make way for it.
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -9,16 +9,18 @@
 use super::Balancer;
 use crate::interface::{Micros, Time};
 
-/// A request worth less than this part of a first attempt within quota has low priority: it is shed first, and finds
-/// half of the backends' capacity.
+/// A request of less value than this has low priority: it is shed first, and finds half of the backends' capacity. An
+/// original request within quota has the value 1.
 pub(super) const LOW_PRIORITY_VALUE: f64 = 0.5;
 /// Requests in flight on a backend above which every first attempt is shed.
 const SHED_ALL_ABOVE: f64 = MIN_CONCURRENCY_LIMIT * 2.0;
-/// ... those of low priority, while every class is well within its latency objective,
+/// Requests in flight on a backend above which those of low priority are shed, while every class is well within its
+/// latency objective.
 const SHED_LOW_PRIORITY_ABOVE: f64 = MIN_CONCURRENCY_LIMIT * 1.5;
-/// ... those of low priority, while some class is not,
+/// Requests in flight on a backend above which those of low priority are shed, while some class is not well within its
+/// latency objective.
 const SHED_LOW_PRIORITY_ABOVE_WHILE_SLOW: f64 = MIN_CONCURRENCY_LIMIT / 2.0;
-/// ... and those that will hardly be answered in time.
+/// Requests in flight on a backend above which those are shed that will hardly be answered in time.
 const SHED_HOPELESS_ABOVE: f64 = MIN_CONCURRENCY_LIMIT / 2.0;
 
 /// The load of all proxies together, as this one estimates it.
@@ -68,7 +70,7 @@
     pub(super) fn fleet_load(&self) -> FleetLoad {
         let proxies = f64::from(self.config.proxy_count);
         let in_flight = self
-            .admission
+            .fleet_load_estimator
             .fleet_in_flight(proxies, self.traffic_multiple());
         FleetLoad {
             in_flight: in_flight.filter(|_| proxies > MIN_CONCURRENCY_LIMIT),
--- a/src/balancer/log_limiter.rs
+++ b/src/balancer/log_limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds how often the decisions write to the log.
+//! Bounds how often the decisions write to the log. Lines within the interval after another are lost, uncounted.
 
 use crate::interface::{Micros, Time};
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,9 @@
 //! The decisions of one proxy: events in, actions out. Its interface is `src/interface/`.
 //!
 //! [`Balancer::handle`] takes an event, calls the rules that the event concerns, and then those that follow every
-//! event: checks that time alone made due, and the dispatch of waiting requests. The rules stand in the modules below,
-//! one mechanism each.
+//! event: checks that time alone made due, and the dispatch of waiting requests. The traffic split, where due, is
+//! solved before the event is applied. The handling of a timer that a later one replaced ends there. The rules stand in
+//! the modules below, one mechanism each.
 //!
 //! On the ordinary path a request is admitted (`admission`), waits in the `dispatch_queue`, is sent to a backend that
 //! `selection` draws by the shares of the `traffic_split` (HALB), and its end is learned from (`attempts`,
@@ -19,6 +20,7 @@
 mod endpoints;
 mod estimators;
 mod final_answers;
+mod fleet_load;
 mod hardware_class;
 mod hedging;
 mod hot_restart;
@@ -45,12 +47,12 @@
 use crate::interface::{
     Action, BackendId, Config, ConfigError, Event, KindId, Micros, Time, ValidatedConfig, ZoneId,
 };
-use admission::AdmissionControl;
 use classes::ClassTable;
 use discovery_polling::DiscoveryPolling;
 use dispatch_queue::DispatchQueue;
 use endpoints::{EndpointRecord, EndpointTable};
 use estimators::{EventRate, RunningMean};
+use fleet_load::FleetLoadEstimator;
 use hardware_class::HardwareClass;
 use hot_restart::ProcessCount;
 use log_limiter::LogLimiter;
@@ -84,7 +86,7 @@
     error_share: RunningMean,
     /// Requests that arrive here, retries of clients included.
     arrivals: EventRate,
-    admission: AdmissionControl,
+    fleet_load_estimator: FleetLoadEstimator,
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
     requests: RequestTable,
@@ -116,7 +118,7 @@
             classes: ClassTable::new(&config.classes),
             error_share: RunningMean::default(),
             arrivals: EventRate::new(ARRIVAL_RATE_MEMORY_S),
-            admission: AdmissionControl::new(),
+            fleet_load_estimator: FleetLoadEstimator::new(),
             quotas: TenantQuotas::default(),
             retry_budget: RetryBudget::default(),
             requests: RequestTable::default(),
@@ -139,7 +141,7 @@
             self.dispatch_queue.unblock();
         }
         let in_flight = self.backends.in_flight(now, &self.config);
-        self.admission.record_in_flight(now, in_flight);
+        self.fleet_load_estimator.record_in_flight(now, in_flight);
         let has_work = matches!(event, Event::RequestArrived(_)) || !self.dispatch_queue.is_empty();
         if has_work && now >= self.split.due_at {
             self.solve(now);
@@ -172,8 +174,9 @@
             .map(|(id, kind)| (*id, kind.concurrency_limit.get()))
     }
 
-    /// The part of its capacity that each backend is good for: 0 where it drains, is disabled or ejected.
-    pub fn readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
+    /// The part of its capacity that each backend is good for by its warm-up: 0 where it drains, is disabled or
+    /// ejected. It leaves out zone failover, the share of errors, silence, pauses after overload and panic mode.
+    pub fn warm_up_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let slow_start = SlowStart::new(&self.config);
         let readiness = move |record: &EndpointRecord| {
             let usable = self.backends.is_available(record) && !record.is_ejected();
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,5 +1,7 @@
 //! Outlier detection: what the outcomes of attempts say of an endpoint, its ejection, and its readmission once health
 //! checks pass.
+//!
+//! Health checks are passive: ordinary client requests sent, one at a time, to an ejected endpoint after its term.
 
 use super::classes::LATENCY_SAMPLES;
 use super::endpoints::EndpointRecord;
@@ -21,9 +23,9 @@
 pub(super) const BASE_EJECTION_S: f64 = 1.0;
 /// The duration doubles with each consecutive ejection, so often at most.
 const MAX_EJECTION_DOUBLINGS: i32 = 2;
-/// The duration is drawn from this part of it ...
+/// The duration is drawn evenly from a range that begins at this part of it.
 const EJECTION_JITTER_MIN: f64 = 0.75;
-/// ... over a range of this part, so that proxies do not check an endpoint's health in step.
+/// Width of that range, as a part of the duration: proxies do not check an endpoint's health in step.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
 /// An overloaded endpoint gets nothing for so long, s.
 const OVERLOADED_PAUSE_S: f64 = BASE_EJECTION_S / 2.0;
@@ -98,8 +100,8 @@
         self.error_share > ejection_error_share || self.is_ejected()
     }
 
-    /// This proxy found it failing; returns for how long that ejects it, unless it is ejected already. `base` is the
-    /// duration without earlier ejections, in seconds.
+    /// This proxy found it failing; returns for how long that ejects it, unless it is ejected already. `base_s` is the
+    /// duration without earlier ejections.
     fn record_failure(&mut self, now: Time, base_s: f64) -> Option<Micros> {
         let earlier = self.consecutive_ejections;
         let faults = self.faults_mut();
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -36,9 +36,9 @@
         true
     }
 
-    /// Keeps a peer's ejection. Health checks go round: with the newest verdict, which names to each proxy its turn,
-    /// one proxy's turn comes at the end of the ejection and the next one's a first ejection's duration later. So the
-    /// result of one reaches the others first, and no proxy with a broken link keeps an endpoint out for long.
+    /// Keeps a peer's ejection. Proxies check in turn, by the number that the newest verdict gives each: number n at
+    /// the ejection's end + n x [`BASE_EJECTION_S`]. So the result of one reaches the others first, and no proxy with a
+    /// broken link keeps an endpoint out for long.
     fn keep_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
         let given_at = ejection.given_at;
         let faults = self.faults_mut();
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -40,13 +40,13 @@
     pub objective_until: Time,
     /// The client gives up then.
     pub deadline: Time,
-    /// Its value as a part (0 to 1) of that of a first attempt within the tenant's quota.
+    /// 1 for an original request within quota; less over quota or for a client's retry.
     pub value: f64,
     /// A response streams to the client.
     pub response_streaming: bool,
     /// Its body is streamed to one backend as it arrives, and cannot be sent to another.
     pub upload_streaming: bool,
-    /// Attempts allowed under the rules that it arrived with.
+    /// Attempts allowed under the rules that it arrived with; no more once its body streams.
     pub max_attempts: usize,
     /// In order of their numbers.
     pub attempts: Vec<Attempt>,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -63,7 +63,7 @@
         let weighted = groups.filter_map(|(index, kind)| {
             Some(Weighted {
                 item: index,
-                weight: self.kinds.get(&kind)?.proxy_share,
+                weight: self.kinds.get(&kind)?.own_traffic_share,
             })
         });
         let weighted: Vec<Weighted<usize>> = weighted.collect();
@@ -174,7 +174,7 @@
         work: f64,
         proven_capacities: &mut ProvenCapacities,
     ) -> bool {
-        let offset = self.backends.loads[index].rotation_offset;
+        let offset = self.backends.loads[index].rounding_offset;
         let exceeded =
             self.remaining_warm_up_budget(now, index, proven_capacities) < work * (1.0 - offset);
         !exceeded
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -55,7 +55,7 @@
     /// evenly.
     uptime_windows: f64,
     /// This proxy's part of what all proxies send the endpoint.
-    proxy_share: f64,
+    own_part: f64,
     /// Processes that share the budget of this proxy during a hot restart.
     processes: u32,
 }
@@ -70,7 +70,7 @@
         // One request of all proxies together is always allowed: else a process that starts among endpoints that are
         // all in slow start would reject its first requests.
         let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
-        fleet_work * self.proxy_share / f64::from(self.processes)
+        fleet_work * self.own_part / f64::from(self.processes)
     }
 }
 
@@ -101,7 +101,7 @@
             readiness,
             proven_capacity_per_s,
             uptime_windows: self.uptime_windows(now),
-            proxy_share: self.backends.loads[index].proxy_share,
+            own_part: self.backends.loads[index].own_part,
             processes: self.processes.sharing_budgets(now),
         };
         budget.work() - record.work_within(now, overload_window)
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -39,7 +39,7 @@
     readiness: 0.5,
     proven_capacity_per_s: 50.0,
     uptime_windows: 3.0,
-    proxy_share: 0.5,
+    own_part: 0.5,
     processes: 1,
 };
 
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -40,7 +40,7 @@
                 concurrency_limit: MIN_CONCURRENCY_LIMIT,
             },
             |class| GroupSplit {
-                traffic_share: class.traffic_share,
+                traffic_share: class.fleet_traffic_share,
                 ready_endpoints: class.ready_endpoints.max(MIN_DIVISOR),
                 concurrency_limit: class.concurrency_limit.get().max(MIN_CONCURRENCY_LIMIT),
             },
@@ -102,13 +102,13 @@
             .collect();
         let fair_shares = zone_fair_shares(&self.backends, &splits, &self.config);
         let biases = zone_biases(&self.backends, &fair_shares, &self.config);
-        self.backends.assign_rotation_offsets(ProxyPosition {
+        self.backends.assign_rounding_offsets(ProxyPosition {
             index: self.config.proxy_index,
             count: self.config.proxy_count,
         });
         let proxies = f64::from(self.config.proxy_count);
         let traffic = assign_traffic(&mut self.backends, &splits, &biases, proxies);
-        update_proxy_shares(
+        update_own_traffic_shares(
             &mut self.kinds,
             &self.backends.groups,
             &traffic.group_shares,
@@ -176,7 +176,7 @@
         group_shares: vec![0.0; splits.len()],
         reached: 0,
     };
-    let shares = endpoints.traffic_share.iter_mut();
+    let shares = endpoints.own_traffic_share.iter_mut();
     for (load, traffic_share) in endpoints.loads.iter_mut().zip(shares) {
         let group = load.group_index as usize;
         let split = &splits[group];
@@ -184,7 +184,7 @@
         // At least one each: with more proxies than the limit they would wait for turns, and shedding load keeps the
         // limit there.
         let by_traffic = (1.0 - CAPACITY_BY_TRAFFIC) + CAPACITY_BY_TRAFFIC * bias;
-        let capacity = split.even_capacity(load, proxies) * by_traffic + load.rotation_offset;
+        let capacity = split.even_capacity(load, proxies) * by_traffic + load.rounding_offset;
         load.capacity = capacity.floor().max(1.0);
         let share = split.fair_share(load) * bias;
         *traffic_share = share + load.readiness * OVERFLOW_PART;
@@ -195,16 +195,16 @@
 }
 
 /// Sets each hardware class's part of this proxy's traffic.
-fn update_proxy_shares(
+fn update_own_traffic_shares(
     kinds: &mut BTreeMap<KindId, HardwareClass>,
     groups: &[EndpointGroup],
     group_shares: &[f64],
 ) {
     for class in kinds.values_mut() {
-        class.proxy_share = 0.0;
+        class.own_traffic_share = 0.0;
     }
     for (group, share) in groups.iter().zip(group_shares) {
-        kinds.entry(group.kind).or_default().proxy_share = *share;
+        kinds.entry(group.kind).or_default().own_traffic_share = *share;
     }
 }
 
@@ -217,7 +217,7 @@
         let load = &mut endpoints.loads[index];
         let group = load.group_index as usize;
         let from = walks[group].position;
-        let traffic_share = walks[group].traffic_share + endpoints.traffic_share[index];
+        let traffic_share = walks[group].traffic_share + endpoints.own_traffic_share[index];
         let to = traffic_share / group_shares[group].max(MIN_DIVISOR);
         walks[group] = RingWalk {
             traffic_share,
@@ -225,7 +225,7 @@
         };
         let subset_share = arc.overlap(from, to);
         endpoints.subset_share[index] = subset_share;
-        load.proxy_share = if subset_share > 0.0 {
+        load.own_part = if subset_share > 0.0 {
             subset_share / ((to - from) * arc.width * proxies).max(MIN_DIVISOR)
         } else {
             0.0
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -194,7 +194,7 @@
             rate_per_s.filter(|_| mean_speed_per_s.is_some()),
         );
         for (class, share) in self.kinds.values_mut().zip(shares) {
-            class.traffic_share = share;
+            class.fleet_traffic_share = share;
         }
     }
 
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -8,7 +8,7 @@
 use crate::interface::{Action, Micros, Time, ZoneFailover, ZoneId};
 use std::collections::BTreeMap;
 
-/// A zone is taken out of use once it has been unhealthy for so long, s: a silence that ends sooner is a hiccup.
+/// A zone is taken out of use once it has been unhealthy for so long, s: a shorter silence is no failure.
 const UNHEALTHY_FOR_S: f64 = BASE_EJECTION_S / 2.0;
 /// Samples in the share of attempts without a response.
 const ATTEMPT_SAMPLES: f64 = 30.0;
@@ -164,6 +164,7 @@
             .collect()
     }
 
+    /// Its log lines bypass the log limiter: each change of a zone's use is logged.
     fn update_zone_health(&mut self, now: Time, rules: &ZoneFailover) -> BTreeMap<ZoneId, f64> {
         let slow_start = SlowStart::new(&self.config);
         let mut readiness = BTreeMap::new();
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -44,9 +44,10 @@
     pub slow_start_min_readiness: f64,
     /// A started backend has its full capacity after this time.
     pub slow_start: Micros,
-    /// A backend that is warming up fails if it gets more than this multiple of its present capacity ...
+    /// A backend that is warming up fails if it gets more than this multiple of its present capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// The time over which the load on a backend that is warming up is compared with `overload_multiple`.
     pub overload_window: Micros,
     /// When whole zones are taken out of use; `None`: never.
     pub zone_failover: Option<ZoneFailover>,
@@ -57,11 +58,12 @@
 /// When a whole zone is taken out of use, and how it returns (settings `locality`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFailover {
-    /// Part (0 to 1) of a zone's ready backends that, ejected or silent, takes the zone out of use. It returns below
-    /// half of this part.
+    /// The zone is taken out of use once, for half a second, this part (0 to 1) of its ready backends was ejected or
+    /// silent, or this part of the latest attempts there remained without a response. It returns when less than half of
+    /// this part of its backends is ejected or silent, after a rest that grows with repeated failovers.
     pub unhealthy_threshold: f64,
     /// Time over which a returning zone goes back to its full readiness. Doubles with each further failover within a
-    /// minute.
+    /// minute, up to 32 times this value.
     pub recovery_ramp: Micros,
 }
 
@@ -121,7 +123,8 @@
     Push,
     /// The proxy polls, see [`Action::PollDiscovery`](crate::Action::PollDiscovery).
     Poll {
-        /// A proxy that does not poll counts as notified of a change after this time.
+        /// A proxy that does not poll counts as notified of a change after this time. Half of it caps the interval to
+        /// which polls back off; a poll without a response is repeated after it.
         staleness_limit: Micros,
     },
 }
@@ -130,7 +133,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// The field, by its name in the settings.
+    /// A short name of the field, not the settings key.
     pub field: &'static str,
     /// The values that it takes.
     pub expected: &'static str,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -120,7 +120,7 @@
     pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the dispatch.
+    /// Time since the dispatch; for a streamed body, since its last byte was sent.
     pub latency: Micros,
     /// Whether the request has had its final answer, so that none is owed any more.
     pub answered: bool,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -11,7 +11,7 @@
 ids! {
     /// One client request; never used again.
     RequestId(u64);
-    /// The address of one backend process.
+    /// This process's number for one backend address; survives the backend's restart.
     BackendId(u32);
     /// An availability zone.
     ZoneId(u32);
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -109,7 +109,10 @@
 
     fn state(&self, now: Time) -> State {
         let b = &self.balancer;
-        let (readiness, holds) = (b.readiness(now).collect(), b.concurrency_limits().collect());
+        let (readiness, holds) = (
+            b.warm_up_readiness(now).collect(),
+            b.concurrency_limits().collect(),
+        );
         State {
             readiness,
             holds,
