--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -1,4 +1,7 @@
 //! The split of the traffic over hardware classes by HALB, and when it is solved anew.
+//!
+//! HALB is heterogeneity-aware load balancing: Gandhi, Mittal and Zhang, "Optimal Load-Balancing for Heterogeneous
+//! Clusters", Stony Brook University.
 
 use super::slow_start::SlowStart;
 use super::Balancer;
