--- a/src/fleet/config/entry.rs
+++ b/src/fleet/config/entry.rs
@@ -11,8 +11,9 @@
 /// What an entry is about. The reader of the entry knows how its value is encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A route, with its deadline.
-    Route,
+    /// A request class (a profile of the settings), named by its route, with its deadline.
+    #[serde(rename = "Route")]
+    RequestClass,
     /// A tenant, with its quota.
     Tenant,
     /// The platform's files, with the one entry [`Key::compaction`].
@@ -23,7 +24,7 @@
     /// The name in paths and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Route => "routes",
+            Kind::RequestClass => "routes",
             Kind::Tenant => "tenants",
             Kind::File => "file",
         }
--- a/src/fleet/config/error.rs
+++ b/src/fleet/config/error.rs
@@ -41,12 +41,15 @@
     /// A stable name for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
+            // A version that does not follow the one before it, or is too high for any clock: see the sender's clock.
             MessageError::Table(TableError::InvalidVersion(_)) => "number",
             MessageError::Table(TableError::InvalidEntry(_)) => "entry",
             MessageError::Table(TableError::Full) => "full",
+            // Entries that this proxy did not request, or that do not match their digest.
             MessageError::Table(TableError::DigestMismatch) | MessageError::Unsolicited => {
                 "unasked"
             }
+            // A voter's reply from a proxy that is no voter by this proxy's settings: the settings differ.
             MessageError::SenderNotVoter => "stranger",
             MessageError::NotVoter => "no_voter",
         }
--- a/src/fleet/config/peers.rs
+++ b/src/fleet/config/peers.rs
@@ -42,7 +42,7 @@
         Some(peers[self.below(peers.len())])
     }
 
-    /// A member to catch up from: mostly one of the same zone.
+    /// A member to catch up from; prefers `zone_members`, which the host leaves empty.
     pub(super) fn choose_nearby(&mut self, context: &Context) -> Option<SocketAddr> {
         if context.zone_members.is_empty() || self.below(ANY_ZONE_ONE_IN) == 0 {
             self.choose(context.members)
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -135,11 +135,14 @@
             DatagramError::BadMagic => "magic",
             DatagramError::UnsupportedVersion(_) => "version",
             DatagramError::ChecksumMismatch => "checksum",
+            // The checksum is right, but the body does not decode: look for a faulty or differing program.
             DatagramError::Malformed(_) => "garbled",
             DatagramError::ForeignCluster => "cluster",
             DatagramError::Age(error) => error.cause(),
             DatagramError::Replayed => "replayed",
+            // A response that this proxy did not request, or no longer waits for.
             DatagramError::Unsolicited => "unasked",
+            // A coordination message that nobody takes here: coordination is not configured, or its queue is full.
             DatagramError::Unhandled => "unheard",
             DatagramError::Swim(_) => "swim",
         }
--- a/src/fleet/relay/mod.rs
+++ b/src/fleet/relay/mod.rs
@@ -71,6 +71,7 @@
     pub fn cause(&self) -> &'static str {
         match self {
             BroadcastError::TooManyHops(_) => "hops",
+            // The range it was forwarded for is invalid or does not include this proxy.
             BroadcastError::OutsideRange => "astray",
             BroadcastError::InvalidOrigin(_) => "origin",
             BroadcastError::Duplicate => "repeated",
--- a/src/net/background_thread.rs
+++ b/src/net/background_thread.rs
@@ -1,7 +1,7 @@
 //! A thread for long work, while the event loop goes on.
 //!
-//! Use [`BackgroundThread::run`] for work whose result the event loop waits for, such as reading the configuration, and
-//! [`BackgroundThread::discard`] to free large values.
+//! Use [`BackgroundThread::run`] for work whose result the event loop waits for, such as reading the configuration or
+//! amending the settings, and [`BackgroundThread::discard`] to free large values.
 
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -11,7 +11,8 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Why work was not done in the background. The texts name the configuration, the only work whose result is awaited.
+/// Why work was not done in the background. The texts name the reading of the configuration; amending the settings
+/// is awaited too.
 #[derive(Debug, Error)]
 pub enum BackgroundError {
     /// The thread cannot be started.
--- a/src/net/cluster/coordination/admin_calls.rs
+++ b/src/net/cluster/coordination/admin_calls.rs
@@ -100,7 +100,7 @@
 
 /// The state of the calendar's duty; the names are the operators' ones.
 fn duties(tables: &Tables) -> serde_json::Value {
-    let mut status = tables.leases.lock().status();
+    let mut status = tables.calendar_lease.lock().status();
     let (windows, in_maintenance, ready) = {
         let maintenance = tables.calendar.lock();
         (
--- a/src/net/cluster/coordination/admin_calls/stored_formats.rs
+++ b/src/net/cluster/coordination/admin_calls/stored_formats.rs
@@ -89,7 +89,7 @@
         incarnation: 0x55aa,
     };
     tables
-        .leases
+        .calendar_lease
         .lock()
         .admit_effect(from, token, true, &mut Outgoing::new())
         .unwrap();
--- a/src/net/cluster/coordination/announcements.rs
+++ b/src/net/cluster/coordination/announcements.rs
@@ -62,8 +62,8 @@
 
     /// All that this proxy knows, for others that may know less.
     pub fn digests(&self, wants_reply: bool) -> Vec<DutyMessage> {
-        let mut tokens = self.leases.lock().token_reports();
-        tokens.extend(self.config.lock().leases.token_reports());
+        let mut tokens = self.calendar_lease.lock().token_reports();
+        tokens.extend(self.config.lock().lease.token_reports());
         let maintenance = self.calendar.lock();
         maintenance
             .calendar
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -38,8 +38,8 @@
                 wall_ms: wall().0 / 1000,
                 members,
                 zone_members: &[],
-                lease: config.leases.held_token(),
-                leader: config.leases.holder(),
+                lease: config.lease.held_token(),
+                leader: config.lease.holder(),
             };
             let result = step(&mut config, now, &context, &mut out);
             config.carry_out_events(&mut mail);
@@ -83,9 +83,9 @@
         let lease_due = {
             let mut config = self.config.lock();
             if !config.replica.is_new() {
-                config.leases.set_eligible();
+                config.lease.set_eligible();
             }
-            let lease_due = config.leases.tick(&mut mail);
+            let lease_due = config.lease.tick(&mut mail);
             config.update_metrics(mono());
             lease_due
         };
@@ -153,7 +153,7 @@
         let replica = &config.replica;
         let table = replica.table();
         let digest = table.digest();
-        let mut status = config.leases.status();
+        let mut status = config.lease.status();
         let more = json!({
             "version": digest.version, "digest": format!("{:016x}", digest.root), "entries": table.len(),
             "contained": table.compacted_version(),
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -59,7 +59,7 @@
 fn change() -> Change {
     let route = br#"{"name":"/read/*","class":"read"}"#;
     let edits = vec![
-        edit(Kind::Route, "/read/*", Value::Set(route.to_vec())),
+        edit(Kind::RequestClass, "/read/*", Value::Set(route.to_vec())),
         edit(Kind::Tenant, "acme", Value::Removed),
         edit(Kind::Tenant, "größer", Value::AsFile),
     ];
@@ -115,7 +115,7 @@
     tables
         .config
         .lock()
-        .leases
+        .lease
         .admit_effect(from, token, true, &mut Outgoing::new())
         .unwrap();
     let mut after = tables.config_status();
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -188,7 +188,7 @@
 
 /// The kind of a path's segment. The platform's files are changed by a call of their own.
 pub fn kind_named(name: &str) -> Option<Kind> {
-    [Kind::Route, Kind::Tenant]
+    [Kind::RequestClass, Kind::Tenant]
         .into_iter()
         .find(|kind| kind.name() == name)
 }
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -42,7 +42,7 @@
 
 /// This proxy's part in the replicated configuration.
 pub struct ConfigDriver {
-    pub leases: DutyLease,
+    pub lease: DutyLease,
     pub replica: Replica,
     /// By the submission's id.
     calls: BTreeMap<u64, WaitingCall>,
@@ -67,7 +67,7 @@
             own,
         };
         ConfigDriver {
-            leases: DutyLease::new(Duty::Config, lease, voters, own, incarnation),
+            lease: DutyLease::new(Duty::Config, lease, voters, own, incarnation),
             replica: Replica::new(rules, random_id(), now),
             calls: BTreeMap::new(),
             unsent: None,
@@ -89,7 +89,7 @@
                         .extend(entries.map(|entry| (entry.edit.key.clone(), entry)));
                 }
                 Event::Outcome { id, result } => self.answer_call(id, result),
-                Event::Superseded(token) => self.leases.observe_token(token, mail),
+                Event::Superseded(token) => self.lease.observe_token(token, mail),
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
                     warn!(event = "config_diverged", version = digest.version, other = %other,
@@ -120,7 +120,7 @@
                 json!({ "field": invalid.key, "why": invalid.reason })
             }
             SubmitError::NoLeader => {
-                json!({ "field": "holder", "why": self.leases.why_no_holder() })
+                json!({ "field": "holder", "why": self.lease.why_no_holder() })
             }
             error => json!({ "field": "holder", "why": error.to_string() }),
         };
@@ -187,7 +187,7 @@
         // As many bits as a float has: equal versions have equal ones.
         metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
         metrics::gauge!("meadowproxy_config_entries").set(table.len() as f64);
-        let heard = self.leases.since_heartbeat();
+        let heard = self.lease.since_heartbeat();
         if heard.0 < u64::MAX {
             metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
         }
--- a/src/net/cluster/coordination/config_snapshot/stored_formats.rs
+++ b/src/net/cluster/coordination/config_snapshot/stored_formats.rs
@@ -17,7 +17,7 @@
         vec![edit(Kind::Tenant, "old", Value::Set(b"{}".to_vec()))],
         vec![
             edit(
-                Kind::Route,
+                Kind::RequestClass,
                 "/read/*",
                 Value::Set(br#"{"name":"/read/*","class":"read"}"#.to_vec()),
             ),
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -127,11 +127,14 @@
     pub fn cause(&self) -> &'static str {
         match self {
             MessageError::Empty | MessageError::Version(_) => "version",
+            // The message does not decode: look for a faulty or differing program.
             MessageError::Malformed(_) => "garbled",
             MessageError::Window(WindowError::Full) => "full",
             MessageError::Window(_) => "entry",
+            // A voter's response from a proxy that is no voter by this proxy's settings: the settings differ.
             MessageError::NotAVoter => "stranger",
             MessageError::StaleToken => "token",
+            // A fencing token that is too high for any clock: see the sender's clock.
             MessageError::TokenNumber(_) => "number",
             MessageError::Broadcast(error) => error.cause(),
             MessageError::Config(error) => error.cause(),
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -194,7 +194,10 @@
     };
     if is_changed {
         if highest != Token::default() {
-            tables.leases.lock().observe_token(highest, outgoing);
+            tables
+                .calendar_lease
+                .lock()
+                .observe_token(highest, outgoing);
         }
         tables.update_maintenance();
     }
--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -30,11 +30,11 @@
             let mut outgoing = Outgoing::new();
             let _ = handle(&tables, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
             outgoing.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
-            tables.leases.lock().tick(&mut outgoing);
+            tables.calendar_lease.lock().tick(&mut outgoing);
             tables.update_maintenance();
             let call = Call { method: Method::GET, path: vec!["duties".into()], body: Bytes::new() };
             prop_assert_eq!(answer(&tables, &call).0, StatusCode::OK);
-            let token = tables.leases.lock().token_reports().first().map(|word| word.token);
+            let token = tables.calendar_lease.lock().token_reports().first().map(|word| word.token);
             prop_assert!(token >= highest, "{token:?} after {highest:?}");
             highest = token;
         }
@@ -118,7 +118,7 @@
         let handled = handle(&tables, address(12), message, &mut outgoing);
         (handled.map_err(|error| error.cause()), outgoing)
     };
-    let holder = || tables.leases.lock().holder();
+    let holder = || tables.calendar_lease.lock().holder();
     assert_eq!(relay(10, 5, now), (Ok(()), Vec::new()));
     assert_eq!(holder(), Some(address(10)), "not the one that relayed it");
     std::thread::sleep(std::time::Duration::from_millis(20));
@@ -129,7 +129,7 @@
     );
     assert_eq!(relay(10, 5, now).0, Err("repeated"));
     assert!(
-        tables.leases.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
+        tables.calendar_lease.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
         "an overtaken heartbeat counted as a new one"
     );
     let fenced = DutyMessage::Fenced {
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -2,9 +2,11 @@
 //! that the holder of the calendar's duty advances, and the configuration. The state machines are in
 //! [`meadowproxy::fleet`]; here are their sockets, clocks and threads.
 //!
-//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker takes the other
-//! proxies' messages, the timer worker lets time pass; a third, `copy`, writes a snapshot of the configuration where one
-//! is wanted. They share [`tables`]. The request loop takes none of their locks: it gets effects from a bounded channel,
+//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker (`duties-wire`)
+//! takes the other proxies' messages, the timer worker (`duties-clock`) lets time pass; a third (`duties-copy`) writes a
+//! snapshot of the configuration where one is wanted. They share [`tables`].
+//!
+//! The request loop takes none of their locks: it gets effects from a bounded channel,
 //! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
 //! bounded queue and are answered by a oneshot.
 //!
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -29,7 +29,7 @@
     };
     vec![
         edit(
-            Kind::Route,
+            Kind::RequestClass,
             "/read/*",
             Value::Set(br#"{"name":"/read/*"}"#.to_vec()),
         ),
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -1,7 +1,7 @@
 //! The tables that the workers share, each behind a lock, and what is done with several of them at once.
 //!
-//! Lock order, checked at every lock: `leases` before `config` before `calendar` before `roster` before `outbox` before
-//! `relay`. The request loop takes none of them.
+//! Lock order, checked at every lock: `calendar_lease` before `config` before `calendar` before `roster` before
+//! `outbox` before `relay`. The request loop takes none of them.
 
 use super::clocks::wall;
 use super::config_driver::ConfigDriver;
@@ -24,7 +24,7 @@
 /// Everything that the workers share.
 pub struct Tables {
     /// The lease of the calendar's duty.
-    pub leases: OrderedLock<DutyLease>,
+    pub calendar_lease: OrderedLock<DutyLease>,
     /// The configuration, with the lease of its duty.
     pub config: OrderedLock<ConfigDriver>,
     pub calendar: OrderedLock<Maintenance>,
@@ -53,7 +53,7 @@
     /// Puts each part behind a lock of its rank.
     pub fn new(parts: TableParts) -> Tables {
         Tables {
-            leases: OrderedLock::new(0, parts.lease),
+            calendar_lease: OrderedLock::new(0, parts.lease),
             config: OrderedLock::new(1, parts.config),
             calendar: OrderedLock::new(2, parts.calendar),
             roster: OrderedLock::new(3, parts.roster),
@@ -67,8 +67,8 @@
     /// Does something with the lease of a duty.
     pub fn with_lease<T>(&self, duty: Duty, act: impl FnOnce(&mut DutyLease) -> T) -> T {
         match duty {
-            Duty::Calendar => act(&mut self.leases.lock()),
-            Duty::Config => act(&mut self.config.lock().leases),
+            Duty::Calendar => act(&mut self.calendar_lease.lock()),
+            Duty::Config => act(&mut self.config.lock().lease),
         }
     }
 
@@ -92,7 +92,7 @@
     /// Derives which backends are in maintenance here, and notifies the request loop of changes. What the queue has no
     /// space for is sent with the next call.
     pub fn update_maintenance(&self) {
-        let since_heartbeat = self.leases.lock().since_heartbeat();
+        let since_heartbeat = self.calendar_lease.lock().since_heartbeat();
         let mut maintenance = self.calendar.lock();
         let maintenance = &mut *maintenance;
         let now = wall();
@@ -142,7 +142,7 @@
     /// clients come.
     pub fn set_caught_up(&self) {
         self.update_maintenance();
-        self.leases.lock().set_eligible();
+        self.calendar_lease.lock().set_eligible();
         self.calendar.lock().compared_ranges = None;
         self.admit_clients();
     }
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -122,12 +122,12 @@
         }
         self.catch_up();
         let mut outgoing = Outgoing::new();
-        let calendar_due_at = self.tables.leases.lock().tick(&mut outgoing);
+        let calendar_due_at = self.tables.calendar_lease.lock().tick(&mut outgoing);
         self.tables.send(outgoing);
         let config_due_at = self.tables.config_tick();
         self.update_demand();
         let calendar = self.advance_calendar();
-        let config = self.tables.config.lock().leases.held_token();
+        let config = self.tables.config.lock().lease.held_token();
         let config = config.map(|token| HeldDuty {
             duty: Duty::Config,
             token,
@@ -163,7 +163,7 @@
     /// Has the request loop show the listed backends where they are needed: most proxies of a quiet fleet never do.
     fn update_demand(&self) {
         let (is_holder, since_heartbeat) = {
-            let lease = self.tables.leases.lock();
+            let lease = self.tables.calendar_lease.lock();
             (lease.held_token().is_some(), lease.since_heartbeat())
         };
         let maintenance = self.tables.calendar.lock();
@@ -213,7 +213,7 @@
 
     /// The clock is read for the lease after all locks are taken, right before the transitions.
     fn advance_locked(&self) -> Option<Advanced> {
-        let lease = self.tables.leases.lock();
+        let lease = self.tables.calendar_lease.lock();
         lease.held_token()?;
         let mut maintenance = self.tables.calendar.lock();
         let mut roster = self.tables.roster.lock();
@@ -296,7 +296,7 @@
     /// Reports the requests that are open at backends in maintenance to the holder: each second, and at once where the
     /// last one ended.
     fn report_open_requests(&mut self) {
-        let holder = self.tables.leases.lock().holder();
+        let holder = self.tables.calendar_lease.lock().holder();
         let in_maintenance = self.tables.calendar.lock().in_maintenance.clone();
         let seen = self.tables.roster.lock().seen.clone();
         let (Some(holder), Some(seen)) = (holder, seen) else {
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -99,7 +99,7 @@
         let mut outgoing = Outgoing::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
         self.tables()
-            .leases
+            .calendar_lease
             .lock()
             .admit_effect(from, token, true, &mut outgoing)
             .unwrap();
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -230,7 +230,7 @@
 fn amendment(base: &ActiveSettings, file: &ActiveSettings, edit: &Edit) -> Option<Amendment> {
     let name = &edit.key.name;
     match edit.key.kind {
-        Kind::Route => match json_value(&edit.value, || file.profile(name)) {
+        Kind::RequestClass => match json_value(&edit.value, || file.profile(name)) {
             Some(route) => Some(Amendment::SetProfile(route)),
             None => base
                 .names
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -60,7 +60,7 @@
             has_moved: false,
             connection: None,
             // An agent's answers cost nothing: begin with the full list.
-            wants_full_list: !schedule.is_polling(),
+            wants_full_list: !schedule.balancer_schedules_polls(),
             long_poll: Duration::ZERO,
             queue_timeout: QUEUE_TIMEOUT,
             failures: 0,
@@ -136,7 +136,7 @@
             warn!(address = %self.address, "discovery failed: {error}");
         }
         self.tracker.clear_late_answer();
-        if self.schedule.is_polling() {
+        if self.schedule.balancer_schedules_polls() {
             self.host.discovery_failed();
         }
         let has_moved = std::mem::take(&mut self.has_moved);
@@ -165,7 +165,7 @@
     let address = *addresses.borrow_and_update();
     let mut watcher = Watcher::new(host.clone(), address, index, schedule);
     let tracker = watcher.tracker.clone();
-    if watcher.schedule.is_polling() {
+    if watcher.schedule.balancer_schedules_polls() {
         host.poll_requested().await;
     }
     loop {
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -18,8 +18,9 @@
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
 pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
-/// Where lists are pushed a connection to the agent is established at once or not at all. It is retried soon: a change
-/// counts from the moment the agent is back.
+/// Where lists are pushed, an agent (a process beside the balancer, with it as its one caller) keeps the list and answers
+/// each long poll as soon as the list changes. A connection to the agent is established at once or not at all.
+/// It is retried soon: a change counts from the moment the agent is back.
 pub const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause after the first of several failed calls; it doubles, once at most, as an agent's calls cost nothing.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -53,14 +54,15 @@
         }
     }
 
-    /// Whether the balancer decides when to poll, rather than an agent pushing lists.
-    pub fn is_polling(&self) -> bool {
+    /// Whether the balancer decides when to poll. With [`Discovery::Push`] it long-polls too, but an agent decides when to
+    /// answer.
+    pub fn balancer_schedules_polls(&self) -> bool {
         self.mode != Discovery::Push
     }
 
     /// How long establishing a connection may take.
     pub fn connect_timeout(&self) -> Duration {
-        if self.is_polling() {
+        if self.balancer_schedules_polls() {
             ANSWER_TIMEOUT
         } else {
             AGENT_CONNECT_TIMEOUT
@@ -76,7 +78,7 @@
     /// How long to wait before the next call after so many failures in a row. After a move to a new address that is soon,
     /// whatever came before; else only the balancer decides when to poll.
     pub fn backoff(&mut self, failures: u32, has_moved: bool) -> Duration {
-        if !self.is_polling() {
+        if !self.balancer_schedules_polls() {
             return INITIAL_BACKOFF * failures.min(MAX_BACKOFF_FACTOR);
         }
         if has_moved {
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -82,7 +82,8 @@
 pub const COUNTER_COUNT: usize = 12;
 
 impl RequestCounters {
-    /// Each counter with the name of its metric.
+    /// Each counter with the name of its metric. Some metrics have older words for them: rejected is `refused`, timed out
+    /// `overdue`, client disconnected `gone`, overloaded `full`, connect failed `unconnected`, not sent `unsent`.
     pub fn named(&self) -> [(&'static str, u64); COUNTER_COUNT] {
         [
             ("meadowproxy_requests_total", self.requests),
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -52,8 +52,8 @@
             .map(|duties| duties as Rc<dyn FleetAdmin>)
     }
 
-    /// Waits until the calendar is known: a maintenance window may be open.
-    pub async fn calendar_ready(&self) {
+    /// Waits until calendar and configuration have caught up, or the wait timed out.
+    pub async fn caught_up(&self) {
         if let Some(duties) = &self.duties {
             duties.ready().await;
         }
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -209,7 +209,7 @@
         });
     }
 
-    /// Waits for what a process should know before it takes clients from an older one.
+    /// Waits before clients are accepted: for the fleet always; for discovery beside an older process.
     pub async fn wait_until_ready(&self, has_discovery: bool, fleet: &Fleet) {
         if has_discovery && self.handover.has_older_process() {
             // The older process still serves, and the known list may be out of date.
@@ -217,7 +217,7 @@
             let answered = self.host.discovery_answered();
             let _ = tokio::time::timeout(FIRST_ENDPOINT_LIST_TIMEOUT, answered).await;
         }
-        fleet.calendar_ready().await;
+        fleet.caught_up().await;
     }
 
     /// Shares file descriptors with another process of this proxy, whenever there is one.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -778,7 +778,11 @@
 
 fn key() -> impl Strategy<Value = Key> {
     (0..2, "[a-c]{0,2}").prop_map(|(kind, name)| Key {
-        kind: if kind == 0 { Kind::Route } else { Kind::Tenant },
+        kind: if kind == 0 {
+            Kind::RequestClass
+        } else {
+            Kind::Tenant
+        },
         name,
     })
 }
@@ -958,7 +962,7 @@
     let mut replica = filled(9, changes((0..3).map(|n| edit(n, 9))));
     let of = |name: usize, value: usize| Edit {
         key: Key {
-            kind: Kind::Route,
+            kind: Kind::RequestClass,
             name: "n".repeat(name),
         },
         value: Value::Set(vec![0; value]),
