--- a/src/fleet/calendar/disruption_budget.rs
+++ b/src/fleet/calendar/disruption_budget.rs
@@ -10,7 +10,7 @@
 
 /// One listed backend, as the lease holder knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Backend {
+pub struct BackendCapacity {
     /// Its zone.
     pub zone: String,
     /// Its kind.
@@ -29,7 +29,7 @@
 }
 
 /// The listed backends by name.
-pub type Fleet = BTreeMap<String, Backend>;
+pub type ListedBackends = BTreeMap<String, BackendCapacity>;
 
 /// The share of the listed capacity that windows leave available, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,7 +49,7 @@
     }
 }
 
-impl Backend {
+impl BackendCapacity {
     fn listed_capacity(&self) -> f64 {
         if self.capacity.is_finite() {
             self.capacity.max(0.0)
@@ -75,8 +75,8 @@
 
 impl Window {
     /// The names of the backends that it targets; some of them may not be listed.
-    pub(super) fn targeted_backends<'a>(&'a self, fleet: &'a Fleet) -> BTreeSet<&'a str> {
-        let listed = |is_target: &dyn Fn(&Backend) -> bool| {
+    pub(super) fn targeted_backends<'a>(&'a self, fleet: &'a ListedBackends) -> BTreeSet<&'a str> {
+        let listed = |is_target: &dyn Fn(&BackendCapacity) -> bool| {
             fleet
                 .iter()
                 .filter(|(_, backend)| is_target(backend))
@@ -132,7 +132,7 @@
 
 /// The capacity that remains while windows take effect one after the other.
 pub(super) struct RemainingCapacity<'a> {
-    fleet: &'a Fleet,
+    fleet: &'a ListedBackends,
     budget: DisruptionBudget,
     in_maintenance: BTreeSet<&'a str>,
     capacities: BTreeMap<Group<'a>, GroupCapacity>,
@@ -143,7 +143,7 @@
 impl<'a> RemainingCapacity<'a> {
     /// The listed backends without those that are in maintenance already.
     pub(super) fn new(
-        fleet: &'a Fleet,
+        fleet: &'a ListedBackends,
         budget: DisruptionBudget,
         in_maintenance: BTreeSet<&'a str>,
     ) -> RemainingCapacity<'a> {
@@ -219,7 +219,7 @@
         taken
     }
 
-    fn available(&self, name: &str, backend: &Backend) -> f64 {
+    fn available(&self, name: &str, backend: &BackendCapacity) -> f64 {
         if self.in_maintenance.contains(name) {
             0.0
         } else {
--- a/src/fleet/calendar/isolation.rs
+++ b/src/fleet/calendar/isolation.rs
@@ -7,7 +7,7 @@
 //! back into it. A decision is valid until the holder's next one on that window; a proxy that comes to hold the lease
 //! itself adopts it.
 
-use super::disruption_budget::{Fleet, RemainingCapacity};
+use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
 use super::window::{Phase, Progress, Window};
 use super::{Calendar, WallTime};
@@ -76,7 +76,7 @@
         &mut self,
         now: WallTime,
         since_holder: Micros,
-        fleet: &Fleet,
+        fleet: &ListedBackends,
     ) -> BTreeSet<String> {
         let windows = &self.windows;
         self.isolated_decisions.retain(|id, decision| {
@@ -138,7 +138,7 @@
     }
 
     /// Puts windows into effect that are due and fit the budget, in the order of begin and id.
-    fn start_isolated(&mut self, now: WallTime, fleet: &Fleet) {
+    fn start_isolated(&mut self, now: WallTime, fleet: &ListedBackends) {
         let mut due: Vec<DueWindow> = self
             .windows
             .values()
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -31,7 +31,7 @@
 
 pub use admin_calls::{CallError, CallOutcome, WindowView};
 pub use anti_entropy::{Difference, Digest, DigestRow, MAX_DIGEST_ROWS, MAX_WINDOWS_PER_ANSWER};
-pub use disruption_budget::{Backend, DisruptionBudget, Fleet};
+pub use disruption_budget::{BackendCapacity, DisruptionBudget, ListedBackends};
 pub use phases::{OpenRequestReport, OpenRequestReports, Transition, NOTIFICATION_BOUND};
 pub use spec::{
     check_id, parse_instant, InvalidField, Schedule, Span, Spec, Targets, DEFAULT_LEAD_S,
--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -1,6 +1,6 @@
 //! The lease holder's transitions: how windows go through their phases.
 
-use super::disruption_budget::{Fleet, RemainingCapacity};
+use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
 use super::isolation::IsolatedWindow;
 use super::spec::Span;
@@ -10,7 +10,7 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Within this time a live proxy has acted on the holder's decision (the stated staleness): what it reports from then
+/// Within this time a live proxy has acted on the holder's decision: what it reports from then
 /// on counts requests that no new ones join.
 pub const NOTIFICATION_BOUND: Micros = Micros(2_000_000);
 /// A new holder claims what drains within this time: more than clocks of two proxies differ.
@@ -23,7 +23,7 @@
 pub struct OpenRequestReport {
     /// How long ago it reported.
     pub age: Micros,
-    /// Open requests by backend; a backend that is not named has none.
+    /// Open requests by backend; a backend that is not named has none. The host names unreported backends with 1.
     pub open: BTreeMap<String, u32>,
 }
 
@@ -66,7 +66,7 @@
 struct Observations<'a> {
     now: WallTime,
     slow_start: Micros,
-    fleet: &'a Fleet,
+    fleet: &'a ListedBackends,
     reports: &'a OpenRequestReports,
 }
 
@@ -78,7 +78,7 @@
         &mut self,
         now: WallTime,
         token: Token,
-        fleet: &Fleet,
+        fleet: &ListedBackends,
         reports: &OpenRequestReports,
     ) -> Vec<Transition> {
         if token < self.highest_token() {
--- a/src/fleet/membership/anti_entropy/member_list.rs
+++ b/src/fleet/membership/anti_entropy/member_list.rs
@@ -3,9 +3,9 @@
 use crate::fleet::membership::egress_limit::ENVELOPE_BYTES;
 use crate::fleet::membership::member::Member;
 use crate::fleet::membership::swim::KnownMember;
-use crate::fleet::membership::wire::{DatagramError, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES};
+use crate::fleet::membership::wire::{DatagramError, MAX_DATAGRAM_BODY_BYTES, MAX_DATAGRAM_BYTES};
 
-const _: () = assert!(MAX_BODY_BYTES + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES);
+const _: () = assert!(MAX_DATAGRAM_BODY_BYTES + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES);
 
 /// Encodes members to lists that fit into a datagram each.
 pub(super) fn encode_lists(members: Vec<&KnownMember>) -> Vec<Vec<u8>> {
@@ -15,7 +15,7 @@
             continue;
         };
         match lists.last_mut() {
-            Some(list) if list.len() + bytes.len() <= MAX_BODY_BYTES => list.extend(bytes),
+            Some(list) if list.len() + bytes.len() <= MAX_DATAGRAM_BODY_BYTES => list.extend(bytes),
             _ => lists.push(bytes),
         }
     }
--- a/src/fleet/membership/egress_limit.rs
+++ b/src/fleet/membership/egress_limit.rs
@@ -5,7 +5,7 @@
 //! paid for with tokens and wait for them.
 
 use super::member::Member;
-use super::wire::MAX_BODY_BYTES;
+use super::wire::MAX_DATAGRAM_BODY_BYTES;
 use crate::interface::Time;
 use bytes::BufMut;
 use foca::{
@@ -75,7 +75,7 @@
         reserved_bytes: usize,
         max_targets: usize,
     ) -> usize {
-        let body_bytes = (SWIM_HEADER_BYTES + backlog_bytes).min(MAX_BODY_BYTES);
+        let body_bytes = (SWIM_HEADER_BYTES + backlog_bytes).min(MAX_DATAGRAM_BODY_BYTES);
         let spendable = self.available().saturating_sub(reserved_bytes);
         (spendable / (body_bytes + ENVELOPE_BYTES)).min(max_targets)
     }
--- a/src/fleet/membership/snapshot_transfer.rs
+++ b/src/fleet/membership/snapshot_transfer.rs
@@ -2,7 +2,7 @@
 //! chunks that it arrives in. The content is the driver's.
 
 use super::event::{MembershipEvent, Output};
-use super::wire::{Body, DatagramError, SnapshotChunk, MAX_BODY_BYTES};
+use super::wire::{Body, DatagramError, SnapshotChunk, MAX_DATAGRAM_BODY_BYTES};
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
@@ -124,7 +124,7 @@
             self.chunks.resize(count, None);
         }
         let fits = self.chunks.len() == count && index < count;
-        if !fits || chunk.bytes.len() > MAX_BODY_BYTES {
+        if !fits || chunk.bytes.len() > MAX_DATAGRAM_BODY_BYTES {
             return Err(DatagramError::Unsolicited);
         }
         self.chunks[index] = Some(chunk.bytes);
--- a/src/fleet/membership/swim.rs
+++ b/src/fleet/membership/swim.rs
@@ -9,7 +9,7 @@
 use super::verdict_broadcast::{
     SharedVerdictStore, VerdictBroadcast, VerdictHandler, VerdictStore,
 };
-use super::wire::{Body, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES};
+use super::wire::{Body, MAX_DATAGRAM_BODY_BYTES, MAX_DATAGRAM_BYTES};
 use crate::interface::{Micros, Time};
 use foca::{Foca, OwnedNotification, PeriodicParams, State, Timer};
 use rand::rngs::StdRng;
@@ -231,7 +231,7 @@
     fn prepare_gossip(&mut self) -> Result<bool, foca::Error> {
         let update_bytes = self.foca.updates_backlog() * UPDATE_BYTES;
         let verdict_bytes = self.verdict_backlog() * VERDICT_BYTES;
-        let is_backlogged = update_bytes + verdict_bytes > MAX_BODY_BYTES;
+        let is_backlogged = update_bytes + verdict_bytes > MAX_DATAGRAM_BODY_BYTES;
         if verdict_bytes > 0 && is_backlogged {
             let fan_out = self.affordable_fan_out(verdict_bytes, 0);
             if fan_out > 0 {
@@ -315,7 +315,7 @@
         lan.max_transmissions
     };
     foca::Config {
-        max_packet_size: non_zero(MAX_BODY_BYTES),
+        max_packet_size: non_zero(MAX_DATAGRAM_BODY_BYTES),
         max_transmissions,
         periodic_gossip: Some(PeriodicParams {
             frequency: GOSSIP_INTERVAL,
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -19,7 +19,7 @@
 /// The largest datagram: below the usual path MTU, so that none is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The largest body: prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
-pub const MAX_BODY_BYTES: usize = 1300;
+pub const MAX_DATAGRAM_BODY_BYTES: usize = 1300;
 /// How many datagrams a [`ReplayFilter`] remembers at most.
 const REPLAY_FILTER_DATAGRAMS: usize = 16_384;
 
--- a/src/net/admin/disabled_backends/stored_formats.rs
+++ b/src/net/admin/disabled_backends/stored_formats.rs
@@ -16,7 +16,7 @@
         EndpointUpdate::Full,
         &List {
             index: 1,
-            snapshot: true,
+            is_full: true,
             endpoints,
         },
     );
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -3,7 +3,7 @@
 use super::routes::{allowed_methods, backend_id, decode_path, is_fleet_call, QueryError};
 use super::{AdminContext, FleetAdmin};
 use crate::net::observed_stream::ObservedStream;
-use crate::net::MAX_BODY;
+use crate::net::MAX_BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Collected, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -275,7 +275,7 @@
 
 /// The complete body of a call.
 async fn collect_body(body: Incoming) -> Result<Bytes, CallError> {
-    let collected = Limited::new(body, MAX_BODY).collect().await;
+    let collected = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
     collected
         .map(Collected::to_bytes)
         .map_err(|error| match error.is::<LengthLimitError>() {
--- a/src/net/admin/server/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -100,7 +100,7 @@
 type Case = (Vec<u8>, &'static str, &'static str);
 
 fn carried_out_fleet_calls() -> Vec<Case> {
-    let most = vec![b'x'; MAX_BODY];
+    let most = vec![b'x'; MAX_BUFFERED_BODY_BYTES];
     vec![
         (
             with_body("PUT /windows/a%2Fb%20c+d", b"{}"),
@@ -133,7 +133,7 @@
 }
 
 fn rejected_fleet_calls() -> Vec<Case> {
-    let over = vec![b'x'; MAX_BODY + 1];
+    let over = vec![b'x'; MAX_BUFFERED_BODY_BYTES + 1];
     vec![
         (
             with_body("PUT /windows/w", &over),
--- a/src/net/cluster/coordination/admin_calls.rs
+++ b/src/net/cluster/coordination/admin_calls.rs
@@ -110,10 +110,10 @@
         )
     };
     let members = tables.roster.lock().members().len();
-    let outbox = tables.outbox.lock();
+    let effect_queue = tables.effect_queue.lock();
     let more = json!({
-        "windows": windows, "out": in_maintenance, "ready": ready, "members": members, "sent": outbox.sent,
-        "received": outbox.received, "refused": outbox.rejected,
+        "windows": windows, "out": in_maintenance, "ready": ready, "members": members, "sent": effect_queue.sent,
+        "received": effect_queue.received, "refused": effect_queue.rejected,
     });
     if let (Some(status), serde_json::Value::Object(more)) = (status.as_object_mut(), more) {
         status.extend(more);
--- a/src/net/cluster/coordination/admin_calls/stored_formats.rs
+++ b/src/net/cluster/coordination/admin_calls/stored_formats.rs
@@ -1,6 +1,6 @@
 //! The answers to operators' calls on duties and windows: status and JSON.
 
-use super::super::duty_lease::Outgoing;
+use super::super::duty_lease::DutyMessages;
 use super::*;
 use crate::fixtures::assert_lines;
 use bytes::Bytes;
@@ -91,9 +91,9 @@
     tables
         .calendar_lease
         .lock()
-        .admit_effect(from, token, true, &mut Outgoing::new())
+        .admit_effect(from, token, true, &mut DutyMessages::new())
         .unwrap();
-    tables.outbox.lock().rejected.insert("token", 3);
+    tables.effect_queue.lock().rejected.insert("token", 3);
     let forms = [("at the start", before), ("with a holder", state(&tables))];
     assert_lines("duties-status.txt", &forms);
 }
--- a/src/net/cluster/coordination/announcements.rs
+++ b/src/net/cluster/coordination/announcements.rs
@@ -1,7 +1,7 @@
 //! Announcements to all members, and digests for single ones.
 
 use super::clocks::{mono, wall};
-use super::duty_lease::Outgoing;
+use super::duty_lease::DutyMessages;
 use super::message::{self, Announcement, DutyMessage, HeldDuty};
 use super::tables::Tables;
 use meadowproxy::fleet::calendar::Window;
@@ -38,9 +38,9 @@
         }
         self.announce_once(&announcements);
         let now = mono();
-        let mut outbox = self.outbox.lock();
+        let mut effect_queue = self.effect_queue.lock();
         for pause in REPEAT_AFTER {
-            let repeats = outbox.repeats.entry(now + pause).or_default();
+            let repeats = effect_queue.repeats.entry(now + pause).or_default();
             repeats.extend(announcements.iter().cloned());
         }
     }
@@ -80,7 +80,7 @@
 }
 
 /// Messages with windows for one proxy.
-pub fn window_messages(to: SocketAddr, windows: &[Window]) -> Outgoing {
+pub fn window_messages(to: SocketAddr, windows: &[Window]) -> DutyMessages {
     encode_windows(windows)
         .into_iter()
         .map(|windows| (to, DutyMessage::Windows { windows }))
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -5,7 +5,7 @@
 use super::clocks::{mono, wall};
 use super::config_change::{kind_named, ConfigChange};
 use super::config_driver::ConfigDriver;
-use super::duty_lease::Outgoing;
+use super::duty_lease::DutyMessages;
 use super::message::DutyMessage;
 use super::request_loop::Effect;
 use super::tables::Tables;
@@ -25,7 +25,7 @@
         &self,
         step: impl FnOnce(&mut ConfigDriver, Time, &Context, &mut Outbox) -> T,
     ) -> T {
-        let mut mail = Outgoing::new();
+        let mut duty_messages = DutyMessages::new();
         let mut out = Outbox::new();
         let (result, became_ready) = {
             let mut config = self.config.lock();
@@ -42,15 +42,16 @@
                 leader: config.lease.holder(),
             };
             let result = step(&mut config, now, &context, &mut out);
-            config.carry_out_events(&mut mail);
+            config.carry_out_events(&mut duty_messages);
             log_version(&config.replica, previous_version, now);
             config.publish_newest_version();
             self.send_config_changes(&mut config);
             (result, was_new && !config.replica.is_new())
         };
         let messages = out.into_iter();
-        mail.extend(messages.map(|outgoing| (outgoing.to, DutyMessage::Config(outgoing.message))));
-        self.send(mail);
+        duty_messages
+            .extend(messages.map(|outgoing| (outgoing.to, DutyMessage::Config(outgoing.message))));
+        self.send(duty_messages);
         if became_ready {
             self.admit_clients();
         }
@@ -67,7 +68,7 @@
             version: unsent.version,
             entries,
         };
-        if self.outbox.lock().effects.try_send(effect).is_err() {
+        if self.effect_queue.lock().effects.try_send(effect).is_err() {
             config.unsent = Some(unsent);
         }
     }
@@ -79,17 +80,17 @@
 
     /// Lets time pass for the configuration; returns when its lease is due next.
     pub fn config_tick(&self) -> Option<Time> {
-        let mut mail = Outgoing::new();
+        let mut duty_messages = DutyMessages::new();
         let lease_due = {
             let mut config = self.config.lock();
             if !config.replica.is_new() {
                 config.lease.set_eligible();
             }
-            let lease_due = config.lease.tick(&mut mail);
+            let lease_due = config.lease.tick(&mut duty_messages);
             config.update_metrics(mono());
             lease_due
         };
-        self.send(mail);
+        self.send(duty_messages);
         self.config_step(|config, now, context, out| {
             config.replica.tick(now, context, out);
             config.time_out_calls(now);
@@ -149,7 +150,7 @@
             .lock()
             .seen
             .as_ref()
-            .map(|seen| (seen.config, seen.file));
+            .map(|seen| (seen.config_version, seen.file_version));
         let replica = &config.replica;
         let table = replica.table();
         let digest = table.digest();
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -116,7 +116,7 @@
         .config
         .lock()
         .lease
-        .admit_effect(from, token, true, &mut Outgoing::new())
+        .admit_effect(from, token, true, &mut DutyMessages::new())
         .unwrap();
     let mut after = tables.config_status();
     assert!(after["heard_ms"].is_u64());
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -4,7 +4,7 @@
 use super::call::{json_line as line, Answer};
 use super::clocks::mono;
 use super::config_change::ConfigChange;
-use super::duty_lease::{DutyLease, Outgoing};
+use super::duty_lease::{DutyLease, DutyMessages};
 use super::message::Duty;
 use crate::net::config::fleet_overrides::NewestVersion;
 use hyper::StatusCode;
@@ -77,7 +77,7 @@
     }
 
     /// Carries out the replica's events.
-    pub fn carry_out_events(&mut self, mail: &mut Outgoing) {
+    pub fn carry_out_events(&mut self, duty_messages: &mut DutyMessages) {
         for event in self.replica.take_events() {
             match event {
                 Event::TableChanged { version, entries } => {
@@ -89,7 +89,7 @@
                         .extend(entries.map(|entry| (entry.edit.key.clone(), entry)));
                 }
                 Event::Outcome { id, result } => self.answer_call(id, result),
-                Event::Superseded(token) => self.lease.observe_token(token, mail),
+                Event::Superseded(token) => self.lease.observe_token(token, duty_messages),
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
                     warn!(event = "config_diverged", version = digest.version, other = %other,
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -18,6 +18,7 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
+/// It stems from the program's former name, and stays so that old files can be read.
 const MAGIC: [u8; 4] = *b"SHTC";
 /// Raised whenever the body's shape changes.
 const FORMAT: u16 = 1;
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -12,9 +12,9 @@
 use tracing::{info, warn};
 
 /// Messages to send, each with its receiver.
-pub type Outgoing = Vec<(SocketAddr, DutyMessage)>;
+pub type DutyMessages = Vec<(SocketAddr, DutyMessage)>;
 
-/// In a small region every voter sends a digest here within this time.
+/// With at most six other members, each sends a digest here within 3 s.
 const DIGEST_INTERVAL_BOUND: Micros = Micros(3_000_000);
 
 /// What is known of the lease holder.
@@ -118,7 +118,7 @@
     }
 
     /// Lets time pass, and gives the time of the next call at the latest.
-    pub fn tick(&mut self, outgoing: &mut Outgoing) -> Option<Time> {
+    pub fn tick(&mut self, outgoing: &mut DutyMessages) -> Option<Time> {
         let now = mono();
         let is_wanted = self.is_wanted(now);
         let wall_ms = wall().0 / 1000;
@@ -156,7 +156,7 @@
         &mut self,
         from: SocketAddr,
         message: Message,
-        outgoing: &mut Outgoing,
+        outgoing: &mut DutyMessages,
     ) -> Result<(), MessageError> {
         let now = mono();
         match message {
@@ -189,7 +189,7 @@
         from: SocketAddr,
         token: Token,
         is_newest: bool,
-        outgoing: &mut Outgoing,
+        outgoing: &mut DutyMessages,
     ) -> Result<(), MessageError> {
         if let Err(stale) = self.fence.admit(self.duty, token) {
             let fenced = DutyMessage::Fenced {
@@ -212,7 +212,7 @@
     }
 
     /// Takes what another proxy knows of the duty; of the highest token the youngest heartbeat counts.
-    pub fn handle_token_report(&mut self, report: &TokenReport, outgoing: &mut Outgoing) {
+    pub fn handle_token_report(&mut self, report: &TokenReport, outgoing: &mut DutyMessages) {
         self.observe_token(report.token, outgoing);
         let Some(age_ms) = report.heartbeat_age_ms else {
             return;
@@ -237,7 +237,7 @@
     }
 
     /// A token was seen: nothing lower counts from now on, for effects here and for this proxy's vote.
-    pub fn observe_token(&mut self, token: Token, outgoing: &mut Outgoing) {
+    pub fn observe_token(&mut self, token: Token, outgoing: &mut DutyMessages) {
         let now = mono();
         self.raise_token(token);
         let mut requests = Vec::new();
@@ -269,7 +269,7 @@
     }
 
     /// Gives the duty up for good, as this proxy shuts down.
-    pub fn leave(&mut self, outgoing: &mut Outgoing) {
+    pub fn leave(&mut self, outgoing: &mut DutyMessages) {
         self.is_leaving = true;
         self.tick(outgoing);
     }
@@ -294,7 +294,7 @@
     }
 
     /// Sends requests to every voter; this proxy's own vote is taken here.
-    fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut Outgoing) {
+    fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut DutyMessages) {
         let mut requests = VecDeque::from(requests);
         while let Some(message) = requests.pop_front() {
             let addresses: Vec<SocketAddr> = self.voters.addresses().collect();
--- a/src/net/cluster/coordination/outbox.rs
+++ b/src/net/cluster/coordination/effect_queue.rs
@@ -13,7 +13,7 @@
 const LOG_INTERVAL: Micros = Micros(1_000_000);
 
 /// Effects for the request loop, announcements to repeat, and counters.
-pub struct Outbox {
+pub struct EffectQueue {
     pub effects: mpsc::Sender<Effect>,
     /// Announcements that are sent again at these times, as datagrams may be lost.
     pub repeats: BTreeMap<Time, Vec<Announcement>>,
@@ -24,9 +24,9 @@
     logged_at: BTreeMap<&'static str, Time>,
 }
 
-impl Outbox {
-    pub fn new(effects: mpsc::Sender<Effect>) -> Outbox {
-        Outbox {
+impl EffectQueue {
+    pub fn new(effects: mpsc::Sender<Effect>) -> EffectQueue {
+        EffectQueue {
             effects,
             repeats: BTreeMap::new(),
             sent: 0,
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -4,7 +4,7 @@
 //! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a datagram with a checksum. Nothing here panics on
 //! input. Names may change; the order of variants and fields is the format.
 
-use crate::net::cluster::gossip::wire::MAX_BODY_BYTES;
+use crate::net::cluster::gossip::wire::MAX_DATAGRAM_BODY_BYTES;
 use meadowproxy::fleet::calendar::{Digest, WindowError};
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
@@ -14,7 +14,7 @@
 /// Raised whenever a message's format changes.
 const VERSION: u8 = 3;
 /// Bytes of the items in one message at most, so that it fits a body with all else in it.
-const MAX_LOAD_BYTES: usize = MAX_BODY_BYTES - 80;
+const MAX_LOAD_BYTES: usize = MAX_DATAGRAM_BODY_BYTES - 80;
 
 /// What one proxy of the fleet, the lease holder, does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -3,7 +3,7 @@
 use super::announcements::window_messages;
 use super::clocks::wall;
 use super::command::Command;
-use super::duty_lease::Outgoing;
+use super::duty_lease::DutyMessages;
 use super::message::{
     self, check_token, Announcement, Duty, DutyMessage, MessageError, TokenReport,
 };
@@ -27,7 +27,7 @@
 ) {
     while let Ok(CoordinationDatagram { from, bytes }) = messages.recv() {
         let held_before = tables.held_tokens();
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         let handled = message::decode(&bytes)
             .and_then(|message| handle(tables, from, message, &mut outgoing));
         tables.send(outgoing);
@@ -39,10 +39,10 @@
 }
 
 fn record(tables: &Tables, from: SocketAddr, handled: Result<(), MessageError>) {
-    let mut outbox = tables.outbox.lock();
-    outbox.received += 1;
+    let mut effect_queue = tables.effect_queue.lock();
+    effect_queue.received += 1;
     if let Err(error) = handled {
-        outbox.record_rejected(from, &error);
+        effect_queue.record_rejected(from, &error);
     }
 }
 
@@ -50,7 +50,7 @@
     tables: &Tables,
     from: SocketAddr,
     message: DutyMessage,
-    outgoing: &mut Outgoing,
+    outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
     for duty in [Duty::Calendar, Duty::Config] {
         tables.with_lease(duty, |lease| lease.record_contact(from));
@@ -105,7 +105,7 @@
     tables: &Tables,
     header: &BroadcastHeader,
     mut announcement: Announcement,
-    outgoing: &mut Outgoing,
+    outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
     let is_newest = tables
         .relay
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-fn observe_reports(tables: &Tables, reports: &[TokenReport], outgoing: &mut Outgoing) {
+fn observe_reports(tables: &Tables, reports: &[TokenReport], outgoing: &mut DutyMessages) {
     for report in reports {
         tables.with_lease(report.duty, |lease| {
             lease.handle_token_report(report, outgoing);
@@ -148,7 +148,7 @@
     from: SocketAddr,
     digest: &Digest,
     is_new: bool,
-    outgoing: &mut Outgoing,
+    outgoing: &mut DutyMessages,
 ) {
     let is_seen = tables.roster.lock().seen.is_some();
     let (difference, has_caught_up) = {
@@ -177,7 +177,7 @@
 fn merge(
     tables: &Tables,
     windows: &[Vec<u8>],
-    outgoing: &mut Outgoing,
+    outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
     let now = wall();
     let mut first_error = None;
--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -27,7 +27,7 @@
         let window = |tables: &Tables| tables.calendar.lock().calendar.get("w").cloned();
         let (before, mut highest) = (window(&tables), None);
         for (port, message) in messages {
-            let mut outgoing = Outgoing::new();
+            let mut outgoing = DutyMessages::new();
             let _ = handle(&tables, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
             outgoing.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
             tables.calendar_lease.lock().tick(&mut outgoing);
@@ -113,7 +113,7 @@
     let (tables, _effects) = Tables::example();
     let now = wall().0;
     let relay = |port, number, said_us| {
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         let message = heartbeat(port, number, said_us);
         let handled = handle(&tables, address(12), message, &mut outgoing);
         (handled.map_err(|error| error.cause()), outgoing)
@@ -159,7 +159,7 @@
             is_new,
             wants_reply: false,
         };
-        handle(&tables, address(10), message, &mut Outgoing::new()).unwrap();
+        handle(&tables, address(10), message, &mut DutyMessages::new()).unwrap();
         matches!(effects.try_recv(), Ok(Effect::CaughtUp))
     };
     assert!(!caught_up_after(true));
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -15,7 +15,7 @@
 //! | modules | what they are |
 //! | --- | --- |
 //! | `message`, `call`, `clocks`, `config_change`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster`, `config_driver` | one table each |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `roster`, `config_driver` | one table each |
 //! | `tables` | the tables behind their locks |
 //! | `announcements`, `config`, `admin_calls`, `config_snapshot` | what is done with the tables |
 //! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
@@ -30,11 +30,11 @@
 mod config_driver;
 pub mod config_snapshot;
 mod duty_lease;
+mod effect_queue;
 mod maintenance;
 mod message;
 mod message_worker;
 mod ordered_locks;
-mod outbox;
 mod request_loop;
 mod request_loop_tasks;
 mod roster;
@@ -57,13 +57,13 @@
 use config_driver::ConfigDriver;
 use config_snapshot::SnapshotFile;
 use duty_lease::DutyLease;
+use effect_queue::EffectQueue;
 use hyper::{Method, StatusCode};
 use maintenance::Maintenance;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
 use meadowproxy::fleet::relay::Relay;
 use meadowproxy::Micros;
 use message::Duty;
-use outbox::Outbox;
 use request_loop::{BackendDemand, Effect};
 use request_loop_tasks::{apply_effects, AppliedEffects, SnapshotTask};
 use roster::Roster;
@@ -194,9 +194,9 @@
         ),
         calendar: Maintenance::new(calendar),
         roster: Roster::starting(),
-        outbox: Outbox::new(effects),
+        effect_queue: EffectQueue::new(effects),
         relay: Relay::new(own, incarnation, peers.max_age()),
-        post: peers.sender(),
+        datagrams: peers.sender(),
         incarnation,
     })))
 }
--- a/src/net/cluster/coordination/request_loop.rs
+++ b/src/net/cluster/coordination/request_loop.rs
@@ -40,7 +40,7 @@
 }
 
 /// What the request loop sees.
-pub struct LoopSnapshot {
+pub struct LoopView {
     /// While they are needed.
     pub backends: Option<Arc<BackendSnapshot>>,
     /// Its open requests at listed backends that are in maintenance.
@@ -48,7 +48,7 @@
     /// Live members but this proxy.
     pub members: Vec<SocketAddr>,
     /// The configuration's version in force.
-    pub config: u64,
+    pub config_version: u64,
     /// The changes up to this one are contained in the file in force, by its own account.
-    pub file: u64,
+    pub file_version: u64,
 }
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::clocks::mono;
 use super::command::Command;
-use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
+use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopView};
 use crate::net::cluster::gossip::GossipDriver;
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::host::{DisableReason, Host};
@@ -84,7 +84,7 @@
     pub host: Rc<Host>,
     pub peers: Rc<GossipDriver>,
     pub applied: Rc<AppliedEffects>,
-    pub show: watch::Sender<Option<Arc<LoopSnapshot>>>,
+    pub show: watch::Sender<Option<Arc<LoopView>>>,
     pub demand: watch::Receiver<BackendDemand>,
     pub commands: SyncSender<Command>,
 }
@@ -131,15 +131,15 @@
         }
     }
 
-    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopSnapshot {
-        LoopSnapshot {
+    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
+        LoopView {
             backends: backends.clone(),
             open: self
                 .host
                 .in_flight_at(&self.applied.in_maintenance.borrow()),
             members: self.peers.members(),
-            config: self.applied.fleet_overrides.version(),
-            file: self.applied.fleet_overrides.file_version(),
+            config_version: self.applied.fleet_overrides.version(),
+            file_version: self.applied.fleet_overrides.file_version(),
         }
     }
 }
--- a/src/net/cluster/coordination/roster.rs
+++ b/src/net/cluster/coordination/roster.rs
@@ -2,9 +2,11 @@
 
 use super::clocks::mono;
 use super::message::OpenRequestCount;
-use super::request_loop::{BackendSnapshot, LoopSnapshot};
+use super::request_loop::{BackendSnapshot, LoopView};
 use crate::net::host::BackendStatus;
-use meadowproxy::fleet::calendar::{Backend, Fleet, OpenRequestReport, OpenRequestReports};
+use meadowproxy::fleet::calendar::{
+    BackendCapacity, ListedBackends, OpenRequestReport, OpenRequestReports,
+};
 use meadowproxy::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,14 +26,14 @@
 struct DerivedFleet {
     snapshot: Arc<BackendSnapshot>,
     in_maintenance: BTreeSet<String>,
-    fleet: Arc<Fleet>,
+    fleet: Arc<ListedBackends>,
 }
 
 /// What this proxy sees of backends and members.
 #[derive(Default)]
 pub struct Roster {
     /// What the request loop showed last; `None` until it did.
-    pub seen: Option<Arc<LoopSnapshot>>,
+    pub seen: Option<Arc<LoopView>>,
     /// Since when decisions depend on the backends: earlier snapshots do not count.
     pub decides_since: Option<Time>,
     derived: Option<DerivedFleet>,
@@ -56,7 +58,7 @@
     }
 
     /// Takes what the request loop shows.
-    pub fn update(&mut self, seen: Arc<LoopSnapshot>) {
+    pub fn update(&mut self, seen: Arc<LoopView>) {
         if seen.backends.is_none() {
             self.derived = None;
         }
@@ -69,7 +71,7 @@
         &mut self,
         in_maintenance: &BTreeSet<String>,
         for_decision: bool,
-    ) -> Option<Arc<Fleet>> {
+    ) -> Option<Arc<ListedBackends>> {
         let snapshot = self.seen.as_ref()?.backends.as_ref()?;
         if for_decision
             && self
@@ -84,7 +86,7 @@
                 return Some(derived.fleet.clone());
             }
         }
-        let fleet: Fleet = snapshot
+        let fleet: ListedBackends = snapshot
             .rows
             .iter()
             .filter(|row| row.listed)
@@ -161,19 +163,19 @@
     }
 }
 
-fn backend(row: &BackendStatus, in_maintenance: &BTreeSet<String>) -> Backend {
+fn backend(row: &BackendStatus, in_maintenance: &BTreeSet<String>) -> BackendCapacity {
     let readiness = if in_maintenance.contains(&row.name) {
         1.0
     } else {
-        row.ready
+        row.readiness
     };
-    Backend {
+    BackendCapacity {
         zone: row.zone.clone(),
         kind: row.kind.clone(),
         cell: row.cell,
         serving: row.serving,
         readiness,
-        disabled: row.by_hand,
+        disabled: row.disabled_by_operator,
         capacity: 1.0,
     }
 }
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -1,21 +1,21 @@
 //! The tables that the workers share, each behind a lock, and what is done with several of them at once.
 //!
 //! Lock order, checked at every lock: `calendar_lease` before `config` before `calendar` before `roster` before
-//! `outbox` before `relay`. The request loop takes none of them.
+//! `effect_queue` before `relay`. The request loop takes none of them.
 
 use super::clocks::wall;
 use super::config_driver::ConfigDriver;
-use super::duty_lease::{DutyLease, Outgoing};
+use super::duty_lease::{DutyLease, DutyMessages};
+use super::effect_queue::EffectQueue;
 use super::maintenance::Maintenance;
 use super::message;
 use super::message::Duty;
 use super::ordered_locks::OrderedLock;
-use super::outbox::Outbox;
 use super::request_loop::Effect;
 use super::roster::Roster;
 use crate::net::cluster::gossip::wire::Body;
 use crate::net::cluster::gossip::DatagramSender;
-use meadowproxy::fleet::calendar::Fleet;
+use meadowproxy::fleet::calendar::ListedBackends;
 use meadowproxy::fleet::lease::Token;
 use meadowproxy::fleet::relay::Relay;
 use std::collections::BTreeSet;
@@ -29,10 +29,10 @@
     pub config: OrderedLock<ConfigDriver>,
     pub calendar: OrderedLock<Maintenance>,
     pub roster: OrderedLock<Roster>,
-    pub outbox: OrderedLock<Outbox>,
+    pub effect_queue: OrderedLock<EffectQueue>,
     pub relay: OrderedLock<Relay>,
     /// The socket's sending side, which needs no lock.
-    pub post: Arc<DatagramSender>,
+    pub datagrams: Arc<DatagramSender>,
     /// Drawn at random at this start.
     pub incarnation: u64,
 }
@@ -43,9 +43,9 @@
     pub config: ConfigDriver,
     pub calendar: Maintenance,
     pub roster: Roster,
-    pub outbox: Outbox,
+    pub effect_queue: EffectQueue,
     pub relay: Relay,
-    pub post: Arc<DatagramSender>,
+    pub datagrams: Arc<DatagramSender>,
     pub incarnation: u64,
 }
 
@@ -57,9 +57,9 @@
             config: OrderedLock::new(1, parts.config),
             calendar: OrderedLock::new(2, parts.calendar),
             roster: OrderedLock::new(3, parts.roster),
-            outbox: OrderedLock::new(4, parts.outbox),
+            effect_queue: OrderedLock::new(4, parts.effect_queue),
             relay: OrderedLock::new(5, parts.relay),
-            post: parts.post,
+            datagrams: parts.datagrams,
             incarnation: parts.incarnation,
         }
     }
@@ -78,14 +78,14 @@
     }
 
     /// Sends messages to other proxies.
-    pub fn send(&self, outgoing: Outgoing) {
+    pub fn send(&self, outgoing: DutyMessages) {
         let count = outgoing.len() as u64;
         for (to, message) in outgoing {
-            self.post
+            self.datagrams
                 .send(to, Body::Coordination(message::encode(&message)));
         }
         if count > 0 {
-            self.outbox.lock().sent += count;
+            self.effect_queue.lock().sent += count;
         }
     }
 
@@ -122,10 +122,10 @@
         &self,
         notified: &mut BTreeSet<String>,
         wanted: &BTreeSet<String>,
-        fleet: &Fleet,
+        fleet: &ListedBackends,
     ) {
-        let outbox = self.outbox.lock();
-        let is_sent = |effect| outbox.effects.try_send(effect).is_ok();
+        let effect_queue = self.effect_queue.lock();
+        let is_sent = |effect| effect_queue.effects.try_send(effect).is_ok();
         for name in wanted {
             if !notified.contains(name) && is_sent(Effect::BeginMaintenance(name.clone())) {
                 notified.insert(name.clone());
@@ -151,7 +151,7 @@
     pub fn admit_clients(&self) {
         let is_new = self.config.lock().replica.is_new();
         if !is_new && self.calendar.lock().has_caught_up() {
-            let _ = self.outbox.lock().effects.try_send(Effect::CaughtUp);
+            let _ = self.effect_queue.lock().effects.try_send(Effect::CaughtUp);
         }
     }
 }
--- a/src/net/cluster/coordination/tables/example.rs
+++ b/src/net/cluster/coordination/tables/example.rs
@@ -1,9 +1,10 @@
 //! Tables for the workers' tests.
 
 use super::super::clocks::mono;
-use super::super::request_loop::{BackendSnapshot, LoopSnapshot};
+use super::super::request_loop::{BackendSnapshot, LoopView};
 use super::{
-    ConfigDriver, Duty, DutyLease, Effect, Maintenance, Outbox, Relay, Roster, TableParts, Tables,
+    ConfigDriver, Duty, DutyLease, Effect, EffectQueue, Maintenance, Relay, Roster, TableParts,
+    Tables,
 };
 use crate::net::cluster::gossip::DatagramSender;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
@@ -40,15 +41,15 @@
             Default::default(),
         );
         config.replica.assume_up_to_date();
-        let seen = LoopSnapshot {
+        let seen = LoopView {
             backends: Some(Arc::new(BackendSnapshot {
                 taken_at: mono(),
                 rows: Vec::new(),
             })),
             open: BTreeMap::new(),
             members: voters[1..].to_vec(),
-            config: 0,
-            file: 0,
+            config_version: 0,
+            file_version: 0,
         };
         let mut roster = Roster::starting();
         roster.update(Arc::new(seen));
@@ -59,9 +60,9 @@
             config,
             calendar: Maintenance::new(calendar),
             roster,
-            outbox: Outbox::new(effects),
+            effect_queue: EffectQueue::new(effects),
             relay: Relay::new(own, INCARNATION, max_age),
-            post: Arc::new(DatagramSender::new(socket, [0; 8], own)),
+            datagrams: Arc::new(DatagramSender::new(socket, [0; 8], own)),
             incarnation: INCARNATION,
         });
         (tables, effects_sent)
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -4,9 +4,9 @@
 use super::admin_calls;
 use super::clocks::{mono, wall};
 use super::command::Command;
-use super::duty_lease::{token_text, Outgoing};
+use super::duty_lease::{token_text, DutyMessages};
 use super::message::{self, Announcement, Duty, DutyMessage, HeldDuty, OpenRequestCount};
-use super::request_loop::{BackendDemand, LoopSnapshot};
+use super::request_loop::{BackendDemand, LoopView};
 use super::tables::Tables;
 use meadowproxy::fleet::calendar::{OpenRequestReports, Transition, Window};
 use meadowproxy::{Micros, Time};
@@ -34,7 +34,7 @@
 /// The worker's own state; what it shares is in [`Tables`].
 pub struct TimerWorker {
     tables: Arc<Tables>,
-    seen: watch::Receiver<Option<Arc<LoopSnapshot>>>,
+    seen: watch::Receiver<Option<Arc<LoopView>>>,
     /// What the request loop is to show.
     demand: watch::Sender<BackendDemand>,
     own: SocketAddr,
@@ -64,7 +64,7 @@
 impl TimerWorker {
     pub fn new(
         tables: Arc<Tables>,
-        seen: watch::Receiver<Option<Arc<LoopSnapshot>>>,
+        seen: watch::Receiver<Option<Arc<LoopView>>>,
         demand: watch::Sender<BackendDemand>,
         own: SocketAddr,
         is_single: bool,
@@ -107,7 +107,7 @@
     }
 
     fn leave(&self) {
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         for duty in [Duty::Calendar, Duty::Config] {
             self.tables
                 .with_lease(duty, |lease| lease.leave(&mut outgoing));
@@ -121,7 +121,7 @@
             self.tables.roster.lock().update(seen);
         }
         self.catch_up();
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         let calendar_due_at = self.tables.calendar_lease.lock().tick(&mut outgoing);
         self.tables.send(outgoing);
         let config_due_at = self.tables.config_tick();
@@ -261,7 +261,7 @@
 
     /// Announces again what is due; a holder's effects only while it holds the duty.
     fn send_repeats(&self) {
-        let mut due = self.tables.outbox.lock().take_due_repeats(mono());
+        let mut due = self.tables.effect_queue.lock().take_due_repeats(mono());
         due.retain(|announcement| {
             let mut held = announcement.held.iter();
             held.all(|duty| self.held.contains(duty))
@@ -284,7 +284,7 @@
         };
         self.digest_at = now + interval;
         let digests = self.tables.digests(is_new);
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         for _ in 0..DIGEST_FANOUT.min(members.len()) {
             self.digest_turn = self.digest_turn.wrapping_add(1);
             let to = members[self.digest_turn % members.len()];
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -50,21 +50,21 @@
             cell: 0,
             listed: true,
             serving: true,
-            ready: 1.0,
-            by_hand: false,
-            open: 0,
+            readiness: 1.0,
+            disabled_by_operator: false,
+            in_flight: 0,
         };
         let rows = BackendSnapshot {
             taken_at: at,
             rows: vec![row("a"), row("b")],
         };
         let rows = Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::Nothing);
-        let seen = LoopSnapshot {
+        let seen = LoopView {
             backends: rows,
             open: BTreeMap::new(),
             members: Vec::new(),
-            config: 0,
-            file: 0,
+            config_version: 0,
+            file_version: 0,
         };
         self.tables().roster.lock().update(Arc::new(seen));
     }
@@ -96,7 +96,7 @@
             number: 5,
             incarnation: 10,
         };
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
         self.tables()
             .calendar_lease
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -32,14 +32,14 @@
 }
 
 /// What a file is read with: the entries at one instant.
-pub struct OverridesSnapshot {
+pub struct OverridesView {
     pub overrides: Overrides,
     /// The version that has them all.
     pub version: u64,
     newest: Option<u64>,
 }
 
-impl OverridesSnapshot {
+impl OverridesView {
     /// Checks whether a file that contains the changes up to this version can be used.
     pub fn check_file(&self, file_version: u64) -> Result<(), FileError> {
         self.overrides.check_file(file_version, self.newest)
@@ -113,8 +113,8 @@
     }
 
     /// What the next file is read with. Shares all entries.
-    pub fn snapshot(&self) -> OverridesSnapshot {
-        OverridesSnapshot {
+    pub fn snapshot(&self) -> OverridesView {
+        OverridesView {
             overrides: self.overrides.borrow().clone(),
             version: self.received_version.get(),
             newest: self.known_newest(),
--- a/src/net/config/node.rs
+++ b/src/net/config/node.rs
@@ -26,19 +26,19 @@
     /// Where discovery is; without it the endpoint list at hand stands.
     pub discovery: Option<SocketAddr>,
     /// Where operators' calls are answered; without it nowhere.
-    pub control: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Seed for random numbers.
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The endpoint list as this proxy last had it.
     pub known: Known,
     /// Digest of the settings.
-    pub settings: [u8; 32],
+    pub settings_digest: [u8; 32],
     /// Digest of the settings that all proxies of a fleet share.
-    pub shared: [u8; 32],
+    pub shared_settings_digest: [u8; 32],
     /// The file contains the changes of the fleet's configuration up to this version, 0 for none.
-    pub version: u64,
+    pub file_version: u64,
     /// The paths of the file's keys but those inside lists.
     pub keys: BTreeSet<String>,
     /// How learned state is kept; without it none is.
@@ -92,7 +92,7 @@
             return Err(NodeError::UnknownKeys(unknown));
         }
         file.check_fleet()?;
-        let control = admin_address(file.control)?;
+        let admin_address = admin_address(file.control)?;
         let snapshot = snapshot_section(file.snapshot.clone());
         if let Some(error) = settings.first_error() {
             return Err(error.into());
@@ -102,12 +102,12 @@
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
-            control,
-            sockets: file.limits.sockets.max(LEAST_DESCRIPTORS),
+            admin_address,
+            max_descriptors: file.limits.sockets.max(LEAST_DESCRIPTORS),
             known,
-            settings: settings.digest(&[]),
-            shared: settings.digest(&snapshot::PER_PROXY_SETTINGS),
-            version: file.version.unwrap_or_default(),
+            settings_digest: settings.digest(&[]),
+            shared_settings_digest: settings.digest(&snapshot::PER_PROXY_SETTINGS),
+            file_version: file.version.unwrap_or_default(),
             keys,
             snapshot,
             peers: file.peers,
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -131,7 +131,7 @@
         let in_force = self.in_force_with_current_names();
         let read = move || {
             let file = Node::read_again(&source, &keys, &in_force)?;
-            let file_version = file.node.version;
+            let file_version = file.node.file_version;
             fleet.check_file(file_version)?;
             let from_file = file.change.as_ref().ok();
             let amended = from_file.map(|change| {
@@ -224,24 +224,24 @@
         }
         let change = change?;
         // The last step that can fail; from here on nothing does.
-        self.admin.move_to(node.control)?;
+        self.admin.move_to(node.admin_address)?;
         let summary = self.summary(&node, &change);
         if *self.keys != node.keys {
             self.keys = Arc::new(node.keys.clone());
         }
-        self.apply_descriptor_limit(node.sockets);
+        self.apply_descriptor_limit(node.max_descriptors);
         self.apply_settings(change);
         self.fleet_overrides
-            .set_file(self.in_force.clone(), node.version);
+            .set_file(self.in_force.clone(), node.file_version);
         if let Some(change) = config.fleet.change {
             self.apply_settings(change);
         }
         self.fleet_overrides
             .set_in_force(config.fleet.version, self.in_force.clone());
-        self.shared_settings.set(node.shared);
+        self.shared_settings.set(node.shared_settings_digest);
         self.identity.discovery = node.discovery;
         if let Some(keeper) = &self.keeper {
-            keeper.change_scope(self.identity.clone(), node.settings);
+            keeper.change_scope(self.identity.clone(), node.settings_digest);
         }
         if let (Some(moved), Some(address)) = (&self.discovery, node.discovery) {
             moved.send_if_modified(|current| std::mem::replace(current, address) != address);
--- a/src/net/config/stored_formats.rs
+++ b/src/net/config/stored_formats.rs
@@ -13,8 +13,11 @@
     .unwrap();
     let keys: Vec<String> = node.keys.iter().cloned().collect();
     let forms = [
-        ("settings", hex::encode(node.settings)),
-        ("settings that a fleet shares", hex::encode(node.shared)),
+        ("settings", hex::encode(node.settings_digest)),
+        (
+            "settings that a fleet shares",
+            hex::encode(node.shared_settings_digest),
+        ),
         ("keys", keys.join(" ")),
     ];
     assert_lines("settings.txt", &forms);
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, Default, Deserialize, serde::Serialize)]
 pub struct List {
     pub index: u64,
-    pub snapshot: bool,
+    #[serde(rename = "snapshot")]
+    pub is_full: bool,
     pub endpoints: Vec<Value>,
 }
 
@@ -213,14 +214,15 @@
     /// Discovery's version of the list.
     pub index: u64,
     /// It is a full list.
-    pub snapshot: bool,
+    pub is_full: bool,
     pub entries: EntryChunks,
 }
 
 #[derive(Deserialize)]
 struct Body {
     index: u64,
-    snapshot: bool,
+    #[serde(rename = "snapshot")]
+    is_full: bool,
     endpoints: ParsedEntries,
 }
 
@@ -240,19 +242,19 @@
         let body = io::BufReader::with_capacity(READ_BUFFER_BYTES, body.reader());
         let Body {
             index,
-            snapshot,
+            is_full,
             endpoints,
         } = serde_json::from_reader(body).map_err(AnswerError::Json)?;
         let has_usable_entry = endpoints
             .entries
             .iter()
             .any(|entry| matches!(entry, ListEntry::Endpoint(_)));
-        if snapshot && endpoints.malformed_count > 0 && !has_usable_entry {
+        if is_full && endpoints.malformed_count > 0 && !has_usable_entry {
             return Err(AnswerError::NoUsableEntry);
         }
         Ok(ListAnswer {
             index,
-            snapshot,
+            is_full,
             entries: endpoints.into_entries(),
         })
     }
--- a/src/net/discovery/list_tracker.rs
+++ b/src/net/discovery/list_tracker.rs
@@ -48,9 +48,10 @@
     host: Rc<Host>,
     index: Cell<u64>,
     applied_lists: Cell<u64>,
-    /// Versions are counted anew at each address and with each start of discovery: the era of the list in force, ...
+    /// The era of the list in force. An era is a span in which versions are comparable: they are counted anew at each
+    /// address and with each start of discovery.
     era: Cell<u64>,
-    /// ... and that of calls that begin now.
+    /// The era of calls that begin now.
     latest_era: Cell<u64>,
     /// A call that was given up has brought a newer list.
     late_answer: Notify,
@@ -102,7 +103,7 @@
         if call.era < era || (call.era == era && has_crossed) {
             return UpdateResult::Stale;
         }
-        if !list.snapshot && (call.is_full || list.index < call.index) {
+        if !list.is_full && (call.is_full || list.index < call.index) {
             return UpdateResult::Gap;
         }
         if call.era == era && list.index < index && era == self.latest_era.get() {
@@ -118,7 +119,7 @@
     fn apply(&self, list: &ListAnswer) {
         self.applied_lists.set(self.applied_lists.get() + 1);
         self.index.set(list.index);
-        let update = if list.snapshot {
+        let update = if list.is_full {
             EndpointUpdate::Full
         } else {
             EndpointUpdate::Incremental
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -18,7 +18,7 @@
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
 pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
-/// Where lists are pushed, an agent (a process beside the balancer, with it as its one caller) keeps the list and answers
+/// Where lists are pushed, an agent (a discovery process with one caller, this balancer) keeps the list and answers
 /// each long poll as soon as the list changes. A connection to the agent is established at once or not at all.
 /// It is retried soon: a change counts from the moment the agent is back.
 pub const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -353,7 +353,7 @@
         let endpoints: Vec<serde_json::Value> = (0..good + bad).map(of).collect();
         let list = List {
             index: 7,
-            snapshot: whole,
+            is_full: whole,
             endpoints,
         };
         Bytes::from(serde_json::to_vec(&list).unwrap())
@@ -362,7 +362,7 @@
         assert_eq!(body(true, many, 0).len() >= MAX_INLINE_READ_BYTES, many > 2);
         let answer = read_list(body(true, many, many)).await.unwrap();
         assert_eq!(
-            (answer.index, answer.snapshot, answer.entries.len()),
+            (answer.index, answer.is_full, answer.entries.len()),
             (7, true, 2 * many)
         );
         let named =
--- a/src/net/downstream/server/client_connection.rs
+++ b/src/net/downstream/server/client_connection.rs
@@ -4,7 +4,7 @@
 use super::{Server, EVENT_LOOP_TURN, JUST_CONNECTED};
 use crate::net::downstream::response_stream::{ResponseStream, StreamEnd};
 use crate::net::observed_stream::ObservedStream;
-use crate::net::MAX_BODY;
+use crate::net::MAX_BUFFERED_BODY_BYTES;
 use http_body_util::Either;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION};
@@ -132,7 +132,7 @@
             Ok::<_, Infallible>(response)
         });
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_BODY);
+        builder.max_buf_size(MAX_BUFFERED_BODY_BYTES);
         let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
         let mut cut = pin!(tokio::time::sleep(Duration::MAX));
         let mut head_timeout = pin!(tokio::time::sleep(FIRST_HEAD_TIMEOUT));
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -6,7 +6,7 @@
 use crate::net::host::{Answer, Host, PendingRequest};
 use crate::net::observed_stream::ObservedStream;
 use crate::net::upstream::{ForwardedRequest, RequestBody, ResponseBody, StreamedUpload};
-use crate::net::{strip_hop_by_hop, MAX_BODY};
+use crate::net::{strip_hop_by_hop, MAX_BUFFERED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::Incoming;
@@ -79,11 +79,13 @@
         started_at: Instant,
     ) -> Result<Response<OutgoingBody>, RequestError> {
         let rules = self.rules.borrow().clone(); // a request keeps those it arrived under
-        let admitted = self.admit(request, client, started_at, &rules).await?;
+        let admitted = self
+            .validate_and_read(request, client, started_at, &rules)
+            .await?;
         let forwarded = admitted.forwarded;
         let PendingRequest { id, answer } =
             self.host
-                .request(admitted.arrival, &forwarded, admitted.idempotency);
+                .accept_request(admitted.arrival, &forwarded, admitted.idempotency);
         let mut guard = DisconnectGuard {
             host: &self.host,
             request: id,
@@ -98,7 +100,7 @@
     }
 
     /// Checks a request and reads its body, as far as it is buffered.
-    async fn admit(
+    async fn validate_and_read(
         &self,
         request: Request<Incoming>,
         client: &ObservedStream,
@@ -253,14 +255,17 @@
 /// Buffers a body to its end, or finds that it is too long for that.
 async fn receive(mut upload: Upload, time_left: Micros) -> Result<RequestBody, UploadError> {
     let mut received = BytesMut::new();
-    while upload.length().is_none_or(|n| n <= MAX_BODY as u64) {
+    while upload
+        .length()
+        .is_none_or(|n| n <= MAX_BUFFERED_BODY_BYTES as u64)
+    {
         match upload.frame().await {
             None => return Ok(RequestBody::Buffered(received.freeze())),
             Some(frame) => {
                 received.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new()));
             }
         }
-        if received.len() > MAX_BODY {
+        if received.len() > MAX_BUFFERED_BODY_BYTES {
             break;
         }
     }
--- a/src/net/downstream/upload.rs
+++ b/src/net/downstream/upload.rs
@@ -1,6 +1,6 @@
 //! A client's body as it arrives, with limits on how slowly it may.
 
-use crate::net::observed_stream::Peer;
+use crate::net::observed_stream::RemoteEnd;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::Cell;
@@ -91,13 +91,13 @@
     timer: Pin<Box<Sleep>>,
     /// Somebody waits for the next frame.
     is_read: bool,
-    client: Peer,
+    client: RemoteEnd,
     pub progress: Rc<UploadProgress>,
 }
 
 impl Upload {
     /// A body whose time counts from `started_at`.
-    pub fn new(incoming: Incoming, client: Peer, started_at: Instant) -> Upload {
+    pub fn new(incoming: Incoming, client: RemoteEnd, started_at: Instant) -> Upload {
         let deadline = started_at + BASE_TIMEOUT;
         Upload {
             beginning: None,
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Answer, AttemptKey, InFlightAttempt, OpenRequest, State};
 use super::Host;
-use crate::net::observed_stream::Peer;
+use crate::net::observed_stream::RemoteEnd;
 use crate::net::upstream::{AttemptResult, Progress, RequestBody, ServedResponse};
 use meadowproxy::{AttemptEnd, AttemptNumber, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
             .requests
             .get(&request)
             .and_then(|request| request.forwarded.client.as_ref());
-        client.is_some_and(Peer::has_left)
+        client.is_some_and(RemoteEnd::has_left)
     }
 
     /// When the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -20,7 +20,7 @@
         EndpointUpdate::Incremental,
         &List {
             index,
-            snapshot: false,
+            is_full: false,
             endpoints: vec![entry],
         },
     );
--- a/src/net/host/disconnect_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -17,7 +17,7 @@
     let entry = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING"});
     let list = crate::net::discovery::endpoint_list::List {
         index: 1,
-        snapshot: true,
+        is_full: true,
         endpoints: vec![entry],
     };
     let scope = tokio::task::LocalSet::new();
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -23,11 +23,11 @@
     pub serving: bool,
     /// The part of its capacity that is in use or could be: 0 for one that drains, is ejected or disabled, less than 1
     /// for one that warms up.
-    pub ready: f64,
+    pub readiness: f64,
     /// Operators disabled it.
-    pub by_hand: bool,
+    pub disabled_by_operator: bool,
     /// Attempts of this proxy that are in flight.
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 impl State {
@@ -233,9 +233,9 @@
                 cell: entry.cell.0,
                 listed: entry.state != BackendState::Removed,
                 serving: entry.state == BackendState::Ready,
-                ready: ready.map_or(0.0, |(_, part)| part),
-                by_hand: record.reasons.contains(DisableReason::Operator),
-                open: in_flight.get(id).copied().unwrap_or(0),
+                readiness: ready.map_or(0.0, |(_, part)| part),
+                disabled_by_operator: record.reasons.contains(DisableReason::Operator),
+                in_flight: in_flight.get(id).copied().unwrap_or(0),
             });
         }
         statuses
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -13,7 +13,7 @@
         EndpointUpdate::Full,
         &List {
             index: 1,
-            snapshot: true,
+            is_full: true,
             endpoints: vec![entry],
         },
     );
@@ -41,9 +41,9 @@
             cell: 7,
             listed: true,
             serving: true,
-            ready: 1.0,
-            by_hand: false,
-            open: 0,
+            readiness: 1.0,
+            disabled_by_operator: false,
+            in_flight: 0,
         };
         assert_eq!(status(&host), warm);
         assert!(
@@ -62,18 +62,22 @@
             "it is over"
         );
         let out = BackendStatus {
-            ready: 0.0,
-            by_hand: last == DisableReason::Operator,
+            readiness: 0.0,
+            disabled_by_operator: last == DisableReason::Operator,
             ..warm.clone()
         };
         assert_eq!(status(&host), out, "{last:?} still disables it");
         assert_eq!(
             host.learned_state().disabled,
-            if out.by_hand { vec!["b"] } else { vec![] }
+            if out.disabled_by_operator {
+                vec!["b"]
+            } else {
+                vec![]
+            }
         );
         assert!(host.enable_backend("b", last, host.clock.now()));
         let back = status(&host);
-        assert!(back.ready > 0.0 && back.ready < 1.0, "{back:?}");
+        assert!(back.readiness > 0.0 && back.readiness < 1.0, "{back:?}");
         assert!(
             !host.disable_backend("never", first)
                 && !host.enable_backend("never", first, host.clock.now())
@@ -109,21 +113,21 @@
         let host = host();
         let list = |endpoints| List {
             index: 2,
-            snapshot: update == EndpointUpdate::Full,
+            is_full: update == EndpointUpdate::Full,
             endpoints,
         };
         let other = entry(serde_json::json!({"name": "never", "status": "LAME"}));
         host.update_endpoints(update, &list(vec![entry(bad.clone()), other]));
         let out = status(&host);
         assert!(
-            out.listed && !out.serving && out.ready == 0.0,
+            out.listed && !out.serving && out.readiness == 0.0,
             "{bad} {update:?}: {out:?}"
         );
         assert!(!host.knows("never"));
         host.update_endpoints(update, &list(vec![entry(serde_json::json!({}))]));
         let back = status(&host);
         assert!(
-            back.serving && back.ready == 1.0,
+            back.serving && back.readiness == 1.0,
             "{bad} {update:?}: {back:?}"
         );
     }
@@ -139,7 +143,7 @@
         };
         List {
             index: 2,
-            snapshot: true,
+            is_full: true,
             endpoints: statuses.iter().enumerate().map(of).collect(),
         }
     };
@@ -149,7 +153,7 @@
         &list_of_statuses(["SERVING", "DRAINING"]),
     );
     assert!(
-        !status(&host).serving && status(&host).ready == 0.0,
+        !status(&host).serving && status(&host).readiness == 0.0,
         "{:?}",
         status(&host)
     );
@@ -158,19 +162,19 @@
         &list_of_statuses(["DRAINING", "SERVING"]),
     );
     assert!(
-        status(&host).serving && status(&host).ready > 0.0,
+        status(&host).serving && status(&host).readiness > 0.0,
         "{:?}",
         status(&host)
     );
     let withdrawn = host.disable_backend("b", DisableReason::Operator)
         && host.enable_backend("b", DisableReason::Operator, host.clock.now());
-    let cold = status(&host).ready;
+    let cold = status(&host).readiness;
     host.update_endpoints(
         EndpointUpdate::Full,
         &list_of_statuses(["DRAINING", "SERVING"]),
     );
     assert!(
-        withdrawn && cold < 1.0 && status(&host).ready < 1.0,
+        withdrawn && cold < 1.0 && status(&host).readiness < 1.0,
         "the slow start goes on: {:?}",
         status(&host)
     );
@@ -184,21 +188,21 @@
     let started = |at: f64| {
         let list = List {
             index: 2,
-            snapshot: true,
+            is_full: true,
             endpoints: vec![entry(serde_json::json!({"since_ms": at}))],
         };
         host.update_endpoints(EndpointUpdate::Full, &list);
-        status(&host).ready
+        status(&host).readiness
     };
     assert_eq!(started(0.0), 1.0);
     assert!(started(now) < 1.0);
     assert!(started(now) < 1.0);
 }
 
-fn list_of(of: impl IntoIterator<Item = serde_json::Value>, snapshot: bool) -> List {
+fn list_of(of: impl IntoIterator<Item = serde_json::Value>, is_full: bool) -> List {
     List {
         index: 2,
-        snapshot,
+        is_full,
         endpoints: of.into_iter().collect(),
     }
 }
@@ -258,7 +262,7 @@
             EndpointUpdate::Incremental,
             &list_of([named("b", "SERVING")], false),
         );
-        assert_eq!(status(&host).ready, 0.0);
+        assert_eq!(status(&host).readiness, 0.0);
         host.update_endpoints(
             EndpointUpdate::Incremental,
             &list_of([named("b", "DELETED")], false),
--- a/src/net/host/example.rs
+++ b/src/net/host/example.rs
@@ -1,7 +1,7 @@
 //! A host with the example's configuration, for tests.
 
 use super::{Host, PendingRequest};
-use crate::net::observed_stream::Peer;
+use crate::net::observed_stream::RemoteEnd;
 use crate::net::upstream::{ConnectionPool, ForwardedRequest, RequestBody};
 use crate::net::Clock;
 use meadowproxy::settings::{Names, NetworkSettings};
@@ -29,7 +29,7 @@
     }
 
     /// The same from a client that may leave.
-    pub fn example_request_of(self: &Rc<Self>, client: Option<Peer>) -> PendingRequest {
+    pub fn example_request_of(self: &Rc<Self>, client: Option<RemoteEnd>) -> PendingRequest {
         let forwarded = ForwardedRequest {
             method: hyper::Method::GET,
             uri: hyper::Uri::from_static("/read/k"),
@@ -45,6 +45,6 @@
             work_hint: None,
             client_retry: false,
         };
-        self.request(arrival, &Rc::new(forwarded), Idempotency::Idempotent)
+        self.accept_request(arrival, &Rc::new(forwarded), Idempotency::Idempotent)
     }
 }
--- a/src/net/host/requests.rs
+++ b/src/net/host/requests.rs
@@ -16,7 +16,7 @@
 
 impl Host {
     /// Takes a request, and gives it the id that stands in place of `arrival.request`.
-    pub fn request(
+    pub fn accept_request(
         self: &Rc<Self>,
         mut arrival: RequestArrival,
         forwarded: &Rc<ForwardedRequest>,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Longer bodies, in bytes and in either direction, are streamed instead of buffered.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 /// The balancer's time: the monotonic clock, set once to Unix time so that start times in endpoint lists are comparable.
 #[derive(Clone, Copy)]
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -1,7 +1,7 @@
 //! A TCP stream under hyper that can also be observed from outside.
 //!
 //! [`ObservedStream`] tells how much of a request was written, and whether the other side has closed or sent anything, as
-//! the kernel knows it at this moment. [`Peer`] observes the other side without keeping the stream open.
+//! the kernel knows it at this moment. [`RemoteEnd`] observes the other side without keeping the stream open.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -28,9 +28,9 @@
 pub struct ObservedStream(Rc<Inner>);
 
 /// The other side of a stream, seen by whoever must not keep that stream open.
-pub struct Peer(Weak<Inner>);
+pub struct RemoteEnd(Weak<Inner>);
 
-impl Peer {
+impl RemoteEnd {
     /// It ended its sending or the connection, or this side did.
     pub fn has_left(&self) -> bool {
         self.0.upgrade().is_none_or(|inner| inner.has_left())
@@ -72,8 +72,8 @@
         }))
     }
 
-    pub fn peer(&self) -> Peer {
-        Peer(Rc::downgrade(&self.0))
+    pub fn peer(&self) -> RemoteEnd {
+        RemoteEnd(Rc::downgrade(&self.0))
     }
 
     /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -12,6 +12,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// It stems from the program's former name, and stays so that old files can be read.
 const MAGIC: [u8; 4] = *b"SHTS";
 /// Raised whenever the body's shape changes; older and newer files are rejected.
 pub const FORMAT: u16 = 4;
@@ -205,7 +206,7 @@
 /// others.
 pub const PER_PROXY_SETTINGS: [&str; 2] = ["position", "my_zone"];
 
-/// The file's bytes. Fails only where the body is over [`MAX_SNAPSHOT_BYTES`].
+/// The file's bytes. Fails only where prefix and body are over [`MAX_SNAPSHOT_BYTES`], or encoding fails.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, SnapshotError> {
     let body = postcard::to_stdvec(snapshot).map_err(SnapshotError::Body)?;
     if PREFIX_BYTES + body.len() > MAX_SNAPSHOT_BYTES {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -3,7 +3,7 @@
 use super::connection::{OutgoingBody, PooledConnection};
 use super::pool::ConnectionPool;
 use super::response::{
-    error_chain, judge, pass_on, strip_backend_headers, BackendResponse, BufferedResponse,
+    error_chain, outcome_of, pass_on, strip_backend_headers, BackendResponse, BufferedResponse,
     StreamingResponse, BACKEND_STALL_TIMEOUT,
 };
 use super::{AttemptResult, ForwardedRequest, Progress, RequestBody, ResponseBody, ServedResponse};
@@ -43,7 +43,7 @@
 type Exchanged = Option<Result<BackendResponse, hyper::Error>>;
 
 /// The body of an attempt, as it begins to be sent.
-struct Outgoing {
+struct OutgoingRequestBody {
     body: OutgoingBody,
     /// How far a streamed body was sent.
     upload: Option<Rc<UploadProgress>>,
@@ -227,11 +227,11 @@
     stream: &ObservedStream,
     body: &RequestBody,
     progress: &Rc<impl Progress + 'static>,
-) -> Option<Outgoing> {
+) -> Option<OutgoingRequestBody> {
     match body {
         RequestBody::Buffered(bytes) => {
             stream.begin_request(bytes.len());
-            Some(Outgoing {
+            Some(OutgoingRequestBody {
                 body: Either::Left(Full::new(bytes.clone())),
                 upload: None,
             })
@@ -242,7 +242,7 @@
             let finished = progress.clone();
             upload.on_end(move || finished.upload_finished());
             progress.upload_started();
-            Some(Outgoing {
+            Some(OutgoingRequestBody {
                 body: Either::Right(source),
                 upload: Some(upload),
             })
@@ -280,7 +280,7 @@
         // A response before the last byte is none of this request's, and with its connection ended here the request
         // never runs.
         if !status.is_sent() {
-            return Ok(BackendResponse::BeforeRequestSent(judge(&response)));
+            return Ok(BackendResponse::BeforeRequestSent(outcome_of(&response)));
         }
         Ok(BackendResponse::read(response).await)
     };
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -3,7 +3,7 @@
 use crate::net::connection_driver::drive_until_closed;
 use crate::net::downstream::upload::Upload;
 use crate::net::observed_stream::ObservedStream;
-use crate::net::MAX_BODY;
+use crate::net::MAX_BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use http_body_util::{Either, Full};
 use hyper::client::conn::http1;
@@ -58,7 +58,7 @@
         slot: ConnectionSlot,
     ) -> Option<PooledConnection> {
         let handshake = http1::Builder::new()
-            .max_buf_size(2 * MAX_BODY)
+            .max_buf_size(2 * MAX_BUFFERED_BODY_BYTES)
             .handshake(stream.clone())
             .await;
         let (mut sender, mut connection) = handshake.ok()?;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::net::downstream::response_stream::ResponseStream;
 use crate::net::downstream::upload::Upload;
-use crate::net::observed_stream::Peer;
+use crate::net::observed_stream::RemoteEnd;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use meadowproxy::{Micros, Outcome};
@@ -31,7 +31,7 @@
     pub headers: HeaderMap,
     pub body: RequestBody,
     /// The client, if it may leave.
-    pub client: Option<Peer>,
+    pub client: Option<RemoteEnd>,
 }
 
 /// A request's body.
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -2,7 +2,7 @@
 
 use crate::net::connection_driver::BoxError;
 use crate::net::downstream::response_stream::ResponseChunk;
-use crate::net::{strip_hop_by_hop, MAX_BODY};
+use crate::net::{strip_hop_by_hop, MAX_BUFFERED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -61,7 +61,7 @@
 impl BackendResponse {
     /// Reads a response, until it is complete or is known to be streamed.
     pub async fn read(response: Response<Incoming>) -> BackendResponse {
-        let outcome = judge(&response);
+        let outcome = outcome_of(&response);
         let (head, mut body) = response.into_parts();
         let buffered = |head, body| {
             BackendResponse::Buffered(BufferedResponse {
@@ -82,17 +82,17 @@
                 rest,
             })
         };
-        if outcome == Outcome::Ok && length.is_some_and(|n| n > MAX_BODY as u64) {
+        if outcome == Outcome::Ok && length.is_some_and(|n| n > MAX_BUFFERED_BODY_BYTES as u64) {
             return streaming(head, Bytes::new(), body);
         }
         let mut received = BytesMut::new();
-        let mut patience = pin!(tokio::time::sleep(MAX_BUFFERING_TIME));
+        let mut buffering_timeout = pin!(tokio::time::sleep(MAX_BUFFERING_TIME));
         loop {
             let may_stream = outcome == Outcome::Ok && length.is_none() && !received.is_empty();
             let frame = tokio::select! {
                 biased;
                 frame = body.frame() => frame,
-                () = patience.as_mut(), if may_stream => {
+                () = buffering_timeout.as_mut(), if may_stream => {
                     return streaming(head, received.freeze(), body);
                 }
             };
@@ -103,7 +103,7 @@
                     received.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
                 }
             }
-            if received.len() > MAX_BODY {
+            if received.len() > MAX_BUFFERED_BODY_BYTES {
                 return match outcome {
                     Outcome::Ok => streaming(head, received.freeze(), body),
                     _ => buffered(head, Err(BodyError::TooLong.into())),
@@ -149,7 +149,7 @@
 }
 
 /// The outcome that a response's head states. A request with any status that the protocol does not list may have run.
-pub fn judge(response: &Response<Incoming>) -> Outcome {
+pub fn outcome_of(response: &Response<Incoming>) -> Outcome {
     let is_unprocessed = response
         .headers()
         .get("x-unprocessed")
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -1,7 +1,7 @@
 use super::connection::{ConnectionSlot, PooledConnection};
 use super::*;
 use crate::net::observed_stream::ObservedStream;
-use crate::net::MAX_BODY;
+use crate::net::MAX_BUFFERED_BODY_BYTES;
 use meadowproxy::settings::NetworkSettings;
 use meadowproxy::BackendId;
 use std::io::{Read, Write};
@@ -126,7 +126,7 @@
 
 fn long_call() -> ForwardedRequest {
     ForwardedRequest {
-        body: RequestBody::Buffered(Bytes::from(vec![b'y'; MAX_BODY])),
+        body: RequestBody::Buffered(Bytes::from(vec![b'y'; MAX_BUFFERED_BODY_BYTES])),
         ..call()
     }
 }
@@ -163,7 +163,10 @@
         assert_eq!(pool.open(), 0, "{head}");
         drop(over);
         let rest = backend.join().unwrap();
-        assert!(rest.len() < MAX_BODY, "{head}: it was sent completely");
+        assert!(
+            rest.len() < MAX_BUFFERED_BODY_BYTES,
+            "{head}: it was sent completely"
+        );
     }
 }
 
@@ -181,7 +184,7 @@
         let mut piece = [0; 4096];
         while let Ok(n @ 1..) = peer.read(&mut piece) {
             all.extend_from_slice(&piece[..n]);
-            if all.len() > MAX_BODY {
+            if all.len() > MAX_BUFFERED_BODY_BYTES {
                 let _ = peer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nran");
                 break;
             }
@@ -193,7 +196,7 @@
         .await;
     drop(over);
     assert!(
-        backend.join().unwrap().len() < MAX_BODY,
+        backend.join().unwrap().len() < MAX_BUFFERED_BODY_BYTES,
         "it was sent completely"
     );
     assert_eq!(ended.outcome, Outcome::ConnectFailed, "it never ran");
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -67,7 +67,7 @@
         inherited: Option<&std::net::TcpListener>,
     ) -> Result<Proxy, StartError> {
         let host = new_host(node, &loaded.in_force);
-        let limits = ConnectionLimits::for_single_process(node.sockets);
+        let limits = ConnectionLimits::for_single_process(node.max_descriptors);
         let rules = RequestRules::new(&loaded.in_force.config, &loaded.in_force.network);
         let server = Server::new(host.clone(), rules, limits.clients);
         // The list from before the restart is in place before anything is served, and before learned state is restored.
@@ -79,7 +79,7 @@
             discovery: node.discovery,
         };
         // A second process is possible only where operators or the platform take part.
-        let may_have_pair = inherited.is_some() || node.control.is_some();
+        let may_have_pair = inherited.is_some() || node.admin_address.is_some();
         let handover = Handover::new(may_have_pair.then_some(&identity));
         if handover.has_older_process() {
             // Before learned state is restored: part of it is still in use by the other process.
@@ -97,7 +97,7 @@
         Ok(Proxy {
             host,
             server,
-            descriptors: Rc::new(Cell::new(node.sockets)),
+            descriptors: Rc::new(Cell::new(node.max_descriptors)),
             known_list,
             identity,
             handover,
@@ -118,8 +118,11 @@
         tokio::task::spawn_local(self.host.clone().run_timers());
         tokio::task::spawn_local(self.host.pool.clone().close_idle_connections());
         let discovery = self.spawn_discovery(&node, &loaded.in_force);
-        let fleet_overrides = Rc::new(FleetOverrides::new(loaded.in_force.clone(), node.version));
-        let shared_settings = Rc::new(Cell::new(node.shared));
+        let fleet_overrides = Rc::new(FleetOverrides::new(
+            loaded.in_force.clone(),
+            node.file_version,
+        ));
+        let shared_settings = Rc::new(Cell::new(node.shared_settings_digest));
         let fleet = Fleet::start(FleetStart {
             node: &node,
             config: &loaded.in_force.config,
@@ -181,7 +184,7 @@
             fleet: fleet.admin(),
             metrics: PrometheusRecorder::install(),
         });
-        if let Some(address) = node.control {
+        if let Some(address) = node.admin_address {
             let listener = bind_with_retry("control: ", address, server::listen).await?;
             admin.serve(address, listener);
         }
@@ -247,7 +250,7 @@
 }
 
 fn new_host(node: &Node, in_force: &ActiveSettings) -> Rc<Host> {
-    let limits = ConnectionLimits::for_single_process(node.sockets);
+    let limits = ConnectionLimits::for_single_process(node.max_descriptors);
     let pool = ConnectionPool::new(&in_force.network, limits.upstreams);
     let balancer = Balancer::from_validated(in_force.config.clone(), node.seed);
     Host::new(
@@ -281,5 +284,5 @@
     let Some(config) = node.snapshot.clone() else {
         return Ok(None);
     };
-    SnapshotKeeper::new(config, host.clone(), identity.clone(), node.settings).map(Some)
+    SnapshotKeeper::new(config, host.clone(), identity.clone(), node.settings_digest).map(Some)
 }
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -65,8 +65,8 @@
 }
 
 /// Twelve backends of two kinds in three zones.
-fn fleet() -> Fleet {
-    let backend = |i: usize| Backend {
+fn fleet() -> ListedBackends {
+    let backend = |i: usize| BackendCapacity {
         zone: ["a", "b", "c"][i % 3].into(),
         kind: ["m1", "m2"][i % 2].into(),
         cell: i as u64 / 4,
@@ -96,7 +96,7 @@
 fn run(
     calendar: &mut Calendar,
     secs: std::ops::Range<u64>,
-    fleet: &Fleet,
+    fleet: &ListedBackends,
     reports: &OpenRequestReports,
 ) -> Vec<String> {
     let steps = secs.flat_map(|s| {
@@ -951,7 +951,7 @@
     proptest::collection::vec((0..60u8, 0..12usize, 0..12usize, 0..30u8, 0..20u8), 150)
 }
 
-fn change_fleet(fleet: &mut Fleet, i: usize, kind: u8) {
+fn change_fleet(fleet: &mut ListedBackends, i: usize, kind: u8) {
     let backend = fleet.get_mut(&format!("s{i}")).unwrap();
     match kind {
         0 => backend.readiness = 0.0,
@@ -966,7 +966,7 @@
 /// The names that windows in these steps have, by an own reading of the list.
 fn occupied_backends(
     c: &Calendar,
-    fleet: &Fleet,
+    fleet: &ListedBackends,
     now: WallTime,
     steps: &[Phase],
     of: &dyn Fn(&str) -> bool,
@@ -1005,7 +1005,7 @@
 ];
 
 /// Listed and free capacity of the kind or zone, without these.
-fn capacity(fleet: &Fleet, group: &str, without: &BTreeSet<String>) -> (f64, f64) {
+fn capacity(fleet: &ListedBackends, group: &str, without: &BTreeSet<String>) -> (f64, f64) {
     let of = fleet
         .iter()
         .filter(|(_, b)| b.kind == group || b.zone == group);
@@ -1203,7 +1203,7 @@
             if !held.needs_fleet(now) {
                 let mut blind = held.clone();
                 let mut seeing = held.clone();
-                let none = Fleet::new();
+                let none = ListedBackends::new();
                 for since_holder in since_holder {
                     prop_assert_eq!(blind.backends_in_maintenance(now, since_holder, &none), seeing.backends_in_maintenance(now, since_holder, &fleet));
                 }
