--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -97,8 +97,7 @@
         loop {
             let demand = *self.demand.borrow_and_update();
             backends = self.snapshot_backends(demand, backends);
-            self.show
-                .send_replace(Some(Arc::new(self.snapshot(&backends))));
+            self.show.send_replace(Some(Arc::new(self.view(&backends))));
             if demand != previous_demand {
                 previous_demand = demand;
                 let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
@@ -131,7 +130,7 @@
         }
     }
 
-    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
+    fn view(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
         LoopView {
             backends: backends.clone(),
             open: self
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -113,7 +113,7 @@
     }
 
     /// What the next file is read with. Shares all entries.
-    pub fn snapshot(&self) -> OverridesView {
+    pub fn view(&self) -> OverridesView {
         OverridesView {
             overrides: self.overrides.borrow().clone(),
             version: self.received_version.get(),
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -127,7 +127,7 @@
     async fn read(&self) -> Result<ReadConfig, ReloadError> {
         let source = self.source.clone();
         let keys = self.keys.clone();
-        let fleet = self.fleet_overrides.snapshot();
+        let fleet = self.fleet_overrides.view();
         let in_force = self.in_force_with_current_names();
         let read = move || {
             let file = Node::read_again(&source, &keys, &in_force)?;
--- a/src/net/downstream/server/client_connection.rs
+++ b/src/net/downstream/server/client_connection.rs
@@ -233,7 +233,7 @@
                 () = client.stream.closed_by_peer() => Err(RequestError::ClientClosed),
             },
         };
-        let has_client_left = answer.is_err() && client.stream.peer().has_left();
+        let has_client_left = answer.is_err() && client.stream.remote_end().has_left();
         let mut response = answer.unwrap_or_else(|error| error.response());
         let is_last = has_client_left
             || client.is_leaving.get()
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -120,7 +120,7 @@
         let time_left = header_number(&head.headers, "x-time-left")
             .map_or(max_time, Micros::from_secs_f64)
             .min(max_time);
-        let upload = Upload::new(body, client.peer(), started_at);
+        let upload = Upload::new(body, client.remote_end(), started_at);
         let body = receive(upload, time_left).await?;
         // A buffered request's time counts from its last byte.
         let margin = self.host.response_margin();
@@ -133,7 +133,7 @@
             uri: origin_form(&head.uri)?,
             headers,
             body,
-            client: Some(client.peer()),
+            client: Some(client.remote_end()),
         };
         Ok(AdmittedRequest {
             arrival,
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -72,7 +72,7 @@
         }))
     }
 
-    pub fn peer(&self) -> RemoteEnd {
+    pub fn remote_end(&self) -> RemoteEnd {
         RemoteEnd(Rc::downgrade(&self.0))
     }
 
--- a/src/net/observed_stream/tests.rs
+++ b/src/net/observed_stream/tests.rs
@@ -65,14 +65,14 @@
     for linger in [None, Some(std::time::Duration::ZERO)] {
         let (stream, mut peer) = pair().await;
         peer.write_all(b"more").unwrap();
-        assert!(!stream.peer().has_left(), "bytes are no end");
+        assert!(!stream.remote_end().has_left(), "bytes are no end");
         socket2::SockRef::from(&peer).set_linger(linger).unwrap();
         drop(peer);
-        assert!(stream.peer().has_left(), "{linger:?}");
+        assert!(stream.remote_end().has_left(), "{linger:?}");
         stream.closed_by_peer().await;
     }
     let (stream, peer) = pair().await;
-    let seen = stream.peer();
+    let seen = stream.remote_end();
     assert!(!seen.has_left());
     drop(stream);
     assert!(seen.has_left(), "it keeps nothing open");
