--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -19,7 +19,7 @@
 /// The largest datagram: below the usual path MTU, so that none is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The largest body: prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
-pub const MAX_BODY_BYTES: usize = 1300;
+pub const MAX_DATAGRAM_BODY_BYTES: usize = 1300;
 /// How many datagrams a [`ReplayFilter`] remembers at most.
 const REPLAY_FILTER_DATAGRAMS: usize = 16_384;
 
@@ -135,11 +135,14 @@
             DatagramError::BadMagic => "magic",
             DatagramError::UnsupportedVersion(_) => "version",
             DatagramError::ChecksumMismatch => "checksum",
+            // The checksum is right, but the body does not decode: look for a faulty or differing program.
             DatagramError::Malformed(_) => "garbled",
             DatagramError::ForeignCluster => "cluster",
             DatagramError::Age(error) => error.cause(),
             DatagramError::Replayed => "replayed",
+            // A response that this proxy did not request, or no longer waits for.
             DatagramError::Unsolicited => "unasked",
+            // A coordination message that nobody takes here: coordination is not configured, or its queue is full.
             DatagramError::Unhandled => "unheard",
             DatagramError::Swim(_) => "swim",
         }
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -4,7 +4,7 @@
 //! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a datagram with a checksum. Nothing here panics on
 //! input. Names may change; the order of variants and fields is the format.
 
-use crate::net::cluster::gossip::wire::MAX_BODY_BYTES;
+use crate::net::cluster::gossip::wire::MAX_DATAGRAM_BODY_BYTES;
 use meadowproxy::fleet::calendar::{Digest, WindowError};
 use meadowproxy::fleet::config;
 use meadowproxy::fleet::lease::{Message, Token};
@@ -14,7 +14,7 @@
 /// Raised whenever a message's format changes.
 const VERSION: u8 = 3;
 /// Bytes of the items in one message at most, so that it fits a body with all else in it.
-const MAX_LOAD_BYTES: usize = MAX_BODY_BYTES - 80;
+const MAX_LOAD_BYTES: usize = MAX_DATAGRAM_BODY_BYTES - 80;
 
 /// What one proxy of the fleet, the lease holder, does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -127,11 +127,14 @@
     pub fn cause(&self) -> &'static str {
         match self {
             MessageError::Empty | MessageError::Version(_) => "version",
+            // The message does not decode: look for a faulty or differing program.
             MessageError::Malformed(_) => "garbled",
             MessageError::Window(WindowError::Full) => "full",
             MessageError::Window(_) => "entry",
+            // A voter's response from a proxy that is no voter by this proxy's settings: the settings differ.
             MessageError::NotAVoter => "stranger",
             MessageError::StaleToken => "token",
+            // A fencing token that is too high for any clock: see the sender's clock.
             MessageError::TokenNumber(_) => "number",
             MessageError::Broadcast(error) => error.cause(),
             MessageError::Config(error) => error.cause(),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -2,9 +2,11 @@
 //! that the holder of the calendar's duty advances, and the configuration. The state machines are in
 //! [`meadowproxy::fleet`]; here are their sockets, clocks and threads.
 //!
-//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker takes the other
-//! proxies' messages, the timer worker lets time pass; a third, `copy`, writes a snapshot of the configuration where one
-//! is wanted. They share [`tables`]. The request loop takes none of their locks: it gets effects from a bounded channel,
+//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker (`duties-wire`)
+//! takes the other proxies' messages, the timer worker (`duties-clock`) lets time pass; a third (`duties-copy`) writes a
+//! snapshot of the configuration where one is wanted. They share [`tables`].
+//!
+//! The request loop takes none of their locks: it gets effects from a bounded channel,
 //! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
 //! bounded queue and are answered by a oneshot.
 //!
@@ -13,7 +15,7 @@
 //! | modules | what they are |
 //! | --- | --- |
 //! | `message`, `call`, `clocks`, `config_change`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `voter_contacts`, `duty_lease`, `maintenance`, `outbox`, `roster`, `config_driver` | one table each |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `roster`, `config_driver` | one table each |
 //! | `tables` | the tables behind their locks |
 //! | `announcements`, `config`, `admin_calls`, `config_snapshot` | what is done with the tables |
 //! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
@@ -28,11 +30,11 @@
 mod config_driver;
 pub mod config_snapshot;
 mod duty_lease;
+mod effect_queue;
 mod maintenance;
 mod message;
 mod message_worker;
 mod ordered_locks;
-mod outbox;
 mod request_loop;
 mod request_loop_tasks;
 mod roster;
@@ -55,13 +57,13 @@
 use config_driver::ConfigDriver;
 use config_snapshot::SnapshotFile;
 use duty_lease::DutyLease;
+use effect_queue::EffectQueue;
 use hyper::{Method, StatusCode};
 use maintenance::Maintenance;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
 use meadowproxy::fleet::relay::Relay;
 use meadowproxy::Micros;
 use message::Duty;
-use outbox::Outbox;
 use request_loop::{BackendDemand, Effect};
 use request_loop_tasks::{apply_effects, AppliedEffects, SnapshotTask};
 use roster::Roster;
@@ -192,9 +194,9 @@
         ),
         calendar: Maintenance::new(calendar),
         roster: Roster::starting(),
-        outbox: Outbox::new(effects),
+        effect_queue: EffectQueue::new(effects),
         relay: Relay::new(own, incarnation, peers.max_age()),
-        post: peers.sender(),
+        datagrams: peers.sender(),
         incarnation,
     })))
 }
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::clocks::mono;
 use super::command::Command;
-use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopSnapshot};
+use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopView};
 use crate::net::cluster::gossip::GossipDriver;
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::host::{DisableReason, Host};
@@ -84,7 +84,7 @@
     pub host: Rc<Host>,
     pub peers: Rc<GossipDriver>,
     pub applied: Rc<AppliedEffects>,
-    pub show: watch::Sender<Option<Arc<LoopSnapshot>>>,
+    pub show: watch::Sender<Option<Arc<LoopView>>>,
     pub demand: watch::Receiver<BackendDemand>,
     pub commands: SyncSender<Command>,
 }
@@ -97,8 +97,7 @@
         loop {
             let demand = *self.demand.borrow_and_update();
             backends = self.snapshot_backends(demand, backends);
-            self.show
-                .send_replace(Some(Arc::new(self.snapshot(&backends))));
+            self.show.send_replace(Some(Arc::new(self.view(&backends))));
             if demand != previous_demand {
                 previous_demand = demand;
                 let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
@@ -131,15 +130,15 @@
         }
     }
 
-    fn snapshot(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopSnapshot {
-        LoopSnapshot {
+    fn view(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
+        LoopView {
             backends: backends.clone(),
             open: self
                 .host
                 .in_flight_at(&self.applied.in_maintenance.borrow()),
             members: self.peers.members(),
-            config: self.applied.fleet_overrides.version(),
-            file: self.applied.fleet_overrides.file_version(),
+            config_version: self.applied.fleet_overrides.version(),
+            file_version: self.applied.fleet_overrides.file_version(),
         }
     }
 }
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -4,9 +4,9 @@
 use super::admin_calls;
 use super::clocks::{mono, wall};
 use super::command::Command;
-use super::duty_lease::{token_text, Outgoing};
+use super::duty_lease::{token_text, DutyMessages};
 use super::message::{self, Announcement, Duty, DutyMessage, HeldDuty, OpenRequestCount};
-use super::request_loop::{BackendDemand, LoopSnapshot};
+use super::request_loop::{BackendDemand, LoopView};
 use super::tables::Tables;
 use meadowproxy::fleet::calendar::{OpenRequestReports, Transition, Window};
 use meadowproxy::{Micros, Time};
@@ -34,7 +34,7 @@
 /// The worker's own state; what it shares is in [`Tables`].
 pub struct TimerWorker {
     tables: Arc<Tables>,
-    seen: watch::Receiver<Option<Arc<LoopSnapshot>>>,
+    seen: watch::Receiver<Option<Arc<LoopView>>>,
     /// What the request loop is to show.
     demand: watch::Sender<BackendDemand>,
     own: SocketAddr,
@@ -64,7 +64,7 @@
 impl TimerWorker {
     pub fn new(
         tables: Arc<Tables>,
-        seen: watch::Receiver<Option<Arc<LoopSnapshot>>>,
+        seen: watch::Receiver<Option<Arc<LoopView>>>,
         demand: watch::Sender<BackendDemand>,
         own: SocketAddr,
         is_single: bool,
@@ -107,7 +107,7 @@
     }
 
     fn leave(&self) {
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         for duty in [Duty::Calendar, Duty::Config] {
             self.tables
                 .with_lease(duty, |lease| lease.leave(&mut outgoing));
@@ -121,13 +121,13 @@
             self.tables.roster.lock().update(seen);
         }
         self.catch_up();
-        let mut outgoing = Outgoing::new();
-        let calendar_due_at = self.tables.leases.lock().tick(&mut outgoing);
+        let mut outgoing = DutyMessages::new();
+        let calendar_due_at = self.tables.calendar_lease.lock().tick(&mut outgoing);
         self.tables.send(outgoing);
         let config_due_at = self.tables.config_tick();
         self.update_demand();
         let calendar = self.advance_calendar();
-        let config = self.tables.config.lock().leases.held_token();
+        let config = self.tables.config.lock().lease.held_token();
         let config = config.map(|token| HeldDuty {
             duty: Duty::Config,
             token,
@@ -163,7 +163,7 @@
     /// Has the request loop show the listed backends where they are needed: most proxies of a quiet fleet never do.
     fn update_demand(&self) {
         let (is_holder, since_heartbeat) = {
-            let lease = self.tables.leases.lock();
+            let lease = self.tables.calendar_lease.lock();
             (lease.held_token().is_some(), lease.since_heartbeat())
         };
         let maintenance = self.tables.calendar.lock();
@@ -213,7 +213,7 @@
 
     /// The clock is read for the lease after all locks are taken, right before the transitions.
     fn advance_locked(&self) -> Option<Advanced> {
-        let lease = self.tables.leases.lock();
+        let lease = self.tables.calendar_lease.lock();
         lease.held_token()?;
         let mut maintenance = self.tables.calendar.lock();
         let mut roster = self.tables.roster.lock();
@@ -261,7 +261,7 @@
 
     /// Announces again what is due; a holder's effects only while it holds the duty.
     fn send_repeats(&self) {
-        let mut due = self.tables.outbox.lock().take_due_repeats(mono());
+        let mut due = self.tables.effect_queue.lock().take_due_repeats(mono());
         due.retain(|announcement| {
             let mut held = announcement.held.iter();
             held.all(|duty| self.held.contains(duty))
@@ -284,7 +284,7 @@
         };
         self.digest_at = now + interval;
         let digests = self.tables.digests(is_new);
-        let mut outgoing = Outgoing::new();
+        let mut outgoing = DutyMessages::new();
         for _ in 0..DIGEST_FANOUT.min(members.len()) {
             self.digest_turn = self.digest_turn.wrapping_add(1);
             let to = members[self.digest_turn % members.len()];
@@ -296,7 +296,7 @@
     /// Reports the requests that are open at backends in maintenance to the holder: each second, and at once where the
     /// last one ended.
     fn report_open_requests(&mut self) {
-        let holder = self.tables.leases.lock().holder();
+        let holder = self.tables.calendar_lease.lock().holder();
         let in_maintenance = self.tables.calendar.lock().in_maintenance.clone();
         let seen = self.tables.roster.lock().seen.clone();
         let (Some(holder), Some(seen)) = (holder, seen) else {
