--- a/src/fleet/calendar/anti_entropy.rs
+++ b/src/fleet/calendar/anti_entropy.rs
@@ -12,7 +12,7 @@
 pub const MAX_DIGEST_ROWS: usize = 50;
 
 /// The most windows that one digest is answered with.
-pub const MAX_WINDOWS_PER_ANSWER: usize = 64;
+pub const MAX_WINDOWS_PER_RESPONSE: usize = 64;
 
 /// The versions of the windows whose id hashes lie in one range; the ranges of one set of digests cover all hashes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -108,7 +108,7 @@
         digests
     }
 
-    /// What the sender of that digest and this proxy lack of each other's, at most [`MAX_WINDOWS_PER_ANSWER`] windows
+    /// What the sender of that digest and this proxy lack of each other's, at most [`MAX_WINDOWS_PER_RESPONSE`] windows
     /// and [`MAX_DIGEST_ROWS`] requests; the rest shows in the next digest.
     pub fn compare(&self, digest: &Digest, now: WallTime) -> Difference {
         let theirs: BTreeMap<u64, u64> = digest
@@ -132,7 +132,7 @@
                 difference.to_request.push(*id_hash);
             }
         }
-        difference.to_send.truncate(MAX_WINDOWS_PER_ANSWER);
+        difference.to_send.truncate(MAX_WINDOWS_PER_RESPONSE);
         difference
             .to_request
             .extend(theirs.keys().filter(|id_hash| !mine.contains_key(id_hash)));
@@ -140,11 +140,11 @@
     }
 
     /// The windows that another proxy requested by their ids' hashes.
-    pub fn requested(&self, id_hashes: &[u64], now: WallTime) -> Vec<Window> {
+    pub fn windows_with_id_hashes(&self, id_hashes: &[u64], now: WallTime) -> Vec<Window> {
         self.windows_by_id_hash(now)
             .filter(|(id_hash, _)| id_hashes.contains(id_hash))
             .map(|(_, window)| window.clone())
-            .take(MAX_WINDOWS_PER_ANSWER)
+            .take(MAX_WINDOWS_PER_RESPONSE)
             .collect()
     }
 
--- a/src/fleet/calendar/isolation.rs
+++ b/src/fleet/calendar/isolation.rs
@@ -1,6 +1,6 @@
 //! Which backends are in maintenance: the lease holder's decision or, while this proxy is isolated, its own.
 //!
-//! A proxy that heard of no lease holder for over [`Rules::max_holder_silence`](super::Rules::max_holder_silence) is
+//! A proxy that heard of no lease holder for over [`Rules::isolation_timeout`](super::Rules::isolation_timeout) is
 //! isolated. It then does for itself what the holder does for all, with the backends that it sees: a window that is due
 //! and fits the budget takes effect from its lead on, and each window that is in effect ends at its end, overrun or
 //! not. It remembers these decisions, as a budget that is checked again in the middle of a window could bring a backend
@@ -84,7 +84,7 @@
                 .get(id)
                 .is_some_and(|window| decision.is_current(window))
         });
-        if since_holder > self.rules.max_holder_silence {
+        if since_holder > self.rules.isolation_timeout {
             self.end_isolated(now);
             self.start_isolated(now, fleet);
         }
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -15,14 +15,14 @@
 //! | `due_window` | the windows to start, in their order |
 //! | `phases` | the lease holder's transitions |
 //! | `isolation` | what a proxy decides that hears of no lease holder |
-//! | `fleet_usage` | when the list of backends is needed at all |
+//! | `backend_demand` | when the list of backends is needed at all |
 //! | `anti_entropy` | digests and the repair of replicas |
 
 mod admin_calls;
 mod anti_entropy;
+mod backend_demand;
 mod disruption_budget;
 mod due_window;
-mod fleet_usage;
 mod isolation;
 mod phases;
 mod spec;
@@ -30,9 +30,9 @@
 mod window;
 
 pub use admin_calls::{CallError, CallOutcome, WindowView};
-pub use anti_entropy::{Difference, Digest, DigestRow, MAX_DIGEST_ROWS, MAX_WINDOWS_PER_ANSWER};
+pub use anti_entropy::{Difference, Digest, DigestRow, MAX_DIGEST_ROWS, MAX_WINDOWS_PER_RESPONSE};
 pub use disruption_budget::{BackendCapacity, DisruptionBudget, ListedBackends};
-pub use phases::{OpenRequestReport, OpenRequestReports, Transition, NOTIFICATION_BOUND};
+pub use phases::{OpenRequestReport, OpenRequestReports, Transition, MAX_NOTIFICATION_DELAY};
 pub use spec::{
     check_id, parse_instant, InvalidField, Schedule, Span, Spec, Targets, DEFAULT_LEAD_S,
     MAX_DURATION_S, MAX_IDS_BYTES, MAX_LEAD_S, MAX_NAME_BYTES, MAX_OVERRUN_S, MAX_RECURRING_S,
@@ -61,7 +61,7 @@
     /// How long a backend that returned is in slow start.
     pub slow_start: Micros,
     /// For how long a proxy goes by the lease holder's decisions without hearing of it.
-    pub max_holder_silence: Micros,
+    pub isolation_timeout: Micros,
 }
 
 /// One proxy's replica of the windows.
--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -12,9 +12,9 @@
 
 /// Within this time a live proxy has acted on the holder's decision: what it reports from then
 /// on counts requests that no new ones join.
-pub const NOTIFICATION_BOUND: Micros = Micros(2_000_000);
+pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
 /// A new holder claims what drains within this time: more than clocks of two proxies differ.
-pub(super) const CLAIM_AHEAD: Micros = Micros(5_000_000);
+pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
 /// How often the shown figures of a waiting window are refreshed.
 const REASON_REFRESH: Micros = Micros(5_000_000);
 
@@ -277,7 +277,7 @@
 /// Whether an occurrence is under way or due, and does not have the holder's token yet.
 fn needs_claim(window: &Window, current: CurrentOccurrence, token: Token, now: WallTime) -> bool {
     let drains_at = window.actual_span(current.planned).begin - window.lead();
-    let is_due = window.cancelled.is_none() && drains_at <= now + CLAIM_AHEAD;
+    let is_due = window.cancelled.is_none() && drains_at <= now + CLAIM_LOOKAHEAD;
     let is_claimed = window.progress.as_ref().is_some_and(|progress| {
         progress.token == token && progress.occurrence == current.planned.begin
     });
@@ -386,7 +386,7 @@
     // An older report may come from before its proxy was notified, with a request still to follow.
     let all_notified = reports
         .values()
-        .all(|report| now - report.age >= since + NOTIFICATION_BOUND);
+        .all(|report| now - report.age >= since + MAX_NOTIFICATION_DELAY);
     if open == 0 && all_notified && !reports.is_empty() {
         let reason = format!("no request open at {} proxies", reports.len());
         return Some(NextPhase::new(Phase::Drained, reason));
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -77,7 +77,7 @@
                 .calendar
                 .lock()
                 .calendar
-                .requested(&id_hashes, wall());
+                .windows_with_id_hashes(&id_hashes, wall());
             outgoing.extend(window_messages(from, &windows));
         }
         DutyMessage::Windows { windows } => return merge(tables, &windows, outgoing),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -173,7 +173,7 @@
             zone_floor: voting.zone_floor.unwrap_or(voting.floor),
         },
         slow_start,
-        max_holder_silence: peers.max_age(),
+        isolation_timeout: peers.max_age(),
     });
     let voters = voting.voters.clone();
     let lease = DutyLease::new(
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/tables.rs
@@ -97,9 +97,9 @@
         let maintenance = &mut *maintenance;
         let now = wall();
         let calendar = &maintenance.calendar;
-        let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
-        let decides = is_isolated && calendar.needs_fleet(now);
-        if !decides && maintenance.in_maintenance.is_empty() && !calendar.any_in_effect() {
+        let is_isolated = since_heartbeat > calendar.rules.isolation_timeout;
+        let decides = is_isolated && calendar.needs_backends(now);
+        if !decides && maintenance.in_maintenance.is_empty() && !calendar.any_window_in_effect() {
             return;
         }
         let fleet = self
--- a/src/net/cluster/coordination/tables/example.rs
+++ b/src/net/cluster/coordination/tables/example.rs
@@ -31,7 +31,7 @@
                 zone_floor: 0.5,
             },
             slow_start: Micros(1_000_000),
-            max_holder_silence: max_age,
+            isolation_timeout: max_age,
         });
         let mut config = ConfigDriver::new(
             lease_rules,
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -168,8 +168,8 @@
         };
         let maintenance = self.tables.calendar.lock();
         let calendar = &maintenance.calendar;
-        let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
-        let decides = (is_holder || is_isolated) && calendar.needs_fleet(wall());
+        let is_isolated = since_heartbeat > calendar.rules.isolation_timeout;
+        let decides = (is_holder || is_isolated) && calendar.needs_backends(wall());
         // Where windows name their backends, the list is needed only to see whether one that ends is still listed.
         let all_named = |named: &BTreeSet<&str>| {
             let mut in_maintenance = maintenance.in_maintenance.iter();
@@ -178,7 +178,7 @@
         let demand = if !maintenance.has_caught_up() || decides {
             BackendDemand::EachTime
         } else if calendar
-            .named_in_maintenance()
+            .named_backends_in_maintenance()
             .as_ref()
             .is_some_and(all_named)
         {
@@ -220,7 +220,7 @@
         let now = wall();
         let mut fleet = Some(Arc::default());
         let mut reports = OpenRequestReports::new();
-        if maintenance.calendar.needs_fleet(now) {
+        if maintenance.calendar.needs_backends(now) {
             fleet = roster.fleet(&maintenance.in_maintenance, true);
             reports = roster.open_requests(self.own, &maintenance.in_maintenance);
         }
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -27,7 +27,7 @@
     Calendar::new(Rules {
         budget,
         slow_start: Micros(RAMP * 1_000_000),
-        max_holder_silence: Micros(5_000_000),
+        isolation_timeout: Micros(5_000_000),
     })
 }
 
@@ -819,10 +819,10 @@
         assert!(rounds < 10);
         for digest in fresh.digests(at(1)) {
             let lacking = full.compare(&digest, at(1));
-            assert!(lacking.to_send.len() <= MAX_WINDOWS_PER_ANSWER);
+            assert!(lacking.to_send.len() <= MAX_WINDOWS_PER_RESPONSE);
             merge_all(
                 &mut full,
-                &fresh.requested(&lacking.to_request, at(1)),
+                &fresh.windows_with_id_hashes(&lacking.to_request, at(1)),
                 at(1),
             );
             merge_all(&mut fresh, &lacking.to_send, at(1));
@@ -1074,7 +1074,7 @@
         for (from, to) in [(0, 1), (1, 2), (0, 1), (2, 0)] {
             for digest in proxies[from].digests(now) {
                 let lacking = proxies[to].compare(&digest, now);
-                let answers = proxies[from].requested(&lacking.to_request, now);
+                let answers = proxies[from].windows_with_id_hashes(&lacking.to_request, now);
                 merge_all(&mut proxies[to], &answers, now);
                 merge_all(&mut proxies[from], &lacking.to_send, now);
             }
@@ -1200,7 +1200,7 @@
         let since_holder = [Micros(0), Micros(u64::MAX)];
         for (secs, cut) in times {
             let now = at(secs);
-            if !held.needs_fleet(now) {
+            if !held.needs_backends(now) {
                 let mut blind = held.clone();
                 let mut seeing = held.clone();
                 let none = ListedBackends::new();
@@ -1223,14 +1223,14 @@
 #[test]
 fn the_fleet_is_needed_around_windows_only() {
     let mut calendar = calendar(0.4);
-    assert!(!calendar.needs_fleet(at(0)) && !calendar.any_in_effect());
+    assert!(!calendar.needs_backends(at(0)) && !calendar.any_window_in_effect());
     calendar
         .put("w", once(ids(&[1]), 100, 130, 10, 0), version(0), at(0))
         .unwrap();
     let mut needed = Vec::new();
     for secs in 0..200 {
         calendar.advance(at(secs), token(8), &fleet(), &idle());
-        if calendar.needs_fleet(at(secs)) {
+        if calendar.needs_backends(at(secs)) {
             needed.push(secs);
         }
     }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -164,7 +164,7 @@
     Calendar::new(Rules {
         budget,
         slow_start: Micros(1_000_000),
-        max_holder_silence: Micros(5_000_000),
+        isolation_timeout: Micros(5_000_000),
     })
 }
 
