--- a/src/net/cluster/coordination/admin_calls.rs
+++ b/src/net/cluster/coordination/admin_calls.rs
@@ -1,8 +1,8 @@
 //! The operators' calls on duties and maintenance windows, carried out by the timer worker.
 
-use super::call::{json_line, Answer, Call};
-use super::clocks::wall;
-use super::tables::Tables;
+use super::call::{json_line, Call, CallResponse};
+use super::clocks::wall_now;
+use super::shared_state::SharedState;
 use hyper::StatusCode;
 use meadowproxy::fleet::calendar::{
     parse_instant, CallError, CallOutcome, InvalidField, Spec, Version, WallTime,
@@ -18,18 +18,18 @@
 }
 
 /// Carries a call out.
-pub fn answer(tables: &Tables, call: &Call) -> Answer {
+pub fn handle_call(shared: &SharedState, call: &Call) -> CallResponse {
     let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
     match (call.method.as_str(), path.as_slice()) {
-        ("GET", ["config"]) => ok(&tables.config_status()),
-        ("GET", ["config", kind, name]) => tables.config_entry(kind, name),
-        ("GET", ["duties"]) => ok(&duties(tables)),
+        ("GET", ["config"]) => ok(&shared.config_status()),
+        ("GET", ["config", kind, name]) => shared.config_entry(kind, name),
+        ("GET", ["duties"]) => ok(&duties(shared)),
         ("GET", ["windows"]) => {
-            let windows = tables.calendar.lock().calendar.list(wall());
+            let windows = shared.maintenance.lock().calendar.list(wall_now());
             ok(&json!({ "windows": windows }))
         }
-        (method, ["windows", id, action @ ..]) => match change(tables, method, id, action, call) {
-            Some(changed) => answer_change(tables, changed),
+        (method, ["windows", id, action @ ..]) => match change(shared, method, id, action, call) {
+            Some(changed) => respond_to_change(shared, changed),
             None => no_such_call(),
         },
         _ => no_such_call(),
@@ -38,40 +38,53 @@
 
 /// Carries a call out that changes a window; `None` where there is no such call.
 fn change(
-    tables: &Tables,
+    shared: &SharedState,
     method: &str,
     id: &str,
     action: &[&str],
     call: &Call,
 ) -> Option<Result<CallOutcome, CallError>> {
-    let now = wall();
+    let now = wall_now();
     let version = Version {
         called_at: now,
-        incarnation: tables.incarnation,
+        incarnation: shared.incarnation,
     };
     let changed = match (method, action) {
         ("PUT", []) => Spec::from_json(&call.body)
             .map_err(CallError::Invalid)
-            .and_then(|spec| tables.calendar.lock().calendar.put(id, spec, version, now)),
-        ("DELETE", []) => tables.calendar.lock().calendar.cancel(id, version, now),
+            .and_then(|spec| {
+                shared
+                    .maintenance
+                    .lock()
+                    .calendar
+                    .put(id, spec, version, now)
+            }),
+        ("DELETE", []) => shared.maintenance.lock().calendar.cancel(id, version, now),
         ("POST", ["extend"]) => extension_end(&call.body)
             .map_err(CallError::Invalid)
             .and_then(|until| {
-                let calendar = &mut tables.calendar.lock().calendar;
+                let calendar = &mut shared.maintenance.lock().calendar;
                 calendar.extend(id, until, version, now)
             }),
-        ("POST", ["begin"]) => tables.calendar.lock().calendar.start_now(id, version, now),
+        ("POST", ["begin"]) => shared
+            .maintenance
+            .lock()
+            .calendar
+            .start_now(id, version, now),
         _ => return None,
     };
     Some(changed)
 }
 
-fn answer_change(tables: &Tables, changed: Result<CallOutcome, CallError>) -> Answer {
+fn respond_to_change(
+    shared: &SharedState,
+    changed: Result<CallOutcome, CallError>,
+) -> CallResponse {
     match changed {
         Ok(outcome) => {
-            let windows = tables.calendar.lock().calendar.take_changed();
-            tables.announce_windows(&windows, None);
-            tables.update_maintenance();
+            let windows = shared.maintenance.lock().calendar.take_changed();
+            shared.announce_windows(&windows, None);
+            shared.update_maintenance();
             ok(&json!({ "changed": outcome == CallOutcome::Changed }))
         }
         Err(error) => {
@@ -81,11 +94,11 @@
     }
 }
 
-fn ok(value: &serde_json::Value) -> Answer {
+fn ok(value: &serde_json::Value) -> CallResponse {
     (StatusCode::OK, json_line(value))
 }
 
-fn no_such_call() -> Answer {
+fn no_such_call() -> CallResponse {
     let body = json!({ "field": "path", "why": "no such call" });
     (StatusCode::NOT_FOUND, json_line(&body))
 }
@@ -99,18 +112,18 @@
 }
 
 /// The state of the calendar's duty; the names are the operators' ones.
-fn duties(tables: &Tables) -> serde_json::Value {
-    let mut status = tables.calendar_lease.lock().status();
+fn duties(shared: &SharedState) -> serde_json::Value {
+    let mut status = shared.calendar_lease.lock().status();
     let (windows, in_maintenance, ready) = {
-        let maintenance = tables.calendar.lock();
+        let maintenance = shared.maintenance.lock();
         (
-            maintenance.calendar.list(wall()).len(),
+            maintenance.calendar.list(wall_now()).len(),
             maintenance.in_maintenance.clone(),
             maintenance.has_caught_up(),
         )
     };
-    let members = tables.roster.lock().members().len();
-    let effect_queue = tables.effect_queue.lock();
+    let members = shared.fleet_view.lock().members().len();
+    let effect_queue = shared.effect_queue.lock();
     let more = json!({
         "windows": windows, "out": in_maintenance, "ready": ready, "members": members, "sent": effect_queue.sent,
         "received": effect_queue.received, "refused": effect_queue.rejected,
--- a/src/net/cluster/coordination/admin_calls/stored_formats.rs
+++ b/src/net/cluster/coordination/admin_calls/stored_formats.rs
@@ -7,12 +7,12 @@
 use meadowproxy::fleet::lease::Ballot;
 use std::net::SocketAddr;
 
-fn call(tables: &Tables, call: &str, body: &str) -> String {
+fn call(shared: &SharedState, call: &str, body: &str) -> String {
     let (method, path) = call.split_once(" /").unwrap();
     let path = path.split('/').map(String::from).collect();
     let method = method.parse().unwrap();
-    let (status, text) = answer(
-        tables,
+    let (status, text) = handle_call(
+        shared,
         &Call {
             method,
             path,
@@ -29,7 +29,7 @@
 
 #[test]
 fn calls_on_windows_keep_their_answers() {
-    let (tables, _told) = Tables::example();
+    let (shared, _told) = SharedState::example();
     let calls = [
         ("none yet", "GET /windows", ""),
         ("put", "PUT /windows/w", WINDOW),
@@ -61,13 +61,13 @@
         ("cancelled", "GET /windows", ""),
         ("no such call", "GET /nothing", ""),
     ];
-    let forms = calls.map(|(name, of, body)| (name, call(&tables, of, body)));
+    let forms = calls.map(|(name, of, body)| (name, call(&shared, of, body)));
     assert_lines("window-calls.txt", &forms);
 }
 
 /// The answer to `GET /duties` without what the clock says.
-fn state(tables: &Tables) -> String {
-    let mut status = duties(tables);
+fn state(shared: &SharedState) -> String {
+    let mut status = duties(shared);
     if status["heard_ms"].is_u64() {
         status["heard_ms"] = 0.into();
     }
@@ -78,22 +78,22 @@
 
 #[test]
 fn the_state_of_duties_keeps_its_json() {
-    let (tables, _told) = Tables::example();
-    let before = state(&tables);
-    assert!(call(&tables, "GET /duties", "").starts_with("200 {"));
-    call(&tables, "PUT /windows/w", WINDOW);
-    tables.calendar.lock().in_maintenance.insert("a".into());
+    let (shared, _told) = SharedState::example();
+    let before = state(&shared);
+    assert!(call(&shared, "GET /duties", "").starts_with("200 {"));
+    call(&shared, "PUT /windows/w", WINDOW);
+    shared.maintenance.lock().in_maintenance.insert("a".into());
     let from = SocketAddr::from(([127, 0, 0, 1], 10));
     let token = Ballot {
         number: 1_764_748_800_000,
         incarnation: 0x55aa,
     };
-    tables
+    shared
         .calendar_lease
         .lock()
         .admit_effect(from, token, true, &mut DutyMessages::new())
         .unwrap();
-    tables.effect_queue.lock().rejected.insert("token", 3);
-    let forms = [("at the start", before), ("with a holder", state(&tables))];
+    shared.effect_queue.lock().rejected.insert("token", 3);
+    let forms = [("at the start", before), ("with a holder", state(&shared))];
     assert_lines("duties-status.txt", &forms);
 }
--- a/src/net/cluster/coordination/announcements.rs
+++ b/src/net/cluster/coordination/announcements.rs
@@ -1,9 +1,9 @@
 //! Announcements to all members, and digests for single ones.
 
-use super::clocks::{mono, wall};
+use super::clocks::{monotonic_now, wall_now};
 use super::duty_lease::DutyMessages;
 use super::message::{self, Announcement, DutyMessage, HeldDuty};
-use super::tables::Tables;
+use super::shared_state::SharedState;
 use meadowproxy::fleet::calendar::Window;
 use meadowproxy::fleet::relay::BroadcastHeader;
 use meadowproxy::Micros;
@@ -14,11 +14,11 @@
 /// What the encoding of a list adds to each item, in bytes.
 const ITEM_OVERHEAD_BYTES: usize = 2;
 
-impl Tables {
+impl SharedState {
     /// Announces something once to all live members.
     pub fn announce_once(&self, announcements: &[Announcement]) {
         for announcement in announcements {
-            let header = self.relay.lock().originate(wall().0);
+            let header = self.relay.lock().originate(wall_now().0);
             self.relay_announcement(&header, announcement);
         }
     }
@@ -37,7 +37,7 @@
             return;
         }
         self.announce_once(&announcements);
-        let now = mono();
+        let now = monotonic_now();
         let mut effect_queue = self.effect_queue.lock();
         for pause in REPEAT_AFTER {
             let repeats = effect_queue.repeats.entry(now + pause).or_default();
@@ -47,7 +47,7 @@
 
     /// Sends an announcement to those members that are to relay it from here.
     pub fn relay_announcement(&self, header: &BroadcastHeader, announcement: &Announcement) {
-        let seen = self.roster.lock().seen.clone();
+        let seen = self.fleet_view.lock().seen.clone();
         let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
         let next = self.relay.lock().forward(header, members);
         let outgoing = next
@@ -64,10 +64,10 @@
     pub fn digests(&self, wants_reply: bool) -> Vec<DutyMessage> {
         let mut tokens = self.calendar_lease.lock().token_reports();
         tokens.extend(self.config.lock().lease.token_reports());
-        let maintenance = self.calendar.lock();
+        let maintenance = self.maintenance.lock();
         maintenance
             .calendar
-            .digests(wall())
+            .digests(wall_now())
             .into_iter()
             .map(|digest| DutyMessage::Digest {
                 tokens: tokens.clone(),
--- a/src/net/cluster/coordination/call.rs
+++ b/src/net/cluster/coordination/call.rs
@@ -12,7 +12,7 @@
 }
 
 /// The status and the body of an answer, JSON or a line of text.
-pub type Answer = (StatusCode, String);
+pub type CallResponse = (StatusCode, String);
 
 /// A JSON value as the body of an answer.
 pub fn json_line(value: &serde_json::Value) -> String {
--- a/src/net/cluster/coordination/clocks.rs
+++ b/src/net/cluster/coordination/clocks.rs
@@ -6,7 +6,7 @@
 use rustix::time::{clock_gettime, ClockId};
 
 /// The monotonic clock, which all processes of a machine share.
-pub fn mono() -> Time {
+pub fn monotonic_now() -> Time {
     let now = clock_gettime(ClockId::Monotonic);
     Time(
         (now.tv_sec as u64)
@@ -16,6 +16,6 @@
 }
 
 /// The wall clock, which is compared between proxies.
-pub fn wall() -> WallTime {
+pub fn wall_now() -> WallTime {
     WallTime(wall_us())
 }
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,14 +1,14 @@
 //! The fleet's replicated configuration at this proxy, under one lock: the steps of its [`ConfigDriver`], and the operators'
 //! calls on it.
 
-use super::call::{json_line as line, Answer};
-use super::clocks::{mono, wall};
-use super::config_change::{kind_named, ConfigChange};
+use super::call::{json_line, CallResponse};
+use super::clocks::{monotonic_now, wall_now};
+use super::config_change::{kind_by_name, ConfigChange};
 use super::config_driver::ConfigDriver;
 use super::duty_lease::DutyMessages;
 use super::message::DutyMessage;
 use super::request_loop::Effect;
-use super::tables::Tables;
+use super::shared_state::SharedState;
 use hyper::StatusCode;
 use meadowproxy::fleet::config::{
     Context, Key, Message, MessageError, Outbox, Replica, Table, Value,
@@ -19,9 +19,9 @@
 use tokio::sync::oneshot;
 use tracing::info;
 
-impl Tables {
+impl SharedState {
     /// Runs a step of the configuration, and carries out what comes of it.
-    fn config_step<T>(
+    fn step_config<T>(
         &self,
         step: impl FnOnce(&mut ConfigDriver, Time, &Context, &mut Outbox) -> T,
     ) -> T {
@@ -29,21 +29,21 @@
         let mut out = Outbox::new();
         let (result, became_ready) = {
             let mut config = self.config.lock();
-            let seen = self.roster.lock().seen.clone();
+            let seen = self.fleet_view.lock().seen.clone();
             let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
             let previous_version = config.replica.table().version();
             let was_new = config.replica.is_new();
-            let now = mono();
+            let now = monotonic_now();
             let context = Context {
-                wall_ms: wall().0 / 1000,
+                wall_ms: wall_now().0 / 1000,
                 members,
                 zone_members: &[],
                 lease: config.lease.held_token(),
                 leader: config.lease.holder(),
             };
             let result = step(&mut config, now, &context, &mut out);
-            config.carry_out_events(&mut duty_messages);
-            log_version(&config.replica, previous_version, now);
+            config.handle_events(&mut duty_messages);
+            log_version_change(&config.replica, previous_version, now);
             config.publish_newest_version();
             self.send_config_changes(&mut config);
             (result, was_new && !config.replica.is_new())
@@ -53,7 +53,7 @@
             .extend(messages.map(|outgoing| (outgoing.to, DutyMessage::Config(outgoing.message))));
         self.send(duty_messages);
         if became_ready {
-            self.admit_clients();
+            self.signal_ready_if_caught_up();
         }
         result
     }
@@ -75,7 +75,7 @@
 
     /// Starts from the snapshot of an earlier process.
     pub fn restore_config(&self, table: Table) {
-        self.config_step(|config, _, _, _| config.replica.restore(table));
+        self.step_config(|config, _, _, _| config.replica.restore(table));
     }
 
     /// Lets time pass for the configuration; returns when its lease is due next.
@@ -87,11 +87,11 @@
                 config.lease.set_eligible();
             }
             let lease_due = config.lease.tick(&mut duty_messages);
-            config.update_metrics(mono());
+            config.update_metrics(monotonic_now());
             lease_due
         };
         self.send(duty_messages);
-        self.config_step(|config, now, context, out| {
+        self.step_config(|config, now, context, out| {
             config.replica.tick(now, context, out);
             config.time_out_calls(now);
         });
@@ -104,21 +104,25 @@
         from: SocketAddr,
         message: Message,
     ) -> Result<(), MessageError> {
-        self.config_step(|config, now, context, out| {
+        self.step_config(|config, now, context, out| {
             config.replica.handle(now, context, from, message, out)
         })
     }
 
     /// Submits an operator's change, which is answered once its outcome is known.
-    pub fn config_change(&self, change: ConfigChange, answer: oneshot::Sender<Answer>) {
-        self.config_step(|config, now, context, out| {
+    pub fn submit_config_change(
+        &self,
+        change: ConfigChange,
+        answer: oneshot::Sender<CallResponse>,
+    ) {
+        self.step_config(|config, now, context, out| {
             config.submit(now, context, change, answer, out);
         });
     }
 
     /// One entry, to an operator.
-    pub fn config_entry(&self, kind: &str, name: &str) -> Answer {
-        let key = kind_named(kind).map(|kind| Key {
+    pub fn config_entry(&self, kind: &str, name: &str) -> CallResponse {
+        let key = kind_by_name(kind).map(|kind| Key {
             kind,
             name: name.into(),
         });
@@ -131,7 +135,7 @@
         });
         let Some(entry) = entry else {
             let body = json!({ "field": "path", "why": "never changed since the file" });
-            return (StatusCode::NOT_FOUND, line(&body));
+            return (StatusCode::NOT_FOUND, json_line(&body));
         };
         let (state, value) = match &entry.edit.value {
             Value::Set(bytes) => ("set", serde_json::from_slice(bytes).unwrap_or_default()),
@@ -139,14 +143,14 @@
             Value::AsFile => ("as_file", serde_json::Value::Null),
         };
         let body = json!({ "version": entry.version, "state": state, "value": value });
-        (StatusCode::OK, line(&body))
+        (StatusCode::OK, json_line(&body))
     }
 
     /// The state of the configuration, to an operator.
     pub fn config_status(&self) -> serde_json::Value {
         let config = self.config.lock();
         let seen = self
-            .roster
+            .fleet_view
             .lock()
             .seen
             .as_ref()
@@ -171,7 +175,7 @@
     }
 }
 
-fn log_version(replica: &Replica, previous_version: u64, now: Time) {
+fn log_version_change(replica: &Replica, previous_version: u64, now: Time) {
     let digest = replica.table().digest();
     if digest.version != previous_version {
         info!(
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -5,7 +5,7 @@
 use meadowproxy::fleet::config::{Change, Edit, InvalidEntry, Kind, SubmitError};
 use meadowproxy::fleet::lease;
 
-fn text((status, body): Answer) -> String {
+fn text((status, body): CallResponse) -> String {
     format!("{} {body}", status.as_u16())
 }
 
@@ -24,7 +24,7 @@
 
 #[test]
 fn outcomes_of_changes_keep_their_status_and_json() {
-    let (tables, _told) = Tables::example();
+    let (shared, _told) = SharedState::example();
     let key = "tenants.acme".to_string();
     let results = [
         Ok(1_764_748_800_124),
@@ -41,7 +41,7 @@
         Err(SubmitError::NoLeader),
         Err(SubmitError::Unknown),
     ];
-    let config = tables.config.lock();
+    let config = shared.config.lock();
     let forms = results.map(|result| (name(&result), text(config.answer(result))));
     assert_lines("config-outcomes.txt", &forms);
 }
@@ -73,32 +73,32 @@
 
 #[test]
 fn entries_of_the_configuration_keep_their_json() {
-    let (tables, _told) = Tables::example();
+    let (shared, _told) = SharedState::example();
     let changes = Message::Changes {
         changes: vec![change()],
         version: change().version,
         push: true,
     };
-    tables
+    shared
         .handle_config_message(SocketAddr::from(([127, 0, 0, 1], 10)), changes)
         .unwrap();
     let forms = [
-        ("set", text(tables.config_entry("routes", "/read/*"))),
-        ("removed", text(tables.config_entry("tenants", "acme"))),
-        ("taken back", text(tables.config_entry("tenants", "größer"))),
+        ("set", text(shared.config_entry("routes", "/read/*"))),
+        ("removed", text(shared.config_entry("tenants", "acme"))),
+        ("taken back", text(shared.config_entry("tenants", "größer"))),
         (
             "never changed",
-            text(tables.config_entry("tenants", "other")),
+            text(shared.config_entry("tenants", "other")),
         ),
-        ("unknown kind", text(tables.config_entry("classes", "acme"))),
+        ("unknown kind", text(shared.config_entry("classes", "acme"))),
     ];
     assert_lines("config-entries.txt", &forms);
 }
 
 #[test]
 fn the_state_of_the_configuration_keeps_its_json() {
-    let (tables, _told) = Tables::example();
-    let mut before = tables.config_status();
+    let (shared, _told) = SharedState::example();
+    let mut before = shared.config_status();
     assert!(before["silent"].is_boolean());
     before["silent"] = true.into(); // by the clock, as below
     let from = SocketAddr::from(([127, 0, 0, 1], 10));
@@ -107,18 +107,18 @@
         version: change().version,
         push: true,
     };
-    tables.handle_config_message(from, changes).unwrap();
+    shared.handle_config_message(from, changes).unwrap();
     let token = lease::Ballot {
         number: 1_764_748_800_000,
         incarnation: 0x55aa,
     };
-    tables
+    shared
         .config
         .lock()
         .lease
         .admit_effect(from, token, true, &mut DutyMessages::new())
         .unwrap();
-    let mut after = tables.config_status();
+    let mut after = shared.config_status();
     assert!(after["heard_ms"].is_u64());
     after["heard_ms"] = 0.into();
     after["silent"] = true.into();
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -1,7 +1,7 @@
 //! Reads an operator's call that changes the configuration, and checks it against the settings in force here. The texts of
 //! its errors are the operator's answer.
 
-use super::call::{json_line as line, Answer, Call};
+use super::call::{json_line, Call, CallResponse};
 use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{check_edits, Edit, InvalidEntry, Key, Kind, Value};
@@ -76,7 +76,7 @@
     }
 
     /// The answer: the first error's field and reason, and all errors.
-    pub fn answer(&self) -> Answer {
+    pub fn answer(&self) -> CallResponse {
         let (status, errors) = match self {
             CallError::Invalid(errors) => (StatusCode::UNPROCESSABLE_ENTITY, errors),
             CallError::NotFound(errors) => (StatusCode::NOT_FOUND, errors),
@@ -84,7 +84,7 @@
         let errors: Vec<_> = errors.iter().map(FieldError::json).collect();
         let mut body = errors.first().cloned().unwrap_or_default();
         body["errors"] = errors.into();
-        (status, line(&body))
+        (status, json_line(&body))
     }
 }
 
@@ -187,7 +187,7 @@
 }
 
 /// The kind of a path's segment. The platform's files are changed by a call of their own.
-pub fn kind_named(name: &str) -> Option<Kind> {
+pub fn kind_by_name(name: &str) -> Option<Kind> {
     [Kind::RequestClass, Kind::Tenant]
         .into_iter()
         .find(|kind| kind.name() == name)
@@ -282,7 +282,7 @@
 }
 
 fn edit_of(entry: EntryBody) -> Result<Edit, FieldError> {
-    let kind = kind_named(&entry.kind)
+    let kind = kind_by_name(&entry.kind)
         .ok_or_else(|| FieldError::new("kind", "expected routes or tenants"))?;
     let key = Key {
         kind,
--- a/src/net/cluster/coordination/config_change/stored_formats.rs
+++ b/src/net/cluster/coordination/config_change/stored_formats.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::fixtures::assert_lines;
 use crate::net::cluster::coordination::admin_calls;
-use crate::net::cluster::coordination::tables::Tables;
+use crate::net::cluster::coordination::shared_state::SharedState;
 use bytes::Bytes;
 
-fn text((status, body): Answer) -> String {
+fn text((status, body): CallResponse) -> String {
     format!("{} {body}", status.as_u16())
 }
 
@@ -90,7 +90,7 @@
         path: path.iter().map(ToString::to_string).collect(),
         body: Bytes::new(),
     };
-    let (tables, _told) = Tables::example();
-    let answer = admin_calls::answer(&tables, &call(&["config", "tenants", "x"]));
-    assert_eq!(answer, tables.config_entry("tenants", "x"));
+    let (shared, _told) = SharedState::example();
+    let answer = admin_calls::handle_call(&shared, &call(&["config", "tenants", "x"]));
+    assert_eq!(answer, shared.config_entry("tenants", "x"));
 }
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -1,8 +1,8 @@
 //! The state behind the lock: the replica, the leader's lease, the operators' calls that wait for an outcome, and the
 //! changes that the request loop does not have yet.
 
-use super::call::{json_line as line, Answer};
-use super::clocks::mono;
+use super::call::{json_line, CallResponse};
+use super::clocks::monotonic_now;
 use super::config_change::ConfigChange;
 use super::duty_lease::{DutyLease, DutyMessages};
 use super::message::Duty;
@@ -27,8 +27,8 @@
 const METRICS_INTERVAL: Micros = Micros(1_000_000);
 
 /// An operator's call that waits for its change's outcome.
-struct WaitingCall {
-    answer: oneshot::Sender<Answer>,
+struct PendingCall {
+    answer: oneshot::Sender<CallResponse>,
     since: Time,
 }
 
@@ -45,7 +45,7 @@
     pub lease: DutyLease,
     pub replica: Replica,
     /// By the submission's id.
-    calls: BTreeMap<u64, WaitingCall>,
+    calls: BTreeMap<u64, PendingCall>,
     pub unsent: Option<UnsentChanges>,
     /// The newest version that this proxy knows of, for the request loop.
     newest: NewestVersion,
@@ -60,7 +60,7 @@
         incarnation: u64,
         newest: NewestVersion,
     ) -> ConfigDriver {
-        let now = mono();
+        let now = monotonic_now();
         let rules = Rules {
             lease,
             voters: voters.clone(),
@@ -77,7 +77,7 @@
     }
 
     /// Carries out the replica's events.
-    pub fn carry_out_events(&mut self, duty_messages: &mut DutyMessages) {
+    pub fn handle_events(&mut self, duty_messages: &mut DutyMessages) {
         for event in self.replica.take_events() {
             match event {
                 Event::TableChanged { version, entries } => {
@@ -88,7 +88,7 @@
                         .entries
                         .extend(entries.map(|entry| (entry.edit.key.clone(), entry)));
                 }
-                Event::Outcome { id, result } => self.answer_call(id, result),
+                Event::Outcome { id, result } => self.complete_call(id, result),
                 Event::Superseded(token) => self.lease.observe_token(token, duty_messages),
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
@@ -99,15 +99,15 @@
         }
     }
 
-    fn answer_call(&mut self, id: u64, result: Result<u64, SubmitError>) {
+    fn complete_call(&mut self, id: u64, result: Result<u64, SubmitError>) {
         if let Some(call) = self.calls.remove(&id) {
             let _ = call.answer.send(self.answer(result)); // the caller may have gone
         }
     }
 
-    pub fn answer(&self, result: Result<u64, SubmitError>) -> Answer {
+    pub fn answer(&self, result: Result<u64, SubmitError>) -> CallResponse {
         let error = match result {
-            Ok(version) => return (StatusCode::OK, line(&json!({ "version": version }))),
+            Ok(version) => return (StatusCode::OK, json_line(&json!({ "version": version }))),
             Err(error) => error,
         };
         let status =
@@ -120,11 +120,11 @@
                 json!({ "field": invalid.key, "why": invalid.reason })
             }
             SubmitError::NoLeader => {
-                json!({ "field": "holder", "why": self.lease.why_no_holder() })
+                json!({ "field": "holder", "why": self.lease.no_holder_reason() })
             }
             error => json!({ "field": "holder", "why": error.to_string() }),
         };
-        (status, line(&body))
+        (status, json_line(&body))
     }
 
     /// Submits an operator's change, which is answered once its outcome is known.
@@ -133,18 +133,18 @@
         now: Time,
         context: &Context,
         change: ConfigChange,
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<CallResponse>,
         out: &mut Outbox,
     ) {
         let id = random_id();
-        self.calls.insert(id, WaitingCall { answer, since: now });
+        self.calls.insert(id, PendingCall { answer, since: now });
         let submission = Submission {
             id,
             base: change.base,
             edits: change.edits,
         };
         if let Err(error) = self.replica.submit(now, context, submission, out) {
-            self.answer_call(id, Err(error));
+            self.complete_call(id, Err(error));
         }
     }
 
@@ -166,7 +166,7 @@
             .collect();
         for id in late {
             self.replica.withdraw(id);
-            self.answer_call(id, Err(SubmitError::Unknown));
+            self.complete_call(id, Err(SubmitError::Unknown));
         }
     }
 
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -6,7 +6,7 @@
 //! table is treated like any replica's: it may be behind the fleet or of a chain that the fleet lost, and catches up from
 //! there. A voter's promises are not in it, as it may be older than the last one: who starts with it recovers as a voter.
 
-use super::tables::Tables;
+use super::shared_state::SharedState;
 use crate::net::state::snapshot::replace;
 use meadowproxy::fleet::config::{Digest, Entry, PositionRange, Table, TableError};
 use serde::{Deserialize, Serialize};
@@ -209,7 +209,7 @@
     }
 
     /// Saves the table whenever it changed, for as long as the program runs.
-    pub fn save_changes(&self, tables: &Tables, own: SocketAddr) {
+    pub fn save_changes(&self, shared: &SharedState, own: SocketAddr) {
         let mut saver = Saver {
             file: self,
             name: self.name(own),
@@ -220,12 +220,12 @@
         };
         loop {
             std::thread::sleep(saver.pause);
-            saver.step(tables);
+            saver.step(shared);
         }
     }
 
     /// The complete table of one version, copied page by page, so that nobody waits long for the lock.
-    fn copy_table(&self, tables: &Tables) -> Body {
+    fn copy_table(&self, shared: &SharedState) -> Body {
         let mut body = Body {
             cluster: self.cluster.clone(),
             digest: Digest::default(),
@@ -233,7 +233,7 @@
         };
         let mut next = Some(0);
         while let Some(first) = next {
-            let config = tables.config.lock();
+            let config = shared.config.lock();
             let table = config.replica.table();
             if table.digest() != body.digest {
                 // The table changed: start over.
@@ -279,15 +279,15 @@
 
 impl Saver<'_> {
     /// Brings the file up to date.
-    fn step(&mut self, tables: &Tables) {
+    fn step(&mut self, shared: &SharedState) {
         self.pause = SAVE_INTERVAL;
-        let version = tables.config.lock().replica.table().version();
+        let version = shared.config.lock().replica.table().version();
         let now = SystemTime::now();
         if version == 0 {
             return;
         }
         let saved = if version != self.saved_version {
-            self.write(tables)
+            self.write(shared)
         } else if now
             .duration_since(self.saved_at)
             .is_ok_and(|since| since < TOUCH_INTERVAL)
@@ -307,8 +307,8 @@
     }
 
     /// Writes the table.
-    fn write(&mut self, tables: &Tables) -> Result<(), SaveError> {
-        let body = self.file.copy_table(tables);
+    fn write(&mut self, shared: &SharedState) -> Result<(), SaveError> {
+        let body = self.file.copy_table(shared);
         self.saved_version = body.digest.version;
         let bytes = encode(&body)?;
         let pause = Duration::from_secs_f64(bytes.len() as f64 / MAX_BYTES_PER_S);
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -1,7 +1,7 @@
 //! This proxy's part in the lease of one duty: as a voter, as a candidate, behind the fence that rejects effects of
 //! former holders, and with what it knows of the holder.
 
-use super::clocks::{mono, wall};
+use super::clocks::{monotonic_now, wall_now};
 use super::message::{Duty, DutyMessage, MessageError, TokenReport};
 use super::voter_contacts::VoterContacts;
 use meadowproxy::fleet::fencing::Fence;
@@ -47,7 +47,7 @@
     holder: Option<Holder>,
     quorum_loss: Option<QuorumLoss>,
     /// How long a candidate that is no voter waits for a holder's heartbeat before it bids.
-    bid_delay: Micros,
+    campaign_delay: Micros,
     /// The end of the term, while this proxy holds the duty.
     expires_at: Option<Time>,
     incarnation: u64,
@@ -65,9 +65,9 @@
         own: SocketAddr,
         incarnation: u64,
     ) -> DutyLease {
-        let now = mono();
+        let now = monotonic_now();
         // Two to three terms, drawn once: not all of a large fleet bid together.
-        let bid_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
+        let campaign_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
         let is_voter = voters.contains(&own);
         DutyLease {
             duty,
@@ -82,7 +82,7 @@
                 since: now,
                 is_logged: false,
             }),
-            bid_delay,
+            campaign_delay,
             expires_at: None,
             incarnation,
             started_at: now,
@@ -93,7 +93,7 @@
 
     /// The token under which this proxy holds the duty at this instant.
     pub fn held_token(&self) -> Option<Token> {
-        self.candidate.held_token(mono())
+        self.candidate.held_token(monotonic_now())
     }
 
     /// The holder's address, as far as it is known here.
@@ -102,7 +102,7 @@
             return Some(self.own);
         }
         let holder = self.holder.filter(|holder| {
-            let is_recent = mono() - holder.heartbeat_at < self.rules.grant_duration();
+            let is_recent = monotonic_now() - holder.heartbeat_at < self.rules.grant_duration();
             holder.address != Some(self.own) && is_recent
         })?;
         holder.address
@@ -112,16 +112,16 @@
     pub fn since_heartbeat(&self) -> Micros {
         match (self.held_token(), &self.holder) {
             (Some(_), _) => Micros(0),
-            (None, Some(holder)) => mono() - holder.heartbeat_at,
+            (None, Some(holder)) => monotonic_now() - holder.heartbeat_at,
             (None, None) => Micros(u64::MAX),
         }
     }
 
     /// Lets time pass, and gives the time of the next call at the latest.
     pub fn tick(&mut self, outgoing: &mut DutyMessages) -> Option<Time> {
-        let now = mono();
+        let now = monotonic_now();
         let is_wanted = self.is_wanted(now);
-        let wall_ms = wall().0 / 1000;
+        let wall_ms = wall_now().0 / 1000;
         let mut requests = Vec::new();
         self.candidate.tick(now, wall_ms, is_wanted, &mut requests);
         self.send_to_voters(now, requests, outgoing);
@@ -143,7 +143,7 @@
             let heartbeat_at = self
                 .holder
                 .map_or(self.started_at, |holder| holder.heartbeat_at);
-            return now - heartbeat_at > self.bid_delay;
+            return now - heartbeat_at > self.campaign_delay;
         };
         let is_free = voter
             .granted_ballot(now)
@@ -158,7 +158,7 @@
         message: Message,
         outgoing: &mut DutyMessages,
     ) -> Result<(), MessageError> {
-        let now = mono();
+        let now = monotonic_now();
         match message {
             Message::PreVote { .. } | Message::RequestGrant { .. } | Message::Release { .. } => {
                 let voter = self.voter.as_mut();
@@ -169,7 +169,7 @@
             Message::PreVoteGranted { .. } | Message::Granted { .. } | Message::Denied { .. } => {
                 let place = self.voters.place(from).ok_or(MessageError::NotAVoter)?;
                 let mut requests = Vec::new();
-                self.voters.record_answer(place, now);
+                self.voters.record_response(place, now);
                 self.candidate
                     .handle_response(now, place, message, &mut requests);
                 self.send_to_voters(now, requests, outgoing);
@@ -199,7 +199,7 @@
             outgoing.push((from, fenced));
             return Err(MessageError::StaleToken);
         }
-        let now = mono();
+        let now = monotonic_now();
         self.observe_token(token, outgoing);
         if is_newest {
             self.holder = Some(Holder {
@@ -218,7 +218,7 @@
             return;
         };
         let age_us = u64::from(age_ms).saturating_mul(1000);
-        let heartbeat_at = Time(mono().0.saturating_sub(age_us));
+        let heartbeat_at = Time(monotonic_now().0.saturating_sub(age_us));
         if self.fence.highest(&self.duty) != Some(report.token) {
             return;
         }
@@ -238,7 +238,7 @@
 
     /// A token was seen: nothing lower counts from now on, for effects here and for this proxy's vote.
     pub fn observe_token(&mut self, token: Token, outgoing: &mut DutyMessages) {
-        let now = mono();
+        let now = monotonic_now();
         self.raise_token(token);
         let mut requests = Vec::new();
         self.candidate.observe_token(now, token, &mut requests);
@@ -248,7 +248,7 @@
 
     /// What this proxy knows of the duty, for its digests.
     pub fn token_reports(&self) -> Vec<TokenReport> {
-        let now = mono();
+        let now = monotonic_now();
         let held = self.candidate.held_token(now);
         self.fence
             .tokens()
@@ -307,7 +307,7 @@
                 let Some(response) = voter.and_then(|voter| voter.handle(now, message)) else {
                     continue;
                 };
-                self.voters.record_answer(place, now);
+                self.voters.record_response(place, now);
                 let mut further = Vec::new();
                 self.candidate
                     .handle_response(now, place, response, &mut further);
@@ -322,7 +322,7 @@
             match change {
                 Change::Acquired(token) => {
                     self.raise_token(token);
-                    info!(event = "duty_held", duty = self.duty.name(), token = %token_text(token), mono_us = now.0,
+                    info!(event = "duty_held", duty = self.duty.name(), token = %format_token(token), mono_us = now.0,
                         "acquired the lease of a duty");
                 }
                 Change::Lost(token, loss) => self.log_loss(token, loss, now),
@@ -346,9 +346,9 @@
         let reason = match loss {
             Loss::Released => "released".to_string(),
             Loss::Expired => "term over".to_string(),
-            Loss::Superseded(by) => format!("superseded by {}", token_text(by)),
+            Loss::Superseded(by) => format!("superseded by {}", format_token(by)),
         };
-        info!(event = "duty_over", duty = self.duty.name(), token = %token_text(token), mono_us = ended_at.0,
+        info!(event = "duty_over", duty = self.duty.name(), token = %format_token(token), mono_us = ended_at.0,
             seen_us = now.0, reason, "lost the lease of a duty");
     }
 
@@ -377,12 +377,14 @@
 
     /// A message came from that proxy, which may be a voter.
     pub fn record_contact(&mut self, from: SocketAddr) {
-        self.voters.record_message(from, mono());
+        self.voters.record_message(from, monotonic_now());
     }
 
     /// Why no proxy is known to hold the duty, for operators.
-    pub fn why_no_holder(&self) -> String {
-        let reachable = self.reachable_voters(mono(), DIGEST_INTERVAL_BOUND).len();
+    pub fn no_holder_reason(&self) -> String {
+        let reachable = self
+            .reachable_voters(monotonic_now(), DIGEST_INTERVAL_BOUND)
+            .len();
         let voters = self.voters.count();
         if reachable > voters / 2 {
             format!("no proxy holds the duty yet: {reachable} of {voters} voters answer")
@@ -399,15 +401,15 @@
 
     /// For the operators' calls; the names are the operators' ones.
     pub fn status(&self) -> serde_json::Value {
-        let now = mono();
+        let now = monotonic_now();
         let voters = self.voters.addresses().map(|voter| voter.to_string());
         let since_heartbeat = Some(self.since_heartbeat()).filter(|age| age.0 < u64::MAX);
         serde_json::json!({
             "duty": self.duty.name(),
             "own": self.own.to_string(),
             "holder": self.holder().map(|address| address.to_string()),
-            "held": self.candidate.held_token(now).map(token_text),
-            "token": self.fence.highest(&self.duty).map(token_text),
+            "held": self.candidate.held_token(now).map(format_token),
+            "token": self.fence.highest(&self.duty).map(format_token),
             "heard_ms": since_heartbeat.map(|age| age.0 / 1000),
             "voters": voters.collect::<Vec<_>>(),
             "voters_heard": self.reachable_voters(now, Micros(0)),
@@ -419,6 +421,6 @@
 }
 
 /// A token as logs and answers show it.
-pub fn token_text(token: Token) -> String {
+pub fn format_token(token: Token) -> String {
     format!("{}-{:016x}", token.number, token.incarnation)
 }
--- a/src/net/cluster/coordination/effect_queue.rs
+++ b/src/net/cluster/coordination/effect_queue.rs
@@ -1,6 +1,6 @@
 //! What leaves the workers, and the counts of messages.
 
-use super::clocks::mono;
+use super::clocks::monotonic_now;
 use super::message::{Announcement, MessageError};
 use super::request_loop::Effect;
 use meadowproxy::{Micros, Time};
@@ -38,7 +38,7 @@
 
     /// Counts a message that is not used, and logs why, at a limited rate.
     pub fn record_rejected(&mut self, from: SocketAddr, error: &MessageError) {
-        let now = mono();
+        let now = monotonic_now();
         let cause = error.cause();
         *self.rejected.entry(cause).or_default() += 1;
         let logged_at = self.logged_at.get(cause);
--- a/src/net/cluster/coordination/roster.rs
+++ b/src/net/cluster/coordination/fleet_view.rs
@@ -1,6 +1,6 @@
 //! The backends and members as this proxy sees them, and the open requests that members report.
 
-use super::clocks::mono;
+use super::clocks::monotonic_now;
 use super::message::OpenRequestCount;
 use super::request_loop::{BackendSnapshot, LoopView};
 use crate::net::host::BackendStatus;
@@ -23,7 +23,7 @@
 }
 
 /// The fleet as it follows from one snapshot, and from which backends are in maintenance.
-struct DerivedFleet {
+struct DerivedBackends {
     snapshot: Arc<BackendSnapshot>,
     in_maintenance: BTreeSet<String>,
     fleet: Arc<ListedBackends>,
@@ -31,22 +31,22 @@
 
 /// What this proxy sees of backends and members.
 #[derive(Default)]
-pub struct Roster {
+pub struct FleetView {
     /// What the request loop showed last; `None` until it did.
     pub seen: Option<Arc<LoopView>>,
     /// Since when decisions depend on the backends: earlier snapshots do not count.
-    pub decides_since: Option<Time>,
-    derived: Option<DerivedFleet>,
+    pub deciding_since: Option<Time>,
+    derived: Option<DerivedBackends>,
     /// Open requests at backends in maintenance, by the member that reported them.
     reports: BTreeMap<SocketAddr, BTreeMap<String, ReportedCount>>,
 }
 
-impl Roster {
+impl FleetView {
     /// At the start any snapshot is new enough.
-    pub fn starting() -> Roster {
-        Roster {
-            decides_since: Some(Time(0)),
-            ..Roster::default()
+    pub fn at_start() -> FleetView {
+        FleetView {
+            deciding_since: Some(Time(0)),
+            ..FleetView::default()
         }
     }
 
@@ -75,7 +75,7 @@
         let snapshot = self.seen.as_ref()?.backends.as_ref()?;
         if for_decision
             && self
-                .decides_since
+                .deciding_since
                 .is_none_or(|since| snapshot.taken_at < since)
         {
             return None;
@@ -93,7 +93,7 @@
             .map(|row| (row.name.clone(), backend(row, in_maintenance)))
             .collect();
         let fleet = Arc::new(fleet);
-        self.derived = Some(DerivedFleet {
+        self.derived = Some(DerivedBackends {
             snapshot: snapshot.clone(),
             in_maintenance: in_maintenance.clone(),
             fleet: fleet.clone(),
@@ -108,7 +108,7 @@
         own: SocketAddr,
         in_maintenance: &BTreeSet<String>,
     ) -> OpenRequestReports {
-        let now = mono();
+        let now = monotonic_now();
         self.members()
             .into_iter()
             .chain([own])
@@ -148,7 +148,7 @@
         open: Vec<OpenRequestCount>,
         max_backends: usize,
     ) {
-        let now = mono();
+        let now = monotonic_now();
         let counts = self.reports.entry(from).or_default();
         counts.retain(|_, count| now - count.reported_at < REPORT_LIFETIME);
         for OpenRequestCount { backend, open } in open {
--- a/src/net/cluster/coordination/maintenance.rs
+++ b/src/net/cluster/coordination/maintenance.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// The calendar, and what follows from it here.
-pub struct Maintenance {
+pub struct MaintenanceState {
     pub calendar: Calendar,
     /// The backends that the request loop was notified of as in maintenance.
     pub in_maintenance: BTreeSet<String>,
@@ -19,10 +19,10 @@
     pub to: u64,
 }
 
-impl Maintenance {
+impl MaintenanceState {
     /// The calendar of a proxy that has just started.
-    pub fn new(calendar: Calendar) -> Maintenance {
-        Maintenance {
+    pub fn new(calendar: Calendar) -> MaintenanceState {
+        MaintenanceState {
             calendar,
             in_maintenance: BTreeSet::new(),
             compared_ranges: Some(Vec::new()),
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -14,7 +14,7 @@
 /// Raised whenever a message's format changes.
 const VERSION: u8 = 3;
 /// Bytes of the items in one message at most, so that it fits a body with all else in it.
-const MAX_LOAD_BYTES: usize = MAX_DATAGRAM_BODY_BYTES - 80;
+const MAX_ITEMS_BYTES: usize = MAX_DATAGRAM_BODY_BYTES - 80;
 
 /// What one proxy of the fleet, the lease holder, does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -218,10 +218,10 @@
 /// Splits a list into parts that each fit into one message; `size_bytes` is about an item's encoded size.
 pub fn split_to_fit<T>(items: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut filled = MAX_LOAD_BYTES;
+    let mut filled = MAX_ITEMS_BYTES;
     for item in items {
         filled += size_bytes(&item);
-        match parts.last_mut().filter(|_| filled <= MAX_LOAD_BYTES) {
+        match parts.last_mut().filter(|_| filled <= MAX_ITEMS_BYTES) {
             Some(part) => part.push(item),
             None => {
                 filled = size_bytes(&item);
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -215,7 +215,7 @@
         let parts = split_to_fit(sizes.clone(), |size| *size);
         prop_assert_eq!(parts.concat(), sizes);
         for part in parts {
-            prop_assert!(part.len() == 1 || part.iter().sum::<usize>() <= MAX_LOAD_BYTES);
+            prop_assert!(part.len() == 1 || part.iter().sum::<usize>() <= MAX_ITEMS_BYTES);
         }
     }
 }
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -1,13 +1,13 @@
 //! The worker that takes the other proxies' messages.
 
 use super::announcements::window_messages;
-use super::clocks::wall;
+use super::clocks::wall_now;
 use super::command::Command;
 use super::duty_lease::DutyMessages;
 use super::message::{
     self, check_token, Announcement, Duty, DutyMessage, MessageError, TokenReport,
 };
-use super::tables::Tables;
+use super::shared_state::SharedState;
 use crate::net::cluster::gossip::CoordinationDatagram;
 use meadowproxy::fleet::calendar::{Calendar, Digest, WallTime, Window};
 use meadowproxy::fleet::lease::Token;
@@ -21,25 +21,25 @@
 
 /// Takes messages until the socket's side is gone.
 pub fn run(
-    tables: &Arc<Tables>,
+    shared: &Arc<SharedState>,
     messages: &Receiver<CoordinationDatagram>,
     commands: &SyncSender<Command>,
 ) {
     while let Ok(CoordinationDatagram { from, bytes }) = messages.recv() {
-        let held_before = tables.held_tokens();
+        let held_before = shared.held_tokens();
         let mut outgoing = DutyMessages::new();
         let handled = message::decode(&bytes)
-            .and_then(|message| handle(tables, from, message, &mut outgoing));
-        tables.send(outgoing);
-        record(tables, from, handled);
-        if tables.held_tokens() != held_before {
+            .and_then(|message| handle(shared, from, message, &mut outgoing));
+        shared.send(outgoing);
+        record(shared, from, handled);
+        if shared.held_tokens() != held_before {
             let _ = commands.try_send(Command::Wake); // full: it is awake anyway
         }
     }
 }
 
-fn record(tables: &Tables, from: SocketAddr, handled: Result<(), MessageError>) {
-    let mut effect_queue = tables.effect_queue.lock();
+fn record(shared: &SharedState, from: SocketAddr, handled: Result<(), MessageError>) {
+    let mut effect_queue = shared.effect_queue.lock();
     effect_queue.received += 1;
     if let Err(error) = handled {
         effect_queue.record_rejected(from, &error);
@@ -47,17 +47,17 @@
 }
 
 fn handle(
-    tables: &Tables,
+    shared: &SharedState,
     from: SocketAddr,
     message: DutyMessage,
     outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
     for duty in [Duty::Calendar, Duty::Config] {
-        tables.with_lease(duty, |lease| lease.record_contact(from));
+        shared.with_lease(duty, |lease| lease.record_contact(from));
     }
     match message {
         DutyMessage::Lease { duty, message } => {
-            return tables.with_lease(duty, |lease| lease.handle_message(from, message, outgoing));
+            return shared.with_lease(duty, |lease| lease.handle_message(from, message, outgoing));
         }
         DutyMessage::Digest {
             tokens,
@@ -65,36 +65,36 @@
             is_new,
             wants_reply,
         } => {
-            observe_reports(tables, &tokens, outgoing);
+            observe_reports(shared, &tokens, outgoing);
             if wants_reply {
-                let replies = tables.digests(false);
+                let replies = shared.digests(false);
                 outgoing.extend(replies.into_iter().map(|reply| (from, reply)));
             }
-            compare(tables, from, &digest, is_new, outgoing);
+            compare(shared, from, &digest, is_new, outgoing);
         }
         DutyMessage::RequestWindows { id_hashes } => {
-            let windows = tables
-                .calendar
+            let windows = shared
+                .maintenance
                 .lock()
                 .calendar
-                .requested(&id_hashes, wall());
+                .requested(&id_hashes, wall_now());
             outgoing.extend(window_messages(from, &windows));
         }
-        DutyMessage::Windows { windows } => return merge(tables, &windows, outgoing),
+        DutyMessage::Windows { windows } => return merge(shared, &windows, outgoing),
         DutyMessage::Broadcast(header, announcement) => {
-            return handle_broadcast(tables, &header, announcement, outgoing);
+            return handle_broadcast(shared, &header, announcement, outgoing);
         }
         DutyMessage::Fenced { duty, highest } => {
-            tables.with_lease(duty, |lease| lease.observe_token(highest, outgoing));
+            shared.with_lease(duty, |lease| lease.observe_token(highest, outgoing));
         }
         DutyMessage::Config(message) => {
-            return tables
+            return shared
                 .handle_config_message(from, message)
                 .map_err(MessageError::Config);
         }
         DutyMessage::OpenRequests { open } => {
-            let mut roster = tables.roster.lock();
-            roster.record_report(from, open, MAX_REPORTED_BACKENDS);
+            let mut fleet_view = shared.fleet_view.lock();
+            fleet_view.record_report(from, open, MAX_REPORTED_BACKENDS);
         }
     }
     Ok(())
@@ -102,19 +102,19 @@
 
 /// Takes an announcement, and relays it; not what is announced under a stale token.
 fn handle_broadcast(
-    tables: &Tables,
+    shared: &SharedState,
     header: &BroadcastHeader,
     mut announcement: Announcement,
     outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
-    let is_newest = tables
+    let is_newest = shared
         .relay
         .lock()
-        .accept(header, wall().0)
+        .accept(header, wall_now().0)
         .map_err(MessageError::Broadcast)?;
     let announced = announcement.held.len();
     announcement.held.retain(|held| {
-        tables
+        shared
             .with_lease(held.duty, |lease| {
                 lease.admit_effect(header.origin, held.token, is_newest, outgoing)
             })
@@ -125,18 +125,18 @@
         announcement.windows.clear();
     }
     if !announcement.held.is_empty() || !announcement.windows.is_empty() {
-        tables.relay_announcement(header, &announcement);
+        shared.relay_announcement(header, &announcement);
     }
-    merge(tables, &announcement.windows, outgoing)?;
+    merge(shared, &announcement.windows, outgoing)?;
     if is_stale {
         return Err(MessageError::StaleToken);
     }
     Ok(())
 }
 
-fn observe_reports(tables: &Tables, reports: &[TokenReport], outgoing: &mut DutyMessages) {
+fn observe_reports(shared: &SharedState, reports: &[TokenReport], outgoing: &mut DutyMessages) {
     for report in reports {
-        tables.with_lease(report.duty, |lease| {
+        shared.with_lease(report.duty, |lease| {
             lease.handle_token_report(report, outgoing);
         });
     }
@@ -144,16 +144,16 @@
 
 /// Compares another proxy's calendar with the one here: sends and requests what either lacks.
 fn compare(
-    tables: &Tables,
+    shared: &SharedState,
     from: SocketAddr,
     digest: &Digest,
     is_new: bool,
     outgoing: &mut DutyMessages,
 ) {
-    let is_seen = tables.roster.lock().seen.is_some();
+    let is_seen = shared.fleet_view.lock().seen.is_some();
     let (difference, has_caught_up) = {
-        let mut maintenance = tables.calendar.lock();
-        let difference = maintenance.calendar.compare(digest, wall());
+        let mut maintenance = shared.maintenance.lock();
+        let difference = maintenance.calendar.compare(digest, wall_now());
         let lacks_nothing = difference.to_request.is_empty();
         // Another new proxy knows as little as this one.
         let counts = is_seen && !is_new && lacks_nothing;
@@ -166,7 +166,7 @@
     }
     outgoing.extend(window_messages(from, &difference.to_send));
     if has_caught_up {
-        tables.set_caught_up();
+        shared.set_caught_up();
     }
 }
 
@@ -175,15 +175,15 @@
 /// # Errors
 /// What is wrong with the first that is not valid.
 fn merge(
-    tables: &Tables,
+    shared: &SharedState,
     windows: &[Vec<u8>],
     outgoing: &mut DutyMessages,
 ) -> Result<(), MessageError> {
-    let now = wall();
+    let now = wall_now();
     let mut first_error = None;
     let mut is_changed = false;
     let highest = {
-        let mut maintenance = tables.calendar.lock();
+        let mut maintenance = shared.maintenance.lock();
         for bytes in windows {
             match merge_one(&mut maintenance.calendar, bytes, now) {
                 Ok(changed) => is_changed |= changed,
@@ -194,12 +194,12 @@
     };
     if is_changed {
         if highest != Token::default() {
-            tables
+            shared
                 .calendar_lease
                 .lock()
                 .observe_token(highest, outgoing);
         }
-        tables.update_maintenance();
+        shared.update_maintenance();
     }
     first_error.map_or(Ok(()), Err)
 }
--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -1,8 +1,8 @@
 //! Messages of other proxies and of strangers, taken in random orders.
 
-use super::super::admin_calls::answer;
+use super::super::admin_calls::handle_call;
 use super::super::call::Call;
-use super::super::maintenance::Maintenance;
+use super::super::maintenance::MaintenanceState;
 use super::super::message::tests::message;
 use super::super::message::HeldDuty;
 use super::super::request_loop::Effect;
@@ -19,36 +19,36 @@
     /// never falls, and the window that is there stays as it was.
     #[test]
     fn no_messages_break_the_tables(messages in prop::collection::vec((9u16..14, message()), 1..40)) {
-        let (tables, _effects) = Tables::example();
+        let (shared, _effects) = SharedState::example();
         let spec = Spec::from_json(br#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"x"}"#);
-        let stamp = Version { called_at: wall(), incarnation: 1 };
-        let put = tables.calendar.lock().calendar.put("w", spec.unwrap(), stamp, wall());
+        let stamp = Version { called_at: wall_now(), incarnation: 1 };
+        let put = shared.maintenance.lock().calendar.put("w", spec.unwrap(), stamp, wall_now());
         prop_assert_eq!(put, Ok(CallOutcome::Changed));
-        let window = |tables: &Tables| tables.calendar.lock().calendar.get("w").cloned();
-        let (before, mut highest) = (window(&tables), None);
+        let window = |shared: &SharedState| shared.maintenance.lock().calendar.get("w").cloned();
+        let (before, mut highest) = (window(&shared), None);
         for (port, message) in messages {
             let mut outgoing = DutyMessages::new();
-            let _ = handle(&tables, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
+            let _ = handle(&shared, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
             outgoing.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
-            tables.calendar_lease.lock().tick(&mut outgoing);
-            tables.update_maintenance();
+            shared.calendar_lease.lock().tick(&mut outgoing);
+            shared.update_maintenance();
             let call = Call { method: Method::GET, path: vec!["duties".into()], body: Bytes::new() };
-            prop_assert_eq!(answer(&tables, &call).0, StatusCode::OK);
-            let token = tables.calendar_lease.lock().token_reports().first().map(|word| word.token);
+            prop_assert_eq!(handle_call(&shared, &call).0, StatusCode::OK);
+            let token = shared.calendar_lease.lock().token_reports().first().map(|word| word.token);
             prop_assert!(token >= highest, "{token:?} after {highest:?}");
             highest = token;
         }
-        prop_assert_eq!(window(&tables), before);
+        prop_assert_eq!(window(&shared), before);
     }
 }
 
 /// A proxy that starts is covered only once the ranges that were shown to it leave no gap, in whatever order.
 #[test]
 fn only_ranges_without_a_gap_cover_the_calendar() {
-    let (tables, _effects) = Tables::example();
-    let calendar = tables.calendar.lock().calendar.clone();
+    let (shared, _effects) = SharedState::example();
+    let calendar = shared.maintenance.lock().calendar.clone();
     let covers = |ranges: &[(u64, u64)]| {
-        let mut windows = Maintenance::new(calendar.clone());
+        let mut windows = MaintenanceState::new(calendar.clone());
         let last = ranges.iter().map(|(from, to)| {
             windows.record_compared(&Digest {
                 from: *from,
@@ -110,15 +110,15 @@
 /// itself is notified.
 #[test]
 fn a_relayed_heartbeat_proves_no_more_than_the_holders_own() {
-    let (tables, _effects) = Tables::example();
-    let now = wall().0;
+    let (shared, _effects) = SharedState::example();
+    let now = wall_now().0;
     let relay = |port, number, said_us| {
         let mut outgoing = DutyMessages::new();
         let message = heartbeat(port, number, said_us);
-        let handled = handle(&tables, address(12), message, &mut outgoing);
+        let handled = handle(&shared, address(12), message, &mut outgoing);
         (handled.map_err(|error| error.cause()), outgoing)
     };
-    let holder = || tables.calendar_lease.lock().holder();
+    let holder = || shared.calendar_lease.lock().holder();
     assert_eq!(relay(10, 5, now), (Ok(()), Vec::new()));
     assert_eq!(holder(), Some(address(10)), "not the one that relayed it");
     std::thread::sleep(std::time::Duration::from_millis(20));
@@ -129,7 +129,7 @@
     );
     assert_eq!(relay(10, 5, now).0, Err("repeated"));
     assert!(
-        tables.calendar_lease.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
+        shared.calendar_lease.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
         "an overtaken heartbeat counted as a new one"
     );
     let fenced = DutyMessage::Fenced {
@@ -146,7 +146,7 @@
 /// A proxy that starts has caught up after the digest of one that takes part, not of another that has just started.
 #[test]
 fn newcomers_do_not_confirm_each_other() {
-    let (tables, mut effects) = Tables::example();
+    let (shared, mut effects) = SharedState::example();
     let mut caught_up_after = |is_new| {
         let digest = Digest {
             from: 0,
@@ -159,7 +159,7 @@
             is_new,
             wants_reply: false,
         };
-        handle(&tables, address(10), message, &mut DutyMessages::new()).unwrap();
+        handle(&shared, address(10), message, &mut DutyMessages::new()).unwrap();
         matches!(effects.try_recv(), Ok(Effect::CaughtUp))
     };
     assert!(!caught_up_after(true));
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -2,9 +2,9 @@
 //! that the holder of the calendar's duty advances, and the configuration. The state machines are in
 //! [`meadowproxy::fleet`]; here are their sockets, clocks and threads.
 //!
-//! Start it with [`Duties::start`]. Two threads work beside the request loop: the message worker (`duties-wire`)
+//! Start it with [`Coordinator::start`]. Two threads work beside the request loop: the message worker (`duties-wire`)
 //! takes the other proxies' messages, the timer worker (`duties-clock`) lets time pass; a third (`duties-copy`) writes a
-//! snapshot of the configuration where one is wanted. They share [`tables`].
+//! snapshot of the configuration where one is wanted. They share [`shared_state`].
 //!
 //! The request loop takes none of their locks: it gets effects from a bounded channel,
 //! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
@@ -15,8 +15,8 @@
 //! | modules | what they are |
 //! | --- | --- |
 //! | `message`, `call`, `clocks`, `config_change`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `roster`, `config_driver` | one table each |
-//! | `tables` | the tables behind their locks |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `fleet_view`, `config_driver` | one table each |
+//! | `shared_state` | the tables behind their locks |
 //! | `announcements`, `config`, `admin_calls`, `config_snapshot` | what is done with the tables |
 //! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
 
@@ -31,20 +31,20 @@
 pub mod config_snapshot;
 mod duty_lease;
 mod effect_queue;
+mod fleet_view;
 mod maintenance;
 mod message;
 mod message_worker;
 mod ordered_locks;
 mod request_loop;
 mod request_loop_tasks;
-mod roster;
+mod shared_state;
 #[cfg(test)]
 mod stored_formats;
-mod tables;
 mod timer_worker;
 mod voter_contacts;
 
-pub use clocks::mono;
+pub use clocks::monotonic_now;
 
 use crate::net::admin::{AdminReply, FleetAdmin};
 use crate::net::cluster::gossip::{CoordinationDatagram, GossipDriver};
@@ -58,21 +58,21 @@
 use config_snapshot::SnapshotFile;
 use duty_lease::DutyLease;
 use effect_queue::EffectQueue;
+use fleet_view::FleetView;
 use hyper::{Method, StatusCode};
-use maintenance::Maintenance;
+use maintenance::MaintenanceState;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
 use meadowproxy::fleet::relay::Relay;
 use meadowproxy::Micros;
 use message::Duty;
 use request_loop::{BackendDemand, Effect};
-use request_loop_tasks::{apply_effects, AppliedEffects, SnapshotTask};
-use roster::Roster;
+use request_loop_tasks::{apply_effects, AppliedEffects, LoopViewTask};
+use shared_state::{SharedState, SharedStateParts};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
 use std::rc::Rc;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::Arc;
-use tables::{TableParts, Tables};
 use timer_worker::TimerWorker;
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::info;
@@ -84,14 +84,14 @@
 /// Effects that wait for the request loop at most: a window may target a few hundred backends at once.
 const MAX_QUEUED_EFFECTS: usize = 1024;
 /// This proxy's part in the fleet's duties.
-pub struct Duties {
+pub struct Coordinator {
     commands: SyncSender<Command>,
     is_caught_up: watch::Receiver<bool>,
     /// What changes of the configuration are checked against.
     fleet_overrides: Rc<FleetOverrides>,
 }
 
-impl Duties {
+impl Coordinator {
     /// Starts the workers. `slow_start`: how long a backend is in slow start after a window; `config_snapshot`: where this
     /// proxy's table of the configuration is saved, if it is.
     ///
@@ -104,21 +104,21 @@
         slow_start: Micros,
         fleet_overrides: Rc<FleetOverrides>,
         config_snapshot: Option<SnapshotFile>,
-    ) -> io::Result<Rc<Duties>> {
+    ) -> io::Result<Rc<Coordinator>> {
         let own = peers.own_address();
         let (effects, pending_effects) = mpsc::channel(MAX_QUEUED_EFFECTS);
-        let tables = build_tables(peers, voting, slow_start, &fleet_overrides, effects)?;
+        let shared = build_shared_state(peers, voting, slow_start, &fleet_overrides, effects)?;
         if let Some(table) = config_snapshot.as_ref().and_then(|file| file.load(own)) {
-            tables.restore_config(table);
+            shared.restore_config(table);
         }
         let (messages, received) = sync_channel(MAX_QUEUED_MESSAGES);
         let (commands, queued_commands) = sync_channel(MAX_QUEUED_COMMANDS);
         let (show, seen) = watch::channel(None);
-        let (demanded, demand) = watch::channel(BackendDemand::EachTime);
-        let timers = TimerWorker::new(tables.clone(), seen, demanded, own, peers.is_only_proxy());
-        spawn_workers(&tables, timers, received, queued_commands, &commands)?;
+        let (demanded, demand) = watch::channel(BackendDemand::EveryUpdate);
+        let timers = TimerWorker::new(shared.clone(), seen, demanded, own, peers.is_only_proxy());
+        spawn_workers(&shared, timers, received, queued_commands, &commands)?;
         if let Some(file) = config_snapshot {
-            thread("copy").spawn(move || file.save_changes(&tables, own))?;
+            thread("copy").spawn(move || file.save_changes(&shared, own))?;
         }
         peers.deliver_coordination_to(messages);
         info!(event = "duties_start", own = %own, voters = voting.voters.len(), lease_ms = voting.lease_ms,
@@ -127,7 +127,7 @@
         let (caught_up, is_caught_up) = watch::channel(false);
         let apply = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
         tokio::task::spawn_local(apply);
-        let shower = SnapshotTask {
+        let view_task = LoopViewTask {
             host,
             peers: peers.clone(),
             applied,
@@ -135,8 +135,8 @@
             demand,
             commands: commands.clone(),
         };
-        tokio::task::spawn_local(shower.run());
-        Ok(Rc::new(Duties {
+        tokio::task::spawn_local(view_task.run());
+        Ok(Rc::new(Coordinator {
             commands,
             is_caught_up,
             fleet_overrides,
@@ -144,24 +144,24 @@
     }
 
     /// Until this proxy has caught up with the calendar and the configuration, or has waited long enough for that.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let _ = self.is_caught_up.clone().wait_for(|ready| *ready).await;
     }
 
     /// Releases the leases that this proxy holds, as it shuts down.
-    pub fn leave(&self) {
+    pub fn release_leases(&self) {
         let _ = self.commands.try_send(Command::Leave); // full: the lease expires by itself
     }
 }
 
 /// The tables at the start.
-fn build_tables(
+fn build_shared_state(
     peers: &GossipDriver,
     voting: &CoordinationSection,
     slow_start: Micros,
     fleet_overrides: &FleetOverrides,
     effects: mpsc::Sender<Effect>,
-) -> io::Result<Arc<Tables>> {
+) -> io::Result<Arc<SharedState>> {
     let own = peers.own_address();
     let lease_rules = voting
         .leases()
@@ -183,7 +183,7 @@
         own,
         incarnation,
     );
-    Ok(Arc::new(Tables::new(TableParts {
+    Ok(Arc::new(SharedState::new(SharedStateParts {
         lease,
         config: ConfigDriver::new(
             lease_rules,
@@ -192,8 +192,8 @@
             incarnation,
             fleet_overrides.newest(),
         ),
-        calendar: Maintenance::new(calendar),
-        roster: Roster::starting(),
+        maintenance: MaintenanceState::new(calendar),
+        fleet_view: FleetView::at_start(),
         effect_queue: EffectQueue::new(effects),
         relay: Relay::new(own, incarnation, peers.max_age()),
         datagrams: peers.sender(),
@@ -206,20 +206,20 @@
 }
 
 fn spawn_workers(
-    tables: &Arc<Tables>,
+    shared: &Arc<SharedState>,
     timers: TimerWorker,
     messages: Receiver<CoordinationDatagram>,
     queued_commands: Receiver<Command>,
     commands: &SyncSender<Command>,
 ) -> io::Result<()> {
-    let tables = tables.clone();
+    let shared = shared.clone();
     let commands = commands.clone();
-    thread("wire").spawn(move || message_worker::run(&tables, &messages, &commands))?;
+    thread("wire").spawn(move || message_worker::run(&shared, &messages, &commands))?;
     thread("clock").spawn(move || timers.run(&queued_commands))?;
     Ok(())
 }
 
-impl FleetAdmin for Duties {
+impl FleetAdmin for Coordinator {
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
         let (answer, wait) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
--- a/src/net/cluster/coordination/request_loop.rs
+++ b/src/net/cluster/coordination/request_loop.rs
@@ -26,11 +26,11 @@
 /// How much the workers need to see of the listed backends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BackendDemand {
-    Nothing,
+    NotNeeded,
     /// Some are in maintenance: they are shown now and then.
     Occasional,
     /// Decisions depend on them, or this proxy starts: they are shown each time.
-    EachTime,
+    EveryUpdate,
 }
 
 /// The backends as the request loop sees them.
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -1,6 +1,6 @@
 //! The request loop's side: carries out the workers' effects, and shows the workers what the loop sees.
 
-use super::clocks::mono;
+use super::clocks::monotonic_now;
 use super::command::Command;
 use super::request_loop::{BackendDemand, BackendSnapshot, Effect, LoopView};
 use crate::net::cluster::gossip::GossipDriver;
@@ -53,7 +53,7 @@
                 info!(
                     event = "window_out",
                     backend,
-                    mono_us = mono().0,
+                    mono_us = monotonic_now().0,
                     "a backend is in maintenance: it gets no new requests"
                 );
                 applied.in_maintenance.borrow_mut().insert(backend);
@@ -63,7 +63,7 @@
                 info!(
                     event = "window_back",
                     backend,
-                    mono_us = mono().0,
+                    mono_us = monotonic_now().0,
                     "a backend is no longer in maintenance"
                 );
                 applied.in_maintenance.borrow_mut().remove(&backend);
@@ -80,7 +80,7 @@
 }
 
 /// Shows the workers what the request loop sees: at once where they need more than before.
-pub struct SnapshotTask {
+pub struct LoopViewTask {
     pub host: Rc<Host>,
     pub peers: Rc<GossipDriver>,
     pub applied: Rc<AppliedEffects>,
@@ -89,11 +89,11 @@
     pub commands: SyncSender<Command>,
 }
 
-impl SnapshotTask {
+impl LoopViewTask {
     /// Runs until the workers are gone.
     pub async fn run(mut self) {
         let mut backends = None;
-        let mut previous_demand = BackendDemand::Nothing;
+        let mut previous_demand = BackendDemand::NotNeeded;
         loop {
             let demand = *self.demand.borrow_and_update();
             backends = self.snapshot_backends(demand, backends);
@@ -116,12 +116,12 @@
         demand: BackendDemand,
         previous: Option<Arc<BackendSnapshot>>,
     ) -> Option<Arc<BackendSnapshot>> {
-        let now = mono();
+        let now = monotonic_now();
         let recent = previous.filter(|previous| now - previous.taken_at < MAX_OCCASIONAL_AGE);
         match (demand, recent) {
-            (BackendDemand::Nothing, _) => None,
+            (BackendDemand::NotNeeded, _) => None,
             (BackendDemand::Occasional, Some(recent)) => Some(recent),
-            (BackendDemand::Occasional, None) | (BackendDemand::EachTime, _) => {
+            (BackendDemand::Occasional, None) | (BackendDemand::EveryUpdate, _) => {
                 Some(Arc::new(BackendSnapshot {
                     taken_at: now,
                     rows: self.host.backend_statuses(),
--- a/src/net/cluster/coordination/tables.rs
+++ b/src/net/cluster/coordination/shared_state.rs
@@ -3,16 +3,16 @@
 //! Lock order, checked at every lock: `calendar_lease` before `config` before `calendar` before `roster` before
 //! `effect_queue` before `relay`. The request loop takes none of them.
 
-use super::clocks::wall;
+use super::clocks::wall_now;
 use super::config_driver::ConfigDriver;
 use super::duty_lease::{DutyLease, DutyMessages};
 use super::effect_queue::EffectQueue;
-use super::maintenance::Maintenance;
+use super::fleet_view::FleetView;
+use super::maintenance::MaintenanceState;
 use super::message;
 use super::message::Duty;
 use super::ordered_locks::OrderedLock;
 use super::request_loop::Effect;
-use super::roster::Roster;
 use crate::net::cluster::gossip::wire::Body;
 use crate::net::cluster::gossip::DatagramSender;
 use meadowproxy::fleet::calendar::ListedBackends;
@@ -22,13 +22,13 @@
 use std::sync::Arc;
 
 /// Everything that the workers share.
-pub struct Tables {
+pub struct SharedState {
     /// The lease of the calendar's duty.
     pub calendar_lease: OrderedLock<DutyLease>,
     /// The configuration, with the lease of its duty.
     pub config: OrderedLock<ConfigDriver>,
-    pub calendar: OrderedLock<Maintenance>,
-    pub roster: OrderedLock<Roster>,
+    pub maintenance: OrderedLock<MaintenanceState>,
+    pub fleet_view: OrderedLock<FleetView>,
     pub effect_queue: OrderedLock<EffectQueue>,
     pub relay: OrderedLock<Relay>,
     /// The socket's sending side, which needs no lock.
@@ -37,26 +37,26 @@
     pub incarnation: u64,
 }
 
-/// The unlocked parts of [`Tables`].
-pub struct TableParts {
+/// The unlocked parts of [`SharedState`].
+pub struct SharedStateParts {
     pub lease: DutyLease,
     pub config: ConfigDriver,
-    pub calendar: Maintenance,
-    pub roster: Roster,
+    pub maintenance: MaintenanceState,
+    pub fleet_view: FleetView,
     pub effect_queue: EffectQueue,
     pub relay: Relay,
     pub datagrams: Arc<DatagramSender>,
     pub incarnation: u64,
 }
 
-impl Tables {
+impl SharedState {
     /// Puts each part behind a lock of its rank.
-    pub fn new(parts: TableParts) -> Tables {
-        Tables {
+    pub fn new(parts: SharedStateParts) -> SharedState {
+        SharedState {
             calendar_lease: OrderedLock::new(0, parts.lease),
             config: OrderedLock::new(1, parts.config),
-            calendar: OrderedLock::new(2, parts.calendar),
-            roster: OrderedLock::new(3, parts.roster),
+            maintenance: OrderedLock::new(2, parts.maintenance),
+            fleet_view: OrderedLock::new(3, parts.fleet_view),
             effect_queue: OrderedLock::new(4, parts.effect_queue),
             relay: OrderedLock::new(5, parts.relay),
             datagrams: parts.datagrams,
@@ -93,9 +93,9 @@
     /// space for is sent with the next call.
     pub fn update_maintenance(&self) {
         let since_heartbeat = self.calendar_lease.lock().since_heartbeat();
-        let mut maintenance = self.calendar.lock();
+        let mut maintenance = self.maintenance.lock();
         let maintenance = &mut *maintenance;
-        let now = wall();
+        let now = wall_now();
         let calendar = &maintenance.calendar;
         let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
         let decides = is_isolated && calendar.needs_fleet(now);
@@ -103,7 +103,7 @@
             return;
         }
         let fleet = self
-            .roster
+            .fleet_view
             .lock()
             .fleet(&maintenance.in_maintenance, decides);
         let fleet = match fleet {
@@ -143,14 +143,14 @@
     pub fn set_caught_up(&self) {
         self.update_maintenance();
         self.calendar_lease.lock().set_eligible();
-        self.calendar.lock().compared_ranges = None;
-        self.admit_clients();
+        self.maintenance.lock().compared_ranges = None;
+        self.signal_ready_if_caught_up();
     }
 
     /// Lets clients come once both the calendar and the configuration have caught up.
-    pub fn admit_clients(&self) {
+    pub fn signal_ready_if_caught_up(&self) {
         let is_new = self.config.lock().replica.is_new();
-        if !is_new && self.calendar.lock().has_caught_up() {
+        if !is_new && self.maintenance.lock().has_caught_up() {
             let _ = self.effect_queue.lock().effects.try_send(Effect::CaughtUp);
         }
     }
--- a/src/net/cluster/coordination/tables/example.rs
+++ b/src/net/cluster/coordination/shared_state/example.rs
@@ -1,10 +1,10 @@
-//! Tables for the workers' tests.
+//! SharedState for the workers' tests.
 
-use super::super::clocks::mono;
+use super::super::clocks::monotonic_now;
 use super::super::request_loop::{BackendSnapshot, LoopView};
 use super::{
-    ConfigDriver, Duty, DutyLease, Effect, EffectQueue, Maintenance, Relay, Roster, TableParts,
-    Tables,
+    ConfigDriver, Duty, DutyLease, Effect, EffectQueue, FleetView, MaintenanceState, Relay,
+    SharedState, SharedStateParts,
 };
 use crate::net::cluster::gossip::DatagramSender;
 use meadowproxy::fleet::calendar::{Calendar, DisruptionBudget, Rules};
@@ -17,9 +17,9 @@
 
 const INCARNATION: u64 = 7;
 
-impl Tables {
+impl SharedState {
     /// The tables of a voter that serves, and the effects for its request loop.
-    pub fn example() -> (Tables, mpsc::Receiver<Effect>) {
+    pub fn example() -> (SharedState, mpsc::Receiver<Effect>) {
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let own = address(9);
         let voters = [9, 10, 11].map(address).to_vec();
@@ -43,7 +43,7 @@
         config.replica.assume_up_to_date();
         let seen = LoopView {
             backends: Some(Arc::new(BackendSnapshot {
-                taken_at: mono(),
+                taken_at: monotonic_now(),
                 rows: Vec::new(),
             })),
             open: BTreeMap::new(),
@@ -51,20 +51,20 @@
             config_version: 0,
             file_version: 0,
         };
-        let mut roster = Roster::starting();
-        roster.update(Arc::new(seen));
+        let mut fleet_view = FleetView::at_start();
+        fleet_view.update(Arc::new(seen));
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let (effects, effects_sent) = mpsc::channel(64);
-        let tables = Tables::new(TableParts {
+        let shared = SharedState::new(SharedStateParts {
             lease: DutyLease::new(Duty::Calendar, lease_rules, voters, own, INCARNATION),
             config,
-            calendar: Maintenance::new(calendar),
-            roster,
+            maintenance: MaintenanceState::new(calendar),
+            fleet_view,
             effect_queue: EffectQueue::new(effects),
             relay: Relay::new(own, INCARNATION, max_age),
             datagrams: Arc::new(DatagramSender::new(socket, [0; 8], own)),
             incarnation: INCARNATION,
         });
-        (tables, effects_sent)
+        (shared, effects_sent)
     }
 }
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -1,7 +1,7 @@
 //! When the request loop is asked to show the listed backends, and which decisions wait for them.
 
+use super::super::fleet_view::FleetView;
 use super::super::request_loop::{BackendSnapshot, Effect};
-use super::super::roster::Roster;
 use super::*;
 use crate::net::host::BackendStatus;
 use meadowproxy::fleet::calendar::{Phase, Progress, Spec, Version, WallTime};
@@ -18,13 +18,13 @@
 
 impl TestProxy {
     fn new() -> TestProxy {
-        let (tables, effects) = Tables::example();
-        tables.calendar.lock().compared_ranges = None;
-        *tables.roster.lock() = Roster::default();
-        let (demanded, demand) = watch::channel(BackendDemand::Nothing);
+        let (shared, effects) = SharedState::example();
+        shared.maintenance.lock().compared_ranges = None;
+        *shared.fleet_view.lock() = FleetView::default();
+        let (demanded, demand) = watch::channel(BackendDemand::NotNeeded);
         let own = SocketAddr::from(([127, 0, 0, 1], 9));
         let worker = TimerWorker::new(
-            Arc::new(tables),
+            Arc::new(shared),
             watch::channel(None).1,
             demanded,
             own,
@@ -37,8 +37,8 @@
         }
     }
 
-    fn tables(&self) -> &Tables {
-        &self.worker.tables
+    fn shared(&self) -> &SharedState {
+        &self.worker.shared
     }
 
     /// The request loop shows what is demanded, as it is at that time.
@@ -58,7 +58,8 @@
             taken_at: at,
             rows: vec![row("a"), row("b")],
         };
-        let rows = Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::Nothing);
+        let rows =
+            Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::NotNeeded);
         let seen = LoopView {
             backends: rows,
             open: BTreeMap::new(),
@@ -66,26 +67,26 @@
             config_version: 0,
             file_version: 0,
         };
-        self.tables().roster.lock().update(Arc::new(seen));
+        self.shared().fleet_view.lock().update(Arc::new(seen));
     }
 
     /// Adds a window with those targets that begins in so many seconds.
     fn put(&self, id: &str, targets: &str, begin: u64) {
-        let at = |secs| WallTime(wall().0 + secs * S);
+        let at = |secs| WallTime(wall_now().0 + secs * S);
         let body = format!(
             r#"{{{targets},"begin":"{}","end":"{}","lead_s":1,"by":"x"}}"#,
             at(begin),
             at(begin + 60)
         );
         let spec = Spec::from_json(body.as_bytes()).unwrap();
-        let put = self.tables().calendar.lock().calendar.put(
+        let put = self.shared().maintenance.lock().calendar.put(
             id,
             spec,
             Version {
-                called_at: wall(),
+                called_at: wall_now(),
                 incarnation: 1,
             },
-            wall(),
+            wall_now(),
         );
         put.unwrap();
     }
@@ -98,13 +99,13 @@
         };
         let mut outgoing = DutyMessages::new();
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
-        self.tables()
+        self.shared()
             .calendar_lease
             .lock()
             .admit_effect(from, token, true, &mut outgoing)
             .unwrap();
         let Some(phase) = phase else { return };
-        let mut maintenance = self.tables().calendar.lock();
+        let mut maintenance = self.shared().maintenance.lock();
         let mut window = maintenance.calendar.get("w").unwrap().clone();
         let occurrence = match window.spec.value.schedule {
             meadowproxy::fleet::calendar::Schedule::Once(span) => span.begin,
@@ -114,10 +115,10 @@
             occurrence,
             token,
             phase,
-            since: wall(),
+            since: wall_now(),
             reason: String::new(),
         });
-        maintenance.calendar.merge(&window, wall()).unwrap();
+        maintenance.calendar.merge(&window, wall_now()).unwrap();
     }
 
     fn demand(&self) -> BackendDemand {
@@ -127,7 +128,7 @@
 
     /// The backends whose maintenance begins (`-`) and ends (`+`).
     fn take_effects(&mut self) -> Vec<(char, String)> {
-        self.tables().update_maintenance();
+        self.shared().update_maintenance();
         let of = |effect| match effect {
             Effect::BeginMaintenance(name) => ('-', name),
             Effect::EndMaintenance(name) => ('+', name),
@@ -149,32 +150,32 @@
 fn backends_are_demanded_only_where_they_are_needed() {
     let mut proxy = TestProxy::new();
     assert!(
-        proxy.demand() == BackendDemand::Nothing,
+        proxy.demand() == BackendDemand::NotNeeded,
         "isolated, without windows"
     );
     proxy.put("v", r#""ids":["b"]"#, 3600);
     assert!(
-        proxy.demand() == BackendDemand::Nothing,
+        proxy.demand() == BackendDemand::NotNeeded,
         "isolated, with a window in an hour"
     );
     proxy.put("w", r#""ids":["a"]"#, 3);
     assert!(
-        proxy.demand() == BackendDemand::EachTime,
+        proxy.demand() == BackendDemand::EveryUpdate,
         "isolated, with one that is due"
     );
     proxy.receive_heartbeat(None);
     assert!(
-        proxy.demand() == BackendDemand::Nothing,
+        proxy.demand() == BackendDemand::NotNeeded,
         "the holder decides"
     );
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert!(
-        proxy.demand() == BackendDemand::Nothing,
+        proxy.demand() == BackendDemand::NotNeeded,
         "the window names it"
     );
     assert_eq!(proxy.take_effects(), effects('-', &["a"]));
     assert!(
-        proxy.demand() == BackendDemand::Nothing,
+        proxy.demand() == BackendDemand::NotNeeded,
         "the window names it"
     );
     proxy.receive_heartbeat(Some(Phase::Done));
@@ -182,9 +183,9 @@
         proxy.demand() == BackendDemand::Occasional,
         "its maintenance has not ended yet"
     );
-    proxy.show(mono());
+    proxy.show(monotonic_now());
     assert_eq!(proxy.take_effects(), effects('+', &["a"]));
-    assert!(proxy.demand() == BackendDemand::Nothing);
+    assert!(proxy.demand() == BackendDemand::NotNeeded);
 }
 
 /// An isolated proxy decides by snapshots since decisions depend on them, not by earlier ones.
@@ -192,13 +193,13 @@
 fn earlier_snapshots_decide_nothing() {
     let mut proxy = TestProxy::new();
     proxy.put("w", r#""ids":["a"]"#, 1);
-    let before = mono();
-    assert!(proxy.demand() == BackendDemand::EachTime);
+    let before = monotonic_now();
+    assert!(proxy.demand() == BackendDemand::EveryUpdate);
     assert_eq!(proxy.take_effects(), [], "without any");
     proxy.show(Time(before.0 - 1));
     assert_eq!(proxy.take_effects(), [], "by an earlier snapshot");
-    proxy.show(mono());
-    assert!(proxy.demand() == BackendDemand::EachTime);
+    proxy.show(monotonic_now());
+    assert!(proxy.demand() == BackendDemand::EveryUpdate);
     assert_eq!(proxy.take_effects(), effects('-', &["a"]));
 }
 
@@ -214,6 +215,6 @@
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert_eq!(proxy.take_effects(), []);
     assert!(proxy.demand() == BackendDemand::Occasional);
-    proxy.show(mono());
+    proxy.show(monotonic_now());
     assert_eq!(proxy.take_effects(), effects('-', &["a", "b"]));
 }
--- a/src/net/cluster/coordination/voter_contacts.rs
+++ b/src/net/cluster/coordination/voter_contacts.rs
@@ -45,7 +45,7 @@
     }
 
     /// The voter at that place answered this proxy's candidate.
-    pub fn record_answer(&mut self, place: usize, now: Time) {
+    pub fn record_response(&mut self, place: usize, now: Time) {
         self.contacts[place].answered_at = Some(now);
     }
 
--- a/src/net/cluster/gossip/driver.rs
+++ b/src/net/cluster/gossip/driver.rs
@@ -23,7 +23,7 @@
 use tracing::{info, warn};
 
 /// How many of this proxy's own verdicts wait at most to be broadcast.
-const VERDICT_QUEUE: usize = 1024;
+const MAX_QUEUED_VERDICTS: usize = 1024;
 
 /// A received message of the coordination of leases, windows and configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 /// What the driver is started with.
 pub struct GossipOptions {
     /// `peers` of the configuration.
-    pub sharing: GossipSection,
+    pub section: GossipSection,
     /// Hash of the settings in force, which a reload changes.
     pub settings_hash: Rc<Cell<[u8; 32]>>,
     /// Expected number of proxies, this one included.
@@ -51,7 +51,7 @@
 /// This proxy's membership in the fleet.
 pub struct GossipDriver {
     host: Rc<Host>,
-    sharing: GossipSection,
+    section: GossipSection,
     own_address: SocketAddr,
     fleet_size: u32,
     socket: UdpSocket,
@@ -72,16 +72,16 @@
         socket: std::net::UdpSocket,
         options: GossipOptions,
     ) -> io::Result<Rc<GossipDriver>> {
-        let (sender, receiver) = mpsc::channel(VERDICT_QUEUE);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_VERDICTS);
         let driver = Rc::new(GossipDriver::new(host.clone(), socket, options)?);
         host.publish_verdicts_to(sender);
-        let sharing = &driver.sharing;
+        let section = &driver.section;
         info!(
             event = "peers_start",
             listen = %driver.socket.local_addr()?,
             advertise = %driver.own_address,
-            cluster = sharing.cluster,
-            seeds = sharing.seeds.len(),
+            cluster = section.cluster,
+            seeds = section.seeds.len(),
             "shares state with its peers"
         );
         tokio::task::spawn_local(driver.clone().run(receiver));
@@ -93,14 +93,14 @@
         socket: std::net::UdpSocket,
         options: GossipOptions,
     ) -> io::Result<GossipDriver> {
-        let sharing = options.sharing;
+        let section = options.section;
         socket.set_nonblocking(true)?;
         let receiving = UdpSocket::from_std(socket.try_clone()?)?;
-        let own_address = sharing.advertise.unwrap_or(receiving.local_addr()?);
-        let max_age = Micros::from_secs_f64(sharing.max_age_s);
+        let own_address = section.advertise.unwrap_or(receiving.local_addr()?);
+        let max_age = Micros::from_secs_f64(section.max_age_s);
         let config = MembershipConfig {
-            cluster: wire::cluster_id(&sharing.cluster),
-            seeds: sharing.seeds.clone(),
+            cluster: wire::cluster_id(&section.cluster),
+            seeds: section.seeds.clone(),
             max_age,
             fleet_size: options.fleet_size,
         };
@@ -117,7 +117,7 @@
         Ok(GossipDriver {
             snapshots: SnapshotExchange::new(host.clone(), options.settings_hash, max_age),
             host,
-            sharing,
+            section,
             own_address,
             fleet_size: options.fleet_size,
             socket: receiving,
@@ -224,13 +224,13 @@
 
     /// Whether this proxy is the whole fleet, according to its configuration.
     pub fn is_only_proxy(&self) -> bool {
-        let seeds = &self.sharing.seeds;
+        let seeds = &self.section.seeds;
         self.fleet_size <= 1 && seeds.iter().all(|seed| *seed == self.own_address)
     }
 
     /// The age past which shared state is neither used nor passed on.
     pub fn max_age(&self) -> Micros {
-        Micros::from_secs_f64(self.sharing.max_age_s)
+        Micros::from_secs_f64(self.section.max_age_s)
     }
 
     /// The sending side of the socket.
--- a/src/net/cluster/gossip/stored_formats.rs
+++ b/src/net/cluster/gossip/stored_formats.rs
@@ -14,7 +14,7 @@
     let status = scope.run_until(async {
         let own_address: SocketAddr = "127.0.0.1:7000".parse().unwrap();
         let options = GossipOptions {
-            sharing: GossipSection {
+            section: GossipSection {
                 listen: own_address,
                 advertise: Some(own_address),
                 cluster: "lagos".into(),
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -5,7 +5,7 @@
 
 use crate::net::admin::listener::{AdminListenError, AdminListener};
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
-use crate::net::cluster::coordination::mono;
+use crate::net::cluster::coordination::monotonic_now;
 use crate::net::config::fleet_overrides::{self, AmendError, FleetOverrides, PendingEntries};
 use crate::net::config::{Node, NodeError, ReloadedConfig, Source};
 use crate::net::descriptor_limits::DescriptorLimits;
@@ -198,7 +198,7 @@
             version,
             entries = entry_count,
             step_us,
-            mono_us = mono().0,
+            mono_us = monotonic_now().0,
             "another version of the configuration"
         );
     }
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -4,7 +4,7 @@
 use super::bind::bind_with_retry;
 use super::StartError;
 use crate::net::admin::FleetAdmin;
-use crate::net::cluster::coordination::{config_snapshot::SnapshotFile, Duties};
+use crate::net::cluster::coordination::{config_snapshot::SnapshotFile, Coordinator};
 use crate::net::cluster::gossip::{GossipDriver, GossipOptions};
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::Node;
@@ -31,7 +31,7 @@
     /// Gossip with the other proxies.
     pub peers: Option<Rc<GossipDriver>>,
     /// Leases, maintenance windows and the fleet's configuration.
-    duties: Option<Rc<Duties>>,
+    duties: Option<Rc<Coordinator>>,
 }
 
 impl Fleet {
@@ -55,14 +55,14 @@
     /// Waits until calendar and configuration have caught up, or the wait timed out.
     pub async fn caught_up(&self) {
         if let Some(duties) = &self.duties {
-            duties.ready().await;
+            duties.wait_until_ready().await;
         }
     }
 
     /// Gives up the leases that this proxy holds.
     pub fn release_leases(&self) {
         if let Some(duties) = &self.duties {
-            duties.leave();
+            duties.release_leases();
         }
     }
 
@@ -80,7 +80,7 @@
     };
     let socket = bind_with_retry("peers: ", sharing.listen, UdpSocket::bind).await?;
     let options = GossipOptions {
-        sharing,
+        section: sharing,
         settings_hash: start.shared_settings.clone(),
         fleet_size: start.config.proxy_count,
         seed: start.node.seed,
@@ -93,11 +93,11 @@
 fn start_duties(
     start: &FleetStart<'_>,
     peers: &Rc<GossipDriver>,
-) -> Result<Option<Rc<Duties>>, StartError> {
+) -> Result<Option<Rc<Coordinator>>, StartError> {
     let Some(voting) = &start.node.duties else {
         return Ok(None);
     };
-    let duties = Duties::start(
+    let duties = Coordinator::start(
         start.host.clone(),
         peers,
         voting,
