--- a/src/fleet/calendar/admin_calls.rs
+++ b/src/fleet/calendar/admin_calls.rs
@@ -1,4 +1,4 @@
-//! The operators' calls, at any proxy, and the list of windows that they see.
+//! The operators' calls to any proxy: they add, cancel, extend and start windows, and list them.
 
 use super::spec::{check_id, secs, InvalidField, Schedule, Span, Spec, Targets, MAX_DURATION_S};
 use super::window::{CurrentOccurrence, OccurrenceChange, Phase, Version, Versioned, Window};
@@ -7,34 +7,34 @@
 use crate::Micros;
 use serde::Serialize;
 
-/// What a call of an operator changed.
+/// Whether an operator's call changed anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was carried out.
+    /// The call changed the calendar.
     Changed,
-    /// It was so already.
+    /// The calendar was in the requested state already.
     Unchanged,
 }
 
-/// Why a call of an operator is rejected.
+/// The reason why an operator's call is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// A field is invalid: status 422.
     #[error("invalid: {0}")]
     Invalid(#[source] InvalidField),
-    /// It contradicts what is there: status 409.
+    /// The call conflicts with the state of the window: status 409.
     #[error("conflict: {0}")]
     Conflict(#[source] InvalidField),
-    /// No window has that id: status 404.
+    /// There is no window with the id: status 404.
     #[error("no such window")]
     Unknown,
-    /// There are [`MAX_WINDOWS`]: status 507.
-    #[error("{MAX_WINDOWS} windows are kept already")]
+    /// The calendar holds [`MAX_WINDOWS`] windows: status 507.
+    #[error("calendar is full with {MAX_WINDOWS} windows")]
     Full,
 }
 
 impl CallError {
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             CallError::Invalid(_) => 422,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The field at fault and what is wrong with it: the body of the answer.
+    /// The rejected field and the reason, which form the body of the response.
     pub fn invalid_field(&self) -> InvalidField {
         match self {
             CallError::Invalid(field) | CallError::Conflict(field) => field.clone(),
@@ -68,32 +68,32 @@
 pub struct WindowView {
     /// The window's id.
     pub id: String,
-    /// The backends that it targets, under the name of their choice: `{"zone": "a"}`.
+    /// The targeted backends, as an object with the kind of selection as its key: `{"zone": "a"}`.
     pub targets: Targets,
-    /// Who requested it.
+    /// The person or system that requested the window.
     #[serde(rename = "by")]
     pub requested_by: String,
     /// The phase of the occurrence shown.
     pub phase: Phase,
-    /// The begin of the occurrence under way, else of the next, else of the last one; RFC 3339 in UTC.
+    /// The begin of the occurrence shown: the one in progress, or else the next, or else the last one; RFC 3339 in UTC.
     pub begin: Option<String>,
-    /// Its end.
+    /// The end of the occurrence shown; RFC 3339 in UTC.
     pub end: Option<String>,
-    /// What it waits for.
+    /// While planned, the reason why the window has to wait.
     pub waiting: Option<String>,
-    /// Why it is in its phase.
+    /// In any other phase, the reason why the window entered it.
     pub reason: Option<String>,
-    /// Since when.
+    /// The time of the lease holder's decision; RFC 3339 in UTC.
     pub since: Option<String>,
-    /// The token of the lease holder that decided so.
+    /// The token of the lease holder that made the decision.
     pub token: Option<Token>,
 }
 
 impl Calendar {
-    /// Adds a window. The same id with the same content is accepted, also when its time is over.
+    /// Adds a window. A repeated call with the same id and content is accepted, even when the window is over.
     ///
     /// # Errors
-    /// An impossible field; other content under the id, or an id that was cancelled; a full table.
+    /// If a field is invalid, the id belongs to a cancelled window or to one with other content, or the calendar is full.
     pub fn put(
         &mut self,
         id: &str,
@@ -108,7 +108,7 @@
             if window.cancelled.is_some() {
                 return Err(conflict(
                     "id",
-                    "was cancelled, and is free again an hour later",
+                    "belongs to a cancelled window, and is free again an hour after that ended",
                 ));
             }
             return match window.spec.value.first_difference(&spec) {
@@ -139,10 +139,10 @@
         Ok(CallOutcome::Changed)
     }
 
-    /// Cancels a window with all its occurrences, which is final; another window takes another id.
+    /// Cancels a window with all its occurrences. This is final; a new window needs another id.
     ///
     /// # Errors
-    /// No such window, or it is over.
+    /// If there is no such window, or it is over.
     pub fn cancel(
         &mut self,
         id: &str,
@@ -161,10 +161,10 @@
         Ok(CallOutcome::Changed)
     }
 
-    /// Moves the end of the occurrence under way or next to a later time.
+    /// Moves the end of the occurrence that is in progress or next to the later time `until`.
     ///
     /// # Errors
-    /// No such window, it is over or about to be restored; an end that is not later or too late.
+    /// If there is no such window, it is cancelled, over or being restored, or the new end is not later or too late.
     pub fn extend(
         &mut self,
         id: &str,
@@ -187,11 +187,11 @@
         Ok(CallOutcome::Changed)
     }
 
-    /// Starts the next occurrence now: it drains at once, as far as the budget allows, and opens when it is
-    /// drained. Its duration and an extension of it stay.
+    /// Starts the next occurrence now: it drains at once if the budget allows it, and opens when it is drained. Its
+    /// duration does not change, and neither does its end if that was extended.
     ///
     /// # Errors
-    /// No such window, it is over or about to be restored.
+    /// If there is no such window, or it is cancelled, over or being restored.
     pub fn start_now(
         &mut self,
         id: &str,
@@ -213,7 +213,7 @@
         Ok(CallOutcome::Changed)
     }
 
-    /// Every window, by id.
+    /// All windows, sorted by id, without expired tombstones.
     pub fn list(&self, now: WallTime) -> Vec<WindowView> {
         self.windows
             .values()
@@ -223,12 +223,15 @@
     }
 }
 
-/// The occurrence that an operator means, where it can still be changed.
+/// The occurrence that an operator's change applies to: the one in progress, or else the next one.
+///
+/// # Errors
+/// If it can no longer be changed.
 fn changeable_occurrence(window: &Window, now: WallTime) -> Result<CurrentOccurrence, CallError> {
     if window.cancelled.is_some() {
         return Err(conflict("id", "the window is cancelled"));
     }
-    let under_way = window
+    let in_progress = window
         .current_occurrence(now)
         .filter(|current| current.phase != Phase::Planned);
     let next = || {
@@ -240,7 +243,7 @@
     let is_live = |current: &CurrentOccurrence| {
         current.phase.is_in_effect() || window.actual_span(current.planned).end > now
     };
-    match under_way.or_else(next) {
+    match in_progress.or_else(next) {
         Some(current) if current.phase == Phase::Restoring => {
             Err(conflict("id", "the window is being restored"))
         }
@@ -249,7 +252,7 @@
     }
 }
 
-/// Whether an occurrence's end may move to that time.
+/// Checks whether the end of an occurrence may move to `until`.
 fn check_extension(
     window: &Window,
     planned: Span,
@@ -263,20 +266,22 @@
     }
     let max_duration = secs(MAX_DURATION_S);
     if until - span.begin > max_duration || until - planned.begin > max_duration {
-        return invalid(format!("more than 7 days after the begin, {}", span.begin));
+        return invalid(format!("more than 7 days after begin, {}", span.begin));
     }
     if let Schedule::Recurring { .. } = window.spec.value.schedule {
         let next = window.spec.value.next_occurrence(planned.begin + Micros(1));
         let drains_at = next.map(|next| next.begin - window.lead());
         if let Some(drains_at) = drains_at.filter(|at| until + window.overrun() >= *at) {
-            return invalid(format!("the next occurrence drains at {drains_at}"));
+            return invalid(format!(
+                "overlaps the next occurrence, which drains from {drains_at}"
+            ));
         }
     }
     Ok(())
 }
 
-/// A change with a version above the one that is there, so that the later call at one proxy wins even where
-/// its clock was set back.
+/// A change with a version above the previous change's, so that of two calls to one proxy the later one wins even if the
+/// clock was set back in between.
 fn supersede(
     previous: &Option<Versioned<OccurrenceChange>>,
     version: Version,
@@ -294,16 +299,16 @@
     }
 }
 
-/// Whether a new window can still be carried out.
+/// Checks whether a new window still has an occurrence that can start.
 fn check_feasible(spec: &Spec, now: WallTime) -> Result<(), InvalidField> {
     match &spec.schedule {
-        Schedule::Once(span) if span.end <= now => Err(InvalidField::new("end", "is over already")),
+        Schedule::Once(span) if span.end <= now => Err(InvalidField::new("end", "is in the past")),
         Schedule::Once(span) if now + secs(spec.lead_s) >= span.end => Err(InvalidField::new(
             "lead_s",
-            "the end comes before the lead is over",
+            "does not fit between now and the end",
         )),
         Schedule::Recurring { .. } if spec.next_occurrence(now).is_none() => {
-            Err(InvalidField::new("recurring", "never comes"))
+            Err(InvalidField::new("recurring", "has no occurrence"))
         }
         _ => Ok(()),
     }
@@ -346,19 +351,20 @@
     }
 }
 
-/// The occurrence that the list shows with its phase.
+/// The occurrence that the list shows, with its phase. A cancelled window has one only while its backends are in
+/// maintenance or being restored.
 fn shown_occurrence(window: &Window, now: WallTime) -> Option<CurrentOccurrence> {
     if window.cancelled.is_none() {
         return window
             .current_occurrence(now)
             .or_else(|| decided_occurrence(window));
     }
-    // A cancelled window that is in effect is restored first.
+    // A cancelled window that was in effect still has to be restored.
     decided_occurrence(window)
         .filter(|decided| !decided.phase.is_final() && decided.phase != Phase::Planned)
 }
 
-/// The occurrence that the lease holder decided on last, where the content still has it.
+/// The occurrence that the lease holder decided on last, if the window's content still contains it.
 fn decided_occurrence(window: &Window) -> Option<CurrentOccurrence> {
     let progress = window.progress.as_ref()?;
     Some(CurrentOccurrence {
--- a/src/fleet/calendar/anti_entropy.rs
+++ b/src/fleet/calendar/anti_entropy.rs
@@ -1,31 +1,32 @@
-//! Anti-entropy: how replicas of the calendar become equal after messages were lost.
+//! Anti-entropy: repairs replicas of the calendar after messages were lost.
 //!
-//! Changes are broadcast at once. Beside that, proxies send [`Digest`]s to each other; [`Calendar::compare`] says which
-//! windows either side lacks.
+//! Changes are broadcast at once. In addition, proxies send each other [`Digest`]s, and [`Calendar::compare`] determines
+//! which windows either side lacks.
 
 use super::window::{Window, WindowError};
 use super::{Calendar, WallTime, MAX_MERGED_WINDOWS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most rows of one digest: with 20 bytes a row at most it fits a datagram.
+/// The maximum number of rows of a digest: with at most 20 bytes per row, it fits into a datagram.
 pub const MAX_DIGEST_ROWS: usize = 50;
 
-/// The most windows that one digest is answered with.
+/// The maximum number of windows sent in response to one digest or request.
 pub const MAX_WINDOWS_PER_RESPONSE: usize = 64;
 
-/// The versions of the windows whose id hashes lie in one range; the ranges of one set of digests cover all hashes.
+/// A summary of the windows whose id hashes lie in one range. The ranges of all digests of a calendar together cover all
+/// hashes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The range's first hash.
+    /// The first hash of the range.
     pub from: u64,
-    /// Its last one.
+    /// The last hash of the range.
     pub to: u64,
-    /// A row for each window in the range, in the order of the id hashes.
+    /// One row for each window in the range, sorted by id hash.
     pub rows: Vec<DigestRow>,
 }
 
-/// One window in a digest.
+/// The hashes that identify a window and its content in a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestRow {
     /// The hash of the window's id.
@@ -34,27 +35,27 @@
     pub content_hash: u64,
 }
 
-/// The difference that a digest shows between its sender and this proxy.
+/// The difference between the calendar of a digest's sender and this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// What the sender lacks or has in another version.
+    /// The windows that the sender lacks or has in another version.
     pub to_send: Vec<Window>,
-    /// The hashes of the ids to request from it.
+    /// The id hashes of the windows to request from the sender.
     pub to_request: Vec<u64>,
 }
 
 impl Calendar {
-    /// Merges a window from another proxy; says whether anything changed.
+    /// Merges a window from another proxy. Returns whether anything changed.
     ///
     /// # Errors
-    /// A field out of its bounds, or more windows than [`MAX_MERGED_WINDOWS`].
+    /// If a field is out of its bounds, or there would be more windows than [`MAX_MERGED_WINDOWS`].
     pub fn merge(&mut self, window: &Window, now: WallTime) -> Result<bool, WindowError> {
         window.check(now).map_err(WindowError::Field)?;
         if let Some(known) = self.windows.get_mut(&window.id) {
             return Ok(known.merge(window));
         }
         if window.has_expired(now) {
-            return Ok(false); // a tombstone that was removed here already
+            return Ok(false); // an expired tombstone, which this proxy may have removed already
         }
         if self.windows.len() >= MAX_MERGED_WINDOWS {
             return Err(WindowError::Full);
@@ -63,7 +64,7 @@
         Ok(true)
     }
 
-    /// The windows that calls or transitions here changed since the last time, to go to all live members.
+    /// The windows that calls or transitions at this proxy changed since the last call, to be sent to all live members.
     pub fn take_changed(&mut self) -> Vec<Window> {
         let changed = std::mem::take(&mut self.changed);
         changed
@@ -73,7 +74,7 @@
             .collect()
     }
 
-    /// The digests that together cover the whole calendar; at least one.
+    /// The digests that together cover the whole calendar; there is at least one.
     pub fn digests(&self, now: WallTime) -> Vec<Digest> {
         let content_hashes: BTreeMap<u64, u64> = self
             .windows_by_id_hash(now)
@@ -108,8 +109,8 @@
         digests
     }
 
-    /// What the sender of that digest and this proxy lack of each other's, at most [`MAX_WINDOWS_PER_RESPONSE`] windows
-    /// and [`MAX_DIGEST_ROWS`] requests; the rest shows in the next digest.
+    /// Compares the calendar with another proxy's digest. The difference contains at most [`MAX_WINDOWS_PER_RESPONSE`]
+    /// windows to send and [`MAX_DIGEST_ROWS`] to request; the rest is found with the next digest.
     pub fn compare(&self, digest: &Digest, now: WallTime) -> Difference {
         let theirs: BTreeMap<u64, u64> = digest
             .rows
@@ -139,7 +140,7 @@
         difference
     }
 
-    /// The windows that another proxy requested by their ids' hashes.
+    /// The windows with the given id hashes, at most [`MAX_WINDOWS_PER_RESPONSE`] of them.
     pub fn windows_with_id_hashes(&self, id_hashes: &[u64], now: WallTime) -> Vec<Window> {
         self.windows_by_id_hash(now)
             .filter(|(id_hash, _)| id_hashes.contains(id_hash))
--- a/src/fleet/calendar/backend_demand.rs
+++ b/src/fleet/calendar/backend_demand.rs
@@ -1,13 +1,13 @@
-//! When the list of backends is needed: gathering it is not free with a fleet of 25,000.
+//! Determines when the calendar needs the list of backends, as it is expensive to gather for 25,000 backends.
 
 use super::phases::CLAIM_LOOKAHEAD;
 use super::{Calendar, Phase, Targets, WallTime, Window};
 use std::collections::BTreeSet;
 
 impl Calendar {
-    /// Whether the lease holder, or an isolated proxy, may look at the backends now or within 5 s: a window is under way
-    /// or about to be due. While it is not, [`advance`](Calendar::advance) and
-    /// [`backends_in_maintenance`](Calendar::backends_in_maintenance) do the same whatever fleet they are given.
+    /// Whether the lease holder or an isolated proxy may need the list of backends now or within 5 s: a window is in
+    /// progress or about to be due. Otherwise, the results of [`advance`](Calendar::advance) and
+    /// [`backends_in_maintenance`](Calendar::backends_in_maintenance) don't depend on the list.
     pub fn needs_backends(&self, now: WallTime) -> bool {
         !self.isolated_decisions.is_empty()
             || self.windows.values().any(|window| {
@@ -21,13 +21,14 @@
             })
     }
 
-    /// Whether any window may keep requests off a backend, by the holder's decision or by an isolated one.
+    /// Whether any window may have a backend in maintenance, by a decision of the lease holder or of this proxy while it
+    /// was isolated.
     pub fn any_window_in_effect(&self) -> bool {
         !self.isolated_decisions.is_empty() || self.in_effect_by_holder().next().is_some()
     }
 
-    /// The backends in maintenance, where that is known without the fleet: by the holder's decisions only, and in
-    /// windows that name their backends.
+    /// The backends in maintenance, if they can be determined without the list of backends: there are decisions of the
+    /// lease holder only, and all windows in effect name their backends.
     pub fn named_backends_in_maintenance(&self) -> Option<BTreeSet<&str>> {
         let mut named = BTreeSet::new();
         for window in self.in_effect_by_holder() {
@@ -39,6 +40,7 @@
         Some(named).filter(|_| self.isolated_decisions.is_empty())
     }
 
+    /// The windows that are in effect by the lease holder's decision.
     fn in_effect_by_holder(&self) -> impl Iterator<Item = &Window> {
         self.windows.values().filter(|window| window.is_in_effect())
     }
--- a/src/fleet/calendar/disruption_budget.rs
+++ b/src/fleet/calendar/disruption_budget.rs
@@ -1,42 +1,44 @@
-//! The disruption budget: the share of each kind's and each zone's capacity that windows have to leave.
+//! The disruption budget: the share of the capacity of each kind and each zone of backends that windows have to leave
+//! available.
 
 use super::spec::Targets;
 use super::window::Window;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Sums of floating-point shares are not exact: a shortfall within this part of the listed capacity is none.
+/// The share of the listed capacity by which a group may fall short of its floor, as sums of floating-point numbers are not
+/// exact.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// One listed backend, as the lease holder knows it.
+/// A backend in discovery's list, with the capacity that it contributes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendCapacity {
-    /// Its zone.
+    /// The backend's zone.
     pub zone: String,
-    /// Its kind.
+    /// The backend's kind.
     pub kind: String,
-    /// Its cell (the list's group).
+    /// The backend's cell (the list's group).
     pub cell: u64,
-    /// Whether the list says that it serves (and not that it drains).
+    /// Whether the list shows the backend as serving (and not as draining).
     pub serving: bool,
-    /// The share of its capacity that it could take, were no window: 0 when ejected, less than 1 in slow
-    /// start. What lies outside of 0 to 1 counts as the nearer of the two.
+    /// The share of its capacity that is usable, apart from windows: 0 when ejected, less than 1 in slow start. Values
+    /// outside of 0 to 1 are clamped.
     pub readiness: f64,
-    /// Whether operators disabled it by hand.
+    /// Whether operators disabled the backend.
     pub disabled: bool,
-    /// Its capacity against other backends'; 1 where all are alike.
+    /// The backend's capacity relative to other backends; 1 if all are equal.
     pub capacity: f64,
 }
 
-/// The listed backends by name.
+/// The backends in discovery's list, by name.
 pub type ListedBackends = BTreeMap<String, BackendCapacity>;
 
-/// The share of the listed capacity that windows leave available, 0 to 1.
+/// The shares of the listed capacity that windows have to leave available, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DisruptionBudget {
-    /// Of each kind.
+    /// The share for each kind.
     pub kind_floor: f64,
-    /// Of each zone.
+    /// The share for each zone.
     pub zone_floor: f64,
 }
 
@@ -58,7 +60,7 @@
         }
     }
 
-    /// What it can take now, windows left out of account.
+    /// The capacity that is available now, apart from windows.
     fn available_capacity(&self) -> f64 {
         if self.serving && !self.disabled && self.readiness.is_finite() {
             self.listed_capacity() * self.readiness.clamp(0.0, 1.0)
@@ -67,17 +69,17 @@
         }
     }
 
-    /// The groups that have a floor each.
+    /// The groups that the backend belongs to.
     fn groups(&self) -> [Group<'_>; 2] {
         [Group::Kind(&self.kind), Group::Zone(&self.zone)]
     }
 }
 
 impl Window {
-    /// The names of the backends that it targets; some of them may not be listed.
-    pub(super) fn targeted_backends<'a>(&'a self, fleet: &'a ListedBackends) -> BTreeSet<&'a str> {
-        let listed = |is_target: &dyn Fn(&BackendCapacity) -> bool| {
-            fleet
+    /// The names of the backends that the window targets; some of them may not be listed.
+    pub(super) fn targeted_backends<'a>(&'a self, listed: &'a ListedBackends) -> BTreeSet<&'a str> {
+        let names_where = |is_target: &dyn Fn(&BackendCapacity) -> bool| {
+            listed
                 .iter()
                 .filter(|(_, backend)| is_target(backend))
                 .map(|(name, _)| name.as_str())
@@ -85,14 +87,14 @@
         };
         match &self.spec.value.targets {
             Targets::Ids(ids) => ids.iter().map(String::as_str).collect(),
-            Targets::Zone(zone) => listed(&|backend| backend.zone == *zone),
-            Targets::Kind(kind) => listed(&|backend| backend.kind == *kind),
-            Targets::Cell(cell) => listed(&|backend| backend.cell == *cell),
+            Targets::Zone(zone) => names_where(&|backend| backend.zone == *zone),
+            Targets::Kind(kind) => names_where(&|backend| backend.kind == *kind),
+            Targets::Cell(cell) => names_where(&|backend| backend.cell == *cell),
         }
     }
 }
 
-/// Backends that have a floor of their own.
+/// A group of backends with a common floor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Group<'a> {
     Kind(&'a str),
@@ -108,13 +110,13 @@
     }
 }
 
-/// Why a window has to wait; the list of windows shows the text.
+/// The reason why a window has to wait. The list of windows shows the text.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum BudgetExceeded<'a> {
-    /// Another window waits for the same group.
+    /// An earlier window, `first`, already waits for capacity of the group.
     #[error("{group}: behind {first}")]
     Queued { group: Group<'a>, first: &'a str },
-    /// The group would be left with less than its floor.
+    /// The capacity left in the group would be below its floor.
     #[error("{group}: {left:.2} of {listed:.2} left, floor {floor:.2}")]
     BelowFloor {
         group: Group<'a>,
@@ -124,37 +126,39 @@
     },
 }
 
+/// The capacity of a group: of all listed backends, and of those that are available.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupCapacity {
     listed: f64,
     available: f64,
 }
 
-/// The capacity that remains while windows take effect one after the other.
+/// The capacity that remains available in each group while windows take effect one after the other.
 pub(super) struct RemainingCapacity<'a> {
-    fleet: &'a ListedBackends,
+    listed: &'a ListedBackends,
     budget: DisruptionBudget,
     in_maintenance: BTreeSet<&'a str>,
     capacities: BTreeMap<Group<'a>, GroupCapacity>,
-    /// The groups that a window waits for; none behind it may take of them.
+    /// The groups that a window waits for, with its id. Later windows may not take capacity of them, so that the window
+    /// cannot be starved by smaller ones.
     awaited: BTreeMap<Group<'a>, &'a str>,
 }
 
 impl<'a> RemainingCapacity<'a> {
-    /// The listed backends without those that are in maintenance already.
+    /// Creates the state in which only the backends `in_maintenance` are unavailable because of windows.
     pub(super) fn new(
-        fleet: &'a ListedBackends,
+        listed: &'a ListedBackends,
         budget: DisruptionBudget,
         in_maintenance: BTreeSet<&'a str>,
     ) -> RemainingCapacity<'a> {
         let mut remaining = RemainingCapacity {
-            fleet,
+            listed,
             budget,
             in_maintenance,
             capacities: BTreeMap::new(),
             awaited: BTreeMap::new(),
         };
-        for (name, backend) in fleet {
+        for (name, backend) in listed {
             let available = remaining.available(name, backend);
             for group in backend.groups() {
                 let capacity = remaining.capacities.entry(group).or_default();
@@ -165,10 +169,11 @@
         remaining
     }
 
-    /// Takes a window's backends, where the budget allows. Windows come in their order.
+    /// Takes a window's backends out of the available capacity if the budget allows it. To be called for one window after
+    /// the other, in their order of precedence.
     ///
     /// # Errors
-    /// What the window waits for.
+    /// The group whose capacity the window has to wait for.
     pub(super) fn take(
         &mut self,
         window: &'a str,
@@ -202,13 +207,13 @@
         Ok(())
     }
 
-    /// The capacity that backends would take from each of their groups. Groups from which nothing is taken now, as the
-    /// backends are in maintenance or dead, are among them: the window has to wait where too little is left, as these
-    /// backends could return while it is open.
+    /// The available capacity that `backends` take from each of their groups. This includes groups from which they take
+    /// nothing now because they are in maintenance or not available: these backends could return while the window is open,
+    /// so the window has to wait for these groups as well.
     fn taken_by(&self, backends: &BTreeSet<&'a str>) -> BTreeMap<Group<'a>, f64> {
         let mut taken: BTreeMap<Group, f64> = BTreeMap::new();
         for name in backends {
-            let Some(backend) = self.fleet.get(*name) else {
+            let Some(backend) = self.listed.get(*name) else {
                 continue;
             };
             let available = self.available(name, backend);
--- a/src/fleet/calendar/due_window.rs
+++ b/src/fleet/calendar/due_window.rs
@@ -1,19 +1,19 @@
-//! Windows whose time to drain has come, and the order in which they take from the disruption budget.
+//! Windows that are due to drain, and the order in which they take capacity from the disruption budget.
 
 use super::window::Window;
 use super::WallTime;
 
-/// A window whose time to drain has come.
+/// A window that is due to drain.
 pub(super) struct DueWindow<'a> {
-    /// The occurrence's actual begin.
+    /// The actual begin of the occurrence that is due.
     pub(super) begin: WallTime,
-    /// The occurrence, by its planned begin.
+    /// The planned begin of that occurrence, which identifies it.
     pub(super) occurrence: WallTime,
     pub(super) window: &'a Window,
 }
 
 impl<'a> DueWindow<'a> {
-    /// Windows take from the budget in the order of begin and id.
+    /// The sort key: windows take from the budget in the order of begin and id.
     pub(super) fn order(&self) -> (WallTime, &'a str) {
         (self.begin, &self.window.id)
     }
--- a/src/fleet/calendar/isolation.rs
+++ b/src/fleet/calendar/isolation.rs
@@ -1,11 +1,12 @@
-//! Which backends are in maintenance: the lease holder's decision or, while this proxy is isolated, its own.
+//! Determines which backends are in maintenance: by the lease holder's decisions or, while this proxy is isolated, by its
+//! own.
 //!
-//! A proxy that heard of no lease holder for over [`Rules::isolation_timeout`](super::Rules::isolation_timeout) is
-//! isolated. It then does for itself what the holder does for all, with the backends that it sees: a window that is due
-//! and fits the budget takes effect from its lead on, and each window that is in effect ends at its end, overrun or
-//! not. It remembers these decisions, as a budget that is checked again in the middle of a window could bring a backend
-//! back into it. A decision is valid until the holder's next one on that window; a proxy that comes to hold the lease
-//! itself adopts it.
+//! A proxy that has heard of no lease holder for longer than [`Rules::isolation_timeout`](super::Rules::isolation_timeout)
+//! is isolated. It then decides for itself, based on the backends that it knows: a window that is due and fits the budget
+//! takes effect when its lead begins, and each window in effect ends at its end, whatever its overrun. The proxy stores
+//! these decisions, because checking the budget again during a window could return a backend to service too early. A
+//! decision is valid until the lease holder's next decision on the window; a proxy that becomes the lease holder adopts
+//! its own decisions.
 
 use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
@@ -15,11 +16,12 @@
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// What an isolated proxy decided on one occurrence: in maintenance until its end, then back.
+/// The decision of an isolated proxy on one occurrence: its backends are in maintenance until it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct IsolatedDecision {
+    /// The occurrence, by its planned begin.
     occurrence: WallTime,
-    /// The holder's decision at that time; a different one is newer.
+    /// The lease holder's decision at that time. If the window has a different one now, that is newer.
     holder_decision: Option<HolderDecision>,
 }
 
@@ -31,12 +33,13 @@
         }
     }
 
+    /// Whether the lease holder has not decided on the window since.
     fn is_current(&self, window: &Window) -> bool {
         HolderDecision::of(window) == self.holder_decision
     }
 }
 
-/// What identifies a decision of the lease holder: its progress without the reason.
+/// The identity of a decision of the lease holder: the window's progress without the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HolderDecision {
     occurrence: WallTime,
@@ -63,20 +66,20 @@
     }
 }
 
-/// A window that is in effect only because this proxy decided so.
+/// A window that is in effect only by this proxy's own decision.
 pub(super) struct IsolatedWindow {
     pub(super) id: String,
     pub(super) occurrence: WallTime,
 }
 
 impl Calendar {
-    /// The backends that get no new requests from this proxy now, because of windows. `since_holder` is how long ago a
-    /// lease holder was last heard of, a huge value where none ever was.
+    /// The backends that get no new requests from this proxy now because of windows. `since_holder` is the time since this
+    /// proxy last heard of a lease holder, a very large value if it never did.
     pub fn backends_in_maintenance(
         &mut self,
         now: WallTime,
         since_holder: Micros,
-        fleet: &ListedBackends,
+        listed: &ListedBackends,
     ) -> BTreeSet<String> {
         let windows = &self.windows;
         self.isolated_decisions.retain(|id, decision| {
@@ -86,17 +89,17 @@
         });
         if since_holder > self.rules.isolation_timeout {
             self.end_isolated(now);
-            self.start_isolated(now, fleet);
+            self.start_isolated(now, listed);
         }
         self.windows
             .values()
             .filter(|window| self.is_in_effect(window, now))
-            .flat_map(|window| window.targeted_backends(fleet))
+            .flat_map(|window| window.targeted_backends(listed))
             .map(String::from)
             .collect()
     }
 
-    /// The windows that are in effect only because this proxy decided so.
+    /// The windows that are in effect only by this proxy's own decision.
     pub(super) fn in_effect_by_isolation(&self, now: WallTime) -> Vec<IsolatedWindow> {
         let mut in_effect = Vec::new();
         for (id, decision) in &self.isolated_decisions {
@@ -114,6 +117,7 @@
         in_effect
     }
 
+    /// Whether a window is in effect at this proxy. Its own decision, if there is one, overrides the lease holder's.
     fn is_in_effect(&self, window: &Window, now: WallTime) -> bool {
         let Some(decision) = self.isolated_decisions.get(&window.id) else {
             return window.is_in_effect();
@@ -121,7 +125,7 @@
         window.cancelled.is_none() && !window.is_over(decision.occurrence, now)
     }
 
-    /// Ends windows that the holder put into effect: at their end, or once a cancellation has reached this replica.
+    /// Ends windows that the lease holder put into effect: at their end, or when this replica has received a cancellation.
     fn end_isolated(&mut self, now: WallTime) {
         for window in self.windows.values() {
             let Some(progress) = &window.progress else {
@@ -137,8 +141,8 @@
         }
     }
 
-    /// Puts windows into effect that are due and fit the budget, in the order of begin and id.
-    fn start_isolated(&mut self, now: WallTime, fleet: &ListedBackends) {
+    /// Puts the windows into effect that are due and fit the budget, in the order of begin and id.
+    fn start_isolated(&mut self, now: WallTime, listed: &ListedBackends) {
         let mut due: Vec<DueWindow> = self
             .windows
             .values()
@@ -146,22 +150,22 @@
             .filter_map(|window| due_in_isolation(window, now))
             .collect();
         if due.is_empty() {
-            return; // summing up the capacity of the whole fleet is not free
+            return; // avoids summing up the capacity of all backends, which is expensive
         }
         due.sort_by_key(DueWindow::order);
         let in_maintenance = self
             .windows
             .values()
             .filter(|window| self.is_in_effect(window, now))
-            .flat_map(|window| window.targeted_backends(fleet))
+            .flat_map(|window| window.targeted_backends(listed))
             .collect();
-        let mut remaining = RemainingCapacity::new(fleet, self.rules.budget, in_maintenance);
+        let mut remaining = RemainingCapacity::new(listed, self.rules.budget, in_maintenance);
         let mut started = Vec::new();
         for DueWindow {
             occurrence, window, ..
         } in due
         {
-            let backends = window.targeted_backends(fleet);
+            let backends = window.targeted_backends(listed);
             if remaining.take(&window.id, backends).is_ok() {
                 let decision = IsolatedDecision::new(window, occurrence);
                 started.push((window.id.clone(), decision));
@@ -171,7 +175,7 @@
     }
 }
 
-/// The next occurrence of a window, where it is due and the holder did not start it yet.
+/// The next occurrence of a window, if it is due and the lease holder did not start it yet.
 fn due_in_isolation(window: &Window, now: WallTime) -> Option<DueWindow<'_>> {
     let planned = window.next_planned(now)?;
     let span = window.actual_span(planned);
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -1,22 +1,23 @@
-//! The calendar of maintenance windows: a state machine without clock, network or threads.
+//! The calendar of maintenance windows, during which backends get no new requests: a state machine without clock, network
+//! or threads.
 //!
-//! Every proxy has a replica of the [`Calendar`]. Operators' calls change it at any proxy; the lease holder
-//! [advances](Calendar::advance) the windows through their [phases](Phase), within the [disruption
-//! budget](DisruptionBudget); [windows](Window) travel between proxies and [merge](Window::merge). Which backends a
-//! proxy keeps free of requests is [derived](Calendar::backends_in_maintenance). Time comes in as [`WallTime`] and is
-//! never read here.
+//! Every proxy has a replica of the [`Calendar`]. Operators change it by calls to any proxy. The lease holder
+//! [advances](Calendar::advance) the windows through their [phases](Phase) within the [disruption
+//! budget](DisruptionBudget). Proxies exchange changed [windows](Window) and [merge](Window::merge) them. Each proxy
+//! [derives](Calendar::backends_in_maintenance) from its replica which backends get no new requests. All times are passed
+//! in as [`WallTime`].
 //!
-//! | file | mechanism |
+//! | module | mechanism |
 //! | --- | --- |
-//! | `spec` | what an operator asks for, and how a call's body is read |
-//! | `window` | one window with its progress, and the rule that merges two replicas of it |
-//! | `admin_calls` | the operators' calls and the list of windows |
-//! | `disruption_budget` | the capacity that windows have to leave |
-//! | `due_window` | the windows to start, in their order |
+//! | `spec` | the content of a window, and the decoding of a call's body |
+//! | `window` | one window with its progress, and the merge of two replicas of it |
+//! | `admin_calls` | the operators' calls, and the list of windows |
+//! | `disruption_budget` | the capacity that windows have to leave available |
+//! | `due_window` | the order in which due windows start |
 //! | `phases` | the lease holder's transitions |
-//! | `isolation` | what a proxy decides that hears of no lease holder |
-//! | `backend_demand` | when the list of backends is needed at all |
-//! | `anti_entropy` | digests and the repair of replicas |
+//! | `isolation` | the decisions of a proxy that hears of no lease holder |
+//! | `backend_demand` | when the list of backends is needed |
+//! | `anti_entropy` | digests, and the repair of replicas |
 
 mod admin_calls;
 mod anti_entropy;
@@ -44,40 +45,41 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most windows that operators may put, tombstones included.
+/// The maximum number of windows up to which operators may add one, tombstones included.
 pub const MAX_WINDOWS: usize = 256;
-/// The most windows that merging may bring: two sides of a partition may each be full.
+/// The maximum number of windows after merging windows of other proxies: both sides of a partition may have been full.
 pub const MAX_MERGED_WINDOWS: usize = 2 * MAX_WINDOWS;
-/// The most bytes of an encoded window.
+/// The maximum size of an encoded window, in bytes.
 pub const MAX_WINDOW_BYTES: usize = 1200;
-/// How long a window that is over or cancelled is remembered.
+/// The time for which a window that is over or cancelled is kept as a tombstone.
 pub const TOMBSTONE_LIFETIME: Micros = Micros(3600 * 1_000_000);
 
-/// The limits that the calendar has to keep to.
+/// The limits that the calendar has to comply with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// What windows have to leave.
+    /// The share of the capacity that windows have to leave available.
     pub budget: DisruptionBudget,
-    /// How long a backend that returned is in slow start.
+    /// The duration of the slow start of a backend after a window.
     pub slow_start: Micros,
-    /// For how long a proxy goes by the lease holder's decisions without hearing of it.
+    /// The time after which a proxy that hears of no lease holder is isolated and decides by itself.
     pub isolation_timeout: Micros,
 }
 
 /// One proxy's replica of the windows.
 #[derive(Clone, Debug)]
 pub struct Calendar {
-    /// What it keeps to; may be changed at any time.
+    /// The limits in force; they may be changed at any time.
     pub rules: Rules,
     windows: BTreeMap<String, Window>,
-    /// The ids of windows that calls or transitions here changed since they were last taken.
+    /// The ids of the windows that calls or transitions at this proxy changed since the last
+    /// [`take_changed`](Calendar::take_changed).
     changed: BTreeSet<String>,
-    /// What this proxy decided by itself while it was isolated, by window.
+    /// The decisions that this proxy made while it was isolated, by window id.
     isolated_decisions: BTreeMap<String, isolation::IsolatedDecision>,
 }
 
 impl Calendar {
-    /// An empty calendar.
+    /// Creates an empty calendar.
     pub fn new(rules: Rules) -> Calendar {
         Calendar {
             rules,
@@ -87,12 +89,12 @@
         }
     }
 
-    /// The window with that id.
+    /// The window with the given id.
     pub fn get(&self, id: &str) -> Option<&Window> {
         self.windows.get(id)
     }
 
-    /// The highest token in any window, for the candidate that has to go above it.
+    /// The highest token in any window; a new lease holder's token has to be higher.
     pub fn highest_token(&self) -> Token {
         self.windows
             .values()
--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -1,4 +1,4 @@
-//! The lease holder's transitions: how windows go through their phases.
+//! The lease holder's transitions of windows through their phases.
 
 use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
@@ -10,44 +10,45 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Within this time a live proxy has acted on the holder's decision: what it reports from then
-/// on counts requests that no new ones join.
+/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining backend
+/// that it reports after this time can only become fewer.
 pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
-/// A new holder claims what drains within this time: more than clocks of two proxies differ.
+/// The time before a window drains from which on a new lease holder claims it: more than the clocks of two proxies differ.
 pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
-/// How often the shown figures of a waiting window are refreshed.
+/// The minimum time between two updates of the reason why a window waits, which contains changing figures.
 const REASON_REFRESH: Micros = Micros(5_000_000);
 
-/// What a live proxy reported of the requests that it has open.
+/// A live proxy's report of its open requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenRequestReport {
-    /// How long ago it reported.
+    /// The time since the report.
     pub age: Micros,
-    /// Open requests by backend; a backend that is not named has none. The host names unreported backends with 1.
+    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose number
+    /// was not reported with 1.
     pub open: BTreeMap<String, u32>,
 }
 
-/// The last report of each live proxy, by any key of the host's; the holder's own is among them.
+/// The last report of each live proxy, including the lease holder itself, by a key that the caller chooses.
 pub type OpenRequestReports = BTreeMap<u64, OpenRequestReport>;
 
-/// One phase change of one window, for the log and the effects.
+/// A phase change of a window, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The window.
+    /// The window's id.
     pub window: String,
-    /// The phase that it left.
+    /// The previous phase.
     pub from: Phase,
-    /// The phase that it entered.
+    /// The new phase.
     pub to: Phase,
-    /// When.
+    /// The time of the change.
     pub at: WallTime,
-    /// Why.
+    /// The reason, for operators.
     pub reason: String,
-    /// The holder's token.
+    /// The lease holder's token.
     pub token: Token,
 }
 
-/// The phase that a window enters next, and why.
+/// The phase that a window enters next, and the reason.
 struct NextPhase {
     phase: Phase,
     reason: String,
@@ -62,23 +63,24 @@
     }
 }
 
-/// What transitions are decided on.
+/// The observations that transitions are decided on.
 struct Observations<'a> {
     now: WallTime,
     slow_start: Micros,
-    fleet: &'a ListedBackends,
+    listed: &'a ListedBackends,
     reports: &'a OpenRequestReports,
 }
 
 impl Calendar {
-    /// Carries out each transition whose time has come. Only for the proxy that holds the lease now, a few times a
-    /// second, by a clock that is not set back meanwhile; with a token below one that a window has nothing happens. What
-    /// changed, also without a transition, is in [`take_changed`](Calendar::take_changed) afterwards.
+    /// Performs all transitions that are due, and returns them. To be called a few times per second by the current lease
+    /// holder only, with a clock that is not set back in between. If any window has a higher token, nothing happens. All
+    /// changed windows, also those without a transition, are returned by the next
+    /// [`take_changed`](Calendar::take_changed).
     pub fn advance(
         &mut self,
         now: WallTime,
         token: Token,
-        fleet: &ListedBackends,
+        listed: &ListedBackends,
         reports: &OpenRequestReports,
     ) -> Vec<Transition> {
         if token < self.highest_token() {
@@ -87,7 +89,7 @@
         let observations = Observations {
             now,
             slow_start: self.rules.slow_start,
-            fleet,
+            listed,
             reports,
         };
         let mut transitions = Vec::new();
@@ -99,16 +101,16 @@
         transitions
     }
 
-    /// What this proxy drained by itself before it came to hold the lease goes on under its token until its end, however
-    /// little time is left and whatever the budget says now: it is in effect already, and so it is at every other proxy
-    /// that heard of no holder.
+    /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They last
+    /// until their end, however little time is left and whatever the budget allows now, because they are in effect already
+    /// at this proxy and at every other isolated one.
     fn adopt_isolated_decisions(
         &mut self,
         now: WallTime,
         token: Token,
         transitions: &mut Vec<Transition>,
     ) {
-        const REASON: &str = "drained while nobody held the duty";
+        const REASON: &str = "drained while no proxy held the lease";
         for IsolatedWindow { id, occurrence } in self.in_effect_by_isolation(now) {
             let Some(window) = self.windows.get_mut(&id) else {
                 continue;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Takes windows on by all phases that do not depend on the budget.
+    /// Performs all transitions that do not depend on the budget; a window may go through several phases at once.
     fn continue_windows(
         &mut self,
         token: Token,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Lets the windows drain whose time has come and that fit the budget.
+    /// Starts draining the windows that are due and fit the budget.
     fn start_due_windows(
         &mut self,
         token: Token,
@@ -194,30 +196,30 @@
         }
     }
 
-    /// The new progress of windows that are due, by id: they drain, or wait for another reason than before.
+    /// The new progress of windows that are due, by id: they start to drain, or wait for a new reason.
     fn decide_due_windows(
         &self,
         token: Token,
         observations: &Observations,
     ) -> Vec<(String, Progress)> {
         let now = observations.now;
-        let fleet = observations.fleet;
+        let listed = observations.listed;
         let due = self.due_windows(now);
         if due.is_empty() {
-            return Vec::new(); // summing up the capacity of the whole fleet is not free
+            return Vec::new(); // avoids summing up the capacity of all backends, which is expensive
         }
         let in_maintenance = self
             .windows
             .values()
             .filter(|window| occupies_backends(window, now, observations.slow_start))
-            .flat_map(|window| window.targeted_backends(fleet))
+            .flat_map(|window| window.targeted_backends(listed))
             .collect();
-        let mut remaining = RemainingCapacity::new(fleet, self.rules.budget, in_maintenance);
+        let mut remaining = RemainingCapacity::new(listed, self.rules.budget, in_maintenance);
         let mut decisions = Vec::new();
         for due in due {
             let window = due.window;
-            let next = match remaining.take(&window.id, window.targeted_backends(fleet)) {
-                Ok(()) => NextPhase::new(Phase::Draining, "its lead begins and the budget allows"),
+            let next = match remaining.take(&window.id, window.targeted_backends(listed)) {
+                Ok(()) => NextPhase::new(Phase::Draining, "lead began, the budget allows it"),
                 Err(exceeded) => NextPhase::new(Phase::Planned, exceeded.to_string()),
             };
             let progress = Progress::new(due.occurrence, token, next.phase, now, &next.reason);
@@ -228,7 +230,7 @@
         decisions
     }
 
-    /// The windows whose time to drain has come, in the order in which they take from the budget.
+    /// The windows that are due to drain, in the order in which they take from the budget.
     fn due_windows(&self, now: WallTime) -> Vec<DueWindow<'_>> {
         let mut due = Vec::new();
         for window in self.windows.values() {
@@ -251,8 +253,8 @@
         due
     }
 
-    /// A new holder puts its token under all that is under way or due, as it stands. So what an earlier holder decided
-    /// and nobody heard of in time loses against it wherever the two meet.
+    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A decision
+    /// of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
     fn claim_windows(&mut self, now: WallTime, token: Token) {
         for (id, window) in &mut self.windows {
             let Some(current) = window.current_occurrence(now) else {
@@ -274,7 +276,7 @@
     }
 }
 
-/// Whether an occurrence is under way or due, and does not have the holder's token yet.
+/// Whether an occurrence is in progress or due, and does not have the lease holder's token yet.
 fn needs_claim(window: &Window, current: CurrentOccurrence, token: Token, now: WallTime) -> bool {
     let drains_at = window.actual_span(current.planned).begin - window.lead();
     let is_due = window.cancelled.is_none() && drains_at <= now + CLAIM_LOOKAHEAD;
@@ -284,8 +286,8 @@
     (current.phase != Phase::Planned || is_due) && !is_claimed
 }
 
-/// Whether a window's backends count as missing: it is in effect, or they have just returned and are in slow start,
-/// whatever a list of backends that is some moments old says.
+/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in slow
+/// start. The list of backends may be too old to show the latter.
 fn occupies_backends(window: &Window, now: WallTime, slow_start: Micros) -> bool {
     window
         .progress
@@ -297,7 +299,7 @@
         })
 }
 
-/// Whether the reason why a window waits has to be shown, or refreshed.
+/// Whether the reason why a window waits has to be stored, for the first time or because the stored one is outdated.
 fn shows_new_reason(due: &DueWindow, token: Token, reason: &str, now: WallTime) -> bool {
     let shown = due
         .window
@@ -310,7 +312,7 @@
     })
 }
 
-/// The next phase of a window, if its time has come.
+/// The next phase of a window, if the transition is due.
 fn next_phase(
     window: &Window,
     current: CurrentOccurrence,
@@ -326,24 +328,25 @@
     }
 }
 
-/// A planned window ends without an effect when it is cancelled or too little time is left. Whether it starts is the
-/// budget's matter.
+/// A planned window ends without taking effect when it is cancelled or too little time is left. Its start depends on the
+/// budget and is decided in `start_due_windows`.
 fn after_planned(window: &Window, planned: Span, now: WallTime) -> Option<NextPhase> {
     let progress = window.progress.as_ref();
     if window.cancelled.is_some() {
-        let is_known = progress.is_some_and(|progress| progress.phase == Phase::Cancelled);
-        return (!is_known).then(|| NextPhase::new(Phase::Cancelled, "called off"));
+        let is_recorded = progress.is_some_and(|progress| progress.phase == Phase::Cancelled);
+        return (!is_recorded).then(|| NextPhase::new(Phase::Cancelled, "cancelled"));
     }
     if now + window.lead() < window.actual_span(planned).end {
         return None;
     }
-    let waited_for = progress
+    let wait_reason = progress
         .filter(|progress| progress.phase == Phase::Planned && !progress.reason.is_empty())
-        .map_or("nobody held the duty", |progress| &progress.reason);
-    let reason = format!("its time ran out: {waited_for}");
+        .map_or("no proxy held the lease", |progress| &progress.reason);
+    let reason = format!("its time ran out: {wait_reason}");
     Some(NextPhase::new(Phase::Refused, reason))
 }
 
+/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and closes.
 fn after_in_effect(
     window: &Window,
     current: CurrentOccurrence,
@@ -353,79 +356,79 @@
     let occurrence = current.planned.begin;
     let span = window.actual_span(current.planned);
     if window.cancelled.is_some() {
-        return Some(NextPhase::new(Phase::Restoring, "called off"));
+        return Some(NextPhase::new(Phase::Restoring, "cancelled"));
     }
     if window.planned_span(occurrence).is_none() {
-        return Some(NextPhase::new(Phase::Restoring, "its content was replaced"));
+        return Some(NextPhase::new(Phase::Restoring, "content was replaced"));
     }
     match current.phase {
-        Phase::Draining | Phase::Drained if now >= span.end => Some(NextPhase::new(
-            Phase::Restoring,
-            "its end came before it was open",
-        )),
+        Phase::Draining | Phase::Drained if now >= span.end => {
+            Some(NextPhase::new(Phase::Restoring, "ended before it was open"))
+        }
         Phase::Draining => after_draining(window, observations),
         Phase::Drained if window.is_started_early(occurrence) => {
-            Some(NextPhase::new(Phase::Open, "begun by hand"))
+            Some(NextPhase::new(Phase::Open, "started early by an operator"))
         }
-        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "its begin")),
+        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "begin reached")),
         Phase::Open if now >= span.end => after_open(window, span, observations),
         _ => None,
     }
 }
 
-/// Backends are drained once every live proxy reports no open request on them, or when the lead is over.
+/// Backends are drained when every live proxy reports no open requests on them, or when the lead is over.
 fn after_draining(window: &Window, observations: &Observations) -> Option<NextPhase> {
     let Observations { now, reports, .. } = *observations;
     let since = window.phase_since(now);
-    let backends = window.targeted_backends(observations.fleet);
+    let backends = window.targeted_backends(observations.listed);
     let open: u64 = reports
         .values()
         .flat_map(|report| backends.iter().filter_map(|name| report.open.get(*name)))
         .map(|open| u64::from(*open))
         .sum();
-    // An older report may come from before its proxy was notified, with a request still to follow.
+    // An older report may date from before its proxy was notified, and the proxy may have sent requests after it.
     let all_notified = reports
         .values()
         .all(|report| now - report.age >= since + MAX_NOTIFICATION_DELAY);
     if open == 0 && all_notified && !reports.is_empty() {
-        let reason = format!("no request open at {} proxies", reports.len());
+        let reason = format!("no open requests at {} proxies", reports.len());
         return Some(NextPhase::new(Phase::Drained, reason));
     }
     if now < since + window.lead() {
         return None;
     }
-    let reason = format!("the lead is over, {open} requests open");
+    let reason = format!("lead is over, open requests: {open}");
     Some(NextPhase::new(Phase::Drained, reason))
 }
 
-/// A window closes when its backends are listed as serving again. Whether they are ready cannot be known: nothing is
-/// sent to them during the window, so one that was ejected before would never be.
+/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not required: no
+/// requests are sent to them during the window, so a backend that was ejected before could not become ready.
 fn after_open(window: &Window, span: Span, observations: &Observations) -> Option<NextPhase> {
-    let fleet = observations.fleet;
-    let missing: BTreeSet<&str> = window
-        .targeted_backends(fleet)
+    let listed = observations.listed;
+    let not_serving: BTreeSet<&str> = window
+        .targeted_backends(listed)
         .into_iter()
-        .filter(|name| fleet.get(*name).is_none_or(|backend| !backend.serving))
+        .filter(|name| listed.get(*name).is_none_or(|backend| !backend.serving))
         .collect();
-    let Some(first) = missing.first() else {
-        return Some(NextPhase::new(Phase::Restoring, "its end"));
+    let Some(first) = not_serving.first() else {
+        return Some(NextPhase::new(Phase::Restoring, "end reached"));
     };
     if observations.now < span.end + window.overrun() {
         return None;
     }
-    let count = missing.len();
-    let reason = format!("restored with {count} not back, {first} first");
+    let count = not_serving.len();
+    let reason = format!("overrun is over, backends not serving: {count}, first {first}");
     Some(NextPhase::new(Phase::Overrun, reason))
 }
 
+/// A window is over when the slow start of its backends is over.
 fn after_restoring(window: &Window, observations: &Observations) -> Option<NextPhase> {
     let now = observations.now;
     if now < window.phase_since(now) + observations.slow_start {
         return None;
     }
     Some(if window.cancelled.is_some() {
-        NextPhase::new(Phase::Cancelled, "called off")
+        NextPhase::new(Phase::Cancelled, "cancelled")
     } else {
-        NextPhase::new(Phase::Done, "the slow start is over")
+        NextPhase::new(Phase::Done, "slow start is over")
     })
 }
--- a/src/fleet/calendar/spec/call_body.rs
+++ b/src/fleet/calendar/spec/call_body.rs
@@ -1,11 +1,11 @@
-//! Reads the JSON body of `PUT /windows/ID` into a [`Spec`], field by field.
+//! Decodes the JSON body of `PUT /windows/ID` to a [`Spec`].
 
 use super::{
     parse_instant, InvalidField, Schedule, Span, Spec, Targets, DEFAULT_LEAD_S, EVERY_DAY,
 };
 use serde::Deserialize;
 
-/// The body as it comes.
+/// The JSON body before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Body {
@@ -22,6 +22,7 @@
     by: Option<String>,
 }
 
+/// The field `recurring` of the body.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Recurring {
@@ -31,6 +32,7 @@
     lasts_s: u32,
 }
 
+/// The field `recurring.days`: `"daily"` or a list of weekdays.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Days {
@@ -38,11 +40,12 @@
     List(Vec<String>),
 }
 
+/// The names of the weekdays, in the order of their bits in [`Schedule::Recurring`].
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 impl Spec {
-    /// Reads the JSON body of `PUT /windows/ID`. Whether its time is over already is checked by
-    /// [`Calendar::put`](crate::fleet::calendar::Calendar::put), as a repeated call may come late.
+    /// Decodes the JSON body of `PUT /windows/ID`. Whether the window is over already is checked by
+    /// [`Calendar::put`](crate::fleet::calendar::Calendar::put), as a repeated call may arrive late.
     ///
     /// # Errors
     /// The first field that is missing, unknown or out of its bounds.
@@ -80,7 +83,7 @@
     Ok(body)
 }
 
-/// The targets, of which exactly one choice has to be given.
+/// The targets, of which exactly one kind has to be given.
 fn targets(
     ids: Option<Vec<String>>,
     zone: Option<String>,
@@ -112,6 +115,7 @@
     }
 }
 
+/// The field of the body that contains the targets.
 fn field_name(targets: &Targets) -> &'static str {
     match targets {
         Targets::Ids(_) => "ids",
@@ -121,6 +125,7 @@
     }
 }
 
+/// The schedule: either `recurring`, or both `begin` and `end`.
 fn schedule(
     begin: Option<String>,
     end: Option<String>,
@@ -143,9 +148,9 @@
     })
 }
 
+/// The schedule of a window that occurs once.
 fn once(begin: Option<String>, end: Option<String>) -> Result<Schedule, InvalidField> {
-    let begin =
-        begin.ok_or_else(|| InvalidField::new("begin", "missing, and there is no recurring"))?;
+    let begin = begin.ok_or_else(|| InvalidField::new("begin", "missing, as is recurring"))?;
     let end = end.ok_or_else(|| InvalidField::new("end", "missing"))?;
     Ok(Schedule::Once(Span {
         begin: parse_instant("begin", &begin)?,
@@ -153,26 +158,28 @@
     }))
 }
 
-/// The set of weekdays, bit 0 being Monday.
+/// The set of weekdays as a bit mask; bit 0 is Monday.
 fn weekdays(days: Days) -> Result<u8, InvalidField> {
     let invalid = |reason: &str| InvalidField::new("recurring.days", reason);
     let names = match days {
         Days::Name(name) if name == "daily" => return Ok(EVERY_DAY),
-        Days::Name(_) => return Err(invalid("\"daily\" or a list of days")),
+        Days::Name(_) => return Err(invalid("has to be \"daily\" or a list of days")),
         Days::List(names) => names,
     };
     let mut weekdays = 0;
     for name in names {
-        let day = DAYS
-            .iter()
-            .position(|day| *day == name)
-            .ok_or_else(|| invalid(&format!("each is one of {}", DAYS.join(", "))))?;
+        let day = DAYS.iter().position(|day| *day == name).ok_or_else(|| {
+            invalid(&format!(
+                "unknown day {name:?}, has to be one of {}",
+                DAYS.join(", ")
+            ))
+        })?;
         weekdays |= 1 << day;
     }
     Ok(weekdays)
 }
 
-/// The minute of the day of `HH:MM`.
+/// Parses a time of day in the format `HH:MM` to the minute of the day.
 fn parse_minute_of_day(text: &str) -> Option<u16> {
     if text.len() != 5 || text.as_bytes()[2] != b':' {
         return None;
--- a/src/fleet/calendar/spec/mod.rs
+++ b/src/fleet/calendar/spec/mod.rs
@@ -1,4 +1,5 @@
-//! The content of a maintenance window, as an operator requests it: targets, schedule, lead and overrun.
+//! The content of a maintenance window as an operator requests it: targets, schedule, lead and overrun. Every content is
+//! validated by [`Spec::check`], whether it comes from an operator or from another proxy.
 
 mod call_body;
 
@@ -10,32 +11,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Seconds of drain lead where the body names none.
+/// The default drain lead, in seconds.
 pub const DEFAULT_LEAD_S: u32 = 30;
-/// The longest drain lead, in seconds.
+/// The maximum drain lead, in seconds.
 pub const MAX_LEAD_S: u32 = 3600;
-/// The longest overrun, in seconds.
+/// The maximum overrun, in seconds.
 pub const MAX_OVERRUN_S: u32 = 24 * 3600;
-/// The longest window, in seconds.
+/// The maximum duration of a window, in seconds.
 pub const MAX_DURATION_S: u32 = 7 * 24 * 3600;
-/// The longest that a recurring window may last with its lead and overrun, in seconds: one occurrence is
-/// over before the next one drains, also on a day that daylight changes shorten.
+/// The maximum duration of a recurring window together with its lead and overrun, in seconds. It ensures that an occurrence
+/// is over before the next one drains, even on a day that is shortened by a change to daylight saving time.
 pub const MAX_RECURRING_S: u32 = 21 * 3600;
-/// The weekdays of a daily window.
+/// The weekdays of a daily window, as a bit mask.
 const EVERY_DAY: u8 = 0x7f;
 const MINUTES_PER_DAY: u16 = 24 * 60;
-/// The longest id, name, zone or kind, in bytes.
+/// The maximum length of an id, name, zone or kind, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most bytes that the names in `ids` may take together, one more for each, so that a window fits one datagram.
+/// The maximum total length of the names in `ids`, in bytes, each counted with one more byte. It ensures that a window fits
+/// into one datagram.
 pub const MAX_IDS_BYTES: usize = 640;
 
-/// Why a call is rejected: the field, and what is wrong with it. As JSON it is the body of the answer.
+/// The reason why a call is rejected: a field, and what is wrong with it. Serialized as JSON, it is the body of the
+/// response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidField {
-    /// The field of the body, or `id` for the window's own, or `body` for a body that is no such object.
+    /// The field of the body, `id` for the window's id, or `body` for a body that is not a valid object.
     pub field: String,
-    /// What is wrong, for a person.
+    /// What is wrong with the field, for operators.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -49,26 +52,26 @@
     }
 }
 
-/// A window's content, as the operators gave it.
+/// A window's content, as an operator requested it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Spec {
-    /// Which backends get no requests.
+    /// The backends that get no new requests during the window.
     pub targets: Targets,
-    /// When.
+    /// The times of the window.
     pub schedule: Schedule,
-    /// How long before its begin it stops new requests, in seconds.
+    /// The time before the begin at which the backends start to drain, in seconds.
     pub lead_s: u32,
-    /// How long past its end it waits for its backends to be listed as serving again, in seconds.
+    /// The maximum time that the window waits after its end for its backends to be listed as serving again, in seconds.
     pub overrun_s: u32,
-    /// Who requested it.
+    /// The person or system that requested the window.
     pub requested_by: String,
 }
 
-/// Which backends a window targets.
+/// The backends that a window targets.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Targets {
-    /// These backends.
+    /// The backends with these names.
     Ids(BTreeSet<String>),
     /// All backends of a zone.
     Zone(String),
@@ -78,36 +81,39 @@
     Cell(u64),
 }
 
-/// When a window is.
+/// The times of a window.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Schedule {
-    /// Once.
+    /// A single occurrence.
     Once(Span),
-    /// At a local time on some days of the week. A time that daylight changes skip moves to after the
-    /// gap by the gap's length; of a time that comes twice the first one counts.
+    /// An occurrence at a local time on some days of the week. A time that is skipped by a change to daylight saving time
+    /// is moved forward by the length of the gap. Of a time that occurs twice on a day, the first one counts.
     Recurring {
-        /// The days, bit 0 being Monday.
+        /// The days as a bit mask; bit 0 is Monday.
         weekdays: u8,
         /// The minute of the day, 0 to 1,439.
         minute_of_day: u16,
-        /// The IANA name of the time zone in which the minute counts.
+        /// The IANA name of the time zone of `minute_of_day`.
         time_zone: String,
-        /// How long it lasts, in seconds of elapsed time.
+        /// The duration of an occurrence, in seconds of elapsed time.
         duration_s: u32,
     },
 }
 
-/// From begin to end, the end not included.
+/// A span of time from `begin` to `end`, the end not included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Span {
-    /// The first instant.
+    /// The first instant of the span.
     pub begin: WallTime,
-    /// The first instant after it.
+    /// The first instant after the span.
     pub end: WallTime,
 }
 
 impl Spec {
-    /// Whether every field is within its bounds, whoever sent it.
+    /// Checks that every field is within its bounds.
+    ///
+    /// # Errors
+    /// The first field that is not.
     pub fn check(&self) -> Result<(), InvalidField> {
         self.targets.check()?;
         check_seconds("lead_s", self.lead_s, MAX_LEAD_S)?;
@@ -130,7 +136,7 @@
         }
     }
 
-    /// The first occurrence that begins at that time or later.
+    /// The first occurrence, as planned, that begins at `at_or_after` or later.
     pub fn next_occurrence(&self, at_or_after: WallTime) -> Option<Span> {
         match &self.schedule {
             Schedule::Once(span) => (span.begin >= at_or_after).then_some(*span),
@@ -153,7 +159,7 @@
         }
     }
 
-    /// The first field of the call's body in which two differ.
+    /// The first field of the call's body in which two contents differ.
     pub(super) fn first_difference(&self, other: &Spec) -> Option<&'static str> {
         let fields = [
             ("targets", self.targets == other.targets),
@@ -168,7 +174,7 @@
             .map(|(field, _)| *field)
     }
 
-    /// How long an occurrence lasts as planned.
+    /// The planned duration of an occurrence.
     pub(super) fn duration(&self) -> Micros {
         match &self.schedule {
             Schedule::Once(span) => span.end - span.begin,
@@ -178,7 +184,7 @@
 }
 
 impl Schedule {
-    /// Whether a recurring schedule's days, time and duration are within their bounds.
+    /// Checks that the days, time, time zone and duration of a recurring schedule are valid.
     fn check_recurrence(&self) -> Result<(), InvalidField> {
         let Schedule::Recurring {
             weekdays,
@@ -190,14 +196,14 @@
             return Ok(());
         };
         if *weekdays == 0 || *weekdays > EVERY_DAY {
-            return Err(InvalidField::new("recurring.days", "no day of the week"));
+            return Err(InvalidField::new("recurring.days", "contains no weekday"));
         }
         if *minute_of_day >= MINUTES_PER_DAY {
-            return Err(InvalidField::new("recurring.at", "no minute of a day"));
+            return Err(InvalidField::new("recurring.at", "is not within a day"));
         }
         check_time_zone(time_zone)?;
         if *duration_s == 0 {
-            return Err(InvalidField::new("recurring.lasts_s", "has to be over 0"));
+            return Err(InvalidField::new("recurring.lasts_s", "has to be above 0"));
         }
         Ok(())
     }
@@ -213,7 +219,7 @@
         }
         match self.end.timestamp() {
             Some(_) => Ok(()),
-            None => Err(InvalidField::new("end", "no time that a calendar names")),
+            None => Err(InvalidField::new("end", "is after the year 9999")),
         }
     }
 }
@@ -228,8 +234,8 @@
                 ids.iter().try_for_each(|id| check_name("ids", id))?;
                 let bytes: usize = ids.iter().map(|id| id.len() + 1).sum();
                 if bytes > MAX_IDS_BYTES {
-                    let why = format!("{} names take {bytes} bytes of {MAX_IDS_BYTES}: name a zone, a kind or a cell, or put several windows", ids.len());
-                    return Err(InvalidField::new("ids", why));
+                    let reason = format!("{} names take {bytes} bytes, over {MAX_IDS_BYTES}: use zone, kind or cell, or several windows", ids.len());
+                    return Err(InvalidField::new("ids", reason));
                 }
                 Ok(())
             }
@@ -240,7 +246,8 @@
     }
 }
 
-/// Reads an instant: RFC 3339 with an offset, or RFC 9557 with a zone in brackets.
+/// Parses an instant in the format of RFC 3339 with an offset, or of RFC 9557 with a time zone in brackets. `field` is the
+/// field of the body that an error names.
 pub fn parse_instant(field: &str, text: &str) -> Result<WallTime, InvalidField> {
     let parsed = if text.contains('[') {
         text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp())
@@ -253,7 +260,7 @@
         .map_err(|_| InvalidField::new(field, "before 1970"))
 }
 
-/// Whether a window may have that id: letters, digits, `-`, `_` and `.`, as it stands in a path.
+/// Checks a window's id, which is part of URL paths: letters, digits, `-`, `_` and `.` are allowed.
 pub fn check_id(id: &str) -> Result<(), InvalidField> {
     check_name("id", id)?;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
@@ -264,7 +271,7 @@
     Ok(())
 }
 
-/// So many seconds.
+/// The duration of `seconds`.
 pub(in crate::fleet::calendar) fn secs(seconds: u32) -> Micros {
     Micros(u64::from(seconds) * 1_000_000)
 }
@@ -276,11 +283,11 @@
     if text.len() > MAX_NAME_BYTES {
         return Err(InvalidField::new(
             field,
-            format!("{} bytes, over {MAX_NAME_BYTES}", text.len()),
+            format!("{} bytes, over {MAX_NAME_BYTES} bytes", text.len()),
         ));
     }
     if text.chars().any(char::is_control) {
-        return Err(InvalidField::new(field, "holds control characters"));
+        return Err(InvalidField::new(field, "contains control characters"));
     }
     Ok(())
 }
@@ -298,15 +305,15 @@
     Ok(())
 }
 
-/// The first instant at or after a time at which local clocks show that time of day on one of those weekdays.
+/// The first instant at or after `at_or_after` at which local clocks show `time` on one of the weekdays.
 fn next_local_time(
     weekdays: u8,
     time: Time,
     time_zone: &TimeZone,
     at_or_after: WallTime,
 ) -> Option<WallTime> {
-    // From a day early, as a skipped time moves on; two weeks have every day of the week even where a zone skipped a
-    // whole day.
+    // The search starts a day early, as a skipped time is moved forward. Within two weeks, every weekday occurs even if a
+    // time zone skipped a whole day.
     let mut date = at_or_after
         .timestamp()?
         .to_zoned_datetime(time_zone.clone())
@@ -325,8 +332,9 @@
     None
 }
 
+/// The instant at which local clocks show `time` on `date`.
 fn instant(date: Date, time: Time, zone: &TimeZone) -> Option<WallTime> {
-    // `to_zoned_datetime` is RFC 5545's rule: after a gap, the first of a fold.
+    // `to_zoned_datetime` follows RFC 5545: a time in a gap is moved forward, and of a repeated time the first one counts.
     let at = date
         .to_datetime(time)
         .to_zoned_datetime(zone.clone())
--- a/src/fleet/calendar/wall_time.rs
+++ b/src/fleet/calendar/wall_time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time as proxies compare it.
+//! Wall-clock times, which are comparable between proxies.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// The calendar's time of it; none beyond the year 9999.
+    /// The same time as a `jiff` timestamp; `None` after the year 9999.
     pub(crate) fn timestamp(self) -> Option<jiff::Timestamp> {
         jiff::Timestamp::from_microsecond(i64::try_from(self.0).ok()?).ok()
     }
@@ -41,7 +41,7 @@
 
 impl std::ops::Sub for WallTime {
     type Output = Micros;
-    /// The span since `earlier`; zero where that lies ahead.
+    /// The time since `earlier`; zero if that is in the future.
     fn sub(self, earlier: WallTime) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
--- a/src/fleet/calendar/window.rs
+++ b/src/fleet/calendar/window.rs
@@ -1,70 +1,72 @@
-//! One maintenance window as every proxy stores it, and the rule that merges two replicas of it.
+//! One maintenance window as every proxy stores it, and the merge of two replicas of it.
 
 use super::spec::{check_id, secs, InvalidField, Schedule, Span, Spec, MAX_DURATION_S};
-use super::{WallTime, MAX_WINDOW_BYTES, TOMBSTONE_LIFETIME};
+use super::{WallTime, MAX_MERGED_WINDOWS, MAX_WINDOW_BYTES, TOMBSTONE_LIFETIME};
 use crate::fleet::lease::Token;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The longest reason, in bytes.
+/// The maximum length of a reason, in bytes.
 const MAX_REASON_BYTES: usize = 160;
-/// How far in the future a time from another proxy may lie; clocks of proxies differ by less.
+/// The maximum time by which a time from another proxy may be in the future. The clocks of proxies differ by less.
 const MAX_CLOCK_AHEAD: Micros = Micros(60_000_000);
-/// A token's number is the wall clock in milliseconds or a little above the last one: one that lies a year
-/// ahead is invalid, and would block the duty for as long.
+/// The maximum time by which a token may be in the future, in milliseconds. A token's number is the wall clock in
+/// milliseconds, or slightly above the previous token. One that is a year ahead is invalid, and would block the lease for
+/// as long if it were accepted.
 const MAX_TOKEN_AHEAD_MS: u64 = 365 * 24 * 3600 * 1000;
-/// How long an occurrence whose time is over still counts as the current one, so that the holder can say so.
+/// The time for which an occurrence that is over remains the current one, so that the lease holder can still record it as
+/// [`Phase::Refused`].
 const MISSED_GRACE: Micros = Micros(3600 * 1_000_000);
 
-/// The version of a field that operators write: the later one wins.
+/// The version of a field that operators change; the later version wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// The time of the call.
+    /// The time of the operator's call.
     pub called_at: WallTime,
-    /// The incarnation of the proxy that took it.
+    /// The incarnation of the proxy that received the call.
     pub incarnation: u64,
 }
 
-/// A field with its version. Two of them compare by version, then by content, so that the higher one is
-/// the same one everywhere.
+/// A field with its version. Fields are compared by version and then by content, so that all proxies agree on the higher
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The version.
+    /// The version of the field.
     pub version: Version,
-    /// The content.
+    /// The content of the field.
     pub value: T,
 }
 
-/// What an operator changed in one occurrence.
+/// An operator's change of one occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OccurrenceChange {
     /// The occurrence, by its planned begin.
     pub occurrence: WallTime,
-    /// The new end of an extension, the time of the call of an early start.
+    /// For an extension the new end; for an early start the time of the call.
     pub at: WallTime,
 }
 
-/// The phase of a window's occurrence, in their order.
+/// The phase of a window's occurrence. The order of the phases decides which one wins a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Its time has not come, or it waits for the budget.
+    /// The occurrence is not due yet, or waits for the budget.
     Planned,
-    /// Its backends get no new requests.
+    /// The backends get no new requests, and open ones are completed.
     Draining,
-    /// No request is open on them, or the lead is over.
+    /// No requests are open on the backends, or the lead is over.
     Drained,
-    /// The operators have the backends.
+    /// The backends are available for maintenance.
     Open,
-    /// Its backends get requests again, in slow start.
+    /// The backends get requests again and are in slow start.
     Restoring,
-    /// Over.
+    /// The occurrence is over.
     Done,
-    /// Called off.
+    /// The window was cancelled.
     Cancelled,
-    /// Over, though its backends were not serving again within the longest overrun.
+    /// The occurrence is over, but some backends were not serving again within the window's overrun.
     Overrun,
-    /// Never started, as its time ran out while it waited.
+    /// The occurrence never started, as its end came while it waited.
     Refused,
 }
 
@@ -74,12 +76,12 @@
         matches!(self, Phase::Draining | Phase::Drained | Phase::Open)
     }
 
-    /// Whether no phase follows.
+    /// Whether this is the last phase of an occurrence.
     pub fn is_final(self) -> bool {
         self >= Phase::Done
     }
 
-    /// The name in lists and logs.
+    /// The phase's name in lists and logs.
     pub fn name(self) -> &'static str {
         [
             "planned",
@@ -95,82 +97,88 @@
     }
 }
 
-/// The lease holder's decision on one occurrence. They compare in the order of the fields, so the highest token's
-/// decision on the latest occurrence wins, and under one token the later phase.
+/// The lease holder's decision on one occurrence. Decisions are compared in the order of the fields: the latest occurrence
+/// wins, then the highest token, and then the later phase.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Progress {
     /// The occurrence, by its planned begin.
     pub occurrence: WallTime,
-    /// The holder's token.
+    /// The lease holder's token.
     pub token: Token,
     /// The occurrence's phase.
     pub phase: Phase,
-    /// Since when.
+    /// The time of the decision.
     pub since: WallTime,
-    /// Why, for a person; while planned what it waits for. At most 160 bytes.
+    /// The reason, for operators; while planned, what the occurrence waits for. At most 160 bytes.
     pub reason: String,
 }
 
-/// One window: fields that merge each by itself, the higher one winning. Merging is the maximum by field,
-/// so it is commutative, associative and idempotent by construction.
+/// One window. Two replicas are merged by taking the maximum of each field, so that merging is commutative, associative and
+/// idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// The window's id.
     pub id: String,
-    /// The content.
+    /// The content that the operator requested.
     pub spec: Versioned<Spec>,
-    /// A later end.
+    /// The latest extension of an occurrence.
     pub extension: Option<Versioned<OccurrenceChange>>,
-    /// An earlier begin.
+    /// The latest early start of an occurrence.
     pub early_start: Option<Versioned<OccurrenceChange>>,
-    /// Cancelled, which is final.
+    /// The cancellation, which is final.
     pub cancelled: Option<Version>,
     /// The lease holder's latest decision.
     pub progress: Option<Progress>,
 }
 
-/// The occurrence under way or next, and its phase.
+/// The occurrence that is in progress or next, and its phase.
 #[derive(Clone, Copy)]
 pub(super) struct CurrentOccurrence {
     pub(super) planned: Span,
     pub(super) phase: Phase,
 }
 
-/// Why a window from another proxy is not accepted.
+/// The reason why a window from another proxy is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WindowError {
-    /// The bytes are no window.
-    #[error("does not decode")]
+    /// The bytes are not an encoded window.
+    #[error("malformed window")]
     Malformed,
     /// A field is out of its bounds.
     #[error(transparent)]
     Field(InvalidField),
     /// The calendar is full.
-    #[error("the calendar is full")]
+    #[error("calendar is full with {MAX_MERGED_WINDOWS} windows")]
     Full,
 }
 
 impl Window {
-    /// The bytes of a datagram's body, at most [`MAX_WINDOW_BYTES`].
+    /// Encodes the window for other proxies, to at most [`MAX_WINDOW_BYTES`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data always encodes")
     }
 
-    /// Reads what [`encode`](Window::encode) wrote, and checks every field.
+    /// Decodes a window that was encoded by [`encode`](Window::encode), and checks every field.
+    ///
+    /// # Errors
+    /// If the bytes are not a window, or a field is out of its bounds.
     pub fn decode(bytes: &[u8], now: WallTime) -> Result<Window, WindowError> {
         if bytes.len() > MAX_WINDOW_BYTES {
             return Err(WindowError::Malformed);
         }
-        let (entry, rest) =
+        let (window, rest) =
             postcard::take_from_bytes::<Window>(bytes).map_err(|_| WindowError::Malformed)?;
         if !rest.is_empty() {
             return Err(WindowError::Malformed);
         }
-        entry.check(now).map_err(WindowError::Field)?;
-        Ok(entry)
+        window.check(now).map_err(WindowError::Field)?;
+        Ok(window)
     }
 
-    /// Whether every field is within its bounds.
+    /// Checks that every field is within its bounds.
+    ///
+    /// # Errors
+    /// The first field that is not.
     pub fn check(&self, now: WallTime) -> Result<(), InvalidField> {
         check_id(&self.id)?;
         self.spec.value.check()?;
@@ -180,7 +188,10 @@
             check_not_ahead(field, change.version.called_at, now)?;
             let OccurrenceChange { occurrence, at } = change.value;
             if occurrence.timestamp().is_none() || at > occurrence + secs(MAX_DURATION_S) {
-                return Err(InvalidField::new(field, "no time of this window"));
+                return Err(InvalidField::new(
+                    field,
+                    "time is not valid for this window",
+                ));
             }
         }
         if let Some(version) = self.cancelled {
@@ -192,12 +203,13 @@
         }
     }
 
-    /// Takes the higher of each field; says whether anything changed. Two different windows do not merge.
+    /// Merges a replica of the same window: takes the higher value of each field. Returns whether anything changed. A window
+    /// with another id changes nothing.
     pub fn merge(&mut self, other: &Window) -> bool {
         if self.id != other.id {
             return false;
         }
-        // No short cut: every field is merged.
+        // An array is evaluated completely; with `||`, fields after the first change would not be merged.
         let changed = [
             take_higher(&mut self.spec, &other.spec),
             take_higher(&mut self.extension, &other.extension),
@@ -208,22 +220,22 @@
         changed.contains(&true)
     }
 
-    /// Whether it keeps new requests off its backends, by the lease holder's decision.
+    /// Whether the window keeps new requests off its backends, by the lease holder's decision.
     pub(super) fn is_in_effect(&self) -> bool {
         self.progress
             .as_ref()
             .is_some_and(|progress| progress.phase.is_in_effect())
     }
 
-    /// Since when it is in its phase.
+    /// The time at which the window entered its phase, or `now` if there is no decision yet.
     pub(super) fn phase_since(&self, now: WallTime) -> WallTime {
         self.progress
             .as_ref()
             .map_or(now, |progress| progress.since)
     }
 
-    /// When the planned occurrence really begins and ends: an extension moves the end; an early start moves
-    /// the window, its lead first and its duration unchanged, where that makes it earlier.
+    /// The actual begin and end of a planned occurrence. An early start moves the begin to its time plus the lead, if that is
+    /// earlier, with the same duration. An extension moves the end.
     pub(super) fn actual_span(&self, planned: Span) -> Span {
         let early_start = change_of(&self.early_start, planned);
         let begin = early_start.map_or(planned.begin, |at| planned.begin.min(at + self.lead()));
@@ -235,13 +247,13 @@
         }
     }
 
-    /// Whether the occurrence has ended by the clock, or the content has it no longer.
+    /// Whether the occurrence has reached its end, or the content no longer contains it.
     pub(super) fn is_over(&self, occurrence: WallTime, now: WallTime) -> bool {
         self.planned_span(occurrence)
             .is_none_or(|planned| now >= self.actual_span(planned).end)
     }
 
-    /// Whether an operator started that occurrence by hand.
+    /// Whether an operator started the occurrence early.
     pub(super) fn is_started_early(&self, occurrence: WallTime) -> bool {
         self.early_start
             .as_ref()
@@ -256,7 +268,7 @@
         secs(self.spec.value.overrun_s)
     }
 
-    /// The planned span of the occurrence with that begin, if the content still has it.
+    /// The planned span of the occurrence with the planned begin `occurrence`, if the content still contains it.
     pub(super) fn planned_span(&self, occurrence: WallTime) -> Option<Span> {
         self.spec
             .value
@@ -264,14 +276,14 @@
             .filter(|span| span.begin == occurrence)
     }
 
-    /// The occurrence to look at: the one under way, else the next one; none after the last.
+    /// The occurrence in progress, or else the next one; `None` after the last one.
     pub(super) fn current_occurrence(&self, now: WallTime) -> Option<CurrentOccurrence> {
         if let Some(Progress {
             occurrence, phase, ..
         }) = self.unfinished()
         {
             let planned = self.planned_span(*occurrence);
-            // Where the content was replaced meanwhile, what is under way has come to its end.
+            // If the content was replaced in the meantime, an occurrence in progress ends at once.
             let ended = (*phase != Phase::Planned).then_some(Span {
                 begin: *occurrence,
                 end: *occurrence,
@@ -290,8 +302,8 @@
         })
     }
 
-    /// The first occurrence, as planned, that is not finished and that ends after that time; a window that
-    /// comes once whenever it ends.
+    /// The planned span of the first occurrence that is not finished and ends later than `after`; for a window that occurs
+    /// once, of its occurrence, whenever that ends.
     pub(super) fn next_planned(&self, after: WallTime) -> Option<Span> {
         let earliest = match (&self.progress, &self.spec.value.schedule) {
             (Some(progress), _) if progress.phase.is_final() => progress.occurrence + Micros(1),
@@ -302,7 +314,7 @@
         if let Schedule::Once(span) = self.spec.value.schedule {
             return (span.begin >= earliest).then_some(span);
         }
-        // An extension or an early start may have moved an end away from where the plan has it.
+        // Occurrences whose end was moved by an extension or an early start are checked separately.
         let ends_later = |planned: &Span| self.actual_span(*planned).end > after;
         let moved = [&self.extension, &self.early_start]
             .into_iter()
@@ -317,11 +329,12 @@
             |planned| spec.next_occurrence(planned.begin + Micros(1)),
         )
         .take(4);
-        // An occurrence that ends right then and one that was started early and is over may come first.
+        // The first planned ones may still be an occurrence that ends exactly at `after` and one that was started early and
+        // is over; hence up to 4 are checked.
         moved.chain(planned.find(ends_later)).min()
     }
 
-    /// Whether it is over or cancelled, and its tombstone's lifetime as well.
+    /// Whether the window is over or cancelled, and the lifetime of its tombstone is over as well.
     pub(super) fn has_expired(&self, now: WallTime) -> bool {
         let over_at = match (self.cancelled, &self.spec.value.schedule) {
             (Some(version), _) => version.called_at,
@@ -332,6 +345,7 @@
         over_at.max(decided_at) + TOMBSTONE_LIFETIME <= now
     }
 
+    /// The lease holder's decision, if the occurrence has not reached its last phase.
     fn unfinished(&self) -> Option<&Progress> {
         self.progress
             .as_ref()
@@ -339,13 +353,15 @@
     }
 }
 
+/// Checks that a time from another proxy is not further in the future than clocks differ.
 fn check_not_ahead(field: &str, at: WallTime, now: WallTime) -> Result<(), InvalidField> {
     if at > now + MAX_CLOCK_AHEAD {
-        return Err(InvalidField::new(field, "from the future"));
+        return Err(InvalidField::new(field, "is in the future"));
     }
     Ok(())
 }
 
+/// Replaces `mine` if `other` is higher. Returns whether it did.
 fn take_higher<T: Ord + Clone>(mine: &mut T, other: &T) -> bool {
     let is_higher = *other > *mine;
     if is_higher {
@@ -354,7 +370,7 @@
     is_higher
 }
 
-/// The time of a change, where it is one of that occurrence.
+/// The time of a change, if it applies to the given occurrence.
 fn change_of(change: &Option<Versioned<OccurrenceChange>>, planned: Span) -> Option<WallTime> {
     change
         .as_ref()
@@ -363,7 +379,7 @@
 }
 
 impl Progress {
-    /// A decision, its reason cut to its bound.
+    /// Creates a decision. A reason that is too long is truncated.
     pub(super) fn new(
         occurrence: WallTime,
         token: Token,
@@ -371,28 +387,32 @@
         since: WallTime,
         reason: &str,
     ) -> Progress {
-        let cut = (0..=MAX_REASON_BYTES.min(reason.len()))
+        let length = (0..=MAX_REASON_BYTES.min(reason.len()))
             .rev()
-            .find(|cut| reason.is_char_boundary(*cut));
+            .find(|length| reason.is_char_boundary(*length));
         Progress {
             occurrence,
             token,
             phase,
             since,
-            reason: reason[..cut.unwrap_or(0)].into(),
+            reason: reason[..length.unwrap_or(0)].into(),
         }
     }
 
+    /// Checks that every field is within its bounds.
     fn check(&self, now: WallTime) -> Result<(), InvalidField> {
         check_not_ahead("mark", self.since, now)?;
         if self.occurrence.timestamp().is_none() {
-            return Err(InvalidField::new("mark", "no time that a calendar names"));
+            return Err(InvalidField::new(
+                "mark",
+                "occurrence is after the year 9999",
+            ));
         }
         if self.token.number > now.0 / 1000 + MAX_TOKEN_AHEAD_MS {
-            return Err(InvalidField::new("mark", "a token that no proxy draws"));
+            return Err(InvalidField::new("mark", "token is too far in the future"));
         }
         if self.reason.len() > MAX_REASON_BYTES {
-            return Err(InvalidField::new("mark", "too long a reason"));
+            return Err(InvalidField::new("mark", "reason is too long"));
         }
         Ok(())
     }
--- a/src/fleet/membership/anti_entropy/list_digest.rs
+++ b/src/fleet/membership/anti_entropy/list_digest.rs
@@ -1,28 +1,30 @@
-//! The digest of a member list: the members are divided into buckets by their addresses, and each has a checksum.
+//! Digests of member lists: the members are hashed into buckets by their addresses, and a digest holds one checksum for
+//! each bucket.
 
 use crate::fleet::membership::member::Member;
 use crate::fleet::membership::swim::SwimNode;
 use crate::fleet::membership::wire::DatagramError;
 use std::net::SocketAddr;
 
-/// The mean number of members in a bucket: they fit into a datagram with a margin for uneven buckets.
+/// The mean number of members in a bucket. That many fit into one datagram, with a margin for uneven buckets.
 const MEMBERS_PER_BUCKET: usize = 48;
+/// The maximum number of buckets in a digest.
 const MAX_BUCKETS: usize = 256;
-/// Bytes of a bucket's checksum.
+/// The size of a bucket's checksum, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The checksums over the members of each bucket. Equal lists have equal digests with any number of buckets.
+/// One checksum over the members of each bucket. Equal member lists have equal digests for any number of buckets.
 pub(super) struct ListDigest {
     checksums: Vec<u32>,
 }
 
 impl ListDigest {
-    /// The number of buckets for a list of so many members.
-    pub(super) fn buckets_for(members: usize) -> usize {
+    /// The number of buckets for a list with that many `members`.
+    pub(super) fn bucket_count(members: usize) -> usize {
         members.div_ceil(MEMBERS_PER_BUCKET).min(MAX_BUCKETS)
     }
 
-    /// Of the live members that this proxy knows, itself included.
+    /// The digest of the live members that this proxy knows, itself included.
     pub(super) fn of(swim: &SwimNode, buckets: usize) -> ListDigest {
         let mut checksums = vec![0u32; buckets];
         let live = swim.live_members().map(foca::Member::id);
@@ -67,7 +69,7 @@
     crc32fast::hash(&bytes)
 }
 
-/// The bucket of a member: by its address, so that a later incarnation is in the same one.
+/// The bucket of a member. It depends on the address only, so that a later incarnation is in the same bucket.
 pub(super) fn bucket(address: SocketAddr, buckets: usize) -> usize {
     let bytes = postcard::to_stdvec(&address).unwrap_or_default();
     crc32fast::hash(&bytes) as usize % buckets
--- a/src/fleet/membership/anti_entropy/member_list.rs
+++ b/src/fleet/membership/anti_entropy/member_list.rs
@@ -1,4 +1,4 @@
-//! The encoding of member lists, and of the feeds that contain one.
+//! The encoding of member lists, and the decoding of lists and of feeds, the messages of foca that contain a list.
 
 use crate::fleet::membership::egress_limit::ENVELOPE_BYTES;
 use crate::fleet::membership::member::Member;
@@ -7,7 +7,7 @@
 
 const _: () = assert!(MAX_DATAGRAM_BODY_BYTES + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES);
 
-/// Encodes members to lists that fit into a datagram each.
+/// Encodes members as lists that each fit into one datagram.
 pub(super) fn encode_lists(members: Vec<&KnownMember>) -> Vec<Vec<u8>> {
     let mut lists: Vec<Vec<u8>> = Vec::new();
     for member in members {
@@ -22,13 +22,13 @@
     lists
 }
 
-/// Decoded members, and the bytes after them.
+/// Decoded members, and the bytes that follow them.
 pub(super) struct DecodedMembers<'a> {
     pub(super) members: Vec<KnownMember>,
     pub(super) rest: &'a [u8],
 }
 
-/// Decodes at most `limit` members.
+/// Decodes up to `limit` members, each in the encoding of the SWIM messages.
 pub(super) fn decode_members(
     bytes: &[u8],
     limit: usize,
@@ -43,15 +43,16 @@
     Ok(DecodedMembers { members, rest })
 }
 
-/// A feed message, with its members taken out.
+/// A feed, foca's response to an announcement, split into its members and the rest of the message.
 pub(super) struct Feed {
     pub(super) members: Vec<KnownMember>,
-    /// The message as if it contained none.
+    /// The message with an empty member list.
     pub(super) without_members: Vec<u8>,
 }
 
 impl Feed {
-    /// After the header come the number of members (u16, big endian), the members, and custom broadcasts.
+    /// Decodes a message that consists of a header, the number of members (u16, big endian), the members, and custom
+    /// broadcasts.
     pub(super) fn decode(message: &[u8]) -> Result<Feed, DatagramError> {
         const NO_MEMBERS: [u8; 2] = 0u16.to_be_bytes();
         let (_, content) = postcard::take_from_bytes::<foca::Header<Member>>(message)
--- a/src/fleet/membership/anti_entropy/mod.rs
+++ b/src/fleet/membership/anti_entropy/mod.rs
@@ -1,5 +1,7 @@
-//! Anti-entropy of member lists: a proxy sends another one a digest of the members it knows, a checksum for each bucket
-//! of them, and gets the other's members of the buckets that differ. Members that come in a list are not gossiped.
+//! Anti-entropy for member lists: completes the list of a proxy that missed gossip.
+//!
+//! A proxy sends a random member a [`ListDigest`] of the members it knows, with one checksum for each bucket of members,
+//! and receives the other proxy's members of the buckets that differ. Members received in a list are not gossiped.
 
 mod list_digest;
 mod member_list;
@@ -15,18 +17,19 @@
 use member_list::{decode_members, encode_lists, Feed};
 use std::net::SocketAddr;
 
-/// The pause until the next comparison after this proxy joined or a list contained new members.
+/// The time until the next digest is sent after this proxy joined or received a list with new members.
 const MIN_INTERVAL: Micros = Micros(200_000);
-/// The longest pause between two comparisons.
+/// The maximum time between two digests.
 const MAX_INTERVAL: Micros = Micros(10_000_000);
-/// The factor from each pause to the next one, while nothing new is found.
+/// The factor by which the time between digests grows while no new members are found.
 const INTERVAL_GROWTH: f64 = 1.5;
-/// The pause until the next comparison after gossip brought a member up, as this proxy may have missed others.
+/// The maximum time until the next digest after gossip brought a member up, as this proxy may have missed others.
 const AFTER_GOSSIP_INTERVAL: Micros = Micros(1_000_000);
-/// The most datagrams in response to one digest.
+/// The maximum number of datagrams sent in response to one digest.
 const MAX_RESPONSE_DATAGRAMS: usize = 3;
 
-/// When digests are sent: often while there is something new, then less and less.
+/// The times at which digests are sent: the first one [`MIN_INTERVAL`] after new members were found, the next ones after
+/// exponentially growing intervals of up to [`MAX_INTERVAL`].
 struct AntiEntropySchedule {
     next_at: Time,
     interval: Micros,
@@ -40,23 +43,25 @@
         }
     }
 
-    /// Starts over with the shortest pause.
+    /// Restarts with the shortest interval.
     fn reset(&mut self, now: Time) {
         self.interval = MIN_INTERVAL;
         self.bring_forward(now + MIN_INTERVAL);
     }
 
+    /// Makes the next digest due at `at`, unless it is due earlier.
     fn bring_forward(&mut self, at: Time) {
         self.next_at = self.next_at.min(at);
     }
 
+    /// Schedules the digest after one that is sent now.
     fn advance(&mut self, now: Time) {
         self.next_at = now + self.interval;
         self.interval = self.interval.mul_f64(INTERVAL_GROWTH).min(MAX_INTERVAL);
     }
 }
 
-/// This proxy's part in the comparison of member lists.
+/// Compares this proxy's member list with the lists of other proxies.
 pub(super) struct AntiEntropy {
     schedule: AntiEntropySchedule,
 }
@@ -68,38 +73,38 @@
         }
     }
 
-    /// When [`AntiEntropy::run`] has something to do.
+    /// When [`AntiEntropy::run`] sends the next digest.
     pub(super) fn next_due(&self) -> Time {
         self.schedule.next_at
     }
 
-    /// This proxy joined: there are probably members that it doesn't know.
-    pub(super) fn joined(&mut self, now: Time) {
+    /// Schedules a digest soon after this proxy joined, as there are probably members that it doesn't know.
+    pub(super) fn on_joined(&mut self, now: Time) {
         self.schedule.reset(now);
     }
 
-    /// Gossip brought a member up.
-    pub(super) fn member_up(&mut self, now: Time) {
+    /// Schedules a digest after gossip brought a member up.
+    pub(super) fn on_member_up(&mut self, now: Time) {
         self.schedule.bring_forward(now + AFTER_GOSSIP_INTERVAL);
     }
 
-    /// Sends a digest to a random member, if it is time.
+    /// Sends a digest to a random member if one is due and the egress limit allows it.
     pub(super) fn run(&mut self, swim: &SwimNode, now: ClockReading, outputs: &mut Vec<Output>) {
         if self.schedule.next_at > now.monotonic {
             return;
         }
         self.schedule.advance(now.monotonic);
-        let Some(to) = pick_member(swim, now) else {
+        let Some(to) = random_member(swim, now) else {
             return;
         };
-        let digest = ListDigest::of(swim, ListDigest::buckets_for(swim.live_count())).encode();
+        let digest = ListDigest::of(swim, ListDigest::bucket_count(swim.live_count())).encode();
         if swim.try_spend_datagram(digest.len()) {
             let body = Body::ListDigest(digest);
             outputs.push(Output::Send { to, body });
         }
     }
 
-    /// Takes a list that a member sent in response to a digest.
+    /// Merges a list that a member sent in response to a digest.
     pub(super) fn receive_list(
         &mut self,
         swim: &mut SwimNode,
@@ -117,8 +122,8 @@
         self.merge(swim, decoded.members, now)
     }
 
-    /// Takes a feed, foca's response to an announcement. Its members are merged like any other list, and only the rest
-    /// of the message goes to foca, which would gossip each of them.
+    /// Processes a feed, foca's response to an announcement. Its members are merged like any other list, and only the rest
+    /// of the message is passed to foca, which would gossip each of the members.
     pub(super) fn receive_feed(
         &mut self,
         swim: &mut SwimNode,
@@ -136,7 +141,7 @@
         self.merge(swim, feed.members, now)
     }
 
-    /// Merges a list; where it contained new members there may be more.
+    /// Merges the members of a list. If some were new, the next digest is due soon, as there may be more.
     fn merge(
         &mut self,
         swim: &mut SwimNode,
@@ -144,7 +149,7 @@
         now: Time,
     ) -> Result<(), DatagramError> {
         let live_before = swim.live_count();
-        // An earlier incarnation of this proxy would make foca gossip that it is down.
+        // For an earlier incarnation of this proxy in the list, foca would gossip that it is down.
         let own_address = swim.identity().address;
         let others = members
             .into_iter()
@@ -157,8 +162,8 @@
     }
 }
 
-/// Responds to a digest with the members of the buckets that differ, as many as may be sent now; to an equal one with
-/// nothing.
+/// Responds to a digest with this proxy's members of the buckets that differ, up to [`MAX_RESPONSE_DATAGRAMS`] and as far
+/// as the egress limit allows. An equal digest gets no response.
 pub(super) fn respond_to_digest(
     swim: &SwimNode,
     to: SocketAddr,
@@ -179,8 +184,8 @@
         .chain([&own])
         .filter(|member| member.id().address != to && ours.differs(&theirs, bucket_of(member)))
         .collect();
-    // Bucket by bucket, so that those sent completely are equal from then on. Each response starts with another bucket,
-    // as the other proxy may compare with several at once.
+    // The members are sent bucket by bucket, so that buckets that were sent completely are equal afterwards. The first
+    // bucket changes with the time, because the other proxy may receive responses of several proxies at once.
     let first_bucket = now.wall_us as usize % buckets;
     members.sort_by_cached_key(|member| (bucket_of(member) + buckets - first_bucket) % buckets);
     for list in encode_lists(members)
@@ -196,9 +201,9 @@
     Ok(())
 }
 
-/// A live member, drawn by this proxy's identity and the time.
-fn pick_member(swim: &SwimNode, now: ClockReading) -> Option<SocketAddr> {
-    let draw = u64::from(checksum(swim.identity())) ^ swim.scheduled_timers() ^ now.wall_us;
-    let index = (draw as usize).checked_rem(swim.live_count())?;
+/// A live member, selected pseudo-randomly by this proxy's identity, the number of scheduled timers and the time.
+fn random_member(swim: &SwimNode, now: ClockReading) -> Option<SocketAddr> {
+    let random = u64::from(checksum(swim.identity())) ^ swim.scheduled_timers() ^ now.wall_us;
+    let index = (random as usize).checked_rem(swim.live_count())?;
     swim.live_addresses().nth(index)
 }
--- a/src/fleet/membership/config.rs
+++ b/src/fleet/membership/config.rs
@@ -1,27 +1,27 @@
-//! The inputs of the membership state machine: its configuration, and the clocks at each step.
+//! The inputs of the membership state machine: its configuration, and the clock readings of each step.
 
 use super::wire::ClusterId;
 use crate::interface::{Micros, Time};
 use std::net::SocketAddr;
 
-/// Settings of the membership.
+/// Configuration of [`Membership`](super::Membership).
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The fleet's, by [`cluster_id`](super::wire::cluster_id).
+    /// The identifier of the fleet's cluster, by [`cluster_id`](super::wire::cluster_id).
     pub cluster: ClusterId,
-    /// Members to join through; this proxy may be among them.
+    /// Advertised addresses of members to join through; this proxy's own may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The age past which shared state is neither used nor passed on.
+    /// The maximum age of shared state; older state is neither used nor forwarded.
     pub max_age: Micros,
-    /// Expected number of proxies, this one included.
+    /// The expected number of proxies, this one included.
     pub fleet_size: u32,
 }
 
-/// Both clocks of the host at one moment.
+/// Readings of both clocks of the host, taken at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The monotonic clock, which timers use.
+    /// The monotonic clock, used for timers.
     pub monotonic: Time,
-    /// Wall time in microseconds since 1970, which proxies compare.
+    /// Wall time in microseconds since 1970, used for times that proxies compare.
     pub wall_us: u64,
 }
--- a/src/fleet/membership/egress_limit.rs
+++ b/src/fleet/membership/egress_limit.rs
@@ -1,8 +1,8 @@
-//! The limit on the bytes that membership sends, by a token bucket.
+//! The egress limit: a token bucket that limits the bytes that membership sends.
 //!
-//! Probes and their acknowledgements are free and leave at once: a late one looks like a failure, and a member that many
-//! probe at the same time could not answer them all otherwise. Updates piggybacked on them, and all other messages, are
-//! paid for with tokens and wait for them.
+//! Probes and their acknowledgements cost no tokens and are sent at once: a late one looks like a failure, and a member
+//! that is probed by many others at the same time could not acknowledge all probes otherwise. Updates piggybacked on them,
+//! and all other messages, cost one token per byte and are sent only when there are enough tokens.
 
 use super::member::Member;
 use super::wire::MAX_DATAGRAM_BODY_BYTES;
@@ -16,18 +16,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The sustained rate, free messages excluded.
+/// The sustained rate in bytes per second, without messages that cost no tokens.
 const RATE_BYTES_PER_S: f64 = 3_500.0;
-/// The most tokens that accumulate.
+/// The capacity of the token bucket, in bytes.
 const BURST_BYTES: f64 = 5_000.0;
-/// What prefix and envelope add to a body.
+/// An upper bound on the bytes that prefix and envelope add to a body.
 pub(super) const ENVELOPE_BYTES: usize = 40;
-/// What the header of a SWIM message takes.
+/// The assumed size of the header of a SWIM message, in bytes.
 const SWIM_HEADER_BYTES: usize = 40;
-/// With fewer tokens than this, no updates are piggybacked on a message.
+/// The minimum number of tokens at which updates are piggybacked on a message.
 const MIN_PIGGYBACK_BYTES: usize = 16;
 
-/// Tokens for bytes that may be sent.
+/// A token bucket with one token for each byte that may be sent. Its level may become negative, as foca's messages
+/// are charged without a check.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     tokens: f64,
@@ -42,13 +43,14 @@
         }
     }
 
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: Time) {
         let elapsed_s = now.0.saturating_sub(self.refilled_at.0) as f64 / 1e6;
         self.tokens = (self.tokens + elapsed_s * RATE_BYTES_PER_S).min(BURST_BYTES);
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Bytes that may be sent now.
+    /// The number of bytes that may be sent now.
     fn available(&self) -> usize {
         self.tokens.max(0.0) as usize
     }
@@ -57,7 +59,7 @@
         self.tokens -= bytes as f64;
     }
 
-    /// Pays for a datagram with a body of so many bytes, if there are tokens for it; whether it may be sent.
+    /// Takes the tokens for a datagram with a body of `body_bytes`, if there are enough. Returns whether it may be sent.
     pub(super) fn try_spend_datagram(&mut self, body_bytes: usize) -> bool {
         let cost = body_bytes + ENVELOPE_BYTES;
         let affordable = self.available() >= cost;
@@ -67,8 +69,8 @@
         affordable
     }
 
-    /// To how many members, `max_targets` at most, a backlog of so many bytes can be sent now without touching the
-    /// `reserved_bytes`.
+    /// The number of members, up to `max_targets`, to which a backlog of `backlog_bytes` can be sent now while
+    /// `reserved_bytes` remain available.
     pub(super) fn affordable_targets(
         &self,
         backlog_bytes: usize,
@@ -81,15 +83,16 @@
     }
 }
 
-/// What [`RateLimitedCodec`] and [`RateLimitedRuntime`] share: the bucket, and the message that is being encoded.
+/// The state that [`RateLimitedCodec`] and [`RateLimitedRuntime`] share: the token bucket, and what the runtime has to
+/// know about the message that the codec encoded last.
 #[derive(Debug)]
 pub(super) struct EgressLimit {
     pub(super) bucket: TokenBucket,
-    /// Tokens that piggybacked updates leave for member lists.
+    /// Tokens that are reserved for member lists and not available to piggybacked updates.
     pub(super) reserved_for_lists_bytes: usize,
-    /// Whether the message costs nothing but its piggybacked updates.
+    /// Whether only the piggybacked updates of the message cost tokens.
     free_header: bool,
-    /// Where its padding is.
+    /// The range of the padding in the message, in bytes.
     padding: Range<usize>,
 }
 
@@ -105,18 +108,19 @@
         }))
     }
 
-    /// Tokens that are not available to the updates piggybacked on a message with a header of so many bytes.
+    /// The number of tokens that are not available to the updates piggybacked on a message with a header of
+    /// `header_bytes`.
     fn piggyback_reserve(&self, message: &Message<Member>, header_bytes: usize) -> usize {
         match message {
-            Message::Feed => 0, // a list itself
+            Message::Feed => 0, // it carries a member list itself
             Message::Gossip | Message::Broadcast => header_bytes + ENVELOPE_BYTES,
             _ => self.reserved_for_lists_bytes,
         }
     }
 }
 
-/// Postcard, with padding after each header, so that foca, which has a single size limit for all messages, piggybacks no
-/// more updates than there are tokens for. [`RateLimitedRuntime`] removes the padding.
+/// Encodes messages with postcard, with padding after each header. foca has a single size limit for all messages; the
+/// padding makes it piggyback no more updates than there are tokens for. [`RateLimitedRuntime`] removes the padding.
 pub(super) struct RateLimitedCodec(pub(super) SharedEgressLimit);
 
 impl Codec<Member> for RateLimitedCodec {
@@ -163,12 +167,12 @@
     }
 }
 
-/// Collects what foca requests, with its messages paid for and without their padding.
+/// Collects foca's requests to the caller. For each message, takes its tokens from the bucket and removes the padding.
 pub(super) struct RateLimitedRuntime {
     limit: SharedEgressLimit,
-    /// Messages to send, timers to schedule and notifications.
+    /// Messages to send, timers to schedule, and notifications.
     pub(super) requests: AccumulatingRuntime<Member>,
-    /// Whether foca learned that the others consider this proxy down.
+    /// Whether foca has learned that other proxies declared this one down.
     pub(super) declared_down: bool,
 }
 
--- a/src/fleet/membership/event.rs
+++ b/src/fleet/membership/event.rs
@@ -1,57 +1,57 @@
-//! What comes out of the membership state machine: datagrams to send, events, and counters.
+//! The outputs of the membership state machine: messages to send, events, and counters.
 
 use super::wire::{Body, DatagramError};
 use crate::interface::PeerVerdict;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the driver has to carry out, in order.
+/// An action for the driver; a step's actions are carried out in order.
 #[derive(Debug)]
 pub enum Output {
-    /// Seal a body and send it.
+    /// Seal a message body and send it.
     Send {
         /// The receiver's advertised address.
         to: SocketAddr,
-        /// What to send.
+        /// The message.
         body: Body,
     },
-    /// Log an event or pass it on.
+    /// Handle an event.
     Event(MembershipEvent),
 }
 
-/// What happened to the membership, or arrived through it.
+/// A change of the membership, or a message that arrived through it.
 #[derive(Debug)]
 pub enum MembershipEvent {
-    /// A member is up.
+    /// A member came up.
     MemberUp {
         /// Its advertised address.
         peer: SocketAddr,
         /// Live members known now, without this proxy.
         members: usize,
     },
-    /// A member is down.
+    /// A member went down.
     MemberDown {
         /// Its advertised address.
         peer: SocketAddr,
         /// Live members known now, without this proxy.
         members: usize,
     },
-    /// A member has a later incarnation: it was restarted, or rejoined. If that brings it up or down, an event for this
-    /// follows.
+    /// A later incarnation replaced a member: the proxy restarted or rejoined. If the member comes up or goes down by
+    /// that, [`MemberUp`](Self::MemberUp) or [`MemberDown`](Self::MemberDown) follows.
     MemberReplaced {
         /// Its advertised address.
         peer: SocketAddr,
     },
-    /// The others considered this proxy down, and it joined again.
+    /// This proxy rejoined the fleet, after the others had declared it down or after a partition.
     Rejoined {
         /// Live members known now, without this proxy.
         members: usize,
     },
-    /// A verdict was broadcast, by another proxy or by this one.
+    /// Another proxy's verdict arrived, or this proxy broadcast one.
     VerdictReceived {
         /// The backend's name in discovery's list.
         backend: String,
-        /// The verdict, with this proxy's turn; the backend's number in it is not set.
+        /// The verdict, with this proxy's position in the order of health checks; its `backend` is not set.
         verdict: PeerVerdict,
     },
     /// A coordination message arrived.
@@ -61,24 +61,24 @@
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// A member requests a snapshot: [`Membership::send_snapshot`](super::Membership::send_snapshot) sends it one.
+    /// A member requests a snapshot, to be sent by [`Membership::send_snapshot`](super::Membership::send_snapshot).
     SnapshotRequested {
         /// The member's advertised address.
         from: SocketAddr,
-        /// Its number for the transfer.
+        /// The number that the member chose for the transfer.
         nonce: u64,
     },
-    /// The requested snapshot is complete.
+    /// The snapshot that this proxy requested has arrived completely.
     SnapshotReceived {
         /// The encoded snapshot.
         bytes: Vec<u8>,
     },
-    /// No member sent a snapshot.
+    /// No member sent a complete snapshot, and this proxy requests none any more.
     SnapshotUnavailable {
-        /// How many members it was requested from.
+        /// The number of requests sent, each to one member.
         requests: u32,
     },
-    /// A datagram was rejected; reported at most once a second for each cause.
+    /// A datagram was rejected; reported at most once per second and cause.
     DatagramRejected(DatagramError),
     /// A timer of the SWIM implementation, or a rejoin, failed.
     TimerFailed(foca::Error),
@@ -86,23 +86,23 @@
     AnnounceFailed {
         /// The member's advertised address.
         to: SocketAddr,
-        /// Why.
+        /// The cause.
         error: foca::Error,
     },
 }
 
-/// Counters since the start.
+/// Counters since the start of this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams that arrived, rejected ones included.
+    /// Datagrams received, including rejected ones.
     pub received: u64,
     /// This proxy's own verdicts that were broadcast.
     pub verdicts_sent: u64,
-    /// Others' verdicts that were new.
+    /// Other proxies' verdicts that were not known yet.
     pub verdicts_received: u64,
     /// This proxy's own verdicts that could not be broadcast.
     pub verdicts_unsent: u64,
-    /// Verdicts that arrived past the maximum age.
+    /// Received verdicts that were older than the maximum age.
     pub verdicts_stale: u64,
     /// Rejected datagrams, by [cause](DatagramError::cause).
     pub rejected: BTreeMap<&'static str, u64>,
--- a/src/fleet/membership/member.rs
+++ b/src/fleet/membership/member.rs
@@ -1,4 +1,4 @@
-//! How a proxy identifies itself to the other members.
+//! The identity by which the SWIM implementation tells proxies and their incarnations apart.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The wall time of the current step, shared with the callbacks of the SWIM implementation.
+/// The wall time of the current step, shared with the callbacks of the SWIM implementation, which are passed no clock.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WallClock(Rc<Cell<u64>>);
 
 impl WallClock {
-    /// Microseconds since 1970.
+    /// The wall time of the current step, in microseconds since 1970.
     pub(super) fn now_us(&self) -> u64 {
         self.0.get()
     }
@@ -21,13 +21,13 @@
     }
 }
 
-/// A proxy's identity: its address, and its incarnation by the time of its start. Of two with one address, the one that
-/// started later wins.
+/// A proxy's identity: its address, and its start time as its incarnation. Of two identities with the same address, the
+/// one that started later wins.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Member {
     /// The advertised address.
     pub(super) address: SocketAddr,
-    /// Wall time of the start, microseconds since 1970.
+    /// Wall time of the start, in microseconds since 1970.
     pub(super) started_us: u64,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The same proxy with a later start.
+    /// The same proxy with a later start time: `now_us`, but at least 1 us after the previous one.
     pub(super) fn renewed(&self, now_us: u64) -> Member {
         Member {
             started_us: now_us.max(self.started_us + 1),
@@ -51,7 +51,8 @@
 impl Identity for Member {
     type Addr = SocketAddr;
 
-    /// Renewal is left to `PartitionRecovery`: foca's own would first announce that the previous incarnation is down.
+    /// Disables foca's automatic rejoin, which would first announce that the previous incarnation is down.
+    /// `PartitionRecovery` rejoins instead.
     fn renew(&self) -> Option<Member> {
         None
     }
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,13 +1,14 @@
-//! Cluster membership: which proxies of a fleet are live, by the SWIM protocol, and what they share through its messages:
-//! verdicts on backends, the snapshot that a new proxy gets from a live one, and coordination messages.
+//! Cluster membership by the SWIM protocol: tracks which proxies of the fleet are live, and exchanges verdicts on
+//! backends, snapshots for new proxies, and coordination messages with them.
 //!
 //! [`Membership`] is a state machine: datagrams and clock readings go in, [`Output`]s come out. Its driver seals and sends
 //! bodies ([`wire::DatagramSealer`]), calls [`Membership::run_timers`] when it is [due](Membership::next_due), and handles
 //! the events.
 //!
-//! One mechanism a module: `swim` is the protocol itself, `egress_limit` bounds what it sends, `verdict_broadcast` spreads
-//! verdicts and `peer_ordering` gives each proxy its turn after one, `anti_entropy` completes member lists,
-//! `seed_announcer` finds the rest of the fleet, `partition_recovery` rejoins, and `snapshot_transfer` requests a snapshot.
+//! Each module implements one mechanism: `swim` the protocol itself, `egress_limit` the limit on the bytes sent,
+//! `verdict_broadcast` the broadcast of verdicts, `peer_ordering` the order in which the proxies health-check a backend
+//! after a verdict, `anti_entropy` the comparison of member lists, `seed_announcer` joining through the seeds,
+//! `partition_recovery` rejoining after a partition, and `snapshot_transfer` the request for a snapshot.
 
 mod anti_entropy;
 mod config;
@@ -42,7 +43,7 @@
 use verdict_broadcast::VerdictBroadcast;
 use wire::{Body, DatagramError, Envelope, ReplayFilter};
 
-/// This proxy's view of the fleet.
+/// This proxy's view of the fleet, and the state of all mechanisms that maintain it.
 pub struct Membership {
     config: MembershipConfig,
     own_address: SocketAddr,
@@ -54,15 +55,16 @@
     partition_recovery: PartitionRecovery,
     snapshot_transfer: SnapshotTransfer,
     counters: Counters,
-    /// It left the fleet: the others are right to consider it down.
+    /// Whether this proxy has left the fleet; if so, it does not rejoin when the others declare it down.
     has_left: bool,
     seed_announcer: SeedAnnouncer,
     next_snapshot_request: Time,
 }
 
 impl Membership {
-    /// A proxy that starts now under `own_address`, its advertised address, and joins through the seeds.
-    /// `wants_snapshot`: it has no learned state and requests a snapshot.
+    /// Creates the state of a proxy that starts at `now` and joins through the seeds. `own_address` is its advertised
+    /// address, `seed` seeds its random choices, and `wants_snapshot` says that it has no learned state and requests a
+    /// snapshot.
     pub fn new(
         config: MembershipConfig,
         own_address: SocketAddr,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// When [`Membership::run_timers`] is to be called.
+    /// The monotonic time at which [`Membership::run_timers`] has to be called next.
     pub fn next_due(&self) -> Time {
         let own_timers = [
             self.next_snapshot_request,
@@ -105,7 +107,7 @@
             .fold(self.next_snapshot_request, Time::min)
     }
 
-    /// Processes a datagram as received, or rejects and counts it.
+    /// Processes a received datagram. An invalid one is rejected, counted and reported.
     pub fn handle_datagram(&mut self, bytes: &[u8], now: ClockReading, outputs: &mut Vec<Output>) {
         self.swim.begin_step(now);
         self.counters.received += 1;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Decodes a datagram and checks its envelope.
+    /// Decodes a datagram and checks the cluster, age and uniqueness of its envelope.
     fn open(&mut self, bytes: &[u8], now: ClockReading) -> Result<Envelope, DatagramError> {
         let envelope = wire::decode(bytes)?;
         self.replay_filter.check(&envelope, now.wall_us)?;
@@ -174,25 +176,28 @@
         let (header, updates) = postcard::take_from_bytes::<foca::Header<Member>>(message)
             .map_err(DatagramError::Malformed)?;
         self.recover_from_partition(&header.src, now, outputs);
-        let trusted = if self
+        let accepted = if self
             .partition_recovery
-            .distrusts(&header.src, now.monotonic)
+            .ignores_updates_from(&header.src, now.monotonic)
         {
             &message[..message.len() - updates.len()]
         } else {
             message
         };
         if matches!(header.message, Message::Feed) {
-            return self
-                .anti_entropy
-                .receive_feed(&mut self.swim, &header, trusted, now.monotonic);
+            return self.anti_entropy.receive_feed(
+                &mut self.swim,
+                &header,
+                accepted,
+                now.monotonic,
+            );
         }
         self.swim
-            .handle_message(trusted)
+            .handle_message(accepted)
             .map_err(DatagramError::Swim)
     }
 
-    /// Counts a datagram as rejected, and reports it at most once a second for each cause.
+    /// Counts a datagram as rejected, and reports it at most once per second and cause.
     pub fn reject_datagram(
         &mut self,
         error: DatagramError,
@@ -207,13 +212,13 @@
         }
     }
 
-    /// Does everything that is due.
+    /// Runs the SWIM timers, digests, announcements and snapshot requests that are due at `now`.
     pub fn run_timers(&mut self, now: ClockReading, outputs: &mut Vec<Output>) {
         self.swim.begin_step(now);
         self.swim.run_timers(now, outputs);
         self.anti_entropy.run(&self.swim, now, outputs);
         for seed in self.seed_announcer.due_seeds(&self.swim, now.monotonic) {
-            // The receiver of an announcement accepts it under any start time.
+            // A member accepts an announcement addressed to it with any start time, and its own is not known here.
             announce(&mut self.swim, Member::new(seed, 0), outputs);
         }
         self.process_swim_requests(now, outputs);
@@ -225,8 +230,8 @@
         }
     }
 
-    /// Broadcasts a verdict that this proxy reached, and reports it as an event like the others' verdicts, as the turns
-    /// of the others follow from it.
+    /// Broadcasts a verdict that this proxy reached. It is also reported as an event, like the verdicts of other proxies,
+    /// because the order of the health checks at all proxies follows from it.
     pub fn broadcast_verdict(
         &mut self,
         backend: String,
@@ -267,7 +272,8 @@
         }));
     }
 
-    /// Carries out what the SWIM node requested, and reports what it found out.
+    /// Sends the messages and schedules the timers that the SWIM node requested, and reports its notifications and the
+    /// verdicts received. Rejoins if the others declared this proxy down.
     fn process_swim_requests(&mut self, now: ClockReading, outputs: &mut Vec<Output>) {
         if self.swim.take_declared_down() && !self.has_left {
             self.rejoin(now, outputs);
@@ -293,13 +299,13 @@
         let members = self.swim.live_count();
         match notification {
             OwnedNotification::MemberUp(member) => {
-                self.peer_ordering.members_changed();
-                self.anti_entropy.member_up(now);
+                self.peer_ordering.on_members_changed();
+                self.anti_entropy.on_member_up(now);
                 let peer = member.address;
                 Some(MembershipEvent::MemberUp { peer, members })
             }
             OwnedNotification::MemberDown(member) => {
-                self.peer_ordering.members_changed();
+                self.peer_ordering.on_members_changed();
                 let peer = member.address;
                 Some(MembershipEvent::MemberDown { peer, members })
             }
@@ -308,7 +314,7 @@
                 Some(MembershipEvent::MemberReplaced { peer })
             }
             OwnedNotification::Active => {
-                self.anti_entropy.joined(now);
+                self.anti_entropy.on_joined(now);
                 None
             }
             _ => None,
@@ -317,10 +323,10 @@
 
     fn rejoin(&mut self, now: ClockReading, outputs: &mut Vec<Output>) {
         self.partition_recovery.rejoin(&mut self.swim, now, outputs);
-        self.anti_entropy.joined(now.monotonic);
+        self.anti_entropy.on_joined(now.monotonic);
     }
 
-    /// Rejoins where a message from that member shows that a partition has healed.
+    /// Rejoins if a message from the member `from` shows that a partition has healed.
     fn recover_from_partition(
         &mut self,
         from: &Member,
@@ -333,10 +339,10 @@
         }
     }
 
-    /// Sends a member the snapshot that it [requested](MembershipEvent::SnapshotRequested) under that number.
+    /// Sends a member the snapshot that it [requested](MembershipEvent::SnapshotRequested) with the number `nonce`.
     ///
     /// # Errors
-    /// Where the snapshot is too large; nothing is sent.
+    /// If the snapshot is too large; nothing is sent.
     pub fn send_snapshot(
         &self,
         to: SocketAddr,
@@ -349,27 +355,27 @@
         Ok(())
     }
 
-    /// Announces that this proxy leaves, so that the others need not detect it.
+    /// Announces that this proxy leaves the fleet, so that the others need not detect it.
     pub fn leave(&mut self, now: ClockReading, outputs: &mut Vec<Output>) {
         self.swim.begin_step(now);
         self.has_left = true;
-        let _ = self.swim.leave(); // without the announcement the others detect it
+        let _ = self.swim.leave(); // if the announcement fails, the others detect that this proxy is down
         self.process_swim_requests(now, outputs);
     }
 
-    /// The live members but this one, by address.
+    /// The advertised addresses of the live members without this proxy, sorted.
     pub fn members(&self) -> Vec<SocketAddr> {
         let mut members: Vec<SocketAddr> = self.swim.live_addresses().collect();
         members.sort_unstable();
         members
     }
 
-    /// How many live members are known but this one.
+    /// The number of live members known, without this proxy.
     pub fn member_count(&self) -> usize {
         self.swim.live_count()
     }
 
-    /// Counters since the start.
+    /// The counters since the start of this proxy.
     pub fn counters(&self) -> Counters {
         Counters {
             verdicts_stale: self.swim.stale_verdicts(),
@@ -377,13 +383,13 @@
         }
     }
 
-    /// Verdicts that wait to be passed on.
+    /// The number of verdicts that wait to be sent or forwarded.
     pub fn verdict_backlog(&self) -> usize {
         self.swim.verdict_backlog()
     }
 }
 
-/// Announces this proxy to a member; a failure is reported.
+/// Announces this proxy to a member; a failure is reported as an event.
 fn announce(swim: &mut SwimNode, to: Member, outputs: &mut Vec<Output>) {
     let address = to.address;
     if let Err(error) = swim.announce(to) {
--- a/src/fleet/membership/partition_recovery.rs
+++ b/src/fleet/membership/partition_recovery.rs
@@ -1,5 +1,5 @@
-//! Rejoining after a partition: for a proxy that the others declared down, and for the smaller side of a fleet that was
-//! split.
+//! Rejoining after a network partition: for a proxy that the others declared down, and for all proxies on the smaller side
+//! of a partition that has healed.
 
 use super::config::ClockReading;
 use super::event::{MembershipEvent, Output};
@@ -9,33 +9,34 @@
 use foca::State;
 use std::collections::HashSet;
 
-/// This proxy is on the smaller side of a partition when there is at least one member down for so many live ones. The
-/// larger side has fewer down where less than a quarter of the fleet is cut off, and the smaller side has more even
-/// before it has found all the others down.
+/// A proxy considers itself on the smaller side of a partition if more than one member is down per this number of live
+/// members, itself included. If less than a quarter of the fleet is cut off, the larger side stays below this ratio, and
+/// the smaller side exceeds it even before it has detected that all the others are down.
 const LIVE_PER_DOWN: usize = 3;
-/// For so long after this proxy rejoined, updates from its former side are ignored: they may still say that the other
-/// side is down.
-const DISTRUST_PERIOD: Micros = Micros(5_000_000);
+/// The time after a rejoin during which updates from members of this proxy's former side are ignored: they may still say
+/// that the members of the other side are down.
+const IGNORE_UPDATES_PERIOD: Micros = Micros(5_000_000);
 
 /// Brings this proxy back into the fleet under a later incarnation.
 pub(super) struct PartitionRecovery {
-    /// The members that were on this proxy's side of the last partition. One that rejoined too has a later incarnation
-    /// and isn't among them.
+    /// The members that were on this proxy's side of the last partition, in their incarnations of that time. A member that
+    /// has rejoined has a later incarnation and does not match.
     former_side: HashSet<Member>,
-    distrust_until: Time,
+    ignore_updates_until: Time,
 }
 
 impl PartitionRecovery {
     pub(super) fn new(now: Time) -> PartitionRecovery {
         PartitionRecovery {
             former_side: HashSet::new(),
-            distrust_until: now,
+            ignore_updates_until: now,
         }
     }
 
-    /// Joins again under a later incarnation, with nothing left to send from before. foca's own way would first announce
-    /// that the previous incarnation is down; a member that gets this first would declare the new one down as well. On
-    /// the smaller side of a partition this proxy forgets whom it considers down, so that they need not rejoin.
+    /// Joins again under a later incarnation, and discards the updates that still waited to be sent. foca's own rejoin is
+    /// not used: it first announces that the previous incarnation is down, and a member that receives this announcement
+    /// first would declare the new incarnation down as well. On the smaller side of a partition, this proxy also forgets
+    /// the members that it considers down, so that they need not rejoin.
     pub(super) fn rejoin(
         &mut self,
         swim: &mut SwimNode,
@@ -50,7 +51,7 @@
                 .iter()
                 .map(|member| member.id().clone())
                 .collect();
-            self.distrust_until = now.monotonic + DISTRUST_PERIOD;
+            self.ignore_updates_until = now.monotonic + IGNORE_UPDATES_PERIOD;
         }
         if let Err(error) = swim.restart(renewed, known_members) {
             outputs.push(Output::Event(MembershipEvent::TimerFailed(error)));
@@ -60,20 +61,22 @@
         }));
     }
 
-    /// Whether a message from that member shows that a partition has healed and this proxy has to rejoin: the member is
-    /// down here, and this proxy is on the smaller side. On the larger side foca tells the member to rejoin instead.
+    /// Whether a message from the member `from` shows that a partition has healed and this proxy has to rejoin: the member
+    /// is considered down here, and this proxy is on the smaller side. On the larger side, foca tells the member to rejoin
+    /// instead.
     pub(super) fn is_healed_by(&self, from: &Member, swim: &SwimNode) -> bool {
         let is_down = |member: &KnownMember| member.state() == State::Down && member.id() == from;
         swim.known_members().any(is_down) && is_on_smaller_side(swim)
     }
 
-    /// Whether updates from that member are ignored: they may date from the partition. Its own state still counts.
-    pub(super) fn distrusts(&self, from: &Member, now: Time) -> bool {
-        now < self.distrust_until && self.former_side.contains(from)
+    /// Whether updates from the member `from` are ignored, as they may date from the partition. The member's own state is
+    /// still accepted.
+    pub(super) fn ignores_updates_from(&self, from: &Member, now: Time) -> bool {
+        now < self.ignore_updates_until && self.former_side.contains(from)
     }
 }
 
-/// Whether this proxy is on the smaller side of a partition, or on either of two equal ones.
+/// Whether this proxy is on the smaller side of a partition, or on one of two equal sides.
 fn is_on_smaller_side(swim: &SwimNode) -> bool {
     let down = swim
         .known_members()
--- a/src/fleet/membership/peer_ordering.rs
+++ b/src/fleet/membership/peer_ordering.rs
@@ -1,6 +1,6 @@
-//! The order in which the proxies check a backend that one of them passed a verdict on.
+//! The order in which the proxies health-check a backend after a verdict on it.
 //!
-//! All proxies derive the same order from the verdict, so that each knows its own turn without asking the others.
+//! All proxies derive the same order from the verdict, so that each one knows its own position without coordination.
 
 use super::swim::SwimNode;
 use super::verdict_broadcast::VerdictBroadcast;
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A member's address with its text, which the order hashes.
+/// A member's address, and the same as text, which determines the member's position.
 struct NamedAddress {
     address: SocketAddr,
     text: String,
@@ -23,18 +23,18 @@
     }
 }
 
-/// A member's place in the order after one verdict.
+/// A member's position in the order after one verdict: members are sorted by a hash.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     hash: u32,
-    /// Decides between equal hashes.
+    /// The tie-breaker between equal hashes.
     address: SocketAddr,
 }
 
-/// Determines this proxy's turn after each verdict, and numbers the proxies that verdicts come from.
+/// Determines this proxy's position in the order after each verdict, and numbers the proxies that verdicts come from.
 pub(super) struct PeerOrdering {
     own: NamedAddress,
-    /// The live members, until the next change: formatting their addresses for each verdict would be slow in a large
+    /// The live members, cached until they change, as formatting all addresses for each verdict would be slow in a large
     /// fleet.
     live: Option<Vec<NamedAddress>>,
     origin_ids: HashMap<SocketAddr, PeerId>,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// A member came up or went down.
-    pub(super) fn members_changed(&mut self) {
+    /// Discards the cached members after one came up or went down.
+    pub(super) fn on_members_changed(&mut self) {
         self.live = None;
     }
 
-    /// The verdict as the balancer takes it, at wall time `now_us`. The backend's number is left to the driver, which
-    /// knows it by name.
+    /// The verdict in the form that the balancer expects, at wall time `now_us`. The driver sets the backend's id, which it
+    /// looks up by name.
     pub(super) fn peer_verdict(
         &mut self,
         broadcast: &VerdictBroadcast,
@@ -76,22 +76,22 @@
         }
     }
 
-    /// This proxy's place among the live ones, in an order drawn by the verdict. Its origin comes last, as it has only
-    /// just tried the backend.
+    /// This proxy's position among the live ones in the pseudo-random order of the verdict. The origin of the verdict is
+    /// last, as it has just sent requests to the backend.
     fn turn(&self, broadcast: &VerdictBroadcast) -> u32 {
         if broadcast.origin == self.own.address {
             return self.live_count();
         }
-        let draw = OrderDraw::new(broadcast.created_us);
-        let own_position = draw.position(&self.own);
+        let order = OrderHasher::new(broadcast.created_us);
+        let own_position = order.position(&self.own);
         let is_earlier = |member: &&NamedAddress| {
-            member.address != broadcast.origin && draw.position(member) < own_position
+            member.address != broadcast.origin && order.position(member) < own_position
         };
         let live = self.live.as_deref().unwrap_or_default();
         live.iter().filter(is_earlier).count() as u32
     }
 
-    /// The number of a proxy, in the order of their first verdicts; `None` for this one.
+    /// The number of the proxy `origin`, counted in the order of their first verdicts; `None` for this proxy.
     fn origin_id(&mut self, origin: SocketAddr) -> Option<PeerId> {
         if origin == self.own.address {
             return None;
@@ -112,14 +112,15 @@
     }
 }
 
-/// The hash that orders the members after one verdict.
-struct OrderDraw(crc32fast::Hasher);
+/// Hashes members to their positions in the order of one verdict.
+struct OrderHasher(crc32fast::Hasher);
 
-impl OrderDraw {
-    fn new(created_us: u64) -> OrderDraw {
+impl OrderHasher {
+    /// The hasher for a verdict created at wall time `created_us`.
+    fn new(created_us: u64) -> OrderHasher {
         let mut hasher = crc32fast::Hasher::new_with_initial((created_us >> 8) as u32);
         hasher.update(&created_us.to_le_bytes());
-        OrderDraw(hasher)
+        OrderHasher(hasher)
     }
 
     fn position(&self, member: &NamedAddress) -> Position {
--- a/src/fleet/membership/seed_announcer.rs
+++ b/src/fleet/membership/seed_announcer.rs
@@ -1,5 +1,5 @@
-//! Announces this proxy to the seeds that are not live members here, so that groups of proxies that met apart become one
-//! fleet.
+//! Announces this proxy to the seeds that it does not know as live members: a new proxy joins the fleet by this, and
+//! groups of proxies that do not know each other merge into one fleet.
 
 use super::swim::SwimNode;
 use crate::interface::{Micros, Time};
@@ -7,17 +7,17 @@
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
 
-/// How often a proxy that knows no live member announces itself.
+/// The time between the announcements of a proxy that knows no live member.
 const INTERVAL: Micros = Micros(1_000_000);
-/// A proxy that knows live members may announce itself once in so many intervals.
-const ONE_INTERVAL_IN: u32 = 2;
-/// How many proxies of a group announce themselves at a time, about: each one tells its group what it learns, and a seed
-/// that is gone costs a large group no more than a small one.
-const ANNOUNCERS: usize = 4;
+/// A proxy that knows live members may announce itself once per this number of intervals.
+const INTERVALS_PER_ANNOUNCEMENT: u32 = 2;
+/// The expected number of proxies of a group that announce themselves at the same time. A few suffice, as each one tells
+/// its group what it learns; and the messages sent to a seed that is gone do not grow with the size of the group.
+const EXPECTED_ANNOUNCERS: usize = 4;
 
-/// Decides when this proxy announces itself to which seeds.
+/// Decides at which times this proxy announces itself, and to which seeds.
 pub(super) struct SeedAnnouncer {
-    /// The seeds but this proxy.
+    /// The addresses of the seeds without this proxy.
     seeds: Vec<SocketAddr>,
     next_due: Time,
     intervals: u32,
@@ -25,11 +25,11 @@
 }
 
 impl SeedAnnouncer {
-    /// Announces at once. `seed`: of the draws.
+    /// Creates an announcer whose first announcement is due now. `random_seed` seeds its random choices.
     pub(super) fn new(
         seeds: &[SocketAddr],
         own_address: SocketAddr,
-        seed: u64,
+        random_seed: u64,
         now: Time,
     ) -> SeedAnnouncer {
         let others = seeds.iter().filter(|address| **address != own_address);
@@ -37,7 +37,7 @@
             seeds: others.copied().collect(),
             next_due: now,
             intervals: 0,
-            random: Pcg32::seed_from_u64(seed),
+            random: Pcg32::seed_from_u64(random_seed),
         }
     }
 
@@ -45,7 +45,7 @@
         self.next_due
     }
 
-    /// The seeds that this proxy announces itself to now.
+    /// The seeds that this proxy has to announce itself to now, at most once in each interval.
     pub(super) fn due_seeds(&mut self, swim: &SwimNode, now: Time) -> Vec<SocketAddr> {
         if now < self.next_due {
             return Vec::new();
@@ -53,7 +53,7 @@
         self.next_due = self.next_due + INTERVAL;
         self.intervals = self.intervals.wrapping_add(1);
         let live_members = swim.live_count();
-        if live_members > 0 && !self.intervals.is_multiple_of(ONE_INTERVAL_IN) {
+        if live_members > 0 && !self.intervals.is_multiple_of(INTERVALS_PER_ANNOUNCEMENT) {
             return Vec::new();
         }
         let missing: Vec<SocketAddr> = self
@@ -62,14 +62,15 @@
             .copied()
             .filter(|seed| !swim.is_live(*seed))
             .collect();
-        if missing.is_empty() || !self.takes_part(live_members + 1) {
+        if missing.is_empty() || !self.is_announcer(live_members + 1) {
             return Vec::new();
         }
         missing
     }
 
-    /// Whether this proxy is among those of its group that announce themselves this time.
-    fn takes_part(&mut self, group: usize) -> bool {
-        group <= ANNOUNCERS || self.random.next_u32() as usize % group < ANNOUNCERS
+    /// Randomly decides whether this proxy is one of those in a group of `group_size` that announce themselves this time.
+    fn is_announcer(&mut self, group_size: usize) -> bool {
+        group_size <= EXPECTED_ANNOUNCERS
+            || self.random.next_u32() as usize % group_size < EXPECTED_ANNOUNCERS
     }
 }
--- a/src/fleet/membership/snapshot_transfer.rs
+++ b/src/fleet/membership/snapshot_transfer.rs
@@ -1,30 +1,32 @@
-//! The transfer of a snapshot of learned state from a live member to a new proxy: whom it is requested from, and the
-//! chunks that it arrives in. The content is the driver's.
+//! The transfer of a snapshot of learned state from a live member to a new proxy: selects the member to request it from,
+//! splits a snapshot into chunks, and reassembles it. The encoding of the snapshot is left to the driver.
 
 use super::event::{MembershipEvent, Output};
 use super::wire::{Body, DatagramError, SnapshotChunk, MAX_DATAGRAM_BODY_BYTES};
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// How long a member has to send its snapshot before it is requested from another one.
+/// The time that a member has to send its snapshot before another member is requested to.
 pub(super) const REQUEST_TIMEOUT: Micros = Micros(500_000);
-/// How many members the snapshot is requested from.
+/// The maximum number of requests for a snapshot, each to one member.
 const MAX_REQUESTS: u32 = 3;
+/// The maximum number of chunks of a snapshot.
 const MAX_CHUNKS: usize = 128;
+/// The size of every chunk but the last, in bytes.
 const CHUNK_BYTES: usize = 1200;
 
-/// A snapshot is too large to be sent to a member.
+/// The error for a snapshot that is too large to be sent to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{length} bytes, over the {} allowed", MAX_CHUNKS * CHUNK_BYTES)]
+#[error("{length} bytes exceed the maximum of {} bytes", MAX_CHUNKS * CHUNK_BYTES)]
 pub struct SnapshotTooLarge {
-    /// Bytes of the snapshot.
+    /// The size of the snapshot, in bytes.
     pub length: usize,
 }
 
-/// Splits a snapshot into the chunks to send.
+/// Splits a snapshot into the chunks to send as the transfer with the number `nonce`.
 ///
 /// # Errors
-/// Where the snapshot is too large.
+/// If the snapshot is too large.
 pub(super) fn chunks(
     nonce: u64,
     snapshot: &[u8],
@@ -50,21 +52,22 @@
     pending: Option<PendingTransfer>,
 }
 
+/// A transfer that is not complete yet.
 struct PendingTransfer {
-    /// The number of the latest request; chunks that answer an earlier one are rejected.
+    /// The number of the latest request; chunks sent in response to an earlier one are rejected.
     nonce: u64,
     requests_left: u32,
-    /// The chunks received so far, in their places; empty until the first one.
+    /// The chunks received so far, by index; empty until the first one arrives.
     chunks: Vec<Option<Vec<u8>>>,
 }
 
 impl SnapshotTransfer {
-    /// No snapshot is wanted.
+    /// The state of a proxy that needs no snapshot.
     pub(super) fn idle() -> SnapshotTransfer {
         SnapshotTransfer { pending: None }
     }
 
-    /// A snapshot is wanted; requests are numbered from just above `nonce`.
+    /// The state of a proxy that needs a snapshot. Its requests are numbered from `nonce + 1`.
     pub(super) fn wanted(nonce: u64) -> SnapshotTransfer {
         SnapshotTransfer {
             pending: Some(PendingTransfer {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Requests the snapshot from the next of the live members, or gives up after [`MAX_REQUESTS`]. To be called each
+    /// Requests the snapshot from the next of the live members, or gives up after [`MAX_REQUESTS`]. To be called once per
     /// [`REQUEST_TIMEOUT`].
     pub(super) fn request(&mut self, live_members: &[SocketAddr]) -> Option<Output> {
         let pending = self.pending.as_mut()?;
@@ -98,7 +101,7 @@
         })
     }
 
-    /// Takes a chunk of the requested snapshot; the snapshot once it is complete.
+    /// Stores a chunk of the requested snapshot, and returns the snapshot if it is complete.
     pub(super) fn receive_chunk(
         &mut self,
         chunk: SnapshotChunk,
@@ -117,6 +120,7 @@
 }
 
 impl PendingTransfer {
+    /// Stores a chunk, and returns the snapshot if it is complete.
     fn insert(&mut self, chunk: SnapshotChunk) -> Result<Option<Vec<u8>>, DatagramError> {
         let index = usize::from(chunk.index);
         let count = usize::from(chunk.count);
--- a/src/fleet/membership/stored_formats.rs
+++ b/src/fleet/membership/stored_formats.rs
@@ -1,4 +1,5 @@
-//! The bytes of membership's datagrams and of what they carry.
+//! Tests that the encoded bytes of datagrams, verdicts, members and member lists match the fixtures, so that proxies of
+//! different versions understand each other.
 
 use super::anti_entropy::respond_to_digest;
 use super::member::Member;
@@ -12,12 +13,12 @@
 
 const WALL_US: u64 = 1_764_748_800_123_456;
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// The name of a kind of body in the fixtures; a new kind needs a name here and an example below.
-fn name(body: &Body) -> &'static str {
+/// The name of a kind of body in the fixtures. A new kind needs a name here and an example in [`sample_bodies`].
+fn fixture_name(body: &Body) -> &'static str {
     match body {
         Body::Swim(_) => "swim",
         Body::SnapshotRequest { .. } => "ask",
@@ -28,7 +29,7 @@
     }
 }
 
-fn bodies() -> Vec<Body> {
+fn sample_bodies() -> Vec<Body> {
     vec![
         Body::Swim(vec![1, 2, 3]),
         Body::SnapshotRequest { nonce: u64::MAX },
@@ -45,37 +46,38 @@
 }
 
 #[test]
-fn every_kind_of_datagram_keeps_its_bytes() {
+fn encoded_datagrams_match_the_fixture() {
     let envelope = |body| Envelope {
         cluster: cluster_id("lagos"),
-        from: at(7000),
+        from: address(7000),
         sent_us: WALL_US,
         body,
     };
-    let mut forms: Vec<_> = bodies()
+    let mut samples: Vec<_> = sample_bodies()
         .into_iter()
-        .map(|body| (name(&body), envelope(body)))
+        .map(|body| (fixture_name(&body), envelope(body)))
         .collect();
     let from = "[2001:db8::1]:7000".parse().unwrap();
-    forms.push((
+    samples.push((
         "from ipv6",
         Envelope {
             from,
             ..envelope(Body::SnapshotRequest { nonce: 1 })
         },
     ));
-    let sealed =
-        DatagramSealer::new(cluster_id("lagos"), at(7000)).seal(bodies().remove(0), WALL_US);
-    assert_eq!(sealed.unwrap(), encode(&forms[0].1).unwrap());
+    let sealed = DatagramSealer::new(cluster_id("lagos"), address(7000))
+        .seal(sample_bodies().remove(0), WALL_US);
+    assert_eq!(sealed.unwrap(), encode(&samples[0].1).unwrap());
     assert_bytes(
         "datagrams.txt",
-        &forms,
-        |e| encode(e).unwrap(),
+        &samples,
+        |envelope| encode(envelope).unwrap(),
         |bytes| decode(bytes).unwrap(),
     );
 }
 
-fn verdict_name(verdict: &Verdict) -> &'static str {
+/// The name of a kind of verdict in the fixtures.
+fn verdict_fixture_name(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Ejected { .. } => "out",
         Verdict::Readmitted => "back",
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn shared_verdicts_keep_their_bytes() {
+fn encoded_verdict_broadcasts_match_the_fixture() {
     let verdicts = [
         Verdict::Ejected {
             duration: Micros(1_500_000),
@@ -92,51 +94,53 @@
         Verdict::Readmitted,
     ];
     let broadcast = |verdict| VerdictBroadcast {
-        origin: at(7000),
+        origin: address(7000),
         created_us: WALL_US,
         backend: "größer-1".into(),
         verdict,
     };
-    let forms = verdicts.map(|verdict| (verdict_name(&verdict), broadcast(verdict)));
+    let samples = verdicts.map(|verdict| (verdict_fixture_name(&verdict), broadcast(verdict)));
     assert_bytes(
         "facts.txt",
-        &forms,
+        &samples,
         |broadcast| broadcast.encode().unwrap(),
         |bytes| postcard::from_bytes(bytes).unwrap(),
     );
 }
 
 #[test]
-fn a_member_keeps_its_bytes() {
-    let forms = [
-        ("ipv4", Member::new(at(7000), WALL_US)),
+fn encoded_members_match_the_fixture() {
+    let samples = [
+        ("ipv4", Member::new(address(7000), WALL_US)),
         (
             "ipv6",
             Member::new("[2001:db8::1]:7000".parse().unwrap(), 0),
         ),
     ];
     let encode = |member: &Member| postcard::to_stdvec(member).unwrap();
-    assert_bytes("members.txt", &forms, encode, |b| {
-        postcard::from_bytes(b).unwrap()
+    assert_bytes("members.txt", &samples, encode, |bytes| {
+        postcard::from_bytes(bytes).unwrap()
     });
 }
 
-/// Two proxies from the first announcement to the leave of one, on simulated clocks.
-struct Pair {
+/// Two connected proxies on a simulated clock, without latency or loss.
+struct ProxyPair {
     proxies: [Membership; 2],
     sealers: [DatagramSealer; 2],
     elapsed_us: u64,
-    /// The datagrams in the order of sending.
+    /// All datagrams sent so far, in the order of sending.
     sent: Vec<SentDatagram>,
 }
 
 struct SentDatagram {
+    /// The index of the sender in [`ProxyPair::proxies`].
     from: usize,
+    /// The bytes of the datagram.
     hex: String,
 }
 
-/// The clocks at a time after the start.
-fn clock(elapsed_us: u64) -> ClockReading {
+/// The clock readings at `elapsed_us` microseconds after the start.
+fn clock_at(elapsed_us: u64) -> ClockReading {
     ClockReading {
         monotonic: Time(1_000_000 + elapsed_us),
         wall_us: WALL_US + elapsed_us,
@@ -152,12 +156,13 @@
     }
 }
 
-impl Pair {
-    fn new() -> Pair {
-        let config = config(vec![at(1), at(2)], 2);
-        let proxy = |n: u16| Membership::new(config.clone(), at(n), n.into(), n == 1, clock(0));
-        let sealer = |n| DatagramSealer::new(config.cluster, at(n));
-        Pair {
+impl ProxyPair {
+    fn new() -> ProxyPair {
+        let config = config(vec![address(1), address(2)], 2);
+        let proxy =
+            |n: u16| Membership::new(config.clone(), address(n), n.into(), n == 1, clock_at(0));
+        let sealer = |n| DatagramSealer::new(config.cluster, address(n));
+        ProxyPair {
             proxies: [proxy(1), proxy(2)],
             sealers: [sealer(1), sealer(2)],
             elapsed_us: 0,
@@ -165,13 +170,13 @@
         }
     }
 
-    /// One step of a proxy; what it sends arrives at once, and so do the responses.
+    /// Runs one step of a proxy, and delivers its datagrams and all responses to them immediately.
     fn step(
         &mut self,
         n: usize,
         step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>),
     ) {
-        let now = clock(self.elapsed_us);
+        let now = clock_at(self.elapsed_us);
         let mut outputs = Vec::new();
         step(&mut self.proxies[n], now, &mut outputs);
         let mut pending = VecDeque::from([(n, outputs)]);
@@ -181,7 +186,7 @@
                     continue;
                 };
                 let other = 1 - from;
-                assert_eq!(to, at(other as u16 + 1));
+                assert_eq!(to, address(other as u16 + 1));
                 let bytes = self.sealers[from].seal(body, now.wall_us).unwrap();
                 let mut responses = Vec::new();
                 self.proxies[other].handle_datagram(&bytes, now, &mut responses);
@@ -192,6 +197,7 @@
         }
     }
 
+    /// Advances the clock by `span_us` microseconds, and runs the timers of both proxies at each tick.
     fn run_for(&mut self, span_us: u64) {
         const TICK_US: u64 = 10_000;
         for _ in 0..span_us / TICK_US {
@@ -201,10 +207,11 @@
     }
 }
 
-/// Compares all datagrams of a dialogue: a change of what is sent at which time differs from the fixture.
+/// Compares all datagrams that two proxies exchange, from the first announcement until one leaves, with the fixture: any
+/// change of the content or of the order of the datagrams is detected.
 #[test]
-fn two_proxies_send_each_other_the_same_datagrams() {
-    let mut pair = Pair::new();
+fn datagrams_between_two_proxies_match_the_fixture() {
+    let mut pair = ProxyPair::new();
     pair.run_for(2_000_000);
     let ejected = Verdict::Ejected {
         duration: Micros(1_000_000),
@@ -219,7 +226,7 @@
     });
     pair.step(0, |membership, _, outputs| {
         membership
-            .send_snapshot(at(2), 9, &[7; 1500], outputs)
+            .send_snapshot(address(2), 9, &[7; 1500], outputs)
             .unwrap();
     });
     pair.run_for(12_000_000);
@@ -229,20 +236,22 @@
         .zip(&pair.sent)
         .map(|(n, datagram)| format!("{n} by {}", datagram.from))
         .collect();
-    let forms: Vec<(&str, String)> = names
+    let lines: Vec<(&str, String)> = names
         .iter()
         .zip(&pair.sent)
         .map(|(name, datagram)| (name.as_str(), datagram.hex.clone()))
         .collect();
-    assert_lines("membership-dialogue.txt", &forms);
+    assert_lines("membership-dialogue.txt", &lines);
 }
 
-/// The buckets of members and their checksums have to be the same at all proxies.
+/// All proxies have to assign members to the same buckets and compute the same checksums, or else digests of equal lists
+/// differ.
 #[test]
-fn list_digests_and_member_lists_keep_their_bytes() {
-    let now = clock(0);
-    let mut proxy = Membership::new(config(Vec::new(), 120), at(1), 1, false, now);
-    let others = (2..=120).map(|n| foca::Member::alive(Member::new(at(n), WALL_US + u64::from(n))));
+fn encoded_list_digests_and_member_lists_match_the_fixture() {
+    let now = clock_at(0);
+    let mut proxy = Membership::new(config(Vec::new(), 120), address(1), 1, false, now);
+    let others =
+        (2..=120).map(|n| foca::Member::alive(Member::new(address(n), WALL_US + u64::from(n))));
     proxy.swim.merge(others).unwrap();
     let mut outputs = Vec::new();
     let due = ClockReading {
@@ -250,8 +259,8 @@
         ..now
     };
     proxy.anti_entropy.run(&proxy.swim, due, &mut outputs);
-    respond_to_digest(&proxy.swim, at(2), &[0; 12], now, &mut outputs).unwrap();
-    let mut forms = Vec::new();
+    respond_to_digest(&proxy.swim, address(2), &[0; 12], now, &mut outputs).unwrap();
+    let mut envelopes = Vec::new();
     for output in outputs {
         let Output::Send { to, body } = output else {
             continue;
@@ -262,20 +271,24 @@
             sent_us: WALL_US,
             body,
         };
-        forms.push((
-            format!("{} {}", name(&envelope.body), forms.len()),
+        envelopes.push((
+            format!("{} {}", fixture_name(&envelope.body), envelopes.len()),
             envelope,
         ));
     }
-    assert!(forms.iter().any(|(name, _)| name.starts_with("compare")));
-    assert!(forms.iter().any(|(name, _)| name.starts_with("members")));
-    let forms: Vec<_> = forms
+    assert!(envelopes
+        .iter()
+        .any(|(name, _)| name.starts_with("compare")));
+    assert!(envelopes
+        .iter()
+        .any(|(name, _)| name.starts_with("members")));
+    let samples: Vec<_> = envelopes
         .iter()
         .map(|(name, envelope)| (name.as_str(), envelope.clone()))
         .collect();
     assert_bytes(
         "member-lists.txt",
-        &forms,
+        &samples,
         |envelope| encode(envelope).unwrap(),
         |bytes| decode(bytes).unwrap(),
     );
--- a/src/fleet/membership/swim.rs
+++ b/src/fleet/membership/swim.rs
@@ -1,5 +1,5 @@
-//! This proxy's node in the SWIM protocol, as `foca` implements it: its timers, its settings, and gossip as far as the
-//! egress limit allows.
+//! This proxy's node in the SWIM protocol. It wraps the implementation by `foca`: runs its timers, configures it, and sends
+//! gossip as far as the egress limit allows.
 
 use super::config::{ClockReading, MembershipConfig};
 use super::egress_limit::{EgressLimit, RateLimitedCodec, RateLimitedRuntime, SharedEgressLimit};
@@ -18,22 +18,24 @@
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// How often waiting updates and broadcasts are gossiped.
+/// The interval at which waiting updates and broadcasts are gossiped.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
-/// To how many members they are gossiped each time.
+/// The maximum number of members to which they are gossiped each time.
 const GOSSIP_FAN_OUT: usize = 3;
-/// How often each is sent at most while the backlog exceeds a datagram.
+/// The maximum number of times that each of them is sent while the backlog exceeds a datagram.
 const MAX_TRANSMISSIONS_BACKLOGGED: NonZeroU8 = NonZeroU8::new(4).expect("not zero");
-/// How often this proxy announces itself to a member that is down, so that a partition heals.
+/// The interval at which this proxy announces itself to a member that is down, so that the sides of a partition find each
+/// other again once it has healed.
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(2);
-/// The assumed size of a waiting membership update.
+/// The assumed size of a waiting membership update, in bytes.
 const UPDATE_BYTES: usize = 20;
-/// The assumed size of a waiting verdict broadcast.
+/// The assumed size of a waiting verdict broadcast, in bytes.
 const VERDICT_BYTES: usize = 32;
-/// While much is gossiped, tokens for two member lists are reserved: a list describes many members with fewer bytes.
+/// The tokens reserved for member lists while the gossip backlog exceeds a datagram, in bytes: enough for two lists, as a
+/// list takes fewer bytes per member than gossip.
 const LIST_RESERVE_BYTES: usize = 2 * MAX_DATAGRAM_BYTES;
 
-/// What is known about a member.
+/// A member with its state and its SWIM incarnation, as known here.
 pub(super) type KnownMember = foca::Member<Member>;
 
 type Swim = Foca<Member, RateLimitedCodec, StdRng, VerdictHandler>;
@@ -51,7 +53,7 @@
 }
 
 impl SwimNode {
-    /// A node that starts now under `own_address`.
+    /// Creates a node that starts at `now` with the advertised address `own_address`; `seed` seeds its random choices.
     pub(super) fn new(
         config: &MembershipConfig,
         own_address: SocketAddr,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Starts a step at that time: to be called before anything else in it.
+    /// Begins a step at `now`: sets the wall time and refills the token bucket. To be called first in each step.
     pub(super) fn begin_step(&mut self, now: ClockReading) {
         self.clock.set(now.wall_us);
         self.egress.borrow_mut().bucket.refill(now.monotonic);
@@ -85,12 +87,12 @@
         self.foca.identity()
     }
 
-    /// The live members but this one.
+    /// The live members without this proxy.
     pub(super) fn live_members(&self) -> impl Iterator<Item = &KnownMember> {
         self.foca.iter_members()
     }
 
-    /// The advertised addresses of the live members but this one.
+    /// The advertised addresses of the live members without this proxy.
     pub(super) fn live_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.live_members().map(|member| member.id().address)
     }
@@ -103,27 +105,27 @@
         self.live_addresses().any(|live| live == address)
     }
 
-    /// All members but this one, those that are down included.
+    /// All known members without this proxy, including those that are down.
     pub(super) fn known_members(&self) -> impl Iterator<Item = &KnownMember> {
         self.foca.iter_membership_state()
     }
 
-    /// Verdict broadcasts that wait to be passed on.
+    /// The number of verdict broadcasts that wait to be sent or forwarded.
     pub(super) fn verdict_backlog(&self) -> usize {
         self.foca.custom_broadcast_backlog()
     }
 
-    /// Verdicts that arrived past the maximum age.
+    /// The number of received verdicts that were older than the maximum age.
     pub(super) fn stale_verdicts(&self) -> u64 {
         self.verdicts.borrow().stale
     }
 
-    /// How many timers were scheduled so far.
+    /// The number of timers scheduled so far.
     pub(super) fn scheduled_timers(&self) -> u64 {
         self.timers.scheduled()
     }
 
-    /// Pays for a datagram with a body of so many bytes, if the egress limit allows it.
+    /// Takes the tokens for a datagram with a body of `body_bytes`. Returns whether the egress limit allows to send it.
     pub(super) fn try_spend_datagram(&self, body_bytes: usize) -> bool {
         self.egress
             .borrow_mut()
@@ -136,7 +138,7 @@
         self.foca.handle_data(message, &mut self.runtime)
     }
 
-    /// Merges members of a list, without passing them on.
+    /// Merges the members of a list, without gossiping them.
     pub(super) fn merge(
         &mut self,
         members: impl Iterator<Item = KnownMember>,
@@ -144,17 +146,17 @@
         self.foca.apply_many(members, false, &mut self.runtime)
     }
 
-    /// Announces this proxy to a member, to join through it.
+    /// Announces this proxy to a member in order to join through it.
     pub(super) fn announce(&mut self, to: Member) -> Result<(), foca::Error> {
         self.foca.announce(to, &mut self.runtime)
     }
 
-    /// Tells the others that this proxy leaves.
+    /// Announces to the other members that this proxy leaves.
     pub(super) fn leave(&mut self) -> Result<(), foca::Error> {
         self.foca.leave_cluster(&mut self.runtime)
     }
 
-    /// Broadcasts a verdict of this proxy; whether it will be sent.
+    /// Broadcasts a verdict of this proxy. Returns whether it will be sent.
     pub(super) fn broadcast(&mut self, broadcast: &VerdictBroadcast) -> bool {
         let Some(bytes) = broadcast.encode() else {
             return false;
@@ -162,7 +164,8 @@
         matches!(self.foca.add_broadcast(&bytes), Ok(true))
     }
 
-    /// Starts over under another identity, with those members known and nothing left to send from before.
+    /// Restarts the node with a new identity and the given known members. Pending timers, updates and broadcasts are
+    /// discarded.
     pub(super) fn restart(
         &mut self,
         identity: Member,
@@ -194,7 +197,8 @@
         }
     }
 
-    /// Runs a timer, unless it would only do harm or nothing.
+    /// Runs a timer. The timer of a refuted suspicion is ignored, and gossip that the egress limit does not allow is
+    /// postponed by an interval.
     fn run_timer(&mut self, timer: Timer<Member>, now: ClockReading) -> Result<(), foca::Error> {
         if self.is_refuted_suspicion(&timer) {
             return Ok(());
@@ -207,8 +211,8 @@
         self.foca.handle_timer(timer, &mut self.runtime)
     }
 
-    /// Whether the timer ends a suspicion that was refuted meanwhile: foca would tell the member that it is down all the
-    /// same.
+    /// Whether the timer is to declare a suspect member down that has refuted the suspicion since. foca would still tell the
+    /// member that it is down.
     fn is_refuted_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -226,8 +230,8 @@
         !self.known_members().any(is_still_suspect)
     }
 
-    /// Sets the fan-out that the egress limit allows for the next gossip; whether anything may be sent. Where the
-    /// backlog exceeds a datagram, verdicts are broadcast alone, ahead of membership updates.
+    /// Sets the fan-out that the egress limit allows for the next gossip. Returns whether anything may be sent. If the
+    /// backlog exceeds a datagram, verdicts are first broadcast on their own, before membership updates.
     fn prepare_gossip(&mut self) -> Result<bool, foca::Error> {
         let update_bytes = self.foca.updates_backlog() * UPDATE_BYTES;
         let verdict_bytes = self.verdict_backlog() * VERDICT_BYTES;
@@ -258,7 +262,7 @@
         self.foca.set_config(config)
     }
 
-    /// Whether the others declared this proxy down since the last call.
+    /// Whether other members declared this proxy down since the last call.
     pub(super) fn take_declared_down(&mut self) -> bool {
         std::mem::take(&mut self.runtime.declared_down)
     }
@@ -281,7 +285,7 @@
         self.runtime.requests.to_notify()
     }
 
-    /// Others' verdicts that arrived since the last call.
+    /// Other proxies' verdicts received since the last call.
     pub(super) fn take_received_verdicts(&mut self) -> Vec<VerdictBroadcast> {
         self.verdicts.borrow_mut().take_unreported()
     }
@@ -304,8 +308,8 @@
     )
 }
 
-/// foca's LAN settings for a fleet of that size, with more frequent gossip and with announcements to members that are
-/// down. Periodic announcements to live ones are off, as `AntiEntropy` compares member lists instead.
+/// foca's LAN settings for a fleet of `fleet_size`, with more frequent gossip and with announcements to members that are
+/// down. Periodic announcements to live members are disabled, as `AntiEntropy` compares member lists instead.
 fn foca_config(fleet_size: u32, gossip_fan_out: usize, is_backlogged: bool) -> foca::Config {
     let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let lan = foca::Config::new_lan(NonZeroU32::new(fleet_size).unwrap_or(NonZeroU32::MIN));
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,4 +1,4 @@
-//! The encoding of datagrams, the replay filter, and the rule by which verdicts are merged.
+//! Tests of the encoding of datagrams, the replay filter, and the merge of verdicts.
 
 use super::member::{Member, WallClock};
 use super::verdict_broadcast::{VerdictBroadcast, VerdictHandler, VerdictStore};
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-/// The merge rule: for each origin the latest verdict wins, in whatever order they arrive; stale ones and echoes of the
-/// proxy's own are dropped; invalid input is an error and changes nothing.
+/// The merge rule for verdicts: for each origin, the latest verdict wins in any order of arrival. Stale verdicts and echoes
+/// of the proxy's own verdicts are dropped. Invalid input is an error and changes nothing.
 #[test]
-fn the_last_writer_wins_for_each_origin_within_the_maximum_age() {
+fn latest_verdict_of_each_origin_within_the_maximum_age_wins() {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let now = 1_000_000_000_000;
+    let now_us = 1_000_000_000_000;
     let clock = WallClock::default();
-    clock.set(now);
+    clock.set(now_us);
     let store = VerdictStore::shared(address(1), Micros(5_000_000), clock);
     let mut handler = VerdictHandler(store.clone());
     let sender = Member::new(address(9), 1);
@@ -35,18 +35,27 @@
         duration: Micros(1_000_000),
         consecutive_ejections: 1,
     };
-    assert!(receive(2, now - 100, ejected));
-    assert!(receive(2, now - 50, Verdict::Readmitted), "a later one");
+    assert!(receive(2, now_us - 100, ejected));
     assert!(
-        !receive(2, now - 100, ejected) && !receive(2, now - 50, ejected),
-        "replayed, in any order"
+        receive(2, now_us - 50, Verdict::Readmitted),
+        "a later verdict of the same origin is accepted"
     );
-    assert!(receive(3, now - 100, ejected), "from another origin");
     assert!(
-        !receive(4, now - 6_000_000, ejected),
-        "past the maximum age"
+        !receive(2, now_us - 100, ejected) && !receive(2, now_us - 50, ejected),
+        "a verdict that is not later than the known one is dropped"
+    );
+    assert!(
+        receive(3, now_us - 100, ejected),
+        "a verdict of another origin is accepted"
+    );
+    assert!(
+        !receive(4, now_us - 6_000_000, ejected),
+        "a verdict older than the maximum age is dropped"
+    );
+    assert!(
+        !receive(1, now_us, ejected),
+        "an echo of the proxy's own verdict is dropped"
     );
-    assert!(!receive(1, now, ejected), "an echo of its own");
     assert!(handler.receive_item(&[0xff; 40], Some(&sender)).is_err());
     let store = store.borrow();
     assert_eq!(
@@ -55,7 +64,8 @@
     );
 }
 
-fn envelope() -> impl Strategy<Value = Envelope> {
+/// Generates envelopes with all kinds of bodies.
+fn any_envelope() -> impl Strategy<Value = Envelope> {
     let bytes = || proptest::collection::vec(any::<u8>(), 0..900);
     let body = prop_oneof![
         bytes().prop_map(Body::Swim),
@@ -87,53 +97,62 @@
 }
 
 proptest! {
-    /// A datagram decodes to what was sent; with any byte changed, truncated anywhere or with bytes added it is
-    /// rejected, and arbitrary input never panics.
+    /// A datagram decodes to the envelope that was encoded. It is rejected if any byte is changed, if it is truncated
+    /// anywhere, or if bytes are appended. Arbitrary input does not cause a panic.
     #[test]
-    fn only_complete_datagrams_are_decoded(envelope in envelope(), at in any::<prop::sample::Index>(), flip in 1u8..,
-                                     cut in any::<prop::sample::Index>(),
-                                     junk in proptest::collection::vec(any::<u8>(), 1..64)) {
+    fn only_complete_datagrams_are_decoded(envelope in any_envelope(), changed_at in any::<prop::sample::Index>(),
+                                     mask in 1u8.., truncated_at in any::<prop::sample::Index>(),
+                                     random_bytes in proptest::collection::vec(any::<u8>(), 1..64)) {
         let bytes = encode(&envelope).unwrap();
         prop_assert_eq!(&decode(&bytes).unwrap(), &envelope);
         let mut changed = bytes.clone();
-        let position = at.index(changed.len());
-        changed[position] ^= flip;
-        prop_assert!(decode(&changed).is_err(), "a change at byte {} was accepted", position);
-        prop_assert!(decode(&bytes[..cut.index(bytes.len())]).is_err());
-        prop_assert!(decode(&[&bytes[..], &junk].concat()).is_err());
-        let _ = decode(&junk);
+        let position = changed_at.index(changed.len());
+        changed[position] ^= mask;
+        prop_assert!(decode(&changed).is_err(), "a datagram with byte {} changed was accepted", position);
+        prop_assert!(decode(&bytes[..truncated_at.index(bytes.len())]).is_err());
+        prop_assert!(decode(&[&bytes[..], &random_bytes].concat()).is_err());
+        let _ = decode(&random_bytes);
     }
 }
 
 #[test]
-fn each_datagram_of_the_cluster_is_accepted_once_and_fresh() {
+fn replay_filter_accepts_each_recent_datagram_of_the_cluster_once() {
     let own_cluster = cluster_id("lagos");
     let mut filter = ReplayFilter::new(own_cluster, Micros(5_000_000));
-    let now = 1_000_000_000;
+    let now_us = 1_000_000_000;
     let envelope = |cluster, sent_us| Envelope {
         cluster,
         from: SocketAddr::from(([127, 0, 0, 1], 7)),
         sent_us,
         body: Body::SnapshotRequest { nonce: 1 },
     };
-    let mut cause = |cluster, sent_us, now_us| {
+    let mut rejection_cause = |cluster, sent_us, checked_us| {
         filter
-            .check(&envelope(cluster, sent_us), now_us)
+            .check(&envelope(cluster, sent_us), checked_us)
             .err()
             .map_or("", |error| error.cause())
     };
-    assert_eq!(cause(own_cluster, now - 10, now), "");
-    assert_eq!(cause(own_cluster, now - 10, now + 1), "replayed");
+    assert_eq!(rejection_cause(own_cluster, now_us - 10, now_us), "");
     assert_eq!(
-        cause(own_cluster, now - 10, now + 6_000_000),
+        rejection_cause(own_cluster, now_us - 10, now_us + 1),
+        "replayed"
+    );
+    assert_eq!(
+        rejection_cause(own_cluster, now_us - 10, now_us + 6_000_000),
         "stale",
-        "forgotten only once it is too old anyway"
+        "the filter forgets a datagram only when it is too old to be accepted"
     );
     assert_eq!(
-        cause(own_cluster, now - 11, now),
+        rejection_cause(own_cluster, now_us - 11, now_us),
         "",
-        "late, out of order, and new"
+        "a new datagram that arrives out of order is accepted"
+    );
+    assert_eq!(
+        rejection_cause(cluster_id("other"), now_us, now_us),
+        "cluster"
+    );
+    assert_eq!(
+        rejection_cause(own_cluster, now_us + 2_000_000, now_us),
+        "ahead"
     );
-    assert_eq!(cause(cluster_id("other"), now, now), "cluster");
-    assert_eq!(cause(own_cluster, now + 2_000_000, now), "ahead");
 }
--- a/src/fleet/membership/verdict_broadcast.rs
+++ b/src/fleet/membership/verdict_broadcast.rs
@@ -1,5 +1,5 @@
-//! Verdicts on backends, spread as custom broadcasts of the SWIM protocol: each is passed on while it is new to the
-//! receiver, among the newest on its backend, and within the maximum age.
+//! The broadcast of verdicts on backends, as custom broadcasts of the SWIM protocol. A receiver forwards a verdict if it is
+//! new to it, among the newest ones on its backend, and not older than the maximum age.
 
 use super::member::{Member, WallClock};
 use super::wire::DatagramError;
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest name of a backend in a broadcast.
+/// The maximum length of a backend's name in a broadcast, in bytes.
 const MAX_BACKEND_NAME_BYTES: usize = 200;
-/// How many verdicts are remembered at most.
+/// The maximum number of verdicts that are remembered.
 const MAX_REMEMBERED: usize = 16_384;
-/// How many verdicts on one backend are passed on, the newest first: a proxy acts on the agreement of two others, and
-/// older verdicts change nothing for it.
+/// The maximum number of verdicts on one backend that are forwarded. The newest ones suffice: a proxy acts when two others
+/// agree, and older verdicts do not change that.
 const MAX_FORWARDED_PER_BACKEND: usize = 3;
 
 /// One proxy's verdict on one backend.
@@ -25,7 +25,7 @@
 pub(super) struct VerdictBroadcast {
     /// The advertised address of the proxy that reached the verdict.
     pub(super) origin: SocketAddr,
-    /// When it did, wall time in microseconds since 1970: also the version among verdicts with the same key.
+    /// Wall time of the verdict, in microseconds since 1970. It is also the version among verdicts with the same key.
     pub(super) created_us: u64,
     /// The backend's name in discovery's list.
     pub(super) backend: String,
@@ -34,7 +34,7 @@
 }
 
 impl VerdictBroadcast {
-    /// Its bytes as a broadcast; `None` where the backend's name is too long.
+    /// Encodes the broadcast; `None` if the backend's name is too long.
     pub(super) fn encode(&self) -> Option<Vec<u8>> {
         if self.backend.len() > MAX_BACKEND_NAME_BYTES {
             return None;
@@ -67,27 +67,27 @@
     }
 }
 
-/// Of verdicts with the same key the latest counts.
+/// The backend and the origin of a verdict. Of several verdicts with the same key, only the latest is valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct VerdictKey {
     backend: String,
     origin: SocketAddr,
 }
 
-/// A verdict among others on the same backend, ordered by age.
+/// The order of the verdicts on one backend: by creation time, and for equal times by origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct VerdictVersion {
     created_us: u64,
     origin: SocketAddr,
 }
 
-/// Which broadcasts that still wait to be sent are replaced by a new one.
+/// Determines which of the broadcasts that still wait to be sent are dropped for a new one.
 pub(super) struct Supersedes {
     key: VerdictKey,
     created_us: u64,
-    /// On the same backend, those created before this.
+    /// Broadcasts on the same backend that were created before this time are dropped.
     oldest_forwarded_us: u64,
-    /// On whatever backend, those created before this: they are past the maximum age.
+    /// Broadcasts on any backend that were created before this time are dropped: they are older than the maximum age.
     expired_before_us: u64,
 }
 
@@ -100,18 +100,18 @@
     }
 }
 
-/// The verdicts received so far, and those of them that have yet to be reported.
+/// The verdicts known so far, and the ones received that have not been reported yet.
 pub(super) struct VerdictStore {
     own_address: SocketAddr,
     max_age: Micros,
     clock: WallClock,
-    /// When the latest verdict with each key was created.
+    /// The creation time of the latest verdict with each key, in microseconds since 1970.
     pub(super) latest_us: HashMap<VerdictKey, u64>,
-    /// The verdicts that are passed on, by backend, the newest first.
+    /// The verdicts that are forwarded, by backend, the newest first.
     forwarded: HashMap<String, Vec<VerdictVersion>>,
-    /// Others' verdicts that have not been reported yet.
+    /// Other proxies' verdicts that have not been reported yet.
     pub(super) unreported: Vec<VerdictBroadcast>,
-    /// How many verdicts arrived past the maximum age.
+    /// The number of received verdicts that were older than the maximum age.
     pub(super) stale: u64,
 }
 
@@ -134,17 +134,18 @@
         }))
     }
 
-    /// Takes others' verdicts that have not been reported yet.
+    /// Removes and returns other proxies' verdicts that have not been reported yet.
     pub(super) fn take_unreported(&mut self) -> Vec<VerdictBroadcast> {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Stores a verdict of this proxy (`is_own`) or of another one; what it supersedes, if it is to be passed on.
+    /// Stores a verdict of this proxy (`is_own`) or of another one. If it has to be sent or forwarded, returns which waiting
+    /// broadcasts it supersedes.
     fn store(&mut self, broadcast: VerdictBroadcast, is_own: bool) -> Option<Supersedes> {
         let now_us = self.clock.now_us();
         if check_age(broadcast.created_us, now_us, self.max_age).is_err() {
             self.stale += 1;
-            return None; // the sender had it in time: the datagram itself is valid
+            return None; // not an error: it was not too old when it was sent, and the datagram is valid
         }
         let is_echo = broadcast.origin == self.own_address && !is_own;
         if is_echo || self.is_known(&broadcast) || !self.evict_expired(now_us) {
@@ -172,7 +173,7 @@
             .is_some_and(|latest_us| *latest_us >= broadcast.created_us)
     }
 
-    /// Forgets expired verdicts when the store is full; whether it has capacity for one more.
+    /// Removes expired verdicts if the store is full. Returns whether there is room for one more.
     fn evict_expired(&mut self, now_us: u64) -> bool {
         if self.latest_us.len() < MAX_REMEMBERED {
             return true;
@@ -185,8 +186,8 @@
         self.latest_us.len() < MAX_REMEMBERED
     }
 
-    /// Counts a verdict among those on its backend; when the oldest that is passed on was created, or 0 while there are
-    /// fewer than [`MAX_FORWARDED_PER_BACKEND`].
+    /// Inserts a verdict into the versions on its backend. Returns the creation time of the oldest one that is forwarded, or
+    /// 0 while there are fewer than [`MAX_FORWARDED_PER_BACKEND`].
     fn insert_version(&mut self, broadcast: &VerdictBroadcast, expired_before_us: u64) -> u64 {
         let versions = self.forwarded.entry(broadcast.backend.clone()).or_default();
         versions.retain(|v| v.origin != broadcast.origin && v.created_us >= expired_before_us);
@@ -199,7 +200,7 @@
     }
 }
 
-/// Connects the SWIM implementation to the store.
+/// Receives foca's custom broadcasts and stores their verdicts.
 pub(super) struct VerdictHandler(pub(super) SharedVerdictStore);
 
 impl BroadcastHandler<Member> for VerdictHandler {
