--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -1,8 +1,8 @@
-//! The datagrams that proxies send each other: their format, their encoding, and the checks on arrival.
+//! The datagrams that proxies send each other: their format, encoding and validation.
 //!
-//! A datagram is a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an [`Envelope`] in
-//! postcard. [`DatagramSealer`] encodes outgoing ones, [`decode`] and [`ReplayFilter`] check incoming ones. Any other
-//! input is rejected with a [`DatagramError`]; nothing here panics on input.
+//! A datagram consists of a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an [`Envelope`]
+//! in postcard encoding. [`DatagramSealer`] encodes outgoing datagrams; [`decode`] and [`ReplayFilter`] validate incoming
+//! ones. Invalid input is rejected with a [`DatagramError`] and never causes a panic.
 
 use crate::fleet::message_age::{check_age, AgeError};
 use crate::interface::Micros;
@@ -12,18 +12,18 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 const MAGIC: [u8; 4] = *b"SHTP";
-/// The version of the datagram format, raised whenever the shape of the envelope or of a body changes.
+/// The version of the datagram format. It has to be raised with every change of the envelope or of a body.
 pub const VERSION: u8 = 3;
-/// Magic, version and checksum.
+/// The size of the prefix, in bytes: magic, version and checksum.
 const PREFIX_BYTES: usize = 9;
-/// The largest datagram: below the usual path MTU, so that none is fragmented.
+/// The maximum size of a datagram, in bytes: below the usual path MTU, so that none is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The largest body: prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
+/// The maximum size of a body, in bytes. Prefix and envelope take less than the difference to [`MAX_DATAGRAM_BYTES`].
 pub const MAX_DATAGRAM_BODY_BYTES: usize = 1300;
-/// How many datagrams a [`ReplayFilter`] remembers at most.
+/// The maximum number of datagrams that a [`ReplayFilter`] remembers.
 const REPLAY_FILTER_DATAGRAMS: usize = 16_384;
 
-/// Identifies a cluster: the first bytes of the BLAKE3 hash of its name.
+/// The identifier of a cluster: the first 8 bytes of the BLAKE3 hash of its name.
 pub type ClusterId = [u8; 8];
 
 /// The identifier of the cluster with that name.
@@ -33,14 +33,14 @@
     id
 }
 
-/// What every datagram carries.
+/// The content of a datagram: a message with its sender and the time of sending.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The cluster that the sender belongs to.
     pub cluster: ClusterId,
     /// The sender's advertised address.
     pub from: SocketAddr,
-    /// Wall time of sending, microseconds since 1970; strictly increasing for each sender.
+    /// Wall time of sending, in microseconds since 1970; strictly increasing for each sender.
     pub sent_us: u64,
     /// The message.
     pub body: Body,
@@ -51,14 +51,14 @@
 pub enum Body {
     /// A SWIM message with its piggybacked membership updates and verdict broadcasts.
     Swim(Vec<u8>),
-    /// A new proxy requests a snapshot.
+    /// A request of a new proxy for a snapshot.
     SnapshotRequest {
-        /// The requester's number for the transfer, repeated in each chunk.
+        /// The number that the requester chose for the transfer; it is repeated in each chunk.
         nonce: u64,
     },
     /// A chunk of the requested snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// A message of the coordination of leases, windows and configuration, which has a codec of its own.
+    /// A message of the coordination of leases, windows and configuration, in its own encoding.
     Coordination(Vec<u8>),
     /// A digest of the sender's member list: one checksum (u32, little endian) for each bucket of members.
     ListDigest(Vec<u8>),
@@ -66,12 +66,12 @@
     MemberList(Vec<u8>),
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The requester's number for the transfer.
+    /// The number that the requester chose for the transfer.
     pub nonce: u64,
-    /// The position of this chunk, from 0.
+    /// The index of this chunk, from 0.
     pub index: u16,
     /// The number of chunks of the snapshot.
     pub count: u16,
@@ -79,55 +79,55 @@
     pub bytes: Vec<u8>,
 }
 
-/// Why a datagram is rejected.
+/// The reason why a datagram is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DatagramError {
-    /// Larger than allowed.
-    #[error("{length} bytes or more, over the {MAX_DATAGRAM_BYTES} allowed")]
+    /// The datagram, or a field in it, is too large.
+    #[error("size of at least {length} bytes, the maximum is {MAX_DATAGRAM_BYTES} bytes")]
     Oversized {
-        /// Bytes of the datagram, or of the field in it that is too long.
+        /// The size of the datagram or of the field, in bytes.
         length: usize,
     },
-    /// Shorter than the prefix.
-    #[error("{length} bytes, shorter than any datagram")]
+    /// The datagram is shorter than the prefix.
+    #[error("size of {length} bytes, the minimum is {PREFIX_BYTES} bytes")]
     TooShort {
-        /// Bytes of the datagram.
+        /// The size of the datagram, in bytes.
         length: usize,
     },
-    /// The magic is missing: not sent by a proxy.
-    #[error("not a proxy's datagram")]
+    /// The magic is missing: the datagram was not sent by a proxy.
+    #[error("magic bytes are missing, not a datagram of a proxy")]
     BadMagic,
-    /// Another version of the format.
-    #[error("version {0}, this program reads {VERSION}")]
+    /// The datagram has another version of the format.
+    #[error("unsupported datagram version {0}, expected version {VERSION}")]
     UnsupportedVersion(u8),
     /// The checksum doesn't match the content.
-    #[error("the checksum does not match")]
+    #[error("checksum does not match the content")]
     ChecksumMismatch,
     /// The content doesn't decode.
-    #[error("does not decode: {0}")]
+    #[error("malformed content: {0}")]
     Malformed(#[source] postcard::Error),
-    /// From another cluster.
-    #[error("from another cluster")]
+    /// The sender belongs to another cluster.
+    #[error("sender belongs to another cluster")]
     ForeignCluster,
-    /// Too old, or sent in the future.
+    /// The datagram is too old or was sent in the future.
     #[error(transparent)]
     Age(#[from] AgeError),
-    /// A datagram that was received before.
-    #[error("received before")]
+    /// The datagram was received before.
+    #[error("datagram was received before")]
     Replayed,
-    /// A request from a sender that is no member, or a response that nobody requested.
-    #[error("from no member, or not requested")]
+    /// A request from a sender that is not a live member, or a response that was not requested.
+    #[error("sender is not a live member, or the response was not requested")]
     Unsolicited,
-    /// A coordination message, while this proxy runs no coordination or its queue is full.
-    #[error("a coordination message, with nobody here to take it")]
+    /// A coordination message that cannot be processed: coordination is not configured here, or its queue is full.
+    #[error("coordination message dropped: coordination is not configured or its queue is full")]
     Unhandled,
-    /// The SWIM implementation rejects it.
-    #[error("membership: {0}")]
+    /// The SWIM implementation rejected the message.
+    #[error("SWIM message rejected: {0}")]
     Swim(#[source] foca::Error),
 }
 
 impl DatagramError {
-    /// A stable name for logs and counters.
+    /// A stable name of the cause, for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
             DatagramError::Oversized { .. } => "oversized",
@@ -135,26 +135,26 @@
             DatagramError::BadMagic => "magic",
             DatagramError::UnsupportedVersion(_) => "version",
             DatagramError::ChecksumMismatch => "checksum",
-            // The checksum is right, but the body does not decode: look for a faulty or differing program.
+            // The checksum matches, but the content does not decode: the sender runs a faulty or incompatible program.
             DatagramError::Malformed(_) => "garbled",
             DatagramError::ForeignCluster => "cluster",
             DatagramError::Age(error) => error.cause(),
             DatagramError::Replayed => "replayed",
-            // A response that this proxy did not request, or no longer waits for.
+            // A request of an unknown sender, or a response that this proxy did not request or no longer waits for.
             DatagramError::Unsolicited => "unasked",
-            // A coordination message that nobody takes here: coordination is not configured, or its queue is full.
+            // A coordination message, while coordination is not configured or its queue is full.
             DatagramError::Unhandled => "unheard",
             DatagramError::Swim(_) => "swim",
         }
     }
 
-    /// The error for content that decodes, but not to anything valid.
+    /// The error for content that decodes to an invalid value.
     pub(super) fn invalid_content() -> DatagramError {
         DatagramError::Malformed(postcard::Error::DeserializeBadEncoding)
     }
 }
 
-/// Encodes one proxy's datagrams; whichever thread sends, each gets a later sending time than the one before.
+/// Encodes one proxy's datagrams, with strictly increasing sending times. It can be shared between threads.
 #[derive(Debug)]
 pub struct DatagramSealer {
     cluster: ClusterId,
@@ -163,7 +163,7 @@
 }
 
 impl DatagramSealer {
-    /// For datagrams within that cluster from `own_address`, the sender's advertised address.
+    /// Creates a sealer for datagrams to proxies of `cluster`. `own_address` is the sender's advertised address.
     pub fn new(cluster: ClusterId, own_address: SocketAddr) -> DatagramSealer {
         DatagramSealer {
             cluster,
@@ -172,10 +172,10 @@
         }
     }
 
-    /// The bytes of a datagram sent at wall time `now_us`, or just after the last one.
+    /// Encodes a datagram with `now_us`, or 1 us after the previous one if that is later, as its wall time of sending.
     ///
     /// # Errors
-    /// Where the body is too large for one datagram.
+    /// If the body is too large for one datagram.
     pub fn seal(&self, body: Body, now_us: u64) -> Result<Vec<u8>, DatagramError> {
         let next = |last: u64| now_us.max(last.saturating_add(1));
         let last = self
@@ -191,10 +191,10 @@
     }
 }
 
-/// Encodes an envelope to a datagram.
+/// Encodes an envelope as a datagram.
 ///
 /// # Errors
-/// Where the envelope is too large for one datagram.
+/// If the envelope is too large for one datagram.
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
     let content = postcard::to_stdvec(envelope).map_err(DatagramError::Malformed)?;
     let length = PREFIX_BYTES + content.len();
@@ -209,10 +209,10 @@
     Ok(bytes)
 }
 
-/// Decodes a datagram to its envelope.
+/// Decodes the envelope of a datagram.
 ///
 /// # Errors
-/// Why the bytes are no complete datagram of this version.
+/// If the bytes are not a complete, unchanged datagram of this version.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
     let length = bytes.len();
     if length > MAX_DATAGRAM_BYTES {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Identifies a datagram: sending times strictly increase for each sender.
+/// The identity of a datagram, which is unique because the sending times of each sender strictly increase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct DatagramId {
     from: SocketAddr,
@@ -250,12 +250,12 @@
     cluster: ClusterId,
     max_age: Micros,
     seen: HashSet<DatagramId>,
-    /// The same, in order of arrival.
+    /// The elements of `seen` in the order of arrival.
     arrivals: VecDeque<DatagramId>,
 }
 
 impl ReplayFilter {
-    /// For datagrams of that cluster which are at most `max_age` old.
+    /// Creates a filter that accepts datagrams of `cluster` which are at most `max_age` old.
     pub fn new(cluster: ClusterId, max_age: Micros) -> ReplayFilter {
         ReplayFilter {
             cluster,
@@ -268,7 +268,7 @@
     /// Checks an envelope at wall time `now_us`, and remembers it if it is accepted.
     ///
     /// # Errors
-    /// Why it is rejected.
+    /// If it belongs to another cluster, is too old or from the future, or was received before.
     pub fn check(&mut self, envelope: &Envelope, now_us: u64) -> Result<(), DatagramError> {
         if envelope.cluster != self.cluster {
             return Err(DatagramError::ForeignCluster);
@@ -286,7 +286,7 @@
         Ok(())
     }
 
-    /// Forgets datagrams that would be rejected for their age anyway, and the oldest while the filter is full.
+    /// Removes datagrams that would be rejected for their age anyway, and the oldest ones while the filter is full.
     fn forget_expired(&mut self, now_us: u64) {
         while let Some(oldest) = self.arrivals.front().copied() {
             let expired = oldest.sent_us.saturating_add(self.max_age.0) < now_us;
