--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -106,7 +106,7 @@
     fn enable_in_host(&self, id: &str, since: Time) {
         let reason = DisableReason::Operator;
         if !self.host.enable_backend(id, reason, since) {
-            self.host.backend_returned(id, since);
+            self.host.disable_reason_ended(id, since);
         }
     }
 
@@ -152,7 +152,7 @@
 
     /// Uses the backend again; false for an unknown id. A repeated call changes nothing: it is no fresh start.
     pub fn enable(&self, id: &str) -> bool {
-        if !self.host.knows(id) {
+        if !self.host.is_known_backend(id) {
             return false;
         }
         let is_on_disk = self.disabled_file(id).is_some_and(|file| file.exists());
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -230,7 +230,7 @@
     }
 
     fn metrics(&self) -> CallAnswer {
-        self.0.host.update_metrics(self.0.server.clients());
+        self.0.host.update_metrics(self.0.server.client_count());
         CallAnswer {
             content_type: Some(HeaderValue::from_static(METRICS_CONTENT_TYPE)),
             ..CallAnswer::ok(self.0.metrics.render())
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -135,7 +135,7 @@
             backends: backends.clone(),
             open: self
                 .host
-                .in_flight_at(&self.applied.in_maintenance.borrow()),
+                .in_flight_counts(&self.applied.in_maintenance.borrow()),
             members: self.peers.members(),
             config_version: self.applied.fleet_overrides.version(),
             file_version: self.applied.fleet_overrides.file_version(),
--- a/src/net/connection_driver.rs
+++ b/src/net/connection_driver.rs
@@ -16,7 +16,7 @@
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// What [`drive_past_close`] ended with.
-pub struct Driven<T> {
+pub struct DriveResult<T> {
     pub value: T,
     /// Whether the connection was still open.
     pub is_open: bool,
@@ -56,18 +56,18 @@
         impl Body<Data = Bytes, Error: Into<BoxError>> + 'static,
     >,
     work: impl Future<Output = T>,
-) -> Driven<T> {
+) -> DriveResult<T> {
     let mut work = pin!(work);
     let mut is_open = true;
     poll_fn(|cx| {
         if let Poll::Ready(value) = work.as_mut().poll(cx) {
-            return Poll::Ready(Driven { value, is_open });
+            return Poll::Ready(DriveResult { value, is_open });
         }
         if is_open && Pin::new(&mut *connection).poll(cx).is_ready() {
             is_open = false;
         }
         let value = work.as_mut().poll(cx);
-        value.map(|value| Driven { value, is_open })
+        value.map(|value| DriveResult { value, is_open })
     })
     .await
 }
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -1,7 +1,7 @@
 //! How many client and backend connections a process may hold within its limit of file descriptors.
 //!
 //! [`DescriptorLimits`] says it at any moment. During a hot restart two processes are one proxy and share its descriptors;
-//! [`follow_other_process`] keeps their limits in step.
+//! [`track_other_process`] keeps their limits in step.
 
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
@@ -91,7 +91,7 @@
     }
 
     /// How many connections the process may hold now, with so many open to backends.
-    pub fn connections(&self, open_upstreams: usize) -> ConnectionLimits {
+    pub fn connection_limits(&self, open_upstreams: usize) -> ConnectionLimits {
         let descriptors = self.descriptors.get();
         match self.other.get() {
             Some(other) => {
@@ -103,9 +103,9 @@
 
     /// Puts them in force.
     pub fn apply(&self, host: &Host, server: &Server) {
-        let limits = self.connections(host.pool.open());
-        host.pool.limit(limits.upstreams);
-        server.limit(limits.clients);
+        let limits = self.connection_limits(host.pool.open_connections());
+        host.pool.set_max_open(limits.upstreams);
+        server.set_max_clients(limits.clients);
     }
 }
 
@@ -117,7 +117,7 @@
 /// Watches for another process of this proxy, for as long as the program runs. While there are two they share the
 /// proxy's descriptors and the request rate that backends in slow start may get: what one process has the other may
 /// not have. The old process's clients come over one by one, and the limits of each side follow them.
-pub async fn follow_other_process(
+pub async fn track_other_process(
     presence: Rc<Presence>,
     host: Rc<Host>,
     server: Rc<Server>,
@@ -126,8 +126,8 @@
     loop {
         let others = presence.others();
         let own = ConnectionCounts {
-            clients: server.clients(),
-            upstreams: host.pool.open(),
+            clients: server.client_count(),
+            upstreams: host.pool.open_connections(),
         };
         presence.write_counts(own);
         let is_shared = others.any();
--- a/src/net/descriptor_limits/tests.rs
+++ b/src/net/descriptor_limits/tests.rs
@@ -41,14 +41,14 @@
     };
     let limits = DescriptorLimits::new(DESCRIPTORS);
     assert!(limits.set_other(Some(other)));
-    let shared = limits.connections(OWN_UPSTREAMS);
+    let shared = limits.connection_limits(OWN_UPSTREAMS);
     limits.set_descriptors(DESCRIPTORS);
-    assert_eq!(limits.connections(OWN_UPSTREAMS), shared);
+    assert_eq!(limits.connection_limits(OWN_UPSTREAMS), shared);
     let all = shared.clients + shared.upstreams + other.clients + other.upstreams;
     assert!(all < DESCRIPTORS, "{all} connections");
     assert!(limits.set_other(None));
     assert_eq!(
-        limits.connections(OWN_UPSTREAMS),
+        limits.connection_limits(OWN_UPSTREAMS),
         ConnectionLimits::for_single_process(DESCRIPTORS)
     );
 }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Deserialize)]
-struct Entry {
+struct EntryFields {
     name: String,
     address: String,
     #[serde(default)]
@@ -68,7 +68,7 @@
 
 impl Endpoint {
     fn read(value: &Value) -> Result<Endpoint, EntryError> {
-        let entry = Entry::deserialize(value)?;
+        let entry = EntryFields::deserialize(value)?;
         let state = match entry.status.as_str() {
             "SERVING" => BackendState::Ready,
             "DRAINING" => BackendState::Draining,
@@ -177,8 +177,8 @@
 /// Each entry is converted as it is read, so that a long list is never in memory as JSON values.
 impl<'de> Deserialize<'de> for ParsedEntries {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ParsedEntries, D::Error> {
-        struct Each;
-        impl<'de> Visitor<'de> for Each {
+        struct EntriesVisitor;
+        impl<'de> Visitor<'de> for EntriesVisitor {
             type Value = ParsedEntries;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("an array of entries")
@@ -194,13 +194,13 @@
                 Ok(parsed)
             }
         }
-        from.deserialize_seq(Each)
+        from.deserialize_seq(EntriesVisitor)
     }
 }
 
 impl List {
     /// Its entries, as far as they can be read.
-    pub fn lines(&self) -> EntryChunks {
+    pub fn entries(&self) -> EntryChunks {
         let mut parsed = ParsedEntries::default();
         for value in &self.endpoints {
             parsed.read(value);
@@ -219,7 +219,7 @@
 }
 
 #[derive(Deserialize)]
-struct Body {
+struct AnswerBody {
     index: u64,
     #[serde(rename = "snapshot")]
     is_full: bool,
@@ -240,7 +240,7 @@
     /// Reads a body from the buffers that it arrived in, which are never joined: it may be long.
     pub fn read(body: impl Buf) -> Result<ListAnswer, AnswerError> {
         let body = io::BufReader::with_capacity(READ_BUFFER_BYTES, body.reader());
-        let Body {
+        let AnswerBody {
             index,
             is_full,
             endpoints,
--- a/src/net/discovery/list_tracker.rs
+++ b/src/net/discovery/list_tracker.rs
@@ -22,8 +22,8 @@
 
 /// A call, by the state of the list as it began.
 pub struct PendingCall {
-    /// The era in whose versions its answer will be.
-    era: u64,
+    /// The epoch in whose versions its answer will be.
+    epoch: u64,
     /// How many lists had been applied.
     applied_lists: u64,
     /// The version of the list in force.
@@ -48,11 +48,11 @@
     host: Rc<Host>,
     index: Cell<u64>,
     applied_lists: Cell<u64>,
-    /// The era of the list in force. An era is a span in which versions are comparable: they are counted anew at each
+    /// The epoch of the list in force. An epoch is a span in which versions are comparable: they are counted anew at each
     /// address and with each start of discovery.
-    era: Cell<u64>,
-    /// The era of calls that begin now.
-    latest_era: Cell<u64>,
+    epoch: Cell<u64>,
+    /// The epoch of calls that begin now.
+    latest_epoch: Cell<u64>,
     /// A call that was given up has brought a newer list.
     late_answer: Notify,
     late_calls: RefCell<VecDeque<AbortHandle>>,
@@ -65,8 +65,8 @@
             host,
             index: Cell::new(index),
             applied_lists: Cell::default(),
-            era: Cell::default(),
-            latest_era: Cell::default(),
+            epoch: Cell::default(),
+            latest_epoch: Cell::default(),
             late_answer: Notify::new(),
             late_calls: RefCell::default(),
         }
@@ -77,40 +77,40 @@
         self.index.get()
     }
 
-    /// A call that begins now: for the full list where that is wanted, or where no list of this era is in force.
+    /// A call that begins now: for the full list where that is wanted, or where no list of this epoch is in force.
     pub fn begin_call(&self, wants_full_list: bool) -> PendingCall {
-        let era = self.latest_era.get();
+        let epoch = self.latest_epoch.get();
         PendingCall {
-            era,
+            epoch,
             applied_lists: self.applied_lists.get(),
             index: self.index.get(),
-            is_full: wants_full_list || era != self.era.get(),
+            is_full: wants_full_list || epoch != self.epoch.get(),
         }
     }
 
     /// From now on versions are counted anew.
-    pub fn begin_era(&self) {
-        self.latest_era.set(self.latest_era.get() + 1);
+    pub fn begin_epoch(&self) {
+        self.latest_epoch.set(self.latest_epoch.get() + 1);
     }
 
     /// Applies an answer if it is newer than the list in force. Of two answers whose calls overlapped the higher index
     /// is the newer; an index may only go back in the answer to a call that began after the list in force was applied:
     /// then discovery has started anew.
-    fn take(&self, call: &PendingCall, list: &ListAnswer) -> UpdateResult {
-        let era = self.era.get();
+    fn apply_if_newer(&self, call: &PendingCall, list: &ListAnswer) -> UpdateResult {
+        let epoch = self.epoch.get();
         let index = self.index.get();
         let has_crossed = call.applied_lists != self.applied_lists.get() && list.index <= index;
-        if call.era < era || (call.era == era && has_crossed) {
+        if call.epoch < epoch || (call.epoch == epoch && has_crossed) {
             return UpdateResult::Stale;
         }
         if !list.is_full && (call.is_full || list.index < call.index) {
             return UpdateResult::Gap;
         }
-        if call.era == era && list.index < index && era == self.latest_era.get() {
-            self.begin_era();
-            self.era.set(self.latest_era.get());
+        if call.epoch == epoch && list.index < index && epoch == self.latest_epoch.get() {
+            self.begin_epoch();
+            self.epoch.set(self.latest_epoch.get());
         } else {
-            self.era.set(call.era);
+            self.epoch.set(call.epoch);
         }
         self.apply(list);
         UpdateResult::Applied
@@ -128,19 +128,19 @@
     }
 
     /// Takes the answer to a call that was waited for.
-    pub fn take_timely(
+    pub fn apply_timely_answer(
         &self,
         call: &PendingCall,
         list: &ListAnswer,
     ) -> Result<UpdateResult, DiscoveryError> {
-        match self.take(call, list) {
+        match self.apply_if_newer(call, list) {
             UpdateResult::Gap if call.is_full => Err(DiscoveryError::ChangesOnly),
             result => Ok(result),
         }
     }
 
     /// Listens on for the answer to a call that was given up, and applies it if it is newer.
-    pub fn listen_late(self: &Rc<Self>, call: PendingCall, running: JoinHandle<CallResult>) {
+    pub fn await_late_answer(self: &Rc<Self>, call: PendingCall, running: JoinHandle<CallResult>) {
         let mut late_calls = self.late_calls.borrow_mut();
         late_calls.retain(|call| !call.is_finished());
         late_calls.push_back(running.abort_handle());
@@ -150,10 +150,14 @@
             }
         }
         let tracker = self.clone();
-        tokio::task::spawn_local(tracker.take_late(call, running));
+        tokio::task::spawn_local(tracker.apply_late_answer(call, running));
     }
 
-    async fn take_late(self: Rc<Self>, call: PendingCall, mut running: JoinHandle<CallResult>) {
+    async fn apply_late_answer(
+        self: Rc<Self>,
+        call: PendingCall,
+        mut running: JoinHandle<CallResult>,
+    ) {
         let finished = tokio::time::timeout(LATE_ANSWER_TIMEOUT, &mut running).await;
         running.abort(); // a call without an answer would keep its connection
         let Ok(Ok(CallResult {
@@ -162,8 +166,8 @@
         else {
             return;
         };
-        let is_in_force = call.era == self.era.get() && list.index == self.index.get();
-        if !is_in_force && self.take(&call, &list) == UpdateResult::Applied {
+        let is_in_force = call.epoch == self.epoch.get() && list.index == self.index.get();
+        if !is_in_force && self.apply_if_newer(&call, &list) == UpdateResult::Applied {
             info!(
                 index = list.index,
                 "discovery answered a call late, with {}", list.index
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -69,11 +69,11 @@
     }
 
     /// Takes over the address that is in force, whichever came first: this, an answer, or the end of a pause.
-    fn follow_address(&mut self, address: SocketAddr) {
+    fn update_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        self.tracker.begin_era();
+        self.tracker.begin_epoch();
         self.address = address;
         self.has_moved = true;
         self.connection = None;
@@ -99,14 +99,14 @@
     }
 
     /// Takes the end of a call that was waited for.
-    fn take_result(
+    fn apply_result(
         &mut self,
         call: &PendingCall,
         finished: Result<CallResult, JoinError>,
     ) -> Result<UpdateResult, DiscoveryError> {
         let result = finished.map_err(|_| DiscoveryError::ConnectionEnded)?;
         self.connection = result.connection;
-        self.tracker.take_timely(call, &result.answer?)
+        self.tracker.apply_timely_answer(call, &result.answer?)
     }
 
     fn succeeded(&mut self, result: UpdateResult) {
@@ -169,7 +169,7 @@
         host.poll_requested().await;
     }
     loop {
-        watcher.follow_address(*addresses.borrow_and_update());
+        watcher.update_address(*addresses.borrow_and_update());
         let pending = tracker.begin_call(watcher.wants_full_list);
         let request = watcher.request(&pending);
         let mut running = tokio::task::spawn_local(call(
@@ -181,14 +181,14 @@
         let finished = tokio::select! {
             finished = tokio::time::timeout(request.timeout, &mut running) => finished,
             Ok(()) = addresses.changed() => {
-                tracker.listen_late(pending, running);
+                tracker.await_late_answer(pending, running);
                 continue;
             }
         };
         let taken = match finished {
-            Ok(result) => watcher.take_result(&pending, result),
+            Ok(result) => watcher.apply_result(&pending, result),
             Err(Elapsed { .. }) => {
-                tracker.listen_late(pending, running);
+                tracker.await_late_answer(pending, running);
                 Err(DiscoveryError::Timeout)
             }
         };
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -12,7 +12,7 @@
 const MIN_LONG_POLL_S: f64 = 1.5;
 const MAX_LONG_POLL_S: f64 = 2.8;
 /// The least part of that wait that is drawn: proxies that were answered together do not call together again.
-pub const MIN_JITTER: f64 = 0.75;
+pub const MIN_JITTER_FACTOR: f64 = 0.75;
 /// What an answer may take beyond its wait before discovery counts as silent.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
@@ -71,7 +71,7 @@
 
     /// How long the next call waits for changes.
     pub fn next_long_poll(&mut self) -> Duration {
-        let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER..=1.0);
+        let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER_FACTOR..=1.0);
         Duration::from_millis((wait_s * 1e3) as u64)
     }
 
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -3,7 +3,7 @@
 use super::client::{read_list, MAX_INLINE_READ_BYTES};
 use super::endpoint_list::{AnswerError, List, ListEntry};
 use super::poll_schedule::{
-    AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER,
+    AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER_FACTOR,
 };
 use super::*;
 use bytes::Bytes;
@@ -236,7 +236,7 @@
         );
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
         assert!(
-            f64::from(proxies) / mean <= MAX_QUIET_CALLS_PER_S / MIN_JITTER,
+            f64::from(proxies) / mean <= MAX_QUIET_CALLS_PER_S / MIN_JITTER_FACTOR,
             "{proxies}: every {mean} s"
         );
         let distinct: BTreeSet<u64> = waits.iter().map(|w| (w * 1e3) as u64).collect();
--- a/src/net/downstream/server.rs
+++ b/src/net/downstream/server.rs
@@ -32,7 +32,7 @@
 const CONNECTIONS_ABOVE_LIMIT: usize = 24;
 const BACKLOG: u32 = 1024;
 /// The first request of a connection that is younger than this is on its way.
-const JUST_CONNECTED: Duration = Duration::from_millis(200);
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
 /// What the kernel has received is read within this time.
 const EVENT_LOOP_TURN: Duration = Duration::from_millis(20);
 /// Out of descriptors with no connection to close, accepting is retried after this time.
@@ -81,7 +81,7 @@
     is_accepting: Cell<bool>,
     is_stopping: Cell<bool>,
     /// A connection ended, or is about to.
-    client_left: Notify,
+    client_closed: Notify,
     last_accept_log: Cell<Time>,
 }
 
@@ -104,13 +104,13 @@
             next_key: Cell::new(0),
             is_accepting: Cell::new(false),
             is_stopping: Cell::new(false),
-            client_left: Notify::new(),
+            client_closed: Notify::new(),
             last_accept_log: Cell::default(),
         })
     }
 
     /// Client connections that are open now.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Allows so many connections from now on.
-    pub fn limit(&self, max_clients: usize) {
+    pub fn set_max_clients(&self, max_clients: usize) {
         self.max_clients.set(max_clients);
     }
 
@@ -150,10 +150,10 @@
     }
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
-        while self.clients() >= self.max_clients.get() + CONNECTIONS_ABOVE_LIMIT {
+        while self.client_count() >= self.max_clients.get() + CONNECTIONS_ABOVE_LIMIT {
             // A connection that is closing still has a descriptor, and a queue of new ones would take the rest.
             self.close_least_useful(EVENT_LOOP_TURN);
-            self.client_left_within(EVENT_LOOP_TURN).await;
+            self.wait_for_client_close(EVENT_LOOP_TURN).await;
         }
         match listener.accept().await {
             Ok((tcp, _)) => self.add_client(tcp),
@@ -169,17 +169,17 @@
             self.last_accept_log.set(now);
             warn!(
                 "accept: {error}; {} clients, {} upstreams",
-                self.clients(),
-                self.host.pool.open()
+                self.client_count(),
+                self.host.pool.open_connections()
             );
         }
-        if self.close_least_useful(Duration::ZERO) || !self.host.pool.close_oldest() {
-            self.client_left_within(ACCEPT_RETRY_DELAY).await;
+        if self.close_least_useful(Duration::ZERO) || !self.host.pool.close_longest_idle() {
+            self.wait_for_client_close(ACCEPT_RETRY_DELAY).await;
         }
     }
 
-    async fn client_left_within(&self, limit: Duration) {
-        let _ = tokio::time::timeout(limit, self.client_left.notified()).await;
+    async fn wait_for_client_close(&self, limit: Duration) {
+        let _ = tokio::time::timeout(limit, self.client_closed.notified()).await;
     }
 
     /// Closes one idle connection: of the first kind that there is, the one that has been idle longest. One that has just
@@ -190,8 +190,8 @@
         let mut candidates = self.close_candidates(&clients, min_age);
         while let Some(Reverse(candidate)) = candidates.pop() {
             let client = &clients[&candidate.key];
-            if candidate.kind == IdleKind::HalfClosed || !client.stream.has_unread() {
-                client.is_leaving.set(true); // another call at the same moment chooses another
+            if candidate.kind == IdleKind::HalfClosed || !client.stream.has_unread_input() {
+                client.is_closing.set(true); // another call at the same moment chooses another
                 client.close.notify_one();
                 return true;
             }
@@ -206,7 +206,7 @@
     ) -> BinaryHeap<Reverse<CloseCandidate>> {
         let now = Instant::now();
         let candidate = |(key, client): (&u64, &Rc<ClientConnection>)| {
-            let since = self.host.clock.instant(client.since.get());
+            let since = self.host.clock.instant(client.last_active_at.get());
             let idle = client.idle_state(now, since)?;
             let is_spared = idle.kind == IdleKind::JustConnected && now - idle.since < min_age;
             (!is_spared).then_some(Reverse(CloseCandidate {
@@ -219,8 +219,8 @@
     }
 
     fn add_client(self: &Rc<Self>, tcp: TcpStream) {
-        if self.clients() >= self.max_clients.get() {
-            self.close_least_useful(JUST_CONNECTED);
+        if self.client_count() >= self.max_clients.get() {
+            self.close_least_useful(FIRST_REQUEST_GRACE);
         }
         let key = self.next_key.get();
         self.next_key.set(key + 1);
@@ -231,10 +231,10 @@
         tokio::task::spawn_local(async move {
             server.serve(&client).await;
             client.mark_half_closed();
-            server.client_left.notify_one(); // whoever waits for capacity need not wait for the other side
+            server.client_closed.notify_one(); // whoever waits for capacity need not wait for the other side
             client.close_lingering().await;
             server.clients.borrow_mut().remove(&key);
-            server.client_left.notify_one();
+            server.client_closed.notify_one();
         });
     }
 }
--- a/src/net/downstream/server/client_connection.rs
+++ b/src/net/downstream/server/client_connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: its requests one after another, and its end.
 
 use super::request::{plain_response, OutgoingBody, RequestError};
-use super::{Server, EVENT_LOOP_TURN, JUST_CONNECTED};
+use super::{Server, EVENT_LOOP_TURN, FIRST_REQUEST_GRACE};
 use crate::net::downstream::response_stream::{ResponseStream, StreamEnd};
 use crate::net::observed_stream::ObservedStream;
 use crate::net::MAX_BUFFERED_BODY_BYTES;
@@ -53,11 +53,11 @@
     /// A request on it has no complete response yet.
     pub is_busy: Cell<bool>,
     /// No complete head has arrived on it yet.
-    is_fresh: Cell<bool>,
+    awaits_first_head: Cell<bool>,
     /// When it was accepted or last answered.
-    pub since: Cell<Time>,
+    pub last_active_at: Cell<Time>,
     /// It was chosen to be closed for capacity.
-    pub is_leaving: Cell<bool>,
+    pub is_closing: Cell<bool>,
     /// All that is left of it is a lingering close.
     is_half_closed: Cell<bool>,
     /// Asks it to end once it is idle.
@@ -70,9 +70,9 @@
         ClientConnection {
             stream,
             is_busy: Cell::new(false),
-            is_fresh: Cell::new(true),
-            since: Cell::new(now),
-            is_leaving: Cell::new(false),
+            awaits_first_head: Cell::new(true),
+            last_active_at: Cell::new(now),
+            is_closing: Cell::new(false),
             is_half_closed: Cell::new(false),
             close: Notify::new(),
         }
@@ -82,12 +82,12 @@
     pub fn mark_half_closed(&self) {
         self.is_half_closed.set(true);
         self.is_busy.set(false);
-        self.is_leaving.set(false);
+        self.is_closing.set(false);
     }
 
     /// How it is idle, as far as this side has read: the kernel is asked only of the connection that is chosen.
     pub fn idle_state(&self, now: Instant, since: Instant) -> Option<IdleState> {
-        if self.is_busy.get() || self.is_leaving.get() {
+        if self.is_busy.get() || self.is_closing.get() {
             return None;
         }
         let idle = |kind, since| Some(IdleState { kind, since });
@@ -101,10 +101,10 @@
                 false => None,
             };
         }
-        if !self.is_fresh.get() {
+        if !self.awaits_first_head.get() {
             return idle(IdleKind::BetweenRequests, since);
         }
-        match now - since >= JUST_CONNECTED {
+        match now - since >= FIRST_REQUEST_GRACE {
             true => idle(IdleKind::NoRequestYet, since),
             false => idle(IdleKind::JustConnected, since),
         }
@@ -113,7 +113,7 @@
     /// Ends the connection; at once where it is closed for capacity.
     pub async fn close_lingering(&self) {
         let capacity_needed = async {
-            while !self.is_leaving.get() {
+            while !self.is_closing.get() {
                 self.close.notified().await; // a shutdown notifies as well
             }
         };
@@ -134,32 +134,32 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_BUFFERED_BODY_BYTES);
         let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
-        let mut cut = pin!(tokio::time::sleep(Duration::MAX));
+        let mut close_timeout = pin!(tokio::time::sleep(Duration::MAX));
         let mut head_timeout = pin!(tokio::time::sleep(FIRST_HEAD_TIMEOUT));
         let mut is_head_late = false;
         loop {
             tokio::select! {
                 _ = connection.as_mut() => return,
                 // Both conditions are checked again when they fire: a request may have arrived since the wait began.
-                () = head_timeout.as_mut(), if client.is_fresh.get() => {
-                    if client.is_fresh.get() && (is_head_late || !client.stream.has_unread()) {
+                () = head_timeout.as_mut(), if client.awaits_first_head.get() => {
+                    if client.awaits_first_head.get() && (is_head_late || !client.stream.has_unread_input()) {
                         return;
                     }
                     // A head that arrived in time is read within a turn of the event loop.
                     is_head_late = true;
                     head_timeout.as_mut().reset(Instant::now() + EVENT_LOOP_TURN);
                 }
-                () = cut.as_mut(), if client.is_leaving.get() && !client.is_busy.get() => {
+                () = close_timeout.as_mut(), if client.is_closing.get() && !client.is_busy.get() => {
                     if !client.is_busy.get() {
                         return;
                     }
                 }
                 () = client.close.notified() => {
-                    if client.is_leaving.get() {
-                        if !client.is_busy.get() && client.stream.has_stopped() {
+                    if client.is_closing.get() {
+                        if !client.is_busy.get() && client.stream.has_partial_input() {
                             return; // there is no request that a response is due to
                         }
-                        cut.as_mut().reset(Instant::now() + CLOSE_TIMEOUT);
+                        close_timeout.as_mut().reset(Instant::now() + CLOSE_TIMEOUT);
                     }
                     // A request that has just arrived is answered first; its response then ends the connection.
                     if client.is_busy.get() || !client.stream.has_activity() {
@@ -176,8 +176,8 @@
         client: &Rc<ClientConnection>,
     ) -> Response<OutgoingBody> {
         client.is_busy.set(true);
-        let started_at = if client.is_fresh.replace(false) {
-            client.since.get()
+        let started_at = if client.awaits_first_head.replace(false) {
+            client.last_active_at.get()
         } else {
             self.host.clock.now()
         };
@@ -212,7 +212,7 @@
     }
 
     fn mark_idle(&self, client: &ClientConnection) {
-        client.since.set(self.host.clock.now());
+        client.last_active_at.set(self.host.clock.now());
         client.stream.mark_idle();
         client.is_busy.set(false);
     }
@@ -233,12 +233,12 @@
                 () = client.stream.closed_by_peer() => Err(RequestError::ClientClosed),
             },
         };
-        let has_client_left = answer.is_err() && client.stream.remote_end().has_left();
+        let has_client_disconnected = answer.is_err() && client.stream.peer_monitor().has_closed();
         let mut response = answer.unwrap_or_else(|error| error.response());
-        let is_last = has_client_left
-            || client.is_leaving.get()
+        let is_last = has_client_disconnected
+            || client.is_closing.get()
             || self.is_stopping.get()
-            || self.clients() > self.max_clients.get();
+            || self.client_count() > self.max_clients.get();
         if is_last {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -120,7 +120,7 @@
         let time_left = header_number(&head.headers, "x-time-left")
             .map_or(max_time, Micros::from_secs_f64)
             .min(max_time);
-        let upload = Upload::new(body, client.remote_end(), started_at);
+        let upload = Upload::new(body, client.peer_monitor(), started_at);
         let body = receive(upload, time_left).await?;
         // A buffered request's time counts from its last byte.
         let margin = self.host.response_margin();
@@ -133,7 +133,7 @@
             uri: origin_form(&head.uri)?,
             headers,
             body,
-            client: Some(client.remote_end()),
+            client: Some(client.peer_monitor()),
         };
         Ok(AdmittedRequest {
             arrival,
@@ -172,7 +172,7 @@
     ) -> Option<Answer> {
         let mut answer = pin!(answer);
         loop {
-            let deadline = self.host.clock.instant(self.host.deadline_of(id));
+            let deadline = self.host.clock.instant(self.host.request_deadline(id));
             tokio::select! {
                 biased;
                 answer = answer.as_mut() => return answer.ok(),
@@ -237,7 +237,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            self.host.client_gone(self.request);
+            self.host.client_disconnected(self.request);
         }
     }
 }
--- a/src/net/downstream/server/shutdown.rs
+++ b/src/net/downstream/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: requests that were accepted are answered, then connections end.
 
 use super::{Server, EVENT_LOOP_TURN};
-use crate::net::span;
+use crate::net::to_duration;
 use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
@@ -33,8 +33,8 @@
     /// closed only later, as a close may cross a request.
     async fn wait_for_clients_to_leave(&self) {
         let end = Instant::now() + ACCEPT_LINGER;
-        while self.clients() > 0 && Instant::now() < end {
-            let _ = tokio::time::timeout_at(end, self.client_left.notified()).await;
+        while self.client_count() > 0 && Instant::now() < end {
+            let _ = tokio::time::timeout_at(end, self.client_closed.notified()).await;
         }
     }
 
@@ -60,9 +60,9 @@
                 }
                 Err(_) => {
                     // Out of descriptors: each connection that ends frees one.
-                    let _ =
-                        self.close_least_useful(Duration::ZERO) || self.host.pool.close_oldest();
-                    self.client_left_within(EVENT_LOOP_TURN).await;
+                    let _ = self.close_least_useful(Duration::ZERO)
+                        || self.host.pool.close_longest_idle();
+                    self.wait_for_client_close(EVENT_LOOP_TURN).await;
                 }
             }
         }
@@ -81,13 +81,13 @@
     /// keeps a connection open with half of a request does not keep the program; a response or an upload that is still
     /// being streamed does, until the platform ends it.
     async fn close_connections(&self) {
-        let end = Instant::now() + span(self.longest_deadline()) + FLUSH_TIME;
-        while self.clients() > 0 && (Instant::now() < end || self.is_any_busy()) {
+        let end = Instant::now() + to_duration(self.longest_deadline()) + FLUSH_TIME;
+        while self.client_count() > 0 && (Instant::now() < end || self.is_any_busy()) {
             // Repeatedly: a connection whose request had just arrived is not closed at the first time.
             for client in self.clients.borrow().values() {
                 client.close.notify_one();
             }
-            self.client_left_within(EVENT_LOOP_TURN).await;
+            self.wait_for_client_close(EVENT_LOOP_TURN).await;
         }
     }
 
--- a/src/net/downstream/server/tests.rs
+++ b/src/net/downstream/server/tests.rs
@@ -1,7 +1,7 @@
 //! Events that coincide between two steps of the server, which no other process can bring about.
 
 use super::*;
-use crate::net::observed_stream::tests::ASKED;
+use crate::net::observed_stream::tests::UNREAD_CHECKS;
 use std::io::{Read, Write};
 
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -80,8 +80,8 @@
         assert!(rest.is_empty() && plainly, "{rest}");
         peer.write_all(READY).unwrap(); // it has not seen the end yet
         peer.shutdown(std::net::Shutdown::Write).unwrap();
-        while server.clients() > 0 {
-            server.client_left.notified().await;
+        while server.client_count() > 0 {
+            server.client_closed.notified().await;
         }
         assert!(peer.take_error().unwrap().is_none(), "a reset");
         assert_eq!(received(&mut peer, "").await, (String::new(), true));
@@ -98,10 +98,10 @@
         let mut ended = client(&server, &listener).await;
         ended.write_all(b"what?\r\n\r\n").unwrap();
         assert!(received(&mut ended, "").await.0.starts_with("HTTP/1.1 400"));
-        assert_eq!(server.clients(), 2, "it lingers");
+        assert_eq!(server.client_count(), 2, "it lingers");
         assert!(server.close_least_useful(Duration::ZERO));
         let before = Instant::now();
-        while server.clients() > 1 {
+        while server.client_count() > 1 {
             tokio::task::yield_now().await; // no timer is waited for
         }
         assert!(
@@ -131,10 +131,10 @@
         for _ in 0..CROWD {
             silent.push(client(&server, &listener).await);
         }
-        let before = ASKED.get();
+        let before = UNREAD_CHECKS.get();
         assert!((0..8).all(|_| server.close_least_useful(Duration::ZERO)));
         assert_eq!(
-            ASKED.get() - before,
+            UNREAD_CHECKS.get() - before,
             8 + 8,
             "one with a request, at each, and one that goes"
         );
@@ -154,8 +154,8 @@
         resting.write_all(READY).unwrap();
         received(&mut resting, "ready\n").await;
         let mut silent = client(&server, &listener).await;
-        tokio::time::sleep(JUST_CONNECTED).await; // until then its request may be on its way
-        assert!(server.close_least_useful(JUST_CONNECTED));
+        tokio::time::sleep(FIRST_REQUEST_GRACE).await; // until then its request may be on its way
+        assert!(server.close_least_useful(FIRST_REQUEST_GRACE));
         assert_eq!(received(&mut silent, "").await, (String::new(), true));
         resting.write_all(READY).unwrap();
         assert!(received(&mut resting, "ready\n")
@@ -174,14 +174,14 @@
             silent.push(client(&server, &listener).await);
         }
         assert!(server.close_least_useful(Duration::ZERO));
-        server.client_left.notified().await; // it is half closed
+        server.client_closed.notified().await; // it is half closed
         assert_eq!(
-            server.clients(),
+            server.client_count(),
             8 + CONNECTIONS_ABOVE_LIMIT,
             "its other side has not ended"
         );
         assert!(server.close_least_useful(Duration::ZERO));
-        server.client_left.notified().await;
-        assert_eq!(server.clients(), 8 + CONNECTIONS_ABOVE_LIMIT - 1);
+        server.client_closed.notified().await;
+        assert_eq!(server.client_count(), 8 + CONNECTIONS_ABOVE_LIMIT - 1);
     });
 }
--- a/src/net/downstream/upload.rs
+++ b/src/net/downstream/upload.rs
@@ -1,6 +1,6 @@
 //! A client's body as it arrives, with limits on how slowly it may.
 
-use crate::net::observed_stream::RemoteEnd;
+use crate::net::observed_stream::PeerMonitor;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::Cell;
@@ -67,11 +67,11 @@
         self.on_end.set(Some(Box::new(callback)));
     }
 
-    fn forwarded(&self, now: Instant) {
+    fn record_forwarded(&self, now: Instant) {
         self.last_forwarded_at.set(now);
     }
 
-    fn end(&self) {
+    fn mark_ended(&self) {
         self.has_ended.set(true);
         if let Some(callback) = self.on_end.take() {
             callback();
@@ -82,7 +82,7 @@
 /// A client's body. It fails when it arrives too slowly; time in which nobody reads it does not count.
 pub struct Upload {
     /// What was read before the body was known to be long.
-    beginning: Option<Bytes>,
+    prefix: Option<Bytes>,
     incoming: Incoming,
     /// When it has taken too long, by the bytes that arrived.
     deadline: Instant,
@@ -90,30 +90,30 @@
     last_active_at: Instant,
     timer: Pin<Box<Sleep>>,
     /// Somebody waits for the next frame.
-    is_read: bool,
-    client: RemoteEnd,
+    has_waiting_reader: bool,
+    client: PeerMonitor,
     pub progress: Rc<UploadProgress>,
 }
 
 impl Upload {
     /// A body whose time counts from `started_at`.
-    pub fn new(incoming: Incoming, client: RemoteEnd, started_at: Instant) -> Upload {
+    pub fn new(incoming: Incoming, client: PeerMonitor, started_at: Instant) -> Upload {
         let deadline = started_at + BASE_TIMEOUT;
         Upload {
-            beginning: None,
+            prefix: None,
             incoming,
             deadline,
             last_active_at: Instant::now(),
             timer: Box::pin(tokio::time::sleep_until(deadline)),
-            is_read: false,
+            has_waiting_reader: false,
             client,
             progress: Rc::new(UploadProgress::new()),
         }
     }
 
-    /// Gives back what was read from its beginning.
-    pub fn put_back(&mut self, beginning: Bytes) {
-        self.beginning = Some(beginning);
+    /// Gives back what was read from its prefix.
+    pub fn put_back(&mut self, prefix: Bytes) {
+        self.prefix = Some(prefix);
     }
 
     /// Its length in bytes, where the client stated one.
@@ -121,24 +121,24 @@
         self.size_hint().exact()
     }
 
-    fn take_beginning(&mut self) -> Option<Bytes> {
-        let beginning = self.beginning.take()?;
-        self.progress.forwarded(Instant::now());
+    fn take_prefix(&mut self) -> Option<Bytes> {
+        let prefix = self.prefix.take()?;
+        self.progress.record_forwarded(Instant::now());
         if self.incoming.is_end_stream() {
-            self.progress.end();
+            self.progress.mark_ended();
         }
-        Some(beginning)
+        Some(prefix)
     }
 
     /// Extends the deadline by the time in which nobody read.
     fn resume(&mut self, now: Instant) {
-        if self.is_read {
+        if self.has_waiting_reader {
             return;
         }
         let unread_time = now - self.last_active_at;
         self.deadline += unread_time;
         self.last_active_at = now;
-        self.is_read = true;
+        self.has_waiting_reader = true;
     }
 
     /// Ready once the body has taken too long or stalled.
@@ -154,7 +154,7 @@
         let bytes = frame.data_ref().map_or(0, Bytes::len);
         self.deadline += Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_S);
         if self.incoming.is_end_stream() {
-            self.progress.end();
+            self.progress.mark_ended();
         }
     }
 }
@@ -167,8 +167,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
-        if let Some(beginning) = self.take_beginning() {
-            return Poll::Ready(Some(Ok(Frame::data(beginning))));
+        if let Some(prefix) = self.take_prefix() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         let now = Instant::now();
         self.resume(now);
@@ -177,11 +177,11 @@
             return Poll::Ready(Some(Err(UploadError::Slow)));
         };
         self.last_active_at = now;
-        self.is_read = false;
-        self.progress.forwarded(now);
+        self.has_waiting_reader = false;
+        self.progress.record_forwarded(now);
         // The end of a client that left long ago may be read right behind its last byte, which then is not forwarded.
         let is_complete = next.is_none() || self.incoming.is_end_stream();
-        if is_complete && self.client.has_left() {
+        if is_complete && self.client.has_closed() {
             return Poll::Ready(Some(Err(UploadError::Malformed)));
         }
         Poll::Ready(match next {
@@ -191,20 +191,20 @@
             }
             Some(Err(_)) => Some(Err(UploadError::Malformed)),
             None => {
-                self.progress.end();
+                self.progress.mark_ended();
                 None
             }
         })
     }
 
     fn size_hint(&self) -> SizeHint {
-        let beginning = self.beginning.as_ref().map_or(0, Bytes::len) as u64;
+        let prefix = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         let incoming = self.incoming.size_hint();
         let mut hint = SizeHint::new();
         if let Some(upper) = incoming.upper() {
-            hint.set_upper(upper + beginning);
+            hint.set_upper(upper + prefix);
         }
-        hint.set_lower(incoming.lower() + beginning);
+        hint.set_lower(incoming.lower() + prefix);
         hint
     }
 }
--- a/src/net/downstream/upload/tests.rs
+++ b/src/net/downstream/upload/tests.rs
@@ -21,7 +21,7 @@
     let peer = (!leaves).then_some(peer);
     let ended = Cell::new(None);
     let service = service_fn(async |request: Request<Incoming>| {
-        let mut upload = Upload::new(request.into_body(), stream.remote_end(), Instant::now());
+        let mut upload = Upload::new(request.into_body(), stream.peer_monitor(), Instant::now());
         let mut is_complete = true;
         while let Some(frame) = upload.frame().await {
             is_complete &= frame.is_ok();
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Answer, AttemptKey, InFlightAttempt, OpenRequest, State};
 use super::Host;
-use crate::net::observed_stream::RemoteEnd;
+use crate::net::observed_stream::PeerMonitor;
 use crate::net::upstream::{AttemptResult, Progress, RequestBody, ServedResponse};
 use meadowproxy::{AttemptEnd, AttemptNumber, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::net::SocketAddr;
@@ -67,8 +67,8 @@
         backend: BackendId,
         address: SocketAddr,
     ) -> bool {
-        if self.has_client_left(request) {
-            self.client_gone(request);
+        if self.has_client_disconnected(request) {
+            self.client_disconnected(request);
         }
         let s = self.state.borrow();
         let is_backend_usable = s
@@ -81,13 +81,13 @@
                 .is_none_or(|deadline| self.clock.now() < deadline)
     }
 
-    fn has_client_left(&self, request: RequestId) -> bool {
+    fn has_client_disconnected(&self, request: RequestId) -> bool {
         let s = self.state.borrow();
         let client = s
             .requests
             .get(&request)
             .and_then(|request| request.forwarded.client.as_ref());
-        client.is_some_and(RemoteEnd::has_left)
+        client.is_some_and(PeerMonitor::has_closed)
     }
 
     /// When the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
@@ -136,7 +136,7 @@
         attempt: AttemptNumber,
         response: ServedResponse,
     ) {
-        let mut others = self.attempts_of(request);
+        let mut others = self.in_flight_attempts(request);
         others.retain(|other| *other != attempt);
         {
             let mut s = self.state.borrow_mut();
@@ -168,7 +168,7 @@
             self.count_outcome(&mut s, outcome, &in_flight);
             if !outcome.proves_not_run() {
                 if let Some(open_request) = s.requests.get_mut(&request) {
-                    note_possible_run(open_request, in_flight.sent_at);
+                    record_possible_run(open_request, in_flight.sent_at);
                 }
             }
             if let Some(response) = result.response {
@@ -203,14 +203,15 @@
             Outcome::NotSent => counters.not_sent += 1,
             Outcome::TimedOut => {
                 let sent_at = self.clock.instant(in_flight.sent_at);
-                self.pool.attempt_unanswered(in_flight.backend, sent_at);
+                self.pool
+                    .record_unanswered_attempt(in_flight.backend, sent_at);
             }
             _ => {}
         }
     }
 
     /// Attempts of the request that are in flight.
-    pub(super) fn attempts_of(&self, id: RequestId) -> Vec<AttemptNumber> {
+    pub(super) fn in_flight_attempts(&self, id: RequestId) -> Vec<AttemptNumber> {
         let s = self.state.borrow();
         let count = s.requests.get(&id).map_or(0, |request| request.attempts);
         let is_in_flight = |attempt: &AttemptNumber| {
@@ -224,7 +225,7 @@
     }
 
     /// Ends what is in flight for a client that left, where the balancer may not cancel it.
-    pub(super) fn drop_attempts(self: &Rc<Self>, id: RequestId) {
+    pub(super) fn cancel_attempts(self: &Rc<Self>, id: RequestId) {
         let attempts: Vec<AttemptNumber> = {
             let s = self.state.borrow();
             let of_request = s.attempts.keys().filter(|key| key.request == id);
@@ -237,11 +238,11 @@
     }
 }
 
-fn note_possible_run(request: &mut OpenRequest, sent_at: Time) {
+fn record_possible_run(request: &mut OpenRequest, sent_at: Time) {
     let first = request
-        .first_possible_run
+        .first_possible_run_at
         .map_or(sent_at, |at| at.min(sent_at));
-    request.first_possible_run = Some(first);
+    request.first_possible_run_at = Some(first);
 }
 
 /// What an attempt reports to, and asks, as it proceeds.
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -55,7 +55,7 @@
             forwarded,
             class,
             idempotency,
-            first_possible_run: None,
+            first_possible_run_at: None,
             answer,
             deadline,
             attempts,
@@ -99,7 +99,7 @@
         assert!(host.may_send(id, FIRST, B, at(10)));
         update(&host, 3, "DRAINING", 10);
         assert!(!host.may_send(id, FIRST, B, at(10)), "the backend drains");
-        host.client_gone(id);
+        host.client_disconnected(id);
         assert!(
             host.state.borrow().attempts.is_empty(),
             "nothing is in flight for a client that left"
@@ -235,7 +235,7 @@
             "the deadline, then an answer"
         );
         let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
-        host.client_gone(id);
+        host.client_disconnected(id);
         host.attempt_ended(id, FIRST, served("late"));
         host.deadline_expired(id);
         assert!(wait.try_recv().is_err(), "nobody waits");
--- a/src/net/host/backend_directory.rs
+++ b/src/net/host/backend_directory.rs
@@ -25,9 +25,9 @@
 
 /// A set of reasons.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub struct DisableReasons(u8);
+pub struct DisableReasonSet(u8);
 
-impl DisableReasons {
+impl DisableReasonSet {
     /// Whether nothing disables the backend.
     pub fn is_empty(self) -> bool {
         self.0 == 0
@@ -51,7 +51,7 @@
     }
 }
 
-impl fmt::Debug for DisableReasons {
+impl fmt::Debug for DisableReasonSet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let present = DisableReason::ALL
             .into_iter()
@@ -67,7 +67,7 @@
     pub address: SocketAddr,
     /// Its entry in the endpoint list; `None` if no list has had one yet.
     pub entry: Option<Backend>,
-    pub reasons: DisableReasons,
+    pub reasons: DisableReasonSet,
     /// The pool keeps no idle connection to it.
     pub is_pool_closed: bool,
     id: BackendId,
@@ -80,7 +80,7 @@
             name,
             address,
             entry: None,
-            reasons: DisableReasons::default(),
+            reasons: DisableReasonSet::default(),
             is_pool_closed: false,
             id,
         }
--- a/src/net/host/disabled.rs
+++ b/src/net/host/disabled.rs
@@ -17,7 +17,7 @@
 
     /// Takes the backend out of use; false where none of that name is known.
     pub fn disable_backend(self: &Rc<Self>, name: &str, reason: DisableReason) -> bool {
-        let is_known = self.knows(name);
+        let is_known = self.is_known_backend(name);
         if is_known {
             self.disable_even_if_unlisted(name, reason);
         }
@@ -35,7 +35,7 @@
     fn add_reason(&self, name: &str, reason: DisableReason) -> Option<BackendId> {
         let mut s = self.state.borrow_mut();
         let next_id = s.next_backend_id;
-        let id = s.id_of(name, SocketAddr::from(([0, 0, 0, 0], 0)));
+        let id = s.get_or_create_id(name, SocketAddr::from(([0, 0, 0, 0], 0)));
         if id.0 == next_id {
             info!(
                 "backend {} is {name}, which is not in the endpoint list yet",
@@ -57,7 +57,7 @@
     pub fn enable_backend(self: &Rc<Self>, name: &str, reason: DisableReason, since: Time) -> bool {
         let was_disabled = self.remove_reason(name, reason);
         if was_disabled {
-            self.backend_returned(name, since);
+            self.disable_reason_ended(name, since);
         }
         was_disabled
     }
@@ -73,7 +73,7 @@
 
     /// A reason ended at `since`, here or in another process: unless another reason remains, the backend is used as one
     /// that started then.
-    pub fn backend_returned(self: &Rc<Self>, name: &str, since: Time) {
+    pub fn disable_reason_ended(self: &Rc<Self>, name: &str, since: Time) {
         let backend = {
             let mut s = self.state.borrow_mut();
             let Some(&id) = s.ids_by_name.get(name) else {
--- a/src/net/host/disconnect_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -25,7 +25,7 @@
         .run_until(async {
             host.update_endpoints(EndpointUpdate::Full, &list);
             let PendingRequest { id, answer: _wait } =
-                host.example_request_of(Some(client.remote_end()));
+                host.example_request_from(Some(client.peer_monitor()));
             assert!(host.may_send(id, AttemptNumber(0), BackendId(0), at));
             drop(peer);
             assert!(!host.may_send(id, AttemptNumber(0), BackendId(0), at));
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -32,7 +32,7 @@
 
 impl State {
     /// The id of that name, a new one where it has none.
-    pub(super) fn id_of(&mut self, name: &str, address: SocketAddr) -> BackendId {
+    pub(super) fn get_or_create_id(&mut self, name: &str, address: SocketAddr) -> BackendId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
         }
@@ -46,9 +46,9 @@
     }
 
     /// Takes an entry of the list; adds its backend to `changed` if the entry differs from the one before.
-    fn take_endpoint(&mut self, endpoint: &Endpoint, changed: &mut Vec<BackendId>) -> Backend {
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, changed: &mut Vec<BackendId>) -> Backend {
         let next_id = self.next_backend_id;
-        let id = self.id_of(&endpoint.name, endpoint.address);
+        let id = self.get_or_create_id(&endpoint.name, endpoint.address);
         if id.0 == next_id {
             // The balancer's log lines refer to ids.
             info!(
@@ -69,7 +69,7 @@
 
     /// Takes an entry that is malformed but for its name: a backend that is known drains, as whatever the entry means,
     /// it does not say that the backend serves.
-    fn take_unreadable(&mut self, name: &str, changed: &mut Vec<BackendId>) -> Option<Backend> {
+    fn apply_unreadable(&mut self, name: &str, changed: &mut Vec<BackendId>) -> Option<Backend> {
         let id = self.ids_by_name.get(name)?;
         changed.push(*id);
         let entry = self.backends.get_mut(id)?.entry.as_mut()?;
@@ -97,7 +97,7 @@
 
     /// Backends that left the list, that nobody disables, that have no attempt in flight and of which the balancer
     /// remembers nothing.
-    fn forgettable_backends(&self) -> Vec<BackendId> {
+    fn unused_backends(&self) -> Vec<BackendId> {
         let in_use: HashSet<BackendId> = self
             .attempts
             .values()
@@ -116,7 +116,7 @@
 }
 
 /// Sorts entries by id; of several for one backend the last counts.
-fn last_of_each(mut entries: Vec<Backend>) -> Vec<Backend> {
+fn last_entry_per_backend(mut entries: Vec<Backend>) -> Vec<Backend> {
     entries.reverse();
     entries.sort_by_key(|entry| entry.id);
     entries.dedup_by_key(|entry| entry.id);
@@ -126,7 +126,7 @@
 impl Host {
     /// Takes an update of the endpoint list, see [`Host::apply_endpoints`].
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate, list: &List) {
-        self.apply_endpoints(update, &list.lines());
+        self.apply_endpoints(update, &list.entries());
     }
 
     /// Takes an update of the endpoint list. Of several entries for one backend the last counts. A known backend whose
@@ -136,7 +136,7 @@
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
             let mut changed = Vec::new();
-            let backends = take_entries(s, entries, &mut changed);
+            let backends = apply_entries(s, entries, &mut changed);
             if update != EndpointUpdate::Cached {
                 for backend in &backends {
                     debug!("backend {} is {:?}", backend.id.0, backend.state);
@@ -151,7 +151,7 @@
             backends
         };
         self.handle_event(Event::EndpointsUpdated { update, backends });
-        self.forget_backends();
+        self.remove_unused_backends();
         if matches!(update, EndpointUpdate::Full | EndpointUpdate::Incremental) {
             self.list_received.send_replace(true);
         }
@@ -166,7 +166,7 @@
     }
 
     /// Waits until discovery has answered for the first time.
-    pub async fn discovery_answered(&self) {
+    pub async fn wait_for_discovery(&self) {
         let mut received = self.list_received.subscribe();
         let _ = received.wait_for(|received| *received).await;
     }
@@ -193,15 +193,15 @@
     }
 
     /// Forgets backends that are of no use any more. A name that comes back gets a new id.
-    fn forget_backends(&self) {
+    fn remove_unused_backends(&self) {
         let mut s = self.state.borrow_mut();
         if s.unlisted.is_empty() {
             return;
         }
-        let forgettable = s.forgettable_backends();
+        let forgettable = s.unused_backends();
         for id in &forgettable {
             s.unlisted.remove(id);
-            self.pool.forget_backend(*id);
+            self.pool.remove_backend(*id);
             debug!("backend {} is forgotten", id.0);
         }
         for record in s.backends.remove(&forgettable) {
@@ -210,7 +210,7 @@
     }
 
     /// Whether a backend of that name is known and not forgotten.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_known_backend(&self, name: &str) -> bool {
         self.state.borrow().ids_by_name.contains_key(name)
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Attempts of this proxy that are in flight at those of these backends that were in an endpoint list.
-    pub fn in_flight_at(&self, names: &BTreeSet<String>) -> BTreeMap<String, u32> {
+    pub fn in_flight_counts(&self, names: &BTreeSet<String>) -> BTreeMap<String, u32> {
         if names.is_empty() {
             return BTreeMap::new();
         }
@@ -258,7 +258,7 @@
 }
 
 /// Takes the entries of a list, and returns those of its backends in the order of ids.
-fn take_entries(
+fn apply_entries(
     s: &mut State,
     entries: &EntryChunks,
     changed: &mut Vec<BackendId>,
@@ -266,10 +266,10 @@
     let missing = entries.len().saturating_sub(s.backends.len());
     s.backends.reserve(missing);
     let take = |entry: &ListEntry| match entry {
-        ListEntry::Endpoint(endpoint) => Some(s.take_endpoint(endpoint, changed)),
-        ListEntry::Unreadable(name) => s.take_unreadable(name, changed),
+        ListEntry::Endpoint(endpoint) => Some(s.apply_endpoint(endpoint, changed)),
+        ListEntry::Unreadable(name) => s.apply_unreadable(name, changed),
     };
-    last_of_each(entries.iter().filter_map(take).collect())
+    last_entry_per_backend(entries.iter().filter_map(take).collect())
 }
 
 #[cfg(test)]
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -123,7 +123,7 @@
             out.listed && !out.serving && out.readiness == 0.0,
             "{bad} {update:?}: {out:?}"
         );
-        assert!(!host.knows("never"));
+        assert!(!host.is_known_backend("never"));
         host.update_endpoints(update, &list(vec![entry(serde_json::json!({}))]));
         let back = status(&host);
         assert!(
@@ -241,7 +241,7 @@
             ),
         }
         assert_eq!(known_names(&host), vec!["b".to_string(), new]);
-        assert!(!host.knows(&old));
+        assert!(!host.is_known_backend(&old));
     }
     assert_eq!(
         host.state.borrow().next_backend_id,
@@ -297,7 +297,7 @@
                 assert_eq!(host.state.borrow().attempts.len(), 1);
                 host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
                 assert_eq!(known_names(&host), vec!["b"], "its attempt is in flight");
-                host.client_gone(id);
+                host.client_disconnected(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
                 host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
                 assert_eq!(
--- a/src/net/host/example.rs
+++ b/src/net/host/example.rs
@@ -1,7 +1,7 @@
 //! A host with the example's configuration, for tests.
 
 use super::{Host, PendingRequest};
-use crate::net::observed_stream::RemoteEnd;
+use crate::net::observed_stream::PeerMonitor;
 use crate::net::upstream::{ConnectionPool, ForwardedRequest, RequestBody};
 use crate::net::Clock;
 use meadowproxy::settings::{Names, NetworkSettings};
@@ -25,11 +25,11 @@
 
     /// A request of the example's first class with a minute left, as a client's `GET`.
     pub fn example_request(self: &Rc<Self>) -> PendingRequest {
-        self.example_request_of(None)
+        self.example_request_from(None)
     }
 
     /// The same from a client that may leave.
-    pub fn example_request_of(self: &Rc<Self>, client: Option<RemoteEnd>) -> PendingRequest {
+    pub fn example_request_from(self: &Rc<Self>, client: Option<PeerMonitor>) -> PendingRequest {
         let forwarded = ForwardedRequest {
             method: hyper::Method::GET,
             uri: hyper::Uri::from_static("/read/k"),
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -47,14 +47,14 @@
                 self.disable_even_if_unlisted(name, DisableReason::Operator);
             }
         }
-        let state = self.with_ids(&saved);
+        let state = self.resolve_names(&saved);
         self.handle_event(Event::StateRestored {
             state: Box::new(state),
             age,
         });
     }
 
-    fn with_ids(&self, saved: &SavedState) -> LearnedState {
+    fn resolve_names(&self, saved: &SavedState) -> LearnedState {
         let s = self.state.borrow();
         LearnedState {
             kinds: saved
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -163,13 +163,13 @@
             s.balancer.handle(now, event, &mut s.actions);
             let mut actions = std::mem::take(&mut s.actions);
             for action in actions.drain(..) {
-                self.carry_out(s, now, action);
+                self.execute(s, now, action);
             }
             s.actions = actions; // its allocation is used again
         }
     }
 
-    fn carry_out(self: &Rc<Self>, s: &mut State, now: Time, action: Action) {
+    fn execute(self: &Rc<Self>, s: &mut State, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(s, now, request, backend),
             Action::Reject {
@@ -205,7 +205,8 @@
         };
         in_flight.task.abort();
         let sent_at = self.clock.instant(in_flight.sent_at);
-        self.pool.attempt_unanswered(in_flight.backend, sent_at);
+        self.pool
+            .record_unanswered_attempt(in_flight.backend, sent_at);
         s.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -24,7 +24,7 @@
     pub fn report_traffic(&self, clients: usize) {
         let mut s = self.state.borrow_mut();
         let counters = std::mem::take(&mut s.counters);
-        for (reported, (_, new)) in s.reported.iter_mut().zip(counters.named()) {
+        for (reported, (_, new)) in s.reported_totals.iter_mut().zip(counters.named()) {
             *reported += new;
         }
         info!(
@@ -45,7 +45,7 @@
             counters.not_sent,
             s.requests.len(),
             clients,
-            self.pool.open(),
+            self.pool.open_connections(),
             self.pool.take_connect_count(),
             self.timer_lag_us.get(),
         );
@@ -54,12 +54,12 @@
     /// Brings the metrics up to date: when they are read, so that requests pay nothing for them.
     pub fn update_metrics(&self, clients: usize) {
         let s = self.state.borrow();
-        for (reported, (name, new)) in s.reported.iter().zip(s.counters.named()) {
+        for (reported, (name, new)) in s.reported_totals.iter().zip(s.counters.named()) {
             metrics::counter!(name).absolute(reported + new);
         }
         metrics::gauge!("meadowproxy_requests_open").set(s.requests.len() as f64);
         metrics::gauge!("meadowproxy_clients").set(clients as f64);
-        metrics::gauge!("meadowproxy_upstreams").set(self.pool.open() as f64);
+        metrics::gauge!("meadowproxy_upstreams").set(self.pool.open_connections() as f64);
         let lag_s = Micros(self.timer_lag_us.get()).as_secs_f64();
         metrics::gauge!("meadowproxy_timer_lag_seconds").set(lag_s);
     }
--- a/src/net/host/report/tests.rs
+++ b/src/net/host/report/tests.rs
@@ -11,7 +11,7 @@
     let recorder = PrometheusRecorder::default();
     for n in 1..4 {
         let PendingRequest { id, answer: _wait } = host.example_request();
-        host.client_gone(id);
+        host.client_disconnected(id);
         for _ in 0..2 {
             metrics::with_local_recorder(&recorder, || host.update_metrics(n));
             let text = recorder.render();
--- a/src/net/host/requests.rs
+++ b/src/net/host/requests.rs
@@ -31,7 +31,7 @@
             forwarded: forwarded.clone(),
             class: arrival.class,
             idempotency,
-            first_possible_run: None,
+            first_possible_run_at: None,
             answer,
             deadline,
             attempts: 0,
@@ -46,7 +46,7 @@
     }
 
     /// When the request's time is up.
-    pub fn deadline_of(&self, id: RequestId) -> Time {
+    pub fn request_deadline(&self, id: RequestId) -> Time {
         self.state
             .borrow()
             .requests
@@ -55,7 +55,7 @@
     }
 
     /// The client left before its answer.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut s = self.state.borrow_mut();
             if s.requests.remove(&id).is_none() {
@@ -64,13 +64,13 @@
             s.counters.client_disconnected += 1;
         }
         self.handle_event(Event::ClientDisconnected { request: id });
-        self.drop_attempts(id);
+        self.cancel_attempts(id);
     }
 
     /// The request's time is up. Its attempts have timed out, on which the balancer gives its final answer; should it
     /// give none, the request is answered all the same.
     pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
-        for attempt in self.attempts_of(id) {
+        for attempt in self.in_flight_attempts(id) {
             self.attempt_ended(
                 id,
                 attempt,
@@ -88,7 +88,7 @@
             self.state.borrow_mut().counters.timed_out += 1;
             let _ = request.answer.send(Answer::TimedOut);
             self.handle_event(Event::ClientDisconnected { request: id });
-            self.drop_attempts(id);
+            self.cancel_attempts(id);
         }
     }
 }
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -39,7 +39,7 @@
     /// By the settings that were in force as the request arrived.
     pub idempotency: Idempotency,
     /// When the first attempt was sent that may have run, of those that have ended.
-    pub first_possible_run: Option<Time>,
+    pub first_possible_run_at: Option<Time>,
     pub answer: oneshot::Sender<Answer>,
     pub deadline: Time,
     /// How many there have been so far.
@@ -126,7 +126,7 @@
     pub last_request_id: u64,
     pub counters: RequestCounters,
     /// Sums of the counters up to the last log line, in the order of [`RequestCounters::named`].
-    pub reported: [u64; COUNTER_COUNT],
+    pub reported_totals: [u64; COUNTER_COUNT],
 }
 
 impl State {
@@ -147,7 +147,7 @@
             actions: Vec::new(),
             last_request_id: 0,
             counters: RequestCounters::default(),
-            reported: [0; COUNTER_COUNT],
+            reported_totals: [0; COUNTER_COUNT],
         }
     }
 
@@ -205,7 +205,7 @@
                 self.attempts.get(&key)
             })
             .map(|other| other.sent_at);
-        let first_send = in_flight_sends.chain(request.first_possible_run).min()?;
+        let first_send = in_flight_sends.chain(request.first_possible_run_at).min()?;
         let window = self.retry_window(request)?;
         Some(first_send + window)
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -54,7 +54,7 @@
 }
 
 /// A span of the balancer's time as a [`Duration`].
-pub fn span(micros: meadowproxy::Micros) -> Duration {
+pub fn to_duration(micros: meadowproxy::Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
 
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -1,7 +1,7 @@
 //! A TCP stream under hyper that can also be observed from outside.
 //!
 //! [`ObservedStream`] tells how much of a request was written, and whether the other side has closed or sent anything, as
-//! the kernel knows it at this moment. [`RemoteEnd`] observes the other side without keeping the stream open.
+//! the kernel knows it at this moment. [`PeerMonitor`] observes the other side without keeping the stream open.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -28,12 +28,12 @@
 pub struct ObservedStream(Rc<Inner>);
 
 /// The other side of a stream, seen by whoever must not keep that stream open.
-pub struct RemoteEnd(Weak<Inner>);
+pub struct PeerMonitor(Weak<Inner>);
 
-impl RemoteEnd {
+impl PeerMonitor {
     /// It ended its sending or the connection, or this side did.
-    pub fn has_left(&self) -> bool {
-        self.0.upgrade().is_none_or(|inner| inner.has_left())
+    pub fn has_closed(&self) -> bool {
+        self.0.upgrade().is_none_or(|inner| inner.has_closed())
     }
 }
 
@@ -53,7 +53,7 @@
 impl Inner {
     /// Asks the kernel itself, as the event loop may not have come round to it yet. A peek would not see an end
     /// behind bytes that nobody has read.
-    fn has_left(&self) -> bool {
+    fn has_closed(&self) -> bool {
         let mut end = [PollFd::new(&self.tcp, PollFlags::RDHUP)];
         poll(&mut end, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
     }
@@ -72,8 +72,8 @@
         }))
     }
 
-    pub fn remote_end(&self) -> RemoteEnd {
-        RemoteEnd(Rc::downgrade(&self.0))
+    pub fn peer_monitor(&self) -> PeerMonitor {
+        PeerMonitor(Rc::downgrade(&self.0))
     }
 
     /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent
@@ -151,20 +151,20 @@
     }
 
     /// Whether bytes were read since `mark_idle`, and nothing more waits in the kernel.
-    pub fn has_stopped(&self) -> bool {
-        self.last_received_at().is_some() && !self.has_unread()
+    pub fn has_partial_input(&self) -> bool {
+        self.last_received_at().is_some() && !self.has_unread_input()
     }
 
     /// Bytes came since `mark_idle`, or wait in the kernel, or the other side has closed. Asks the kernel
     /// itself: the event loop may not have come round to it yet.
     pub fn has_activity(&self) -> bool {
-        self.0.has_received.get() || self.has_unread()
+        self.0.has_received.get() || self.has_unread_input()
     }
 
     /// Bytes wait in the kernel, or the other side has closed.
-    pub fn has_unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         #[cfg(test)]
-        tests::ASKED.with(|asked| asked.set(asked.get() + 1));
+        tests::UNREAD_CHECKS.with(|asked| asked.set(asked.get() + 1));
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let quiet = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
         !socket2::SockRef::from(&self.0.tcp)
--- a/src/net/observed_stream/tests.rs
+++ b/src/net/observed_stream/tests.rs
@@ -3,7 +3,7 @@
 
 thread_local! {
     /// How often the kernel was asked for what waits unread.
-    pub static ASKED: Cell<usize> = const { Cell::new(0) };
+    pub static UNREAD_CHECKS: Cell<usize> = const { Cell::new(0) };
 }
 
 async fn pair() -> (ObservedStream, std::net::TcpStream) {
@@ -65,17 +65,17 @@
     for linger in [None, Some(std::time::Duration::ZERO)] {
         let (stream, mut peer) = pair().await;
         peer.write_all(b"more").unwrap();
-        assert!(!stream.remote_end().has_left(), "bytes are no end");
+        assert!(!stream.peer_monitor().has_closed(), "bytes are no end");
         socket2::SockRef::from(&peer).set_linger(linger).unwrap();
         drop(peer);
-        assert!(stream.remote_end().has_left(), "{linger:?}");
+        assert!(stream.peer_monitor().has_closed(), "{linger:?}");
         stream.closed_by_peer().await;
     }
     let (stream, peer) = pair().await;
-    let seen = stream.remote_end();
-    assert!(!seen.has_left());
+    let seen = stream.peer_monitor();
+    assert!(!seen.has_closed());
     drop(stream);
-    assert!(seen.has_left(), "it keeps nothing open");
+    assert!(seen.has_closed(), "it keeps nothing open");
     drop(peer);
 }
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -3,8 +3,8 @@
 use super::connection::{OutgoingBody, PooledConnection};
 use super::pool::ConnectionPool;
 use super::response::{
-    error_chain, outcome_of, pass_on, strip_backend_headers, BackendResponse, BufferedResponse,
-    StreamingResponse, BACKEND_STALL_TIMEOUT,
+    error_chain, forward_body, outcome_of, strip_backend_headers, BackendResponse,
+    BufferedResponse, StreamingResponse, BACKEND_STALL_TIMEOUT,
 };
 use super::{AttemptResult, ForwardedRequest, Progress, RequestBody, ResponseBody, ServedResponse};
 use crate::net::connection_driver::{drive_past_close, drive_until_closed};
@@ -28,7 +28,7 @@
 }
 
 impl Target {
-    fn log_broken(&self, cause: impl std::fmt::Display) {
+    fn log_failure(&self, cause: impl std::fmt::Display) {
         debug!(
             event = "attempt_broken",
             backend = self.backend.0,
@@ -40,7 +40,7 @@
 }
 
 /// A response or an error; `None` if the connection ended first, or the request could not be sent in time.
-type Exchanged = Option<Result<BackendResponse, hyper::Error>>;
+type ExchangeResult = Option<Result<BackendResponse, hyper::Error>>;
 
 /// The body of an attempt, as it begins to be sent.
 struct OutgoingRequestBody {
@@ -87,17 +87,17 @@
         progress: &Rc<impl Progress + 'static>,
     ) -> AttemptResult {
         let target = Target { backend, address };
-        let mut connection = match self.checkout(backend, address).await {
+        let mut connection = match self.check_out(backend, address).await {
             Ok(connection) => connection,
             Err(outcome) => return AttemptResult::without_response(outcome),
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
-        let begun = match time_left.is_zero() || !progress.may_send() {
+        let prepared = match time_left.is_zero() || !progress.may_send() {
             true => None,
-            false => begin(&connection.stream, &request.body, progress),
+            false => begin_sending(&connection.stream, &request.body, progress),
         };
-        let Some(outgoing) = begun else {
-            self.put(backend, connection); // nothing was sent on it
+        let Some(outgoing) = prepared else {
+            self.check_in(backend, connection); // nothing was sent on it
             return AttemptResult::without_response(Outcome::NotSent);
         };
         let status = SendStatus {
@@ -121,7 +121,7 @@
         target: Target,
         connection: PooledConnection,
         status: &SendStatus,
-        exchanged: Exchanged,
+        exchanged: ExchangeResult,
         progress: &Rc<impl Progress + 'static>,
     ) -> AttemptResult {
         match exchanged {
@@ -129,7 +129,7 @@
                 AttemptResult::without_response(Outcome::Overloaded)
             }
             Some(Ok(BackendResponse::BeforeRequestSent(_))) => {
-                target.log_broken("it answered before the request's last byte");
+                target.log_failure("it answered before the request's last byte");
                 AttemptResult::without_response(Outcome::ConnectFailed)
             }
             Some(Ok(BackendResponse::Buffered(response))) => {
@@ -137,14 +137,14 @@
             }
             Some(Ok(BackendResponse::Streaming(response))) => {
                 let outcome = self
-                    .pass_on_streaming(target, connection, response, progress)
+                    .forward_streaming(target, connection, response, progress)
                     .await;
                 AttemptResult::without_response(outcome)
             }
             Some(Err(error)) => {
-                AttemptResult::without_response(failed(target, status, Some(&error)))
+                AttemptResult::without_response(failure_outcome(target, status, Some(&error)))
             }
-            None => AttemptResult::without_response(failed(target, status, None)),
+            None => AttemptResult::without_response(failure_outcome(target, status, None)),
         }
     }
 
@@ -154,9 +154,9 @@
         connection: PooledConnection,
         response: BufferedResponse,
     ) -> AttemptResult {
-        self.responded(target.backend);
+        self.record_response(target.backend);
         if response.body.is_ok() {
-            self.put_if_ready(target.backend, connection, Instant::now());
+            self.check_in_if_ready(target.backend, connection, Instant::now());
         }
         let BufferedResponse {
             outcome,
@@ -173,12 +173,12 @@
             },
             (outcome, Ok(_)) => {
                 if outcome == Outcome::Error {
-                    target.log_broken(format!("status {}", head.status.as_u16()));
+                    target.log_failure(format!("status {}", head.status.as_u16()));
                 }
                 AttemptResult::without_response(outcome)
             }
             (outcome, Err(error)) => {
-                target.log_broken(error_chain(error.as_ref()));
+                target.log_failure(error_chain(error.as_ref()));
                 // Truncated: a served one has run, and one that says otherwise cannot be trusted in that.
                 AttemptResult::without_response(match outcome {
                     Outcome::Error => outcome,
@@ -188,14 +188,14 @@
         }
     }
 
-    async fn pass_on_streaming(
+    async fn forward_streaming(
         &self,
         target: Target,
         mut connection: PooledConnection,
         response: StreamingResponse,
         progress: &Rc<impl Progress + 'static>,
     ) -> Outcome {
-        self.responded(target.backend);
+        self.record_response(target.backend);
         let StreamingResponse {
             mut head,
             length,
@@ -209,21 +209,24 @@
         });
         // The backend may have sent everything long before the client has taken it, and be idle from then on.
         let started = Instant::now();
-        let passed_on =
-            drive_past_close(&mut connection.connection, pass_on(received, rest, chunks)).await;
-        let outcome = passed_on.value;
-        if passed_on.is_open && outcome == Outcome::Ok {
-            self.put_if_ready(target.backend, connection, started);
+        let driven = drive_past_close(
+            &mut connection.connection,
+            forward_body(received, rest, chunks),
+        )
+        .await;
+        let outcome = driven.value;
+        if driven.is_open && outcome == Outcome::Ok {
+            self.check_in_if_ready(target.backend, connection, started);
         }
         if matches!(outcome, Outcome::Reset | Outcome::TimedOut) {
-            target.log_broken(format!("{outcome:?} in a streamed response"));
+            target.log_failure(format!("{outcome:?} in a streamed response"));
         }
         outcome
     }
 }
 
 /// Takes the body to be sent from now on; `None` if another backend has it.
-fn begin(
+fn begin_sending(
     stream: &ObservedStream,
     body: &RequestBody,
     progress: &Rc<impl Progress + 'static>,
@@ -270,7 +273,7 @@
     connection: &mut PooledConnection,
     request: Request<OutgoingBody>,
     status: &SendStatus,
-) -> Exchanged {
+) -> ExchangeResult {
     let PooledConnection {
         sender, connection, ..
     } = connection;
@@ -288,15 +291,15 @@
 }
 
 /// The outcome of an attempt without a response; no error means that the connection ended or took nothing more.
-fn failed(target: Target, status: &SendStatus, error: Option<&hyper::Error>) -> Outcome {
+fn failure_outcome(target: Target, status: &SendStatus, error: Option<&hyper::Error>) -> Outcome {
     let is_upload_cut = status.upload.is_some() && !status.is_sent();
     if is_upload_cut && error.is_some_and(hyper::Error::is_user) {
         // The client's body broke off: the backend never begins.
         return Outcome::NotSent;
     }
     match error {
-        Some(error) => target.log_broken(error_chain(error)),
-        None => target.log_broken("it ended, or took nothing more"),
+        Some(error) => target.log_failure(error_chain(error)),
+        None => target.log_failure("it ended, or took nothing more"),
     }
     if !status.is_sent() {
         return Outcome::ConnectFailed;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::net::downstream::response_stream::ResponseStream;
 use crate::net::downstream::upload::Upload;
-use crate::net::observed_stream::RemoteEnd;
+use crate::net::observed_stream::PeerMonitor;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use meadowproxy::{Micros, Outcome};
@@ -31,7 +31,7 @@
     pub headers: HeaderMap,
     pub body: RequestBody,
     /// The client, if it may leave.
-    pub client: Option<RemoteEnd>,
+    pub client: Option<PeerMonitor>,
 }
 
 /// A request's body.
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ConnectionSlot, PooledConnection};
 use crate::net::observed_stream::ObservedStream;
-use crate::net::span;
+use crate::net::to_duration;
 use meadowproxy::settings::NetworkSettings;
 use meadowproxy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
@@ -16,10 +16,10 @@
 
 /// Part of the backends' idle timeout after which a connection is no longer used: well within it, as their clock may
 /// have started before ours.
-const IDLE_TIMEOUT_PART: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// How long a connection rests after a response before the next request is sent on it. What a broken backend sends late,
 /// such as a second response, arrives in this time and is not taken for the next request's.
-const REST_AFTER_RESPONSE: Duration = Duration::from_millis(3);
+const MIN_REUSE_DELAY: Duration = Duration::from_millis(3);
 /// Interval at which idle connections are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// `ENFILE` and `EMFILE`: the machine or the process is out of descriptors.
@@ -50,13 +50,13 @@
             open_count: Rc::default(),
             max_open: Cell::new(max_open),
             idle_timeout: Cell::new(idle_timeout(network)),
-            connect_timeout: Cell::new(span(network.connect_timeout)),
+            connect_timeout: Cell::new(to_duration(network.connect_timeout)),
             connect_count: Cell::new(0),
         }
     }
 
     /// Connections that are open now.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_count.get()
     }
 
@@ -68,17 +68,18 @@
     /// Puts changed settings in force.
     pub fn apply_settings(&self, network: &NetworkSettings) {
         self.idle_timeout.set(idle_timeout(network));
-        self.connect_timeout.set(span(network.connect_timeout));
+        self.connect_timeout
+            .set(to_duration(network.connect_timeout));
     }
 
     /// Allows so many connections from now on; those above it close as they become idle.
-    pub fn limit(&self, max_open: usize) {
+    pub fn set_max_open(&self, max_open: usize) {
         self.max_open.set(max_open);
-        while self.open() > max_open && self.close_oldest() {}
+        while self.open_connections() > max_open && self.close_longest_idle() {}
     }
 
     /// An idle connection, checked at this moment, or a new one.
-    pub(super) async fn checkout(
+    pub(super) async fn check_out(
         &self,
         id: BackendId,
         address: SocketAddr,
@@ -102,8 +103,8 @@
             if connection.address != address {
                 continue; // the backend has another address now
             }
-            if connection.last_response_at.elapsed() < REST_AFTER_RESPONSE {
-                let rested_at = connection.last_response_at + REST_AFTER_RESPONSE;
+            if connection.last_response_at.elapsed() < MIN_REUSE_DELAY {
+                let rested_at = connection.last_response_at + MIN_REUSE_DELAY;
                 tokio::time::sleep_until(rested_at).await;
             }
             if self.is_usable(&connection) {
@@ -118,12 +119,12 @@
         let connections = idle.get_mut(&id).filter(|list| !list.is_empty())?;
         let rested = connections
             .iter()
-            .rposition(|connection| connection.last_response_at.elapsed() >= REST_AFTER_RESPONSE);
+            .rposition(|connection| connection.last_response_at.elapsed() >= MIN_REUSE_DELAY);
         Some(connections.remove(rested.unwrap_or(0)))
     }
 
     /// Takes a connection back that nothing is in flight on.
-    pub(super) fn put(&self, id: BackendId, connection: PooledConnection) {
+    pub(super) fn check_in(&self, id: BackendId, connection: PooledConnection) {
         if self.closed_backends.borrow().contains(&id) {
             return;
         }
@@ -134,7 +135,7 @@
 
     /// Takes a connection back whose response was read, idle since then. One check: a response does not wait for a
     /// connection that is not ready for more.
-    pub(super) fn put_if_ready(
+    pub(super) fn check_in_if_ready(
         &self,
         id: BackendId,
         mut connection: PooledConnection,
@@ -143,12 +144,12 @@
         if connection.is_ready() {
             connection.idle_since = idle_since;
             connection.last_response_at = Instant::now();
-            self.put(id, connection);
+            self.check_in(id, connection);
         }
     }
 
     /// Notes that the backend responds.
-    pub(super) fn responded(&self, id: BackendId) {
+    pub(super) fn record_response(&self, id: BackendId) {
         self.last_response_at
             .borrow_mut()
             .insert(id, Instant::now());
@@ -167,7 +168,7 @@
     }
 
     /// Nothing will ever be sent to the backend again, and nothing is in flight there.
-    pub fn forget_backend(&self, id: BackendId) {
+    pub fn remove_backend(&self, id: BackendId) {
         self.close_backend(id);
         self.reopen_backend(id);
     }
@@ -175,7 +176,7 @@
     /// An attempt sent at `sent_at` was given up without a response. If the backend has not responded to anything since,
     /// its machine may be cut off and its idle connections dead without a sign: what is written to one of those may
     /// have run for all one can tell, while a new connection that fails proves that it did not.
-    pub fn attempt_unanswered(&self, id: BackendId, sent_at: Instant) {
+    pub fn record_unanswered_attempt(&self, id: BackendId, sent_at: Instant) {
         let responses = self.last_response_at.borrow();
         if responses.get(&id).is_none_or(|at| *at < sent_at) {
             self.idle.borrow_mut().remove(&id);
@@ -183,7 +184,7 @@
     }
 
     /// Closes the connection that has been idle longest; false when there is none.
-    pub fn close_oldest(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
             .values_mut()
@@ -211,7 +212,7 @@
 
     /// Opens a connection. At the bound an idle one makes way; where there is none the backend is not to blame.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, Outcome> {
-        if self.open() >= self.max_open.get() && !self.close_oldest() {
+        if self.open_connections() >= self.max_open.get() && !self.close_longest_idle() {
             return Err(Outcome::NotSent);
         }
         let slot = ConnectionSlot::new(self.open_count.clone());
@@ -231,7 +232,7 @@
 }
 
 fn idle_timeout(network: &NetworkSettings) -> Duration {
-    span(network.conn_idle.mul_f64(IDLE_TIMEOUT_PART))
+    to_duration(network.conn_idle.mul_f64(IDLE_TIMEOUT_FRACTION))
 }
 
 fn is_out_of_descriptors(error: &io::Error) -> bool {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -114,7 +114,7 @@
 }
 
 /// Passes a streamed response on, a chunk at a time, for as long as the backend sends and the client takes.
-pub async fn pass_on(
+pub async fn forward_body(
     received: Bytes,
     mut rest: Incoming,
     chunks: mpsc::Sender<ResponseChunk>,
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -73,12 +73,15 @@
     let (pool, to) = (pool(1), listener.local_addr().unwrap());
     let busy = pool.connect(to).await.ok().unwrap();
     let refused = pool.connect(to).await.err();
-    assert_eq!((refused, pool.open()), (Some(Outcome::NotSent), 1));
-    pool.put(BackendId(0), busy);
+    assert_eq!(
+        (refused, pool.open_connections()),
+        (Some(Outcome::NotSent), 1)
+    );
+    pool.check_in(BackendId(0), busy);
     let other = pool.connect(to).await;
-    assert!(other.is_ok() && pool.open() == 1);
+    assert!(other.is_ok() && pool.open_connections() == 1);
     drop(other);
-    assert_eq!(pool.open(), 0);
+    assert_eq!(pool.open_connections(), 0);
 }
 
 /// May be sent, by that deadline.
@@ -117,7 +120,7 @@
     )
     .await
     .unwrap();
-    pool.put(BackendId(0), c);
+    pool.check_in(BackendId(0), c);
     let peer = listener.accept().unwrap().0;
     peer.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
@@ -160,7 +163,7 @@
             (outcome, true),
             "{head}"
         );
-        assert_eq!(pool.open(), 0, "{head}");
+        assert_eq!(pool.open_connections(), 0, "{head}");
         drop(over);
         let rest = backend.join().unwrap();
         assert!(
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -12,7 +12,7 @@
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::reload::ConfigReloader;
 use crate::net::config::Node;
-use crate::net::descriptor_limits::{follow_other_process, ConnectionLimits, DescriptorLimits};
+use crate::net::descriptor_limits::{track_other_process, ConnectionLimits, DescriptorLimits};
 use crate::net::discovery::{self, PollSchedule};
 use crate::net::downstream::server::{self, RequestRules, Server};
 use crate::net::host::Host;
@@ -207,7 +207,7 @@
         tokio::task::spawn_local(async move {
             loop {
                 tokio::time::sleep(TRAFFIC_REPORT_INTERVAL).await;
-                host.report_traffic(server.clients());
+                host.report_traffic(server.client_count());
             }
         });
     }
@@ -217,7 +217,7 @@
         if has_discovery && self.handover.has_older_process() {
             // The older process still serves, and the known list may be out of date.
             info!("hot restart: waiting for discovery's endpoint list beside an older process");
-            let answered = self.host.discovery_answered();
+            let answered = self.host.wait_for_discovery();
             let _ = tokio::time::timeout(FIRST_ENDPOINT_LIST_TIMEOUT, answered).await;
         }
         fleet.caught_up().await;
@@ -228,7 +228,7 @@
         let Some(presence) = self.handover.presence.clone() else {
             return;
         };
-        tokio::task::spawn_local(follow_other_process(
+        tokio::task::spawn_local(track_other_process(
             presence,
             self.host.clone(),
             self.server.clone(),
