--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery over HTTP.
+//! HTTP client for discovery: one call requests the endpoint list, or the changes to it.
 
 use super::endpoint_list::{AnswerError, ListAnswer};
 use crate::net::connection_driver::{drive_until_closed, BoxError};
@@ -13,28 +13,29 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// A list may be longer than a request's body, but not without bound: four times that of 25,000 backends.
+/// Maximum size of an answer: four times that of a list of 25,000 backends.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// Longer lists are read off the event loop: this much takes it half a millisecond.
-pub const MAX_INLINE_READ_BYTES: usize = 32 * 1024;
+/// Maximum size of an answer that is parsed on the event loop, which takes about half a millisecond. Longer ones are parsed
+/// on a blocking thread.
+pub const MAX_INLINE_PARSE_BYTES: usize = 32 * 1024;
 
-/// Why a call to discovery brought nothing.
+/// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    #[error("call broken: {0}")]
+    #[error("HTTP exchange failed: {0}")]
     Http(#[source] BoxError),
-    #[error("answered {}", .0.as_u16())]
+    #[error("answered with status {}", .0.as_u16())]
     Status(StatusCode),
     #[error(transparent)]
     Answer(#[from] AnswerError),
-    /// Only changes, in answer to a call for the full list.
-    #[error("changes in answer to a call for the whole list")]
+    /// The answer to a call for the full list has only changes.
+    #[error("changes received in answer to a call for the full list")]
     ChangesOnly,
-    #[error("connection ended")]
+    #[error("connection closed before the answer was complete")]
     ConnectionEnded,
-    #[error("silent")]
+    #[error("no answer in time")]
     Timeout,
 }
 
@@ -44,20 +45,20 @@
     }
 }
 
-/// A connection to discovery between two calls.
+/// A connection to discovery, kept open between calls.
 pub struct DiscoveryConnection {
     sender: http1::SendRequest<Empty<Bytes>>,
     connection: http1::Connection<ObservedStream, Empty<Bytes>>,
 }
 
-/// What a call came to.
+/// The result of a call.
 pub struct CallResult {
-    /// Its connection, where that can be used again.
+    /// Its connection, if it can be reused.
     pub connection: Option<DiscoveryConnection>,
     pub answer: Result<ListAnswer, DiscoveryError>,
 }
 
-/// Calls discovery, on the connection of an earlier call if that is still open.
+/// Calls discovery, reusing the connection of an earlier call if it is still open.
 pub async fn call(
     connection: Option<DiscoveryConnection>,
     address: SocketAddr,
@@ -71,18 +72,18 @@
     };
     let mut connection = match connected {
         Ok(connection) => connection,
-        Err(error) => return failed(error),
+        Err(error) => return failure(error),
     };
     match exchange(&mut connection, address, &uri).await {
         Ok(list) => CallResult {
             connection: Some(connection),
             answer: Ok(list),
         },
-        Err(error) => failed(error),
+        Err(error) => failure(error),
     }
 }
 
-fn failed(error: DiscoveryError) -> CallResult {
+fn failure(error: DiscoveryError) -> CallResult {
     CallResult {
         connection: None,
         answer: Err(error),
@@ -131,12 +132,12 @@
     if status != StatusCode::OK {
         return Err(DiscoveryError::Status(status));
     }
-    read_list(body).await
+    parse_answer(body).await
 }
 
-/// Reads a list, off the event loop if it is long.
-pub async fn read_list(body: impl Buf + Send + 'static) -> Result<ListAnswer, DiscoveryError> {
-    if body.remaining() < MAX_INLINE_READ_BYTES {
+/// Parses an answer; one of at least [`MAX_INLINE_PARSE_BYTES`] on a blocking thread.
+pub async fn parse_answer(body: impl Buf + Send + 'static) -> Result<ListAnswer, DiscoveryError> {
+    if body.remaining() < MAX_INLINE_PARSE_BYTES {
         return Ok(ListAnswer::read(body)?);
     }
     let read = tokio::task::spawn_blocking(move || ListAnswer::read(body)).await;
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in its JSON form.
 //!
-//! [`List`] is a list in memory, as the configuration file has it; [`ListAnswer::read`] reads one from discovery's answer
-//! without ever holding all of it as JSON.
+//! [`List`] is a list in memory, as the configuration file contains it. [`ListAnswer::read`] parses discovery's answer
+//! without ever holding all of it as JSON values.
 
 use bytes::Buf;
 use compact_str::CompactString;
@@ -16,10 +16,11 @@
 use tracing::warn;
 
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Most bytes of a chunk of entries: less than a chunk of the settings' text.
+/// Maximum size of a chunk of entries, in bytes: less than a chunk of the settings' text.
 const MAX_CHUNK_BYTES: usize = 1 << 19;
 
-/// A list, or the changes to one. Entries are read one by one, so that a malformed one affects no other.
+/// A full list, or the changes to one. Entries stay JSON values until each is parsed by itself, so that a malformed entry
+/// does not affect the others.
 #[derive(Clone, Debug, Default, Deserialize, serde::Serialize)]
 pub struct List {
     pub index: u64,
@@ -28,7 +29,7 @@
     pub endpoints: Vec<Value>,
 }
 
-/// An entry that could be read. Short texts are stored inline: there may be tens of thousands at a time.
+/// A valid entry. Short texts are stored inline, as there may be tens of thousands of entries at a time.
 pub struct Endpoint {
     pub name: CompactString,
     pub address: SocketAddr,
@@ -50,15 +51,15 @@
     since_ms: f64,
 }
 
-/// Why an entry of a list cannot be used.
+/// Why an entry of a list is malformed.
 #[derive(Debug, Error)]
 enum EntryError {
     /// A key is missing, or has a value of the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    #[error("unknown status {0:?}")]
+    #[error("unknown status {0:?}, expected SERVING, DRAINING or DELETED")]
     UnknownStatus(String),
-    #[error("bad address {text:?}")]
+    #[error("invalid socket address {text:?}")]
     BadAddress {
         text: String,
         #[source]
@@ -89,7 +90,7 @@
             started_at,
             ..Backend::default()
         };
-        // The name is the same at every proxy; the address may not be.
+        // The row is keyed by name, which is the same at every proxy; the address may differ.
         let row = EndpointRow::new(&entry.name, &entry.zone, &entry.kind, backend);
         Ok(Endpoint {
             name: entry.name.into(),
@@ -102,12 +103,13 @@
 /// An entry of the list.
 pub enum ListEntry {
     Endpoint(Endpoint),
-    /// It is malformed but for the name of its backend.
+    /// A malformed entry of which only the backend's name could be read.
     Unreadable(CompactString),
 }
 
-/// Entries in chunks that the allocator takes from the system, and gives back, one by one. Afterwards it keeps whatever
-/// is smaller than the largest of them: one vector for a full list would make it keep all texts of a configuration.
+/// Entries in chunks of limited size. The allocator obtains each chunk from the operating system and returns it when it is
+/// freed; afterwards it keeps freed blocks that are smaller than the largest chunk. A single vector for a full list would
+/// thus make it keep all texts of a configuration.
 #[derive(Default)]
 pub struct EntryChunks(Vec<Vec<ListEntry>>);
 
@@ -126,18 +128,18 @@
         }
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.0.iter().map(Vec::len).sum()
     }
 
-    /// All entries in their order.
+    /// Iterates over all entries in order.
     pub fn iter(&self) -> impl Iterator<Item = &ListEntry> {
         self.0.iter().flatten()
     }
 }
 
-/// The entries that name at least their backend.
+/// The parsed entries of a list: valid ones, and malformed ones that at least name their backend.
 #[derive(Default)]
 pub struct ParsedEntries {
     entries: EntryChunks,
@@ -146,7 +148,7 @@
 }
 
 impl ParsedEntries {
-    /// Adds an entry.
+    /// Parses an entry and adds it.
     pub fn read(&mut self, value: &Value) {
         match Endpoint::read(value) {
             Ok(endpoint) => self.entries.push(ListEntry::Endpoint(endpoint)),
@@ -161,12 +163,12 @@
         }
     }
 
-    /// The entries. Of malformed ones the first is logged, with their number: a list may be long.
+    /// Returns the entries. Logs only the first malformed one and the number of them, as a list may be long.
     pub fn into_entries(self) -> EntryChunks {
         if let Some(first) = self.first_malformed {
             warn!(
                 count = self.malformed_count,
-                "{} malformed entries in the endpoint list, the first: {first:.400}",
+                "{} malformed entries in the endpoint list; the first: {first:.400}",
                 self.malformed_count
             );
         }
@@ -174,7 +176,7 @@
     }
 }
 
-/// Each entry is converted as it is read, so that a long list is never in memory as JSON values.
+/// Converts each entry as it is read, so that a long list is never held in memory as JSON values.
 impl<'de> Deserialize<'de> for ParsedEntries {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ParsedEntries, D::Error> {
         struct EntriesVisitor;
@@ -199,7 +201,7 @@
 }
 
 impl List {
-    /// Its entries, as far as they can be read.
+    /// Parses the entries.
     pub fn entries(&self) -> EntryChunks {
         let mut parsed = ParsedEntries::default();
         for value in &self.endpoints {
@@ -213,7 +215,7 @@
 pub struct ListAnswer {
     /// Discovery's version of the list.
     pub index: u64,
-    /// It is a full list.
+    /// Whether this is a full list rather than changes.
     pub is_full: bool,
     pub entries: EntryChunks,
 }
@@ -226,18 +228,18 @@
     endpoints: ParsedEntries,
 }
 
-/// Why an answer cannot be used.
+/// Why an answer of discovery is rejected.
 #[derive(Debug, Error)]
 pub enum AnswerError {
-    #[error("answer not understood: {0}")]
+    #[error("invalid answer: {0}")]
     Json(#[source] serde_json::Error),
-    /// A full list all of whose entries are malformed: it is rejected rather than all backends removed at once.
-    #[error("no entry of the whole list makes sense")]
+    /// All entries of a full list are malformed. It is rejected, as applying it would remove all backends at once.
+    #[error("no entry of the full list is valid")]
     NoUsableEntry,
 }
 
 impl ListAnswer {
-    /// Reads a body from the buffers that it arrived in, which are never joined: it may be long.
+    /// Parses a body directly from the buffers that it arrived in, without joining them, as it may be long.
     pub fn read(body: impl Buf) -> Result<ListAnswer, AnswerError> {
         let body = io::BufReader::with_capacity(READ_BUFFER_BYTES, body.reader());
         let AnswerBody {
--- a/src/net/discovery/list_tracker.rs
+++ b/src/net/discovery/list_tracker.rs
@@ -1,7 +1,8 @@
-//! Which version of the endpoint list is in force, and which answers of discovery may replace it.
+//! Tracks the version of the endpoint list in force, and decides which answers of discovery may replace it.
 //!
-//! Calls can overlap: one that was given up is still listened to, as what discovery writes to it counts as delivered.
-//! [`ListTracker::take`] decides by versions whether an answer is newer than the list in force.
+//! Calls can overlap: an answer to a call that timed out is still awaited, as discovery counts what it has written to that
+//! call as delivered. [`ListTracker::apply_if_newer`] compares versions to decide whether an answer is newer than the list
+//! in force.
 
 use super::client::{CallResult, DiscoveryError};
 use super::endpoint_list::ListAnswer;
@@ -15,51 +16,52 @@
 use tokio::task::{AbortHandle, JoinHandle};
 use tracing::info;
 
-/// How long a call that was given up is listened to.
+/// How long the answer to an abandoned call is still awaited.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Most of them at once, of which the oldest is cancelled first: each has a descriptor, and maybe half a list in memory.
+/// Maximum number of abandoned calls still awaited; above it the oldest is cancelled. Each holds a descriptor, and possibly a
+/// partly received list in memory.
 const MAX_LATE_CALLS: usize = 4;
 
-/// A call, by the state of the list as it began.
+/// A call in progress, with the state of the list when it began.
 pub struct PendingCall {
-    /// The epoch in whose versions its answer will be.
+    /// The epoch that the answer's version belongs to.
     epoch: u64,
-    /// How many lists had been applied.
+    /// The number of lists applied until then.
     applied_lists: u64,
-    /// The version of the list in force.
+    /// The version of the list in force then.
     pub index: u64,
-    /// It asks for the full list.
+    /// Whether it requests the full list.
     pub is_full: bool,
 }
 
-/// What an answer is relative to the list in force.
+/// How an answer relates to the list in force.
 #[derive(Debug, PartialEq)]
 pub enum UpdateResult {
-    /// It is newer, and in force now.
+    /// It is newer, and was applied.
     Applied,
-    /// It crossed with a newer one.
+    /// It is not newer than an answer that was applied while the call was in progress.
     Stale,
-    /// It has changes to a list other than the one in force: the full list is needed.
+    /// It contains changes to a list other than the one in force: the full list is needed.
     Gap,
 }
 
-/// The version of the list in force, and calls that were given up.
+/// The version of the list in force, and the abandoned calls whose answers are still awaited.
 pub struct ListTracker {
     host: Rc<Host>,
     index: Cell<u64>,
     applied_lists: Cell<u64>,
-    /// The epoch of the list in force. An epoch is a span in which versions are comparable: they are counted anew at each
-    /// address and with each start of discovery.
+    /// The epoch of the list in force. Versions are comparable only within an epoch: numbering restarts with each address and
+    /// with each start of discovery.
     epoch: Cell<u64>,
-    /// The epoch of calls that begin now.
+    /// The epoch of new calls.
     latest_epoch: Cell<u64>,
-    /// A call that was given up has brought a newer list.
+    /// Notified when the answer to an abandoned call was applied.
     late_answer: Notify,
     late_calls: RefCell<VecDeque<AbortHandle>>,
 }
 
 impl ListTracker {
-    /// With the list of that version in force.
+    /// Creates a tracker for which the list of version `index` is in force.
     pub fn new(host: Rc<Host>, index: u64) -> ListTracker {
         ListTracker {
             host,
@@ -72,12 +74,12 @@
         }
     }
 
-    /// The version of the list in force.
+    /// Returns the version of the list in force.
     pub fn index(&self) -> u64 {
         self.index.get()
     }
 
-    /// A call that begins now: for the full list where that is wanted, or where no list of this epoch is in force.
+    /// Begins a call. It requests the full list if that is wanted or if the list in force is of an earlier epoch.
     pub fn begin_call(&self, wants_full_list: bool) -> PendingCall {
         let epoch = self.latest_epoch.get();
         PendingCall {
@@ -88,14 +90,14 @@
         }
     }
 
-    /// From now on versions are counted anew.
+    /// Begins a new epoch: versions of later answers are not comparable with earlier ones.
     pub fn begin_epoch(&self) {
         self.latest_epoch.set(self.latest_epoch.get() + 1);
     }
 
-    /// Applies an answer if it is newer than the list in force. Of two answers whose calls overlapped the higher index
-    /// is the newer; an index may only go back in the answer to a call that began after the list in force was applied:
-    /// then discovery has started anew.
+    /// Applies an answer if it is newer than the list in force. Of two answers whose calls overlapped, the one with the higher
+    /// index is newer. A lower index is accepted only if the call began after the list in force was applied: then discovery
+    /// has restarted.
     fn apply_if_newer(&self, call: &PendingCall, list: &ListAnswer) -> UpdateResult {
         let epoch = self.epoch.get();
         let index = self.index.get();
@@ -127,7 +129,7 @@
         self.host.apply_endpoints(update, &list.entries);
     }
 
-    /// Takes the answer to a call that was waited for.
+    /// Applies the answer to a call that did not time out.
     pub fn apply_timely_answer(
         &self,
         call: &PendingCall,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Listens on for the answer to a call that was given up, and applies it if it is newer.
+    /// Keeps waiting for the answer to an abandoned call, and applies it if it is newer.
     pub fn await_late_answer(self: &Rc<Self>, call: PendingCall, running: JoinHandle<CallResult>) {
         let mut late_calls = self.late_calls.borrow_mut();
         late_calls.retain(|call| !call.is_finished());
@@ -159,7 +161,7 @@
         mut running: JoinHandle<CallResult>,
     ) {
         let finished = tokio::time::timeout(LATE_ANSWER_TIMEOUT, &mut running).await;
-        running.abort(); // a call without an answer would keep its connection
+        running.abort(); // releases the connection of a call without an answer
         let Ok(Ok(CallResult {
             answer: Ok(list), ..
         })) = finished
@@ -176,12 +178,12 @@
         }
     }
 
-    /// Waits until a call that was given up brings a newer list.
+    /// Waits until the answer to an abandoned call is applied.
     pub async fn late_answer(&self) {
         self.late_answer.notified().await;
     }
 
-    /// Forgets late answers so far.
+    /// Discards a pending notification of a late answer.
     pub fn clear_late_answer(&self) {
         std::pin::pin!(self.late_answer.notified())
             .as_mut()
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! Keeps the endpoint list up to date, by long polls of discovery.
+//! Keeps the endpoint list up to date by long-polling discovery.
 //!
 //! - [`watch`]: the task that calls discovery, one call after another.
-//! - [`PollSchedule`]: how long calls wait for changes, and how failed ones are backed off.
-//! - `list_tracker`: which answers are newer than the list in force.
-//! - `client`: a call over HTTP.
-//! - [`endpoint_list`]: the list in its JSON form.
+//! - [`PollSchedule`]: how long calls wait for changes, and the backoff after failed ones.
+//! - `list_tracker`: decides which answers are newer than the list in force.
+//! - `client`: the HTTP client.
+//! - [`endpoint_list`]: the JSON format of the list.
 
 mod client;
 pub mod endpoint_list;
@@ -27,24 +27,24 @@
 
 const LIST_PATH: &str = "/api/targets";
 
-/// The target of a call, and how long its answer is waited for.
+/// The request target of a call and the timeout of its answer.
 struct CallRequest {
     uri: String,
     timeout: Duration,
 }
 
-/// The state of the task between two calls.
+/// The polling task's state between calls.
 struct Watcher {
     host: Rc<Host>,
     tracker: Rc<ListTracker>,
     schedule: PollSchedule,
     address: SocketAddr,
-    /// Discovery moved to another address, which has not answered yet.
+    /// Discovery's address changed, and the new one has not answered yet.
     has_moved: bool,
     connection: Option<DiscoveryConnection>,
     wants_full_list: bool,
-    /// How long the next call waits for changes. Zero for one that the balancer requested: it is answered at once, with
-    /// what was missed.
+    /// How long discovery may hold the next call until there are changes. Zero at the start and after a failure or a
+    /// move: such a call is answered at once, with everything that was missed.
     long_poll: Duration,
     /// The timeout of a call that does not wait for changes.
     queue_timeout: Duration,
@@ -59,7 +59,7 @@
             address,
             has_moved: false,
             connection: None,
-            // An agent's answers cost nothing: begin with the full list.
+            // An agent's answers are cheap, so polling begins with the full list.
             wants_full_list: !schedule.balancer_schedules_polls(),
             long_poll: Duration::ZERO,
             queue_timeout: QUEUE_TIMEOUT,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes over the address that is in force, whichever came first: this, an answer, or the end of a pause.
+    /// Switches to discovery's configured address if it has changed. Called before each call, whatever ended the last wait.
     fn update_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes the end of a call that was waited for.
+    /// Applies the result of a call that did not time out.
     fn apply_result(
         &mut self,
         call: &PendingCall,
@@ -113,7 +113,7 @@
         if self.failures > 0 {
             info!(
                 index = self.tracker.index(),
-                "discovery is back at {}",
+                "discovery answers again, list version {}",
                 self.tracker.index()
             );
         }
@@ -123,7 +123,7 @@
         self.wants_full_list = result == UpdateResult::Gap;
     }
 
-    /// Returns how long to wait before the next call, unless something calls for it before.
+    /// Records a failed call and returns the backoff before the next one, which [`Watcher::next_call_due`] may cut short.
     fn failed(&mut self, error: &DiscoveryError) -> Duration {
         self.queue_timeout = if matches!(error, DiscoveryError::Status(_)) {
             self.schedule.full_queue_timeout
@@ -143,7 +143,7 @@
         self.schedule.backoff(self.failures, has_moved)
     }
 
-    /// Waits until the backoff is over, the balancer wants to poll, or a late answer shows that discovery is back.
+    /// Waits until the backoff is over, the balancer requests a poll, or a late answer shows that discovery is reachable.
     async fn next_call_due(&self, backoff: Duration) {
         tokio::select! {
             () = self.host.poll_requested() => {}
@@ -153,9 +153,9 @@
     }
 }
 
-/// Keeps the endpoint list up to date for as long as the program runs; `index` is the version of the list in force. When
-/// discovery moves, the full list is requested from the new address at once. A call that is given up, then or because it
-/// stays silent, is still listened to.
+/// Keeps the endpoint list up to date until the process ends; `index` is the version of the list in force. When discovery's
+/// address changes, the full list is requested from the new address at once. The answer to a call that is abandoned, then
+/// or after a timeout, is still awaited and applied if it is newer.
 pub async fn watch(
     host: Rc<Host>,
     mut addresses: watch::Receiver<SocketAddr>,
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,43 +1,45 @@
-//! How discovery is polled: how long each call may wait for changes, and the backoff after a failed one.
+//! Schedule of the calls to discovery: how long each may wait for changes, and the backoff after a failed one.
 
 use meadowproxy::{queued_poll_timeout, Discovery, POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Calls a second that a quiet fleet may cost discovery: what it handles in the time of a few full lists.
+/// Maximum rate of calls from a whole fleet while the list does not change, per second. Discovery handles these in the time
+/// that a few full lists take.
 pub const MAX_QUIET_CALLS_PER_S: f64 = 100.0;
-/// Bounds of how long one call waits for changes: the least that the fleet can afford, between these. With the longest, a
-/// silence is found and mended by a second call within the 6 s after which a proxy must have a change (docs/design.md).
+/// Bounds of how long a call waits for changes, in seconds; between them it is the shortest wait that keeps the fleet within
+/// [`MAX_QUIET_CALLS_PER_S`]. With the longest one, a call that stays unanswered is detected and repeated within the 6 s
+/// after which a proxy must have a change (docs/design.md).
 const MIN_LONG_POLL_S: f64 = 1.5;
 const MAX_LONG_POLL_S: f64 = 2.8;
-/// The least part of that wait that is drawn: proxies that were answered together do not call together again.
+/// Lower bound of the random factor applied to that wait, so that proxies answered together do not call together again.
 pub const MIN_JITTER_FACTOR: f64 = 0.75;
-/// What an answer may take beyond its wait before discovery counts as silent.
+/// How long an answer may take beyond the call's wait before the call times out.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
-/// makes longer.
+/// Timeout of a call that does not wait for changes. It is longer, as the call may be queued at discovery, and each call that
+/// is abandoned and repeated lengthens the queue.
 pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
-/// Where lists are pushed, an agent (a discovery process with one caller, this balancer) keeps the list and answers
-/// each long poll as soon as the list changes. A connection to the agent is established at once or not at all.
-/// It is retried soon: a change counts from the moment the agent is back.
+/// Connect timeout for a discovery agent. Where lists are pushed, an agent (a discovery process whose only caller is this
+/// proxy) keeps the list and answers each long poll as soon as the list changes. Connecting to it succeeds at once or not at
+/// all. It is retried soon, as the time to apply a change counts from the moment the agent is back.
 pub const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after the first of several failed calls; it doubles, once at most, as an agent's calls cost nothing.
+/// Backoff after the first failed call to an agent. It doubles only once, as calls to an agent are cheap.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Factor of the longest backoff.
+/// Maximum backoff as a multiple of [`INITIAL_BACKOFF`].
 const MAX_BACKOFF_FACTOR: u32 = 2;
 
-/// How the endpoint list is requested.
+/// When and for how long discovery is polled.
 pub struct PollSchedule {
     pub mode: Discovery,
     max_long_poll_s: f64,
-    /// How long a call waits that follows one which discovery refused: it may stand in a full queue.
+    /// Timeout of a call that follows one which discovery answered with an error status: it may be in a full queue.
     pub full_queue_timeout: Duration,
     rng: StdRng,
 }
 
 impl PollSchedule {
-    /// For one of so many proxies, with a seed of its own.
+    /// Creates the schedule of one of `proxies` proxies; `seed` differs between them.
     pub fn new(mode: Discovery, proxies: u32, seed: u64) -> PollSchedule {
         let affordable_s = f64::from(proxies) / MAX_QUIET_CALLS_PER_S;
         let full_queue_timeout = match mode {
@@ -54,13 +56,13 @@
         }
     }
 
-    /// Whether the balancer decides when to poll. With [`Discovery::Push`] it long-polls too, but an agent decides when to
-    /// answer.
+    /// Returns whether the balancer decides when to poll, at the start and after a failure. With [`Discovery::Push`] the proxy
+    /// long-polls an agent without the balancer, and the agent decides when to answer.
     pub fn balancer_schedules_polls(&self) -> bool {
         self.mode != Discovery::Push
     }
 
-    /// How long establishing a connection may take.
+    /// Returns the connect timeout.
     pub fn connect_timeout(&self) -> Duration {
         if self.balancer_schedules_polls() {
             ANSWER_TIMEOUT
@@ -69,14 +71,14 @@
         }
     }
 
-    /// How long the next call waits for changes.
+    /// Draws how long the next call waits for changes.
     pub fn next_long_poll(&mut self) -> Duration {
         let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER_FACTOR..=1.0);
         Duration::from_millis((wait_s * 1e3) as u64)
     }
 
-    /// How long to wait before the next call after so many failures in a row. After a move to a new address that is soon,
-    /// whatever came before; else only the balancer decides when to poll.
+    /// Returns the backoff after `failures` failed calls in a row. After a change of address it is short in any case;
+    /// otherwise, unless an agent is polled, only the balancer decides when to poll.
     pub fn backoff(&mut self, failures: u32, has_moved: bool) -> Duration {
         if !self.balancer_schedules_polls() {
             return INITIAL_BACKOFF * failures.min(MAX_BACKOFF_FACTOR);
--- a/src/net/downstream/response_stream.rs
+++ b/src/net/downstream/response_stream.rs
@@ -1,4 +1,4 @@
-//! A streamed response on its way from a backend's connection to a client's.
+//! Body of a streamed response: a channel from the task that reads the backend to the client's connection.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -7,16 +7,16 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Chunks that wait between the two connections.
+/// Maximum number of chunks buffered between the two connections.
 const CHANNEL_CAPACITY: usize = 1;
 
-/// The rest of a response will not come.
+/// The backend ended a streamed response before its last byte.
 #[derive(Debug, Error)]
-#[error("the backend's answer broke off")]
+#[error("the backend ended the response before its last byte")]
 pub struct TruncatedResponse;
 
-/// What passes from a backend's connection to a client's. A sender that is dropped without [`ResponseChunk::End`]
-/// truncates the response.
+/// A message from the reader of the backend's connection. Dropping the sender without sending [`ResponseChunk::End`]
+/// marks the response as truncated.
 pub enum ResponseChunk {
     Data(Bytes),
     End,
@@ -25,13 +25,13 @@
 /// How the stream of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The client has it, or has left.
+    /// The client has received all of it, or has disconnected.
     Finished,
-    /// The backend broke off.
+    /// The backend ended it early.
     Truncated,
 }
 
-/// The body of a streamed response.
+/// The body of a streamed response, as hyper reads it for the client.
 pub struct ResponseStream {
     chunks: mpsc::Receiver<ResponseChunk>,
     bytes_left: Option<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl ResponseStream {
-    /// A stream and its sender. `length`: in bytes, where it is known.
+    /// Creates a stream and its sender. `length` is the body's size in bytes, if known.
     pub fn new(length: Option<u64>) -> (mpsc::Sender<ResponseChunk>, ResponseStream) {
         let (sender, chunks) = mpsc::channel(CHANNEL_CAPACITY);
         let stream = ResponseStream {
@@ -50,7 +50,7 @@
         (sender, stream)
     }
 
-    /// Calls `callback` once nothing more of the stream is needed.
+    /// Sets a callback that runs once, when the stream is truncated or dropped.
     pub fn on_end(&mut self, callback: impl FnOnce(StreamEnd) + 'static) {
         self.on_end = Some(Box::new(callback));
     }
--- a/src/net/downstream/server.rs
+++ b/src/net/downstream/server.rs
@@ -1,8 +1,8 @@
-//! The clients' server: accepts connections, and closes the least useful ones where it has too many.
+//! HTTP server for clients: accepts connections, and closes the least useful idle ones when there are too many.
 //!
 //! - `client_connection`: serves the requests of one connection.
-//! - `request`: one request, from its head to its final answer.
-//! - `shutdown`: what happens from the signal to stop until the last connection ends.
+//! - `request`: handles one request, from its head to its final answer.
+//! - `shutdown`: graceful shutdown, until the last connection is closed.
 
 mod client_connection;
 mod request;
@@ -28,28 +28,28 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Connections above the limit, out of the reserved descriptors: each is closed after its next response.
+/// Connections accepted above the limit, using reserved descriptors. Above the limit every response closes its connection.
 const CONNECTIONS_ABOVE_LIMIT: usize = 24;
 const BACKLOG: u32 = 1024;
-/// The first request of a connection that is younger than this is on its way.
+/// The first request of a connection younger than this is assumed to be in transit.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
-/// What the kernel has received is read within this time.
+/// Upper bound on the time until the event loop reads what the kernel has received.
 const EVENT_LOOP_TURN: Duration = Duration::from_millis(20);
-/// Out of descriptors with no connection to close, accepting is retried after this time.
+/// Delay before a failed accept is retried, unless a backend connection was closed for it.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// At most one line in this time about a listener that fails.
+/// Minimum interval between two log lines about failed accepts.
 const ACCEPT_LOG_INTERVAL: Micros = Micros(1_000_000);
 
-/// What requests are checked against.
+/// Settings that requests are validated against.
 pub struct RequestRules {
     pub classes: Vector<RequestClass>,
-    /// Upper bound of a request's time, by class.
+    /// Maximum time of a request, by class.
     pub deadlines: Vector<Micros>,
     pub max_retry_after: Micros,
 }
 
 impl RequestRules {
-    /// Those of the settings in force.
+    /// Takes the rules from the settings in force.
     pub fn new(config: &Config, network: &NetworkSettings) -> RequestRules {
         RequestRules {
             classes: config.classes.clone(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Listens at an address. An address whose old connections still linger after a restart can be listened at.
+/// Opens a listener with `SO_REUSEADDR`, so that a restarted process can bind while old connections are in TIME_WAIT.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -71,7 +71,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves clients.
+/// The HTTP server for clients.
 pub struct Server {
     host: Rc<Host>,
     rules: RefCell<Rc<RequestRules>>,
@@ -80,12 +80,12 @@
     next_key: Cell<u64>,
     is_accepting: Cell<bool>,
     is_stopping: Cell<bool>,
-    /// A connection ended, or is about to.
+    /// Notified when a connection is closed or half closed.
     client_closed: Notify,
     last_accept_log: Cell<Time>,
 }
 
-/// An idle connection, in the order in which idle connections are closed.
+/// An idle connection. The order of the fields is the order in which idle connections are closed.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CloseCandidate {
     kind: IdleKind,
@@ -94,7 +94,7 @@
 }
 
 impl Server {
-    /// A server of at most `max_clients` connections.
+    /// Creates a server that holds at most `max_clients` connections.
     pub fn new(host: Rc<Host>, rules: RequestRules, max_clients: usize) -> Rc<Server> {
         Rc::new(Server {
             host,
@@ -109,28 +109,28 @@
         })
     }
 
-    /// Client connections that are open now.
+    /// Returns the number of open client connections.
     pub fn client_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// Whether this process accepts clients.
+    /// Returns whether this process accepts new clients.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting.get()
     }
 
-    /// Puts changed rules in force, for requests that arrive from now on.
+    /// Replaces the rules for requests that arrive from now on.
     pub fn apply_rules(&self, rules: RequestRules) {
         *self.rules.borrow_mut() = Rc::new(rules);
     }
 
-    /// Allows so many connections from now on.
+    /// Sets the maximum number of client connections.
     pub fn set_max_clients(&self, max_clients: usize) {
         self.max_clients.set(max_clients);
     }
 
-    /// Accepts clients until `stop` completes, then answers what was accepted and returns. Where `successor_accepts` says
-    /// that another process takes new clients, the listener and its queue are left to it at once.
+    /// Accepts clients until `stop` completes, then answers the requests already accepted and returns. If
+    /// `successor_accepts` returns true, another process accepts new clients, and the listener is closed at once.
     pub async fn run(
         self: Rc<Self>,
         listener: TcpListener,
@@ -151,24 +151,24 @@
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         while self.client_count() >= self.max_clients.get() + CONNECTIONS_ABOVE_LIMIT {
-            // A connection that is closing still has a descriptor, and a queue of new ones would take the rest.
+            // A closing connection still holds its descriptor; accepting the whole backlog would use up the remaining ones.
             self.close_least_useful(EVENT_LOOP_TURN);
             self.wait_for_client_close(EVENT_LOOP_TURN).await;
         }
         match listener.accept().await {
             Ok((tcp, _)) => self.add_client(tcp),
-            Err(error) if error.kind() == ErrorKind::ConnectionAborted => {} // it left in the queue
+            Err(error) if error.kind() == ErrorKind::ConnectionAborted => {} // it was closed while in the backlog
             Err(error) => self.accept_failed(&error).await,
         }
     }
 
-    /// Out of descriptors: that is never the end of the program.
+    /// Handles a failed accept, such as one without a free descriptor: frees a connection or waits, and never exits.
     async fn accept_failed(&self, error: &io::Error) {
         let now = self.host.clock.now();
         if now - self.last_accept_log.get() >= ACCEPT_LOG_INTERVAL {
             self.last_accept_log.set(now);
             warn!(
-                "accept: {error}; {} clients, {} upstreams",
+                "accept: {error}; {} client and {} backend connections open",
                 self.client_count(),
                 self.host.pool.open_connections()
             );
@@ -182,16 +182,17 @@
         let _ = tokio::time::timeout(limit, self.client_closed.notified()).await;
     }
 
-    /// Closes one idle connection: of the first kind that there is, the one that has been idle longest. One that has just
-    /// connected is spared for `min_age`. False if there is none.
+    /// Closes the idle connection that comes first by [`IdleKind`] and then by idle time. Connections younger than
+    /// `min_age` that have not sent a request are skipped. Returns false if no connection can be closed.
     fn close_least_useful(&self, min_age: Duration) -> bool {
         let clients = self.clients.borrow();
-        // The kernel is asked one by one: to ask it of every connection at each accept costs more than the accepts.
+        // Only the chosen connections are checked for unread input: checking all of them at each accept would cost more
+        // than the accepts.
         let mut candidates = self.close_candidates(&clients, min_age);
         while let Some(Reverse(candidate)) = candidates.pop() {
             let client = &clients[&candidate.key];
             if candidate.kind == IdleKind::HalfClosed || !client.stream.has_unread_input() {
-                client.is_closing.set(true); // another call at the same moment chooses another
+                client.is_closing.set(true); // a call before the connection closes picks another one
                 client.close.notify_one();
                 return true;
             }
@@ -231,7 +232,7 @@
         tokio::task::spawn_local(async move {
             server.serve(&client).await;
             client.mark_half_closed();
-            server.client_closed.notify_one(); // whoever waits for capacity need not wait for the other side
+            server.client_closed.notify_one(); // waiters for capacity need not wait for the peer's end
             client.close_lingering().await;
             server.clients.borrow_mut().remove(&key);
             server.client_closed.notify_one();
--- a/src/net/downstream/server/client_connection.rs
+++ b/src/net/downstream/server/client_connection.rs
@@ -1,4 +1,6 @@
-//! One client's connection: its requests one after another, and its end.
+//! Serves the requests of one client connection and closes it.
+//!
+//! [`ClientConnection::idle_state`] tells the server whether a connection can be closed for capacity.
 
 use super::request::{plain_response, OutgoingBody, RequestError};
 use super::{Server, EVENT_LOOP_TURN, FIRST_REQUEST_GRACE};
@@ -20,52 +22,52 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection may be closed for capacity when nothing more of a request's head arrived for so long.
+/// A connection that has sent part of a request's head and nothing more for this time may be closed for capacity.
 const HEAD_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection without a complete head so long after connecting is closed: within three seconds its end is due.
+/// A connection without a complete request head by this time after connecting is closed; its end is due within 3 s.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection that is closing and has not ended is cut after this time: its client reads nothing.
+/// A closing connection that has not ended after this time is dropped: its client does not read.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 const READY_PATH: &str = "/-/ready";
 
-/// In which state a connection is idle, in the order in which such connections are closed for capacity.
+/// States of an idle connection, in the order in which they are closed for capacity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum IdleKind {
-    /// This side has ended it, and waits for the client's side.
+    /// The proxy has closed its side and waits for the client to close.
     HalfClosed,
-    /// It has never brought a request.
+    /// No request has arrived on it.
     NoRequestYet,
-    /// It is between two requests, or stopped within a head.
+    /// It is between two requests, or its client stopped sending within a request's head.
     BetweenRequests,
-    /// It has just connected.
+    /// It has just connected; its first request may be in transit.
     JustConnected,
 }
 
-/// How a connection is idle, and since when.
+/// The state of an idle connection, and since when it has been idle.
 pub struct IdleState {
     pub kind: IdleKind,
     pub since: Instant,
 }
 
-/// A client's connection.
+/// A client's connection, as the server tracks it.
 pub struct ClientConnection {
     pub stream: ObservedStream,
-    /// A request on it has no complete response yet.
+    /// A request has arrived whose response is not complete.
     pub is_busy: Cell<bool>,
-    /// No complete head has arrived on it yet.
+    /// No complete request head has arrived yet.
     awaits_first_head: Cell<bool>,
-    /// When it was accepted or last answered.
+    /// When it was accepted or completed its last response.
     pub last_active_at: Cell<Time>,
-    /// It was chosen to be closed for capacity.
+    /// It was selected to be closed for capacity.
     pub is_closing: Cell<bool>,
-    /// All that is left of it is a lingering close.
+    /// Only the lingering close remains.
     is_half_closed: Cell<bool>,
-    /// Asks it to end once it is idle.
+    /// Requests its graceful close.
     pub close: Notify,
 }
 
 impl ClientConnection {
-    /// One that was accepted now.
+    /// Creates the record of a connection accepted at `now`.
     pub fn new(stream: ObservedStream, now: Time) -> ClientConnection {
         ClientConnection {
             stream,
@@ -78,14 +80,15 @@
         }
     }
 
-    /// No response is due on it any more.
+    /// Marks the connection as half closed: no more responses are due on it.
     pub fn mark_half_closed(&self) {
         self.is_half_closed.set(true);
         self.is_busy.set(false);
         self.is_closing.set(false);
     }
 
-    /// How it is idle, as far as this side has read: the kernel is asked only of the connection that is chosen.
+    /// Returns its idle state, or `None` if it is in use or already closing. Unread input in the kernel is not considered
+    /// here; the caller checks it for the selected connection only.
     pub fn idle_state(&self, now: Instant, since: Instant) -> Option<IdleState> {
         if self.is_busy.get() || self.is_closing.get() {
             return None;
@@ -110,11 +113,11 @@
         }
     }
 
-    /// Ends the connection; at once where it is closed for capacity.
+    /// Performs a lingering close, cut short if the connection is selected to be closed for capacity.
     pub async fn close_lingering(&self) {
         let capacity_needed = async {
             while !self.is_closing.get() {
-                self.close.notified().await; // a shutdown notifies as well
+                self.close.notified().await; // the server's shutdown notifies too
             }
         };
         tokio::select! {
@@ -140,12 +143,12 @@
         loop {
             tokio::select! {
                 _ = connection.as_mut() => return,
-                // Both conditions are checked again when they fire: a request may have arrived since the wait began.
+                // Both timers check their condition again when they fire: a request may have arrived in the meantime.
                 () = head_timeout.as_mut(), if client.awaits_first_head.get() => {
                     if client.awaits_first_head.get() && (is_head_late || !client.stream.has_unread_input()) {
                         return;
                     }
-                    // A head that arrived in time is read within a turn of the event loop.
+                    // A head that the kernel received in time is read within one turn of the event loop.
                     is_head_late = true;
                     head_timeout.as_mut().reset(Instant::now() + EVENT_LOOP_TURN);
                 }
@@ -157,11 +160,11 @@
                 () = client.close.notified() => {
                     if client.is_closing.get() {
                         if !client.is_busy.get() && client.stream.has_partial_input() {
-                            return; // there is no request that a response is due to
+                            return; // only part of a request's head arrived: no response is due
                         }
                         close_timeout.as_mut().reset(Instant::now() + CLOSE_TIMEOUT);
                     }
-                    // A request that has just arrived is answered first; its response then ends the connection.
+                    // A request that has just arrived is answered first; its response then closes the connection.
                     if client.is_busy.get() || !client.stream.has_activity() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -191,8 +194,8 @@
         response
     }
 
-    /// The connection is idle once the stream has ended. Where only the connection's end marks the response's, a
-    /// truncated one ends with a reset.
+    /// Marks the connection idle when the stream ends. Where the response is delimited by the connection's end, a truncated
+    /// response resets the connection, so that the client can tell that it is incomplete.
     fn mark_idle_after(
         self: &Rc<Self>,
         stream: &mut ResponseStream,
@@ -217,7 +220,7 @@
         client.is_busy.set(false);
     }
 
-    /// Answers a request whose body's time counts from `started_at`.
+    /// Answers a request; the timeout of its body starts at `started_at`.
     async fn answer(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -226,7 +229,7 @@
     ) -> Response<OutgoingBody> {
         let answer = match request.uri().path() {
             READY_PATH => Ok(plain_response(StatusCode::OK, "ready\n")),
-            // hyper reads nothing more, and sees no end, while bytes that it cannot use yet precede that.
+            // hyper does not read, and so does not see the client's end, while bytes that it cannot use yet precede it.
             _ => tokio::select! {
                 biased;
                 answer = self.proxy(request, &client.stream, started_at) => answer,
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its final answer.
+//! Handles one request: validates it, reads its body, passes it to the host, and builds the response.
 
 use super::{RequestRules, Server};
 use crate::net::downstream::response_stream::ResponseStream;
@@ -23,7 +23,7 @@
 /// The body of a response to a client.
 pub type OutgoingBody = Either<Full<Bytes>, ResponseStream>;
 
-/// Why a request is not forwarded.
+/// Why a request is rejected before it is forwarded. The texts are sent to the client.
 #[derive(Debug, Error)]
 pub enum RequestError {
     #[error("no such class")]
@@ -36,7 +36,7 @@
     NoPath,
     #[error(transparent)]
     Upload(#[from] UploadError),
-    /// The response reaches only a client that closed just its own side.
+    /// A client that closed only its sending side still receives this response.
     #[error("the client closed the connection")]
     ClientClosed,
 }
@@ -50,20 +50,20 @@
         }
     }
 
-    /// The response that tells the client.
+    /// Builds the response that reports the error to the client.
     pub fn response(&self) -> Response<OutgoingBody> {
         plain_response(self.status(), format!("{self}\n"))
     }
 }
 
-/// A response with a short text.
+/// Builds a response with a short text body.
 pub fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<OutgoingBody> {
     let mut response = Response::new(Either::Left(Full::new(text.into())));
     *response.status_mut() = status;
     response
 }
 
-/// A request that is complete, or whose body is streamed.
+/// A validated request whose body is either complete or streamed.
 struct AdmittedRequest {
     arrival: RequestArrival,
     forwarded: Rc<ForwardedRequest>,
@@ -71,14 +71,14 @@
 }
 
 impl Server {
-    /// Has the request decided on and forwarded, and returns its final answer.
+    /// Validates a request, passes it to the host, and returns the response to its final answer.
     pub(super) async fn proxy(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client: &ObservedStream,
         started_at: Instant,
     ) -> Result<Response<OutgoingBody>, RequestError> {
-        let rules = self.rules.borrow().clone(); // a request keeps those it arrived under
+        let rules = self.rules.borrow().clone(); // a request keeps the rules that were in force when it arrived
         let admitted = self
             .validate_and_read(request, client, started_at, &rules)
             .await?;
@@ -99,7 +99,7 @@
         Ok(response_to(answer, rules.max_retry_after))
     }
 
-    /// Checks a request and reads its body, as far as it is buffered.
+    /// Validates a request and reads as much of its body as is buffered.
     async fn validate_and_read(
         &self,
         request: Request<Incoming>,
@@ -122,7 +122,7 @@
             .min(max_time);
         let upload = Upload::new(body, client.peer_monitor(), started_at);
         let body = receive(upload, time_left).await?;
-        // A buffered request's time counts from its last byte.
+        // The time of a buffered request starts with its last byte.
         let margin = self.host.response_margin();
         let time_left = Micros(time_left.0.saturating_sub(margin.0));
         let arrival = self.arrival(class, &head.headers, time_left);
@@ -142,7 +142,7 @@
         })
     }
 
-    /// What the balancer learns of a request; its id is given by the host.
+    /// Builds the balancer's description of a request; the host replaces its id.
     fn arrival(&self, class: ClassId, headers: &HeaderMap, time_left: Micros) -> RequestArrival {
         let tenant = header_text(headers, "x-account");
         let work_hint_us = header_number(headers, "x-weight-hint");
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The class that the first segment of the path names.
+    /// Returns the class named by the first path segment.
     fn class_of(&self, uri: &Uri) -> Result<ClassId, RequestError> {
         let name = uri.path().split('/').nth(1);
         name.and_then(|name| self.host.class(name))
@@ -176,7 +176,7 @@
             tokio::select! {
                 biased;
                 answer = answer.as_mut() => return answer.ok(),
-                () = upload_sent(body) => {} // from here on its time runs
+                () = upload_sent(body) => {} // its deadline is known from now on
                 () = tokio::time::sleep_until(deadline) => {
                     self.host.deadline_expired(id);
                     return answer.await.ok();
@@ -186,8 +186,8 @@
     }
 }
 
-/// Whether the method and the idempotency key are those of the class: one that is taken for safer than the request says
-/// would be retried to its harm.
+/// Returns whether the method and the idempotency key match the class. A request treated as safer than it is could be
+/// retried and executed twice.
 fn fits_class(head: &Parts, idempotency: &Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent => head.method == Method::GET || head.method == Method::HEAD,
@@ -198,7 +198,7 @@
     }
 }
 
-/// The target without scheme and authority.
+/// Returns the target without scheme and authority.
 fn origin_form(uri: &Uri) -> Result<Uri, RequestError> {
     let path = uri.path_and_query().ok_or(RequestError::NoPath)?;
     path.as_str().parse().map_err(|_| RequestError::NoPath)
@@ -227,7 +227,7 @@
     }
 }
 
-/// Tells the host when a request without an answer is dropped because its client is gone.
+/// Tells the host that the client has disconnected if the request's future is dropped before its final answer.
 struct DisconnectGuard<'a> {
     host: &'a Rc<Host>,
     request: RequestId,
@@ -246,13 +246,13 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's number, where it holds a sensible one.
+/// Parses a header as a finite, non-negative number.
 fn header_number(headers: &HeaderMap, name: &str) -> Option<f64> {
     let number: f64 = header_text(headers, name)?.trim().parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-/// Buffers a body to its end, or finds that it is too long for that.
+/// Buffers a body up to [`MAX_BUFFERED_BODY_BYTES`]; a longer one becomes a streamed upload.
 async fn receive(mut upload: Upload, time_left: Micros) -> Result<RequestBody, UploadError> {
     let mut received = BytesMut::new();
     while upload
@@ -276,8 +276,8 @@
     Ok(RequestBody::Streaming(streamed))
 }
 
-/// Reads the rest of a streamed body that no backend took: a client that is still sending reads the answer only if its
-/// body is read to the end.
+/// Reads the rest of a streamed body that no backend took: a client that is still sending reads the response only once its
+/// body has been read to the end.
 fn drain_unsent(body: &RequestBody) {
     if let RequestBody::Streaming(upload) = body {
         if let Some(rest) = upload.take() {
@@ -286,12 +286,12 @@
     }
 }
 
-/// Reads a body to its end or its client's, and keeps nothing of it: it may be far larger than the memory.
+/// Reads and discards a body until it ends or fails. It is not buffered: it may be larger than memory.
 async fn drain(mut rest: Upload) {
     while let Some(Ok(_)) = rest.frame().await {}
 }
 
-/// Waits until a streamed body was sent; for ever for a buffered one.
+/// Waits until a streamed body was sent; never returns for a buffered one.
 async fn upload_sent(body: &RequestBody) {
     match body {
         RequestBody::Buffered(_) => std::future::pending().await,
--- a/src/net/downstream/server/shutdown.rs
+++ b/src/net/downstream/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: requests that were accepted are answered, then connections end.
+//! Graceful shutdown: answers the requests already accepted, then closes the connections.
 
 use super::{Server, EVENT_LOOP_TURN};
 use crate::net::to_duration;
@@ -10,17 +10,17 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// After SIGTERM new connections still arrive for up to 0.4 s.
+/// How long connections are still accepted after SIGTERM; new ones arrive for up to 0.4 s.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
-/// Time after the longest deadline for the last responses' way out.
+/// Time after the longest deadline for sending the last responses.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
 impl Server {
-    /// Ends the service. `successor_accepts`: another process takes the clients that still arrive.
+    /// Shuts the server down. With `successor_accepts` another process accepts the clients that still arrive.
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener, successor_accepts: bool) {
         self.is_stopping.set(true);
         if successor_accepts {
-            info!("another process takes the clients that come");
+            info!("another process accepts new clients; the listener is closed");
             drop(listener);
             self.wait_for_clients_to_leave().await;
         } else {
@@ -29,8 +29,8 @@
         self.close_connections().await;
     }
 
-    /// Clients still use the connections they have: each is asked to close with its next response, and idle ones are
-    /// closed only later, as a close may cross a request.
+    /// Waits for clients to close their connections, each of which is told to close with its next response. Idle
+    /// connections are closed only after this wait, as a close may cross a request in transit.
     async fn wait_for_clients_to_leave(&self) {
         let end = Instant::now() + ACCEPT_LINGER;
         while self.client_count() > 0 && Instant::now() < end {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// New connections still arrive for a while.
+    /// Accepts the connections that still arrive, then empties the backlog.
     async fn accept_remaining(self: &Rc<Self>, listener: TcpListener) {
         let mut linger = pin!(tokio::time::sleep(ACCEPT_LINGER));
         loop {
@@ -47,7 +47,7 @@
                 () = &mut linger => break,
             }
         }
-        // What the kernel has accepted must be answered: the backlog is emptied before it is closed.
+        // Connections that the kernel has accepted must be answered: the backlog is emptied before the listener closes.
         let Ok(listener) = listener.into_std() else {
             return;
         };
@@ -59,7 +59,7 @@
                     return;
                 }
                 Err(_) => {
-                    // Out of descriptors: each connection that ends frees one.
+                    // Out of descriptors: each connection that closes frees one.
                     let _ = self.close_least_useful(Duration::ZERO)
                         || self.host.pool.close_longest_idle();
                     self.wait_for_client_close(EVENT_LOOP_TURN).await;
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Closes connections as they become idle. Past the longest deadline no answer is due any more, and a client that
-    /// keeps a connection open with half of a request does not keep the program; a response or an upload that is still
-    /// being streamed does, until the platform ends it.
+    /// Closes connections as they become idle, until none is left. After the longest deadline no answer is due any more, so
+    /// a connection with an incomplete request does not delay the exit. A response or an upload that is still being
+    /// streamed does, until the platform kills the process.
     async fn close_connections(&self) {
         let end = Instant::now() + to_duration(self.longest_deadline()) + FLUSH_TIME;
         while self.client_count() > 0 && (Instant::now() < end || self.is_any_busy()) {
-            // Repeatedly: a connection whose request had just arrived is not closed at the first time.
+            // Repeated, as a connection whose request has just arrived ignores the first notification.
             for client in self.clients.borrow().values() {
                 client.close.notify_one();
             }
--- a/src/net/downstream/upload.rs
+++ b/src/net/downstream/upload.rs
@@ -1,4 +1,6 @@
-//! A client's body as it arrives, with limits on how slowly it may.
+//! A client's request body, read with timeouts for slow and stalled uploads.
+//!
+//! [`Upload`] is the body; [`UploadProgress`] observes how far it was forwarded while hyper owns it.
 
 use crate::net::observed_stream::PeerMonitor;
 use bytes::Bytes;
@@ -12,28 +14,28 @@
 use thiserror::Error;
 use tokio::time::{Instant, Sleep};
 
-/// How long a body may take from its head on, besides the time that its bytes are given.
+/// Base of a body's timeout, counted from the request's head; each byte extends it.
 const BASE_TIMEOUT: Duration = Duration::from_millis(2_800);
-/// Each byte that arrives extends the timeout at this rate: half that of the slowest proper client.
+/// Each received byte extends the timeout at this rate, which is half that of the slowest well-behaved client.
 const MIN_BYTES_PER_S: f64 = 32e3;
-/// A body of which nothing arrives for so long has stalled, whatever arrived before.
+/// A body fails if nothing of it arrives for this time, however much arrived before.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a client's body ended early.
+/// Why a client's body ended early. The texts are sent to the client.
 #[derive(Debug, Error)]
 pub enum UploadError {
-    /// It arrives too slowly, or stopped.
+    /// It arrives too slowly, or has stalled.
     #[error("the body did not come in time")]
     Slow,
-    /// Its connection ended, or its framing is wrong.
+    /// Its connection ended, or its framing is invalid.
     #[error("the body is malformed")]
     Malformed,
 }
 
-/// How far a body was forwarded, while hyper owns it.
+/// How far a body was forwarded. Shared with the attempt, as hyper owns the body while it is sent.
 pub struct UploadProgress {
     last_forwarded_at: Cell<Instant>,
-    /// Its last byte was forwarded: from then on the backend may run the request.
+    /// The last byte was forwarded: from then on the backend may execute the request.
     has_ended: Cell<bool>,
     on_end: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Waits until nothing was forwarded for `timeout`: the backend takes no more. For ever once everything was.
+    /// Waits until nothing has been forwarded for `timeout`, as the backend no longer reads. Never returns once the whole body
+    /// was forwarded.
     pub async fn stalled(&self, timeout: Duration) {
         while self.last_forwarded_at.get() + timeout > Instant::now() {
             tokio::time::sleep_until(self.last_forwarded_at.get() + timeout).await;
@@ -57,12 +60,12 @@
         }
     }
 
-    /// Whether the last byte was forwarded.
+    /// Returns whether the last byte was forwarded.
     pub fn has_ended(&self) -> bool {
         self.has_ended.get()
     }
 
-    /// Calls `callback` when the last byte is forwarded.
+    /// Sets a callback that runs when the last byte is forwarded.
     pub fn on_end(&self, callback: impl FnOnce() + 'static) {
         self.on_end.set(Some(Box::new(callback)));
     }
@@ -79,24 +82,24 @@
     }
 }
 
-/// A client's body. It fails when it arrives too slowly; time in which nobody reads it does not count.
+/// A client's request body. Reading fails if it arrives too slowly; time in which nothing reads it does not count.
 pub struct Upload {
-    /// What was read before the body was known to be long.
+    /// Bytes that were read before the body was known to be too long to buffer.
     prefix: Option<Bytes>,
     incoming: Incoming,
-    /// When it has taken too long, by the bytes that arrived.
+    /// When it will have taken too long, given the bytes received so far.
     deadline: Instant,
-    /// When it was last read from, or a frame last arrived.
+    /// When reading last resumed, or the last frame arrived.
     last_active_at: Instant,
     timer: Pin<Box<Sleep>>,
-    /// Somebody waits for the next frame.
+    /// A reader waits for the next frame.
     has_waiting_reader: bool,
     client: PeerMonitor,
     pub progress: Rc<UploadProgress>,
 }
 
 impl Upload {
-    /// A body whose time counts from `started_at`.
+    /// Creates an upload whose timeout starts at `started_at`.
     pub fn new(incoming: Incoming, client: PeerMonitor, started_at: Instant) -> Upload {
         let deadline = started_at + BASE_TIMEOUT;
         Upload {
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Gives back what was read from its prefix.
+    /// Puts back the bytes that were read from the start of the body.
     pub fn put_back(&mut self, prefix: Bytes) {
         self.prefix = Some(prefix);
     }
 
-    /// Its length in bytes, where the client stated one.
+    /// Returns the body's length in bytes, if the client stated one.
     pub fn length(&self) -> Option<u64> {
         self.size_hint().exact()
     }
@@ -130,7 +133,7 @@
         Some(prefix)
     }
 
-    /// Extends the deadline by the time in which nobody read.
+    /// Extends the deadline by the time in which nothing read the body.
     fn resume(&mut self, now: Instant) {
         if self.has_waiting_reader {
             return;
@@ -141,7 +144,7 @@
         self.has_waiting_reader = true;
     }
 
-    /// Ready once the body has taken too long or stalled.
+    /// Is ready once the body has taken too long or has stalled.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let timeout_at = self.deadline.min(self.last_active_at + STALL_TIMEOUT);
         if self.timer.deadline() != timeout_at {
@@ -179,7 +182,8 @@
         self.last_active_at = now;
         self.has_waiting_reader = false;
         self.progress.record_forwarded(now);
-        // The end of a client that left long ago may be read right behind its last byte, which then is not forwarded.
+        // A client's disconnect may have arrived long ago but be read only now, right behind the body's last byte. The last
+        // byte is then not forwarded, so that the backend does not execute the request.
         let is_complete = next.is_none() || self.incoming.is_end_stream();
         if is_complete && self.client.has_closed() {
             return Poll::Ready(Some(Err(UploadError::Malformed)));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy on real sockets: drives the decisions of [`meadowproxy::Balancer`].
+//! The proxy's network I/O: runs [`meadowproxy::Balancer`] on real sockets.
 //!
-//! A request arrives through [`downstream`], is decided on by [`host`] and forwarded through [`upstream`]. The endpoint
-//! list comes from [`discovery`], the configuration from [`config`], operators' calls from [`admin`]. What the proxies
-//! of a fleet share goes through [`cluster`], what outlives the process through [`state`].
+//! A request arrives through [`downstream`], [`host`] passes it to the balancer, and [`upstream`] forwards it. The endpoint
+//! list comes from [`discovery`], the configuration from [`config`], and operators' calls from [`admin`]. The proxies of a
+//! fleet share state through [`cluster`]; [`state`] holds what outlives the process.
 
 pub mod admin;
 pub mod background_thread;
@@ -20,10 +20,11 @@
 use meadowproxy::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longer bodies, in bytes and in either direction, are streamed instead of buffered.
+/// Maximum size of a buffered request or response body, in bytes. Longer bodies are streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// The balancer's time: the monotonic clock, set once to Unix time so that start times in endpoint lists are comparable.
+/// The balancer's clock: monotonic, and aligned with Unix time when it is created, so that start times in endpoint lists
+/// can be compared with it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -31,7 +32,7 @@
 }
 
 impl Clock {
-    /// Starts at the wall clock's time.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -42,23 +43,24 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time(self.start_unix_us + self.start.elapsed().as_micros() as u64)
     }
 
-    /// The moment at which the clock shows that time.
+    /// Converts a time of this clock into an instant; times before its start become the start.
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.0.saturating_sub(self.start_unix_us))).into()
     }
 }
 
-/// A span of the balancer's time as a [`Duration`].
+/// Converts the balancer's microseconds into a [`Duration`].
 pub fn to_duration(micros: meadowproxy::Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes the headers that apply to one connection only: hop-by-hop headers, those that `Connection` names, and the
+/// body's framing, which hyper sets anew.
 pub fn strip_hop_by_hop(headers: &mut hyper::HeaderMap) {
     use hyper::header::{
         HeaderName, CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to a backend, and its response is read and judged.
+//! An attempt: sends a request to a backend, reads the response, and determines the outcome.
 
 use super::connection::{OutgoingBody, PooledConnection};
 use super::pool::ConnectionPool;
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Where an attempt goes.
+/// The backend that an attempt is sent to.
 #[derive(Clone, Copy)]
 struct Target {
     backend: BackendId,
@@ -34,22 +34,22 @@
             backend = self.backend.0,
             to = %self.address,
             cause = cause.to_string(),
-            "no response that can be used"
+            "attempt ended without a usable response"
         );
     }
 }
 
-/// A response or an error; `None` if the connection ended first, or the request could not be sent in time.
+/// A response or an error. `None` if the connection ended first, or the request could not be sent in time.
 type ExchangeResult = Option<Result<BackendResponse, hyper::Error>>;
 
-/// The body of an attempt, as it begins to be sent.
+/// The body that an attempt sends.
 struct OutgoingRequestBody {
     body: OutgoingBody,
-    /// How far a streamed body was sent.
+    /// The progress of a streamed body.
     upload: Option<Rc<UploadProgress>>,
 }
 
-/// Tells whether the last byte of a request was sent: the backend begins to run it only then.
+/// Tells whether the last byte of a request was sent. A backend does not execute the request before it has that byte.
 struct SendStatus {
     stream: ObservedStream,
     upload: Option<Rc<UploadProgress>>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Waits until the request can no longer be sent in time; for ever if it was sent by then.
+    /// Waits until the request can no longer be sent in time. Never returns if it was sent by then.
     async fn expired(&self, send_deadline: Option<Instant>) {
         match (&self.upload, send_deadline) {
             (Some(upload), _) => upload.stalled(BACKEND_STALL_TIMEOUT).await,
@@ -77,7 +77,8 @@
 }
 
 impl ConnectionPool {
-    /// Sends `request` to a backend and waits for the response.
+    /// Sends `request` to a backend and waits for the response. `deadline` is sent along as `X-Time-Left`; the caller enforces
+    /// it.
     pub async fn attempt(
         &self,
         backend: BackendId,
@@ -107,7 +108,7 @@
         let request = http_request(request, outgoing.body, time_left);
         let send_deadline = progress.send_deadline();
         let exchanged = tokio::select! {
-            biased; // nothing is written once it is too late
+            biased; // checked first, so that nothing is written after the send deadline
             () = status.expired(send_deadline) => None,
             exchanged = exchange(&mut connection, request, &status) => exchanged,
         };
@@ -115,7 +116,7 @@
             .await
     }
 
-    /// Judges what the exchange brought, and passes a streamed response on.
+    /// Determines the outcome of the exchange, and forwards a streamed response.
     async fn finish(
         &self,
         target: Target,
@@ -129,7 +130,7 @@
                 AttemptResult::without_response(Outcome::Overloaded)
             }
             Some(Ok(BackendResponse::BeforeRequestSent(_))) => {
-                target.log_failure("it answered before the request's last byte");
+                target.log_failure("response before the request was completely sent");
                 AttemptResult::without_response(Outcome::ConnectFailed)
             }
             Some(Ok(BackendResponse::Buffered(response))) => {
@@ -179,7 +180,8 @@
             }
             (outcome, Err(error)) => {
                 target.log_failure(error_chain(error.as_ref()));
-                // Truncated: a served one has run, and one that says otherwise cannot be trusted in that.
+                // The body is unusable. A request answered with 200 was executed, and a truncated response that claims the
+                // opposite is not trusted.
                 AttemptResult::without_response(match outcome {
                     Outcome::Error => outcome,
                     _ => Outcome::Reset,
@@ -207,7 +209,8 @@
             headers: strip_backend_headers(&mut head.headers),
             body: ResponseBody::Streaming(stream),
         });
-        // The backend may have sent everything long before the client has taken it, and be idle from then on.
+        // The backend may send everything long before the client has read it. For the backend's idle timeout the connection
+        // may be idle from here on.
         let started = Instant::now();
         let driven = drive_past_close(
             &mut connection.connection,
@@ -219,13 +222,13 @@
             self.check_in_if_ready(target.backend, connection, started);
         }
         if matches!(outcome, Outcome::Reset | Outcome::TimedOut) {
-            target.log_failure(format!("{outcome:?} in a streamed response"));
+            target.log_failure(format!("streamed response ended with {outcome:?}"));
         }
         outcome
     }
 }
 
-/// Takes the body to be sent from now on; `None` if another backend has it.
+/// Starts sending the request and returns its body. `None` if another attempt has taken a streamed body.
 fn begin_sending(
     stream: &ObservedStream,
     body: &RequestBody,
@@ -280,8 +283,8 @@
     let work = async {
         sender.ready().await?;
         let response = sender.send_request(request).await?;
-        // A response before the last byte is none of this request's, and with its connection ended here the request
-        // never runs.
+        // A response that arrives before the request's last byte cannot be a response to it. The connection is dropped, so
+        // the request is never executed.
         if !status.is_sent() {
             return Ok(BackendResponse::BeforeRequestSent(outcome_of(&response)));
         }
@@ -290,21 +293,22 @@
     drive_until_closed(connection, work).await
 }
 
-/// The outcome of an attempt without a response; no error means that the connection ended or took nothing more.
+/// Returns the outcome of an attempt without a response. Without an error, the connection ended or the backend stopped
+/// reading.
 fn failure_outcome(target: Target, status: &SendStatus, error: Option<&hyper::Error>) -> Outcome {
     let is_upload_cut = status.upload.is_some() && !status.is_sent();
     if is_upload_cut && error.is_some_and(hyper::Error::is_user) {
-        // The client's body broke off: the backend never begins.
+        // The client's body ended early: the backend never executes the request.
         return Outcome::NotSent;
     }
     match error {
         Some(error) => target.log_failure(error_chain(error)),
-        None => target.log_failure("it ended, or took nothing more"),
+        None => target.log_failure("connection ended, or the backend stopped reading"),
     }
     if !status.is_sent() {
         return Outcome::ConnectFailed;
     }
-    // What cannot be parsed as a response is a response all the same, and no reset.
+    // Bytes that cannot be parsed as a response still are a response, not a reset.
     match error {
         Some(error) if error.is_parse() => Outcome::Error,
         _ => Outcome::Reset,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend.
+//! A connection to a backend, as the pool holds it and an attempt uses it.
 
 use crate::net::connection_driver::drive_until_closed;
 use crate::net::downstream::upload::Upload;
@@ -18,11 +18,11 @@
 /// The body of a request to a backend.
 pub type OutgoingBody = Either<Full<Bytes>, Upload>;
 
-/// Counts an open (or opening) connection for as long as it exists.
+/// Counts an open or opening connection until it is dropped.
 pub struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
-    /// Adds one to `open_count`.
+    /// Increments `open_count`; dropping the slot decrements it.
     pub fn new(open_count: Rc<Cell<usize>>) -> ConnectionSlot {
         open_count.set(open_count.get() + 1);
         ConnectionSlot(open_count)
@@ -35,23 +35,23 @@
     }
 }
 
-/// A connection and its place among the open ones. It is driven only while a request is on it; dropping it closes the
-/// socket, which is how an attempt is cancelled.
+/// A connection to a backend and its slot in the pool's count. It is polled only while a request is in progress. Dropping it
+/// closes the socket, which is how an attempt is cancelled.
 pub struct PooledConnection {
     pub sender: http1::SendRequest<OutgoingBody>,
     pub connection: http1::Connection<ObservedStream, OutgoingBody>,
     pub stream: ObservedStream,
     pub address: SocketAddr,
-    /// Since when the backend may count it as idle.
+    /// Since when the backend may consider it idle.
     pub idle_since: Instant,
-    /// When its last response had been read.
+    /// When its last response was completely read.
     pub last_response_at: Instant,
     _slot: ConnectionSlot,
 }
 
 impl PooledConnection {
-    /// Prepares a TCP stream for requests. hyper takes a request only after a first turn of its own. It has that here, so
-    /// that nothing comes between the last check of what may be sent and the first byte.
+    /// Performs the HTTP/1 handshake. hyper accepts a request only after the connection was polled once; polling it here
+    /// avoids a wait between the last check of whether a request may be sent and its first byte.
     pub async fn open(
         stream: ObservedStream,
         address: SocketAddr,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Whether it is ready for another request at this moment.
+    /// Polls the connection once and returns whether it is ready for another request.
     pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         let ready = drive_until_closed(&mut self.connection, self.sender.ready());
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! The backends' side: one attempt sends one request to one backend.
+//! The backend-facing side of the proxy: an attempt sends one request to one backend.
 //!
-//! - [`ConnectionPool`]: idle connections by backend, and the bound on all of them.
+//! - [`ConnectionPool`]: idle connections by backend, and the limit on all open connections.
 //! - `connection`: one connection of the pool.
-//! - `attempt`: the exchange of a request for a response, see [`ConnectionPool::attempt`].
-//! - `response`: what a backend's response says, and how a long one is passed on.
+//! - `attempt`: sends a request and reads its response, see [`ConnectionPool::attempt`].
+//! - `response`: interprets a backend's response, buffers it, and forwards a long one.
 
 mod attempt;
 mod connection;
@@ -30,28 +30,28 @@
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: RequestBody,
-    /// The client, if it may leave.
+    /// Observes whether the client has disconnected; `None` for a request without a client connection.
     pub client: Option<PeerMonitor>,
 }
 
 /// A request's body.
 pub enum RequestBody {
-    /// Complete in memory: it can be sent more than once.
+    /// Complete in memory, so it can be sent more than once.
     Buffered(Bytes),
-    /// Too long for that: it is streamed to one backend as it arrives.
+    /// Too long to buffer: streamed to one backend as it arrives.
     Streaming(StreamedUpload),
 }
 
 /// A body that is streamed to the first backend that takes it.
 pub struct StreamedUpload {
     source: RefCell<Option<Upload>>,
-    /// How long the client waits once it has sent its last byte.
+    /// How long the client waits after it has sent the last byte.
     pub time_left: Micros,
     sent: Notify,
 }
 
 impl StreamedUpload {
-    /// A body that no backend has taken yet.
+    /// Creates a body that no attempt has taken yet.
     pub fn new(source: Upload, time_left: Micros) -> StreamedUpload {
         StreamedUpload {
             source: RefCell::new(Some(source)),
@@ -60,23 +60,23 @@
         }
     }
 
-    /// Waits until its last byte was sent to a backend.
+    /// Waits until the last byte was sent to a backend.
     pub async fn sent(&self) {
         self.sent.notified().await;
     }
 
-    /// Its last byte was sent to a backend.
+    /// Records that the last byte was sent to a backend.
     pub fn mark_sent(&self) {
         self.sent.notify_one();
     }
 
-    /// Takes the body, unless a backend has it.
+    /// Takes the body; `None` if an attempt has already taken it.
     pub fn take(&self) -> Option<Upload> {
         self.source.take()
     }
 }
 
-/// A response that is passed on to the client.
+/// A backend's response that is forwarded to the client.
 pub struct ServedResponse {
     pub headers: HeaderMap,
     pub body: ResponseBody,
@@ -86,19 +86,19 @@
 pub enum ResponseBody {
     /// Complete in memory.
     Buffered(Bytes),
-    /// Passed on as it arrives.
+    /// Forwarded as it arrives.
     Streaming(ResponseStream),
 }
 
 /// How an attempt ended.
 pub struct AttemptResult {
     pub outcome: Outcome,
-    /// The response, if it was served and not streamed: [`Progress::response_started`] has passed on a streamed one.
+    /// The response, if it was served and buffered. A streamed one was handed over by [`Progress::response_started`].
     pub response: Option<ServedResponse>,
 }
 
 impl AttemptResult {
-    /// A result with nothing for the client.
+    /// Creates a result without a response for the client.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -107,16 +107,18 @@
     }
 }
 
-/// What an attempt asks, and reports to, as it proceeds.
+/// Callbacks that an attempt queries and notifies as it proceeds.
 pub trait Progress {
-    /// Asked at the moment of the first byte: the backend may have begun to drain while the connection was established.
+    /// Returns whether the request may still be sent. Called right before the first byte, as the backend may have begun to
+    /// drain while the connection was established.
     fn may_send(&self) -> bool;
-    /// Asked right after: when the last byte of a buffered request must be sent, if it must be.
+    /// Returns the time by which the last byte of a buffered request must be sent, if there is one. Called right before the
+    /// first byte.
     fn send_deadline(&self) -> Option<Instant>;
-    /// A streamed body begins to be sent; it cannot be sent again.
+    /// A streamed body has begun to be sent; it cannot be sent again.
     fn upload_started(&self);
     /// The last byte of a streamed body was sent.
     fn upload_finished(&self);
-    /// A streamed response begins.
+    /// A streamed response has begun.
     fn response_started(&self, response: ServedResponse);
 }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,4 +1,6 @@
-//! The pool of connections to backends.
+//! Pool of connections to backends.
+//!
+//! [`ConnectionPool`] keeps idle HTTP/1 connections for reuse and limits the total number of open connections.
 
 use super::connection::{ConnectionSlot, PooledConnection};
 use crate::net::observed_stream::ObservedStream;
@@ -14,21 +16,21 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Part of the backends' idle timeout after which a connection is no longer used: well within it, as their clock may
-/// have started before ours.
+/// Fraction of the backends' idle timeout after which a connection is no longer reused. Well below 1, as a backend may have
+/// started its timer before the proxy did.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// How long a connection rests after a response before the next request is sent on it. What a broken backend sends late,
-/// such as a second response, arrives in this time and is not taken for the next request's.
+/// Minimum time between a response and the next request on the same connection. Stray bytes of a faulty backend, such as a
+/// second response, arrive in this time and are not taken for the response to the next request.
 const MIN_REUSE_DELAY: Duration = Duration::from_millis(3);
-/// Interval at which idle connections are checked.
+/// Interval at which expired idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// `ENFILE` and `EMFILE`: the machine or the process is out of descriptors.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
 
-/// Idle connections by backend, the most recently used last, and a bound on all open connections.
+/// Idle connections by backend, the most recently used last, with a limit on all open connections.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<BackendId, Vec<PooledConnection>>>,
-    /// Backends to which no idle connection is kept.
+    /// Backends for which no idle connections are kept.
     closed_backends: RefCell<HashSet<BackendId>>,
     /// When each backend last responded.
     last_response_at: RefCell<HashMap<BackendId, Instant>>,
@@ -36,12 +38,12 @@
     max_open: Cell<usize>,
     idle_timeout: Cell<Duration>,
     connect_timeout: Cell<Duration>,
-    /// Connections opened since the last [`ConnectionPool::take_connect_count`].
+    /// Connection attempts since the last [`ConnectionPool::take_connect_count`].
     connect_count: Cell<u64>,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `max_open` connections.
+    /// Creates a pool of at most `max_open` connections, in use or idle.
     pub fn new(network: &NetworkSettings, max_open: usize) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
@@ -55,30 +57,30 @@
         }
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections, in use or idle.
     pub fn open_connections(&self) -> usize {
         self.open_count.get()
     }
 
-    /// Connections opened since the last call.
+    /// Returns the number of connection attempts since the last call.
     pub fn take_connect_count(&self) -> u64 {
         self.connect_count.take()
     }
 
-    /// Puts changed settings in force.
+    /// Applies changed timeouts.
     pub fn apply_settings(&self, network: &NetworkSettings) {
         self.idle_timeout.set(idle_timeout(network));
         self.connect_timeout
             .set(to_duration(network.connect_timeout));
     }
 
-    /// Allows so many connections from now on; those above it close as they become idle.
+    /// Sets the maximum number of open connections, and closes idle ones above it.
     pub fn set_max_open(&self, max_open: usize) {
         self.max_open.set(max_open);
         while self.open_connections() > max_open && self.close_longest_idle() {}
     }
 
-    /// An idle connection, checked at this moment, or a new one.
+    /// Returns an idle connection that is still usable, or opens a new one.
     pub(super) async fn check_out(
         &self,
         id: BackendId,
@@ -96,7 +98,7 @@
             && !connection.stream.has_activity()
     }
 
-    /// An idle connection that has rested.
+    /// Returns a usable idle connection whose reuse delay is over, waiting for that if necessary.
     async fn take_idle(&self, id: BackendId, address: SocketAddr) -> Option<PooledConnection> {
         loop {
             let connection = self.pick_idle(id)?;
@@ -104,8 +106,8 @@
                 continue; // the backend has another address now
             }
             if connection.last_response_at.elapsed() < MIN_REUSE_DELAY {
-                let rested_at = connection.last_response_at + MIN_REUSE_DELAY;
-                tokio::time::sleep_until(rested_at).await;
+                let reusable_at = connection.last_response_at + MIN_REUSE_DELAY;
+                tokio::time::sleep_until(reusable_at).await;
             }
             if self.is_usable(&connection) {
                 return Some(connection);
@@ -113,17 +115,17 @@
         }
     }
 
-    /// The most recently used of those that have rested, or the one that will have first.
+    /// Removes the most recently used connection whose reuse delay is over, or else the one whose delay ends first.
     fn pick_idle(&self, id: BackendId) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&id).filter(|list| !list.is_empty())?;
-        let rested = connections
+        let reusable = connections
             .iter()
             .rposition(|connection| connection.last_response_at.elapsed() >= MIN_REUSE_DELAY);
-        Some(connections.remove(rested.unwrap_or(0)))
+        Some(connections.remove(reusable.unwrap_or(0)))
     }
 
-    /// Takes a connection back that nothing is in flight on.
+    /// Returns a connection without a request in progress to the pool.
     pub(super) fn check_in(&self, id: BackendId, connection: PooledConnection) {
         if self.closed_backends.borrow().contains(&id) {
             return;
@@ -133,8 +135,8 @@
         idle.entry(id).or_default().push(connection);
     }
 
-    /// Takes a connection back whose response was read, idle since then. One check: a response does not wait for a
-    /// connection that is not ready for more.
+    /// Returns a connection to the pool after its response, idle since `idle_since`. If it is not ready for another request it
+    /// is closed instead: the response must not wait for it.
     pub(super) fn check_in_if_ready(
         &self,
         id: BackendId,
@@ -148,34 +150,35 @@
         }
     }
 
-    /// Notes that the backend responds.
+    /// Records that the backend has responded now.
     pub(super) fn record_response(&self, id: BackendId) {
         self.last_response_at
             .borrow_mut()
             .insert(id, Instant::now());
     }
 
-    /// The backend gets no new requests: no connection to it is kept idle until it is reopened.
+    /// Closes the backend's idle connections and keeps none until it is reopened, as it gets no new requests.
     pub fn close_backend(&self, id: BackendId) {
         self.closed_backends.borrow_mut().insert(id);
         self.idle.borrow_mut().remove(&id);
         self.last_response_at.borrow_mut().remove(&id);
     }
 
-    /// The backend may get requests again.
+    /// Allows idle connections to the backend again.
     pub fn reopen_backend(&self, id: BackendId) {
         self.closed_backends.borrow_mut().remove(&id);
     }
 
-    /// Nothing will ever be sent to the backend again, and nothing is in flight there.
+    /// Removes all state of a backend that gets no more requests and has none in flight.
     pub fn remove_backend(&self, id: BackendId) {
         self.close_backend(id);
         self.reopen_backend(id);
     }
 
-    /// An attempt sent at `sent_at` was given up without a response. If the backend has not responded to anything since,
-    /// its machine may be cut off and its idle connections dead without a sign: what is written to one of those may
-    /// have run for all one can tell, while a new connection that fails proves that it did not.
+    /// Records that an attempt sent at `sent_at` was given up without a response. If the backend has not responded to anything
+    /// since, its machine may be unreachable and its idle connections dead without notice, so they are closed. A request
+    /// written to a dead connection may have been executed as far as the proxy can tell, while a failure to connect proves
+    /// that it was not.
     pub fn record_unanswered_attempt(&self, id: BackendId, sent_at: Instant) {
         let responses = self.last_response_at.borrow();
         if responses.get(&id).is_none_or(|at| *at < sent_at) {
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest; false when there is none.
+    /// Closes the connection that has been idle longest. Returns false if none is idle.
     pub fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Closes connections that were idle too long or were closed by the backend, for as long as the program runs.
+    /// Closes connections that were idle too long or were closed by the backend. Runs until the process ends.
     pub async fn close_idle_connections(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Opens a connection. At the bound an idle one makes way; where there is none the backend is not to blame.
+    /// Opens a connection. At the limit the longest-idle connection is closed first; if none is idle the outcome is
+    /// [`Outcome::NotSent`], which does not count against the backend.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, Outcome> {
         if self.open_connections() >= self.max_open.get() && !self.close_longest_idle() {
             return Err(Outcome::NotSent);
@@ -221,7 +225,7 @@
         let connected = tokio::time::timeout(self.connect_timeout.get(), connecting).await;
         let tcp = match connected {
             Ok(Ok(tcp)) => tcp,
-            // The fault is this proxy's own, and no sign of the backend's.
+            // The proxy has run out of descriptors, which does not count against the backend.
             Ok(Err(error)) if is_out_of_descriptors(&error) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,4 +1,4 @@
-//! A backend's response: what it says, how much of it is buffered, and how a long one is passed on.
+//! Backend responses: determines their outcome, buffers them up to a limit, and forwards long ones to the client.
 
 use crate::net::connection_driver::BoxError;
 use crate::net::downstream::response_stream::ResponseChunk;
@@ -15,27 +15,27 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// A response of unknown length is buffered no longer than this before its first bytes are passed on.
+/// A response of unknown length is buffered at most this long before its first bytes are forwarded.
 const MAX_BUFFERING_TIME: Duration = Duration::from_secs(1);
-/// A client that takes nothing of its response for so long is dropped; the kernel's buffers hide shorter pauses.
+/// A client that reads nothing of its response for this time is dropped. The kernel's buffers hide shorter pauses.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// A backend that sends nothing of a response it began, or takes nothing of a body, for so long is taken for dead.
+/// A backend that sends nothing of a response it has begun, or reads nothing of a body, for this time counts as failed.
 pub const BACKEND_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a response's body cannot be used.
 #[derive(Debug, Error)]
 enum BodyError {
-    /// Its headers state its end in no way or several, or it has a coding that the client would not learn of.
-    #[error("its framing is not told in one way, or coded")]
+    /// Its headers frame the body ambiguously, or name a transfer coding that the client would not learn of.
+    #[error("ambiguous message framing or unsupported transfer coding")]
     Framing,
-    /// It is an error's, and longer than what is buffered.
-    #[error("longer than what is held")]
+    /// It belongs to an error response and is longer than the buffer.
+    #[error("error response body longer than {MAX_BUFFERED_BODY_BYTES} bytes")]
     TooLong,
 }
 
-/// A response as far as it is buffered.
+/// A response, as much of it as was read before its outcome was known.
 pub enum BackendResponse {
-    /// Its head arrived before the request had been sent.
+    /// Its head arrived before the request was completely sent; the outcome is the one that the head states.
     BeforeRequestSent(Outcome),
     Buffered(BufferedResponse),
     Streaming(StreamingResponse),
@@ -45,21 +45,21 @@
 pub struct BufferedResponse {
     pub outcome: Outcome,
     pub head: Parts,
-    /// Its body, if that arrived completely and is not longer than what is buffered.
+    /// The body, or why it cannot be used.
     pub body: Result<Bytes, BoxError>,
 }
 
 /// A served response that is too long, or takes too long, to be buffered.
 pub struct StreamingResponse {
     pub head: Parts,
-    /// In bytes, where it is known.
+    /// The body's length in bytes, if known.
     pub length: Option<u64>,
     pub received: Bytes,
     pub rest: Incoming,
 }
 
 impl BackendResponse {
-    /// Reads a response, until it is complete or is known to be streamed.
+    /// Reads a response until it is complete or has to be streamed.
     pub async fn read(response: Response<Incoming>) -> BackendResponse {
         let outcome = outcome_of(&response);
         let (head, mut body) = response.into_parts();
@@ -113,7 +113,7 @@
     }
 }
 
-/// Passes a streamed response on, a chunk at a time, for as long as the backend sends and the client takes.
+/// Forwards a streamed response chunk by chunk, for as long as the backend sends and the client reads.
 pub async fn forward_body(
     received: Bytes,
     mut rest: Incoming,
@@ -131,7 +131,7 @@
         next = match tokio::time::timeout(BACKEND_STALL_TIMEOUT, rest.frame()).await {
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             Ok(None) => {
-                // A client that knows the length may have stopped listening.
+                // A client that knows the length may have stopped reading.
                 let _ = chunks.send(ResponseChunk::End).await;
                 return Outcome::Ok;
             }
@@ -141,14 +141,15 @@
     }
 }
 
-/// Takes the headers that the client gets.
+/// Strips the headers meant for the proxy, and takes those that are forwarded to the client.
 pub fn strip_backend_headers(headers: &mut HeaderMap) -> HeaderMap {
     strip_hop_by_hop(headers);
     headers.remove("x-backend-load");
     std::mem::take(headers)
 }
 
-/// The outcome that a response's head states. A request with any status that the protocol does not list may have run.
+/// Returns the outcome that a response's head states. Under a status that the protocol does not list the request may have
+/// been executed.
 pub fn outcome_of(response: &Response<Incoming>) -> Outcome {
     let is_unprocessed = response
         .headers()
@@ -163,7 +164,7 @@
     }
 }
 
-/// Whether the headers state in one way how the body ends, and name no coding that the client would not learn of.
+/// Returns whether the headers frame the body unambiguously and name no transfer coding other than `chunked`.
 fn has_one_framing(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     match (codings.next(), codings.next()) {
@@ -176,7 +177,7 @@
     }
 }
 
-/// An error with all its sources, for the log.
+/// Formats an error with all its sources, for the log.
 pub fn error_chain(error: &dyn std::error::Error) -> String {
     let sources = std::iter::successors(error.source(), |source| source.source());
     sources.fold(error.to_string(), |text, source| {
