--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -7,7 +7,7 @@
 //! knows more. As forgotten changes may have had versions, none up to the wall clock in milliseconds is used then.
 
 use super::limits::VERSION_LIMIT;
-use super::message::{AcceptedChange, AcceptorState, Paxos};
+use super::message::{AcceptedChange, AcceptorState, PaxosMessage};
 use crate::fleet::lease::{Rules, Token};
 use crate::interface::{Micros, Time};
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
     }
 
     /// The indices of the voters that have not replied, while it recovers.
-    pub fn unanswered(&self) -> Vec<usize> {
+    pub fn unanswered_voters(&self) -> Vec<usize> {
         let Phase::Recovering { replies, .. } = &self.phase else {
             return Vec::new();
         };
@@ -114,12 +114,12 @@
 
     /// Lets time pass. `wall_ms`: the wall clock in milliseconds since 1970; `version`: of this proxy's table. What is put
     /// into `out` goes to every other voter. Call it about every tenth of a second.
-    pub fn tick(&mut self, now: Time, wall_ms: u64, version: u64, out: &mut Vec<Paxos>) {
+    pub fn tick(&mut self, now: Time, wall_ms: u64, version: u64, out: &mut Vec<PaxosMessage>) {
         self.drop_committed(version);
         let request_due = match &self.phase {
             Phase::Silent { until } => now >= *until,
             // Replies count together only if they came within one round's time.
-            Phase::Recovering { since, .. } => now - *since >= self.rules.bid_timeout(),
+            Phase::Recovering { since, .. } => now - *since >= self.rules.election_timeout(),
             Phase::CatchingUp { since, .. } => now - *since >= CATCH_UP_TIMEOUT,
             Phase::Voting => false,
         };
@@ -129,26 +129,26 @@
                 since: now,
                 replies: BTreeMap::new(),
             };
-            out.push(Paxos::Recover { nonce: self.nonce });
+            out.push(PaxosMessage::Recover { nonce: self.nonce });
         }
         self.finish_recovery(now, wall_ms, version);
     }
 
     /// Handles a request of the leader or of a recovering voter, and returns the reply to it, if there is one.
-    pub fn handle(&mut self, message: Paxos, version: u64) -> Option<Paxos> {
+    pub fn handle(&mut self, message: PaxosMessage, version: u64) -> Option<PaxosMessage> {
         self.drop_committed(version);
         match message {
-            Paxos::Recover { nonce } if !matches!(self.phase, Phase::Silent { .. }) => {
-                Some(Paxos::RecoverReply {
+            PaxosMessage::Recover { nonce } if !matches!(self.phase, Phase::Silent { .. }) => {
+                Some(PaxosMessage::RecoverReply {
                     nonce,
                     state: self.state(version),
                     is_complete: self.is_voting(),
                 })
             }
-            Paxos::Prepare { token, round } if self.is_voting() => {
+            PaxosMessage::Prepare { token, round } if self.is_voting() => {
                 Some(self.prepare(token, round, version))
             }
-            Paxos::Accept {
+            PaxosMessage::Accept {
                 token,
                 round,
                 change,
@@ -169,7 +169,7 @@
             return;
         };
         let from_other = reply.voter < self.rules.voters() && reply.voter != self.index;
-        let in_time = now - *since < self.rules.bid_timeout();
+        let in_time = now - *since < self.rules.election_timeout();
         if from_other && reply.nonce == self.nonce && in_time {
             let known = KnownState {
                 is_complete: reply.is_complete,
@@ -189,19 +189,19 @@
         }
     }
 
-    fn nack(&self, token: Token) -> Paxos {
-        Paxos::Nack {
+    fn nack(&self, token: Token) -> PaxosMessage {
+        PaxosMessage::Nack {
             token,
             highest: self.promised,
         }
     }
 
-    fn prepare(&mut self, token: Token, round: u32, version: u64) -> Paxos {
+    fn prepare(&mut self, token: Token, round: u32, version: u64) -> PaxosMessage {
         if token < self.promised {
             return self.nack(token);
         }
         self.promised = token;
-        Paxos::Promise {
+        PaxosMessage::Promise {
             token,
             round,
             version,
@@ -210,14 +210,19 @@
         }
     }
 
-    fn accept(&mut self, proposal: AcceptedChange, round: u32, version: u64) -> Option<Paxos> {
+    fn accept(
+        &mut self,
+        proposal: AcceptedChange,
+        round: u32,
+        version: u64,
+    ) -> Option<PaxosMessage> {
         let token = proposal.token;
         if token < self.promised {
             return Some(self.nack(token));
         }
         self.promised = token;
         if proposal.change.previous > version {
-            return Some(Paxos::Behind {
+            return Some(PaxosMessage::Behind {
                 token,
                 round,
                 version,
@@ -233,7 +238,7 @@
             return Some(self.nack(token));
         }
         self.accepted = Some(proposal);
-        Some(Paxos::Accepted { token, round })
+        Some(PaxosMessage::Accepted { token, round })
     }
 
     /// Drops an accepted change once the table is past it.
--- a/src/fleet/config/applied_changes.rs
+++ b/src/fleet/config/applied_changes.rs
@@ -13,7 +13,7 @@
 
 /// What is known of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum SubmissionStatus {
     /// No change was made from it.
     New,
     /// The change of this version was made from it.
@@ -72,7 +72,7 @@
     }
 
     /// The table went to this version in one step, without the ids of the changes up to it.
-    pub fn lose_ids_up_to(&mut self, version: u64) {
+    pub fn forget_ids_up_to(&mut self, version: u64) {
         self.recent.clear();
         self.known_since = version;
         self.repeats_until = self.now + REPEAT_WINDOW;
@@ -82,20 +82,20 @@
     ///
     /// The change of a submission has a later version than its base. So it is among the known ones, unless the base is
     /// older than these, or no version that the table had.
-    pub fn origin(&self, submission: &Submission, table_version: u64) -> Origin {
+    pub fn status(&self, submission: &Submission, table_version: u64) -> SubmissionStatus {
         let known = self
             .recent
             .iter()
             .rev()
             .find(|change| change.id == submission.id);
         if let Some(change) = known {
-            return Origin::Applied(change.version);
+            return SubmissionStatus::Applied(change.version);
         }
         let covered = (self.known_since..=table_version).contains(&submission.base);
         if covered || self.now >= self.repeats_until {
-            Origin::New
+            SubmissionStatus::New
         } else {
-            Origin::Unknown
+            SubmissionStatus::Unknown
         }
     }
 }
--- a/src/fleet/config/message.rs
+++ b/src/fleet/config/message.rs
@@ -22,7 +22,7 @@
 /// The messages of Paxos between the leader and the voters, and among voters. The leader's token is the ballot; rounds and
 /// nonces tie a reply to its request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Paxos {
+pub enum PaxosMessage {
     /// Leader to voter: promise to accept nothing under a lower token, and tell what you accepted.
     Prepare {
         /// The leader's token.
@@ -80,7 +80,7 @@
         /// Identifies this request.
         nonce: u64,
     },
-    /// Another voter's reply to [`Paxos::Recover`].
+    /// Another voter's reply to [`PaxosMessage::Recover`].
     RecoverReply {
         /// The request's.
         nonce: u64,
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// About the change that is to be committed.
-    Paxos(Paxos),
+    Paxos(PaxosMessage),
     /// Committed changes in order.
     Changes {
         /// The changes.
@@ -178,16 +178,16 @@
             return Vec::new();
         };
         match message {
-            Paxos::Prepare { token, .. }
-            | Paxos::Accept { token, .. }
-            | Paxos::Accepted { token, .. }
-            | Paxos::Behind { token, .. } => vec![*token],
-            Paxos::Promise {
+            PaxosMessage::Prepare { token, .. }
+            | PaxosMessage::Accept { token, .. }
+            | PaxosMessage::Accepted { token, .. }
+            | PaxosMessage::Behind { token, .. } => vec![*token],
+            PaxosMessage::Promise {
                 token, accepted, ..
             } => tokens_with(accepted.as_ref(), *token),
-            Paxos::Nack { token, highest } => vec![*token, *highest],
-            Paxos::Recover { .. } => Vec::new(),
-            Paxos::RecoverReply { state, .. } => {
+            PaxosMessage::Nack { token, highest } => vec![*token, *highest],
+            PaxosMessage::Recover { .. } => Vec::new(),
+            PaxosMessage::RecoverReply { state, .. } => {
                 tokens_with(state.accepted.as_ref(), state.promised)
             }
         }
--- a/src/fleet/config/mod.rs
+++ b/src/fleet/config/mod.rs
@@ -7,14 +7,14 @@
 //! missed some catches up from another one's log or by anti-entropy over a Merkle tree.
 //!
 //! ```
-//! use meadowproxy::fleet::config::{Applied, Change, Edit, Key, Kind, Table, Value};
+//! use meadowproxy::fleet::config::{ApplyOutcome, Change, Edit, Key, Kind, Table, Value};
 //!
 //! let key = Key { kind: Kind::Tenant, name: "acme".into() };
 //! let edits = vec![Edit { key, value: Value::Set(b"{}".to_vec()) }];
 //! let change = Change { version: 1, previous: 0, id: 7, edits };
 //! let mut table = Table::default();
-//! assert_eq!(table.apply(&change), Ok(Applied::New));
-//! assert_eq!(table.apply(&change), Ok(Applied::Known));
+//! assert_eq!(table.apply(&change), Ok(ApplyOutcome::Applied));
+//! assert_eq!(table.apply(&change), Ok(ApplyOutcome::AlreadyApplied));
 //! ```
 //!
 //! The modules use each other in one direction, from the top of this list to its end:
@@ -55,7 +55,7 @@
 mod table;
 
 pub use acceptor::{Acceptor, RecoveryReply};
-pub use applied_changes::{AppliedChanges, Origin};
+pub use applied_changes::{AppliedChanges, SubmissionStatus};
 pub use change::{check_edits, Change};
 pub use entry::{Edit, Entry, InvalidEntry, Key, Kind, Value};
 pub use error::{MessageError, TableError};
@@ -63,10 +63,10 @@
     MAX_APPLIED_IDS, MAX_EDITS_PER_CHANGE, MAX_NAME_BYTES, MAX_VALUE_BYTES, VERSION_LIMIT,
 };
 pub use merkle::{Digest, Node, PositionRange, CHILDREN};
-pub use message::{AcceptedChange, AcceptorState, Message, Outbox, Outgoing, Paxos};
+pub use message::{AcceptedChange, AcceptorState, Message, Outbox, Outgoing, PaxosMessage};
 pub use overrides::{FileAhead, FileError, Overrides};
 pub use peers::Context;
-pub use proposer::{Proposal, Proposer, Step};
+pub use proposer::{Proposal, Proposer, ReplyOutcome};
 pub use replica::{Event, Replica, Rules};
 pub use submission::{Submission, SubmitError};
-pub use table::{Applied, Table};
+pub use table::{ApplyOutcome, Table};
--- a/src/fleet/config/overrides.rs
+++ b/src/fleet/config/overrides.rs
@@ -104,7 +104,7 @@
 
     /// The version that a file has to contain at least, where the one in force does not: some changes are missing here, and
     /// the entries over the file would be no state that the fleet ever had.
-    pub fn missing_version(&self) -> Option<u64> {
+    pub fn required_file_version(&self) -> Option<u64> {
         (self.dropped_version > self.file_version()).then_some(self.dropped_version)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Whether this entry is later than the file in force.
-    pub fn is_over_file(&self, key: &Key) -> bool {
+    pub fn overrides_file(&self, key: &Key) -> bool {
         self.entries
             .get(key)
             .is_some_and(|entry| entry.version > self.file_version())
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -4,7 +4,7 @@
 use super::change::Change;
 use super::entry::Edit;
 use super::limits::VERSION_LIMIT;
-use super::message::{AcceptedChange, Paxos};
+use super::message::{AcceptedChange, PaxosMessage};
 use crate::fleet::lease::{Rules, Token};
 use crate::interface::Time;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 
 /// What a voter's reply led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ReplyOutcome {
     /// Nothing yet.
     Wait,
     /// A majority accepted the change.
@@ -56,7 +56,7 @@
         /// The version of the voter's table.
         version: u64,
         /// The request to send once more, after the changes that it lacks.
-        retry: Paxos,
+        retry: PaxosMessage,
     },
     /// Another leader has this higher token, or will.
     Superseded(Token),
@@ -117,13 +117,13 @@
 
     /// Lets time pass: begins a new round where no majority replied to the last one in time. `version`: of this proxy's
     /// table. What is put into `out` goes to every voter. Call it only while the lease is valid by the clock.
-    pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
+    pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<PaxosMessage>) {
         self.advance(now, version, out);
         let waiting = matches!(
             self.phase,
             Phase::Preparing { .. } | Phase::Proposing { .. }
         );
-        if waiting && (self.round == 0 || now - self.sent >= self.rules.bid_timeout()) {
+        if waiting && (self.round == 0 || now - self.sent >= self.rules.election_timeout()) {
             self.send_round(now, out);
         }
     }
@@ -136,7 +136,7 @@
         wall_ms: u64,
         version: u64,
         proposal: Proposal,
-        out: &mut Vec<Paxos>,
+        out: &mut Vec<PaxosMessage>,
     ) -> Option<u64> {
         if !self.is_ready() {
             return None;
@@ -161,19 +161,20 @@
         now: Time,
         version: u64,
         voter: usize,
-        message: Paxos,
-        out: &mut Vec<Paxos>,
-    ) -> Step {
+        message: PaxosMessage,
+        out: &mut Vec<PaxosMessage>,
+    ) -> ReplyOutcome {
         self.advance(now, version, out);
-        let in_time = voter < self.rules.voters() && now - self.sent < self.rules.bid_timeout();
+        let in_time =
+            voter < self.rules.voters() && now - self.sent < self.rules.election_timeout();
         let own_token = self.token;
         let own_round = self.round;
         let counts = |token: Token, round: u32| in_time && token == own_token && round == own_round;
         match message {
-            Paxos::Nack { token, highest } if token == own_token && highest > token => {
-                Step::Superseded(highest)
+            PaxosMessage::Nack { token, highest } if token == own_token && highest > token => {
+                ReplyOutcome::Superseded(highest)
             }
-            Paxos::Promise {
+            PaxosMessage::Promise {
                 token,
                 round,
                 version: their_version,
@@ -186,15 +187,17 @@
                     version_floor,
                 };
                 self.on_promise(now, version, voter, promise, out);
-                Step::Wait
+                ReplyOutcome::Wait
             }
-            Paxos::Accepted { token, round } if counts(token, round) => self.on_accepted(voter),
-            Paxos::Behind {
+            PaxosMessage::Accepted { token, round } if counts(token, round) => {
+                self.on_accepted(voter)
+            }
+            PaxosMessage::Behind {
                 token,
                 round,
                 version: their_version,
             } if counts(token, round) => self.on_behind(their_version),
-            _ => Step::Wait,
+            _ => ReplyOutcome::Wait,
         }
     }
 
@@ -215,20 +218,20 @@
     }
 
     /// Begins a new round: replies to earlier ones count no more.
-    fn send_round(&mut self, now: Time, out: &mut Vec<Paxos>) {
+    fn send_round(&mut self, now: Time, out: &mut Vec<PaxosMessage>) {
         self.round = self.round.saturating_add(1);
         self.sent = now;
         match &mut self.phase {
             Phase::Preparing { promises } => {
                 promises.clear();
-                out.push(Paxos::Prepare {
+                out.push(PaxosMessage::Prepare {
                     token: self.token,
                     round: self.round,
                 });
             }
             Phase::Proposing { change, votes } => {
                 *votes = 0;
-                out.push(Paxos::Accept {
+                out.push(PaxosMessage::Accept {
                     token: self.token,
                     round: self.round,
                     change: change.clone(),
@@ -244,7 +247,7 @@
         version: u64,
         voter: usize,
         promise: Promise,
-        out: &mut Vec<Paxos>,
+        out: &mut Vec<PaxosMessage>,
     ) {
         let majority = self.majority();
         let Phase::Preparing { promises } = &mut self.phase else {
@@ -283,7 +286,7 @@
 
     /// Goes on once this proxy's table has caught up, and gives up a proposal that the table is past: an earlier leader's
     /// change was committed there, or this one was.
-    fn advance(&mut self, now: Time, version: u64, out: &mut Vec<Paxos>) {
+    fn advance(&mut self, now: Time, version: u64, out: &mut Vec<PaxosMessage>) {
         if self
             .proposed()
             .is_some_and(|change| change.previous < version)
@@ -309,31 +312,31 @@
         }
     }
 
-    fn on_accepted(&mut self, voter: usize) -> Step {
+    fn on_accepted(&mut self, voter: usize) -> ReplyOutcome {
         let majority = self.majority() as u32;
         let Phase::Proposing { change, votes } = &mut self.phase else {
-            return Step::Wait;
+            return ReplyOutcome::Wait;
         };
         *votes |= 1 << voter;
         if votes.count_ones() < majority {
-            return Step::Wait;
+            return ReplyOutcome::Wait;
         }
         let committed = change.clone();
         self.phase = Phase::Ready;
-        Step::Committed(committed)
+        ReplyOutcome::Committed(committed)
     }
 
-    fn on_behind(&self, their_version: u64) -> Step {
+    fn on_behind(&self, their_version: u64) -> ReplyOutcome {
         match self.proposed() {
-            Some(change) if their_version < change.previous => Step::VoterBehind {
+            Some(change) if their_version < change.previous => ReplyOutcome::VoterBehind {
                 version: their_version,
-                retry: Paxos::Accept {
+                retry: PaxosMessage::Accept {
                     token: self.token,
                     round: self.round,
                     change: change.clone(),
                 },
             },
-            _ => Step::Wait,
+            _ => ReplyOutcome::Wait,
         }
     }
 }
--- a/src/fleet/config/replica.rs
+++ b/src/fleet/config/replica.rs
@@ -143,7 +143,7 @@
                 .map(|(_, entry)| entry.clone())
                 .collect();
             self.table = table;
-            self.applied.lose_ids_up_to(self.table.version());
+            self.applied.forget_ids_up_to(self.table.version());
             self.table_changed(self.table.version(), entries);
         }
     }
@@ -175,7 +175,7 @@
 
     /// The voters whose reply a recovering voter waits for.
     pub fn unanswered_voters(&self) -> Vec<SocketAddr> {
-        let unanswered = self.acceptor.as_ref().map(Acceptor::unanswered);
+        let unanswered = self.acceptor.as_ref().map(Acceptor::unanswered_voters);
         unanswered
             .unwrap_or_default()
             .into_iter()
--- a/src/fleet/config/replica/consensus.rs
+++ b/src/fleet/config/replica/consensus.rs
@@ -6,10 +6,10 @@
 use crate::fleet::config::change::Change;
 use crate::fleet::config::error::MessageError;
 use crate::fleet::config::gossip;
-use crate::fleet::config::message::{AcceptedChange, Message, Outbox, Outgoing, Paxos};
+use crate::fleet::config::message::{AcceptedChange, Message, Outbox, Outgoing, PaxosMessage};
 use crate::fleet::config::peers::Context;
-use crate::fleet::config::proposer::{Proposer, Step};
-use crate::fleet::config::table::Applied;
+use crate::fleet::config::proposer::{Proposer, ReplyOutcome};
+use crate::fleet::config::table::ApplyOutcome;
 use crate::interface::Time;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
         now: Time,
         context: &Context,
         from: SocketAddr,
-        message: Paxos,
+        message: PaxosMessage,
         out: &mut Outbox,
     ) -> Result<(), MessageError> {
         let sender = self.rules.voter_index(from);
         match message {
-            Paxos::Prepare { .. } | Paxos::Accept { .. } | Paxos::Recover { .. } => {
-                self.on_voter_request(from, message, out)
-            }
-            Paxos::RecoverReply {
+            PaxosMessage::Prepare { .. }
+            | PaxosMessage::Accept { .. }
+            | PaxosMessage::Recover { .. } => self.on_voter_request(from, message, out),
+            PaxosMessage::RecoverReply {
                 nonce,
                 state,
                 is_complete,
@@ -42,12 +42,12 @@
                 };
                 self.on_recovery_reply(now, context, reply)
             }
-            Paxos::Promise { .. }
-            | Paxos::Accepted { .. }
-            | Paxos::Behind { .. }
-            | Paxos::Nack { .. } => {
+            PaxosMessage::Promise { .. }
+            | PaxosMessage::Accepted { .. }
+            | PaxosMessage::Behind { .. }
+            | PaxosMessage::Nack { .. } => {
                 let voter = sender.ok_or(MessageError::SenderNotVoter)?;
-                if let Paxos::Promise { accepted, .. } = &message {
+                if let PaxosMessage::Promise { accepted, .. } = &message {
                     check_accepted(accepted.as_ref())?;
                 }
                 let mut requests = Vec::new();
@@ -63,10 +63,10 @@
     fn on_voter_request(
         &mut self,
         from: SocketAddr,
-        message: Paxos,
+        message: PaxosMessage,
         out: &mut Outbox,
     ) -> Result<(), MessageError> {
-        if let Paxos::Accept { change, .. } = &message {
+        if let PaxosMessage::Accept { change, .. } = &message {
             change.check()?;
         }
         let acceptor = self.acceptor.as_mut().ok_or(MessageError::NotVoter)?;
@@ -97,8 +97,8 @@
         now: Time,
         context: &Context,
         voter: usize,
-        reply: Paxos,
-        requests: &mut Vec<Paxos>,
+        reply: PaxosMessage,
+        requests: &mut Vec<PaxosMessage>,
         out: &mut Outbox,
     ) {
         // A leader that was paused has to look at its lease before it counts anything.
@@ -110,16 +110,16 @@
             return;
         };
         match proposer.handle(now, self.table.version(), voter, reply, requests) {
-            Step::Wait => {}
-            Step::Committed(change) => self.on_committed(now, context, &change, out),
-            Step::VoterBehind { version, retry } => {
+            ReplyOutcome::Wait => {}
+            ReplyOutcome::Committed(change) => self.on_committed(now, context, &change, out),
+            ReplyOutcome::VoterBehind { version, retry } => {
                 let to = self.rules.voters[voter];
                 self.catch_up_source
                     .send_changes(now, to, &self.table, version, out);
                 let message = Message::Paxos(retry);
                 out.push(Outgoing { to, message });
             }
-            Step::Superseded(token) => {
+            ReplyOutcome::Superseded(token) => {
                 self.stop_leading();
                 self.events.push(Event::Superseded(token));
             }
@@ -131,7 +131,7 @@
         &mut self,
         now: Time,
         context: &Context,
-        requests: Vec<Paxos>,
+        requests: Vec<PaxosMessage>,
         out: &mut Outbox,
     ) {
         let mut requests = VecDeque::from(requests);
@@ -158,7 +158,7 @@
 
     /// A majority of the voters accepted a change of this leader.
     fn on_committed(&mut self, now: Time, context: &Context, change: &Change, out: &mut Outbox) {
-        if self.apply_or_keep(change) == Ok(Applied::New) {
+        if self.apply_or_keep(change) == Ok(ApplyOutcome::Applied) {
             let message = Message::Changes {
                 changes: vec![change.clone()],
                 version: change.version,
--- a/src/fleet/config/replica/spreading.rs
+++ b/src/fleet/config/replica/spreading.rs
@@ -12,7 +12,7 @@
 use crate::fleet::config::message::{Message, Outbox, Outgoing};
 use crate::fleet::config::peers::Context;
 use crate::fleet::config::proposer::Proposer;
-use crate::fleet::config::table::Applied;
+use crate::fleet::config::table::ApplyOutcome;
 use crate::interface::Time;
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
         changes.iter().try_for_each(Change::check)?;
         let mut new = Vec::new();
         for change in changes {
-            if self.apply_or_keep(&change)? == Applied::New {
+            if self.apply_or_keep(&change)? == ApplyOutcome::Applied {
                 new.push(change);
             }
         }
@@ -44,22 +44,22 @@
     }
 
     /// Applies a change if it is the next one, and then those that waited for it; keeps one that is early.
-    pub(super) fn apply_or_keep(&mut self, change: &Change) -> Result<Applied, TableError> {
+    pub(super) fn apply_or_keep(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
         let applied = self.apply(change)?;
         match applied {
-            Applied::New => self.apply_early_changes(),
+            ApplyOutcome::Applied => self.apply_early_changes(),
             // A change that follows an earlier version is of another chain: anti-entropy brings its successors.
-            Applied::Gap if change.previous > self.table.version() => {
+            ApplyOutcome::Gap if change.previous > self.table.version() => {
                 self.early_changes.insert(change.clone());
             }
-            Applied::Gap | Applied::Known => {}
+            ApplyOutcome::Gap | ApplyOutcome::AlreadyApplied => {}
         }
         Ok(applied)
     }
 
-    fn apply(&mut self, change: &Change) -> Result<Applied, TableError> {
+    fn apply(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
         let applied = self.table.apply(change)?;
-        if applied == Applied::New {
+        if applied == ApplyOutcome::Applied {
             self.applied.record(change.id, change.version);
             self.table_changed(change.version, change.entries());
             self.on_outcome(change.id, Ok(change.version)); // the leader's own message may be lost
@@ -84,7 +84,7 @@
     /// A fetched table was installed.
     pub(super) fn on_installed(&mut self, installed: Installed, out: &mut Outbox) {
         let version = installed.version;
-        self.applied.lose_ids_up_to(version);
+        self.applied.forget_ids_up_to(version);
         self.table_changed(version, installed.entries);
         self.apply_early_changes();
         out.push(Outgoing {
--- a/src/fleet/config/replica/submissions.rs
+++ b/src/fleet/config/replica/submissions.rs
@@ -1,7 +1,7 @@
 //! Takes operators' changes from the proxy that received them to the leader, and their outcomes back.
 
 use super::{Event, Replica};
-use crate::fleet::config::applied_changes::Origin;
+use crate::fleet::config::applied_changes::SubmissionStatus;
 use crate::fleet::config::change::check_edits;
 use crate::fleet::config::message::{Message, Outbox, Outgoing};
 use crate::fleet::config::peers::Context;
@@ -36,7 +36,7 @@
     }
 
     /// Stops sending a submission to the leader: the operator was answered that its outcome is not known.
-    pub fn withdraw(&mut self, id: u64) {
+    pub fn stop_resending(&mut self, id: u64) {
         self.pending.remove(id);
     }
 
@@ -76,12 +76,12 @@
         if let Some(outcome) = self.answered.outcome(id).cloned() {
             return self.send_outcome(submitter, id, outcome, out);
         }
-        match self.applied.origin(&submission, self.table.version()) {
-            Origin::New => {}
-            Origin::Applied(version) => {
+        match self.applied.status(&submission, self.table.version()) {
+            SubmissionStatus::New => {}
+            SubmissionStatus::Applied(version) => {
                 return self.send_outcome(submitter, id, Ok(version), out);
             }
-            Origin::Unknown => return, // the submitter sends it again
+            SubmissionStatus::Unknown => return, // the submitter sends it again
         }
         let is_proposed = proposer.proposed().is_some_and(|change| change.id == id);
         if is_proposed || self.queue.contains(id) {
@@ -118,12 +118,12 @@
     ) {
         let id = submission.id;
         // It may have been committed since it was queued: an earlier leader had proposed it.
-        match self.applied.origin(&submission, self.table.version()) {
-            Origin::New => {}
-            Origin::Applied(version) => {
+        match self.applied.status(&submission, self.table.version()) {
+            SubmissionStatus::New => {}
+            SubmissionStatus::Applied(version) => {
                 return self.send_outcome(submitter, id, Ok(version), out);
             }
-            Origin::Unknown => return,
+            SubmissionStatus::Unknown => return,
         }
         match validate(&self.table, &submission) {
             Ok(Validated::Change) => {
--- a/src/fleet/config/table.rs
+++ b/src/fleet/config/table.rs
@@ -9,11 +9,11 @@
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is applied.
-    New,
+    Applied,
     /// The table had this version or a later one.
-    Known,
+    AlreadyApplied,
     /// It does not follow the table's version: changes in between are missing.
     Gap,
 }
@@ -139,13 +139,13 @@
     ///
     /// # Errors
     /// Its versions or entries are out of bounds; the table stays as it was.
-    pub fn apply(&mut self, change: &Change) -> Result<Applied, TableError> {
+    pub fn apply(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
         change.check()?;
         if change.version <= self.version {
-            return Ok(Applied::Known);
+            return Ok(ApplyOutcome::AlreadyApplied);
         }
         if change.previous != self.version {
-            return Ok(Applied::Gap);
+            return Ok(ApplyOutcome::Gap);
         }
         for entry in change.entries() {
             self.put(entry.edit.key.position(), Some(entry));
@@ -155,7 +155,7 @@
         }
         self.version = change.version;
         self.append_to_log(change.clone());
-        Ok(Applied::New)
+        Ok(ApplyOutcome::Applied)
     }
 
     /// The hashes of a valid node's children.
--- a/src/fleet/lease/candidate.rs
+++ b/src/fleet/lease/candidate.rs
@@ -18,16 +18,16 @@
 
 /// What became of a candidate's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
+pub enum LeaseEvent {
     /// It holds the duty, under this token.
     Acquired(Token),
     /// It holds the duty no longer.
-    Lost(Token, Loss),
+    Lost(Token, LossReason),
 }
 
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Loss {
+pub enum LossReason {
     /// The host gave it up.
     Released,
     /// No quorum renewed it within its term.
@@ -88,7 +88,7 @@
     bid: Option<Bid>,
     /// No bid before this; `None` while the duty is not wanted.
     next_bid_at: Option<Time>,
-    changes: Vec<Change>,
+    changes: Vec<LeaseEvent>,
 }
 
 impl Candidate {
@@ -143,7 +143,7 @@
         };
         Some(match bid.expires_at {
             Some(expires_at) => expires_at.min(self.renew_at(bid)),
-            None => bid.started_at + self.rules.bid_timeout() + Micros(1),
+            None => bid.started_at + self.rules.election_timeout() + Micros(1),
         })
     }
 
@@ -191,20 +191,20 @@
         self.expire(now, out);
         self.highest_number = self.highest_number.max(token.number);
         if self.bid.as_ref().is_some_and(|bid| bid.ballot < token) {
-            self.end_bid(now, Loss::Superseded(token), out);
+            self.end_bid(now, LossReason::Superseded(token), out);
         }
     }
 
     /// Gives the lease up, or the bid for it, until a tick wants it again: for a host that drains.
     pub fn release(&mut self, now: Time, out: &mut Vec<Message>) {
         self.expire(now, out);
-        self.end_bid(now, Loss::Released, out);
+        self.end_bid(now, LossReason::Released, out);
         self.next_bid_at = None;
     }
 
-    /// What has become of its lease since the last call, in order. At [`Loss::Expired`] the term may have been over
+    /// What has become of its lease since the last call, in order. At [`LossReason::Expired`] the term may have been over
     /// for long; [`Candidate::held_token`] returned nothing from its end on.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_events(&mut self) -> Vec<LeaseEvent> {
         std::mem::take(&mut self.changes)
     }
 
@@ -223,10 +223,10 @@
     fn expire(&mut self, now: Time, out: &mut Vec<Message>) {
         let expired = self.bid.as_ref().is_some_and(|bid| match bid.expires_at {
             Some(expires_at) => now >= expires_at,
-            None => now - bid.started_at > self.rules.bid_timeout(),
+            None => now - bid.started_at > self.rules.election_timeout(),
         });
         if expired {
-            self.end_bid(now, Loss::Expired, out);
+            self.end_bid(now, LossReason::Expired, out);
         }
     }
 
@@ -274,7 +274,7 @@
             return self.send_request(now, out);
         }
         if bid.expires_at.is_none() {
-            self.changes.push(Change::Acquired(round.ballot));
+            self.changes.push(LeaseEvent::Acquired(round.ballot));
         }
         bid.expires_at = Some(bid.round_sent_at + self.rules.term());
     }
@@ -294,15 +294,15 @@
         };
         bid.denied.insert(voter);
         if highest > round.ballot || bid.denied.has_quorum(&self.rules) {
-            self.end_bid(now, Loss::Expired, out);
+            self.end_bid(now, LossReason::Expired, out);
         }
     }
 
     /// Ends the bid, whether it was won or not, and schedules the next one.
-    fn end_bid(&mut self, now: Time, loss: Loss, out: &mut Vec<Message>) {
+    fn end_bid(&mut self, now: Time, loss: LossReason, out: &mut Vec<Message>) {
         let Some(bid) = self.bid.take() else { return };
         if bid.expires_at.is_some() {
-            self.changes.push(Change::Lost(bid.ballot, loss));
+            self.changes.push(LeaseEvent::Lost(bid.ballot, loss));
         }
         if bid.round > 0 {
             out.push(Message::Release { ballot: bid.ballot });
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -17,7 +17,7 @@
 //! # Why fencing tokens grow
 //! A voter grants nothing below the highest ballot that it granted, and the shared voter saw both. Where voters forgot
 //! that in a restart, [`Voter::observe_token`] restores it, and no ballot's number is below the wall clock at its bid.
-//! A bid that is not won within [`Rules::bid_timeout`] is given up, so two leases between which a voter forgot were
+//! A bid that is not won within [`Rules::election_timeout`] is given up, so two leases between which a voter forgot were
 //! bid for most of a term apart.
 
 mod ballot;
@@ -27,7 +27,7 @@
 mod voter;
 
 pub use ballot::{Ballot, Token};
-pub use candidate::{Candidate, Change, Loss};
+pub use candidate::{Candidate, LeaseEvent, LossReason};
 pub use message::Message;
 pub use rules::{Rules, RulesError};
 pub use voter::Voter;
--- a/src/fleet/lease/rules.rs
+++ b/src/fleet/lease/rules.rs
@@ -57,7 +57,7 @@
     }
 
     /// A bid that is not won within this time is given up.
-    pub fn bid_timeout(&self) -> Micros {
+    pub fn election_timeout(&self) -> Micros {
         self.term_divided_by(BIDS_PER_TERM)
     }
 
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -178,7 +178,7 @@
         return Err(CallError::NotFound(unchanged));
     }
     let in_file = errors("the file contains that change", &|key| {
-        !overrides.is_over_file(key)
+        !overrides.overrides_file(key)
     });
     if !in_file.is_empty() {
         return Err(CallError::Invalid(in_file));
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -165,7 +165,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.replica.withdraw(id);
+            self.replica.stop_resending(id);
             self.answer_call(id, Err(SubmitError::Unknown));
         }
     }
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -5,7 +5,7 @@
 use super::message::{Duty, DutyMessage, MessageError, TokenReport};
 use super::voter_contacts::VoterContacts;
 use meadowproxy::fleet::fencing::Fence;
-use meadowproxy::fleet::lease::{Candidate, Change, Loss, Message, Rules, Token, Voter};
+use meadowproxy::fleet::lease::{Candidate, LeaseEvent, LossReason, Message, Rules, Token, Voter};
 use meadowproxy::{Micros, Time};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -318,14 +318,14 @@
 
     /// Logs what became of the lease, and records it.
     fn apply_changes(&mut self, now: Time) {
-        for change in self.candidate.take_changes() {
+        for change in self.candidate.take_events() {
             match change {
-                Change::Acquired(token) => {
+                LeaseEvent::Acquired(token) => {
                     self.raise_token(token);
                     info!(event = "duty_held", duty = self.duty.name(), token = %token_text(token), mono_us = now.0,
                         "acquired the lease of a duty");
                 }
-                Change::Lost(token, loss) => self.log_loss(token, loss, now),
+                LeaseEvent::Lost(token, loss) => self.log_loss(token, loss, now),
             }
         }
         self.expires_at = self.candidate.lease_expires_at();
@@ -339,14 +339,14 @@
     }
 
     /// A stalled holder learns late that its lease is over; it ended with its term.
-    fn log_loss(&self, token: Token, loss: Loss, now: Time) {
+    fn log_loss(&self, token: Token, loss: LossReason, now: Time) {
         let ended_at = self
             .expires_at
             .map_or(now, |expires_at| expires_at.min(now));
         let reason = match loss {
-            Loss::Released => "released".to_string(),
-            Loss::Expired => "term over".to_string(),
-            Loss::Superseded(by) => format!("superseded by {}", token_text(by)),
+            LossReason::Released => "released".to_string(),
+            LossReason::Expired => "term over".to_string(),
+            LossReason::Superseded(by) => format!("superseded by {}", token_text(by)),
         };
         info!(event = "duty_over", duty = self.duty.name(), token = %token_text(token), mono_us = ended_at.0,
             seen_us = now.0, reason, "lost the lease of a duty");
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -42,19 +42,19 @@
 
 /// Messages about the configuration; the machine's own tests have all kinds.
 fn config() -> impl Strategy<Value = DutyMessage> {
-    use config::{Digest, Message, Node, Paxos};
+    use config::{Digest, Message, Node, PaxosMessage};
     let message = prop_oneof![
         (token(), any::<u32>())
-            .prop_map(|(token, round)| Message::Paxos(Paxos::Prepare { token, round })),
+            .prop_map(|(token, round)| Message::Paxos(PaxosMessage::Prepare { token, round })),
         (token(), any::<u32>(), config_change()).prop_map(|(token, round, change)| {
-            Message::Paxos(Paxos::Accept {
+            Message::Paxos(PaxosMessage::Accept {
                 token,
                 round,
                 change,
             })
         }),
         (token(), token())
-            .prop_map(|(token, highest)| Message::Paxos(Paxos::Nack { token, highest })),
+            .prop_map(|(token, highest)| Message::Paxos(PaxosMessage::Nack { token, highest })),
         (
             prop::collection::vec(config_change(), 0..3),
             0u64..9,
@@ -201,7 +201,7 @@
                 DutyMessage::Broadcast(header, announcement)
             }
             DutyMessage::Config(_) => {
-                let prepare = config::Paxos::Prepare { token: last, round: 1 };
+                let prepare = config::PaxosMessage::Prepare { token: last, round: 1 };
                 DutyMessage::Config(config::Message::Paxos(prepare))
             }
             _ => DutyMessage::Fenced { duty: Duty::Calendar, highest: last },
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -6,8 +6,8 @@
 use crate::fixtures::assert_bytes;
 use meadowproxy::fleet::calendar::{Digest, DigestRow};
 use meadowproxy::fleet::config::{
-    self, AcceptedChange, AcceptorState, Change, Edit, Entry, InvalidEntry, Key, Kind, Node, Paxos,
-    PositionRange, Submission, SubmitError, Value,
+    self, AcceptedChange, AcceptorState, Change, Edit, Entry, InvalidEntry, Key, Kind, Node,
+    PaxosMessage, PositionRange, Submission, SubmitError, Value,
 };
 use meadowproxy::fleet::lease::{Ballot, Message, Token};
 use meadowproxy::fleet::relay::{BroadcastHeader, HashRange};
@@ -67,19 +67,19 @@
     }
 }
 
-fn paxos_name(message: &Paxos) -> &'static str {
+fn paxos_name(message: &PaxosMessage) -> &'static str {
     match message {
-        Paxos::Prepare { .. } => "paxos prepare",
-        Paxos::Promise {
+        PaxosMessage::Prepare { .. } => "paxos prepare",
+        PaxosMessage::Promise {
             accepted: Some(_), ..
         } => "paxos promise",
-        Paxos::Promise { accepted: None, .. } => "paxos promise of none accepted",
-        Paxos::Accept { .. } => "paxos accept",
-        Paxos::Accepted { .. } => "paxos accepted",
-        Paxos::Behind { .. } => "paxos behind",
-        Paxos::Nack { .. } => "paxos refused",
-        Paxos::Recover { .. } => "paxos recover",
-        Paxos::RecoverReply { .. } => "paxos known",
+        PaxosMessage::Promise { accepted: None, .. } => "paxos promise of none accepted",
+        PaxosMessage::Accept { .. } => "paxos accept",
+        PaxosMessage::Accepted { .. } => "paxos accepted",
+        PaxosMessage::Behind { .. } => "paxos behind",
+        PaxosMessage::Nack { .. } => "paxos refused",
+        PaxosMessage::Recover { .. } => "paxos recover",
+        PaxosMessage::RecoverReply { .. } => "paxos known",
     }
 }
 
@@ -145,7 +145,7 @@
         .to_vec()
 }
 
-fn paxos_messages() -> Vec<Paxos> {
+fn paxos_messages() -> Vec<PaxosMessage> {
     let (token, highest, round, version) = (token(5), token(9), 70_000, 1_764_748_800_123);
     let accepted = Some(AcceptedChange {
         token: highest,
@@ -158,35 +158,35 @@
         version_floor: 12,
     };
     vec![
-        Paxos::Prepare { token, round },
-        Paxos::Promise {
+        PaxosMessage::Prepare { token, round },
+        PaxosMessage::Promise {
             token,
             round,
             version,
             accepted,
             version_floor: 11,
         },
-        Paxos::Promise {
+        PaxosMessage::Promise {
             token,
             round,
             version,
             accepted: None,
             version_floor: 0,
         },
-        Paxos::Accept {
+        PaxosMessage::Accept {
             token,
             round,
             change: change(7),
         },
-        Paxos::Accepted { token, round },
-        Paxos::Behind {
+        PaxosMessage::Accepted { token, round },
+        PaxosMessage::Behind {
             token,
             round,
             version,
         },
-        Paxos::Nack { token, highest },
-        Paxos::Recover { nonce: u64::MAX },
-        Paxos::RecoverReply {
+        PaxosMessage::Nack { token, highest },
+        PaxosMessage::Recover { nonce: u64::MAX },
+        PaxosMessage::RecoverReply {
             nonce: 1 << 40,
             state,
             is_complete: true,
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -127,7 +127,7 @@
     /// The file in force lacks changes that are only in files by now.
     pub fn pending(&self) -> Result<PendingEntries, FileError> {
         let overrides = self.overrides.borrow();
-        if let Some(compacted) = overrides.missing_version() {
+        if let Some(compacted) = overrides.required_file_version() {
             return Err(FileError::TooOld {
                 version: overrides.file_version(),
                 compacted,
@@ -150,7 +150,7 @@
         overrides.set_file(file_version, self.known_newest());
         self.pending
             .borrow_mut()
-            .retain(|key, _| overrides.is_over_file(key));
+            .retain(|key, _| overrides.overrides_file(key));
         *self.file.borrow_mut() = file;
     }
 
@@ -186,8 +186,8 @@
     }
 
     /// Whether that entry is later than the file in force.
-    pub fn is_over_file(&self, key: &Key) -> bool {
-        self.overrides.borrow().is_over_file(key)
+    pub fn overrides_file(&self, key: &Key) -> bool {
+        self.overrides.borrow().overrides_file(key)
     }
 
     /// Checks a change against the settings in force.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -3,8 +3,8 @@
 
 use meadowproxy::fleet::config::{
     AcceptedChange, Acceptor, AcceptorState, Change, Context, Digest, Edit, Entry, Event, Key,
-    Kind, Message, Node, Outbox, Outgoing, Paxos, PositionRange, RecoveryReply, Replica, Rules,
-    Submission, Table, Value,
+    Kind, Message, Node, Outbox, Outgoing, PaxosMessage, PositionRange, RecoveryReply, Replica,
+    Rules, Submission, Table, Value,
 };
 use meadowproxy::fleet::lease::{self, Ballot, Token};
 use meadowproxy::{Micros, Time};
@@ -533,8 +533,8 @@
     let mut acceptor = Acceptor::new(rules, 1, 7, Time(0));
     let (mut now, mut out) = (Time(0) + rules.grant_duration(), Vec::new());
     acceptor.tick(now, WALL, 9, &mut out);
-    let request = |out: &[Paxos]| match out {
-        [Paxos::Recover { nonce }] => *nonce,
+    let request = |out: &[PaxosMessage]| match out {
+        [PaxosMessage::Recover { nonce }] => *nonce,
         _ => panic!("{out:?}"),
     };
     let reply = |voter, nonce, is_complete, version| RecoveryReply {
@@ -822,15 +822,15 @@
     })
 }
 
-fn any_paxos() -> impl Strategy<Value = Paxos> {
+fn any_paxos() -> impl Strategy<Value = PaxosMessage> {
     let accepted = move || {
         let accepted = (any_token(), any_change());
         prop::option::of(accepted.prop_map(|(token, change)| AcceptedChange { token, change }))
     };
     prop_oneof![
-        (any_token(), 0u32..3).prop_map(|(token, round)| Paxos::Prepare { token, round }),
+        (any_token(), 0u32..3).prop_map(|(token, round)| PaxosMessage::Prepare { token, round }),
         (any_token(), 0u32..3, 0u64..6, accepted(), 0u64..3).prop_map(
-            |(token, round, version, accepted, version_floor)| Paxos::Promise {
+            |(token, round, version, accepted, version_floor)| PaxosMessage::Promise {
                 token,
                 round,
                 version,
@@ -838,20 +838,23 @@
                 version_floor
             }
         ),
-        (any_token(), 0u32..3, any_change()).prop_map(|(token, round, change)| Paxos::Accept {
-            token,
-            round,
-            change
+        (any_token(), 0u32..3, any_change()).prop_map(|(token, round, change)| {
+            PaxosMessage::Accept {
+                token,
+                round,
+                change,
+            }
         }),
-        (any_token(), 0u32..3).prop_map(|(token, round)| Paxos::Accepted { token, round }),
-        (any_token(), 0u32..3, 0u64..6).prop_map(|(token, round, version)| Paxos::Behind {
+        (any_token(), 0u32..3).prop_map(|(token, round)| PaxosMessage::Accepted { token, round }),
+        (any_token(), 0u32..3, 0u64..6).prop_map(|(token, round, version)| PaxosMessage::Behind {
             token,
             round,
             version
         }),
-        (any_token(), any_token()).prop_map(|(token, highest)| Paxos::Nack { token, highest }),
-        any::<u64>().prop_map(|nonce| Paxos::Recover { nonce }),
-        (any::<u64>(), any::<bool>()).prop_map(|(nonce, is_complete)| Paxos::RecoverReply {
+        (any_token(), any_token())
+            .prop_map(|(token, highest)| PaxosMessage::Nack { token, highest }),
+        any::<u64>().prop_map(|nonce| PaxosMessage::Recover { nonce }),
+        (any::<u64>(), any::<bool>()).prop_map(|(nonce, is_complete)| PaxosMessage::RecoverReply {
             nonce,
             state: AcceptorState::default(),
             is_complete
@@ -1005,8 +1008,8 @@
         number: 1,
         incarnation: 1,
     };
-    let accepted = Message::Paxos(Paxos::Accepted { token, round: 1 });
-    let prepare = Message::Paxos(Paxos::Prepare { token, round: 1 });
+    let accepted = Message::Paxos(PaxosMessage::Accepted { token, round: 1 });
+    let prepare = Message::Paxos(PaxosMessage::Prepare { token, round: 1 });
     let no_node = Message::CompareNode {
         node: Node { level: 4, index: 0 },
     };
--- a/tests/config_files.rs
+++ b/tests/config_files.rs
@@ -171,8 +171,8 @@
         proxy.table_version = version;
         let over = proxy.overrides.apply(version, entries);
         proxy.waiting.extend(over);
-        world.lacking |= proxy.overrides.missing_version().is_some();
-        if proxy.overrides.missing_version().is_none() || self.fault == Fault::OverAny {
+        world.lacking |= proxy.overrides.required_file_version().is_some();
+        if proxy.overrides.required_file_version().is_none() || self.fault == Fault::OverAny {
             for edit in std::mem::take(&mut proxy.waiting) {
                 put(&mut proxy.in_force, &edit);
             }
@@ -296,7 +296,7 @@
                     .all(|proxy| world.version_of(&proxy.in_force).is_some())
             }),
             Property::always(NEWEST, |_, world: &World| {
-                let of = |proxy: &Proxy| match proxy.overrides.missing_version() {
+                let of = |proxy: &Proxy| match proxy.overrides.required_file_version() {
                     None => world.state(proxy.table_version.max(proxy.file)) == proxy.in_force,
                     Some(_) => true,
                 };
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -2,8 +2,8 @@
 //! fleet, within bounds. The machines are the real ones; `config.rs` has random faults in a larger fleet.
 
 use meadowproxy::fleet::config::{
-    Acceptor, AcceptorState, Change, Edit, Key, Kind, Paxos, Proposal, Proposer, RecoveryReply,
-    Step, Value,
+    Acceptor, AcceptorState, Change, Edit, Key, Kind, PaxosMessage, Proposal, Proposer,
+    RecoveryReply, ReplyOutcome, Value,
 };
 use meadowproxy::fleet::lease::{Ballot, Rules, Token};
 use meadowproxy::{Micros, Time};
@@ -57,7 +57,7 @@
 struct Voter {
     acceptor: Option<Acceptor>,
     chain: Vec<Change>,
-    replies: BTreeSet<(usize, Paxos)>,
+    replies: BTreeSet<(usize, PaxosMessage)>,
     /// The rounds that were open as it restarted: its silence outlasts them.
     open_rounds: Vec<Option<u32>>,
 }
@@ -79,7 +79,7 @@
     voters: Vec<Voter>,
     leaders: Vec<Leader>,
     /// All requests that leaders ever sent: each may arrive at any time, any number of times, or never.
-    sent: BTreeSet<(usize, Paxos)>,
+    sent: BTreeSet<(usize, PaxosMessage)>,
     /// The committed changes, by the version that they follow.
     committed: BTreeMap<u64, Change>,
     /// Another change was committed in the place of one.
@@ -101,7 +101,7 @@
     /// A leader proposes an operator's change.
     Propose(usize),
     /// A leader's request arrives at a voter.
-    Arrive(usize, Paxos, usize),
+    Arrive(usize, PaxosMessage, usize),
     /// The replies of two voters to a leader's round arrive: one alone changes nothing, and it stays valid while the round is open.
     Agree(usize, [usize; 2]),
     /// A proxy gets the next change from a leader, by gossip or by catch-up: nobody has what no leader has. Voters come first.
@@ -141,9 +141,9 @@
     }]
 }
 
-fn round_of(message: &Paxos) -> Option<u32> {
+fn round_of(message: &PaxosMessage) -> Option<u32> {
     match message {
-        Paxos::Promise { round, .. } | Paxos::Accepted { round, .. } => Some(*round),
+        PaxosMessage::Promise { round, .. } | PaxosMessage::Accepted { round, .. } => Some(*round),
         _ => None,
     }
 }
@@ -185,7 +185,7 @@
     let mut acceptor = Acceptor::new(rules(), index, 0, Time(0));
     let mut out = Vec::new();
     acceptor.tick(awake(), WALL, 0, &mut out);
-    assert_eq!(out, [Paxos::Recover { nonce: 1 }]);
+    assert_eq!(out, [PaxosMessage::Recover { nonce: 1 }]);
     acceptor
 }
 
@@ -205,9 +205,11 @@
     }
 
     /// Records the requests that a leader sends.
-    fn send(&mut self, p: usize, out: Vec<Paxos>) {
+    fn send(&mut self, p: usize, out: Vec<PaxosMessage>) {
         for message in out {
-            if let Paxos::Prepare { round, .. } | Paxos::Accept { round, .. } = message {
+            if let PaxosMessage::Prepare { round, .. } | PaxosMessage::Accept { round, .. } =
+                message
+            {
                 self.leaders[p].round = Some(round);
             }
             self.sent.insert((p, message));
@@ -226,7 +228,7 @@
     }
 
     /// A reply arrives at a leader.
-    fn deliver_reply(&mut self, p: usize, voter: usize, reply: Paxos) {
+    fn deliver_reply(&mut self, p: usize, voter: usize, reply: PaxosMessage) {
         let leader = &mut self.leaders[p];
         let (now, version, mut out) = (leader.now, version(&leader.chain), Vec::new());
         let Some(proposer) = &mut leader.proposer else {
@@ -237,9 +239,9 @@
             leader.round = None;
         }
         match step {
-            Step::Committed(change) => self.commit(p, change),
-            Step::Superseded(_) => self.leaders[p].proposer = None,
-            Step::Wait | Step::VoterBehind { .. } => {}
+            ReplyOutcome::Committed(change) => self.commit(p, change),
+            ReplyOutcome::Superseded(_) => self.leaders[p].proposer = None,
+            ReplyOutcome::Wait | ReplyOutcome::VoterBehind { .. } => {}
         }
         self.send(p, out);
     }
@@ -254,7 +256,7 @@
             Some(other) if *other != change => self.overwritten = true,
             _ => drop(self.committed.insert(change.previous, change.clone())),
         }
-        let competes = |m: &&(usize, Paxos)| matches!(&m.1, Paxos::Accept { change: c, .. } if c.previous == change.previous && *c != change);
+        let competes = |m: &&(usize, PaxosMessage)| matches!(&m.1, PaxosMessage::Accept { change: c, .. } if c.previous == change.previous && *c != change);
         self.dropped |= self.sent.iter().find(competes).is_some();
         let chain = &mut self.leaders[p].chain;
         if version(chain) == change.previous {
@@ -422,7 +424,7 @@
         self.send(p, out);
         if fault == Fault::NoPrepare {
             for voter in 0..VOTERS / 2 + 1 {
-                let promise = Paxos::Promise {
+                let promise = PaxosMessage::Promise {
                     token: token(p),
                     round: 1,
                     version: version(&self.leaders[p].chain),
@@ -437,7 +439,7 @@
     fn retry(&mut self, p: usize) -> Option<()> {
         let leader = &mut self.leaders[p];
         leader.retries += 1;
-        leader.now = leader.now + rules().bid_timeout();
+        leader.now = leader.now + rules().election_timeout();
         let version = version(&leader.chain);
         let mut out = Vec::new();
         let proposer = leader.proposer.as_mut()?;
@@ -462,7 +464,7 @@
     }
 
     /// A leader's request arrives at a voter, whose reply may arrive from now on.
-    fn deliver_request(&mut self, p: usize, message: Paxos, voter: usize) -> Option<()> {
+    fn deliver_request(&mut self, p: usize, message: PaxosMessage, voter: usize) -> Option<()> {
         let voter = &mut self.voters[voter];
         let version = version(&voter.chain);
         let reply = voter.acceptor.as_mut()?.handle(message, version);
@@ -536,8 +538,8 @@
         let reply = world.voters[from]
             .acceptor
             .as_mut()?
-            .handle(Paxos::Recover { nonce: 1 }, known)?;
-        let Paxos::RecoverReply {
+            .handle(PaxosMessage::Recover { nonce: 1 }, known)?;
+        let PaxosMessage::RecoverReply {
             nonce,
             mut state,
             is_complete,
--- a/tests/config_repeats.rs
+++ b/tests/config_repeats.rs
@@ -2,9 +2,9 @@
 //! operator is told of it is true or "unknown". Real replicas in a fleet of three with one voter, on simulated time.
 
 use meadowproxy::fleet::config::{
-    AcceptedChange, AppliedChanges, Change, Context, Edit, Event, Key, Kind, Message, Origin,
-    Outbox, Outgoing, Paxos, PositionRange, Replica, Rules, Submission, SubmitError, Table, Value,
-    MAX_APPLIED_IDS,
+    AcceptedChange, AppliedChanges, Change, Context, Edit, Event, Key, Kind, Message, Outbox,
+    Outgoing, PaxosMessage, PositionRange, Replica, Rules, Submission, SubmissionStatus,
+    SubmitError, Table, Value, MAX_APPLIED_IDS,
 };
 use meadowproxy::fleet::lease::{self, Ballot, Token};
 use meadowproxy::{Micros, Time};
@@ -369,16 +369,28 @@
     }
     let origin = |applied: &AppliedChanges, id, base| {
         let edits = Vec::new();
-        applied.origin(&Submission { id, base, edits }, count)
+        applied.status(&Submission { id, base, edits }, count)
     };
-    assert_eq!(origin(&applied, 2, 0), Origin::Applied(2));
-    assert_eq!(origin(&applied, 1, 0), Origin::Unknown);
-    assert_eq!(origin(&applied, 0, 1), Origin::New, "from a known version");
-    assert_eq!(origin(&applied, 0, count + 1), Origin::Unknown, "from none");
+    assert_eq!(origin(&applied, 2, 0), SubmissionStatus::Applied(2));
+    assert_eq!(origin(&applied, 1, 0), SubmissionStatus::Unknown);
+    assert_eq!(
+        origin(&applied, 0, 1),
+        SubmissionStatus::New,
+        "from a known version"
+    );
+    assert_eq!(
+        origin(&applied, 0, count + 1),
+        SubmissionStatus::Unknown,
+        "from none"
+    );
     applied.set_time(made + Micros(14_999_999));
-    assert_eq!(origin(&applied, 1, 0), Origin::Unknown);
+    assert_eq!(origin(&applied, 1, 0), SubmissionStatus::Unknown);
     applied.set_time(made + Micros(15_000_000));
-    assert_eq!(origin(&applied, 1, 0), Origin::New, "no repeat any more");
+    assert_eq!(
+        origin(&applied, 1, 0),
+        SubmissionStatus::New,
+        "no repeat any more"
+    );
 }
 
 /// A change was made after its operator was told that all was so already: a duplicate of the submission arrived after the
@@ -476,7 +488,7 @@
         id: 7,
         edits: submission(7, "t-7").edits,
     };
-    let promise = Paxos::Promise {
+    let promise = PaxosMessage::Promise {
         token: second_token(),
         round: 1,
         version: 0,
@@ -507,7 +519,7 @@
         let mut rounds = BTreeSet::new();
         for outgoing in std::mem::take(&mut sent) {
             match outgoing.message {
-                Message::Paxos(Paxos::Accept { round, .. }) => drop(rounds.insert(round)),
+                Message::Paxos(PaxosMessage::Accept { round, .. }) => drop(rounds.insert(round)),
                 Message::Outcome { id, result } => drop(outcomes.insert(id, result)),
                 _ => {}
             }
@@ -516,7 +528,7 @@
             .into_iter()
             .flat_map(|round| [(round, 0), (round, 1)])
         {
-            let accepted = Message::Paxos(Paxos::Accepted { token, round });
+            let accepted = Message::Paxos(PaxosMessage::Accepted { token, round });
             sent.extend(receive(address(voter), accepted));
         }
     }
--- a/tests/config_repeats_model.rs
+++ b/tests/config_repeats_model.rs
@@ -1,7 +1,7 @@
 //! A submission that arrives any number of times, under a model checker: at leaders that applied the earlier changes one by
 //! one, or fetched them in one step, or started from a stored copy. `config_repeats.rs` plays single cases.
 
-use meadowproxy::fleet::config::{AppliedChanges, Origin, Submission};
+use meadowproxy::fleet::config::{AppliedChanges, Submission, SubmissionStatus};
 use meadowproxy::Time;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -89,16 +89,16 @@
             edits: Vec::new(),
         };
         let leader = &self.replicas[self.leader];
-        match leader.applied.origin(&submission, leader.version as u64) {
-            Origin::New => {
+        match leader.applied.status(&submission, leader.version as u64) {
+            SubmissionStatus::New => {
                 self.made_after_fetch |= leader.version as u64 > base;
                 self.commit(ID);
             }
-            Origin::Applied(version) => {
+            SubmissionStatus::Applied(version) => {
                 self.recognised = true;
                 self.told_wrong |= self.chain.get(version as usize - 1) != Some(&ID);
             }
-            Origin::Unknown => self.not_known |= self.chain.contains(&ID),
+            SubmissionStatus::Unknown => self.not_known |= self.chain.contains(&ID),
         }
     }
 }
@@ -173,7 +173,7 @@
                 let replica = &mut world.replicas[n];
                 replica.version = world.chain.len();
                 if self.0 != Fault::FetchKeepsIds {
-                    replica.applied.lose_ids_up_to(replica.version as u64);
+                    replica.applied.forget_ids_up_to(replica.version as u64);
                 }
             }
             Act::Lead(n) => world.leader = n,
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -2,7 +2,7 @@
 
 use meadowproxy::fleet::fencing::{Fence, StaleToken};
 use meadowproxy::fleet::lease::{
-    Ballot, Candidate, Change, Loss, Message, Rules, RulesError, Token, Voter,
+    Ballot, Candidate, LeaseEvent, LossReason, Message, Rules, RulesError, Token, Voter,
 };
 use meadowproxy::{Micros, Time};
 use proptest::prelude::*;
@@ -145,8 +145,8 @@
         for message in out {
             (0..VOTERS).for_each(|voter| self.send(true, voter, candidate, message));
         }
-        for change in self.candidates[candidate].machine.take_changes() {
-            if let Change::Acquired(token) = change {
+        for change in self.candidates[candidate].machine.take_events() {
+            if let LeaseEvent::Acquired(token) = change {
                 assert!(
                     token > self.latest,
                     "{token:?} after {:?} at {} ms",
@@ -349,8 +349,8 @@
     let mut candidate = Candidate::new(rules(), 1);
     let token = tick(START, &mut candidate, &mut voters).unwrap();
     assert_eq!(
-        (token.number, candidate.take_changes()),
-        (7, vec![Change::Acquired(token)])
+        (token.number, candidate.take_events()),
+        (7, vec![LeaseEvent::Acquired(token)])
     );
     (voters, candidate, token)
 }
@@ -377,8 +377,8 @@
         (None, &[Message::Release { ballot: token }][..])
     );
     assert_eq!(
-        candidate.take_changes(),
-        [Change::Lost(token, Loss::Expired)]
+        candidate.take_events(),
+        [LeaseEvent::Lost(token, LossReason::Expired)]
     );
     deliver_all(late, &mut candidate, &mut voters, out);
     let reacquired = tick(
@@ -422,8 +422,8 @@
     let mut out = Vec::new();
     candidate.release(now, &mut out);
     assert_eq!(
-        (candidate.next_tick_at(), candidate.take_changes()),
-        (None, vec![Change::Lost(token, Loss::Released)])
+        (candidate.next_tick_at(), candidate.take_events()),
+        (None, vec![LeaseEvent::Lost(token, LossReason::Released)])
     );
     deliver_all(now, &mut candidate, &mut voters, out);
     // A request that arrives behind its release is not granted.
@@ -450,8 +450,8 @@
     assert_eq!(candidate.held_token(START), Some(token));
     candidate.observe_token(START, higher, &mut out);
     assert_eq!(
-        candidate.take_changes(),
-        [Change::Lost(token, Loss::Superseded(higher))]
+        candidate.take_events(),
+        [LeaseEvent::Lost(token, LossReason::Superseded(higher))]
     );
     deliver_all(START, &mut candidate, &mut voters, out);
     assert!(
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -2,7 +2,7 @@
 //! random orders of a larger one.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-use meadowproxy::fleet::lease::{Ballot, Candidate, Change, Message, Rules, Token, Voter};
+use meadowproxy::fleet::lease::{Ballot, Candidate, LeaseEvent, Message, Rules, Token, Voter};
 use meadowproxy::{Micros, Time};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -195,8 +195,8 @@
             }
             self.sent.insert((c, message));
         }
-        for change in candidate.machine.take_changes() {
-            if let Change::Acquired(token) = change {
+        for change in candidate.machine.take_events() {
+            if let LeaseEvent::Acquired(token) = change {
                 self.token_not_higher |= self.latest.is_some_and(|latest| token <= latest);
                 self.latest = Some(token);
                 self.acquisitions += 1;
