--- a/benches/module.rs
+++ b/benches/module.rs
@@ -5,7 +5,7 @@
 
 use meadowproxy::{
     Action, AttemptEnd, AttemptNumber, Backend, BackendId, BackendState, Balancer, CellId, ClassId,
-    Config, EndpointUpdate, Event, Idempotency, KindId, Micros, Outcome, RequestArrival,
+    Config, EndpointUpdate, Event, HardwareClassId, Idempotency, Micros, Outcome, RequestArrival,
     RequestClass, RequestId, Tenant, TenantId, Time, TimerToken, ZoneId,
 };
 use std::cmp::Reverse;
@@ -48,7 +48,7 @@
         address_hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
         zone: ZoneId(id % ZONES),
         cell: CellId(u64::from(id / 8)),
-        kind: KindId(id / 7 % KINDS),
+        hardware_class: HardwareClassId(id / 7 % KINDS),
         state: BackendState::Ready,
         started_at: booted,
     }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -92,7 +92,7 @@
         let request = self.requests.pending.get_mut(&end.request);
         if let Some(attempt) = request.and_then(|request| request.attempt_mut(end.attempt)) {
             attempt.in_flight = false;
-            attempt.never_ran = end.outcome.proves_not_run();
+            attempt.unprocessed = end.outcome.proves_unprocessed();
             attempt.replaceable = removed && end.outcome == Outcome::NotSent;
         }
     }
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -106,8 +106,8 @@
             group.in_flight += f64::from(load.in_flight);
             group.capacity += load.capacity;
         }
-        for (kind, class) in &mut self.kinds {
-            let group = self.backends.group_index(*kind);
+        for (id, class) in &mut self.hardware_classes {
+            let group = self.backends.group_index(*id);
             let group = group.map_or(Utilization::default(), |at| utilization[at]);
             let latency_s = class.recent_latency_s();
             class.concurrency_limit.update(elapsed_s, latency_s, group);
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -25,7 +25,7 @@
 const LOST_AFTER_OF_STALENESS_LIMIT: f64 = 0.5;
 
 /// How long to wait for the response of a poll that is answered at once.
-pub const POLL_TIMEOUT: Micros = Micros(1_800_000);
+pub const DISCOVERY_POLL_TIMEOUT: Micros = Micros(1_800_000);
 /// How long to wait for the response of a poll in discovery's queue: discovery itself rejects what waits for 3 s.
 const QUEUED_POLL_TIMEOUT_S: f64 = 3.2;
 
@@ -40,7 +40,7 @@
 /// giving up early costs the place. In a large fleet the time is shorter: if the poll hangs after all, what comes
 /// before the next one still fits into the 6 s. That is a pause of half the interval, or the interval where the
 /// decisions repeat the poll meanwhile.
-pub fn queued_poll_timeout(proxies: u32, staleness_limit: Micros) -> Micros {
+pub fn queued_discovery_poll_timeout(proxies: u32, staleness_limit: Micros) -> Micros {
     let repeated_after_s = staleness_limit.as_secs_f64() / 2.0;
     let interval_s = max_interval_s(proxies).min(repeated_after_s);
     let until_next_s = if repeated_after_s < QUEUED_POLL_TIMEOUT_S {
@@ -49,7 +49,9 @@
         (INITIAL_INTERVAL_S + interval_s) / 2.0
     };
     let timeout_s = LARGEST_INTERVAL_CAP_S - until_next_s;
-    Micros::from_secs_f64(timeout_s.clamp(POLL_TIMEOUT.as_secs_f64(), QUEUED_POLL_TIMEOUT_S))
+    Micros::from_secs_f64(
+        timeout_s.clamp(DISCOVERY_POLL_TIMEOUT.as_secs_f64(), QUEUED_POLL_TIMEOUT_S),
+    )
 }
 
 /// When a proxy polls discovery.
--- a/src/balancer/endpoints/consistency.rs
+++ b/src/balancer/endpoints/consistency.rs
@@ -20,10 +20,10 @@
         let load = &self.loads[index];
         let group = &self.groups[load.group_index as usize];
         entry.id == self.ids[index]
-            && entry.kind == load.kind
+            && entry.hardware_class == load.hardware_class
             && entry.zone == load.zone
             && entry.address_hash == self.address_hashes[index]
-            && group.kind == load.kind
+            && group.hardware_class == load.hardware_class
             && self.zones[load.zone_index as usize] == load.zone
             && group.members[load.weight_index as usize] == index as u32
     }
--- a/src/balancer/endpoints/groups.rs
+++ b/src/balancer/endpoints/groups.rs
@@ -1,11 +1,11 @@
 //! The endpoints of one hardware class with their weights in a draw, and the zones that have endpoints.
 
 use super::{EndpointTable, RandomSource};
-use crate::interface::KindId;
+use crate::interface::HardwareClassId;
 
 /// The endpoints of one kind.
 pub struct EndpointGroup {
-    pub kind: KindId,
+    pub hardware_class: HardwareClassId,
     /// Their indices in the table, in order.
     pub(super) members: Vec<u32>,
     /// The weight of each member in a draw; 0 for one that may not be drawn.
@@ -15,9 +15,9 @@
 }
 
 impl EndpointGroup {
-    fn new(kind: KindId) -> EndpointGroup {
+    fn new(hardware_class: HardwareClassId) -> EndpointGroup {
         EndpointGroup {
-            kind,
+            hardware_class,
             members: Vec::new(),
             weights: Vec::new(),
             drawable: 0,
@@ -48,7 +48,7 @@
     /// Finds the groups, the zones and the order by address anew, after endpoints were added, removed or moved.
     pub(super) fn regroup(&mut self) {
         self.sort_by_address_hash();
-        self.groups = distinct(self.loads.iter().map(|load| load.kind))
+        self.groups = distinct(self.loads.iter().map(|load| load.hardware_class))
             .into_iter()
             .map(EndpointGroup::new)
             .collect();
@@ -72,8 +72,10 @@
         let mut group = 0;
         let mut zone = 0;
         for (index, load) in self.loads.iter_mut().enumerate() {
-            if self.groups[group].kind != load.kind {
-                group = self.groups.partition_point(|g| g.kind < load.kind);
+            if self.groups[group].hardware_class != load.hardware_class {
+                group = self
+                    .groups
+                    .partition_point(|g| g.hardware_class < load.hardware_class);
             }
             if self.zones[zone] != load.zone {
                 zone = self.zones.partition_point(|z| *z < load.zone);
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -1,6 +1,6 @@
 //! The values of an endpoint that decisions read for all endpoints at once.
 
-use crate::interface::{KindId, Time, ZoneId};
+use crate::interface::{HardwareClassId, Time, ZoneId};
 
 /// The part of its traffic share that an endpoint weighs beyond its share of the subset: a last resort where all of
 /// the subset is full.
@@ -9,7 +9,7 @@
 /// What each pass over all endpoints reads of one: what its record says, and what was last solved for it.
 #[derive(Clone, Copy, Default)]
 pub struct EndpointLoad {
-    pub kind: KindId,
+    pub hardware_class: HardwareClassId,
     pub zone: ZoneId,
     /// Index into [`EndpointTable::groups`](super::EndpointTable::groups).
     pub group_index: u32,
@@ -45,9 +45,9 @@
 }
 
 impl EndpointLoad {
-    pub(super) fn new(kind: KindId, zone: ZoneId) -> EndpointLoad {
+    pub(super) fn new(hardware_class: HardwareClassId, zone: ZoneId) -> EndpointLoad {
         EndpointLoad {
-            kind,
+            hardware_class,
             zone,
             ..EndpointLoad::default()
         }
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -17,7 +17,7 @@
 pub(super) use record::{EndpointRecord, LatestPeerVerdict, PeerEjection};
 
 use super::random::RandomSource;
-use crate::interface::{BackendId, BackendState, Config, KindId, Micros, Time, ZoneId};
+use crate::interface::{BackendId, BackendState, Config, HardwareClassId, Micros, Time, ZoneId};
 use load::draw_weight;
 use std::collections::BTreeSet;
 
@@ -100,9 +100,9 @@
     }
 
     /// The index of the group of that kind, if it has endpoints.
-    pub fn group_index(&self, kind: KindId) -> Option<usize> {
+    pub fn group_index(&self, hardware_class: HardwareClassId) -> Option<usize> {
         self.groups
-            .binary_search_by_key(&kind, |group| group.kind)
+            .binary_search_by_key(&hardware_class, |group| group.hardware_class)
             .ok()
     }
 
@@ -270,12 +270,12 @@
     }
 
     /// The groups with an endpoint that may be drawn: their index and kind.
-    pub fn drawable_kinds(&self) -> impl Iterator<Item = (usize, KindId)> + '_ {
+    pub fn drawable_hardware_classes(&self) -> impl Iterator<Item = (usize, HardwareClassId)> + '_ {
         self.groups
             .iter()
             .enumerate()
             .filter(|(_, group)| group.drawable > 0)
-            .map(|(index, group)| (index, group.kind))
+            .map(|(index, group)| (index, group.hardware_class))
     }
 
     /// Draws an endpoint of the group by weight.
--- a/src/balancer/endpoints/update.rs
+++ b/src/balancer/endpoints/update.rs
@@ -83,11 +83,12 @@
         }
         let load = &mut self.loads[index];
         let readdressed = self.address_hashes[index] != entry.address_hash;
-        let moved = readdressed || load.kind != entry.kind || load.zone != entry.zone;
+        let moved =
+            readdressed || load.hardware_class != entry.hardware_class || load.zone != entry.zone;
         if readdressed {
             load.rounding_offset = 0.0;
         }
-        load.kind = entry.kind;
+        load.hardware_class = entry.hardware_class;
         load.zone = entry.zone;
         self.address_hashes[index] = entry.address_hash;
         self.record_at_mut(index).entry = entry;
@@ -147,7 +148,8 @@
             self.by_address_hash.push(self.ids.len() as u32);
             self.ids.push(entry.id);
             self.address_hashes.push(entry.address_hash);
-            self.loads.push(EndpointLoad::new(entry.kind, entry.zone));
+            self.loads
+                .push(EndpointLoad::new(entry.hardware_class, entry.zone));
             self.own_traffic_share.push(0.0);
             self.subset_share.push(0.0);
             self.records.push(EndpointRecord::new(entry));
--- a/src/balancer/final_answers.rs
+++ b/src/balancer/final_answers.rs
@@ -15,7 +15,7 @@
         Idempotency::Keyed { scope, .. } => scope == KeyScope::All,
         Idempotency::NonIdempotent => false,
     };
-    repeatable || request.attempts.iter().all(|attempt| attempt.never_ran)
+    repeatable || request.attempts.iter().all(|attempt| attempt.unprocessed)
 }
 
 impl Balancer {
@@ -39,8 +39,8 @@
 
     /// When a client should retry; without a ready backend, when an ejected one has its next health check.
     fn retry_after(&self, class: usize) -> Micros {
-        let mut kinds = self.kinds.values();
-        if kinds.any(|kind| kind.ready_endpoints > 0.0) {
+        let mut hardware_classes = self.hardware_classes.values();
+        if hardware_classes.any(|hardware_class| hardware_class.ready_endpoints > 0.0) {
             self.expected_latency(class).mul_f64(RETRY_AFTER_LATENCIES)
         } else {
             Micros::from_secs_f64(BASE_EJECTION_S)
--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -3,7 +3,7 @@
 use super::classes::LATENCY_SAMPLES;
 use super::concurrency_limit::{ConcurrencyLimit, RECENT_LATENCY_SAMPLES};
 use super::estimators::{EventRate, RunningMean};
-use crate::interface::{LearnedKind, Time};
+use crate::interface::{LearnedHardwareClass, Time};
 
 /// Memory of the rate of served requests, s: some ten requests of a proxy that sees few.
 const SERVED_MEMORY_S: f64 = 5.0;
@@ -20,7 +20,7 @@
     /// Sum of the readiness of its endpoints.
     pub ready_endpoints: f64,
     /// Requests a second that one endpoint can serve.
-    pub speed_per_s: f64,
+    pub service_rate_per_s: f64,
     /// Its part of the traffic of all proxies.
     pub fleet_traffic_share: f64,
     /// Its part of the traffic of this proxy.
@@ -36,7 +36,7 @@
             recent_latency: RunningMean::default(),
             concurrency_limit: ConcurrencyLimit::default(),
             ready_endpoints: 0.0,
-            speed_per_s: 0.0,
+            service_rate_per_s: 0.0,
             fleet_traffic_share: 0.0,
             own_traffic_share: 0.0,
             served_per_endpoint: EventRate::new(SERVED_MEMORY_S),
@@ -62,20 +62,20 @@
 
     /// Estimates what one endpoint can serve, given the requests a second of all proxies: what it serves now and what
     /// it could serve beyond that. 0 while there is no latency.
-    pub fn update_speed(&mut self, fleet_rate_per_s: f64) {
+    pub fn update_service_rate(&mut self, fleet_rate_per_s: f64) {
         let served_per_s = if self.ready_endpoints > 0.0 {
             fleet_rate_per_s * self.fleet_traffic_share / self.ready_endpoints
         } else {
             0.0
         };
-        self.speed_per_s = self
+        self.service_rate_per_s = self
             .latency
             .get()
             .map_or(0.0, |latency_s| 1.0 / latency_s + served_per_s);
     }
 
     /// Requests of mean work a second that a warm endpoint serves for certain; `None` while there is no latency.
-    /// Unlike [`HardwareClass::speed_per_s`] it counts what was served and not what was asked for, which in an
+    /// Unlike [`HardwareClass::service_rate_per_s`] it counts what was served and not what was asked for, which in an
     /// overload is more than the endpoint can do.
     pub fn proven_capacity_per_s(&self, proxies: f64) -> Option<f64> {
         let served_per_s = self.served_per_endpoint.per_s().unwrap_or(0.0) * proxies;
@@ -90,8 +90,8 @@
     }
 
     /// What outlives a restart.
-    pub fn learned(&self) -> LearnedKind {
-        LearnedKind {
+    pub fn learned(&self) -> LearnedHardwareClass {
+        LearnedHardwareClass {
             latency: self.latency.sampled(),
             recent_latency: self.recent_latency.sampled(),
             uncontended_latency_s: self.concurrency_limit.uncontended_latency_s(),
@@ -100,7 +100,7 @@
     }
 
     /// Takes over learned state whose samples count `weight` each, with its concurrency limit or without it.
-    pub fn restore(&mut self, learned: &LearnedKind, weight: f64, with_limit: bool) {
+    pub fn restore(&mut self, learned: &LearnedHardwareClass, weight: f64, with_limit: bool) {
         self.latency = RunningMean::restored(learned.latency, weight);
         self.recent_latency = RunningMean::restored(learned.recent_latency, weight);
         if with_limit {
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -3,7 +3,7 @@
 use super::endpoints::EndpointRecord;
 use super::estimators::RunningMean;
 use super::Balancer;
-use crate::interface::{BackendId, ClassId, KindId, LearnedBackend, LearnedKind};
+use crate::interface::{BackendId, ClassId, HardwareClassId, LearnedBackend, LearnedHardwareClass};
 use crate::interface::{LearnedState, Micros, SampledMean, Time};
 
 /// Learned state loses half of its weight in so long, s: some hundred responses of each kind.
@@ -42,9 +42,11 @@
 impl Balancer {
     /// What was learned and outlives a restart, for a later process of this proxy.
     pub fn learned_state(&self, now: Time) -> LearnedState {
-        let kinds = self.kinds.iter();
+        let hardware_classes = self.hardware_classes.iter();
         LearnedState {
-            kinds: kinds.map(|(id, class)| (*id, class.learned())).collect(),
+            hardware_classes: hardware_classes
+                .map(|(id, class)| (*id, class.learned()))
+                .collect(),
             classes: self.learned_classes(),
             overall_latency: self.classes.overall_latency.sampled(),
             backends: self.learned_backends(now),
@@ -74,7 +76,7 @@
     /// outweigh them; what the endpoint list no longer names is dropped.
     pub(super) fn restore_learned_state(&mut self, now: Time, state: LearnedState, age: Micros) {
         let weight = weight_at(age);
-        self.restore_kinds(&state.kinds, weight);
+        self.restore_hardware_classes(&state.hardware_classes, weight);
         self.restore_classes(&state, weight);
         for (id, learned) in &state.backends {
             if let Some(record) = self.backends.get_mut(*id) {
@@ -90,12 +92,16 @@
         );
     }
 
-    fn restore_kinds(&mut self, kinds: &[(KindId, LearnedKind)], weight: f64) {
+    fn restore_hardware_classes(
+        &mut self,
+        hardware_classes: &[(HardwareClassId, LearnedHardwareClass)],
+        weight: f64,
+    ) {
         // While the process that learned a concurrency limit goes on using it, the limit would count twice.
         let with_limit = self.processes.is_single();
-        for (id, learned) in kinds {
+        for (id, learned) in hardware_classes {
             if self.backends.group_index(*id).is_some() {
-                let class = self.kinds.entry(*id).or_default();
+                let class = self.hardware_classes.entry(*id).or_default();
                 class.restore(learned, weight, with_limit);
             }
         }
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -74,7 +74,11 @@
             .fleet_in_flight(proxies, self.traffic_multiple());
         FleetLoad {
             in_flight: in_flight.filter(|_| proxies > MIN_CONCURRENCY_LIMIT),
-            ready_endpoints: self.kinds.values().map(|kind| kind.ready_endpoints).sum(),
+            ready_endpoints: self
+                .hardware_classes
+                .values()
+                .map(|hardware_class| hardware_class.ready_endpoints)
+                .sum(),
             any_class_slow: self.classes.any_slow(),
         }
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -45,7 +45,8 @@
 mod zone_failover;
 
 use crate::interface::{
-    Action, BackendId, Config, ConfigError, Event, KindId, Micros, Time, ValidatedConfig, ZoneId,
+    Action, BackendId, Config, ConfigError, Event, HardwareClassId, Micros, Time, ValidatedConfig,
+    ZoneId,
 };
 use classes::ClassTable;
 use discovery_polling::DiscoveryPolling;
@@ -64,7 +65,7 @@
 use schedule::{CheckSchedule, SplitSchedule};
 use slow_start::SlowStart;
 use std::collections::BTreeMap;
-pub use traffic_split::{halb_shares, KindCapacity};
+pub use traffic_split::{halb_shares, HardwareClassCapacity};
 use zone_failover::ZoneHealth;
 
 /// Memory of the rate at which requests arrive: short beside a ramp or a failure.
@@ -79,7 +80,7 @@
     config: ValidatedConfig,
     random: RandomSource,
     backends: EndpointTable,
-    kinds: BTreeMap<KindId, HardwareClass>,
+    hardware_classes: BTreeMap<HardwareClassId, HardwareClass>,
     zones: BTreeMap<ZoneId, ZoneHealth>,
     classes: ClassTable,
     /// The part of all responses and broken connections that were errors or broken connections.
@@ -113,7 +114,7 @@
         Balancer {
             random: RandomSource::new(seed),
             backends: EndpointTable::default(),
-            kinds: BTreeMap::new(),
+            hardware_classes: BTreeMap::new(),
             zones: BTreeMap::new(),
             classes: ClassTable::new(&config.classes),
             error_share: RunningMean::default(),
@@ -168,15 +169,15 @@
 
     /// The concurrency limit of each hardware class: requests that all proxies together have in flight on one of its
     /// backends.
-    pub fn concurrency_limits(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
-        self.kinds
+    pub fn concurrency_limits(&self) -> impl Iterator<Item = (HardwareClassId, f64)> + '_ {
+        self.hardware_classes
             .iter()
-            .map(|(id, kind)| (*id, kind.concurrency_limit.get()))
+            .map(|(id, hardware_class)| (*id, hardware_class.concurrency_limit.get()))
     }
 
     /// The part of its capacity that each backend is good for by its warm-up: 0 where it drains, is disabled or
     /// ejected. It leaves out zone failover, the share of errors, silence, pauses after overload and panic mode.
-    pub fn warm_up_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
+    pub fn slow_start_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let slow_start = SlowStart::new(&self.config);
         let readiness = move |record: &EndpointRecord| {
             let usable = self.backends.is_available(record) && !record.is_ejected();
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -205,8 +205,8 @@
         };
         let mix_corrected_s =
             latency_s * self.classes.overall_latency.value / self.classes[class].latency.value;
-        self.kinds
-            .entry(record.entry.kind)
+        self.hardware_classes
+            .entry(record.entry.hardware_class)
             .or_default()
             .record_served(now, mix_corrected_s);
         if record.record_served(now, attempt.awaiting_response_since) {
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -11,7 +11,7 @@
     /// It has not ended yet.
     pub in_flight: bool,
     /// Its outcome proves that the backend did not run it.
-    pub never_ran: bool,
+    pub unprocessed: bool,
     /// It was not sent because its backend was removed meanwhile: the attempt in its place is no retry.
     pub replaceable: bool,
     /// Its response has begun to stream: the backend has done the work.
@@ -24,7 +24,7 @@
             backend,
             dispatched_at,
             in_flight: true,
-            never_ran: false,
+            unprocessed: false,
             replaceable: false,
             response_started: false,
         }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -61,9 +61,9 @@
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
                 let key_known_until = attempt.dispatched_at + window;
-                attempt.never_ran || now + self.timer_resolution < key_known_until
+                attempt.unprocessed || now + self.timer_resolution < key_known_until
             }
-            Idempotency::NonIdempotent => attempt.never_ran,
+            Idempotency::NonIdempotent => attempt.unprocessed,
         }
     }
 }
--- a/src/balancer/retry/tests.rs
+++ b/src/balancer/retry/tests.rs
@@ -18,10 +18,10 @@
     }
 }
 
-fn ended(never_ran: bool) -> Attempt {
+fn ended(unprocessed: bool) -> Attempt {
     Attempt {
         in_flight: false,
-        never_ran,
+        unprocessed,
         ..Attempt::new(Backend::default(), DISPATCHED_AT)
     }
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -5,7 +5,7 @@
 use super::random::Weighted;
 use super::requests::{Attempt, PendingRequest};
 use super::Balancer;
-use crate::interface::{Backend, BackendId, Idempotency, KeyScope, KindId, Time};
+use crate::interface::{Backend, BackendId, HardwareClassId, Idempotency, KeyScope, Time};
 use std::collections::BTreeMap;
 
 /// Whether the second backend discards a repeat of a keyed request that the first may have run.
@@ -18,7 +18,7 @@
 }
 
 /// Requests a second that a warm backend of each hardware class serves for certain: worked out once a draw.
-type ProvenCapacities = BTreeMap<KindId, f64>;
+type ProvenCapacities = BTreeMap<HardwareClassId, f64>;
 
 /// The weight of an endpoint for one draw only.
 struct WeightOverride {
@@ -59,11 +59,14 @@
 
     /// A hardware class with a backend that may be drawn: the index of its group.
     fn select_group(&mut self) -> Option<usize> {
-        let groups = self.backends.drawable_kinds();
-        let weighted = groups.filter_map(|(index, kind)| {
+        let groups = self.backends.drawable_hardware_classes();
+        let weighted = groups.filter_map(|(index, hardware_class)| {
             Some(Weighted {
                 item: index,
-                weight: self.kinds.get(&kind)?.own_traffic_share,
+                weight: self
+                    .hardware_classes
+                    .get(&hardware_class)?
+                    .own_traffic_share,
             })
         });
         let weighted: Vec<Weighted<usize>> = weighted.collect();
@@ -156,7 +159,7 @@
         let Idempotency::Keyed { scope, .. } = idempotency else {
             return;
         };
-        if attempt.never_ran || scope == KeyScope::All {
+        if attempt.unprocessed || scope == KeyScope::All {
             return;
         }
         for (index, (_, record)) in self.backends.records().enumerate() {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -3,7 +3,7 @@
 
 use super::hardware_class::HardwareClass;
 use super::Balancer;
-use crate::interface::{Config, KindId, Micros, Time};
+use crate::interface::{Config, HardwareClassId, Micros, Time};
 use std::collections::BTreeMap;
 
 /// The part of its warm-up budget that a proxy uses: the rest is for skew between proxies and for heavy requests.
@@ -81,7 +81,7 @@
         &self,
         now: Time,
         index: usize,
-        proven_capacity: &mut BTreeMap<KindId, f64>,
+        proven_capacity: &mut BTreeMap<HardwareClassId, f64>,
     ) -> f64 {
         let record = self.backends.record_at(index);
         let overload_window = self.config.overload_window;
@@ -91,10 +91,10 @@
         if readiness >= 1.0 {
             return f64::MAX;
         }
-        let kind = record.entry.kind;
+        let hardware_class = record.entry.hardware_class;
         let proven_capacity_per_s = *proven_capacity
-            .entry(kind)
-            .or_insert_with(|| self.proven_capacity_per_s(kind));
+            .entry(hardware_class)
+            .or_insert_with(|| self.proven_capacity_per_s(hardware_class));
         let budget = WarmUpBudget {
             overload_multiple: self.config.overload_multiple,
             overload_window,
@@ -118,13 +118,17 @@
     /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response
     /// is taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a
     /// class.
-    fn proven_capacity_per_s(&self, kind: KindId) -> f64 {
+    fn proven_capacity_per_s(&self, hardware_class: HardwareClassId) -> f64 {
         let proxies = f64::from(self.config.proxy_count);
         let proven = |class: &HardwareClass| class.proven_capacity_per_s(proxies);
-        if let Some(capacity_per_s) = self.kinds.get(&kind).and_then(proven) {
+        if let Some(capacity_per_s) = self.hardware_classes.get(&hardware_class).and_then(proven) {
             return capacity_per_s;
         }
-        let slowest = self.kinds.values().filter_map(proven).reduce(f64::min);
+        let slowest = self
+            .hardware_classes
+            .values()
+            .filter_map(proven)
+            .reduce(f64::min);
         let shortest_latency = self
             .classes_in_use()
             .map(|(class, _)| self.expected_latency(class))
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -5,7 +5,7 @@
 use super::hardware_class::HardwareClass;
 use super::locality::locality_weighted_shares;
 use super::Balancer;
-use crate::interface::{Config, KindId, ZoneId};
+use crate::interface::{Config, HardwareClassId, ZoneId};
 use std::collections::BTreeMap;
 
 /// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The
@@ -98,7 +98,7 @@
     pub(super) fn update_subset(&mut self) {
         let groups = self.backends.groups.iter();
         let splits: Vec<GroupSplit> = groups
-            .map(|group| GroupSplit::of(self.kinds.get(&group.kind)))
+            .map(|group| GroupSplit::of(self.hardware_classes.get(&group.hardware_class)))
             .collect();
         let fair_shares = zone_fair_shares(&self.backends, &splits, &self.config);
         let biases = zone_biases(&self.backends, &fair_shares, &self.config);
@@ -109,7 +109,7 @@
         let proxies = f64::from(self.config.proxy_count);
         let traffic = assign_traffic(&mut self.backends, &splits, &biases, proxies);
         update_own_traffic_shares(
-            &mut self.kinds,
+            &mut self.hardware_classes,
             &self.backends.groups,
             &traffic.group_shares,
         );
@@ -196,15 +196,18 @@
 
 /// Sets each hardware class's part of this proxy's traffic.
 fn update_own_traffic_shares(
-    kinds: &mut BTreeMap<KindId, HardwareClass>,
+    hardware_classes: &mut BTreeMap<HardwareClassId, HardwareClass>,
     groups: &[EndpointGroup],
     group_shares: &[f64],
 ) {
-    for class in kinds.values_mut() {
+    for class in hardware_classes.values_mut() {
         class.own_traffic_share = 0.0;
     }
     for (group, share) in groups.iter().zip(group_shares) {
-        kinds.entry(group.kind).or_default().own_traffic_share = *share;
+        hardware_classes
+            .entry(group.hardware_class)
+            .or_default()
+            .own_traffic_share = *share;
     }
 }
 
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -19,22 +19,22 @@
 
 /// What a hardware class can serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KindCapacity {
+pub struct HardwareClassCapacity {
     /// Endpoints that are ready; fractional, as one in slow start counts in part.
-    pub ready: f64,
+    pub ready_endpoints: f64,
     /// Requests a second that one ready endpoint can serve.
-    pub speed_per_s: f64,
+    pub service_rate_per_s: f64,
 }
 
-impl KindCapacity {
+impl HardwareClassCapacity {
     /// Requests a second that all its endpoints can serve.
     fn total_per_s(&self) -> f64 {
-        self.ready * self.speed_per_s
+        self.ready_endpoints * self.service_rate_per_s
     }
 
     /// Its weight in the optimum: the square root of the speed of each endpoint.
     fn root_weight(&self) -> f64 {
-        self.ready * self.speed_per_s.sqrt()
+        self.ready_endpoints * self.service_rate_per_s.sqrt()
     }
 }
 
@@ -45,67 +45,75 @@
 /// fastest class takes all.
 ///
 /// ```
-/// use meadowproxy::{halb_shares, KindCapacity};
+/// use meadowproxy::{halb_shares, HardwareClassCapacity};
 ///
-/// let fast = KindCapacity { ready: 1.0, speed_per_s: 4.0 };
-/// let slow = KindCapacity { ready: 1.0, speed_per_s: 1.0 };
+/// let fast = HardwareClassCapacity { ready_endpoints: 1.0, service_rate_per_s: 4.0 };
+/// let slow = HardwareClassCapacity { ready_endpoints: 1.0, service_rate_per_s: 1.0 };
 /// assert_eq!(halb_shares(&[fast, slow], Some(1.0)), [1.0, 0.0]);
 /// ```
-pub fn halb_shares(kinds: &[KindCapacity], rate_per_s: Option<f64>) -> Vec<f64> {
+pub fn halb_shares(classes: &[HardwareClassCapacity], rate_per_s: Option<f64>) -> Vec<f64> {
     let Some(rate_per_s) = rate_per_s else {
-        return shares_by_ready(kinds, |_| true);
+        return shares_by_ready(classes, |_| true);
     };
-    let mut used = kinds.to_vec();
+    let mut used = classes.to_vec();
     loop {
-        let root_weight = sum_over(&used, KindCapacity::root_weight);
-        let total_per_s = sum_over(&used, KindCapacity::total_per_s);
+        let root_weight = sum_over(&used, HardwareClassCapacity::root_weight);
+        let total_per_s = sum_over(&used, HardwareClassCapacity::total_per_s);
         if rate_per_s <= total_per_s * MIN_RATE_PART || total_per_s <= 0.0 {
-            let fastest_per_s = fastest_ready(&used);
-            return shares_by_ready(kinds, |kind| kind.speed_per_s == fastest_per_s);
+            let highest_rate_per_s = highest_ready_rate_per_s(&used);
+            return shares_by_ready(classes, |class| {
+                class.service_rate_per_s == highest_rate_per_s
+            });
         }
-        let flow_per_s = |kind: &KindCapacity| {
-            kind.total_per_s() - kind.root_weight() * (total_per_s - rate_per_s) / root_weight
+        let flow_per_s = |class: &HardwareClassCapacity| {
+            class.total_per_s() - class.root_weight() * (total_per_s - rate_per_s) / root_weight
         };
         let flows: Vec<f64> = used.iter().map(flow_per_s).collect();
         if flows.iter().all(|flow| *flow >= 0.0) {
             return flows.iter().map(|flow| flow / rate_per_s).collect();
         }
         // A class that would get less than nothing gets nothing, and the others are solved without it.
-        for (kind, flow) in used.iter_mut().zip(&flows) {
+        for (class, flow) in used.iter_mut().zip(&flows) {
             if *flow <= 0.0 {
-                kind.ready = 0.0;
+                class.ready_endpoints = 0.0;
             }
         }
     }
 }
 
 /// Shares in proportion to the ready endpoints of the `used` classes.
-fn shares_by_ready(kinds: &[KindCapacity], used: impl Fn(&KindCapacity) -> bool) -> Vec<f64> {
-    let total: f64 = kinds
+fn shares_by_ready(
+    classes: &[HardwareClassCapacity],
+    used: impl Fn(&HardwareClassCapacity) -> bool,
+) -> Vec<f64> {
+    let total: f64 = classes
         .iter()
-        .filter(|kind| used(kind))
-        .map(|kind| kind.ready)
+        .filter(|class| used(class))
+        .map(|class| class.ready_endpoints)
         .sum();
-    let share = |kind: &KindCapacity| {
-        if used(kind) && total > 0.0 {
-            kind.ready / total
+    let share = |class: &HardwareClassCapacity| {
+        if used(class) && total > 0.0 {
+            class.ready_endpoints / total
         } else {
             0.0
         }
     };
-    kinds.iter().map(share).collect()
+    classes.iter().map(share).collect()
 }
 
-fn sum_over(kinds: &[KindCapacity], value: impl Fn(&KindCapacity) -> f64) -> f64 {
-    kinds.iter().fold(0.0, |sum, kind| sum + value(kind))
+fn sum_over(
+    classes: &[HardwareClassCapacity],
+    value: impl Fn(&HardwareClassCapacity) -> f64,
+) -> f64 {
+    classes.iter().fold(0.0, |sum, class| sum + value(class))
 }
 
 /// The speed of the fastest class with ready endpoints.
-fn fastest_ready(kinds: &[KindCapacity]) -> f64 {
-    kinds
+fn highest_ready_rate_per_s(classes: &[HardwareClassCapacity]) -> f64 {
+    classes
         .iter()
-        .filter(|kind| kind.ready > 0.0)
-        .map(|kind| kind.speed_per_s)
+        .filter(|class| class.ready_endpoints > 0.0)
+        .map(|class| class.service_rate_per_s)
         .fold(0.0, f64::max)
 }
 
@@ -142,7 +150,7 @@
     /// Sets the readiness of every endpoint: that of its zone times its health times its slow start.
     fn update_readiness(&mut self, now: Time) {
         let ejected_readiness = f64::from(self.is_in_panic());
-        for class in self.kinds.values_mut() {
+        for class in self.hardware_classes.values_mut() {
             class.ready_endpoints = 0.0;
             class.served_per_endpoint.add(now, 0.0);
         }
@@ -165,7 +173,10 @@
             ready_endpoints[load.group_index as usize] += load.readiness;
         }
         for (group, ready) in self.backends.groups.iter().zip(ready_endpoints) {
-            self.kinds.entry(group.kind).or_default().ready_endpoints = ready;
+            self.hardware_classes
+                .entry(group.hardware_class)
+                .or_default()
+                .ready_endpoints = ready;
         }
     }
 
@@ -178,39 +189,42 @@
 
     /// Sets the speed and the share of every hardware class, given the requests a second of all proxies.
     fn update_shares(&mut self, rate_per_s: Option<f64>) {
-        for class in self.kinds.values_mut() {
-            class.update_speed(rate_per_s.unwrap_or(0.0));
+        for class in self.hardware_classes.values_mut() {
+            class.update_service_rate(rate_per_s.unwrap_or(0.0));
         }
-        let mean_speed_per_s = self.mean_speed_per_s();
-        for class in self.kinds.values_mut() {
-            if class.speed_per_s == 0.0 {
-                class.speed_per_s = mean_speed_per_s.unwrap_or(1.0);
+        let mean_service_rate_per_s = self.mean_service_rate_per_s();
+        for class in self.hardware_classes.values_mut() {
+            if class.service_rate_per_s == 0.0 {
+                class.service_rate_per_s = mean_service_rate_per_s.unwrap_or(1.0);
             }
         }
-        let capacities = self.kinds.values().map(|class| KindCapacity {
-            ready: class.ready_endpoints,
-            speed_per_s: class.speed_per_s,
-        });
-        let capacities: Vec<KindCapacity> = capacities.collect();
+        let capacities = self
+            .hardware_classes
+            .values()
+            .map(|class| HardwareClassCapacity {
+                ready_endpoints: class.ready_endpoints,
+                service_rate_per_s: class.service_rate_per_s,
+            });
+        let capacities: Vec<HardwareClassCapacity> = capacities.collect();
         let shares = halb_shares(
             &capacities,
-            rate_per_s.filter(|_| mean_speed_per_s.is_some()),
+            rate_per_s.filter(|_| mean_service_rate_per_s.is_some()),
         );
-        for (class, share) in self.kinds.values_mut().zip(shares) {
+        for (class, share) in self.hardware_classes.values_mut().zip(shares) {
             class.fleet_traffic_share = share;
         }
     }
 
     /// The mean speed of the hardware classes whose speed is known, as which all others are taken.
-    fn mean_speed_per_s(&self) -> Option<f64> {
+    fn mean_service_rate_per_s(&self) -> Option<f64> {
         let known = || {
-            self.kinds
+            self.hardware_classes
                 .values()
-                .map(|class| class.speed_per_s)
-                .filter(|speed| *speed > 0.0)
+                .map(|class| class.service_rate_per_s)
+                .filter(|rate| *rate > 0.0)
         };
         let count = known().count();
-        let total_per_s = known().fold(0.0, |sum, speed| sum + speed);
+        let total_per_s = known().fold(0.0, |sum, rate| sum + rate);
         (count > 0).then(|| total_per_s / count as f64)
     }
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as the decisions see it.
 
-use super::ids::{BackendId, CellId, KindId, ZoneId};
+use super::ids::{BackendId, CellId, HardwareClassId, ZoneId};
 use super::time::Time;
 
 /// A backend process, as the endpoint list describes it.
@@ -15,7 +15,7 @@
     /// Its cell.
     pub cell: CellId,
     /// Its hardware class.
-    pub kind: KindId,
+    pub hardware_class: HardwareClassId,
     /// What it may be sent.
     pub state: BackendState,
     /// When the process last started; `None` means long ago.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -149,7 +149,7 @@
 
 impl Outcome {
     /// Whether this outcome proves that the attempt did not run.
-    pub fn proves_not_run(self) -> bool {
+    pub fn proves_unprocessed(self) -> bool {
         matches!(
             self,
             Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -22,7 +22,7 @@
     /// Another proxy of the fleet.
     PeerId(u32);
     /// A hardware class: backends of one kind are taken as equally fast.
-    KindId(u32);
+    HardwareClassId(u32);
     /// Index into [`Config::classes`](crate::Config::classes).
     ClassId(usize);
     /// Index into [`Config::tenants`](crate::Config::tenants).
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -1,7 +1,7 @@
 //! What a proxy has learned and keeps over a restart. The order of the serialized fields is part of the snapshot
 //! format.
 
-use super::ids::{BackendId, ClassId, KindId};
+use super::ids::{BackendId, ClassId, HardwareClassId};
 use super::time::Micros;
 
 /// A mean and the weight of the samples in it.
@@ -18,7 +18,7 @@
 /// For how long its concurrency limit was learned is left out: a limit that moves as fast as a new one follows a fleet
 /// that changed meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct LearnedKind {
+pub struct LearnedHardwareClass {
     /// Seconds from dispatch to response of served requests, corrected for the mix of classes.
     pub latency: SampledMean,
     /// The same over fewer samples.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
     /// By hardware class.
-    pub kinds: Vec<(KindId, LearnedKind)>,
+    pub hardware_classes: Vec<(HardwareClassId, LearnedHardwareClass)>,
     /// Latency of served requests in seconds, by request class in use.
     pub classes: Vec<(ClassId, SampledMean)>,
     /// The same over all classes.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -21,9 +21,9 @@
     AttemptEnd, ClassSuccessor, Event, Outcome, PeerVerdict, RequestArrival, Verdict,
 };
 pub use ids::{
-    AttemptNumber, BackendId, CellId, ClassId, KindId, PeerId, RegionId, RequestId, TenantId,
-    TimerToken, ZoneId,
+    AttemptNumber, BackendId, CellId, ClassId, HardwareClassId, PeerId, RegionId, RequestId,
+    TenantId, TimerToken, ZoneId,
 };
-pub use learned_state::{LearnedBackend, LearnedKind, LearnedState, SampledMean};
+pub use learned_state::{LearnedBackend, LearnedHardwareClass, LearnedState, SampledMean};
 pub use time::{Micros, Time};
 pub use validated_config::ValidatedConfig;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,8 +13,8 @@
 mod interface;
 pub mod settings;
 
-pub use balancer::discovery_polling::{queued_poll_timeout, POLL_TIMEOUT};
-pub use balancer::{halb_shares, Balancer, KindCapacity};
+pub use balancer::discovery_polling::{queued_discovery_poll_timeout, DISCOVERY_POLL_TIMEOUT};
+pub use balancer::{halb_shares, Balancer, HardwareClassCapacity};
 pub use interface::*;
 
 /// The README's example, kept true by the documentation tests.
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! How discovery is polled: how long each call may wait for changes, and the backoff after a failed one.
 
-use meadowproxy::{queued_poll_timeout, Discovery, POLL_TIMEOUT};
+use meadowproxy::{queued_discovery_poll_timeout, Discovery, DISCOVERY_POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
-pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
+pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(DISCOVERY_POLL_TIMEOUT.0);
 /// Where lists are pushed, an agent (a discovery process with one caller, this balancer) keeps the list and answers
 /// each long poll as soon as the list changes. A connection to the agent is established at once or not at all.
 /// It is retried soon: a change counts from the moment the agent is back.
@@ -42,7 +42,7 @@
         let affordable_s = f64::from(proxies) / MAX_QUIET_CALLS_PER_S;
         let full_queue_timeout = match mode {
             Discovery::Poll { staleness_limit } => {
-                Duration::from_micros(queued_poll_timeout(proxies, staleness_limit).0)
+                Duration::from_micros(queued_discovery_poll_timeout(proxies, staleness_limit).0)
             }
             Discovery::Push => QUEUE_TIMEOUT, // an agent has one caller
         };
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -8,7 +8,8 @@
 use super::*;
 use bytes::Bytes;
 use meadowproxy::{
-    queued_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event, Micros, Time,
+    queued_discovery_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event,
+    Micros, Time,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -156,7 +157,7 @@
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for within in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
             let in_line = Duration::from_micros(
-                queued_poll_timeout(proxies, Micros::from_secs_f64(within)).0,
+                queued_discovery_poll_timeout(proxies, Micros::from_secs_f64(within)).0,
             );
             assert!(in_line >= QUEUE_TIMEOUT, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
@@ -174,7 +175,7 @@
             }
         }
     }
-    let line = queued_poll_timeout(32, Micros::from_secs_f64(9.0));
+    let line = queued_discovery_poll_timeout(32, Micros::from_secs_f64(9.0));
     assert!(
         line > Micros::from_secs_f64(3.0),
         "a few dozen proxies can wait for the end of discovery's line"
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -166,7 +166,7 @@
             in_flight.task.abort(); // closes its connection, if it is still on one
             let outcome = result.outcome;
             self.count_outcome(&mut s, outcome, &in_flight);
-            if !outcome.proves_not_run() {
+            if !outcome.proves_unprocessed() {
                 if let Some(open_request) = s.requests.get_mut(&request) {
                     note_possible_run(open_request, in_flight.sent_at);
                 }
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -218,7 +218,7 @@
     pub fn backend_statuses(&self) -> Vec<BackendStatus> {
         let s = self.state.borrow();
         let in_flight = s.in_flight_by_backend();
-        let mut readiness = s.balancer.warm_up_readiness(self.clock.now()).peekable(); // in the order of ids as well
+        let mut readiness = s.balancer.slow_start_readiness(self.clock.now()).peekable(); // in the order of ids as well
         let mut statuses = Vec::new();
         for (id, record) in s.backends.iter() {
             while readiness.next_if(|(ready_id, _)| ready_id < id).is_some() {}
@@ -229,7 +229,11 @@
             statuses.push(BackendStatus {
                 name: record.name.to_string(),
                 zone: s.names.zone_name(entry.zone).unwrap_or_default().into(),
-                kind: s.names.kind_name(entry.kind).unwrap_or_default().into(),
+                kind: s
+                    .names
+                    .kind_name(entry.hardware_class)
+                    .unwrap_or_default()
+                    .into(),
                 cell: entry.cell.0,
                 listed: entry.state != BackendState::Removed,
                 serving: entry.state == BackendState::Ready,
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -20,7 +20,7 @@
             .filter(|record| record.reasons.contains(DisableReason::Operator));
         SavedState {
             kinds: learned
-                .kinds
+                .hardware_classes
                 .iter()
                 .filter_map(|(kind, state)| Some((s.names.kind_name(*kind)?.into(), *state)))
                 .collect(),
@@ -57,7 +57,7 @@
     fn with_ids(&self, saved: &SavedState) -> LearnedState {
         let s = self.state.borrow();
         LearnedState {
-            kinds: saved
+            hardware_classes: saved
                 .kinds
                 .iter()
                 .filter_map(|(name, state)| Some((s.names.kind(name)?, *state)))
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -4,7 +4,7 @@
 //! version (u16, little endian), the body's length in bytes (u32) and its CRC-32 (u32). The body is a [`Snapshot`]: a
 //! [`Header`] and a [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and the folder synced.
 
-use meadowproxy::{LearnedBackend, LearnedKind, Micros, SampledMean};
+use meadowproxy::{LearnedBackend, LearnedHardwareClass, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedState {
     /// By kind name.
-    pub kinds: Vec<(String, LearnedKind)>,
+    pub kinds: Vec<(String, LearnedHardwareClass)>,
     /// Latency of served requests in seconds, by class name.
     pub classes: Vec<(String, SampledMean)>,
     /// The same over all classes.
--- a/src/net/state/snapshot/stored_formats.rs
+++ b/src/net/state/snapshot/stored_formats.rs
@@ -23,7 +23,7 @@
 
 fn saved() -> SavedState {
     let sampled = |value, count| SampledMean { value, count };
-    let kind = |base: f64| LearnedKind {
+    let kind = |base: f64| LearnedHardwareClass {
         latency: sampled(base + 0.125, base + 1.5),
         recent_latency: sampled(base + 0.25, base + 2.5),
         uncontended_latency_s: base + 0.0625,
--- a/src/net/state/snapshot/tests.rs
+++ b/src/net/state/snapshot/tests.rs
@@ -8,12 +8,13 @@
 }
 
 fn snapshot() -> impl Strategy<Value = Snapshot> {
-    let kind = (sampled(), sampled(), any::<f64>(), any::<f64>()).prop_map(|k| LearnedKind {
-        latency: k.0,
-        recent_latency: k.1,
-        uncontended_latency_s: k.2,
-        concurrency_limit: k.3,
-    });
+    let kind =
+        (sampled(), sampled(), any::<f64>(), any::<f64>()).prop_map(|k| LearnedHardwareClass {
+            latency: k.0,
+            recent_latency: k.1,
+            uncontended_latency_s: k.2,
+            concurrency_limit: k.3,
+        });
     let micros = proptest::option::of(any::<u64>().prop_map(Micros));
     let backend = (micros.clone(), any::<i32>(), micros).prop_map(|b| LearnedBackend {
         ejected_for: b.0,
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -3,7 +3,7 @@
 //! Every table is persistent: a clone shares all of it, and a change copies only the path to the entry that it changes.
 
 use super::name_table::NameTable;
-use crate::interface::{Backend, BackendId, ClassId, KindId, TenantId, ZoneId};
+use crate::interface::{Backend, BackendId, ClassId, HardwareClassId, TenantId, ZoneId};
 use compact_str::CompactString;
 use imbl::Vector;
 
@@ -265,12 +265,12 @@
     }
 
     /// The kind of that name, if a list or the settings named it.
-    pub fn kind(&self, name: &str) -> Option<KindId> {
-        self.kinds.get(name).map(KindId)
+    pub fn kind(&self, name: &str) -> Option<HardwareClassId> {
+        self.kinds.get(name).map(HardwareClassId)
     }
 
     /// The name of a kind.
-    pub fn kind_name(&self, kind: KindId) -> Option<&str> {
+    pub fn kind_name(&self, kind: HardwareClassId) -> Option<&str> {
         self.kinds.name(kind.0)
     }
 
@@ -291,7 +291,7 @@
         Backend {
             id,
             zone: ZoneId(zone),
-            kind: KindId(kind),
+            hardware_class: HardwareClassId(kind),
             ..row.backend.clone()
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
 impl Try {
     /// No outcome proves yet that it did not run.
     pub fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.proves_not_run())
+        self.outcome.is_none_or(|o| !o.proves_unprocessed())
     }
 }
 
@@ -52,7 +52,7 @@
         address_hash: u64::from(id),
         zone: ZoneId(zone),
         cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        kind: KindId(kind),
+        hardware_class: HardwareClassId(kind),
         state: BackendState::Ready,
         started_at: None,
     }
--- a/tests/golden/encoding.rs
+++ b/tests/golden/encoding.rs
@@ -35,8 +35,8 @@
 
 /// Every list by its length, then its items; floating-point numbers by their bits.
 pub fn encode_memory(memory: &LearnedState) -> Vec<u64> {
-    let mut words = vec![memory.kinds.len() as u64];
-    for (id, kind) in &memory.kinds {
+    let mut words = vec![memory.hardware_classes.len() as u64];
+    for (id, kind) in &memory.hardware_classes {
         words.push(id.0.into());
         words.extend(encode_mean(&kind.latency));
         words.extend(encode_mean(&kind.recent_latency));
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -435,7 +435,7 @@
     fn dispatch(&mut self, request: u64, backend: u32) {
         let (kind, mood) = {
             let (b, mood) = &self.list[&backend];
-            (b.kind.0 as usize, *mood)
+            (b.hardware_class.0 as usize, *mood)
         };
         let (a, b, c) = (self.below(1_000), self.below(1_000), self.below(100));
         let work = BASE[kind % BASE.len()] * (200 + a * b * 3 / 1_000) / 1_000;
@@ -499,7 +499,7 @@
             address_hash: u64::from(self.draw.next_u32()) << 12 | u64::from(id),
             zone: ZoneId(zone),
             cell: CellId(u64::from(zone) * 3 + u64::from(id % 3)),
-            kind: KindId(kind),
+            hardware_class: HardwareClassId(kind),
             state: BackendState::Ready,
             started_at: booted,
         };
@@ -632,7 +632,7 @@
             let (b, mood) = self.list.get_mut(&id).expect("listed");
             if let Some((zone, kind, mark)) = place {
                 // Whatever has another name is another backend: only those that start anew have another mark.
-                (b.zone, b.kind) = (ZoneId(zone), KindId(kind));
+                (b.zone, b.hardware_class) = (ZoneId(zone), HardwareClassId(kind));
                 if (2..=4).contains(&what) {
                     b.address_hash = u64::from(mark) << 12 | u64::from(id);
                 }
--- a/tests/halb.rs
+++ b/tests/halb.rs
@@ -1,6 +1,6 @@
 //! Shares against values worked by hand from the paper's formula.
 
-use meadowproxy::{halb_shares, KindCapacity};
+use meadowproxy::{halb_shares, HardwareClassCapacity};
 
 fn close(got: Vec<f64>, want: &[f64]) {
     assert_eq!(got.len(), want.len());
@@ -9,11 +9,14 @@
     }
 }
 
-const fn kind(ready: f64, speed_per_s: f64) -> KindCapacity {
-    KindCapacity { ready, speed_per_s }
+const fn kind(ready_endpoints: f64, service_rate_per_s: f64) -> HardwareClassCapacity {
+    HardwareClassCapacity {
+        ready_endpoints,
+        service_rate_per_s,
+    }
 }
 
-const TWO: [KindCapacity; 2] = [kind(1.0, 4.0), kind(1.0, 1.0)];
+const TWO: [HardwareClassCapacity; 2] = [kind(1.0, 4.0), kind(1.0, 1.0)];
 
 #[test]
 fn both_kinds_serve_above_the_clamp() {
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, PartialEq)]
 struct State {
     readiness: Vec<(BackendId, f64)>,
-    holds: Vec<(KindId, f64)>,
+    holds: Vec<(HardwareClassId, f64)>,
     memory: LearnedState,
 }
 
@@ -110,7 +110,7 @@
     fn state(&self, now: Time) -> State {
         let b = &self.balancer;
         let (readiness, holds) = (
-            b.warm_up_readiness(now).collect(),
+            b.slow_start_readiness(now).collect(),
             b.concurrency_limits().collect(),
         );
         State {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -57,15 +57,15 @@
     }
 
     /// The kind of that name, if a list or the settings named it.
-    pub fn kind(&self, name: &str) -> Option<KindId> {
+    pub fn kind(&self, name: &str) -> Option<HardwareClassId> {
         self.kinds
             .iter()
             .position(|k| k == name)
-            .map(|n| KindId(n as u32))
+            .map(|n| HardwareClassId(n as u32))
     }
 
     /// The name of a kind.
-    pub fn kind_name(&self, kind: KindId) -> Option<&str> {
+    pub fn kind_name(&self, kind: HardwareClassId) -> Option<&str> {
         self.kinds.get(kind.0 as usize).map(String::as_str)
     }
 
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -56,7 +56,7 @@
     learn(&mut first);
     let memory = first.balancer.learned_state(first.now);
     assert!(
-        memory.kinds[0].1.concurrency_limit > 8.0,
+        memory.hardware_classes[0].1.concurrency_limit > 8.0,
         "nothing learned: {memory:?}"
     );
     let (alone, beside) = (
@@ -68,8 +68,8 @@
     for wrong in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         let mut bad = memory.clone();
         (
-            bad.kinds[0].1.concurrency_limit,
-            bad.kinds[0].1.latency.value,
+            bad.hardware_classes[0].1.concurrency_limit,
+            bad.hardware_classes[0].1.latency.value,
             bad.overall_latency.value,
         ) = (wrong, wrong, wrong);
         assert_eq!(taken(&mut recalled(&bad, false)), cold, "{wrong}");
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -245,7 +245,7 @@
         for number in (0..9).map(meadowproxy::ZoneId) {
             assert_eq!(self.names.zone_name(number), tables.names.zone_name(number));
         }
-        for number in (0..9).map(meadowproxy::KindId) {
+        for number in (0..9).map(meadowproxy::HardwareClassId) {
             assert_eq!(self.names.kind_name(number), tables.names.kind_name(number));
         }
     }
