--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! Schedule of the calls to discovery: how long each may wait for changes, and the backoff after a failed one.
 
-use meadowproxy::{queued_poll_timeout, Discovery, POLL_TIMEOUT};
+use meadowproxy::{queued_discovery_poll_timeout, Discovery, DISCOVERY_POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout of a call that does not wait for changes. It is longer, as the call may be queued at discovery, and each call that
 /// is abandoned and repeated lengthens the queue.
-pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
+pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(DISCOVERY_POLL_TIMEOUT.0);
 /// Connect timeout for a discovery agent. Where lists are pushed, an agent (a discovery process whose only caller is this
 /// proxy) keeps the list and answers each long poll as soon as the list changes. Connecting to it succeeds at once or not at
 /// all. It is retried soon, as the time to apply a change counts from the moment the agent is back.
@@ -44,7 +44,7 @@
         let affordable_s = f64::from(proxies) / MAX_QUIET_CALLS_PER_S;
         let full_queue_timeout = match mode {
             Discovery::Poll { staleness_limit } => {
-                Duration::from_micros(queued_poll_timeout(proxies, staleness_limit).0)
+                Duration::from_micros(queued_discovery_poll_timeout(proxies, staleness_limit).0)
             }
             Discovery::Push => QUEUE_TIMEOUT, // an agent has one caller
         };
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -9,7 +9,8 @@
 use super::*;
 use bytes::Bytes;
 use meadowproxy::{
-    queued_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event, Micros, Time,
+    queued_discovery_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event,
+    Micros, Time,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -163,7 +164,7 @@
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for staleness_limit_s in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
             let queued = Duration::from_micros(
-                queued_poll_timeout(proxies, Micros::from_secs_f64(staleness_limit_s)).0,
+                queued_discovery_poll_timeout(proxies, Micros::from_secs_f64(staleness_limit_s)).0,
             );
             assert!(queued >= QUEUE_TIMEOUT, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
@@ -182,7 +183,7 @@
             }
         }
     }
-    let timeout = queued_poll_timeout(32, Micros::from_secs_f64(9.0));
+    let timeout = queued_discovery_poll_timeout(32, Micros::from_secs_f64(9.0));
     assert!(
         timeout > Micros::from_secs_f64(3.0),
         "the timeout is too short for the queue that a few dozen proxies cause"
