--- a/src/net/cluster/coordination/announcements.rs
+++ b/src/net/cluster/coordination/announcements.rs
@@ -1,4 +1,4 @@
-//! Announcements to all members, and digests for single ones.
+//! Announcements, which all members relay to each other, and digests, which go to single members.
 
 use super::clocks::{monotonic_now, wall_now};
 use super::duty_lease::DutyMessages;
@@ -9,13 +9,13 @@
 use meadowproxy::Micros;
 use std::net::SocketAddr;
 
-/// When a change is announced again.
+/// Times after which a change is announced again.
 const REPEAT_AFTER: [Micros; 2] = [Micros(200_000), Micros(600_000)];
-/// What the encoding of a list adds to each item, in bytes.
+/// Bytes that the encoding of a list adds to each item.
 const ITEM_OVERHEAD_BYTES: usize = 2;
 
 impl SharedState {
-    /// Announces something once to all live members.
+    /// Sends announcements to all live members, without repeating them.
     pub fn announce_once(&self, announcements: &[Announcement]) {
         for announcement in announcements {
             let header = self.relay.lock().originate(wall_now().0);
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Announces changed windows to all live members, and repeats that, as datagrams may be lost. `held` is the duty
-    /// under which they changed, none for an operator's call.
+    /// Announces changed windows to all live members, and schedules repetitions, as datagrams may be lost. `held` is the
+    /// duty under which the windows changed, or `None` if an operator changed them.
     pub fn announce_windows(&self, changed: &[Window], held: Option<HeldDuty>) {
         let announcements: Vec<Announcement> = encode_windows(changed)
             .into_iter()
@@ -39,16 +39,18 @@
         self.announce_once(&announcements);
         let now = monotonic_now();
         let mut effect_queue = self.effect_queue.lock();
-        for pause in REPEAT_AFTER {
-            let repeats = effect_queue.repeats.entry(now + pause).or_default();
+        for delay in REPEAT_AFTER {
+            let repeats = effect_queue.repeats.entry(now + delay).or_default();
             repeats.extend(announcements.iter().cloned());
         }
     }
 
-    /// Sends an announcement to those members that are to relay it from here.
+    /// Sends an announcement to the members that relay it next.
     pub fn relay_announcement(&self, header: &BroadcastHeader, announcement: &Announcement) {
-        let seen = self.fleet_view.lock().seen.clone();
-        let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
+        let loop_view = self.fleet_view.lock().loop_view.clone();
+        let members = loop_view
+            .as_ref()
+            .map_or(&[][..], |loop_view| &loop_view.members);
         let next = self.relay.lock().forward(header, members);
         let outgoing = next
             .into_iter()
@@ -60,7 +62,8 @@
         self.send(outgoing);
     }
 
-    /// All that this proxy knows, for others that may know less.
+    /// Returns digests of everything that this proxy knows of duties and windows, with which other proxies find
+    /// differences.
     pub fn digests(&self, wants_reply: bool) -> Vec<DutyMessage> {
         let mut tokens = self.calendar_lease.lock().token_reports();
         tokens.extend(self.config.lock().lease.token_reports());
@@ -79,7 +82,7 @@
     }
 }
 
-/// Messages with windows for one proxy.
+/// Returns the messages that send windows to one proxy.
 pub fn window_messages(to: SocketAddr, windows: &[Window]) -> DutyMessages {
     encode_windows(windows)
         .into_iter()
@@ -87,7 +90,7 @@
         .collect()
 }
 
-/// Encoded windows, in parts that each fit into a message.
+/// Encodes windows and splits them into parts that each fit into one message.
 fn encode_windows(windows: &[Window]) -> Vec<Vec<Vec<u8>>> {
     let encoded = windows.iter().map(Window::encode).collect();
     message::split_to_fit(encoded, |bytes: &Vec<u8>| bytes.len() + ITEM_OVERHEAD_BYTES)
--- a/src/net/cluster/coordination/call.rs
+++ b/src/net/cluster/coordination/call.rs
@@ -1,20 +1,20 @@
-//! An operator's call and the answer to it.
+//! An operator's call on the admin interface, and the response to it.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 
-/// A call as it arrived.
+/// A call as received.
 pub struct Call {
     pub method: Method,
-    /// The path's segments.
+    /// Segments of the path.
     pub path: Vec<String>,
     pub body: Bytes,
 }
 
-/// The status and the body of an answer, JSON or a line of text.
+/// Status and body of the response to a call; the body is JSON or a line of text.
 pub type CallResponse = (StatusCode, String);
 
-/// A JSON value as the body of an answer.
+/// Formats a JSON value as the body of a response.
 pub fn json_line(value: &serde_json::Value) -> String {
     format!("{value}\n")
 }
--- a/src/net/cluster/coordination/clocks.rs
+++ b/src/net/cluster/coordination/clocks.rs
@@ -1,11 +1,11 @@
-//! The clocks that the workers read.
+//! The clocks of the coordination.
 
 use crate::net::state::snapshot::wall_us;
 use meadowproxy::fleet::calendar::WallTime;
 use meadowproxy::Time;
 use rustix::time::{clock_gettime, ClockId};
 
-/// The monotonic clock, which all processes of a machine share.
+/// Returns the time on the monotonic clock, which all processes of a machine share.
 pub fn monotonic_now() -> Time {
     let now = clock_gettime(ClockId::Monotonic);
     Time(
@@ -15,7 +15,7 @@
     )
 }
 
-/// The wall clock, which is compared between proxies.
+/// Returns the time on the wall clock, which proxies compare with each other.
 pub fn wall_now() -> WallTime {
     WallTime(wall_us())
 }
--- a/src/net/cluster/coordination/command.rs
+++ b/src/net/cluster/coordination/command.rs
@@ -1,17 +1,17 @@
-//! What the request loop asks of the timer worker.
+//! Commands from the request loop to the timer worker.
 
 use super::call::{Call, CallResponse};
 use super::config_change::ConfigChange;
 use tokio::sync::oneshot;
 
-/// One command.
+/// A command to the timer worker.
 pub enum Command {
-    /// An operator's call, and where its answer goes.
+    /// Handle an operator's call and send the response.
     Call(Call, oneshot::Sender<CallResponse>),
-    /// An operator's change of the configuration.
+    /// Submit an operator's change of the configuration and send the response.
     ChangeConfig(ConfigChange, oneshot::Sender<CallResponse>),
-    /// This proxy shuts down: its leases are released.
+    /// Release this proxy's leases, as it shuts down.
     Leave,
-    /// Something is due now.
+    /// Run a round now, without waiting for the next timer.
     Wake,
 }
--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -1,5 +1,5 @@
-//! The fleet's replicated configuration at this proxy, under one lock: the steps of its [`ConfigDriver`], and the operators'
-//! calls on it.
+//! Operations on the fleet's replicated configuration at this proxy, each under one lock: the steps of its
+//! [`ConfigDriver`], and the operators' calls that read it.
 
 use super::call::{json_line, CallResponse};
 use super::clocks::{monotonic_now, wall_now};
@@ -20,17 +20,19 @@
 use tracing::info;
 
 impl SharedState {
-    /// Runs a step of the configuration, and carries out what comes of it.
+    /// Runs a step of the configuration, then sends the messages and the changes that result.
     fn step_config<T>(
         &self,
         step: impl FnOnce(&mut ConfigDriver, Time, &Context, &mut Outbox) -> T,
     ) -> T {
-        let mut duty_messages = DutyMessages::new();
+        let mut outgoing = DutyMessages::new();
         let mut out = Outbox::new();
         let (result, became_ready) = {
             let mut config = self.config.lock();
-            let seen = self.fleet_view.lock().seen.clone();
-            let members = seen.as_ref().map_or(&[][..], |seen| &seen.members);
+            let loop_view = self.fleet_view.lock().loop_view.clone();
+            let members = loop_view
+                .as_ref()
+                .map_or(&[][..], |loop_view| &loop_view.members);
             let previous_version = config.replica.table().version();
             let was_new = config.replica.is_new();
             let now = monotonic_now();
@@ -42,23 +44,23 @@
                 leader: config.lease.holder(),
             };
             let result = step(&mut config, now, &context, &mut out);
-            config.handle_events(&mut duty_messages);
+            config.handle_events(&mut outgoing);
             log_version_change(&config.replica, previous_version, now);
             config.publish_newest_version();
             self.send_config_changes(&mut config);
             (result, was_new && !config.replica.is_new())
         };
         let messages = out.into_iter();
-        duty_messages
-            .extend(messages.map(|outgoing| (outgoing.to, DutyMessage::Config(outgoing.message))));
-        self.send(duty_messages);
+        outgoing
+            .extend(messages.map(|envelope| (envelope.to, DutyMessage::Config(envelope.message))));
+        self.send(outgoing);
         if became_ready {
             self.signal_ready_if_caught_up();
         }
         result
     }
 
-    /// Sends the request loop what changed, in one step; while its queue is full that accumulates.
+    /// Sends the accumulated changes to the request loop as one effect; keeps them while its queue is full.
     fn send_config_changes(&self, config: &mut ConfigDriver) {
         let Some(unsent) = config.unsent.take() else {
             return;
@@ -73,24 +75,24 @@
         }
     }
 
-    /// Starts from the snapshot of an earlier process.
+    /// Restores the table that an earlier process saved.
     pub fn restore_config(&self, table: Table) {
         self.step_config(|config, _, _, _| config.replica.restore(table));
     }
 
-    /// Lets time pass for the configuration; returns when its lease is due next.
+    /// Runs the timers of the configuration that are due. Returns when those of its lease are due next.
     pub fn config_tick(&self) -> Option<Time> {
-        let mut duty_messages = DutyMessages::new();
+        let mut outgoing = DutyMessages::new();
         let lease_due = {
             let mut config = self.config.lock();
             if !config.replica.is_new() {
                 config.lease.set_eligible();
             }
-            let lease_due = config.lease.tick(&mut duty_messages);
+            let lease_due = config.lease.tick(&mut outgoing);
             config.update_metrics(monotonic_now());
             lease_due
         };
-        self.send(duty_messages);
+        self.send(outgoing);
         self.step_config(|config, now, context, out| {
             config.replica.tick(now, context, out);
             config.time_out_calls(now);
@@ -98,7 +100,7 @@
         lease_due
     }
 
-    /// Handles another proxy's message.
+    /// Handles a message about the configuration from another proxy.
     pub fn handle_config_message(
         &self,
         from: SocketAddr,
@@ -109,18 +111,18 @@
         })
     }
 
-    /// Submits an operator's change, which is answered once its outcome is known.
+    /// Submits an operator's change. The response is sent once its outcome is known.
     pub fn submit_config_change(
         &self,
         change: ConfigChange,
-        answer: oneshot::Sender<CallResponse>,
+        respond: oneshot::Sender<CallResponse>,
     ) {
         self.step_config(|config, now, context, out| {
-            config.submit(now, context, change, answer, out);
+            config.submit(now, context, change, respond, out);
         });
     }
 
-    /// One entry, to an operator.
+    /// Returns one entry, for an operator.
     pub fn config_entry(&self, kind: &str, name: &str) -> CallResponse {
         let key = kind_by_name(kind).map(|kind| Key {
             kind,
@@ -146,35 +148,38 @@
         (StatusCode::OK, json_line(&body))
     }
 
-    /// The state of the configuration, to an operator.
+    /// Returns the state of the configuration and of its lease, for an operator.
     pub fn config_status(&self) -> serde_json::Value {
         let config = self.config.lock();
-        let seen = self
+        let loop_view = self
             .fleet_view
             .lock()
-            .seen
+            .loop_view
             .as_ref()
-            .map(|seen| (seen.config_version, seen.file_version));
+            .map(|loop_view| (loop_view.config_version, loop_view.file_version));
         let replica = &config.replica;
         let table = replica.table();
         let digest = table.digest();
         let mut status = config.lease.status();
-        let more = json!({
+        let details = json!({
             "version": digest.version, "digest": format!("{:016x}", digest.root), "entries": table.len(),
             "contained": table.compacted_version(),
-            "in_force": seen.map(|seen| seen.0), "file": seen.map(|seen| seen.1),
+            "in_force": loop_view.map(|loop_view| loop_view.0), "file": loop_view.map(|loop_view| loop_view.1),
             "newest": replica.newest_version(), "new": replica.is_new(),
             "proposed": replica.proposed_version(), "keeps": replica.accepted_version(),
             "fetching": replica.is_fetching(), "votes": replica.is_voting(),
             "unanswered": replica.unanswered_voters().iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
         });
-        if let (Some(status), serde_json::Value::Object(more)) = (status.as_object_mut(), more) {
-            status.extend(more);
+        if let (Some(status), serde_json::Value::Object(details)) =
+            (status.as_object_mut(), details)
+        {
+            status.extend(details);
         }
         status
     }
 }
 
+/// Logs the version of the table if a step changed it.
 fn log_version_change(replica: &Replica, previous_version: u64, now: Time) {
     let digest = replica.table().digest();
     if digest.version != previous_version {
@@ -183,7 +188,7 @@
             version = digest.version,
             digest = format!("{:016x}", digest.root),
             mono_us = now.0,
-            "the configuration is at another version"
+            "version of the configuration table changed"
         );
     }
 }
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -42,7 +42,7 @@
         Err(SubmitError::Unknown),
     ];
     let config = shared.config.lock();
-    let forms = results.map(|result| (name(&result), text(config.answer(result))));
+    let forms = results.map(|result| (name(&result), text(config.outcome_response(result))));
     assert_lines("config-outcomes.txt", &forms);
 }
 
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -1,5 +1,5 @@
-//! Reads an operator's call that changes the configuration, and checks it against the settings in force here. The texts of
-//! its errors are the operator's answer.
+//! Parses operators' calls that change the configuration with [`parse_change`], and validates them against the settings in
+//! force at this proxy. The texts of its errors are returned to the operator.
 
 use super::call::{json_line, Call, CallResponse};
 use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
@@ -9,15 +9,15 @@
 use serde_json::json;
 use thiserror::Error;
 
-/// The change that a call wants.
+/// A change of the configuration requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigChange {
-    /// The version that it was made from.
+    /// Version of the configuration on which the change is based.
     pub base: u64,
     pub edits: Vec<Edit>,
 }
 
-/// What is wrong with one field of a call.
+/// An error in one field of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct FieldError {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Of a text that may name the field before a colon.
+    /// Splits an error text at the first colon into field and reason. A text without a colon concerns the entries.
     fn from_text(text: &str) -> FieldError {
         match text.split_once(": ") {
             Some((field, reason)) => FieldError::new(field, reason),
@@ -52,13 +52,13 @@
     }
 }
 
-/// Why a call is rejected: all that is wrong with it.
+/// Reason why a call is rejected, with all errors found in it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
     /// The call or its entries are invalid.
     #[error("invalid: {0:?}")]
     Invalid(Vec<FieldError>),
-    /// It reverts entries that were never changed.
+    /// The call reverts entries that were never changed.
     #[error("not found: {0:?}")]
     NotFound(Vec<FieldError>),
 }
@@ -71,12 +71,12 @@
 }
 
 impl CallError {
-    fn one(field: &str, reason: impl Into<String>) -> CallError {
+    fn invalid_field(field: &str, reason: impl Into<String>) -> CallError {
         CallError::Invalid(vec![FieldError::new(field, reason)])
     }
 
-    /// The answer: the first error's field and reason, and all errors.
-    pub fn answer(&self) -> CallResponse {
+    /// Returns the response to the operator: the first error's field and reason, and the list of all errors.
+    pub fn response(&self) -> CallResponse {
         let (status, errors) = match self {
             CallError::Invalid(errors) => (StatusCode::UNPROCESSABLE_ENTITY, errors),
             CallError::NotFound(errors) => (StatusCode::NOT_FOUND, errors),
@@ -92,11 +92,12 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeBody {
-    /// The version that it was made from.
+    /// Version of the configuration on which the change is based.
     version: u64,
     entries: Vec<EntryBody>,
 }
 
+/// One entry in the body of a change of several entries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EntryBody {
@@ -104,12 +105,12 @@
     name: String,
     #[serde(default)]
     value: Option<serde_json::Value>,
-    /// The change is reverted: what the file says counts again.
+    /// Reverts the change of the entry, so that the configuration file applies again.
     #[serde(default)]
     as_file: bool,
 }
 
-/// The body of a change of one entry, whose path names it.
+/// The body of a change of one entry, which is named in the path.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SingleEntryBody {
@@ -118,14 +119,14 @@
     value: Option<serde_json::Value>,
 }
 
-/// The body of a call that reverts a change, whose path names the entry.
+/// The body of a call that reverts the change of one entry, which is named in the path.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RevertBody {
     version: u64,
 }
 
-/// The body of the change that says which changes are in the platform's files.
+/// The body of a call that declares which changes the platform's configuration files contain.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct CompactBody {
@@ -133,15 +134,15 @@
     contains: u64,
 }
 
-/// The change that a call wants, or all that is wrong with it by itself and for the settings in force; `None` where it wants
-/// none.
+/// Parses the change that a call requests, or returns all errors in the call itself and with regard to the settings in
+/// force. Returns `None` if the call is not a change.
 pub fn parse_change(
     call: &Call,
     overrides: &FleetOverrides,
 ) -> Option<Result<ConfigChange, CallError>> {
     let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
     let parsed = match (&call.method, path.as_slice()) {
-        (&Method::PUT, ["config"]) => parse_several(&call.body),
+        (&Method::PUT, ["config"]) => parse_entries(&call.body),
         (&Method::PUT, ["config", "file"]) => parse_compaction(&call.body, overrides),
         (&Method::PUT, ["config", kind, name]) => parse_set(&call.body, kind, name),
         (&Method::DELETE, ["config", kind, name]) => parse_remove(&call.body, kind, name),
@@ -157,7 +158,7 @@
     }))
 }
 
-/// Only what was changed, and not since by a file, can be reverted.
+/// Checks that every reverted entry was changed, and that the configuration file does not contain the change yet.
 fn check_reverts(edits: &[Edit], overrides: &FleetOverrides) -> Result<(), CallError> {
     let reverted: Vec<&Key> = edits
         .iter()
@@ -171,44 +172,45 @@
             .map(|key| FieldError::new(key.to_string(), reason))
             .collect()
     };
-    let unchanged = errors("never changed since the file", &|key| {
+    let never_changed = errors("never changed since the file", &|key| {
         !overrides.is_changed(key)
     });
-    if !unchanged.is_empty() {
-        return Err(CallError::NotFound(unchanged));
+    if !never_changed.is_empty() {
+        return Err(CallError::NotFound(never_changed));
     }
-    let in_file = errors("the file contains that change", &|key| {
+    let contained = errors("the file contains that change", &|key| {
         !overrides.is_over_file(key)
     });
-    if !in_file.is_empty() {
-        return Err(CallError::Invalid(in_file));
+    if !contained.is_empty() {
+        return Err(CallError::Invalid(contained));
     }
     Ok(())
 }
 
-/// The kind of a path's segment. The platform's files are changed by a call of their own.
+/// Returns the kind of entry that a segment of the path names. The version of the platform's files has a call of its own.
 pub fn kind_by_name(name: &str) -> Option<Kind> {
     [Kind::RequestClass, Kind::Tenant]
         .into_iter()
         .find(|kind| kind.name() == name)
 }
 
+/// Parses a JSON body, with errors that name the field.
 fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CallError> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let parsed = serde_path_to_error::deserialize(&mut reader)
-        .map_err(|e| CallError::one(&e.path().to_string(), e.inner().to_string()))?;
+        .map_err(|e| CallError::invalid_field(&e.path().to_string(), e.inner().to_string()))?;
     reader
         .end()
-        .map_err(|e| CallError::one("body", e.to_string()))?;
+        .map_err(|e| CallError::invalid_field("body", e.to_string()))?;
     Ok(parsed)
 }
 
-fn parse_several(body: &[u8]) -> Result<ConfigChange, CallError> {
+fn parse_entries(body: &[u8]) -> Result<ConfigChange, CallError> {
     let ChangeBody { version, entries } = parse_body(body)?;
     let mut edits = Vec::new();
     let mut errors = Vec::new();
     for (index, entry) in entries.into_iter().enumerate() {
-        match edit_of(entry) {
+        match parse_edit(entry) {
             Ok(edit) => edits.push(edit),
             Err(error) => errors.push(FieldError {
                 field: format!("entries[{index}].{}", error.field),
@@ -219,17 +221,17 @@
     if !errors.is_empty() {
         return Err(CallError::Invalid(errors));
     }
-    checked(version, edits)
+    checked_change(version, edits)
 }
 
 fn parse_compaction(body: &[u8], overrides: &FleetOverrides) -> Result<ConfigChange, CallError> {
     let CompactBody { version, contains } = parse_body(body)?;
-    // Whoever sends this has rolled the file out: here it is in force, too.
-    let most = overrides.file_version().min(version);
-    if contains > most {
-        return Err(CallError::one(
+    // The operator sends this after the file's rollout, so the file is in force at this proxy, too.
+    let max_contained = overrides.file_version().min(version);
+    if contains > max_contained {
+        return Err(CallError::invalid_field(
             "contains",
-            format!("expected at most {most}, the version of the file in force here"),
+            format!("expected at most {max_contained}, the version of the file in force here"),
         ));
     }
     Ok(ConfigChange {
@@ -241,25 +243,29 @@
 fn parse_set(body: &[u8], kind: &str, name: &str) -> Result<ConfigChange, CallError> {
     let SingleEntryBody { version, value } = parse_body(body)?;
     if value.is_none() {
-        return Err(CallError::one("value", "missing"));
+        return Err(CallError::invalid_field("value", "missing"));
     }
-    single(version, kind, name, value, false)
+    single_entry_change(version, kind, name, value, false)
 }
 
 fn parse_remove(body: &[u8], kind: &str, name: &str) -> Result<ConfigChange, CallError> {
     let SingleEntryBody { version, value } = parse_body(body)?;
     if value.is_some() {
-        return Err(CallError::one("value", "not where the entry is removed"));
+        return Err(CallError::invalid_field(
+            "value",
+            "not where the entry is removed",
+        ));
     }
-    single(version, kind, name, None, false)
+    single_entry_change(version, kind, name, None, false)
 }
 
 fn parse_revert(body: &[u8], kind: &str, name: &str) -> Result<ConfigChange, CallError> {
     let RevertBody { version } = parse_body(body)?;
-    single(version, kind, name, None, true)
+    single_entry_change(version, kind, name, None, true)
 }
 
-fn single(
+/// Makes a change of a single entry.
+fn single_entry_change(
     version: u64,
     kind: &str,
     name: &str,
@@ -272,16 +278,18 @@
         value,
         as_file,
     };
-    let edit = edit_of(entry).map_err(|error| CallError::Invalid(vec![error]))?;
-    checked(version, vec![edit])
+    let edit = parse_edit(entry).map_err(|error| CallError::Invalid(vec![error]))?;
+    checked_change(version, vec![edit])
 }
 
-fn checked(base: u64, edits: Vec<Edit>) -> Result<ConfigChange, CallError> {
+/// Checks the edits of a change together.
+fn checked_change(base: u64, edits: Vec<Edit>) -> Result<ConfigChange, CallError> {
     check_edits(&edits).map_err(|error| CallError::Invalid(vec![error.into()]))?;
     Ok(ConfigChange { base, edits })
 }
 
-fn edit_of(entry: EntryBody) -> Result<Edit, FieldError> {
+/// Validates an entry of a change and converts it.
+fn parse_edit(entry: EntryBody) -> Result<Edit, FieldError> {
     let kind = kind_by_name(&entry.kind)
         .ok_or_else(|| FieldError::new("kind", "expected routes or tenants"))?;
     let key = Key {
--- a/src/net/cluster/coordination/config_change/stored_formats.rs
+++ b/src/net/cluster/coordination/config_change/stored_formats.rs
@@ -16,7 +16,7 @@
             let edits: Vec<String> = change.edits.iter().map(shown).collect();
             format!("{} {}", change.base, edits.join(" "))
         }
-        Err(error) => text(error.answer()),
+        Err(error) => text(error.response()),
     }
 }
 
@@ -39,8 +39,8 @@
         {"kind":"routes","name":"r","value":{"name":"s"}}]}"#;
     let one = br#"{"version":7,"value":{"name":"t","quota_per_s":5.5}}"#;
     let forms = [
-        ("several", show(parse_several(several.as_bytes()))),
-        ("several wrong ones", show(parse_several(wrong.as_bytes()))),
+        ("several", show(parse_entries(several.as_bytes()))),
+        ("several wrong ones", show(parse_entries(wrong.as_bytes()))),
         ("one", show(parse_set(one, "tenants", "t"))),
         (
             "one without value",
@@ -62,14 +62,14 @@
             "unknown key",
             show(parse_revert(br#"{"version":7,"value":1}"#, "routes", "/a")),
         ),
-        ("no JSON", show(parse_several(b"no"))),
+        ("no JSON", show(parse_entries(b"no"))),
         (
             "two texts",
-            show(parse_several(br#"{"version":7,"entries":[]} 1"#)),
+            show(parse_entries(br#"{"version":7,"entries":[]} 1"#)),
         ),
         (
             "no entries",
-            show(parse_several(br#"{"version":7,"entries":[]}"#)),
+            show(parse_entries(br#"{"version":7,"entries":[]}"#)),
         ),
     ];
     assert_lines("config-bodies.txt", &forms);
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -1,5 +1,5 @@
-//! The state behind the lock: the replica, the leader's lease, the operators' calls that wait for an outcome, and the
-//! changes that the request loop does not have yet.
+//! State of the fleet's replicated configuration at this proxy: the replica, the lease of the leader, operators' calls
+//! that wait for the outcome of their change, and changes not yet sent to the request loop.
 
 use super::call::{json_line, CallResponse};
 use super::clocks::monotonic_now;
@@ -21,33 +21,34 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
-/// A call is answered within this time, before the operators' connection gives up.
+/// Time after which a call without an outcome gets a response, before the operator's connection times out.
 const CALL_TIMEOUT: Micros = Micros(800_000);
-/// How often the metrics are set.
+/// How often the metrics are updated.
 const METRICS_INTERVAL: Micros = Micros(1_000_000);
 
-/// An operator's call that waits for its change's outcome.
+/// An operator's call that waits for the outcome of its change.
 struct PendingCall {
-    answer: oneshot::Sender<CallResponse>,
-    since: Time,
+    respond: oneshot::Sender<CallResponse>,
+    submitted_at: Time,
 }
 
-/// Changes that the request loop does not have yet.
+/// Changes that have not been sent to the request loop yet.
 #[derive(Default)]
 pub struct UnsentChanges {
+    /// Version of the configuration after the changes.
     pub version: u64,
-    /// The last value of each entry.
+    /// The last value of each changed entry.
     pub entries: BTreeMap<Key, Entry>,
 }
 
-/// This proxy's part in the replicated configuration.
+/// Drives this proxy's replica of the configuration, and the lease with which a proxy becomes its leader.
 pub struct ConfigDriver {
     pub lease: DutyLease,
     pub replica: Replica,
-    /// By the submission's id.
-    calls: BTreeMap<u64, PendingCall>,
+    /// Calls without an outcome, by the id of their submission.
+    pending_calls: BTreeMap<u64, PendingCall>,
     pub unsent: Option<UnsentChanges>,
-    /// The newest version that this proxy knows of, for the request loop.
+    /// The newest version that this proxy knows of, read by the request loop.
     newest: NewestVersion,
     metrics_due: Time,
 }
@@ -56,7 +57,7 @@
     pub fn new(
         lease: lease::Rules,
         voters: Vec<SocketAddr>,
-        own: SocketAddr,
+        own_address: SocketAddr,
         incarnation: u64,
         newest: NewestVersion,
     ) -> ConfigDriver {
@@ -64,19 +65,19 @@
         let rules = Rules {
             lease,
             voters: voters.clone(),
-            own,
+            own: own_address,
         };
         ConfigDriver {
-            lease: DutyLease::new(Duty::Config, lease, voters, own, incarnation),
+            lease: DutyLease::new(Duty::Config, lease, voters, own_address, incarnation),
             replica: Replica::new(rules, random_id(), now),
-            calls: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             unsent: None,
             newest,
             metrics_due: now,
         }
     }
 
-    /// Carries out the replica's events.
+    /// Handles the replica's events.
     pub fn handle_events(&mut self, duty_messages: &mut DutyMessages) {
         for event in self.replica.take_events() {
             match event {
@@ -93,19 +94,21 @@
                 Event::Diverged(other) => {
                     let digest = self.replica.table().digest();
                     warn!(event = "config_diverged", version = digest.version, other = %other,
-                        "another replica has other content at this version");
+                        "another replica has different content at the same version");
                 }
             }
         }
     }
 
+    /// Responds to the call of a submission, if it is waiting.
     fn complete_call(&mut self, id: u64, result: Result<u64, SubmitError>) {
-        if let Some(call) = self.calls.remove(&id) {
-            let _ = call.answer.send(self.answer(result)); // the caller may have gone
+        if let Some(call) = self.pending_calls.remove(&id) {
+            let _ = call.respond.send(self.outcome_response(result)); // fails if the caller is gone
         }
     }
 
-    pub fn answer(&self, result: Result<u64, SubmitError>) -> CallResponse {
+    /// Formats the outcome of a change as the response to an operator.
+    pub fn outcome_response(&self, result: Result<u64, SubmitError>) -> CallResponse {
         let error = match result {
             Ok(version) => return (StatusCode::OK, json_line(&json!({ "version": version }))),
             Err(error) => error,
@@ -127,17 +130,23 @@
         (status, json_line(&body))
     }
 
-    /// Submits an operator's change, which is answered once its outcome is known.
+    /// Submits an operator's change. The response is sent once its outcome is known.
     pub fn submit(
         &mut self,
         now: Time,
         context: &Context,
         change: ConfigChange,
-        answer: oneshot::Sender<CallResponse>,
+        respond: oneshot::Sender<CallResponse>,
         out: &mut Outbox,
     ) {
         let id = random_id();
-        self.calls.insert(id, PendingCall { answer, since: now });
+        self.pending_calls.insert(
+            id,
+            PendingCall {
+                respond,
+                submitted_at: now,
+            },
+        );
         let submission = Submission {
             id,
             base: change.base,
@@ -148,7 +157,7 @@
         }
     }
 
-    /// Shows the request loop the newest version, once this replica is up to date.
+    /// Publishes the newest known version for the request loop, once this replica is up to date.
     pub fn publish_newest_version(&self) {
         if !self.replica.is_new() {
             let newest = self.replica.newest_version();
@@ -156,21 +165,21 @@
         }
     }
 
-    /// Answers the calls that no outcome came for in time.
+    /// Responds to the calls whose outcome did not arrive in time that it is unknown.
     pub fn time_out_calls(&mut self, now: Time) {
-        let late: Vec<u64> = self
-            .calls
+        let overdue: Vec<u64> = self
+            .pending_calls
             .iter()
-            .filter(|(_, call)| now - call.since >= CALL_TIMEOUT)
+            .filter(|(_, call)| now - call.submitted_at >= CALL_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in overdue {
             self.replica.withdraw(id);
             self.complete_call(id, Err(SubmitError::Unknown));
         }
     }
 
-    /// Sets the metrics, where they are due.
+    /// Updates the metrics if they are due.
     pub fn update_metrics(&mut self, now: Time) {
         if now >= self.metrics_due {
             self.metrics_due = now + METRICS_INTERVAL;
@@ -184,17 +193,17 @@
         metrics::gauge!("meadowproxy_config_version").set(digest.version as f64);
         metrics::gauge!("meadowproxy_config_newest_version")
             .set(self.replica.newest_version() as f64);
-        // As many bits as a float has: equal versions have equal ones.
+        // Truncated to 52 bits, which a float holds exactly: replicas with equal tables report equal values.
         metrics::gauge!("meadowproxy_config_digest").set((digest.root >> 12) as f64);
         metrics::gauge!("meadowproxy_config_entries").set(table.len() as f64);
-        let heard = self.lease.since_heartbeat();
-        if heard.0 < u64::MAX {
-            metrics::gauge!("meadowproxy_config_heard_seconds").set(heard.as_secs_f64());
+        let since_heartbeat = self.lease.since_heartbeat();
+        if since_heartbeat.0 < u64::MAX {
+            metrics::gauge!("meadowproxy_config_heard_seconds").set(since_heartbeat.as_secs_f64());
         }
     }
 }
 
-/// A number that no other proxy draws.
+/// Returns a random number, to be unique among all proxies.
 fn random_id() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -1,10 +1,11 @@
-//! A snapshot of this proxy's table of the fleet's configuration in a file, so that a process that starts next to or after
-//! another one of the same proxy catches up with the differences only. Load it at the start with [`SnapshotFile::load`], and
-//! run [`SnapshotFile::save_changes`] on a thread.
+//! A snapshot file of this proxy's table of the fleet's configuration. A process that starts next to or after another
+//! process of the same proxy loads it, and so has to catch up with the differences only. Load it at the start with
+//! [`SnapshotFile::load`], and run [`SnapshotFile::save_changes`] on a thread.
 //!
-//! The file is the magic `SHTC`, the format (u16, little endian), the CRC-32 of the body (u32) and the body in postcard. The
-//! table is treated like any replica's: it may be behind the fleet or of a chain that the fleet lost, and catches up from
-//! there. A voter's promises are not in it, as it may be older than the last one: who starts with it recovers as a voter.
+//! The file consists of the magic bytes `SHTC`, the format version (u16, little endian), the CRC-32 of the body (u32, little
+//! endian) and the body in postcard. The restored table is treated like that of any replica: it may be behind the fleet, or
+//! belong to a chain of changes that the fleet lost, and catches up from there. It does not contain a voter's promises, as
+//! it may be older than the last promise; a voter that starts from it runs the recovery of voters first.
 
 use super::shared_state::SharedState;
 use crate::net::state::snapshot::replace;
@@ -18,33 +19,37 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// It stems from the program's former name, and stays so that old files can be read.
+/// First bytes of the file. They derive from a former name of the program and are kept so that old files stay readable.
 const MAGIC: [u8; 4] = *b"SHTC";
-/// Raised whenever the body's shape changes.
+/// Version of the body's format. Increase it with every change of the body's structure.
 const FORMAT: u16 = 1;
-const PREFIX_BYTES: usize = 10;
-/// A larger file is neither written nor read: the table's bound with its entries' versions.
+/// Size of magic, format and checksum, in bytes.
+const HEADER_BYTES: usize = 10;
+/// Maximum file size, in bytes: the table's size limit plus its entries' versions. Larger files are neither written nor
+/// read.
 const MAX_FILE_BYTES: usize = 32 << 20;
-/// How often the table is compared with the file.
+/// How often the table's version is compared with the file's.
 const SAVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the time of an unchanged file is renewed.
+/// How often the modification time of an unchanged file is updated.
 const TOUCH_INTERVAL: Duration = Duration::from_secs(60);
-/// The mean rate of writing.
+/// Maximum mean rate of writing the file, in bytes per second.
 const MAX_BYTES_PER_S: f64 = 65_536.0;
-/// An older file is not used: a fleet that was stopped and started meanwhile has only its platform's file.
+/// Maximum age of a file that is loaded. If the whole fleet was stopped and started since the snapshot, only the
+/// platform's configuration file applies.
 const MAX_AGE: Duration = Duration::from_secs(3600);
-/// Entries that are copied while the table is locked.
+/// Maximum number of entries copied while the table is locked.
 const PAGE_ENTRIES: usize = 1024;
 
-/// Where the file is, and of which fleet.
+/// Location of the snapshot file, and the fleet that it belongs to.
 #[derive(Clone, Debug)]
 pub struct SnapshotFile {
-    /// The folder.
+    /// Directory of the file.
     pub dir: PathBuf,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub cluster: String,
 }
 
+/// The body of the file.
 #[derive(Serialize, Deserialize)]
 struct Body {
     cluster: String,
@@ -52,35 +57,35 @@
     entries: Vec<Entry>,
 }
 
-/// Why a file is not used: the proxy catches up from an empty table.
+/// Reason why a file is not loaded. The proxy then catches up from an empty table.
 #[derive(Debug, Error)]
 enum SnapshotError {
-    #[error("none yet")]
+    #[error("file does not exist")]
     Missing,
-    #[error("cannot read: {0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[source] io::Error),
-    #[error("truncated at {0} bytes")]
+    #[error("file is truncated: {0} bytes, expected at least {HEADER_BYTES}")]
     Truncated(usize),
-    #[error("{0} bytes, over the {MAX_FILE_BYTES} allowed")]
+    #[error("file has {0} bytes, expected at most {MAX_FILE_BYTES}")]
     TooLarge(usize),
-    #[error("magic {0:02x?}")]
+    #[error("file starts with {0:02x?}, expected {MAGIC:02x?}")]
     Magic([u8; 4]),
-    #[error("format {0}, this program reads {FORMAT}")]
+    #[error("file has format version {0}, this program reads version {FORMAT}")]
     Format(u16),
-    #[error("checksum mismatch: truncated or changed")]
+    #[error("checksum mismatch: file is truncated or corrupted")]
     Checksum,
-    #[error("body does not decode: {0}")]
+    #[error("file body cannot be decoded: {0}")]
     Body(#[source] postcard::Error),
-    #[error("of the fleet {0:?}")]
+    #[error("file belongs to the fleet {0:?}")]
     Cluster(String),
-    #[error("{} s old, over {}", .0.as_secs(), MAX_AGE.as_secs())]
+    #[error("file is {} s old, expected at most {} s", .0.as_secs(), MAX_AGE.as_secs())]
     Stale(Duration),
-    #[error("invalid table: {0}")]
+    #[error("file contains an invalid table: {0}")]
     Table(#[source] TableError),
 }
 
 impl SnapshotError {
-    /// A stable name for the log's `cause` field.
+    /// Returns a stable name of the reason for the log's `cause` field.
     fn cause(&self) -> &'static str {
         match self {
             SnapshotError::Missing => "missing",
@@ -98,7 +103,7 @@
     }
 }
 
-/// Why a file is not written.
+/// Reason why a file is not written.
 #[derive(Debug, Error)]
 enum SaveError {
     #[error(transparent)]
@@ -107,36 +112,37 @@
     Write(#[from] io::Error),
 }
 
+/// Encodes a body as the content of a file.
 fn encode(body: &Body) -> Result<Vec<u8>, SnapshotError> {
-    let mut bytes = vec![0; PREFIX_BYTES];
+    let mut bytes = vec![0; HEADER_BYTES];
     bytes[..4].copy_from_slice(&MAGIC);
     bytes[4..6].copy_from_slice(&FORMAT.to_le_bytes());
     let mut bytes = postcard::to_extend(body, bytes).map_err(SnapshotError::Body)?;
     if bytes.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLarge(bytes.len()));
     }
-    let checksum = crc32fast::hash(&bytes[PREFIX_BYTES..]);
-    bytes[6..PREFIX_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[HEADER_BYTES..]);
+    bytes[6..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
     Ok(bytes)
 }
 
-/// The table in a file's bytes; any other bytes give the reason why not, never a panic.
+/// Decodes the table from the content of a file. Returns an error for any invalid content and never panics.
 fn decode(bytes: &[u8], cluster: &str) -> Result<Table, SnapshotError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLarge(bytes.len()));
     }
-    let (prefix, body) = bytes
-        .split_at_checked(PREFIX_BYTES)
+    let (header, body) = bytes
+        .split_at_checked(HEADER_BYTES)
         .ok_or(SnapshotError::Truncated(bytes.len()))?;
-    let magic = [prefix[0], prefix[1], prefix[2], prefix[3]];
+    let magic = [header[0], header[1], header[2], header[3]];
     if magic != MAGIC {
         return Err(SnapshotError::Magic(magic));
     }
-    let format = u16::from_le_bytes([prefix[4], prefix[5]]);
+    let format = u16::from_le_bytes([header[4], header[5]]);
     if format != FORMAT {
         return Err(SnapshotError::Format(format));
     }
-    let checksum = u32::from_le_bytes([prefix[6], prefix[7], prefix[8], prefix[9]]);
+    let checksum = u32::from_le_bytes([header[6], header[7], header[8], header[9]]);
     if checksum != crc32fast::hash(body) {
         return Err(SnapshotError::Checksum);
     }
@@ -148,16 +154,17 @@
 }
 
 impl SnapshotFile {
-    /// The file's name: proxies that share a folder never write over each other's files.
-    fn name(&self, own: SocketAddr) -> String {
-        let owner = blake3::hash(
-            serde_json::json!([self.cluster, own])
+    /// Returns the file's name, which differs between proxies, so that they can share a directory.
+    fn name(&self, own_address: SocketAddr) -> String {
+        let proxy_hash = blake3::hash(
+            serde_json::json!([self.cluster, own_address])
                 .to_string()
                 .as_bytes(),
         );
-        format!("config-{}.table", hex::encode(&owner.as_bytes()[..16]))
+        format!("config-{}.table", hex::encode(&proxy_hash.as_bytes()[..16]))
     }
 
+    /// Reads and decodes a file.
     fn read(&self, file: &Path) -> Result<Table, SnapshotError> {
         let unreadable = |e: io::Error| match e.kind() {
             io::ErrorKind::NotFound => SnapshotError::Missing,
@@ -165,9 +172,11 @@
         };
         let metadata = fs::metadata(file).map_err(unreadable)?;
         if !metadata.is_file() {
-            return Err(SnapshotError::Unreadable(io::Error::other("not a file")));
+            return Err(SnapshotError::Unreadable(io::Error::other(
+                "not a regular file",
+            )));
         }
-        // A time ahead of the clock is no age.
+        // A modification time in the future has no age; such a file is read.
         let age = metadata
             .modified()
             .ok()
@@ -184,47 +193,48 @@
         decode(&bytes, &self.cluster)
     }
 
-    /// The table that an earlier process of this proxy saved; one log line says what was loaded or why not.
-    pub fn load(&self, own: SocketAddr) -> Option<Table> {
-        let file = self.dir.join(self.name(own));
+    /// Loads the table that an earlier process of this proxy saved, and logs what was loaded or why nothing was.
+    pub fn load(&self, own_address: SocketAddr) -> Option<Table> {
+        let file = self.dir.join(self.name(own_address));
         match self.read(&file) {
             Ok(table) => {
                 info!(
                     event = "config_snapshot_taken",
                     version = table.version(),
                     entries = table.len(),
-                    "starts from the configuration's snapshot"
+                    "loaded the configuration snapshot"
                 );
                 Some(table)
             }
             Err(SnapshotError::Missing) => {
-                info!(event = "config_snapshot_missing", file = %file.display(), "no snapshot of the configuration: catches up from an empty table");
+                info!(event = "config_snapshot_missing", file = %file.display(), "no configuration snapshot: catching up from an empty table");
                 None
             }
             Err(error) => {
-                warn!(event = "config_snapshot_refused", cause = error.cause(), file = %file.display(), "catches up from an empty table: {error}");
+                warn!(event = "config_snapshot_refused", cause = error.cause(), file = %file.display(), "configuration snapshot rejected, catching up from an empty table: {error}");
                 None
             }
         }
     }
 
-    /// Saves the table whenever it changed, for as long as the program runs.
-    pub fn save_changes(&self, shared: &SharedState, own: SocketAddr) {
-        let mut saver = Saver {
+    /// Saves the table whenever it has changed. Never returns.
+    pub fn save_changes(&self, shared: &SharedState, own_address: SocketAddr) {
+        let mut writer = SnapshotWriter {
             file: self,
-            name: self.name(own),
+            name: self.name(own_address),
             saved_version: 0,
             saved_at: SystemTime::UNIX_EPOCH,
-            failed: false,
+            has_failed: false,
             pause: SAVE_INTERVAL,
         };
         loop {
-            std::thread::sleep(saver.pause);
-            saver.step(shared);
+            std::thread::sleep(writer.pause);
+            writer.step(shared);
         }
     }
 
-    /// The complete table of one version, copied page by page, so that nobody waits long for the lock.
+    /// Copies the complete table of one version. It is locked for one page of entries at a time, so that other threads do
+    /// not wait long for the lock.
     fn copy_table(&self, shared: &SharedState) -> Body {
         let mut body = Body {
             cluster: self.cluster.clone(),
@@ -236,7 +246,7 @@
             let config = shared.config.lock();
             let table = config.replica.table();
             if table.digest() != body.digest {
-                // The table changed: start over.
+                // The table changed since the last page: start over.
                 body.digest = table.digest();
                 body.entries.clear();
                 if first > 0 {
@@ -244,13 +254,13 @@
                     continue;
                 }
             }
-            let rest = PositionRange {
+            let remaining = PositionRange {
                 first,
                 last: u64::MAX,
             };
             let mut last_position = None;
             let mut count = 0;
-            for (position, entry) in table.range(rest).take(PAGE_ENTRIES) {
+            for (position, entry) in table.range(remaining).take(PAGE_ENTRIES) {
                 body.entries.push(entry.clone());
                 last_position = Some(position);
                 count += 1;
@@ -263,22 +273,22 @@
     }
 }
 
-/// Writes the file while the program runs.
-struct Saver<'a> {
+/// Keeps the file up to date with the table.
+struct SnapshotWriter<'a> {
     file: &'a SnapshotFile,
     name: String,
-    /// The version in the file, 0 where it is to be written anew.
+    /// Version of the table in the file; 0 if the file has to be written again.
     saved_version: u64,
-    /// When the file was written or its time renewed.
+    /// When the file was last written or its modification time updated.
     saved_at: SystemTime,
-    /// The last attempt failed, and was logged.
-    failed: bool,
-    /// Until the next step: longer after a write, which keeps the rate.
+    /// The last attempt to write failed and was logged.
+    has_failed: bool,
+    /// Time until the next step; longer after a large write, to stay within [`MAX_BYTES_PER_S`].
     pause: Duration,
 }
 
-impl Saver<'_> {
-    /// Brings the file up to date.
+impl SnapshotWriter<'_> {
+    /// Writes the file if the table has changed, or updates its modification time if that is due.
     fn step(&mut self, shared: &SharedState) {
         self.pause = SAVE_INTERVAL;
         let version = shared.config.lock().replica.table().version();
@@ -298,15 +308,15 @@
         };
         self.saved_at = now;
         if let Err(error) = &saved {
-            self.saved_version = 0; // the next step writes it anew
-            if !self.failed {
-                warn!(event = "config_snapshot_not_written", dir = %self.file.dir.display(), "no snapshot of the configuration written: {error}");
+            self.saved_version = 0; // the next step writes the file again
+            if !self.has_failed {
+                warn!(event = "config_snapshot_not_written", dir = %self.file.dir.display(), "cannot write the configuration snapshot: {error}");
             }
         }
-        self.failed = saved.is_err();
+        self.has_failed = saved.is_err();
     }
 
-    /// Writes the table.
+    /// Writes the table to the file, and sets the pause that follows.
     fn write(&mut self, shared: &SharedState) -> Result<(), SaveError> {
         let body = self.file.copy_table(shared);
         self.saved_version = body.digest.version;
@@ -317,7 +327,7 @@
         Ok(())
     }
 
-    /// Renews the file's time.
+    /// Updates the file's modification time, so that it does not become too old to be loaded.
     fn touch(&self, now: SystemTime) -> Result<(), SaveError> {
         let file = File::options()
             .write(true)
--- a/src/net/cluster/coordination/config_snapshot/tests.rs
+++ b/src/net/cluster/coordination/config_snapshot/tests.rs
@@ -1,7 +1,10 @@
+//! Tests of reading and writing the configuration snapshot.
+
 use super::*;
 use meadowproxy::fleet::config::{Change, Edit, Key, Kind, Value};
 use proptest::prelude::*;
 
+/// A table after `count` changes to up to 700 tenants.
 fn table(count: u64) -> Table {
     let mut table = Table::default();
     for n in 0..count {
@@ -25,6 +28,7 @@
     table
 }
 
+/// The body of the file for a table.
 fn body(table: &Table, cluster: &str) -> Body {
     let entries = table
         .range(PositionRange::ALL)
@@ -37,22 +41,23 @@
     }
 }
 
+/// The cause for which a file's content is rejected, or "loaded".
 fn cause(bytes: &[u8]) -> &'static str {
-    decode(bytes, "fleet").map_or_else(|why| why.cause(), |_| "loaded")
+    decode(bytes, "fleet").map_or_else(|error| error.cause(), |_| "loaded")
 }
 
 #[test]
-fn a_snapshot_loads_as_it_was_or_is_rejected_by_cause() {
+fn a_snapshot_restores_the_table_or_is_rejected_with_the_cause() {
     let (table, older) = (table(900), table(3));
     let complete = encode(&body(&table, "fleet")).unwrap();
-    let back = decode(&complete, "fleet").unwrap();
-    assert_eq!((back.digest(), back.len()), (table.digest(), 700));
-    let with = |at: usize, byte: u8| {
+    let restored = decode(&complete, "fleet").unwrap();
+    assert_eq!((restored.digest(), restored.len()), (table.digest(), 700));
+    let with_byte = |at: usize, byte: u8| {
         let mut bytes = complete.clone();
         bytes[at] = byte;
         bytes
     };
-    let but = |change: &dyn Fn(&mut Body)| {
+    let with_body = |change: &dyn Fn(&mut Body)| {
         let mut body = body(&table, "fleet");
         change(&mut body);
         encode(&body).unwrap()
@@ -60,22 +65,25 @@
     let cases = [
         (complete[..4].to_vec(), "truncated"),
         (complete[..complete.len() / 2].to_vec(), "checksum"),
-        (with(0, b'X'), "magic"),
-        (with(4, 9), "format"),
+        (with_byte(0, b'X'), "magic"),
+        (with_byte(4, 9), "format"),
         (
-            with(complete.len() - 3, complete[complete.len() - 3] ^ 1),
+            with_byte(complete.len() - 3, complete[complete.len() - 3] ^ 1),
             "checksum",
         ),
         (vec![0; MAX_FILE_BYTES + 1], "too_large"),
         (encode(&body(&table, "other")).unwrap(), "cluster"),
-        // Valid bytes that are no table.
-        (but(&|body| drop(body.entries.pop())), "table"),
-        (but(&|body| body.digest = older.digest()), "table"),
-        (but(&|body| body.digest.version = u64::MAX), "table"),
-        (but(&|body| body.entries[0].version = 901), "table"),
-        (but(&|body| body.entries[0].edit.key.name.clear()), "table"),
+        // A valid body whose digest and entries are not those of one table.
+        (with_body(&|body| drop(body.entries.pop())), "table"),
+        (with_body(&|body| body.digest = older.digest()), "table"),
+        (with_body(&|body| body.digest.version = u64::MAX), "table"),
+        (with_body(&|body| body.entries[0].version = 901), "table"),
+        (
+            with_body(&|body| body.entries[0].edit.key.name.clear()),
+            "table",
+        ),
         (
-            but(&|body| body.entries.push(body.entries[0].clone())),
+            with_body(&|body| body.entries.push(body.entries[0].clone())),
             "table",
         ),
     ];
@@ -85,7 +93,7 @@
 }
 
 #[test]
-fn files_are_rejected_by_what_they_are() {
+fn missing_stale_and_unreadable_files_are_rejected_with_the_cause() {
     let dir = std::env::temp_dir().join(format!("meadowproxy-copy-{}", std::process::id()));
     let snapshot = SnapshotFile {
         dir: dir.clone(),
@@ -95,7 +103,7 @@
     let cause = || {
         snapshot
             .read(&file)
-            .map_or_else(|why| why.cause(), |_| "loaded")
+            .map_or_else(|error| error.cause(), |_| "loaded")
     };
     assert_eq!(cause(), "missing");
     replace(&dir, "x", &encode(&body(&table(5), "fleet")).unwrap()).unwrap();
@@ -115,14 +123,14 @@
 }
 
 proptest! {
-    /// Whatever bytes a file has, they are a table or an error.
+    /// Corrupted, truncated and random file contents are rejected without a panic.
     #[test]
-    fn no_bytes_break_a_start(at in any::<prop::sample::Index>(), flip in 1u8.., junk in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn corrupted_files_are_rejected(at in any::<prop::sample::Index>(), flip in 1u8.., random_bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut bytes = encode(&body(&table(20), "fleet")).unwrap();
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         prop_assert!(decode(&bytes, "fleet").is_err());
         prop_assert!(decode(&bytes[..at], "fleet").is_err());
-        prop_assert!(decode(&junk, "fleet").is_err());
+        prop_assert!(decode(&random_bytes, "fleet").is_err());
     }
 }
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -1,5 +1,5 @@
-//! This proxy's part in the lease of one duty: as a voter, as a candidate, behind the fence that rejects effects of
-//! former holders, and with what it knows of the holder.
+//! The lease of one duty at this proxy: its voter, its candidate, the fence that rejects effects of former holders, and
+//! what this proxy knows of the current holder.
 
 use super::clocks::{monotonic_now, wall_now};
 use super::message::{Duty, DutyMessage, MessageError, TokenReport};
@@ -11,48 +11,49 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Messages to send, each with its receiver.
+/// Messages to send, each with the address of its receiver.
 pub type DutyMessages = Vec<(SocketAddr, DutyMessage)>;
 
-/// With at most six other members, each sends a digest here within 3 s.
+/// Longest time between two digests from one member: each second a member sends digests to two others in turn, so with
+/// at most six other members each of them gets one within 3 s.
 const DIGEST_INTERVAL_BOUND: Micros = Micros(3_000_000);
 
-/// What is known of the lease holder.
+/// What this proxy knows of the lease holder.
 #[derive(Clone, Copy)]
 struct Holder {
     token: Token,
-    /// Its address, once one of its own heartbeats came here.
+    /// Its address; `None` until one of its heartbeats arrived here.
     address: Option<SocketAddr>,
-    /// When its last heartbeat was sent, on this proxy's clock.
-    heartbeat_at: Time,
+    /// When it sent its last heartbeat, on this proxy's monotonic clock.
+    last_heartbeat_at: Time,
 }
 
-/// A time in which the duty is wanted and no quorum answers.
+/// A period in which this proxy's candidate wants the lease and no quorum of the voters responds.
 #[derive(Clone, Copy)]
 struct QuorumLoss {
     since: Time,
     is_logged: bool,
 }
 
-/// The lease of one duty, as this proxy takes part in it.
+/// The lease of one duty, with all the roles that this proxy has in it.
 pub struct DutyLease {
     duty: Duty,
     rules: Rules,
-    own: SocketAddr,
+    own_address: SocketAddr,
     voters: VoterContacts,
-    /// Where this proxy is one of the voters.
+    /// `None` if this proxy is not one of the voters.
     voter: Option<Voter>,
     candidate: Candidate,
     fence: Fence<Duty>,
     holder: Option<Holder>,
     quorum_loss: Option<QuorumLoss>,
-    /// How long a candidate that is no voter waits for a holder's heartbeat before it bids.
+    /// How long a candidate that is not a voter waits for a heartbeat of the holder before it campaigns.
     campaign_delay: Micros,
-    /// The end of the term, while this proxy holds the duty.
+    /// End of the term while this proxy holds the lease.
     expires_at: Option<Time>,
     incarnation: u64,
     started_at: Time,
-    /// It has caught up with what the duty is about.
+    /// This proxy has caught up with the state that the duty changes.
     is_eligible: bool,
     is_leaving: bool,
 }
@@ -62,17 +63,17 @@
         duty: Duty,
         rules: Rules,
         voters: Vec<SocketAddr>,
-        own: SocketAddr,
+        own_address: SocketAddr,
         incarnation: u64,
     ) -> DutyLease {
         let now = monotonic_now();
-        // Two to three terms, drawn once: not all of a large fleet bid together.
+        // Random from two to three terms, so that the proxies of a large fleet do not all campaign at once.
         let campaign_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
-        let is_voter = voters.contains(&own);
+        let is_voter = voters.contains(&own_address);
         DutyLease {
             duty,
             rules,
-            own,
+            own_address,
             voters: VoterContacts::new(voters),
             voter: is_voter.then(|| Voter::new(rules, now)),
             candidate: Candidate::new(rules, incarnation),
@@ -91,48 +92,52 @@
         }
     }
 
-    /// The token under which this proxy holds the duty at this instant.
+    /// Returns the token under which this proxy holds the lease now, if it does.
     pub fn held_token(&self) -> Option<Token> {
         self.candidate.held_token(monotonic_now())
     }
 
-    /// The holder's address, as far as it is known here.
+    /// Returns the holder's address, if known and its last heartbeat is recent.
     pub fn holder(&self) -> Option<SocketAddr> {
         if self.held_token().is_some() {
-            return Some(self.own);
+            return Some(self.own_address);
         }
         let holder = self.holder.filter(|holder| {
-            let is_recent = monotonic_now() - holder.heartbeat_at < self.rules.grant_duration();
-            holder.address != Some(self.own) && is_recent
+            let is_recent =
+                monotonic_now() - holder.last_heartbeat_at < self.rules.grant_duration();
+            holder.address != Some(self.own_address) && is_recent
         })?;
         holder.address
     }
 
-    /// How long ago the holder's last heartbeat was sent; zero while this proxy is the holder.
+    /// Returns the time since the holder sent its last heartbeat: zero while this proxy is the holder, `u64::MAX` if no
+    /// holder is known.
     pub fn since_heartbeat(&self) -> Micros {
         match (self.held_token(), &self.holder) {
             (Some(_), _) => Micros(0),
-            (None, Some(holder)) => monotonic_now() - holder.heartbeat_at,
+            (None, Some(holder)) => monotonic_now() - holder.last_heartbeat_at,
             (None, None) => Micros(u64::MAX),
         }
     }
 
-    /// Lets time pass, and gives the time of the next call at the latest.
+    /// Runs the timers that are due. Returns the latest time at which to call this again, if any.
     pub fn tick(&mut self, outgoing: &mut DutyMessages) -> Option<Time> {
         let now = monotonic_now();
-        let is_wanted = self.is_wanted(now);
+        let wants_lease = self.wants_lease(now);
         let wall_ms = wall_now().0 / 1000;
         let mut requests = Vec::new();
-        self.candidate.tick(now, wall_ms, is_wanted, &mut requests);
+        self.candidate
+            .tick(now, wall_ms, wants_lease, &mut requests);
         self.send_to_voters(now, requests, outgoing);
         self.apply_changes(now);
-        self.check_quorum(now, is_wanted);
+        self.check_quorum(now, wants_lease);
         self.candidate.next_tick_at()
     }
 
-    /// A voter bids as soon as its own vote is free; any other candidate once it has had no holder's heartbeat for long,
-    /// so that in a large fleet a holder's end leads to the voters' bids only.
-    fn is_wanted(&self, now: Time) -> bool {
+    /// Whether this proxy's candidate wants the lease. A voter campaigns as soon as its own vote is free; any other proxy
+    /// only after `campaign_delay` without a heartbeat, so that in a large fleet only the voters campaign when a holder
+    /// fails.
+    fn wants_lease(&self, now: Time) -> bool {
         if !self.is_eligible || self.is_leaving {
             return false;
         }
@@ -140,10 +145,10 @@
             return true;
         }
         let Some(voter) = &self.voter else {
-            let heartbeat_at = self
+            let last_heartbeat_at = self
                 .holder
-                .map_or(self.started_at, |holder| holder.heartbeat_at);
-            return now - heartbeat_at > self.campaign_delay;
+                .map_or(self.started_at, |holder| holder.last_heartbeat_at);
+            return now - last_heartbeat_at > self.campaign_delay;
         };
         let is_free = voter
             .granted_ballot(now)
@@ -151,7 +156,7 @@
         is_free && !voter.is_silent(now)
     }
 
-    /// Takes a lease message from another proxy.
+    /// Handles a lease message from another proxy.
     pub fn handle_message(
         &mut self,
         from: SocketAddr,
@@ -167,11 +172,11 @@
                 }
             }
             Message::PreVoteGranted { .. } | Message::Granted { .. } | Message::Denied { .. } => {
-                let place = self.voters.place(from).ok_or(MessageError::NotAVoter)?;
+                let index = self.voters.index_of(from).ok_or(MessageError::NotAVoter)?;
                 let mut requests = Vec::new();
-                self.voters.record_response(place, now);
+                self.voters.record_response(index, now);
                 self.candidate
-                    .handle_response(now, place, message, &mut requests);
+                    .handle_response(now, index, message, &mut requests);
                 self.send_to_voters(now, requests, outgoing);
             }
         }
@@ -179,11 +184,11 @@
         Ok(())
     }
 
-    /// Admits an effect of the proxy at `from`, whoever relayed it; it is that holder's heartbeat, too, unless a newer
-    /// one has come.
+    /// Admits an effect of the holder at `from`, whichever proxy relayed it. It counts as the holder's heartbeat, too,
+    /// unless a newer one has arrived.
     ///
     /// # Errors
-    /// A higher token was seen.
+    /// Returns [`MessageError::StaleToken`] if a higher token was seen.
     pub fn admit_effect(
         &mut self,
         from: SocketAddr,
@@ -205,38 +210,38 @@
             self.holder = Some(Holder {
                 token,
                 address: Some(from),
-                heartbeat_at: now,
+                last_heartbeat_at: now,
             });
         }
         Ok(())
     }
 
-    /// Takes what another proxy knows of the duty; of the highest token the youngest heartbeat counts.
+    /// Learns from another proxy's report on the duty. The latest heartbeat under the highest token counts.
     pub fn handle_token_report(&mut self, report: &TokenReport, outgoing: &mut DutyMessages) {
         self.observe_token(report.token, outgoing);
         let Some(age_ms) = report.heartbeat_age_ms else {
             return;
         };
         let age_us = u64::from(age_ms).saturating_mul(1000);
-        let heartbeat_at = Time(monotonic_now().0.saturating_sub(age_us));
+        let last_heartbeat_at = Time(monotonic_now().0.saturating_sub(age_us));
         if self.fence.highest(&self.duty) != Some(report.token) {
             return;
         }
         match &mut self.holder {
             Some(holder) if holder.token == report.token => {
-                holder.heartbeat_at = holder.heartbeat_at.max(heartbeat_at);
+                holder.last_heartbeat_at = holder.last_heartbeat_at.max(last_heartbeat_at);
             }
             holder => {
                 *holder = Some(Holder {
                     token: report.token,
                     address: None,
-                    heartbeat_at,
+                    last_heartbeat_at,
                 });
             }
         }
     }
 
-    /// A token was seen: nothing lower counts from now on, for effects here and for this proxy's vote.
+    /// Records a token that was seen: from now on, effects and ballots with a lower one are rejected here.
     pub fn observe_token(&mut self, token: Token, outgoing: &mut DutyMessages) {
         let now = monotonic_now();
         self.raise_token(token);
@@ -246,7 +251,7 @@
         self.apply_changes(now);
     }
 
-    /// What this proxy knows of the duty, for its digests.
+    /// Returns what this proxy knows of the duty, for its digests.
     pub fn token_reports(&self) -> Vec<TokenReport> {
         let now = monotonic_now();
         let held = self.candidate.held_token(now);
@@ -257,7 +262,7 @@
                     Some(Micros(0))
                 } else {
                     let holder = self.holder.filter(|holder| holder.token == token);
-                    holder.map(|holder| now - holder.heartbeat_at)
+                    holder.map(|holder| now - holder.last_heartbeat_at)
                 };
                 TokenReport {
                     duty: *duty,
@@ -268,17 +273,18 @@
             .collect()
     }
 
-    /// Gives the duty up for good, as this proxy shuts down.
+    /// Releases the lease and no longer campaigns for it. Called at shutdown.
     pub fn leave(&mut self, outgoing: &mut DutyMessages) {
         self.is_leaving = true;
         self.tick(outgoing);
     }
 
-    /// From now on this proxy may bid for the duty: it has caught up with what it is about.
+    /// Allows this proxy to campaign for the lease, as it has caught up with the state that the duty changes.
     pub fn set_eligible(&mut self) {
         self.is_eligible = true;
     }
 
+    /// Wraps a lease message with its duty.
     fn lease_message(&self, message: Message) -> DutyMessage {
         DutyMessage::Lease {
             duty: self.duty,
@@ -286,6 +292,7 @@
         }
     }
 
+    /// Has the fence and the voter reject lower tokens.
     fn raise_token(&mut self, token: Token) {
         self.fence.observe(self.duty, token);
         if let Some(voter) = &mut self.voter {
@@ -293,13 +300,14 @@
         }
     }
 
-    /// Sends requests to every voter; this proxy's own vote is taken here.
+    /// Sends requests to every voter. The request to this proxy's own voter is handled here, with any requests that follow
+    /// from its response.
     fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut DutyMessages) {
         let mut requests = VecDeque::from(requests);
         while let Some(message) = requests.pop_front() {
             let addresses: Vec<SocketAddr> = self.voters.addresses().collect();
-            for (place, address) in addresses.into_iter().enumerate() {
-                if address != self.own {
+            for (index, address) in addresses.into_iter().enumerate() {
+                if address != self.own_address {
                     outgoing.push((address, self.lease_message(message)));
                     continue;
                 }
@@ -307,16 +315,16 @@
                 let Some(response) = voter.and_then(|voter| voter.handle(now, message)) else {
                     continue;
                 };
-                self.voters.record_response(place, now);
-                let mut further = Vec::new();
+                self.voters.record_response(index, now);
+                let mut next_requests = Vec::new();
                 self.candidate
-                    .handle_response(now, place, response, &mut further);
-                requests.extend(further);
+                    .handle_response(now, index, response, &mut next_requests);
+                requests.extend(next_requests);
             }
         }
     }
 
-    /// Logs what became of the lease, and records it.
+    /// Logs and records the changes of the lease's state.
     fn apply_changes(&mut self, now: Time) {
         for change in self.candidate.take_changes() {
             match change {
@@ -332,13 +340,13 @@
         if let Some(token) = self.candidate.held_token(now) {
             self.holder = Some(Holder {
                 token,
-                address: Some(self.own),
-                heartbeat_at: now,
+                address: Some(self.own_address),
+                last_heartbeat_at: now,
             });
         }
     }
 
-    /// A stalled holder learns late that its lease is over; it ended with its term.
+    /// Logs the loss of the lease. A stalled holder notices the loss late; the lease ended with its term.
     fn log_loss(&self, token: Token, loss: Loss, now: Time) {
         let ended_at = self
             .expires_at
@@ -352,10 +360,10 @@
             seen_us = now.0, reason, "lost the lease of a duty");
     }
 
-    /// Warns once where no quorum of the voters answers for a whole term.
-    fn check_quorum(&mut self, now: Time, is_wanted: bool) {
-        let answering = self.voters.answering(now, self.rules.term());
-        if !is_wanted || answering > self.voters.count() / 2 {
+    /// Warns once per period in which no quorum of the voters responds for as long as a grant lasts.
+    fn check_quorum(&mut self, now: Time, wants_lease: bool) {
+        let answering = self.voters.responding_count(now, self.rules.term());
+        if !wants_lease || answering > self.voters.count() / 2 {
             self.quorum_loss = None;
             return;
         }
@@ -370,17 +378,17 @@
                 duty = self.duty.name(),
                 voters = self.voters.count(),
                 answering,
-                "no quorum of the voters answers: no proxy can hold the duty's lease"
+                "no quorum of the voters responds: no proxy can hold the duty's lease"
             );
         }
     }
 
-    /// A message came from that proxy, which may be a voter.
+    /// Records a message from another proxy, which may be a voter.
     pub fn record_contact(&mut self, from: SocketAddr) {
         self.voters.record_message(from, monotonic_now());
     }
 
-    /// Why no proxy is known to hold the duty, for operators.
+    /// Returns the reason why no holder of the duty is known, for operators.
     pub fn no_holder_reason(&self) -> String {
         let reachable = self
             .reachable_voters(monotonic_now(), DIGEST_INTERVAL_BOUND)
@@ -393,20 +401,20 @@
         }
     }
 
-    /// The voters of which any message came within the last term, or within `at_least` if that is longer.
+    /// Returns the voters of which a message arrived within the last term, or within `at_least` if that is longer.
     fn reachable_voters(&self, now: Time, at_least: Micros) -> Vec<String> {
         let within = self.rules.term().max(at_least);
-        self.voters.reachable(now, within, self.own)
+        self.voters.reachable(now, within, self.own_address)
     }
 
-    /// For the operators' calls; the names are the operators' ones.
+    /// Returns the status of the lease for operators. The JSON keys are part of the admin interface.
     pub fn status(&self) -> serde_json::Value {
         let now = monotonic_now();
         let voters = self.voters.addresses().map(|voter| voter.to_string());
         let since_heartbeat = Some(self.since_heartbeat()).filter(|age| age.0 < u64::MAX);
         serde_json::json!({
             "duty": self.duty.name(),
-            "own": self.own.to_string(),
+            "own": self.own_address.to_string(),
             "holder": self.holder().map(|address| address.to_string()),
             "held": self.candidate.held_token(now).map(format_token),
             "token": self.fence.highest(&self.duty).map(format_token),
@@ -420,7 +428,7 @@
     }
 }
 
-/// A token as logs and answers show it.
+/// Formats a token for logs and responses to operators.
 pub fn format_token(token: Token) -> String {
     format!("{}-{:016x}", token.number, token.incarnation)
 }
--- a/src/net/cluster/coordination/effect_queue.rs
+++ b/src/net/cluster/coordination/effect_queue.rs
@@ -1,4 +1,4 @@
-//! What leaves the workers, and the counts of messages.
+//! What the workers send out: effects for the request loop and announcements to repeat, with counters of messages.
 
 use super::clocks::monotonic_now;
 use super::message::{Announcement, MessageError};
@@ -9,18 +9,21 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// Rejected messages of one cause are logged so often at most.
+/// Minimum time between two log lines on rejected messages of the same cause.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
 
-/// Effects for the request loop, announcements to repeat, and counters.
+/// Effects for the request loop, announcements to repeat, and counters of coordination messages.
 pub struct EffectQueue {
     pub effects: mpsc::Sender<Effect>,
-    /// Announcements that are sent again at these times, as datagrams may be lost.
+    /// Announcements to repeat, by the time at which they are due; datagrams may be lost.
     pub repeats: BTreeMap<Time, Vec<Announcement>>,
+    /// Number of messages sent.
     pub sent: u64,
+    /// Number of messages received.
     pub received: u64,
-    /// Rejected messages by cause.
+    /// Number of messages rejected, by cause.
     pub rejected: BTreeMap<&'static str, u64>,
+    /// When a rejected message was last logged, by cause.
     logged_at: BTreeMap<&'static str, Time>,
 }
 
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Counts a message that is not used, and logs why, at a limited rate.
+    /// Counts a rejected message, and logs why it was rejected, at a limited rate.
     pub fn record_rejected(&mut self, from: SocketAddr, error: &MessageError) {
         let now = monotonic_now();
         let cause = error.cause();
@@ -51,10 +54,10 @@
         } else {
             "duties_refused"
         };
-        warn!(event, cause, from = %from, mono_us = now.0, "rejected a message: {error}");
+        warn!(event, cause, from = %from, mono_us = now.0, "rejected a coordination message: {error}");
     }
 
-    /// Takes the announcements that are due to be sent again.
+    /// Removes and returns the announcements that are due to be repeated.
     pub fn take_due_repeats(&mut self, now: Time) -> Vec<Announcement> {
         let later = self.repeats.split_off(&(now + Micros(1)));
         let due = std::mem::replace(&mut self.repeats, later);
--- a/src/net/cluster/coordination/fleet_view.rs
+++ b/src/net/cluster/coordination/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The backends and members as this proxy sees them, and the open requests that members report.
+//! The backends and members known to this proxy, and the counts of open requests that members report.
 
 use super::clocks::monotonic_now;
 use super::message::OpenRequestCount;
@@ -12,70 +12,72 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member's count of open requests is valid for so long.
+/// How long a member's count of open requests is valid.
 const REPORT_LIFETIME: Micros = Micros(2_500_000);
 
-/// A member's count of open requests at one backend.
+/// One member's count of open requests at one backend.
 #[derive(Clone, Copy)]
 struct ReportedCount {
     open: u32,
     reported_at: Time,
 }
 
-/// The fleet as it follows from one snapshot, and from which backends are in maintenance.
+/// The listed backends, computed from a snapshot and the set of backends in maintenance.
 struct DerivedBackends {
     snapshot: Arc<BackendSnapshot>,
     in_maintenance: BTreeSet<String>,
-    fleet: Arc<ListedBackends>,
+    backends: Arc<ListedBackends>,
 }
 
-/// What this proxy sees of backends and members.
+/// This proxy's view of the backends and the fleet's members.
 #[derive(Default)]
 pub struct FleetView {
-    /// What the request loop showed last; `None` until it did.
-    pub seen: Option<Arc<LoopView>>,
-    /// Since when decisions depend on the backends: earlier snapshots do not count.
-    pub deciding_since: Option<Time>,
+    /// The view that the request loop published last; `None` before the first one.
+    pub loop_view: Option<Arc<LoopView>>,
+    /// When decisions began to depend on the backends; `None` while none does. Earlier snapshots are not used for them.
+    pub decisions_since: Option<Time>,
+    /// The result of the last computation of the listed backends.
     derived: Option<DerivedBackends>,
-    /// Open requests at backends in maintenance, by the member that reported them.
+    /// Open requests at backends in maintenance, by the reporting member and the backend's name.
     reports: BTreeMap<SocketAddr, BTreeMap<String, ReportedCount>>,
 }
 
 impl FleetView {
-    /// At the start any snapshot is new enough.
+    /// Creates the view of a proxy that starts, for which any snapshot is new enough.
     pub fn at_start() -> FleetView {
         FleetView {
-            deciding_since: Some(Time(0)),
+            decisions_since: Some(Time(0)),
             ..FleetView::default()
         }
     }
 
+    /// Returns the live members other than this proxy.
     pub fn members(&self) -> Vec<SocketAddr> {
-        self.seen
+        self.loop_view
             .as_ref()
-            .map(|seen| seen.members.clone())
+            .map(|loop_view| loop_view.members.clone())
             .unwrap_or_default()
     }
 
-    /// Takes what the request loop shows.
-    pub fn update(&mut self, seen: Arc<LoopView>) {
-        if seen.backends.is_none() {
+    /// Stores a view published by the request loop.
+    pub fn update(&mut self, loop_view: Arc<LoopView>) {
+        if loop_view.backends.is_none() {
             self.derived = None;
         }
-        self.seen = Some(seen);
+        self.loop_view = Some(loop_view);
     }
 
-    /// The listed backends, where they are shown; with `for_decision` only from a snapshot since decisions depend on
-    /// them. The readiness of one that is in maintenance is not known: it counts as ready.
-    pub fn fleet(
+    /// Returns the listed backends, if the request loop publishes them; with `for_decision`, only from a snapshot taken
+    /// since decisions depend on them. A backend in maintenance counts as ready, as its readiness is not known.
+    pub fn listed_backends(
         &mut self,
         in_maintenance: &BTreeSet<String>,
         for_decision: bool,
     ) -> Option<Arc<ListedBackends>> {
-        let snapshot = self.seen.as_ref()?.backends.as_ref()?;
+        let snapshot = self.loop_view.as_ref()?.backends.as_ref()?;
         if for_decision
             && self
-                .deciding_since
+                .decisions_since
                 .is_none_or(|since| snapshot.taken_at < since)
         {
             return None;
@@ -83,43 +85,44 @@
         if let Some(derived) = &self.derived {
             if Arc::ptr_eq(&derived.snapshot, snapshot) && derived.in_maintenance == *in_maintenance
             {
-                return Some(derived.fleet.clone());
+                return Some(derived.backends.clone());
             }
         }
-        let fleet: ListedBackends = snapshot
+        let backends: ListedBackends = snapshot
             .rows
             .iter()
             .filter(|row| row.listed)
-            .map(|row| (row.name.clone(), backend(row, in_maintenance)))
+            .map(|row| (row.name.clone(), backend_capacity(row, in_maintenance)))
             .collect();
-        let fleet = Arc::new(fleet);
+        let backends = Arc::new(backends);
         self.derived = Some(DerivedBackends {
             snapshot: snapshot.clone(),
             in_maintenance: in_maintenance.clone(),
-            fleet: fleet.clone(),
+            backends: backends.clone(),
         });
-        Some(fleet)
+        Some(backends)
     }
 
-    /// Open requests at the backends in maintenance, as all live members and this proxy report them. Where one did not
-    /// report, a request counts as open at each.
+    /// Returns the open requests at the backends in maintenance, as reported by all live members and this proxy. A
+    /// backend without a valid count from a member is assumed to have one open request there.
     pub fn open_requests(
         &self,
-        own: SocketAddr,
+        own_address: SocketAddr,
         in_maintenance: &BTreeSet<String>,
     ) -> OpenRequestReports {
         let now = monotonic_now();
         self.members()
             .into_iter()
-            .chain([own])
+            .chain([own_address])
             .enumerate()
-            .map(|(place, member)| {
+            .map(|(index, member)| {
                 let report = self.member_report(member, in_maintenance, now);
-                (place as u64, report)
+                (index as u64, report)
             })
             .collect()
     }
 
+    /// Returns one member's open requests at the backends in maintenance, and the age of its oldest count.
     fn member_report(
         &self,
         member: SocketAddr,
@@ -141,7 +144,7 @@
         report
     }
 
-    /// Takes a report, with the time at which it came.
+    /// Records a member's report as received now, with counts for at most `max_backends` backends.
     pub fn record_report(
         &mut self,
         from: SocketAddr,
@@ -163,7 +166,8 @@
     }
 }
 
-fn backend(row: &BackendStatus, in_maintenance: &BTreeSet<String>) -> BackendCapacity {
+/// Converts a backend's status for the calendar.
+fn backend_capacity(row: &BackendStatus, in_maintenance: &BTreeSet<String>) -> BackendCapacity {
     let readiness = if in_maintenance.contains(&row.name) {
         1.0
     } else {
--- a/src/net/cluster/coordination/maintenance.rs
+++ b/src/net/cluster/coordination/maintenance.rs
@@ -1,14 +1,15 @@
-//! The calendar at this proxy, and which backends it keeps free of requests.
+//! This proxy's copy of the calendar of maintenance windows, and the backends that are in maintenance by it.
 
 use meadowproxy::fleet::calendar::{Calendar, Digest};
 use std::collections::BTreeSet;
 
-/// The calendar, and what follows from it here.
+/// This proxy's copy of the calendar, and the state that follows from it.
 pub struct MaintenanceState {
     pub calendar: Calendar,
-    /// The backends that the request loop was notified of as in maintenance.
+    /// The backends that the request loop has been told to keep in maintenance.
     pub in_maintenance: BTreeSet<String>,
-    /// After a start, the ranges of id hashes in which this proxy was shown to lack nothing; `None` once it has caught up.
+    /// Ranges of id hashes in which this proxy, since its start, turned out to lack no window; `None` once it has caught
+    /// up.
     pub compared_ranges: Option<Vec<HashRange>>,
 }
 
@@ -20,7 +21,7 @@
 }
 
 impl MaintenanceState {
-    /// The calendar of a proxy that has just started.
+    /// Creates the state of a proxy that has just started.
     pub fn new(calendar: Calendar) -> MaintenanceState {
         MaintenanceState {
             calendar,
@@ -29,11 +30,13 @@
         }
     }
 
+    /// Whether this proxy has caught up with the fleet's calendar.
     pub fn has_caught_up(&self) -> bool {
         self.compared_ranges.is_none()
     }
 
-    /// Records that nothing is lacking in a digest's range; says whether the ranges now cover all hashes.
+    /// Records that this proxy lacks no window in a digest's range. Returns whether the recorded ranges now cover all
+    /// hashes.
     pub fn record_compared(&mut self, digest: &Digest) -> bool {
         let Some(ranges) = &mut self.compared_ranges else {
             return false;
@@ -43,15 +46,15 @@
             to: digest.to,
         });
         ranges.sort_unstable();
-        let mut uncovered_from = Some(0);
+        let mut first_uncovered = Some(0);
         for range in ranges.iter() {
-            match uncovered_from {
-                Some(at) if range.from <= at => {
-                    uncovered_from = range.to.checked_add(1).map(|after| after.max(at));
+            match first_uncovered {
+                Some(first) if range.from <= first => {
+                    first_uncovered = range.to.checked_add(1).map(|next| next.max(first));
                 }
                 _ => break,
             }
         }
-        uncovered_from.is_none()
+        first_uncovered.is_none()
     }
 }
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -1,8 +1,9 @@
-//! The messages that proxies exchange about duties, maintenance windows and the configuration.
+//! The messages that proxies exchange about duties, maintenance windows and the configuration, with [`encode`] and
+//! [`decode`].
 //!
-//! One message is a version byte and a [`DutyMessage`] in postcard, as the body
-//! [`Body::Duty`](crate::net::cluster::gossip::wire::Body::Duty) of a datagram with a checksum. Nothing here panics on
-//! input. Names may change; the order of variants and fields is the format.
+//! A message is a version byte and a [`DutyMessage`] in postcard, sent as the body
+//! [`Body::Coordination`](crate::net::cluster::gossip::wire::Body::Coordination) of a datagram with a checksum. Decoding
+//! never panics, whatever the bytes. The order of variants and fields is part of the format; their names are not.
 
 use crate::net::cluster::gossip::wire::MAX_DATAGRAM_BODY_BYTES;
 use meadowproxy::fleet::calendar::{Digest, WindowError};
@@ -11,22 +12,22 @@
 use meadowproxy::fleet::relay::{self, BroadcastHeader};
 use serde::{Deserialize, Serialize};
 
-/// Raised whenever a message's format changes.
+/// Version of the message format. Increase it with every change of the format.
 const VERSION: u8 = 3;
-/// Bytes of the items in one message at most, so that it fits a body with all else in it.
+/// Maximum size of the items in one message, in bytes. The rest of the body is reserved for its other fields.
 const MAX_ITEMS_BYTES: usize = MAX_DATAGRAM_BODY_BYTES - 80;
 
-/// What one proxy of the fleet, the lease holder, does for all.
+/// A task that one proxy of the fleet, the holder of its lease, performs for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Duty {
-    /// To advance the calendar of maintenance windows.
+    /// Advance the calendar of maintenance windows.
     Calendar,
-    /// To order the changes of the configuration.
+    /// Order the changes of the configuration.
     Config,
 }
 
 impl Duty {
-    /// The name in logs and answers.
+    /// Returns the name of the duty in logs and in responses to operators.
     pub fn name(self) -> &'static str {
         match self {
             Duty::Calendar => "calendar",
@@ -35,106 +36,106 @@
     }
 }
 
-/// The highest token that the sender has seen for a duty.
+/// A report of the highest token that the sender has seen for a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TokenReport {
     pub duty: Duty,
     pub token: Token,
-    /// How long ago, in milliseconds, the holder's last heartbeat was sent, over however many proxies it came; `None`
-    /// where there never was one.
+    /// Time since the holder sent its last heartbeat, in milliseconds, however many proxies relayed it; `None` if no
+    /// heartbeat is known or it is too old for this type.
     pub heartbeat_age_ms: Option<u32>,
 }
 
-/// A duty and its holder's token.
+/// A duty and the token of its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldDuty {
     pub duty: Duty,
     pub token: Token,
 }
 
-/// What one proxy sends to all members.
+/// A message from one proxy to all members: a holder's heartbeat, or changed windows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The duties that it holds and acts for; none where an operator's call is the cause.
+    /// The duties that the sender holds and acts for; empty if an operator's call is the cause.
     pub held: Vec<HeldDuty>,
-    /// Encoded windows that it changed; none in a holder's heartbeat.
+    /// The encoded windows that the sender changed; empty in a holder's heartbeat.
     pub windows: Vec<Vec<u8>>,
 }
 
-/// How many requests are open at a backend.
+/// Number of open requests at a backend.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OpenRequestCount {
     pub backend: String,
     pub open: u32,
 }
 
-/// One message.
+/// A coordination message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DutyMessage {
-    /// Between a candidate and a voter.
+    /// A message between a candidate and a voter.
     Lease { duty: Duty, message: Message },
-    /// Anti-entropy: what the sender knows.
+    /// Anti-entropy: a summary of what the sender knows.
     Digest {
         tokens: Vec<TokenReport>,
         digest: Digest,
-        /// The sender has just started and may lack anything.
+        /// The sender has not caught up since its start and may lack windows.
         is_new: bool,
-        /// The receiver's digests are requested.
+        /// The receiver is to reply with its own digests.
         wants_reply: bool,
     },
     /// Requests windows by the hashes of their ids.
     RequestWindows { id_hashes: Vec<u64> },
-    /// Encoded windows as the sender has them.
+    /// Encoded windows, in the sender's version.
     Windows { windows: Vec<Vec<u8>> },
-    /// To all members, relayed by all.
+    /// An announcement to all members, which relay it to each other.
     Broadcast(BroadcastHeader, Announcement),
-    /// To a former holder: a higher token was seen.
+    /// Notifies a former holder that a higher token was seen.
     Fenced { duty: Duty, highest: Token },
-    /// To the holder: open requests at backends that are in maintenance at the sender.
+    /// Reports the sender's open requests at backends in maintenance to the holder.
     OpenRequests { open: Vec<OpenRequestCount> },
-    /// About the configuration.
+    /// A message about the configuration.
     Config(config::Message),
 }
 
-/// Why a message is not used.
+/// Reason why a message is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    #[error("empty")]
+    #[error("empty message")]
     Empty,
-    #[error("version {0}, this program reads {VERSION}")]
+    #[error("message format version {0}, this program reads version {VERSION}")]
     Version(u8),
-    #[error("does not decode: {0}")]
+    #[error("message cannot be decoded: {0}")]
     Malformed(#[source] postcard::Error),
-    #[error("a maintenance window: {0}")]
+    #[error("invalid maintenance window: {0}")]
     Window(#[from] WindowError),
-    #[error("a voter's response from a proxy that is no voter")]
+    #[error("voter's response from a proxy that is not a voter")]
     NotAVoter,
-    #[error("a higher fencing token was seen")]
+    #[error("stale fencing token: a higher one was seen")]
     StaleToken,
-    /// A token with a number that no clock gives: above it none could follow.
-    #[error("no token has number {0}")]
+    /// The token's number is too high for any clock; no higher token could follow it.
+    #[error("token number {0}, expected less than {MAX_TOKEN_NUMBER}")]
     TokenNumber(u64),
-    /// A broadcast that is neither used nor relayed.
+    /// The broadcast is neither used nor relayed.
     #[error("{0}")]
     Broadcast(relay::BroadcastError),
-    /// The configuration's state machine does not use it.
+    /// The configuration's state machine rejects the message.
     #[error("{0}")]
     Config(config::MessageError),
 }
 
 impl MessageError {
-    /// A stable name for logs and counters.
+    /// Returns a stable name of the reason for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
             MessageError::Empty | MessageError::Version(_) => "version",
-            // The message does not decode: look for a faulty or differing program.
+            // Cannot be decoded: the sender runs a faulty or different program.
             MessageError::Malformed(_) => "garbled",
             MessageError::Window(WindowError::Full) => "full",
             MessageError::Window(_) => "entry",
-            // A voter's response from a proxy that is no voter by this proxy's settings: the settings differ.
+            // A voter's response from a proxy that is not a voter in this proxy's settings: their settings differ.
             MessageError::NotAVoter => "stranger",
             MessageError::StaleToken => "token",
-            // A fencing token that is too high for any clock: see the sender's clock.
+            // A fencing token with a number that no correct clock yields: check the sender's clock.
             MessageError::TokenNumber(_) => "number",
             MessageError::Broadcast(error) => error.cause(),
             MessageError::Config(error) => error.cause(),
@@ -142,13 +143,14 @@
     }
 }
 
-/// Tokens' numbers are milliseconds since 1970 or little more: this is far in the future, and far from the largest `u64`.
+/// Exclusive upper bound of token numbers. They are about milliseconds since 1970, so this is far in the future, and it
+/// is far from the largest `u64`, so higher numbers can always follow.
 const MAX_TOKEN_NUMBER: u64 = 1 << 53;
 
-/// Whether other tokens can follow this one.
+/// Checks that higher tokens can follow a token.
 ///
 /// # Errors
-/// Its number is too high.
+/// Returns [`MessageError::TokenNumber`] if the token's number is too high.
 pub fn check_token(token: Token) -> Result<(), MessageError> {
     if token.number < MAX_TOKEN_NUMBER {
         Ok(())
@@ -158,7 +160,8 @@
 }
 
 impl DutyMessage {
-    /// Whether other tokens can follow every token in it; encoded windows are checked when they are merged.
+    /// Checks every token in the message with [`check_token`], except in encoded windows, which are checked when they are
+    /// merged.
     fn check(&self) -> Result<(), MessageError> {
         match self {
             DutyMessage::Lease { message, .. } => check_lease_message(message),
@@ -178,6 +181,7 @@
     }
 }
 
+/// Checks every ballot in a lease message with [`check_token`].
 fn check_lease_message(message: &Message) -> Result<(), MessageError> {
     match message {
         Message::Denied {
@@ -194,13 +198,13 @@
     }
 }
 
-/// The message's bytes.
+/// Encodes a message as the body of a datagram.
 pub fn encode(message: &DutyMessage) -> Vec<u8> {
-    // Plain data always encodes; were it not to, receivers would reject the empty body.
+    // Encoding plain data cannot fail; if it did, receivers would reject the empty body.
     postcard::to_extend(message, vec![VERSION]).unwrap_or_default()
 }
 
-/// A message from a body's bytes.
+/// Decodes a message from the body of a datagram.
 pub fn decode(bytes: &[u8]) -> Result<DutyMessage, MessageError> {
     let (version, body) = bytes.split_first().ok_or(MessageError::Empty)?;
     if *version != VERSION {
@@ -215,16 +219,16 @@
     }
 }
 
-/// Splits a list into parts that each fit into one message; `size_bytes` is about an item's encoded size.
+/// Splits a list into parts that each fit into one message. `size_bytes` returns the approximate encoded size of an item.
 pub fn split_to_fit<T>(items: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut filled = MAX_ITEMS_BYTES;
+    let mut part_bytes = MAX_ITEMS_BYTES;
     for item in items {
-        filled += size_bytes(&item);
-        match parts.last_mut().filter(|_| filled <= MAX_ITEMS_BYTES) {
+        part_bytes += size_bytes(&item);
+        match parts.last_mut().filter(|_| part_bytes <= MAX_ITEMS_BYTES) {
             Some(part) => part.push(item),
             None => {
-                filled = size_bytes(&item);
+                part_bytes = size_bytes(&item);
                 parts.push(vec![item]);
             }
         }
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of encoding and decoding, and strategies for random messages.
+//! Tests of encoding and decoding messages, and strategies that generate random messages.
 
 use super::*;
 use meadowproxy::fleet::calendar::DigestRow;
@@ -12,7 +12,7 @@
     })
 }
 
-/// Changes of the configuration of a few keys.
+/// Generates changes of the configuration to a few keys.
 fn config_change() -> impl Strategy<Value = config::Change> {
     use config::{Change, Edit, Key, Kind, Value};
     let edit = (
@@ -40,8 +40,8 @@
         })
 }
 
-/// Messages about the configuration; the machine's own tests have all kinds.
-fn config() -> impl Strategy<Value = DutyMessage> {
+/// Generates messages of some kinds about the configuration; the tests of its state machine cover all kinds.
+fn config_message() -> impl Strategy<Value = DutyMessage> {
     use config::{Digest, Message, Node, Paxos};
     let message = prop_oneof![
         (token(), any::<u32>())
@@ -84,33 +84,34 @@
     message.prop_map(DutyMessage::Config)
 }
 
-/// Any message, of any of its kinds.
+/// Generates messages of all kinds.
 pub fn message() -> impl Strategy<Value = DutyMessage> {
-    prop_oneof![7 => of_duty(Duty::Calendar), 2 => of_duty(Duty::Config), 3 => config()]
+    prop_oneof![7 => duty_message(Duty::Calendar), 2 => duty_message(Duty::Config), 3 => config_message()]
 }
 
-/// Some that are fit to be taken now, some that are not.
+/// Generates headers of broadcasts, some of which are valid now.
 fn header() -> impl Strategy<Value = BroadcastHeader> {
-    let part = (0u32..9, (u32::MAX - 9).., 0u8..12);
-    let part = part.prop_map(|(from, to, hops)| relay::HashRange {
+    let range = (0u32..9, (u32::MAX - 9).., 0u8..12);
+    let range = range.prop_map(|(from, to, hops)| relay::HashRange {
         first: from,
         last: to,
         hops,
     });
     let wall = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
-    let said = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
-    (9u16..14, 0u64..4, said, part).prop_map(|(port, incarnation, said_us, part)| {
+    let sent = prop_oneof![Just(wall.as_micros() as u64), any::<u64>()];
+    (9u16..14, 0u64..4, sent, range).prop_map(|(port, incarnation, sent_us, range)| {
         let origin = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         BroadcastHeader {
             origin,
             incarnation,
-            sent_us: said_us,
-            range: part,
+            sent_us,
+            range,
         }
     })
 }
 
-fn of_duty(duty: Duty) -> impl Strategy<Value = DutyMessage> {
+/// Generates messages about a duty.
+fn duty_message(duty: Duty) -> impl Strategy<Value = DutyMessage> {
     let count = ("[a-z0-9-]{0,64}", any::<u32>())
         .prop_map(|(backend, open)| OpenRequestCount { backend, open });
     let windows = || prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..6);
@@ -167,8 +168,8 @@
 }
 
 proptest! {
-    /// A message decodes to what was encoded; cut short or with more bytes behind it is rejected, and one with changed bytes, or
-    /// random bytes, never panics and never becomes another version's.
+    /// A message decodes to what was encoded. A truncated message or one with trailing bytes is rejected. Decoding a message
+    /// with a changed byte, or random bytes, never panics, and never succeeds with another version.
     #[test]
     fn only_complete_messages_are_decoded(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
                                     junk in prop::collection::vec(any::<u8>(), 1..64)) {
@@ -183,9 +184,9 @@
         let _ = decode(&junk);
     }
 
-    /// A token above which no other could come is rejected, wherever it is.
+    /// A token above which no other could follow is rejected, in whichever field it is.
     #[test]
-    fn no_token_is_the_last(m in message(), number in MAX_TOKEN_NUMBER..) {
+    fn tokens_with_too_high_numbers_are_rejected(m in message(), number in MAX_TOKEN_NUMBER..) {
         let last = Ballot { number, incarnation: 0 };
         let message = match m {
             DutyMessage::Lease { duty, message: Message::Denied { ballot, round, .. } } => {
@@ -209,9 +210,9 @@
         prop_assert!(matches!(decode(&encode(&message)), Err(MessageError::TokenNumber(n)) if n == number));
     }
 
-    /// Every item is in one part, in order, and no part is over the bound unless it is one item.
+    /// The parts contain every item once, in order, and no part is over the bound unless it is a single item.
     #[test]
-    fn parts_have_all_items_and_fit(sizes in prop::collection::vec(0usize..1400, 0..40)) {
+    fn parts_contain_all_items_and_fit_into_messages(sizes in prop::collection::vec(0usize..1400, 0..40)) {
         let parts = split_to_fit(sizes.clone(), |size| *size);
         prop_assert_eq!(parts.concat(), sizes);
         for part in parts {
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -1,4 +1,4 @@
-//! The worker that takes the other proxies' messages.
+//! The message worker: decodes the coordination messages of other proxies and applies them to the shared state.
 
 use super::announcements::window_messages;
 use super::clocks::wall_now;
@@ -16,10 +16,10 @@
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::sync::Arc;
 
-/// Backends that are recorded of one member's reports at most.
+/// Maximum number of backends for which one member's counts of open requests are recorded.
 const MAX_REPORTED_BACKENDS: usize = 1024;
 
-/// Takes messages until the socket's side is gone.
+/// Handles messages until the sender of the queue is gone.
 pub fn run(
     shared: &Arc<SharedState>,
     messages: &Receiver<CoordinationDatagram>,
@@ -31,14 +31,15 @@
         let handled = message::decode(&bytes)
             .and_then(|message| handle(shared, from, message, &mut outgoing));
         shared.send(outgoing);
-        record(shared, from, handled);
+        count_message(shared, from, handled);
         if shared.held_tokens() != held_before {
-            let _ = commands.try_send(Command::Wake); // full: it is awake anyway
+            let _ = commands.try_send(Command::Wake); // if the queue is full, the worker is awake anyway
         }
     }
 }
 
-fn record(shared: &SharedState, from: SocketAddr, handled: Result<(), MessageError>) {
+/// Counts a message, as rejected if handling it failed.
+fn count_message(shared: &SharedState, from: SocketAddr, handled: Result<(), MessageError>) {
     let mut effect_queue = shared.effect_queue.lock();
     effect_queue.received += 1;
     if let Err(error) = handled {
@@ -46,6 +47,7 @@
     }
 }
 
+/// Applies a message of the proxy at `from`; the messages that it leads to are added to `outgoing`.
 fn handle(
     shared: &SharedState,
     from: SocketAddr,
@@ -70,7 +72,7 @@
                 let replies = shared.digests(false);
                 outgoing.extend(replies.into_iter().map(|reply| (from, reply)));
             }
-            compare(shared, from, &digest, is_new, outgoing);
+            compare_calendars(shared, from, &digest, is_new, outgoing);
         }
         DutyMessage::RequestWindows { id_hashes } => {
             let windows = shared
@@ -80,7 +82,7 @@
                 .requested(&id_hashes, wall_now());
             outgoing.extend(window_messages(from, &windows));
         }
-        DutyMessage::Windows { windows } => return merge(shared, &windows, outgoing),
+        DutyMessage::Windows { windows } => return merge_windows(shared, &windows, outgoing),
         DutyMessage::Broadcast(header, announcement) => {
             return handle_broadcast(shared, &header, announcement, outgoing);
         }
@@ -100,7 +102,7 @@
     Ok(())
 }
 
-/// Takes an announcement, and relays it; not what is announced under a stale token.
+/// Applies an announcement and relays it, except for what was announced under a stale token.
 fn handle_broadcast(
     shared: &SharedState,
     header: &BroadcastHeader,
@@ -127,13 +129,14 @@
     if !announcement.held.is_empty() || !announcement.windows.is_empty() {
         shared.relay_announcement(header, &announcement);
     }
-    merge(shared, &announcement.windows, outgoing)?;
+    merge_windows(shared, &announcement.windows, outgoing)?;
     if is_stale {
         return Err(MessageError::StaleToken);
     }
     Ok(())
 }
 
+/// Applies reports of the tokens that another proxy has seen.
 fn observe_reports(shared: &SharedState, reports: &[TokenReport], outgoing: &mut DutyMessages) {
     for report in reports {
         shared.with_lease(report.duty, |lease| {
@@ -142,22 +145,23 @@
     }
 }
 
-/// Compares another proxy's calendar with the one here: sends and requests what either lacks.
-fn compare(
+/// Compares another proxy's calendar with this proxy's: sends the windows that the other lacks, and requests those
+/// missing here.
+fn compare_calendars(
     shared: &SharedState,
     from: SocketAddr,
     digest: &Digest,
     is_new: bool,
     outgoing: &mut DutyMessages,
 ) {
-    let is_seen = shared.fleet_view.lock().seen.is_some();
+    let has_loop_view = shared.fleet_view.lock().loop_view.is_some();
     let (difference, has_caught_up) = {
         let mut maintenance = shared.maintenance.lock();
         let difference = maintenance.calendar.compare(digest, wall_now());
         let lacks_nothing = difference.to_request.is_empty();
-        // Another new proxy knows as little as this one.
-        let counts = is_seen && !is_new && lacks_nothing;
-        let has_caught_up = counts && maintenance.record_compared(digest);
+        // The digest of a proxy that has just started does not show that nothing is lacking here.
+        let is_conclusive = has_loop_view && !is_new && lacks_nothing;
+        let has_caught_up = is_conclusive && maintenance.record_compared(digest);
         (difference, has_caught_up)
     };
     if !difference.to_request.is_empty() {
@@ -170,11 +174,11 @@
     }
 }
 
-/// Merges each valid window, whatever the others are.
+/// Merges each valid window into the calendar, even if others are invalid.
 ///
 /// # Errors
-/// What is wrong with the first that is not valid.
-fn merge(
+/// Returns the error of the first invalid window.
+fn merge_windows(
     shared: &SharedState,
     windows: &[Vec<u8>],
     outgoing: &mut DutyMessages,
@@ -185,7 +189,7 @@
     let highest = {
         let mut maintenance = shared.maintenance.lock();
         for bytes in windows {
-            match merge_one(&mut maintenance.calendar, bytes, now) {
+            match merge_window(&mut maintenance.calendar, bytes, now) {
                 Ok(changed) => is_changed |= changed,
                 Err(error) => first_error = first_error.or(Some(error)),
             }
@@ -204,7 +208,12 @@
     first_error.map_or(Ok(()), Err)
 }
 
-fn merge_one(calendar: &mut Calendar, bytes: &[u8], now: WallTime) -> Result<bool, MessageError> {
+/// Decodes a window and merges it into the calendar. Returns whether the calendar changed.
+fn merge_window(
+    calendar: &mut Calendar,
+    bytes: &[u8],
+    now: WallTime,
+) -> Result<bool, MessageError> {
     let window = Window::decode(bytes, now)?;
     if let Some(progress) = &window.progress {
         check_token(progress.token)?;
--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -1,4 +1,4 @@
-//! Messages of other proxies and of strangers, taken in random orders.
+//! Tests of handling messages, from members of the fleet and from other senders.
 
 use super::super::admin_calls::handle_call;
 use super::super::call::Call;
@@ -15,10 +15,10 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever members and strangers send, in any order: nothing panics, no lock is taken out of order, the highest token
-    /// never falls, and the window that is there stays as it was.
+    /// Random messages from members and other senders, in any order, cause no panic, take no lock out of order, never
+    /// lower the highest token, and leave an existing window unchanged.
     #[test]
-    fn no_messages_break_the_tables(messages in prop::collection::vec((9u16..14, message()), 1..40)) {
+    fn random_messages_keep_the_shared_state_consistent(messages in prop::collection::vec((9u16..14, message()), 1..40)) {
         let (shared, _effects) = SharedState::example();
         let spec = Spec::from_json(br#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"x"}"#);
         let stamp = Version { called_at: wall_now(), incarnation: 1 };
@@ -34,34 +34,34 @@
             shared.update_maintenance();
             let call = Call { method: Method::GET, path: vec!["duties".into()], body: Bytes::new() };
             prop_assert_eq!(handle_call(&shared, &call).0, StatusCode::OK);
-            let token = shared.calendar_lease.lock().token_reports().first().map(|word| word.token);
-            prop_assert!(token >= highest, "{token:?} after {highest:?}");
+            let token = shared.calendar_lease.lock().token_reports().first().map(|report| report.token);
+            prop_assert!(token >= highest, "the highest token fell from {highest:?} to {token:?}");
             highest = token;
         }
         prop_assert_eq!(window(&shared), before);
     }
 }
 
-/// A proxy that starts is covered only once the ranges that were shown to it leave no gap, in whatever order.
+/// A proxy that starts has caught up with the calendar only once the compared ranges leave no gap, in any order.
 #[test]
-fn only_ranges_without_a_gap_cover_the_calendar() {
+fn only_ranges_without_gaps_cover_the_calendar() {
     let (shared, _effects) = SharedState::example();
     let calendar = shared.maintenance.lock().calendar.clone();
     let covers = |ranges: &[(u64, u64)]| {
-        let mut windows = MaintenanceState::new(calendar.clone());
-        let last = ranges.iter().map(|(from, to)| {
-            windows.record_compared(&Digest {
+        let mut maintenance = MaintenanceState::new(calendar.clone());
+        let covered = ranges.iter().map(|(from, to)| {
+            maintenance.record_compared(&Digest {
                 from: *from,
                 to: *to,
                 rows: Vec::new(),
             })
         });
-        last.last().unwrap_or_default()
+        covered.last().unwrap_or_default()
     };
     assert!(covers(&[(0, u64::MAX)]) && covers(&[(6, u64::MAX), (0, 5)]));
     assert!(
         covers(&[(0, 9), (3, 5), (10, u64::MAX)]),
-        "one inside another"
+        "a range inside another one"
     );
     assert!(
         !covers(&[(0, 5), (7, u64::MAX)])
@@ -81,9 +81,9 @@
     }
 }
 
-/// A heartbeat of the proxy at that port, to be relayed.
-fn heartbeat(port: u16, number: u64, said_us: u64) -> DutyMessage {
-    let part = HashRange {
+/// A heartbeat that the proxy at `port` sent at `sent_us` on the wall clock.
+fn heartbeat(port: u16, number: u64, sent_us: u64) -> DutyMessage {
+    let range = HashRange {
         first: 0,
         last: u32::MAX,
         hops: 1,
@@ -91,8 +91,8 @@
     let header = BroadcastHeader {
         origin: address(port),
         incarnation: u64::from(port),
-        sent_us: said_us,
-        range: part,
+        sent_us,
+        range,
     };
     let held = HeldDuty {
         duty: Duty::Calendar,
@@ -105,32 +105,36 @@
     DutyMessage::Broadcast(header, announcement)
 }
 
-/// A holder's heartbeat counts as the holder's, whoever relayed it. One that a newer one overtook makes the holder's
-/// last heartbeat no younger, one that came before or that has a lower token changes nothing, and the former holder
-/// itself is notified.
+/// A relayed heartbeat counts as the holder's, whichever proxy relayed it. One that arrives after a newer one does not
+/// renew the holder's last heartbeat, a repeated one is rejected, and one with a lower token is rejected and the former
+/// holder notified.
 #[test]
-fn a_relayed_heartbeat_proves_no_more_than_the_holders_own() {
+fn a_relayed_heartbeat_counts_as_the_holders_own_unless_it_is_old() {
     let (shared, _effects) = SharedState::example();
     let now = wall_now().0;
-    let relay = |port, number, said_us| {
+    let relay = |port, number, sent_us| {
         let mut outgoing = DutyMessages::new();
-        let message = heartbeat(port, number, said_us);
+        let message = heartbeat(port, number, sent_us);
         let handled = handle(&shared, address(12), message, &mut outgoing);
         (handled.map_err(|error| error.cause()), outgoing)
     };
     let holder = || shared.calendar_lease.lock().holder();
     assert_eq!(relay(10, 5, now), (Ok(()), Vec::new()));
-    assert_eq!(holder(), Some(address(10)), "not the one that relayed it");
+    assert_eq!(
+        holder(),
+        Some(address(10)),
+        "the holder is the origin of the heartbeat, not the proxy that relayed it"
+    );
     std::thread::sleep(std::time::Duration::from_millis(20));
     assert_eq!(
         relay(10, 5, now - 1),
         (Ok(()), Vec::new()),
-        "its content counts"
+        "an older heartbeat of the same holder was rejected"
     );
     assert_eq!(relay(10, 5, now).0, Err("repeated"));
     assert!(
         shared.calendar_lease.lock().since_heartbeat() >= meadowproxy::Micros(20_000),
-        "an overtaken heartbeat counted as a new one"
+        "an older heartbeat that arrived late renewed the last one"
     );
     let fenced = DutyMessage::Fenced {
         duty: Duty::Calendar,
@@ -143,9 +147,10 @@
     assert_eq!(holder(), Some(address(10)));
 }
 
-/// A proxy that starts has caught up after the digest of one that takes part, not of another that has just started.
+/// A proxy that starts has caught up after the digest of a proxy that has caught up itself, not of one that has just
+/// started.
 #[test]
-fn newcomers_do_not_confirm_each_other() {
+fn only_a_digest_of_a_caught_up_proxy_ends_catching_up() {
     let (shared, mut effects) = SharedState::example();
     let mut caught_up_after = |is_new| {
         let digest = Digest {
@@ -164,5 +169,5 @@
     };
     assert!(!caught_up_after(true));
     assert!(caught_up_after(false));
-    assert!(!caught_up_after(false), "once");
+    assert!(!caught_up_after(false), "reported as caught up twice");
 }
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -1,24 +1,25 @@
-//! Coordination of the fleet's proxies: the leases of duties that one proxy performs at a time, the maintenance windows
-//! that the holder of the calendar's duty advances, and the configuration. The state machines are in
-//! [`meadowproxy::fleet`]; here are their sockets, clocks and threads.
+//! Coordination of the fleet's proxies: leases for the duties that one proxy performs at a time, the maintenance windows
+//! that the holder of the calendar duty advances, and the replicated configuration. The state machines are in
+//! [`meadowproxy::fleet`]; this module runs them on sockets, clocks and threads.
 //!
-//! Start it with [`Coordinator::start`]. Two threads work beside the request loop: the message worker (`duties-wire`)
-//! takes the other proxies' messages, the timer worker (`duties-clock`) lets time pass; a third (`duties-copy`) writes a
-//! snapshot of the configuration where one is wanted. They share [`shared_state`].
+//! Start it with [`Coordinator::start`]. Two threads run beside the request loop: the message worker (`duties-wire`)
+//! handles the other proxies' messages, and the timer worker (`duties-clock`) runs timers and operators' calls. A third
+//! one (`duties-copy`) saves snapshots of the configuration, if enabled. The threads share
+//! [`SharedState`](shared_state::SharedState).
 //!
-//! The request loop takes none of their locks: it gets effects from a bounded channel,
-//! and shows what it sees through a watch in which the newest value wins; operators' calls go to the timer worker over a
-//! bounded queue and are answered by a oneshot.
+//! The request loop takes none of the workers' locks. It receives effects over a bounded channel and publishes its view
+//! through a watch channel, which keeps only the newest value. Operators' calls go to the timer worker over a bounded
+//! queue and are answered over a oneshot channel.
 //!
-//! Modules use each other in one direction only, each those of the rows above it or of its own.
+//! Each module depends only on modules in its own row of this table or in the rows above.
 //!
-//! | modules | what they are |
+//! | modules | content |
 //! | --- | --- |
 //! | `message`, `call`, `clocks`, `config_change`, `command`, `ordered_locks`, `request_loop` | messages and plain types |
-//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `fleet_view`, `config_driver` | one table each |
-//! | `shared_state` | the tables behind their locks |
-//! | `announcements`, `config`, `admin_calls`, `config_snapshot` | what is done with the tables |
-//! | `message_worker`, `timer_worker`, `request_loop_tasks` | the threads, and the request loop's side |
+//! | `voter_contacts`, `duty_lease`, `maintenance`, `effect_queue`, `fleet_view`, `config_driver` | the parts of the shared state |
+//! | `shared_state` | the shared state, each part behind its lock |
+//! | `announcements`, `config`, `admin_calls`, `config_snapshot` | operations on the shared state |
+//! | `message_worker`, `timer_worker`, `request_loop_tasks` | the worker threads and the request loop's tasks |
 
 mod admin_calls;
 mod announcements;
@@ -77,61 +78,77 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::info;
 
-/// Messages that wait for the message worker at most; more are dropped, as UDP may.
+/// Capacity of the message worker's queue. Further messages are dropped, which senders expect of UDP anyway.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Commands that wait for the timer worker at most.
+/// Capacity of the timer worker's command queue.
 const MAX_QUEUED_COMMANDS: usize = 64;
-/// Effects that wait for the request loop at most: a window may target a few hundred backends at once.
+/// Capacity of the request loop's effect queue: a window may target a few hundred backends at once.
 const MAX_QUEUED_EFFECTS: usize = 1024;
-/// This proxy's part in the fleet's duties.
+
+/// Runs the coordination of this proxy with the fleet: leases of duties, maintenance windows and the configuration.
 pub struct Coordinator {
     commands: SyncSender<Command>,
     is_caught_up: watch::Receiver<bool>,
-    /// What changes of the configuration are checked against.
+    /// The entries that operators' configuration changes are validated against.
     fleet_overrides: Rc<FleetOverrides>,
 }
 
 impl Coordinator {
-    /// Starts the workers. `slow_start`: how long a backend is in slow start after a window; `config_snapshot`: where this
-    /// proxy's table of the configuration is saved, if it is.
+    /// Starts the workers. `slow_start` is how long a backend is in slow start after a window; `config_snapshot` is the
+    /// file in which this proxy saves its configuration table, if it does.
     ///
     /// # Errors
-    /// The rules of the leases are out of their range, or a thread does not start.
+    /// Returns an error if the lease settings are out of range or a thread cannot be started.
     pub fn start(
         host: Rc<Host>,
-        peers: &Rc<GossipDriver>,
-        voting: &CoordinationSection,
+        gossip: &Rc<GossipDriver>,
+        section: &CoordinationSection,
         slow_start: Micros,
         fleet_overrides: Rc<FleetOverrides>,
         config_snapshot: Option<SnapshotFile>,
     ) -> io::Result<Rc<Coordinator>> {
-        let own = peers.own_address();
+        let own_address = gossip.own_address();
         let (effects, pending_effects) = mpsc::channel(MAX_QUEUED_EFFECTS);
-        let shared = build_shared_state(peers, voting, slow_start, &fleet_overrides, effects)?;
-        if let Some(table) = config_snapshot.as_ref().and_then(|file| file.load(own)) {
+        let shared = build_shared_state(gossip, section, slow_start, &fleet_overrides, effects)?;
+        if let Some(table) = config_snapshot
+            .as_ref()
+            .and_then(|file| file.load(own_address))
+        {
             shared.restore_config(table);
         }
-        let (messages, received) = sync_channel(MAX_QUEUED_MESSAGES);
+        let (messages, received_messages) = sync_channel(MAX_QUEUED_MESSAGES);
         let (commands, queued_commands) = sync_channel(MAX_QUEUED_COMMANDS);
-        let (show, seen) = watch::channel(None);
-        let (demanded, demand) = watch::channel(BackendDemand::EveryUpdate);
-        let timers = TimerWorker::new(shared.clone(), seen, demanded, own, peers.is_only_proxy());
-        spawn_workers(&shared, timers, received, queued_commands, &commands)?;
+        let (publish_view, loop_view) = watch::channel(None);
+        let (set_demand, demand) = watch::channel(BackendDemand::EveryUpdate);
+        let timers = TimerWorker::new(
+            shared.clone(),
+            loop_view,
+            set_demand,
+            own_address,
+            gossip.is_only_proxy(),
+        );
+        spawn_workers(
+            &shared,
+            timers,
+            received_messages,
+            queued_commands,
+            &commands,
+        )?;
         if let Some(file) = config_snapshot {
-            thread("copy").spawn(move || file.save_changes(&shared, own))?;
+            thread_builder("copy").spawn(move || file.save_changes(&shared, own_address))?;
         }
-        peers.deliver_coordination_to(messages);
-        info!(event = "duties_start", own = %own, voters = voting.voters.len(), lease_ms = voting.lease_ms,
-            "takes part in the leases of the fleet's duties");
+        gossip.deliver_coordination_to(messages);
+        info!(event = "duties_start", own = %own_address, voters = section.voters.len(), lease_ms = section.lease_ms,
+            "started coordination with the fleet");
         let applied = Rc::new(AppliedEffects::new(fleet_overrides.clone()));
         let (caught_up, is_caught_up) = watch::channel(false);
-        let apply = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
-        tokio::task::spawn_local(apply);
+        let effects_task = apply_effects(host.clone(), pending_effects, applied.clone(), caught_up);
+        tokio::task::spawn_local(effects_task);
         let view_task = LoopViewTask {
             host,
-            peers: peers.clone(),
+            gossip: gossip.clone(),
             applied,
-            show,
+            publish_view,
             demand,
             commands: commands.clone(),
         };
@@ -143,44 +160,44 @@
         }))
     }
 
-    /// Until this proxy has caught up with the calendar and the configuration, or has waited long enough for that.
+    /// Waits until this proxy has caught up with the calendar and the configuration, or catching up has timed out.
     pub async fn wait_until_ready(&self) {
         let _ = self.is_caught_up.clone().wait_for(|ready| *ready).await;
     }
 
-    /// Releases the leases that this proxy holds, as it shuts down.
+    /// Releases the leases that this proxy holds. Called at shutdown.
     pub fn release_leases(&self) {
-        let _ = self.commands.try_send(Command::Leave); // full: the lease expires by itself
+        let _ = self.commands.try_send(Command::Leave); // if the queue is full, the leases expire by themselves
     }
 }
 
-/// The tables at the start.
+/// Creates the shared state of a proxy that starts.
 fn build_shared_state(
-    peers: &GossipDriver,
-    voting: &CoordinationSection,
+    gossip: &GossipDriver,
+    section: &CoordinationSection,
     slow_start: Micros,
     fleet_overrides: &FleetOverrides,
     effects: mpsc::Sender<Effect>,
 ) -> io::Result<Arc<SharedState>> {
-    let own = peers.own_address();
-    let lease_rules = voting
+    let own_address = gossip.own_address();
+    let lease_rules = section
         .leases()
         .map_err(|error| io::Error::other(error.to_string()))?;
     let incarnation = RandomState::new().build_hasher().finish();
     let calendar = Calendar::new(Rules {
         budget: DisruptionBudget {
-            kind_floor: voting.floor,
-            zone_floor: voting.zone_floor.unwrap_or(voting.floor),
+            kind_floor: section.floor,
+            zone_floor: section.zone_floor.unwrap_or(section.floor),
         },
         slow_start,
-        max_holder_silence: peers.max_age(),
+        max_holder_silence: gossip.max_age(),
     });
-    let voters = voting.voters.clone();
+    let voters = section.voters.clone();
     let lease = DutyLease::new(
         Duty::Calendar,
         lease_rules,
         voters.clone(),
-        own,
+        own_address,
         incarnation,
     );
     Ok(Arc::new(SharedState::new(SharedStateParts {
@@ -188,23 +205,25 @@
         config: ConfigDriver::new(
             lease_rules,
             voters,
-            own,
+            own_address,
             incarnation,
             fleet_overrides.newest(),
         ),
         maintenance: MaintenanceState::new(calendar),
         fleet_view: FleetView::at_start(),
         effect_queue: EffectQueue::new(effects),
-        relay: Relay::new(own, incarnation, peers.max_age()),
-        datagrams: peers.sender(),
+        relay: Relay::new(own_address, incarnation, gossip.max_age()),
+        datagrams: gossip.sender(),
         incarnation,
     })))
 }
 
-fn thread(name: &str) -> std::thread::Builder {
+/// Returns the builder of the thread `duties-{name}`.
+fn thread_builder(name: &str) -> std::thread::Builder {
     std::thread::Builder::new().name(format!("duties-{name}"))
 }
 
+/// Starts the threads of the message worker and the timer worker.
 fn spawn_workers(
     shared: &Arc<SharedState>,
     timers: TimerWorker,
@@ -214,14 +233,14 @@
 ) -> io::Result<()> {
     let shared = shared.clone();
     let commands = commands.clone();
-    thread("wire").spawn(move || message_worker::run(&shared, &messages, &commands))?;
-    thread("clock").spawn(move || timers.run(&queued_commands))?;
+    thread_builder("wire").spawn(move || message_worker::run(&shared, &messages, &commands))?;
+    thread_builder("clock").spawn(move || timers.run(&queued_commands))?;
     Ok(())
 }
 
 impl FleetAdmin for Coordinator {
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
-        let (answer, wait) = oneshot::channel();
+        let (respond, response) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
         let call = Call {
             method: method.clone(),
@@ -229,9 +248,9 @@
             body,
         };
         let command = match config_change::parse_change(&call, &self.fleet_overrides) {
-            None => Command::Call(call, answer),
-            Some(Ok(change)) => Command::ChangeConfig(change, answer),
-            Some(Err(error)) => return Box::pin(std::future::ready(error.answer())),
+            None => Command::Call(call, respond),
+            Some(Ok(change)) => Command::ChangeConfig(change, respond),
+            Some(Err(error)) => return Box::pin(std::future::ready(error.response())),
         };
         let is_queued = self.commands.try_send(command).is_ok();
         Box::pin(async move {
@@ -240,7 +259,7 @@
                 "too many calls at once\n".to_string(),
             );
             if is_queued {
-                wait.await.unwrap_or(busy)
+                response.await.unwrap_or(busy)
             } else {
                 busy
             }
--- a/src/net/cluster/coordination/ordered_locks.rs
+++ b/src/net/cluster/coordination/ordered_locks.rs
@@ -1,24 +1,24 @@
-//! Locks that are taken in one stated order.
+//! Locks with a fixed order, which prevents deadlocks.
 //!
-//! Each has a rank, and no thread takes one of the rank of a lock that it holds or of a lower rank, so no two threads
-//! ever wait for each other. Checked at every lock where debug assertions are on.
+//! Each lock has a rank, and a thread may take a lock only if its rank is higher than those of all locks that the thread
+//! holds. So no two threads ever wait for each other. Builds with debug assertions check the order at every lock.
 
 use std::cell::Cell;
 use std::ops::{Deref, DerefMut};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 thread_local! {
-    /// The ranks that this thread holds, a bit each.
+    /// Bit set of the ranks of the locks that this thread holds.
     static HELD_RANKS: Cell<u32> = const { Cell::new(0) };
 }
 
-/// A value behind a lock of that rank, from 0 to 31.
+/// A value behind a lock. Its rank is from 0 to 31.
 pub struct OrderedLock<T> {
     rank: u32,
     value: Mutex<T>,
 }
 
-/// The value while it is locked.
+/// Access to the value of an [`OrderedLock`] until dropped.
 pub struct OrderedGuard<'a, T> {
     rank: u32,
     value: MutexGuard<'a, T>,
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Waits for the lock. A poisoned lock is used on: each value is consistent between any two statements of its methods.
+    /// Waits for the lock. Poisoning is ignored, because each value is consistent between any two statements of its
+    /// methods.
     pub fn lock(&self) -> OrderedGuard<'_, T> {
         let held = HELD_RANKS.get();
         debug_assert!(
             held >> self.rank == 0,
-            "lock {} taken out of order, ranks held: {held:b}",
+            "lock of rank {} taken out of order; bits of the ranks held: {held:b}",
             self.rank
         );
         let value = self.value.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/net/cluster/coordination/request_loop.rs
+++ b/src/net/cluster/coordination/request_loop.rs
@@ -1,4 +1,5 @@
-//! What the workers and the request loop exchange: effects one way, what the loop sees the other.
+//! Messages between the workers and the request loop: the workers send [`Effect`]s, and the request loop publishes its
+//! [`LoopView`].
 
 use crate::net::host::BackendStatus;
 use meadowproxy::fleet::config::Entry;
@@ -7,48 +8,50 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the request loop has to carry out.
+/// A change that the request loop applies.
 pub enum Effect {
-    /// No new requests to that backend: a maintenance window is in effect.
+    /// Stop sending new requests to the named backend: a maintenance window is in effect.
     BeginMaintenance(String),
-    /// No window is in effect for that backend any more.
+    /// Use the named backend again: no window is in effect for it any more.
     EndMaintenance(String),
-    /// These entries of the configuration changed together.
+    /// Apply entries of the configuration in one step.
     ChangeConfig {
-        /// The configuration's version from now on.
+        /// Version of the configuration after the change.
         version: u64,
         entries: Vec<Entry>,
     },
-    /// Calendar and configuration have caught up with the fleet: clients may come.
+    /// The calendar and the configuration have caught up with the fleet: this proxy may accept clients.
     CaughtUp,
 }
 
-/// How much the workers need to see of the listed backends.
+/// How often the workers need a new snapshot of the listed backends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BackendDemand {
+    /// Never: no decision depends on them.
     NotNeeded,
-    /// Some are in maintenance: they are shown now and then.
+    /// About once a second: some are in maintenance.
     Occasional,
-    /// Decisions depend on them, or this proxy starts: they are shown each time.
+    /// With each update of the view: decisions depend on them, or this proxy is starting.
     EveryUpdate,
 }
 
-/// The backends as the request loop sees them.
+/// The state of all backends in the request loop at one time.
 pub struct BackendSnapshot {
+    /// Time on the monotonic clock.
     pub taken_at: Time,
     pub rows: Vec<BackendStatus>,
 }
 
-/// What the request loop sees.
+/// The request loop's state, as far as the workers need it.
 pub struct LoopView {
-    /// While they are needed.
+    /// The backends; `None` while they are not needed.
     pub backends: Option<Arc<BackendSnapshot>>,
-    /// Its open requests at listed backends that are in maintenance.
+    /// Number of this proxy's open requests at each listed backend that is in maintenance.
     pub open: BTreeMap<String, u32>,
-    /// Live members but this proxy.
+    /// The live members other than this proxy.
     pub members: Vec<SocketAddr>,
-    /// The configuration's version in force.
+    /// Version of the configuration in force.
     pub config_version: u64,
-    /// The changes up to this one are contained in the file in force, by its own account.
+    /// Version up to which the configuration file in force contains the changes, as stated in the file.
     pub file_version: u64,
 }
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -1,4 +1,5 @@
-//! The request loop's side: carries out the workers' effects, and shows the workers what the loop sees.
+//! Tasks on the request loop's thread: [`apply_effects`] applies the workers' effects, and [`LoopViewTask`] publishes the
+//! loop's state to the workers.
 
 use super::clocks::monotonic_now;
 use super::command::Command;
@@ -16,21 +17,21 @@
 use tokio::sync::{mpsc, watch};
 use tracing::info;
 
-/// How often the request loop shows what it sees.
-const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// How old a snapshot of the backends may be where no decision depends on it.
+/// How often the request loop publishes its view.
+const VIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum age of a snapshot of the backends while no decision depends on it.
 const MAX_OCCASIONAL_AGE: Micros = Micros(1_000_000);
 
-/// What the workers' effects brought so far.
+/// State that results from the effects applied so far.
 pub struct AppliedEffects {
     /// Backends in maintenance.
     in_maintenance: RefCell<BTreeSet<String>>,
-    /// The configuration's entries.
+    /// The configuration entries of the fleet.
     fleet_overrides: Rc<FleetOverrides>,
 }
 
 impl AppliedEffects {
-    /// No effects yet.
+    /// Creates the state before any effect.
     pub fn new(fleet_overrides: Rc<FleetOverrides>) -> AppliedEffects {
         AppliedEffects {
             in_maintenance: RefCell::default(),
@@ -39,7 +40,7 @@
     }
 }
 
-/// Carries out the workers' effects.
+/// Applies the workers' effects until the workers are gone.
 pub async fn apply_effects(
     host: Rc<Host>,
     mut effects: mpsc::Receiver<Effect>,
@@ -54,7 +55,7 @@
                     event = "window_out",
                     backend,
                     mono_us = monotonic_now().0,
-                    "a backend is in maintenance: it gets no new requests"
+                    "backend is in maintenance and gets no new requests"
                 );
                 applied.in_maintenance.borrow_mut().insert(backend);
             }
@@ -64,7 +65,7 @@
                     event = "window_back",
                     backend,
                     mono_us = monotonic_now().0,
-                    "a backend is no longer in maintenance"
+                    "backend is no longer in maintenance"
                 );
                 applied.in_maintenance.borrow_mut().remove(&backend);
             }
@@ -79,31 +80,32 @@
     }
 }
 
-/// Shows the workers what the request loop sees: at once where they need more than before.
+/// Publishes the request loop's state to the workers: at regular intervals, and at once when the demand changes.
 pub struct LoopViewTask {
     pub host: Rc<Host>,
-    pub peers: Rc<GossipDriver>,
+    pub gossip: Rc<GossipDriver>,
     pub applied: Rc<AppliedEffects>,
-    pub show: watch::Sender<Option<Arc<LoopView>>>,
+    pub publish_view: watch::Sender<Option<Arc<LoopView>>>,
     pub demand: watch::Receiver<BackendDemand>,
     pub commands: SyncSender<Command>,
 }
 
 impl LoopViewTask {
-    /// Runs until the workers are gone.
+    /// Publishes the view until the workers are gone.
     pub async fn run(mut self) {
         let mut backends = None;
         let mut previous_demand = BackendDemand::NotNeeded;
         loop {
             let demand = *self.demand.borrow_and_update();
             backends = self.snapshot_backends(demand, backends);
-            self.show.send_replace(Some(Arc::new(self.view(&backends))));
+            self.publish_view
+                .send_replace(Some(Arc::new(self.build_view(&backends))));
             if demand != previous_demand {
                 previous_demand = demand;
-                let _ = self.commands.try_send(Command::Wake); // full: it is awake anyway
+                let _ = self.commands.try_send(Command::Wake); // if the queue is full, the worker is awake anyway
             }
             tokio::select! {
-                () = tokio::time::sleep(SNAPSHOT_INTERVAL) => {}
+                () = tokio::time::sleep(VIEW_INTERVAL) => {}
                 changed = self.demand.changed() => if changed.is_err() {
                     return;
                 }
@@ -111,6 +113,7 @@
         }
     }
 
+    /// Returns the backends as `demand` requires, reusing the previous snapshot where it is recent enough.
     fn snapshot_backends(
         &self,
         demand: BackendDemand,
@@ -130,13 +133,13 @@
         }
     }
 
-    fn view(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
+    fn build_view(&self, backends: &Option<Arc<BackendSnapshot>>) -> LoopView {
         LoopView {
             backends: backends.clone(),
             open: self
                 .host
                 .in_flight_at(&self.applied.in_maintenance.borrow()),
-            members: self.peers.members(),
+            members: self.gossip.members(),
             config_version: self.applied.fleet_overrides.version(),
             file_version: self.applied.fleet_overrides.file_version(),
         }
--- a/src/net/cluster/coordination/shared_state.rs
+++ b/src/net/cluster/coordination/shared_state.rs
@@ -1,7 +1,7 @@
-//! The tables that the workers share, each behind a lock, and what is done with several of them at once.
+//! The state that the workers share, each part behind a lock of its own, and the operations that need several parts.
 //!
-//! Lock order, checked at every lock: `calendar_lease` before `config` before `calendar` before `roster` before
-//! `effect_queue` before `relay`. The request loop takes none of them.
+//! Lock order, checked with every lock taken: `calendar_lease`, `config`, `maintenance`, `fleet_view`, `effect_queue`,
+//! `relay`. The request loop takes none of these locks.
 
 use super::clocks::wall_now;
 use super::config_driver::ConfigDriver;
@@ -21,11 +21,11 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Everything that the workers share.
+/// The state that the workers share.
 pub struct SharedState {
-    /// The lease of the calendar's duty.
+    /// The lease of the calendar duty.
     pub calendar_lease: OrderedLock<DutyLease>,
-    /// The configuration, with the lease of its duty.
+    /// The configuration, with the lease of the configuration duty.
     pub config: OrderedLock<ConfigDriver>,
     pub maintenance: OrderedLock<MaintenanceState>,
     pub fleet_view: OrderedLock<FleetView>,
@@ -33,11 +33,11 @@
     pub relay: OrderedLock<Relay>,
     /// The socket's sending side, which needs no lock.
     pub datagrams: Arc<DatagramSender>,
-    /// Drawn at random at this start.
+    /// Random number of this process, drawn at its start.
     pub incarnation: u64,
 }
 
-/// The unlocked parts of [`SharedState`].
+/// The parts of [`SharedState`] without their locks.
 pub struct SharedStateParts {
     pub lease: DutyLease,
     pub config: ConfigDriver,
@@ -50,7 +50,7 @@
 }
 
 impl SharedState {
-    /// Puts each part behind a lock of its rank.
+    /// Puts each part behind a lock with its rank in the lock order.
     pub fn new(parts: SharedStateParts) -> SharedState {
         SharedState {
             calendar_lease: OrderedLock::new(0, parts.lease),
@@ -64,20 +64,20 @@
         }
     }
 
-    /// Does something with the lease of a duty.
-    pub fn with_lease<T>(&self, duty: Duty, act: impl FnOnce(&mut DutyLease) -> T) -> T {
+    /// Calls `access` with the lease of a duty, locked.
+    pub fn with_lease<T>(&self, duty: Duty, access: impl FnOnce(&mut DutyLease) -> T) -> T {
         match duty {
-            Duty::Calendar => act(&mut self.calendar_lease.lock()),
-            Duty::Config => act(&mut self.config.lock().lease),
+            Duty::Calendar => access(&mut self.calendar_lease.lock()),
+            Duty::Config => access(&mut self.config.lock().lease),
         }
     }
 
-    /// The tokens of the duties that this proxy holds.
+    /// Returns the tokens under which this proxy holds the calendar and the configuration duty.
     pub fn held_tokens(&self) -> [Option<Token>; 2] {
         [Duty::Calendar, Duty::Config].map(|duty| self.with_lease(duty, |lease| lease.held_token()))
     }
 
-    /// Sends messages to other proxies.
+    /// Sends messages to other proxies, and counts them.
     pub fn send(&self, outgoing: DutyMessages) {
         let count = outgoing.len() as u64;
         for (to, message) in outgoing {
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Derives which backends are in maintenance here, and notifies the request loop of changes. What the queue has no
-    /// space for is sent with the next call.
+    /// Determines which backends are in maintenance for this proxy, and notifies the request loop of changes. Changes
+    /// that do not fit into the effect queue are sent with the next call.
     pub fn update_maintenance(&self) {
         let since_heartbeat = self.calendar_lease.lock().since_heartbeat();
         let mut maintenance = self.maintenance.lock();
@@ -98,48 +98,49 @@
         let now = wall_now();
         let calendar = &maintenance.calendar;
         let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
-        let decides = is_isolated && calendar.needs_fleet(now);
-        if !decides && maintenance.in_maintenance.is_empty() && !calendar.any_in_effect() {
+        let decides_locally = is_isolated && calendar.needs_fleet(now);
+        if !decides_locally && maintenance.in_maintenance.is_empty() && !calendar.any_in_effect() {
             return;
         }
         let fleet = self
             .fleet_view
             .lock()
-            .fleet(&maintenance.in_maintenance, decides);
+            .listed_backends(&maintenance.in_maintenance, decides_locally);
         let fleet = match fleet {
             Some(fleet) => fleet,
-            // Which backends a zone has is not known yet. Windows that name theirs need not wait for that.
-            None if decides || !maintenance.has_caught_up() => return,
+            // The backends of zones are not known yet; windows that name their backends take effect without them.
+            None if decides_locally || !maintenance.has_caught_up() => return,
             None => Arc::default(),
         };
-        let wanted = maintenance
+        let target = maintenance
             .calendar
             .backends_in_maintenance(now, since_heartbeat, &fleet);
-        self.notify_request_loop(&mut maintenance.in_maintenance, &wanted, &fleet);
+        self.notify_request_loop(&mut maintenance.in_maintenance, &target, &fleet);
     }
 
+    /// Sends the effects that turn `notified` into `target`, and updates `notified` by those that were queued.
     fn notify_request_loop(
         &self,
         notified: &mut BTreeSet<String>,
-        wanted: &BTreeSet<String>,
+        target: &BTreeSet<String>,
         fleet: &ListedBackends,
     ) {
         let effect_queue = self.effect_queue.lock();
-        let is_sent = |effect| effect_queue.effects.try_send(effect).is_ok();
-        for name in wanted {
-            if !notified.contains(name) && is_sent(Effect::BeginMaintenance(name.clone())) {
+        let try_send = |effect| effect_queue.effects.try_send(effect).is_ok();
+        for name in target {
+            if !notified.contains(name) && try_send(Effect::BeginMaintenance(name.clone())) {
                 notified.insert(name.clone());
             }
         }
-        // One that left the list stays in maintenance, as it may be listed again before its window is over.
+        // A backend that is no longer listed stays in maintenance, as it may be listed again before its window ends.
         notified.retain(|name| {
-            let ends = !wanted.contains(name) && fleet.contains_key(name);
-            !ends || !is_sent(Effect::EndMaintenance(name.clone()))
+            let is_over = !target.contains(name) && fleet.contains_key(name);
+            !is_over || !try_send(Effect::EndMaintenance(name.clone()))
         });
     }
 
-    /// The calendar has caught up: this proxy may bid for its duty from now on. What was repaired is in force before
-    /// clients come.
+    /// Marks the calendar as caught up, so that this proxy may campaign for its duty. The maintenance that follows from
+    /// the calendar is queued first, so that it is in force before this proxy accepts clients.
     pub fn set_caught_up(&self) {
         self.update_maintenance();
         self.calendar_lease.lock().set_eligible();
@@ -147,7 +148,7 @@
         self.signal_ready_if_caught_up();
     }
 
-    /// Lets clients come once both the calendar and the configuration have caught up.
+    /// Notifies the request loop that clients may be accepted, once the calendar and the configuration have caught up.
     pub fn signal_ready_if_caught_up(&self) {
         let is_new = self.config.lock().replica.is_new();
         if !is_new && self.maintenance.lock().has_caught_up() {
--- a/src/net/cluster/coordination/shared_state/example.rs
+++ b/src/net/cluster/coordination/shared_state/example.rs
@@ -1,4 +1,4 @@
-//! SharedState for the workers' tests.
+//! An example of the shared state for the workers' tests.
 
 use super::super::clocks::monotonic_now;
 use super::super::request_loop::{BackendSnapshot, LoopView};
@@ -18,10 +18,10 @@
 const INCARNATION: u64 = 7;
 
 impl SharedState {
-    /// The tables of a voter that serves, and the effects for its request loop.
+    /// Returns the shared state of a voter that has caught up, and the receiver of its effects.
     pub fn example() -> (SharedState, mpsc::Receiver<Effect>) {
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let own = address(9);
+        let own_address = address(9);
         let voters = [9, 10, 11].map(address).to_vec();
         let lease_rules = lease::Rules::new(voters.len(), Micros(1_000_000), 0.01).unwrap();
         let max_age = Micros(5_000_000);
@@ -36,12 +36,12 @@
         let mut config = ConfigDriver::new(
             lease_rules,
             voters.clone(),
-            own,
+            own_address,
             INCARNATION,
             Default::default(),
         );
         config.replica.assume_up_to_date();
-        let seen = LoopView {
+        let view = LoopView {
             backends: Some(Arc::new(BackendSnapshot {
                 taken_at: monotonic_now(),
                 rows: Vec::new(),
@@ -52,19 +52,25 @@
             file_version: 0,
         };
         let mut fleet_view = FleetView::at_start();
-        fleet_view.update(Arc::new(seen));
+        fleet_view.update(Arc::new(view));
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let (effects, effects_sent) = mpsc::channel(64);
+        let (effects, pending_effects) = mpsc::channel(64);
         let shared = SharedState::new(SharedStateParts {
-            lease: DutyLease::new(Duty::Calendar, lease_rules, voters, own, INCARNATION),
+            lease: DutyLease::new(
+                Duty::Calendar,
+                lease_rules,
+                voters,
+                own_address,
+                INCARNATION,
+            ),
             config,
             maintenance: MaintenanceState::new(calendar),
             fleet_view,
             effect_queue: EffectQueue::new(effects),
-            relay: Relay::new(own, INCARNATION, max_age),
-            datagrams: Arc::new(DatagramSender::new(socket, [0; 8], own)),
+            relay: Relay::new(own_address, INCARNATION, max_age),
+            datagrams: Arc::new(DatagramSender::new(socket, [0; 8], own_address)),
             incarnation: INCARNATION,
         });
-        (shared, effects_sent)
+        (shared, pending_effects)
     }
 }
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -1,5 +1,5 @@
-//! The worker that lets time pass: lease timers, the holder's transitions, heartbeats, digests, reports of open requests
-//! and the operators' calls.
+//! The timer worker: runs everything that is due by time, which is lease timers, the holder's transitions of windows,
+//! heartbeats, digests and reports of open requests. It also handles the operators' calls.
 
 use super::admin_calls;
 use super::clocks::{monotonic_now, wall_now};
@@ -18,44 +18,44 @@
 use tokio::sync::watch;
 use tracing::info;
 
-/// The longest time between two rounds of the worker.
+/// Longest time between two rounds of the worker.
 const MAX_ROUND_INTERVAL: Micros = Micros(100_000);
-/// How often holders send heartbeats, and all send digests and reports.
+/// How often holders send heartbeats, and all proxies send digests and reports.
 const HEARTBEAT_INTERVAL: Micros = Micros(1_000_000);
-/// How often digests go out until this proxy, after its start, has caught up.
+/// How often this proxy sends digests after its start, until it has caught up.
 const CATCH_UP_INTERVAL: Micros = Micros(200_000);
-/// A proxy that has not caught up by then takes part without.
+/// Time after the start at which a proxy that has not caught up takes part anyway.
 const CATCH_UP_TIMEOUT: Micros = Micros(3_000_000);
-/// To how many members a digest goes.
+/// Number of members that receive each digest.
 const DIGEST_FANOUT: usize = 2;
-/// What a count of open requests takes in a message beside the backend's name, in bytes.
+/// Encoded size of a count of open requests without the backend's name, in bytes.
 const COUNT_OVERHEAD_BYTES: usize = 8;
 
-/// The worker's own state; what it shares is in [`SharedState`].
+/// State of the timer worker alone; what it shares with other threads is in [`SharedState`].
 pub struct TimerWorker {
     shared: Arc<SharedState>,
-    seen: watch::Receiver<Option<Arc<LoopView>>>,
-    /// What the request loop is to show.
+    loop_view: watch::Receiver<Option<Arc<LoopView>>>,
+    /// Which snapshots of the backends the request loop is to publish.
     demand: watch::Sender<BackendDemand>,
-    own: SocketAddr,
-    /// The fleet is this proxy only: there is nobody to learn from.
-    is_single: bool,
+    own_address: SocketAddr,
+    /// This proxy is the whole fleet: there is no other proxy to catch up with.
+    is_only_proxy: bool,
     started_at: Time,
-    /// Which member the next digest goes to.
+    /// Counts the digests sent, to choose the members that receive them in turn.
     digest_turn: usize,
-    digest_at: Time,
-    heartbeat_at: Time,
-    report_at: Time,
-    /// Open requests as they were last reported.
+    next_digest_at: Time,
+    next_heartbeat_at: Time,
+    next_report_at: Time,
+    /// Open requests by backend, as last reported.
     reported: BTreeMap<String, u32>,
-    /// What this proxy held at the last round.
+    /// The duties that this proxy held in the last round.
     held: Vec<HeldDuty>,
 }
 
-/// What a holder's transitions brought.
-struct Advanced {
+/// Result of advancing the calendar as its holder.
+struct CalendarAdvance {
     held: HeldDuty,
-    /// When the lease was checked.
+    /// When the lease was checked, on the monotonic clock.
     checked_at: Time,
     transitions: Vec<Transition>,
     changed: Vec<Window>,
@@ -64,40 +64,40 @@
 impl TimerWorker {
     pub fn new(
         shared: Arc<SharedState>,
-        seen: watch::Receiver<Option<Arc<LoopView>>>,
+        loop_view: watch::Receiver<Option<Arc<LoopView>>>,
         demand: watch::Sender<BackendDemand>,
-        own: SocketAddr,
-        is_single: bool,
+        own_address: SocketAddr,
+        is_only_proxy: bool,
     ) -> TimerWorker {
         let now = monotonic_now();
         TimerWorker {
             digest_turn: shared.incarnation as usize,
             shared,
-            seen,
+            loop_view,
             demand,
-            own,
-            is_single,
+            own_address,
+            is_only_proxy,
             started_at: now,
-            digest_at: now,
-            heartbeat_at: now,
-            report_at: now,
+            next_digest_at: now,
+            next_heartbeat_at: now,
+            next_report_at: now,
             reported: BTreeMap::new(),
             held: Vec::new(),
         }
     }
 
-    /// Works until the request loop is gone.
+    /// Runs rounds and handles commands until the request loop is gone.
     pub fn run(mut self, commands: &Receiver<Command>) {
         loop {
             let due_at = self.run_round();
             let wait_us = (due_at - monotonic_now()).0.min(MAX_ROUND_INTERVAL.0);
             match commands.recv_timeout(Duration::from_micros(wait_us)) {
-                Ok(Command::Call(call, answer)) => {
-                    let _ = answer.send(admin_calls::handle_call(&self.shared, &call));
-                    // the caller may be gone
+                Ok(Command::Call(call, respond)) => {
+                    // Sending fails if the caller is gone.
+                    let _ = respond.send(admin_calls::handle_call(&self.shared, &call));
                 }
-                Ok(Command::ChangeConfig(change, answer)) => {
-                    self.shared.submit_config_change(change, answer);
+                Ok(Command::ChangeConfig(change, respond)) => {
+                    self.shared.submit_config_change(change, respond);
                 }
                 Ok(Command::Leave) => self.leave(),
                 Ok(Command::Wake) | Err(RecvTimeoutError::Timeout) => {}
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Releases the leases of all duties.
     fn leave(&self) {
         let mut outgoing = DutyMessages::new();
         for duty in [Duty::Calendar, Duty::Config] {
@@ -115,10 +116,10 @@
         self.shared.send(outgoing);
     }
 
-    /// Does all that is due now; gives the time of the next lease timer.
+    /// Does everything that is due now, and returns the time of the next lease timer.
     fn run_round(&mut self) -> Time {
-        if let Some(seen) = self.seen.borrow_and_update().clone() {
-            self.shared.fleet_view.lock().update(seen);
+        if let Some(loop_view) = self.loop_view.borrow_and_update().clone() {
+            self.shared.fleet_view.lock().update(loop_view);
         }
         self.catch_up();
         let mut outgoing = DutyMessages::new();
@@ -144,12 +145,13 @@
             .unwrap_or_else(|| monotonic_now() + MAX_ROUND_INTERVAL)
     }
 
-    /// Takes part once there is nobody to learn from, or nobody answered for long.
+    /// Marks the calendar and the configuration as caught up if there is no other proxy to catch up with, or if catching
+    /// up has timed out.
     fn catch_up(&self) {
         let has_caught_up = self.shared.maintenance.lock().has_caught_up();
-        let is_seen = self.shared.fleet_view.lock().seen.is_some();
+        let has_loop_view = self.shared.fleet_view.lock().loop_view.is_some();
         let is_timed_out = monotonic_now() - self.started_at > CATCH_UP_TIMEOUT;
-        let takes_part = self.is_single && is_seen || is_timed_out;
+        let takes_part = self.is_only_proxy && has_loop_view || is_timed_out;
         if !has_caught_up && takes_part {
             self.shared.set_caught_up();
         }
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Has the request loop show the listed backends where they are needed: most proxies of a quiet fleet never do.
+    /// Has the request loop publish the listed backends while they are needed. Most proxies of a fleet without windows in
+    /// effect never need them.
     fn update_demand(&self) {
         let (is_holder, since_heartbeat) = {
             let lease = self.shared.calendar_lease.lock();
@@ -169,18 +172,19 @@
         let maintenance = self.shared.maintenance.lock();
         let calendar = &maintenance.calendar;
         let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
-        let decides = (is_holder || is_isolated) && calendar.needs_fleet(wall_now());
-        // Where windows name their backends, the list is needed only to see whether one that ends is still listed.
-        let all_named = |named: &BTreeSet<&str>| {
+        let needs_backends = (is_holder || is_isolated) && calendar.needs_fleet(wall_now());
+        // If the windows name all backends in maintenance, the list is not needed: it only tells whether a backend whose
+        // maintenance is over is still listed.
+        let names_all = |named: &BTreeSet<&str>| {
             let mut in_maintenance = maintenance.in_maintenance.iter();
             in_maintenance.all(|name| named.contains(name.as_str()))
         };
-        let demand = if !maintenance.has_caught_up() || decides {
+        let demand = if !maintenance.has_caught_up() || needs_backends {
             BackendDemand::EveryUpdate
         } else if calendar
             .named_in_maintenance()
             .as_ref()
-            .is_some_and(all_named)
+            .is_some_and(names_all)
         {
             BackendDemand::NotNeeded
         } else {
@@ -188,17 +192,17 @@
         };
         let mut fleet_view = self.shared.fleet_view.lock();
         if demand == BackendDemand::EveryUpdate {
-            fleet_view.deciding_since.get_or_insert_with(monotonic_now);
+            fleet_view.decisions_since.get_or_insert_with(monotonic_now);
         } else {
-            fleet_view.deciding_since = None;
+            fleet_view.decisions_since = None;
         }
         self.demand
             .send_if_modified(|previous| std::mem::replace(previous, demand) != demand);
     }
 
-    /// Carries out the calendar's transitions while this proxy is the holder, and announces them; gives what it holds.
+    /// Advances the calendar while this proxy holds its duty, and announces the changes. Returns the duty if it is held.
     fn advance_calendar(&self) -> Option<HeldDuty> {
-        let Advanced {
+        let CalendarAdvance {
             held,
             checked_at,
             transitions,
@@ -211,8 +215,9 @@
         Some(held)
     }
 
-    /// The clock is read for the lease after all locks are taken, right before the transitions.
-    fn advance_locked(&self) -> Option<Advanced> {
+    /// Advances the calendar under the locks of all that it depends on. The lease is checked once they are taken, right
+    /// before the transitions, so that waiting for a lock cannot outlast the lease unnoticed.
+    fn advance_locked(&self) -> Option<CalendarAdvance> {
         let lease = self.shared.calendar_lease.lock();
         lease.held_token()?;
         let mut maintenance = self.shared.maintenance.lock();
@@ -221,37 +226,37 @@
         let mut fleet = Some(Arc::default());
         let mut reports = OpenRequestReports::new();
         if maintenance.calendar.needs_fleet(now) {
-            fleet = fleet_view.fleet(&maintenance.in_maintenance, true);
-            reports = fleet_view.open_requests(self.own, &maintenance.in_maintenance);
+            fleet = fleet_view.listed_backends(&maintenance.in_maintenance, true);
+            reports = fleet_view.open_requests(self.own_address, &maintenance.in_maintenance);
         }
         let checked_at = monotonic_now();
         let held = HeldDuty {
             duty: Duty::Calendar,
             token: lease.held_token()?,
         };
-        let mut advanced = Advanced {
+        let mut advance = CalendarAdvance {
             held,
             checked_at,
             transitions: Vec::new(),
             changed: Vec::new(),
         };
-        // Without the backends as they are now, transitions wait.
+        // Transitions wait for an up-to-date list of the backends.
         if let Some(fleet) = fleet {
             let calendar = &mut maintenance.calendar;
-            advanced.transitions = calendar.advance(now, held.token, &fleet, &reports);
-            advanced.changed = calendar.take_changed();
+            advance.transitions = calendar.advance(now, held.token, &fleet, &reports);
+            advance.changed = calendar.take_changed();
         }
-        Some(advanced)
+        Some(advance)
     }
 
-    /// A holder's heartbeat: at once when it acquires a duty, then each second, one for all duties that it holds.
+    /// Sends a heartbeat for all duties that this proxy holds: at once when it acquires one, then each second.
     fn send_heartbeat(&mut self, held: Vec<HeldDuty>) {
         let is_acquired = held.iter().any(|duty| !self.held.contains(duty));
         self.held.clone_from(&held);
         let now = monotonic_now();
-        let is_due = !held.is_empty() && now >= self.heartbeat_at;
+        let is_due = !held.is_empty() && now >= self.next_heartbeat_at;
         if is_acquired || is_due {
-            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+            self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.shared.announce_once(&[Announcement {
                 held,
                 windows: Vec::new(),
@@ -259,7 +264,7 @@
         }
     }
 
-    /// Announces again what is due; a holder's effects only while it holds the duty.
+    /// Repeats the announcements that are due; those made as a holder only while this proxy still holds the duty.
     fn send_repeats(&self) {
         let mut due = self
             .shared
@@ -273,11 +278,11 @@
         self.shared.announce_once(&due);
     }
 
-    /// Sends digests to two members, in turn.
+    /// Sends digests to [`DIGEST_FANOUT`] members, chosen in turn.
     fn send_digests(&mut self) {
         let now = monotonic_now();
         let members = self.shared.fleet_view.lock().members();
-        if now < self.digest_at || members.is_empty() {
+        if now < self.next_digest_at || members.is_empty() {
             return;
         }
         let is_new = !self.shared.maintenance.lock().has_caught_up();
@@ -286,7 +291,7 @@
         } else {
             HEARTBEAT_INTERVAL
         };
-        self.digest_at = now + interval;
+        self.next_digest_at = now + interval;
         let digests = self.shared.digests(is_new);
         let mut outgoing = DutyMessages::new();
         for _ in 0..DIGEST_FANOUT.min(members.len()) {
@@ -297,20 +302,20 @@
         self.shared.send(outgoing);
     }
 
-    /// Reports the requests that are open at backends in maintenance to the holder: each second, and at once where the
-    /// last one ended.
+    /// Reports the number of open requests at each backend in maintenance to the holder: each second, and at once when it
+    /// falls to zero at a backend.
     fn report_open_requests(&mut self) {
         let holder = self.shared.calendar_lease.lock().holder();
         let in_maintenance = self.shared.maintenance.lock().in_maintenance.clone();
-        let seen = self.shared.fleet_view.lock().seen.clone();
-        let (Some(holder), Some(seen)) = (holder, seen) else {
+        let loop_view = self.shared.fleet_view.lock().loop_view.clone();
+        let (Some(holder), Some(loop_view)) = (holder, loop_view) else {
             return self.reported.clear();
         };
         if in_maintenance.is_empty() {
             return self.reported.clear();
         }
         let now = monotonic_now();
-        let open: BTreeMap<String, u32> = seen
+        let open: BTreeMap<String, u32> = loop_view
             .open
             .iter()
             .filter(|(name, _)| in_maintenance.contains(*name))
@@ -319,20 +324,21 @@
         let is_drained = open
             .iter()
             .any(|(name, open)| *open == 0 && self.reported.get(name) != Some(&0));
-        if open.is_empty() || now < self.report_at && !is_drained {
+        if open.is_empty() || now < self.next_report_at && !is_drained {
             return;
         }
-        self.report_at = now + HEARTBEAT_INTERVAL;
+        self.next_report_at = now + HEARTBEAT_INTERVAL;
         self.reported.clone_from(&open);
         self.send_report(holder, open);
     }
 
+    /// Sends a report to the holder, or records it here if this proxy is the holder.
     fn send_report(&self, holder: SocketAddr, open: BTreeMap<String, u32>) {
         let counts: Vec<OpenRequestCount> = open
             .into_iter()
             .map(|(backend, open)| OpenRequestCount { backend, open })
             .collect();
-        if holder == self.own {
+        if holder == self.own_address {
             let max_backends = counts.len();
             let mut fleet_view = self.shared.fleet_view.lock();
             return fleet_view.record_report(holder, counts, max_backends);
@@ -346,11 +352,11 @@
     }
 }
 
-/// One line for each transition of a window, with the time at which the lease was checked.
+/// Logs a transition of a window, with the time at which the lease was checked.
 fn log_transition(transition: &Transition, checked_at: Time) {
     info!(event = "window", window = transition.window, from = transition.from.name(), to = transition.to.name(),
         at = %transition.at, reason = transition.reason, token = %format_token(transition.token), mono_us = checked_at.0,
-        "a maintenance window entered its next phase");
+        "maintenance window entered its next phase");
 }
 
 #[cfg(test)]
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -22,12 +22,12 @@
         shared.maintenance.lock().compared_ranges = None;
         *shared.fleet_view.lock() = FleetView::default();
         let (demanded, demand) = watch::channel(BackendDemand::NotNeeded);
-        let own = SocketAddr::from(([127, 0, 0, 1], 9));
+        let own_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let worker = TimerWorker::new(
             Arc::new(shared),
             watch::channel(None).1,
             demanded,
-            own,
+            own_address,
             false,
         );
         TestProxy {
--- a/src/net/cluster/coordination/voter_contacts.rs
+++ b/src/net/cluster/coordination/voter_contacts.rs
@@ -1,77 +1,79 @@
-//! When each voter of a lease was last heard of, and whether a quorum answers.
+//! When messages of each voter of a lease last arrived, to tell whether a quorum of the voters responds.
 
 use meadowproxy::{Micros, Time};
 use std::net::SocketAddr;
 
-/// One of the voters, and when messages of it came.
+/// A voter, and when its messages arrived.
 struct VoterContact {
     address: SocketAddr,
-    /// When it last answered this proxy's candidate.
-    answered_at: Option<Time>,
-    /// When any message of it came.
-    message_at: Option<Time>,
+    /// When its last response to this proxy's candidate arrived.
+    last_response_at: Option<Time>,
+    /// When its last message of any kind arrived.
+    last_message_at: Option<Time>,
 }
 
-/// The voters, in the order in which all proxies list them.
+/// The voters of a lease, in the order of the settings, which is the same at all proxies.
 pub struct VoterContacts {
     contacts: Vec<VoterContact>,
 }
 
 impl VoterContacts {
-    /// Voters of which no message came yet.
+    /// Creates the voters, before any message arrived.
     pub fn new(voters: Vec<SocketAddr>) -> VoterContacts {
         let contact = |address| VoterContact {
             address,
-            answered_at: None,
-            message_at: None,
+            last_response_at: None,
+            last_message_at: None,
         };
         VoterContacts {
             contacts: voters.into_iter().map(contact).collect(),
         }
     }
 
-    /// How many voters there are.
+    /// Number of voters.
     pub fn count(&self) -> usize {
         self.contacts.len()
     }
 
+    /// Addresses of the voters, in their order.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + use<'_> {
         self.contacts.iter().map(|contact| contact.address)
     }
 
-    /// A voter's place, from 0; `None` for a proxy that is no voter.
-    pub fn place(&self, address: SocketAddr) -> Option<usize> {
+    /// Returns a voter's index; `None` if the proxy is not a voter.
+    pub fn index_of(&self, address: SocketAddr) -> Option<usize> {
         self.addresses().position(|voter| voter == address)
     }
 
-    /// The voter at that place answered this proxy's candidate.
-    pub fn record_response(&mut self, place: usize, now: Time) {
-        self.contacts[place].answered_at = Some(now);
+    /// Records that the voter at `index` responded to this proxy's candidate.
+    pub fn record_response(&mut self, index: usize, now: Time) {
+        self.contacts[index].last_response_at = Some(now);
     }
 
-    /// A message came from that proxy, which may be a voter.
+    /// Records a message from a proxy, if it is a voter.
     pub fn record_message(&mut self, from: SocketAddr, now: Time) {
-        if let Some(place) = self.place(from) {
-            self.contacts[place].message_at = Some(now);
+        if let Some(index) = self.index_of(from) {
+            self.contacts[index].last_message_at = Some(now);
         }
     }
 
-    /// How many voters answered within that time.
-    pub fn answering(&self, now: Time, within: Micros) -> usize {
+    /// Number of voters that responded to this proxy's candidate within the time before `now`.
+    pub fn responding_count(&self, now: Time, within: Micros) -> usize {
         self.contacts
             .iter()
-            .filter_map(|contact| contact.answered_at)
-            .filter(|answered_at| now - *answered_at <= within)
+            .filter_map(|contact| contact.last_response_at)
+            .filter(|last_response_at| now - *last_response_at <= within)
             .count()
     }
 
-    /// The voters of which any message came within that time, with `own` if this proxy is one.
-    pub fn reachable(&self, now: Time, within: Micros, own: SocketAddr) -> Vec<String> {
+    /// Returns the addresses of the voters of which a message arrived within the time before `now`. This proxy, if it is
+    /// a voter, is always included.
+    pub fn reachable(&self, now: Time, within: Micros, own_address: SocketAddr) -> Vec<String> {
         self.contacts
             .iter()
             .filter(|contact| {
-                let is_recent = contact.message_at.is_some_and(|at| now - at <= within);
-                contact.address == own || is_recent
+                let is_recent = contact.last_message_at.is_some_and(|at| now - at <= within);
+                contact.address == own_address || is_recent
             })
             .map(|contact| contact.address.to_string())
             .collect()
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! The cluster of a fleet's proxies: [`gossip`] shares state between them, and [`coordination`] decides what needs agreement.
+//! Communication between the proxies of a fleet: [`gossip`] shares state between them, and [`coordination`] makes the
+//! decisions that need agreement.
 
 pub mod coordination;
 pub mod gossip;
