--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -179,7 +179,7 @@
         return Err(CallError::NotFound(never_changed));
     }
     let contained = errors("the file contains that change", &|key| {
-        !overrides.is_over_file(key)
+        !overrides.overrides_file(key)
     });
     if !contained.is_empty() {
         return Err(CallError::Invalid(contained));
--- a/src/net/cluster/coordination/message_worker.rs
+++ b/src/net/cluster/coordination/message_worker.rs
@@ -79,7 +79,7 @@
                 .maintenance
                 .lock()
                 .calendar
-                .requested(&id_hashes, wall_now());
+                .windows_with_id_hashes(&id_hashes, wall_now());
             outgoing.extend(window_messages(from, &windows));
         }
         DutyMessage::Windows { windows } => return merge_windows(shared, &windows, outgoing),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -190,7 +190,7 @@
             zone_floor: section.zone_floor.unwrap_or(section.floor),
         },
         slow_start,
-        max_holder_silence: gossip.max_age(),
+        isolation_timeout: gossip.max_age(),
     });
     let voters = section.voters.clone();
     let lease = DutyLease::new(
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -171,8 +171,8 @@
         };
         let maintenance = self.shared.maintenance.lock();
         let calendar = &maintenance.calendar;
-        let is_isolated = since_heartbeat > calendar.rules.max_holder_silence;
-        let needs_backends = (is_holder || is_isolated) && calendar.needs_fleet(wall_now());
+        let is_isolated = since_heartbeat > calendar.rules.isolation_timeout;
+        let needs_backends = (is_holder || is_isolated) && calendar.needs_backends(wall_now());
         // If the windows name all backends in maintenance, the list is not needed: it only tells whether a backend whose
         // maintenance is over is still listed.
         let names_all = |named: &BTreeSet<&str>| {
@@ -182,7 +182,7 @@
         let demand = if !maintenance.has_caught_up() || needs_backends {
             BackendDemand::EveryUpdate
         } else if calendar
-            .named_in_maintenance()
+            .named_backends_in_maintenance()
             .as_ref()
             .is_some_and(names_all)
         {
@@ -225,7 +225,7 @@
         let now = wall_now();
         let mut fleet = Some(Arc::default());
         let mut reports = OpenRequestReports::new();
-        if maintenance.calendar.needs_fleet(now) {
+        if maintenance.calendar.needs_backends(now) {
             fleet = fleet_view.listed_backends(&maintenance.in_maintenance, true);
             reports = fleet_view.open_requests(self.own_address, &maintenance.in_maintenance);
         }
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! How discovery is polled: how long each call may wait for changes, and the backoff after a failed one.
 
-use meadowproxy::{queued_poll_timeout, Discovery, POLL_TIMEOUT};
+use meadowproxy::{queued_discovery_poll_timeout, Discovery, DISCOVERY_POLL_TIMEOUT};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 const MIN_LONG_POLL_S: f64 = 1.5;
 const MAX_LONG_POLL_S: f64 = 2.8;
 /// The least part of that wait that is drawn: proxies that were answered together do not call together again.
-pub const MIN_JITTER: f64 = 0.75;
+pub const MIN_JITTER_FACTOR: f64 = 0.75;
 /// What an answer may take beyond its wait before discovery counts as silent.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same for a call that does not wait for changes: it may stand in a queue, which each call that is given up and repeated
 /// makes longer.
-pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(POLL_TIMEOUT.0);
+pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(DISCOVERY_POLL_TIMEOUT.0);
 /// Where lists are pushed, an agent (a discovery process with one caller, this balancer) keeps the list and answers
 /// each long poll as soon as the list changes. A connection to the agent is established at once or not at all.
 /// It is retried soon: a change counts from the moment the agent is back.
@@ -42,7 +42,7 @@
         let affordable_s = f64::from(proxies) / MAX_QUIET_CALLS_PER_S;
         let full_queue_timeout = match mode {
             Discovery::Poll { staleness_limit } => {
-                Duration::from_micros(queued_poll_timeout(proxies, staleness_limit).0)
+                Duration::from_micros(queued_discovery_poll_timeout(proxies, staleness_limit).0)
             }
             Discovery::Push => QUEUE_TIMEOUT, // an agent has one caller
         };
@@ -71,7 +71,7 @@
 
     /// How long the next call waits for changes.
     pub fn next_long_poll(&mut self) -> Duration {
-        let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER..=1.0);
+        let wait_s = self.max_long_poll_s * self.rng.random_range(MIN_JITTER_FACTOR..=1.0);
         Duration::from_millis((wait_s * 1e3) as u64)
     }
 
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -3,12 +3,13 @@
 use super::client::{read_list, MAX_INLINE_READ_BYTES};
 use super::endpoint_list::{AnswerError, List, ListEntry};
 use super::poll_schedule::{
-    AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER,
+    AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER_FACTOR,
 };
 use super::*;
 use bytes::Bytes;
 use meadowproxy::{
-    queued_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event, Micros, Time,
+    queued_discovery_poll_timeout, Action, Balancer, Config, Discovery, EndpointUpdate, Event,
+    Micros, Time,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -156,7 +157,7 @@
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
         for within in [0.5, 2.0, 5.0, 6.3, 6.5, 9.0, 30.0, 3600.0] {
             let in_line = Duration::from_micros(
-                queued_poll_timeout(proxies, Micros::from_secs_f64(within)).0,
+                queued_discovery_poll_timeout(proxies, Micros::from_secs_f64(within)).0,
             );
             assert!(in_line >= QUEUE_TIMEOUT, "{proxies}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
@@ -174,7 +175,7 @@
             }
         }
     }
-    let line = queued_poll_timeout(32, Micros::from_secs_f64(9.0));
+    let line = queued_discovery_poll_timeout(32, Micros::from_secs_f64(9.0));
     assert!(
         line > Micros::from_secs_f64(3.0),
         "a few dozen proxies can wait for the end of discovery's line"
@@ -236,7 +237,7 @@
         );
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
         assert!(
-            f64::from(proxies) / mean <= MAX_QUIET_CALLS_PER_S / MIN_JITTER,
+            f64::from(proxies) / mean <= MAX_QUIET_CALLS_PER_S / MIN_JITTER_FACTOR,
             "{proxies}: every {mean} s"
         );
         let distinct: BTreeSet<u64> = waits.iter().map(|w| (w * 1e3) as u64).collect();
