--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -66,7 +66,7 @@
         };
         let proxies = f64::from(self.config.proxy_count);
         let rate_per_s = tenant.quota_per_s / proxies * traffic_multiple;
-        if self.quotas.take(id, now, rate_per_s) {
+        if self.quotas.try_take(id, now, rate_per_s) {
             1.0
         } else {
             self.config.over_quota_weight
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -63,7 +63,7 @@
         let response_started = self.requests.response_started(key);
         let broke = matches!(end.outcome, Outcome::Error | Outcome::Reset);
         if response_started && broke {
-            self.count_again(now, in_flight.backend);
+            self.restore_in_flight(now, in_flight.backend);
         }
         if !response_started || broke {
             self.record_outcome(now, in_flight, end);
@@ -77,7 +77,7 @@
 
     /// The response broke off after its attempt was counted as served: the fault is counted on top, for an attempt that
     /// has been in flight until now.
-    fn count_again(&mut self, now: Time, backend: BackendId) {
+    fn restore_in_flight(&mut self, now: Time, backend: BackendId) {
         if let Some(record) = self.backends.get_mut(backend) {
             record.in_flight += 1;
             record.last_response_at = now;
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -10,9 +10,9 @@
 /// Samples in a mean latency.
 pub(super) const LATENCY_SAMPLES: f64 = 100.0;
 /// A class whose expected latency is so many times below its objective is well within it.
-const WELL_WITHIN_OBJECTIVE: f64 = 2.0;
+const WELL_WITHIN_OBJECTIVE_DIVISOR: f64 = 2.0;
 /// The expected latency of a class without a response, as a part of its latency objective.
-const UNKNOWN_LATENCY_OF_OBJECTIVE: f64 = 0.25;
+const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
 
 /// What is learned of a class.
 #[derive(Default)]
@@ -46,21 +46,17 @@
 
     /// A request was served: it earns its weight, or the late weight after the latency objective.
     pub fn record_served(&mut self, now: Time, request: &PendingRequest, class: &RequestClass) {
-        let part = if now <= request.objective_until {
+        let earned_fraction = if now <= request.objective_until {
             1.0
         } else {
             class.late_weight
         };
-        self.earned_weight += class.priority_weight * request.value * part;
+        self.earned_weight += class.priority_weight * request.value * earned_fraction;
     }
 
     /// What a served request of the class usually takes.
     pub fn expected_latency(&self, class: &RequestClass) -> Micros {
-        let unknown = || {
-            class
-                .latency_objective
-                .mul_f64(UNKNOWN_LATENCY_OF_OBJECTIVE)
-        };
+        let unknown = || class.latency_objective.mul_f64(UNKNOWN_LATENCY_FRACTION);
         self.latency
             .get()
             .map_or_else(unknown, Micros::from_secs_f64)
@@ -68,7 +64,9 @@
 
     /// Whether the expected latency is well within the latency objective.
     fn is_well_within_objective(&self, class: &RequestClass) -> bool {
-        self.expected_latency(class).mul_f64(WELL_WITHIN_OBJECTIVE) <= class.latency_objective
+        self.expected_latency(class)
+            .mul_f64(WELL_WITHIN_OBJECTIVE_DIVISOR)
+            <= class.latency_objective
     }
 }
 
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -13,16 +13,16 @@
 /// The maximum interval grows with the fleet: all proxies together then poll once in this time.
 const FLEET_INTERVAL_S: f64 = 0.05;
 /// The maximum interval of one proxy in a small fleet.
-const SMALLEST_INTERVAL_CAP_S: f64 = 1.0;
+const MIN_INTERVAL_CAP_S: f64 = 1.0;
 /// The maximum interval of one proxy in a large fleet: it knows the list within 6 s after discovery can be reached
 /// again, with one more poll that runs into its time-out (docs/design.md).
-const LARGEST_INTERVAL_CAP_S: f64 = 3.9;
+const MAX_INTERVAL_CAP_S: f64 = 3.9;
 /// The part of an interval that is not jitter while it grows: proxies that failed together soon spread evenly.
-const GROWING_FIXED_PART: f64 = 0.25;
+const GROWING_FIXED_FRACTION: f64 = 0.25;
 /// The same at the maximum: they stay spread.
-const MAXIMUM_FIXED_PART: f64 = 0.75;
+const MAXIMUM_FIXED_FRACTION: f64 = 0.75;
 /// A poll that is without a response for this part of the staleness limit is repeated.
-const LOST_AFTER_OF_STALENESS_LIMIT: f64 = 0.5;
+const LOST_POLL_FRACTION: f64 = 0.5;
 
 /// How long to wait for the response of a poll that is answered at once.
 pub const DISCOVERY_POLL_TIMEOUT: Micros = Micros(1_800_000);
@@ -31,7 +31,7 @@
 
 /// The interval to which polls back off, unless half of the staleness limit is less.
 fn max_interval_s(proxies: u32) -> f64 {
-    (f64::from(proxies) * FLEET_INTERVAL_S).clamp(SMALLEST_INTERVAL_CAP_S, LARGEST_INTERVAL_CAP_S)
+    (f64::from(proxies) * FLEET_INTERVAL_S).clamp(MIN_INTERVAL_CAP_S, MAX_INTERVAL_CAP_S)
 }
 
 /// How long to wait for the response of a poll after one that discovery rejected.
@@ -48,7 +48,7 @@
     } else {
         (INITIAL_INTERVAL_S + interval_s) / 2.0
     };
-    let timeout_s = LARGEST_INTERVAL_CAP_S - until_next_s;
+    let timeout_s = MAX_INTERVAL_CAP_S - until_next_s;
     Micros::from_secs_f64(
         timeout_s.clamp(DISCOVERY_POLL_TIMEOUT.as_secs_f64(), QUEUED_POLL_TIMEOUT_S),
     )
@@ -80,14 +80,15 @@
         let max_s = max_interval_s(proxies).min(staleness_limit.as_secs_f64() / 2.0);
         let next_s =
             (self.interval_s * 2.0).clamp(INITIAL_INTERVAL_S, max_s.max(INITIAL_INTERVAL_S));
-        let fixed_part = if self.interval_s < next_s {
-            GROWING_FIXED_PART
+        let fixed_fraction = if self.interval_s < next_s {
+            GROWING_FIXED_FRACTION
         } else {
-            MAXIMUM_FIXED_PART
+            MAXIMUM_FIXED_FRACTION
         };
         self.interval_s = next_s;
-        let interval =
-            Micros::from_secs_f64(self.interval_s * (fixed_part + (1.0 - fixed_part) * jitter));
+        let interval = Micros::from_secs_f64(
+            self.interval_s * (fixed_fraction + (1.0 - fixed_fraction) * jitter),
+        );
         // Polls may hang for longer than the interval at all proxies alike, which are not to stay in step.
         let pause = Micros::from_secs_f64((INITIAL_INTERVAL_S + self.interval_s * jitter) / 2.0);
         self.next_at = Some((self.started_at + interval).max(now + pause));
@@ -108,7 +109,7 @@
     pub fn take_due(&mut self, now: Time, staleness_limit: Micros) -> bool {
         let due = self.next_at.is_some_and(|at| now >= at);
         if due {
-            let lost_after = staleness_limit.mul_f64(LOST_AFTER_OF_STALENESS_LIMIT);
+            let lost_after = staleness_limit.mul_f64(LOST_POLL_FRACTION);
             self.next_at = Some(now + lost_after);
             self.started_at = now;
         }
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for dispatch, and the order in which they get capacity.
 
 use super::load_shedding::{FleetLoad, LOW_PRIORITY_VALUE};
-use super::objective::ObjectiveStanding;
+use super::objective::ObjectiveProgress;
 use super::requests::PendingRequest;
 use super::silence_detection::silent_at;
 use super::Balancer;
@@ -95,22 +95,22 @@
     /// Takes all requests out of the queue, in the order of dispatch.
     fn take_by_priority(&mut self) -> Vec<QueuedRequest> {
         let waiting = std::mem::take(&mut self.dispatch_queue.waiting);
-        let standing = if waiting.len() > 1 {
-            ObjectiveStanding::of(&self.classes)
+        let progress = if waiting.len() > 1 {
+            ObjectiveProgress::of(&self.classes)
         } else {
-            ObjectiveStanding::default() // one request needs no order
+            ObjectiveProgress::default() // one request needs no order
         };
         let queued = waiting
             .into_iter()
-            .filter_map(|id| self.queued(id, standing));
+            .filter_map(|id| self.queued(id, progress));
         let mut queue: Vec<QueuedRequest> = queued.collect();
         queue.sort_by(QueuedRequest::dispatch_order);
         queue
     }
 
-    fn queued(&self, id: RequestId, standing: ObjectiveStanding) -> Option<QueuedRequest> {
+    fn queued(&self, id: RequestId, progress: ObjectiveProgress) -> Option<QueuedRequest> {
         let request = self.requests.pending.get(&id)?;
-        let gain = self.objective_gain(request.class, standing);
+        let gain = self.objective_gain(request.class, progress);
         let is_first = request.attempts.is_empty();
         Some(QueuedRequest {
             id,
@@ -151,7 +151,7 @@
         let is_first = request.attempts.is_empty();
         let shed = is_first
             && (load.sheds_value(request.value)
-                || load.sheds_hopeless(now, request, self.expected_latency(request.class)));
+                || load.sheds_infeasible(now, request, self.expected_latency(request.class)));
         let within_budget = !request.next_attempt_is_retry() || self.retry_budget.allows_retry();
         !shed && within_budget && self.allows_attempt(now, request)
     }
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -21,8 +21,8 @@
         let slow_start = SlowStart::new(&self.config);
         let window = self.config.overload_window;
         let is_kept = |record: &EndpointRecord| {
-            let is_cold = || slow_start.readiness(now, record.slow_start_began_at()) < 1.0;
-            record.in_flight > 0 || record.has_recent_work(now, window) && is_cold()
+            let in_slow_start = || slow_start.readiness(now, record.slow_start_began_at()) < 1.0;
+            record.in_flight > 0 || record.has_recent_work(now, window) && in_slow_start()
         };
         let complete = matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached);
         self.backends.apply_update(complete, list, is_kept);
--- a/src/balancer/endpoints/consistency.rs
+++ b/src/balancer/endpoints/consistency.rs
@@ -10,12 +10,14 @@
         let are_endpoints_consistent = (0..self.len()).all(|index| {
             let is_current = self.is_load_current(index) && self.is_weight_current(index);
             let is_outdated = outdated.contains(&(index as u32));
-            self.is_placed(index) && self.is_in_its_sets(index) && (is_current || is_outdated)
+            self.is_indexed_correctly(index)
+                && self.has_correct_set_membership(index)
+                && (is_current || is_outdated)
         });
         are_endpoints_consistent && self.are_sums_consistent() && self.is_sorted_by_address_hash()
     }
 
-    fn is_placed(&self, index: usize) -> bool {
+    fn is_indexed_correctly(&self, index: usize) -> bool {
         let entry = &self.records[index].entry;
         let load = &self.loads[index];
         let group = &self.groups[load.group_index as usize];
@@ -45,7 +47,7 @@
             && weight == self.weight_without_time(index)
     }
 
-    fn is_in_its_sets(&self, index: usize) -> bool {
+    fn has_correct_set_membership(&self, index: usize) -> bool {
         let load = &self.loads[index];
         let index = index as u32;
         self.with_in_flight.contains(&index) == (load.in_flight > 0)
@@ -58,11 +60,11 @@
             .loads
             .iter()
             .map(|load| u64::from(load.counted_in_flight));
-        let drawable = |group: &EndpointGroup| {
+        let selectable = |group: &EndpointGroup| {
             let with_weight = group.weights.iter().filter(|weight| **weight > 0.0);
-            group.drawable == with_weight.count()
+            group.selectable == with_weight.count()
         };
-        counted.sum::<u64>() == self.in_flight && self.groups.iter().all(drawable)
+        counted.sum::<u64>() == self.in_flight && self.groups.iter().all(selectable)
     }
 
     fn is_sorted_by_address_hash(&self) -> bool {
--- a/src/balancer/endpoints/groups.rs
+++ b/src/balancer/endpoints/groups.rs
@@ -11,7 +11,7 @@
     /// The weight of each member in a draw; 0 for one that may not be drawn.
     pub(super) weights: Vec<f64>,
     /// Members with a weight.
-    pub(super) drawable: usize,
+    pub(super) selectable: usize,
 }
 
 impl EndpointGroup {
@@ -20,7 +20,7 @@
             hardware_class,
             members: Vec::new(),
             weights: Vec::new(),
-            drawable: 0,
+            selectable: 0,
         }
     }
 
@@ -33,7 +33,7 @@
 
     pub(super) fn set_weight(&mut self, place: u32, weight: f64) {
         let old = &mut self.weights[place as usize];
-        self.drawable = self.drawable + usize::from(weight > 0.0) - usize::from(*old > 0.0);
+        self.selectable = self.selectable + usize::from(weight > 0.0) - usize::from(*old > 0.0);
         *old = weight;
     }
 
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -4,7 +4,7 @@
 
 /// The part of its traffic share that an endpoint weighs beyond its share of the subset: a last resort where all of
 /// the subset is full.
-const LAST_RESORT_PART: f64 = 1e-6;
+const LAST_RESORT_WEIGHT_FRACTION: f64 = 1e-6;
 
 /// What each pass over all endpoints reads of one: what its record says, and what was last solved for it.
 #[derive(Clone, Copy, Default)]
@@ -38,7 +38,7 @@
     /// Attempts of this proxy that it may have in flight.
     pub capacity: f64,
     /// This proxy's part of what all proxies send it.
-    pub own_part: f64,
+    pub own_share: f64,
     /// From 0 to 1: rounds a fractional capacity up at some proxies and down at others, so that the sum over all
     /// proxies is right.
     pub rounding_offset: f64,
@@ -79,14 +79,14 @@
     pub(super) fn reset_solution(&mut self) {
         self.readiness = 0.0;
         self.capacity = 0.0;
-        self.own_part = 0.0;
+        self.own_share = 0.0;
         self.rounding_offset = 0.0;
     }
 }
 
 /// What an endpoint weighs in a draw.
 pub(super) fn draw_weight(subset_share: f64, traffic_share: f64) -> f64 {
-    subset_share + traffic_share * LAST_RESORT_PART
+    subset_share + traffic_share * LAST_RESORT_WEIGHT_FRACTION
 }
 
 /// A proxy's number among all proxies.
@@ -99,7 +99,7 @@
 impl ProxyPosition {
     /// This proxy's rounding offset at an endpoint: the offsets of all proxies are evenly spread from 0 to 1.
     pub(super) fn rounding_offset(self, address_hash: u64) -> f64 {
-        let turn = address_hash.wrapping_add(u64::from(self.index));
-        ((turn % u64::from(self.count)) as f64 + 0.5) / f64::from(self.count)
+        let slot = address_hash.wrapping_add(u64::from(self.index));
+        ((slot % u64::from(self.count)) as f64 + 0.5) / f64::from(self.count)
     }
 }
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -210,10 +210,10 @@
         let began_at = record.slow_start_began_at();
         let duration = Micros(config.slow_start.0.max(1));
         load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
-        let warm_for_window = began_at.map_or(Time(0), |_| {
+        let past_window_at = began_at.map_or(Time(0), |_| {
             load.slow_start_ends_at + config.overload_window
         });
-        load.unrestricted_at = record.faults().overloaded_until.max(warm_for_window);
+        load.unrestricted_at = record.faults().overloaded_until.max(past_window_at);
         let index = index as u32;
         let is_busy = record.in_flight > 0;
         set_membership(&mut self.with_in_flight, index, load.in_flight > 0, is_busy);
@@ -270,11 +270,13 @@
     }
 
     /// The groups with an endpoint that may be drawn: their index and kind.
-    pub fn drawable_hardware_classes(&self) -> impl Iterator<Item = (usize, HardwareClassId)> + '_ {
+    pub fn selectable_hardware_classes(
+        &self,
+    ) -> impl Iterator<Item = (usize, HardwareClassId)> + '_ {
         self.groups
             .iter()
             .enumerate()
-            .filter(|(_, group)| group.drawable > 0)
+            .filter(|(_, group)| group.selectable > 0)
             .map(|(index, group)| (index, group.hardware_class))
     }
 
--- a/src/balancer/endpoints/record.rs
+++ b/src/balancer/endpoints/record.rs
@@ -55,13 +55,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PeerEjection {
     pub peer: PeerId,
-    pub given_at: Time,
+    pub issued_at: Time,
 }
 
 /// The newest ejection that a peer announced.
 #[derive(Clone, Copy, Debug)]
 pub struct LatestPeerVerdict {
-    pub given_at: Time,
+    pub issued_at: Time,
     /// When this proxy's turn to check the endpoint's health comes.
     pub health_check_at: Time,
 }
@@ -73,7 +73,7 @@
         last_failure_at: Time(0),
         peer_ejections: Vec::new(),
         latest_peer_verdict: LatestPeerVerdict {
-            given_at: Time(0),
+            issued_at: Time(0),
             health_check_at: Time(0),
         },
         ejected_on_peer_verdicts_at: None,
--- a/src/balancer/endpoints/update.rs
+++ b/src/balancer/endpoints/update.rs
@@ -123,18 +123,19 @@
         if dropped.is_empty() {
             return;
         }
-        let mut stays = vec![true; self.len()];
+        let mut is_kept = vec![true; self.len()];
         for index in dropped {
-            stays[*index] = false;
+            is_kept[*index] = false;
         }
-        let new_positions = positions_after_removal(&stays);
-        retain_marked(&mut self.ids, &stays);
-        retain_marked(&mut self.records, &stays);
-        retain_marked(&mut self.loads, &stays);
-        retain_marked(&mut self.own_traffic_share, &stays);
-        retain_marked(&mut self.subset_share, &stays);
-        retain_marked(&mut self.address_hashes, &stays);
-        self.by_address_hash.retain(|index| stays[*index as usize]);
+        let new_positions = positions_after_removal(&is_kept);
+        retain_marked(&mut self.ids, &is_kept);
+        retain_marked(&mut self.records, &is_kept);
+        retain_marked(&mut self.loads, &is_kept);
+        retain_marked(&mut self.own_traffic_share, &is_kept);
+        retain_marked(&mut self.subset_share, &is_kept);
+        retain_marked(&mut self.address_hashes, &is_kept);
+        self.by_address_hash
+            .retain(|index| is_kept[*index as usize]);
         for index in &mut self.by_address_hash {
             *index = new_positions[*index as usize];
         }
@@ -142,7 +143,7 @@
 
     fn add(&mut self, added: Vec<Backend>) {
         let last = self.ids.last().copied();
-        let all_behind = added.first().map(|entry| entry.id) > last;
+        let appends_in_order = added.first().map(|entry| entry.id) > last;
         self.reserve_exactly_enough(added.len());
         for entry in added {
             self.by_address_hash.push(self.ids.len() as u32);
@@ -154,7 +155,7 @@
             self.subset_share.push(0.0);
             self.records.push(EndpointRecord::new(entry));
         }
-        if !all_behind {
+        if !appends_in_order {
             self.sort_by_id();
         }
     }
@@ -205,19 +206,19 @@
 }
 
 /// By old position: the new one, or where it would be.
-fn positions_after_removal(stays: &[bool]) -> Vec<u32> {
+fn positions_after_removal(is_kept: &[bool]) -> Vec<u32> {
     let mut next = 0;
-    let mut positions = Vec::with_capacity(stays.len());
-    for stays in stays {
+    let mut positions = Vec::with_capacity(is_kept.len());
+    for is_kept in is_kept {
         positions.push(next);
-        next += u32::from(*stays);
+        next += u32::from(*is_kept);
     }
     positions
 }
 
-fn retain_marked<T>(column: &mut Vec<T>, stays: &[bool]) {
-    let mut stays = stays.iter();
-    column.retain(|_| stays.next().is_some_and(|stays| *stays));
+fn retain_marked<T>(column: &mut Vec<T>, is_kept: &[bool]) {
+    let mut is_kept = is_kept.iter();
+    column.retain(|_| is_kept.next().is_some_and(|is_kept| *is_kept));
 }
 
 fn reorder<T: Copy>(column: &mut Vec<T>, old_positions: &[usize]) {
--- a/src/balancer/estimators.rs
+++ b/src/balancer/estimators.rs
@@ -3,7 +3,7 @@
 use crate::interface::{SampledMean, Time};
 
 /// A rate is known once one part in so many of its memory has been observed.
-const MIN_OBSERVED_PARTS: f64 = 20.0;
+const MIN_OBSERVATION_DIVISOR: f64 = 20.0;
 
 /// A mean over about the latest samples; how many, each call of [`RunningMean::add`] says.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,10 +49,10 @@
     }
 }
 
-/// Events a second over about the latest `memory_s` seconds, without bias from the first event on.
+/// Events a second over about the latest `time_constant_s` seconds, without bias from the first event on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EventRate {
-    memory_s: f64,
+    time_constant_s: f64,
     /// Events, each discounted by its age.
     events: f64,
     /// Seconds observed, each discounted by its age.
@@ -61,9 +61,9 @@
 }
 
 impl EventRate {
-    pub fn new(memory_s: f64) -> EventRate {
+    pub fn new(time_constant_s: f64) -> EventRate {
         EventRate {
-            memory_s,
+            time_constant_s,
             events: 0.0,
             observed_s: 0.0,
             updated_at: None,
@@ -75,15 +75,15 @@
         let elapsed_s = self.elapsed_s(now);
         self.add(
             now,
-            level * (1.0 - (-elapsed_s / self.memory_s).exp()) * self.memory_s,
+            level * (1.0 - (-elapsed_s / self.time_constant_s).exp()) * self.time_constant_s,
         );
     }
 
     /// Counts `events` that happened at `now`; 0 only lets time pass.
     pub fn add(&mut self, now: Time, events: f64) {
-        let discount = (-self.elapsed_s(now) / self.memory_s).exp();
+        let discount = (-self.elapsed_s(now) / self.time_constant_s).exp();
         self.events = self.events * discount + events;
-        self.observed_s = self.observed_s * discount + (1.0 - discount) * self.memory_s;
+        self.observed_s = self.observed_s * discount + (1.0 - discount) * self.time_constant_s;
         self.updated_at = Some(now);
     }
 
@@ -94,7 +94,7 @@
 
     /// The rate; `None` until enough has been observed.
     pub fn per_s(&self) -> Option<f64> {
-        (self.observed_s > self.memory_s / MIN_OBSERVED_PARTS)
+        (self.observed_s > self.time_constant_s / MIN_OBSERVATION_DIVISOR)
             .then(|| self.events / self.observed_s)
     }
 
--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -6,9 +6,9 @@
 
 /// Memory of the rate of original requests, from which this proxy's part of all traffic follows: the load balancer in
 /// front moves that part slowly.
-const ORIGINAL_REQUEST_MEMORY_S: f64 = 10.0;
+const ORIGINAL_REQUEST_TIME_CONSTANT_S: f64 = 10.0;
 /// Memory of the mean number of attempts in flight: short beside a ramp or a failure.
-const IN_FLIGHT_MEMORY_S: f64 = 2.0;
+const IN_FLIGHT_TIME_CONSTANT_S: f64 = 2.0;
 /// Before it was observed for so long, the number in flight says nothing of the other proxies.
 const MIN_OBSERVATION_S: f64 = 0.25;
 /// The whole fleet may get so many times its usual traffic for a while; more than that is this proxy's own part.
@@ -26,8 +26,8 @@
 impl FleetLoadEstimator {
     pub fn new() -> FleetLoadEstimator {
         FleetLoadEstimator {
-            original_requests: EventRate::new(ORIGINAL_REQUEST_MEMORY_S),
-            in_flight: EventRate::new(IN_FLIGHT_MEMORY_S),
+            original_requests: EventRate::new(ORIGINAL_REQUEST_TIME_CONSTANT_S),
+            in_flight: EventRate::new(IN_FLIGHT_TIME_CONSTANT_S),
         }
     }
 
--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -6,7 +6,7 @@
 use crate::interface::{LearnedHardwareClass, Time};
 
 /// Memory of the rate of served requests, s: some ten requests of a proxy that sees few.
-const SERVED_MEMORY_S: f64 = 5.0;
+const SERVED_TIME_CONSTANT_S: f64 = 5.0;
 /// The proven capacity is at most this multiple of what the latency of one request at a time gives.
 const MAX_PROVEN_MULTIPLE: f64 = 2.0;
 
@@ -39,7 +39,7 @@
             service_rate_per_s: 0.0,
             fleet_traffic_share: 0.0,
             own_traffic_share: 0.0,
-            served_per_endpoint: EventRate::new(SERVED_MEMORY_S),
+            served_per_endpoint: EventRate::new(SERVED_TIME_CONSTANT_S),
         }
     }
 }
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -10,7 +10,7 @@
 const HALF_LIFE_S: f64 = 60.0;
 
 /// What samples that are `age` old weigh, from 0 to 1.
-fn weight_at(age: Micros) -> f64 {
+fn age_weight(age: Micros) -> f64 {
     0.5f64.powf(age.as_secs_f64() / HALF_LIFE_S)
 }
 
@@ -75,7 +75,7 @@
     /// Takes over learned state that is `age` old. Its samples weigh less the older it is, so that new ones soon
     /// outweigh them; what the endpoint list no longer names is dropped.
     pub(super) fn restore_learned_state(&mut self, now: Time, state: LearnedState, age: Micros) {
-        let weight = weight_at(age);
+        let weight = age_weight(age);
         self.restore_hardware_classes(&state.hardware_classes, weight);
         self.restore_classes(&state, weight);
         for (id, learned) in &state.backends {
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -21,7 +21,7 @@
 /// latency objective.
 const SHED_LOW_PRIORITY_ABOVE_WHILE_SLOW: f64 = MIN_CONCURRENCY_LIMIT / 2.0;
 /// Requests in flight on a backend above which those are shed that will hardly be answered in time.
-const SHED_HOPELESS_ABOVE: f64 = MIN_CONCURRENCY_LIMIT / 2.0;
+const SHED_INFEASIBLE_ABOVE: f64 = MIN_CONCURRENCY_LIMIT / 2.0;
 
 /// The load of all proxies together, as this one estimates it.
 #[derive(Clone, Copy)]
@@ -54,7 +54,7 @@
 
     /// Whether a first attempt is shed because less time is left than a response usually takes, while others wait for
     /// the capacity. That happens to clients that retry: the attempt would mostly be cancelled unfinished.
-    pub fn sheds_hopeless(
+    pub fn sheds_infeasible(
         &self,
         now: Time,
         request: &PendingRequest,
@@ -62,7 +62,7 @@
     ) -> bool {
         now + expected_latency > request.deadline
             && !request.upload_streaming
-            && self.exceeds(SHED_HOPELESS_ABOVE)
+            && self.exceeds(SHED_INFEASIBLE_ABOVE)
     }
 }
 
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -19,8 +19,8 @@
     }
 
     /// The part of its surplus that stays in the region.
-    fn kept_part(&self) -> f64 {
-        part(self.spare, self.surplus)
+    fn retained_fraction(&self) -> f64 {
+        fraction(self.spare, self.surplus)
     }
 }
 
@@ -107,27 +107,27 @@
         let own_region = self.region(self.own_zone);
         let region = self.region(zone);
         let balance = self.balance(region);
-        let kept_part = self.kept_part(own_region);
-        let part_of_region = part(self.spare(fair_share), balance.spare);
+        let retained_fraction = self.retained_fraction(own_region);
+        let fraction_of_region = fraction(self.spare(fair_share), balance.spare);
         if region == own_region {
-            return self.surplus * kept_part * part_of_region;
+            return self.surplus * retained_fraction * fraction_of_region;
         }
         self.surplus
-            * (1.0 - kept_part)
-            * part(balance.spare_for_others(), self.spare_elsewhere)
-            * part_of_region
+            * (1.0 - retained_fraction)
+            * fraction(balance.spare_for_others(), self.spare_elsewhere)
+            * fraction_of_region
     }
 
     /// The part of a region's surplus that stays in it; none where the region has no zone.
-    fn kept_part(&self, region: RegionId) -> f64 {
+    fn retained_fraction(&self, region: RegionId) -> f64 {
         self.balances
             .get(&region)
-            .map_or(0.0, RegionBalance::kept_part)
+            .map_or(0.0, RegionBalance::retained_fraction)
     }
 }
 
 /// The part of `all` that `some` is, at most all of it.
-fn part(some: f64, all: f64) -> f64 {
+fn fraction(some: f64, all: f64) -> f64 {
     if all > 0.0 {
         (some / all).min(1.0)
     } else {
--- a/src/balancer/log_limiter.rs
+++ b/src/balancer/log_limiter.rs
@@ -13,7 +13,7 @@
 
 impl LogLimiter {
     /// Whether a line may be written now; it then counts as written.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn try_log(&mut self, now: Time) -> bool {
         let allowed = now >= self.next_line_at;
         if allowed {
             self.next_line_at = now + LOG_INTERVAL;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -69,7 +69,7 @@
 use zone_failover::ZoneHealth;
 
 /// Memory of the rate at which requests arrive: short beside a ramp or a failure.
-const ARRIVAL_RATE_MEMORY_S: f64 = 2.0;
+const ARRIVAL_RATE_TIME_CONSTANT_S: f64 = 2.0;
 /// A proxy with nothing else to do looks at what time alone brings about this often.
 const IDLE_CHECK_INTERVAL: Micros = Micros(5_000_000);
 /// Beyond so many backends the debug check of their table is left out, as it takes too long.
@@ -118,7 +118,7 @@
             zones: BTreeMap::new(),
             classes: ClassTable::new(&config.classes),
             error_share: RunningMean::default(),
-            arrivals: EventRate::new(ARRIVAL_RATE_MEMORY_S),
+            arrivals: EventRate::new(ARRIVAL_RATE_TIME_CONSTANT_S),
             fleet_load_estimator: FleetLoadEstimator::new(),
             quotas: TenantQuotas::default(),
             retry_budget: RetryBudget::default(),
@@ -145,7 +145,7 @@
         self.fleet_load_estimator.record_in_flight(now, in_flight);
         let has_work = matches!(event, Event::RequestArrived(_)) || !self.dispatch_queue.is_empty();
         if has_work && now >= self.split.due_at {
-            self.solve(now);
+            self.solve_traffic_split(now);
         }
         if let Event::TimerFired { token } = event {
             if !self.schedule.timer_fired(token) {
@@ -275,7 +275,7 @@
 
     /// A line for the operators, unless one was written a moment ago.
     fn log(&mut self, now: Time, text: String) {
-        if self.log_limiter.take(now) {
+        if self.log_limiter.try_log(now) {
             self.actions.push(Action::Log(text));
         }
     }
--- a/src/balancer/objective.rs
+++ b/src/balancer/objective.rs
@@ -9,17 +9,17 @@
 
 /// How the objective stands over all classes in use.
 #[derive(Clone, Copy, Default)]
-pub(super) struct ObjectiveStanding {
+pub(super) struct ObjectiveProgress {
     /// Sum of the classes' offered weights.
     offered_weight: f64,
     /// The least part (0 to 1) of its offered weight that a class earned.
     worst_served_share: f64,
 }
 
-impl ObjectiveStanding {
-    pub fn of(classes: &ClassTable) -> ObjectiveStanding {
+impl ObjectiveProgress {
+    pub fn of(classes: &ClassTable) -> ObjectiveProgress {
         let in_use = || classes.iter().filter(|stats| stats.in_use);
-        ObjectiveStanding {
+        ObjectiveProgress {
             offered_weight: in_use().map(|stats| stats.offered_weight).sum(),
             worst_served_share: in_use()
                 .map(ClassStats::served_share)
@@ -35,15 +35,15 @@
 impl Balancer {
     /// What one more served request of the class adds to the objective: its priority weight as a part of all traffic's
     /// and, in the class that is served worst, as a part of that class's.
-    pub(super) fn objective_gain(&self, class: usize, standing: ObjectiveStanding) -> f64 {
+    pub(super) fn objective_gain(&self, class: usize, progress: ObjectiveProgress) -> f64 {
         let stats = &self.classes[class];
-        let per_weight_in_class = if standing.is_worst(stats) {
+        let per_weight_in_class = if progress.is_worst(stats) {
             self.config.worst_class_objective_weight / stats.offered_weight.max(MIN_WEIGHT)
         } else {
             0.0
         };
         let per_weight_overall =
-            self.config.overall_objective_weight / standing.offered_weight.max(MIN_WEIGHT);
+            self.config.overall_objective_weight / progress.offered_weight.max(MIN_WEIGHT);
         self.config.classes[class].priority_weight * (per_weight_overall + per_weight_in_class)
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -50,7 +50,7 @@
 
 impl Evidence {
     /// `alive_within`: an endpoint that responded so recently is alive.
-    fn of(
+    fn classify(
         outcome: Outcome,
         record: &EndpointRecord,
         now: Time,
@@ -159,7 +159,7 @@
         record.in_flight = record.in_flight.saturating_sub(1);
         let zone = record.entry.zone;
         let alive_within = expected_latency.mul_f64(ALIVE_LATENCY_MULTIPLE);
-        let evidence = Evidence::of(end.outcome, record, now, sent_at, alive_within);
+        let evidence = Evidence::classify(end.outcome, record, now, sent_at, alive_within);
         let is_overdue = end.latency > silence_limit(expected_latency);
         self.record_zone_attempt(zone, was_answered(end.outcome, is_overdue));
         match evidence {
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -11,22 +11,22 @@
 
 /// An ejection that a peer announced.
 struct AnnouncedEjection {
-    given_at: Time,
+    issued_at: Time,
     duration: Micros,
     consecutive_ejections: i32,
 }
 
 impl EndpointRecord {
     /// Forgets verdicts that are too old, and the one of the peer that now gives another.
-    fn forget_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
+    fn expire_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
         self.faults_mut().peer_ejections.retain(|ejection| {
-            Some(ejection.peer) != verdict.origin && now - ejection.given_at <= verdict.max_age
+            Some(ejection.peer) != verdict.origin && now - ejection.issued_at <= verdict.max_age
         });
     }
 
     /// A peer readmitted it; returns whether that readmits it here.
-    fn readmit_on_peer_verdict(&mut self, given_at: Time) -> bool {
-        if !self.is_ejected() || given_at <= self.faults().last_failure_at {
+    fn readmit_on_peer_verdict(&mut self, issued_at: Time) -> bool {
+        if !self.is_ejected() || issued_at <= self.faults().last_failure_at {
             return false;
         }
         self.end_ejection();
@@ -36,21 +36,21 @@
         true
     }
 
-    /// Keeps a peer's ejection. Proxies check in turn, by the number that the newest verdict gives each: number n at
+    /// Keeps a peer's ejection. Proxies check in check_delay, by the number that the newest verdict gives each: number n at
     /// the ejection's end + n x [`BASE_EJECTION_S`]. So the result of one reaches the others first, and no proxy with a
     /// broken link keeps an endpoint out for long.
-    fn keep_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
-        let given_at = ejection.given_at;
+    fn record_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
+        let issued_at = ejection.issued_at;
         let faults = self.faults_mut();
         if let Some(peer) = verdict.origin {
-            faults.peer_ejections.push(PeerEjection { peer, given_at });
+            faults.peer_ejections.push(PeerEjection { peer, issued_at });
         }
-        if given_at >= faults.latest_peer_verdict.given_at {
-            let turn_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
-            let turn = Micros::from_secs_f64(turn_s).min(verdict.max_age);
+        if issued_at >= faults.latest_peer_verdict.issued_at {
+            let check_delay_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
+            let check_delay = Micros::from_secs_f64(check_delay_s).min(verdict.max_age);
             faults.latest_peer_verdict = LatestPeerVerdict {
-                given_at,
-                health_check_at: given_at + ejection.duration + turn,
+                issued_at,
+                health_check_at: issued_at + ejection.duration + check_delay,
             };
         }
     }
@@ -89,19 +89,19 @@
         if verdict.age > verdict.max_age {
             return;
         }
-        let given_at = now - verdict.age;
+        let issued_at = now - verdict.age;
         let Some(record) = self.backends.get_mut(verdict.backend) else {
             return;
         };
-        record.forget_peer_ejections(now, verdict);
+        record.expire_peer_ejections(now, verdict);
         match verdict.verdict {
-            Verdict::Readmitted => self.readmit_on_peer_verdict(now, verdict, given_at),
+            Verdict::Readmitted => self.readmit_on_peer_verdict(now, verdict, issued_at),
             Verdict::Ejected {
                 duration,
                 consecutive_ejections,
             } => {
                 let ejection = AnnouncedEjection {
-                    given_at,
+                    issued_at,
                     duration,
                     consecutive_ejections: i32::from(consecutive_ejections),
                 };
@@ -110,10 +110,10 @@
         }
     }
 
-    fn readmit_on_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict, given_at: Time) {
+    fn readmit_on_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict, issued_at: Time) {
         let id = verdict.backend;
         let record = self.backends.get_mut(id);
-        if record.is_some_and(|record| record.readmit_on_peer_verdict(given_at)) {
+        if record.is_some_and(|record| record.readmit_on_peer_verdict(issued_at)) {
             self.split.due_at = now;
             self.log(now, format!("backend {} readmitted by a peer", id.0));
         }
@@ -129,10 +129,10 @@
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        if ejection.given_at < record.last_response_at.max(record.faults().last_failure_at) {
+        if ejection.issued_at < record.last_response_at.max(record.faults().last_failure_at) {
             return;
         }
-        record.keep_peer_ejection(verdict, ejection);
+        record.record_peer_ejection(verdict, ejection);
         if record.eject_on_peer_verdicts(now, verdict, ejection) {
             let peers = record.faults().peer_ejections.len();
             self.schedule.check_at(now);
--- a/src/balancer/quota.rs
+++ b/src/balancer/quota.rs
@@ -26,7 +26,7 @@
 
 impl TenantQuotas {
     /// Takes a token of the tenant, whose bucket is filled at `rate_per_s`; whether there was one.
-    pub fn take(&mut self, tenant: TenantId, now: Time, rate_per_s: f64) -> bool {
+    pub fn try_take(&mut self, tenant: TenantId, now: Time, rate_per_s: f64) -> bool {
         let depth = rate_per_s * BUCKET_DEPTH_S;
         let tokens = match self.buckets.get(&tenant) {
             None => depth.max(TOKENS_PER_REQUEST),
--- a/src/balancer/quota/tests.rs
+++ b/src/balancer/quota/tests.rs
@@ -10,7 +10,7 @@
 /// How many tokens of the tenant can be taken at once.
 fn take_all(quotas: &mut TenantQuotas, now: Time, rate_per_s: f64) -> usize {
     (0..1_000)
-        .take_while(|_| quotas.take(TENANT, now, rate_per_s))
+        .take_while(|_| quotas.try_take(TENANT, now, rate_per_s))
         .count()
 }
 
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -60,8 +60,10 @@
         self.classes.change(&affected, before, after, |stats| {
             for successor in &change.successors {
                 let latency = stats.get(successor.predecessor.0).map(|s| s.latency);
-                if let (Some(heir), Some(latency)) = (stats.get_mut(successor.class.0), latency) {
-                    heir.latency = latency;
+                if let (Some(successor_stats), Some(latency)) =
+                    (stats.get_mut(successor.class.0), latency)
+                {
+                    successor_stats.latency = latency;
                 }
             }
             for (ids, in_use) in [(&change.retired, false), (&change.reinstated, true)] {
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -46,8 +46,8 @@
 impl RetryPolicy {
     /// Whether the request may have a further attempt, its first one included.
     fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
-        let alone = self.hedging || !request.has_attempt_in_flight();
-        alone
+        let concurrency_allowed = self.hedging || !request.has_attempt_in_flight();
+        concurrency_allowed
             && request.attempts.len() < request.max_attempts
             && request
                 .attempts
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -59,7 +59,7 @@
 
     /// A hardware class with a backend that may be drawn: the index of its group.
     fn select_group(&mut self) -> Option<usize> {
-        let groups = self.backends.drawable_hardware_classes();
+        let groups = self.backends.selectable_hardware_classes();
         let weighted = groups.filter_map(|(index, hardware_class)| {
             Some(Weighted {
                 item: index,
@@ -121,10 +121,10 @@
         let low_priority = request.value < LOW_PRIORITY_VALUE;
         let mut overrides = Vec::new();
         for index in self.backends.restricted.iter().map(|index| *index as usize) {
-            let drawable = now >= self.backends.record_at(index).faults().overloaded_until
+            let selectable = now >= self.backends.record_at(index).faults().overloaded_until
                 && self.backends.has_capacity(index, low_priority)
                 && self.fits_slow_start(now, index, work, proven_capacities);
-            let weight = if drawable {
+            let weight = if selectable {
                 self.backends.weight(index)
             } else {
                 0.0
@@ -179,7 +179,7 @@
     ) -> bool {
         let offset = self.backends.loads[index].rounding_offset;
         let exceeded =
-            self.remaining_warm_up_budget(now, index, proven_capacities) < work * (1.0 - offset);
+            self.remaining_slow_start_budget(now, index, proven_capacities) < work * (1.0 - offset);
         !exceeded
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -29,21 +29,21 @@
 
     /// The part of its capacity that an endpoint has at least, given when its slow start began; `None` means long ago.
     pub fn readiness(&self, now: Time, began_at: Option<Time>) -> f64 {
-        let elapsed_part = began_at.map_or(f64::MAX, |began_at| {
+        let elapsed_fraction = began_at.map_or(f64::MAX, |began_at| {
             (now - began_at).as_secs_f64() / self.duration.as_secs_f64().max(MIN_SPAN_S)
         });
-        self.ramp(elapsed_part)
+        self.ramp(elapsed_fraction)
     }
 
-    /// Readiness after `elapsed_part` of a ramp: it grows evenly, up to 1 at its end and after.
-    pub fn ramp(&self, elapsed_part: f64) -> f64 {
-        self.min_readiness + (1.0 - self.min_readiness) * elapsed_part.min(1.0)
+    /// Readiness after `elapsed_fraction` of a ramp: it grows evenly, up to 1 at its end and after.
+    pub fn ramp(&self, elapsed_fraction: f64) -> f64 {
+        self.min_readiness + (1.0 - self.min_readiness) * elapsed_fraction.min(1.0)
     }
 }
 
 /// What a proxy may send to an endpoint in slow start within one overload window.
 #[derive(Clone, Copy, Debug)]
-struct WarmUpBudget {
+struct SlowStartBudget {
     /// The multiple of its present capacity at which an endpoint in slow start fails.
     overload_multiple: f64,
     overload_window: Micros,
@@ -55,12 +55,12 @@
     /// evenly.
     uptime_windows: f64,
     /// This proxy's part of what all proxies send the endpoint.
-    own_part: f64,
+    own_share: f64,
     /// Processes that share the budget of this proxy during a hot restart.
     processes: u32,
 }
 
-impl WarmUpBudget {
+impl SlowStartBudget {
     /// The work that may be sent within the window, in requests of mean work.
     fn work(&self) -> f64 {
         let fleet_work = self.overload_multiple
@@ -70,14 +70,14 @@
         // One request of all proxies together is always allowed: else a process that starts among endpoints that are
         // all in slow start would reject its first requests.
         let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
-        fleet_work * self.own_part / f64::from(self.processes)
+        fleet_work * self.own_share / f64::from(self.processes)
     }
 }
 
 impl Balancer {
     /// Work that this proxy may still send to an endpoint within the present overload window; unlimited for a warm
     /// one. `proven_capacity` caches [`Balancer::proven_capacity_per_s`].
-    pub(super) fn remaining_warm_up_budget(
+    pub(super) fn remaining_slow_start_budget(
         &self,
         now: Time,
         index: usize,
@@ -95,13 +95,13 @@
         let proven_capacity_per_s = *proven_capacity
             .entry(hardware_class)
             .or_insert_with(|| self.proven_capacity_per_s(hardware_class));
-        let budget = WarmUpBudget {
+        let budget = SlowStartBudget {
             overload_multiple: self.config.overload_multiple,
             overload_window,
             readiness,
             proven_capacity_per_s,
             uptime_windows: self.uptime_windows(now),
-            own_part: self.backends.loads[index].own_part,
+            own_share: self.backends.loads[index].own_share,
             processes: self.processes.sharing_budgets(now),
         };
         budget.work() - record.work_within(now, overload_window)
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -33,20 +33,20 @@
 }
 
 /// 20 requests of work for each window and endpoint, half of them by this proxy.
-const BUDGET: WarmUpBudget = WarmUpBudget {
+const BUDGET: SlowStartBudget = SlowStartBudget {
     overload_multiple: 1.0,
     overload_window: Micros(1_000_000),
     readiness: 0.5,
     proven_capacity_per_s: 50.0,
     uptime_windows: 3.0,
-    own_part: 0.5,
+    own_share: 0.5,
     processes: 1,
 };
 
 #[test]
 fn the_budget_is_this_proxys_part_of_what_the_endpoint_can_do() {
     assert!((BUDGET.work() - 10.0).abs() < 1e-12);
-    let two_processes = WarmUpBudget {
+    let two_processes = SlowStartBudget {
         processes: 2,
         ..BUDGET
     };
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_budget_of_a_young_process_grows_over_a_window() {
-    let young = WarmUpBudget {
+    let young = SlowStartBudget {
         uptime_windows: 0.25,
         ..BUDGET
     };
@@ -64,7 +64,7 @@
 
 #[test]
 fn one_request_of_the_fleet_is_always_in_the_budget() {
-    let cold = WarmUpBudget {
+    let cold = SlowStartBudget {
         readiness: 0.0,
         ..BUDGET
     };
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -14,7 +14,7 @@
 /// The part of an endpoint's capacity that goes by traffic; the rest is spread evenly over the proxies.
 const CAPACITY_BY_TRAFFIC: f64 = 0.5;
 /// The part of its readiness that an endpoint weighs at least, so that overflow finds it once all others are full.
-const OVERFLOW_PART: f64 = 1e-6;
+const OVERFLOW_FRACTION: f64 = 1e-6;
 /// A sum counts as at least this where something is divided by it.
 const MIN_DIVISOR: f64 = 1e-9;
 /// Multiples of the golden ratio's fraction spread evenly, however many there are.
@@ -83,7 +83,7 @@
 
 /// Where a walk over the ring of a group's endpoints has come to.
 #[derive(Clone, Copy, Debug, Default)]
-struct RingWalk {
+struct RingCursor {
     /// Sum of the traffic shares of the endpoints passed.
     traffic_share: f64,
     /// That sum as a part of the group's.
@@ -187,7 +187,7 @@
         let capacity = split.even_capacity(load, proxies) * by_traffic + load.rounding_offset;
         load.capacity = capacity.floor().max(1.0);
         let share = split.fair_share(load) * bias;
-        *traffic_share = share + load.readiness * OVERFLOW_PART;
+        *traffic_share = share + load.readiness * OVERFLOW_FRACTION;
         traffic.reached += u32::from(share > 0.0);
         traffic.group_shares[group] += *traffic_share;
     }
@@ -214,21 +214,21 @@
 /// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring
 /// of a group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
 fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: RingArc, proxies: f64) {
-    let mut walks = vec![RingWalk::default(); group_shares.len()];
+    let mut cursors = vec![RingCursor::default(); group_shares.len()];
     for &index in &endpoints.by_address_hash {
         let index = index as usize;
         let load = &mut endpoints.loads[index];
         let group = load.group_index as usize;
-        let from = walks[group].position;
-        let traffic_share = walks[group].traffic_share + endpoints.own_traffic_share[index];
+        let from = cursors[group].position;
+        let traffic_share = cursors[group].traffic_share + endpoints.own_traffic_share[index];
         let to = traffic_share / group_shares[group].max(MIN_DIVISOR);
-        walks[group] = RingWalk {
+        cursors[group] = RingCursor {
             traffic_share,
             position: to,
         };
         let subset_share = arc.overlap(from, to);
         endpoints.subset_share[index] = subset_share;
-        load.own_part = if subset_share > 0.0 {
+        load.own_share = if subset_share > 0.0 {
             subset_share / ((to - from) * arc.width * proxies).max(MIN_DIVISOR)
         } else {
             0.0
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -15,7 +15,7 @@
 /// theirs.
 const PANIC_THRESHOLD: f64 = 0.5;
 /// Below this part of the capacity the arrival rate is taken for none, as the solution divides by it.
-const MIN_RATE_PART: f64 = 1e-6;
+const MIN_RATE_FRACTION: f64 = 1e-6;
 
 /// What a hardware class can serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -59,7 +59,7 @@
     loop {
         let root_weight = sum_over(&used, HardwareClassCapacity::root_weight);
         let total_per_s = sum_over(&used, HardwareClassCapacity::total_per_s);
-        if rate_per_s <= total_per_s * MIN_RATE_PART || total_per_s <= 0.0 {
+        if rate_per_s <= total_per_s * MIN_RATE_FRACTION || total_per_s <= 0.0 {
             let highest_rate_per_s = highest_ready_rate_per_s(&used);
             return shares_by_ready(classes, |class| {
                 class.service_rate_per_s == highest_rate_per_s
@@ -120,7 +120,7 @@
 impl Balancer {
     /// Solves the split: the readiness of every endpoint, speed and share of every hardware class, and this proxy's
     /// subset.
-    pub(super) fn solve(&mut self, now: Time) {
+    pub(super) fn solve_traffic_split(&mut self, now: Time) {
         self.backends.refresh(now, &self.config);
         self.update_concurrency_limits(now - self.split.solved_at);
         self.split.solved_at = now;
@@ -164,12 +164,12 @@
                 true => ejected_readiness,
                 false => load.success_share,
             };
-            let warmth = if now >= load.slow_start_ends_at {
+            let slow_start_factor = if now >= load.slow_start_ends_at {
                 warm
             } else {
                 slow_start.readiness(now, record.slow_start_began_at())
             };
-            load.readiness = zone_readiness[load.zone_index as usize] * health * warmth;
+            load.readiness = zone_readiness[load.zone_index as usize] * health * slow_start_factor;
             ready_endpoints[load.group_index as usize] += load.readiness;
         }
         for (group, ready) in self.backends.groups.iter().zip(ready_endpoints) {
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -15,9 +15,9 @@
 /// The share of attempts without a response counts from so many samples on.
 const MIN_ATTEMPT_SAMPLES: f64 = ATTEMPT_SAMPLES / 2.0;
 /// A zone returns below this part of the threshold at which it is taken out of use.
-const RETURN_PART_OF_THRESHOLD: f64 = 0.5;
+const RETURN_THRESHOLD_FRACTION: f64 = 0.5;
 /// Failovers within so long make the next recovery longer.
-const FLAP_MEMORY: Micros = Micros(60_000_000);
+const FLAP_WINDOW: Micros = Micros(60_000_000);
 /// Failovers beyond so many make the next recovery no longer.
 const MAX_COUNTED_FAILOVERS: usize = 6;
 /// A ramp counts as at least this long where something is divided by it, s.
@@ -32,7 +32,7 @@
 }
 
 impl ZoneCounts {
-    fn unhealthy_part(&self) -> f64 {
+    fn unhealthy_fraction(&self) -> f64 {
         self.unhealthy / self.available
     }
 }
@@ -47,7 +47,7 @@
     unhealthy_since: Option<Time>,
     /// When its recovery ramp began; `None` while it has not been out of use, or once the ramp is over.
     recovering_since: Option<Time>,
-    /// When it was taken out of use, within [`FLAP_MEMORY`].
+    /// When it was taken out of use, within [`FLAP_WINDOW`].
     failovers: Vec<Time>,
 }
 
@@ -65,21 +65,21 @@
             .add(f64::from(!answered), ATTEMPT_SAMPLES);
     }
 
-    /// Doubles with each failover within [`FLAP_MEMORY`], from 1 with the first.
-    fn flap_multiple(&self) -> f64 {
+    /// Doubles with each failover within [`FLAP_WINDOW`], from 1 with the first.
+    fn backoff_multiple(&self) -> f64 {
         f64::from(1u32 << self.failovers.len().clamp(1, MAX_COUNTED_FAILOVERS)) / 2.0
     }
 
     fn recovery_ramp(&self, rules: &ZoneFailover) -> Micros {
-        rules.recovery_ramp.mul_f64(self.flap_multiple())
+        rules.recovery_ramp.mul_f64(self.backoff_multiple())
     }
 
     /// Whether the zone may return, by the time since it was taken out of use.
-    fn has_rested(&self, now: Time) -> bool {
-        let rest = Micros::from_secs_f64(BASE_EJECTION_S * self.flap_multiple());
+    fn hold_down_elapsed(&self, now: Time) -> bool {
+        let hold_down = Micros::from_secs_f64(BASE_EJECTION_S * self.backoff_multiple());
         self.failovers
             .last()
-            .is_none_or(|failover_at| now - *failover_at >= rest)
+            .is_none_or(|failover_at| now - *failover_at >= hold_down)
     }
 
     /// Takes the present counts of its endpoints into account.
@@ -90,12 +90,12 @@
         rules: &ZoneFailover,
     ) -> Option<ZoneTransition> {
         self.failovers
-            .retain(|failover_at| now - *failover_at < FLAP_MEMORY);
-        let unhealthy_part = counts.unhealthy_part();
-        self.update_unhealthy_since(now, unhealthy_part, rules);
+            .retain(|failover_at| now - *failover_at < FLAP_WINDOW);
+        let unhealthy_fraction = counts.unhealthy_fraction();
+        self.update_unhealthy_since(now, unhealthy_fraction, rules);
         if self.out_of_use {
-            let return_below = rules.unhealthy_threshold * RETURN_PART_OF_THRESHOLD;
-            let may_return = unhealthy_part < return_below && self.has_rested(now);
+            let return_below = rules.unhealthy_threshold * RETURN_THRESHOLD_FRACTION;
+            let may_return = unhealthy_fraction < return_below && self.hold_down_elapsed(now);
             return may_return.then(|| self.start_recovery(now));
         }
         let unhealthy_for = self.unhealthy_since.map(|since| now - since);
@@ -112,11 +112,11 @@
         })
     }
 
-    fn update_unhealthy_since(&mut self, now: Time, unhealthy_part: f64, rules: &ZoneFailover) {
+    fn update_unhealthy_since(&mut self, now: Time, unhealthy_fraction: f64, rules: &ZoneFailover) {
         let threshold = rules.unhealthy_threshold;
         let attempts_fail = self.unanswered_share.count >= MIN_ATTEMPT_SAMPLES
             && self.unanswered_share.value >= threshold;
-        if attempts_fail || unhealthy_part >= threshold {
+        if attempts_fail || unhealthy_fraction >= threshold {
             self.unhealthy_since.get_or_insert(now);
         } else {
             self.unhealthy_since = None;
@@ -144,10 +144,10 @@
             return 0.0;
         }
         let ramp_s = self.recovery_ramp(rules).as_secs_f64().max(MIN_RAMP_S);
-        let elapsed_part = self
+        let elapsed_fraction = self
             .recovering_since
             .map_or(1.0, |since| (now - since).as_secs_f64() / ramp_s);
-        slow_start.ramp(elapsed_part)
+        slow_start.ramp(elapsed_fraction)
     }
 }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,54 +1,54 @@
-//! What the decisions ask of the host.
+//! The actions that the balancer asks the host to carry out.
 
 use super::events::Verdict;
 use super::ids::{AttemptNumber, BackendId, RequestId, TimerToken};
 use super::time::Micros;
 
-/// Something that the host has to carry out, in order.
+/// An action for the host. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client gives up.
+    /// Send an attempt of the request to the backend. It may last until the client's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
         /// The backend.
         backend: BackendId,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Final answer: the request was rejected, and the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should retry, from now.
+        /// Time from now after which the client should retry.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: the request failed. A backend may have processed it.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) later.
+    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) after a delay.
     SetTimer {
-        /// The token that the event carries.
+        /// The token to report in the event.
         token: TimerToken,
-        /// When, from now.
+        /// The delay from now.
         after: Micros,
     },
-    /// Ask discovery for the endpoint list and its changes.
+    /// Request the endpoint list and its changes from service discovery.
     PollDiscovery,
-    /// Publish a verdict to the other proxies, where state is shared.
+    /// Publish a health verdict to the other proxies, if the host shares state with them.
     PublishVerdict {
         /// The backend.
         backend: BackendId,
-        /// What this proxy found out by its own evidence.
+        /// This proxy's verdict.
         verdict: Verdict,
     },
-    /// Write a line to the log.
+    /// Write the line to the log.
     Log(String),
 }
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -1,153 +1,151 @@
-//! What the decisions are configured with. The names of the settings on the wire are mapped to these fields in
-//! [`crate::settings`].
+//! The balancer's configuration. [`crate::settings`] maps the names used in settings files to these fields.
 
 use super::ids::{RegionId, ZoneId};
 use super::time::Micros;
 use imbl::Vector;
 use std::collections::BTreeMap;
 
-/// The configuration of one proxy's decisions.
+/// The configuration of one proxy's balancer.
 ///
-/// A clone shares the tables of classes and tenants with its original; one that is then changed copies only the path
-/// to the change.
+/// Clones share the tables of classes and tenants; a change copies only the path to the changed entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Proxies that share the traffic, this one included.
+    /// Number of proxies that share the traffic, including this one.
     pub proxy_count: u32,
-    /// Which of them this one is, from 0.
+    /// Index of this proxy among them, from 0.
     pub proxy_index: u32,
-    /// The proxy's own zone.
+    /// The zone of this proxy.
     pub zone: ZoneId,
     /// The request classes.
     pub classes: Vector<RequestClass>,
     /// The tenants; may be empty.
     pub tenants: Vector<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a part (0 to 1) of its class's.
+    /// Priority weight of a request over its tenant's quota, as a fraction (0 to 1) of its class's weight.
     pub over_quota_weight: f64,
-    /// Weight (0 to 1) of all traffic together in the operators' objective.
+    /// Weight (0 to 1) of the overall traffic in the operators' objective.
     pub overall_objective_weight: f64,
-    /// Weight (0 to 1) of the class that is served worst in the operators' objective.
+    /// Weight (0 to 1) of the worst-served class in the operators' objective.
     pub worst_class_objective_weight: f64,
-    /// Cost to the operators' objective if every request crosses zones once.
+    /// Cost in the operators' objective if every request crosses zones once.
     pub cross_zone_cost: f64,
-    /// Where the endpoint list comes from.
+    /// How the proxy gets the endpoint list.
     pub discovery: Discovery,
-    /// Attempts allowed for a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
     /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// The shortest time between two rounds of events.
+    /// Shortest time between two rounds of events.
     pub timer_resolution: Micros,
-    /// Part (0 to 1) of its capacity that a backend has at least when it starts.
+    /// Fraction (0 to 1) of its capacity that a backend is sure to have when it starts.
     pub slow_start_min_readiness: f64,
-    /// A started backend has its full capacity after this time.
+    /// Time from the start of a backend until it has its full capacity.
     pub slow_start: Micros,
-    /// A backend that is warming up fails if it gets more than this multiple of its present capacity within
+    /// A backend in slow start fails if it gets more than this multiple of its current capacity within
     /// `overload_window`.
     pub overload_multiple: f64,
-    /// The time over which the load on a backend that is warming up is compared with `overload_multiple`.
+    /// Time over which the load on a backend in slow start is compared with `overload_multiple`.
     pub overload_window: Micros,
-    /// When whole zones are taken out of use; `None`: never.
+    /// When whole zones are taken out of use; `None` disables zone failover.
     pub zone_failover: Option<ZoneFailover>,
-    /// The region of each zone; all zones that are not named here form one region.
+    /// The region of each zone. Zones that are missing here are all in the default region.
     pub regions: BTreeMap<ZoneId, RegionId>,
 }
 
-/// When a whole zone is taken out of use, and how it returns (settings `locality`).
+/// When a whole zone is taken out of use, and how it returns (`locality` in the settings).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFailover {
-    /// The zone is taken out of use once, for half a second, this part (0 to 1) of its ready backends was ejected or
-    /// silent, or this part of the latest attempts there remained without a response. It returns when less than half of
-    /// this part of its backends is ejected or silent, after a rest that grows with repeated failovers.
+    /// The zone is taken out of use once, for half a second, this fraction (0 to 1) of its ready backends was ejected or
+    /// silent, or this fraction of its latest attempts got no response. It returns when the unhealthy fraction of its
+    /// backends is below half of this threshold, after a hold-down time that grows with repeated failovers.
     pub unhealthy_threshold: f64,
-    /// Time over which a returning zone goes back to its full readiness. Doubles with each further failover within a
+    /// Time over which a returning zone ramps up to its full readiness. It doubles with each further failover within a
     /// minute, up to 32 times this value.
     pub recovery_ramp: Micros,
 }
 
-/// Requests that are to be treated alike.
+/// The rules for a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// A response within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// The objective grows by this multiple of the request's work hint.
+    /// The latency objective grows by this multiple of the request's work hint.
     pub objective_per_work: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request may be processed more than once.
     pub idempotency: Idempotency,
-    /// What a served request contributes to the operators' objective.
+    /// The amount that a served request contributes to the operators' objective.
     pub priority_weight: f64,
-    /// Part (0 to 1) of the priority weight that a response after the latency objective earns.
+    /// Fraction (0 to 1) of the priority weight that a response earns after the latency objective.
     pub late_weight: f64,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be processed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated and rejected at will.
+    /// The request may be repeated any number of times.
     Idempotent,
-    /// It carries an idempotency key, by which the backends of one scope discard repeats.
+    /// The request carries an idempotency key, by which the backends of one scope discard repeats.
     Keyed {
-        /// The backends that know each other's keys.
+        /// The backends that share their keys.
         scope: KeyScope,
-        /// For how long after the first dispatch they know the key.
+        /// Time after the first dispatch for which the backends remember the key.
         window: Micros,
     },
-    /// A second run does harm.
+    /// The request must not be processed more than once.
     NonIdempotent,
 }
 
-/// Which backends discard each other's repeats of a keyed request.
+/// The set of backends that share their idempotency keys, and so discard repeats of each other's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
-/// A customer with a quota.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that have the full priority weight.
+    /// Requests per second, over all proxies, that get the full priority weight.
     pub quota_per_s: f64,
 }
 
-/// Where the endpoint list comes from.
+/// How a proxy gets the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Discovery pushes changes.
+    /// Service discovery pushes changes.
     Push,
     /// The proxy polls, see [`Action::PollDiscovery`](crate::Action::PollDiscovery).
     Poll {
-        /// A proxy that does not poll counts as notified of a change after this time. Half of it caps the interval to
-        /// which polls back off; a poll without a response is repeated after it.
+        /// Time after which a proxy that does not poll is assumed to know of a change. Half of it is the longest backoff
+        /// interval, and the time after which a poll without a response is repeated.
         staleness_limit: Micros,
     },
 }
 
-/// A field of the configuration that is out of its range.
+/// The error for a configuration field that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// A short name of the field, not the settings key.
+    /// Short name of the field, which may differ from its settings key.
     pub field: &'static str,
-    /// The values that it takes.
+    /// The allowed values.
     pub expected: &'static str,
 }
 
-/// One check of a field's range.
+/// The result of a range check on one field.
 struct Check {
-    holds: bool,
+    passes: bool,
     field: &'static str,
     expected: &'static str,
 }
 
 impl Config {
-    /// A small valid configuration: one zone, three proxies, one idempotent class.
+    /// Returns a small valid configuration: one zone, three proxies, one idempotent class.
     pub fn example() -> Config {
         Config {
             proxy_count: 3,
@@ -173,13 +171,13 @@
         }
     }
 
-    /// Every field that is out of its range.
+    /// Returns an error for every field that is out of range.
     pub fn errors(&self) -> Vec<ConfigError> {
         let mut checks = self.fleet_checks();
         checks.extend(self.table_checks());
         checks.extend(self.objective_checks());
         checks.extend(self.backend_checks());
-        errors_of(checks).collect()
+        failed_checks(checks).collect()
     }
 
     fn fleet_checks(&self) -> Vec<Check> {
@@ -196,51 +194,59 @@
     fn table_checks(&self) -> Vec<Check> {
         let has_classes = !self.classes.is_empty();
         let mut checks = vec![check(has_classes, "classes", "at least one class")];
-        let of_all = self.classes.iter().map(RequestClass::checks);
-        checks.extend(of_all.reduce(hold_together).into_iter().flatten());
+        let class_checks = self.classes.iter().map(RequestClass::checks);
+        checks.extend(class_checks.reduce(combine_checks).into_iter().flatten());
         let quotas = self.tenants.iter().all(Tenant::is_valid);
         checks.push(quota_check(quotas));
         checks
     }
 
     fn objective_checks(&self) -> Vec<Check> {
-        let part = "a part from 0 to 1";
+        let fraction_range = "a number from 0 to 1";
         vec![
-            check(is_part(self.over_quota_weight), "over_quota_worth", part),
-            check(is_part(self.overall_objective_weight), "goal_whole", part),
             check(
-                is_part(self.worst_class_objective_weight),
+                is_fraction(self.over_quota_weight),
+                "over_quota_worth",
+                fraction_range,
+            ),
+            check(
+                is_fraction(self.overall_objective_weight),
+                "goal_whole",
+                fraction_range,
+            ),
+            check(
+                is_fraction(self.worst_class_objective_weight),
                 "goal_worst_class",
-                part,
+                fraction_range,
             ),
             check(self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
         ]
     }
 
     fn backend_checks(&self) -> Vec<Check> {
-        let threshold_valid = self.zone_failover.is_none_or(|failover| {
-            failover.unhealthy_threshold > 0.0 && is_part(failover.unhealthy_threshold)
+        let is_threshold_valid = self.zone_failover.is_none_or(|failover| {
+            failover.unhealthy_threshold > 0.0 && is_fraction(failover.unhealthy_threshold)
         });
         vec![
             check(self.max_attempts > 0, "max_attempts", "at least 1"),
             check(self.timer_resolution.0 > 0, "tick", "a time above 0"),
             check(
-                is_part(self.slow_start_min_readiness),
+                is_fraction(self.slow_start_min_readiness),
                 "cold_from",
-                "a part from 0 to 1",
+                "a number from 0 to 1",
             ),
             check(
                 is_positive(self.overload_multiple),
                 "fall_multiple",
                 "a finite number above 0",
             ),
-            check(threshold_valid, "leave_share", "(0, 1]"),
+            check(is_threshold_valid, "leave_share", "(0, 1]"),
         ]
     }
 }
 
 impl RequestClass {
-    /// A class of idempotent requests with a latency objective of half a second.
+    /// Returns a class of idempotent requests with a latency objective of half a second.
     pub fn example() -> RequestClass {
         RequestClass {
             latency_objective: Micros(500_000),
@@ -251,9 +257,9 @@
         }
     }
 
-    /// The first field that is out of its range, if any.
+    /// Returns an error for the first field that is out of range, if any.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        errors_of(self.checks()).next().map_or(Ok(()), Err)
+        failed_checks(self.checks()).next().map_or(Ok(()), Err)
     }
 
     fn checks(&self) -> [Check; 4] {
@@ -266,19 +272,19 @@
                 "a finite number above 0",
             ),
             check(
-                is_part(self.late_weight),
+                is_fraction(self.late_weight),
                 "late_worth",
-                "a part from 0 to 1",
+                "a number from 0 to 1",
             ),
         ]
     }
 }
 
 impl Tenant {
-    /// The first field that is out of its range, if any.
+    /// Returns an error if the quota is out of range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let checks = [quota_check(self.is_valid())];
-        errors_of(checks).next().map_or(Ok(()), Err)
+        failed_checks(checks).next().map_or(Ok(()), Err)
     }
 
     fn is_valid(&self) -> bool {
@@ -286,35 +292,35 @@
     }
 }
 
-fn check(holds: bool, field: &'static str, expected: &'static str) -> Check {
+fn check(passes: bool, field: &'static str, expected: &'static str) -> Check {
     Check {
-        holds,
+        passes,
         field,
         expected,
     }
 }
 
-fn quota_check(holds: bool) -> Check {
-    check(holds, "quota_per_s", "a finite rate above 0")
+fn quota_check(passes: bool) -> Check {
+    check(passes, "quota_per_s", "a finite rate above 0")
 }
 
-/// The same checks, each of which holds where it holds in both.
-fn hold_together(mut all: [Check; 4], one: [Check; 4]) -> [Check; 4] {
+/// Combines the same checks of two classes; each passes only if it passes for both.
+fn combine_checks(mut all: [Check; 4], one: [Check; 4]) -> [Check; 4] {
     for (check, other) in all.iter_mut().zip(one) {
-        check.holds &= other.holds;
+        check.passes &= other.passes;
     }
     all
 }
 
-fn errors_of(checks: impl IntoIterator<Item = Check>) -> impl Iterator<Item = ConfigError> {
-    let failed = checks.into_iter().filter(|check| !check.holds);
+fn failed_checks(checks: impl IntoIterator<Item = Check>) -> impl Iterator<Item = ConfigError> {
+    let failed = checks.into_iter().filter(|check| !check.passes);
     failed.map(|check| ConfigError {
         field: check.field,
         expected: check.expected,
     })
 }
 
-fn is_part(value: f64) -> bool {
+fn is_fraction(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
 
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,48 +1,48 @@
-//! The endpoint list as the decisions see it.
+//! The entries of the endpoint list, and the ways in which it is updated.
 
 use super::ids::{BackendId, CellId, HardwareClassId, ZoneId};
 use super::time::Time;
 
-/// A backend process, as the endpoint list describes it.
+/// A backend process, as described by the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// Which backend.
+    /// The backend's id.
     pub id: BackendId,
-    /// A hash of its address, the same at every proxy.
+    /// A hash of the backend's address. It is the same on every proxy.
     pub address_hash: u64,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The backend's cell.
     pub cell: CellId,
-    /// Its hardware class.
+    /// The backend's hardware class.
     pub hardware_class: HardwareClassId,
-    /// What it may be sent.
+    /// Whether the backend accepts requests.
     pub state: BackendState,
     /// When the process last started; `None` means long ago.
     pub started_at: Option<Time>,
 }
 
-/// What a backend may be sent.
+/// Whether a backend accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Requests.
+    /// The backend accepts requests.
     Ready,
-    /// Nothing new: it finishes what is in flight.
+    /// The backend finishes the attempts in flight and accepts no new ones.
     Draining,
-    /// Nothing: it is no longer listed.
+    /// The backend is no longer listed.
     #[default]
     Removed,
 }
 
-/// How far an update of the endpoint list reaches.
+/// How an update relates to the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Incremental,
-    /// The complete list: what it does not name is removed.
+    /// The complete list; backends that it omits are removed.
     Full,
-    /// The complete list from before a restart, perhaps out of date.
+    /// The complete list as saved before a restart, which may be out of date.
     Cached,
-    /// The poll or the watch failed; the present list stays.
+    /// The poll or watch failed; the current list is kept.
     Failed,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the host reports to the decisions.
+//! The events that a host reports to the balancer.
 
 use super::endpoints::{Backend, EndpointUpdate};
 use super::ids::{AttemptNumber, BackendId, ClassId, PeerId, RequestId, TenantId, TimerToken};
@@ -6,149 +6,150 @@
 use super::time::{Micros, Time};
 use super::validated_config::ValidatedConfig;
 
-/// Something that happened, to be reported in order and with its time.
+/// An event that the host reports to [`Balancer::handle`](crate::Balancer::handle), in order of time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed, or could not be had.
+    /// The endpoint list changed, or could not be fetched.
     EndpointsUpdated {
-        /// How far the update reaches.
+        /// How `backends` relates to the list that is known already.
         update: EndpointUpdate,
-        /// The entries.
+        /// The listed backends; empty for a failed update.
         backends: Vec<Backend>,
     },
-    /// A client's request: it is owed one final answer.
+    /// A client request arrived. It must get exactly one final answer.
     RequestArrived(RequestArrival),
-    /// The response has begun to stream: no time-out runs for this attempt any more.
+    /// The backend started to stream its response. The attempt has no timeout from here on.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// The request's body is streamed to this attempt's backend and cannot be sent to another. Its time counts from
-    /// its last byte.
+    /// The request body is being streamed to this attempt's backend and cannot be sent to another one. Its deadline
+    /// and latency are counted from the last byte of the body.
     UploadStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// The last byte of a streamed body was sent.
+    /// The last byte of a streamed request body was sent.
     UploadFinished {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// When the client gives up, from now.
+        /// Time from now until the client's deadline.
         time_left: Micros,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected; no answer is owed.
+    /// The client disconnected, so the request needs no answer.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// Operators take the backend out of use, whatever the endpoint list says of it.
+    /// An operator disabled the backend, regardless of its state in the endpoint list.
     BackendDisabled {
         /// The backend.
         backend: BackendId,
     },
-    /// Operators put the backend back into use. It may have restarted at any time until then.
+    /// An operator enabled the backend again. It may have restarted while it was disabled.
     BackendEnabled {
         /// The backend.
         backend: BackendId,
-        /// When they did so.
+        /// When it was enabled.
         since: Time,
     },
-    /// The number of processes that run as this proxy: two while a new version takes over from an old one.
+    /// The number of processes running as this proxy changed; there are two during a hot restart.
     ProcessCountChanged {
-        /// How many, this one included.
+        /// The number of processes, including this one.
         processes: u32,
     },
-    /// The configuration changed. Open requests end under the rules and with the attempts that they came with.
+    /// The configuration changed. Pending requests keep the rules and the attempt limit that they arrived with.
     ConfigChanged {
-        /// The new configuration; numbers of classes and tenants keep their meaning, and new ones come last.
+        /// The new configuration. Existing classes and tenants keep their numbers, and new ones are appended.
         config: Box<ValidatedConfig>,
         /// Classes that are no longer in use.
         retired: Vec<ClassId>,
-        /// Retired classes that are in use again. New numbers are in use.
+        /// Retired classes that are in use again. New classes are in use without being listed here.
         reinstated: Vec<ClassId>,
-        /// Classes that take over another's estimates.
+        /// Classes that inherit the estimates of another class.
         successors: Vec<ClassSuccessor>,
     },
-    /// What an earlier process of this proxy had learned, to be reported after the first endpoint list. Kinds and
-    /// backends that are unknown by then are dropped.
+    /// The state that an earlier process of this proxy learned. Report it after the first endpoint list: entries for
+    /// hardware classes and backends that are not known by then are dropped.
     StateRestored {
-        /// The state, as [`Balancer::learned_state`](crate::Balancer::learned_state) returned it.
+        /// The state that [`Balancer::learned_state`](crate::Balancer::learned_state) returned.
         state: Box<LearnedState>,
-        /// Time since it was taken.
+        /// Time since the state was taken.
         age: Micros,
     },
-    /// A proxy's verdict on a backend: another's, or this one's own as it is published. Each is reported once.
+    /// A health verdict on a backend, from a peer or from this proxy itself once it is published. Report each verdict
+    /// once.
     VerdictReceived(PeerVerdict),
-    /// A timer fell due.
+    /// A timer expired.
     TimerFired {
-        /// Which timer.
+        /// The token of its [`Action::SetTimer`](crate::Action::SetTimer).
         token: TimerToken,
     },
 }
 
-/// A client's request.
+/// A client request that arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestArrival {
-    /// Its id.
+    /// The request's id.
     pub request: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The request's tenant, if any.
     pub tenant: Option<TenantId>,
-    /// When the client gives up, from now.
+    /// Time from now until the client's deadline.
     pub time_left: Micros,
-    /// The work expected, as processor time on a standard core.
+    /// The expected CPU time on a standard core, if known.
     pub work_hint: Option<Micros>,
-    /// Whether the client says that this is a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the dispatch; for a streamed body, since its last byte was sent.
+    /// Time since the dispatch or, for a streamed body, since its last byte was sent.
     pub latency: Micros,
-    /// Whether the request has had its final answer, so that none is owed any more.
+    /// Whether the client already got the request's final answer.
     pub answered: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Ok,
-    /// An error response; it may have run.
+    /// The backend returned an error response; it may have processed the request.
     Error,
-    /// Rejected by the backend for want of capacity; it did not run.
+    /// The backend rejected the request for lack of capacity, without processing it.
     Overloaded,
-    /// No response in time; it may have run or still run.
+    /// No response arrived in time; the backend may have processed the request or still be processing it.
     TimedOut,
-    /// No connection was made.
+    /// No connection was established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the backend may have processed the request.
     Reset,
-    /// Cancelled by this proxy; it may have run.
+    /// This proxy cancelled the attempt; the backend may have processed the request.
     Cancelled,
-    /// Never sent.
+    /// The request was not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt did not run.
+    /// Whether this outcome proves that the backend did not process the request.
     pub fn proves_unprocessed(self) -> bool {
         matches!(
             self,
@@ -157,45 +158,45 @@
     }
 }
 
-/// What a proxy found out about a backend by its own evidence.
+/// A proxy's verdict on the health of a backend, based on its own attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Verdict {
     /// The backend was ejected.
     Ejected {
-        /// How long the ejection lasts at first.
+        /// Minimum duration of the ejection; after it the backend also has to pass health checks.
         duration: Micros,
-        /// Ejections without a successful attempt between them, this one included.
+        /// Number of ejections without a successful attempt in between, including this one.
         consecutive_ejections: u8,
     },
-    /// The backend passed its health checks after an ejection and is in use again.
+    /// The backend passed its health checks after an ejection and was readmitted.
     Readmitted,
 }
 
-/// A verdict that the proxies of the fleet share.
+/// A health verdict that was shared among the proxies of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerVerdict {
     /// The backend.
     pub backend: BackendId,
-    /// The proxy that found it; `None` is this proxy.
+    /// The proxy that issued the verdict; `None` for this proxy.
     pub origin: Option<PeerId>,
-    /// What it found.
+    /// The verdict.
     pub verdict: Verdict,
-    /// Time since it was found.
+    /// Time since the verdict was issued.
     pub age: Micros,
-    /// An older verdict is not used.
+    /// Older verdicts are ignored.
     pub max_age: Micros,
-    /// Live proxies beside this one.
+    /// Number of live proxies, without this one.
     pub live_peers: u32,
-    /// This proxy's place, from 0, in the order in which the live proxies health-check the backend. The order is drawn
-    /// anew for each verdict and is the same at all proxies; the verdict's origin comes last.
+    /// This proxy's position, from 0, in the order in which the live proxies health-check the backend. The order is
+    /// random for each verdict and the same on all proxies; the proxy that issued the verdict comes last.
     pub health_check_turn: u32,
 }
 
-/// A class that takes over another's estimates.
+/// A class that inherits the estimates of another class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassSuccessor {
-    /// The new class.
+    /// The class that inherits the estimates.
     pub class: ClassId,
-    /// The class whose estimates it takes over.
+    /// The class that the estimates are copied from.
     pub predecessor: ClassId,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers, each of its own type: numbers that the host assigns to what has a name on the wire or in the settings.
+//! Numeric identifiers, one type per kind of object. The host assigns the numbers to the names that are used on the
+//! wire and in the settings.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,26 +10,26 @@
 }
 
 ids! {
-    /// One client request; never used again.
+    /// A client request. Ids are never reused.
     RequestId(u64);
-    /// This process's number for one backend address; survives the backend's restart.
+    /// A backend address, as numbered by this process. The number stays the same when the backend restarts.
     BackendId(u32);
     /// An availability zone.
     ZoneId(u32);
-    /// A group of zones close to each other.
+    /// A group of neighboring zones.
     RegionId(u32);
-    /// A few backends that share their record of idempotency keys.
+    /// A cell: a small group of backends that share their record of idempotency keys.
     CellId(u64);
     /// Another proxy of the fleet.
     PeerId(u32);
-    /// A hardware class: backends of one kind are taken as equally fast.
+    /// A hardware class. Backends of the same class are assumed to be equally fast.
     HardwareClassId(u32);
     /// Index into [`Config::classes`](crate::Config::classes).
     ClassId(usize);
     /// Index into [`Config::tenants`](crate::Config::tenants).
     TenantId(usize);
-    /// Number of an attempt within its request, from 0 in the order of dispatch.
+    /// The number of an attempt within its request, counted from 0 in order of dispatch.
     AttemptNumber(u32);
-    /// Names a timer to its owner.
+    /// Identifies a timer that the balancer has set.
     TimerToken(u64);
 }
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -1,56 +1,59 @@
-//! What a proxy has learned and keeps over a restart. The order of the serialized fields is part of the snapshot
-//! format.
+//! The estimates and health state that a proxy keeps across a restart.
+//!
+//! The order of the fields of the serialized types is part of the snapshot format.
 
 use super::ids::{BackendId, ClassId, HardwareClassId};
 use super::time::Micros;
 
-/// A mean and the weight of the samples in it.
+/// A mean and the number of samples that it represents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct SampledMean {
-    /// The mean, in the unit of its samples.
+    /// The mean, in the unit of the samples.
     pub value: f64,
-    /// The number of samples it stands for; fractional once discounted by age.
+    /// The number of samples; fractional once it is discounted by age.
     pub count: f64,
 }
 
-/// What was learned of a hardware class.
+/// The learned state of a hardware class.
 ///
-/// For how long its concurrency limit was learned is left out: a limit that moves as fast as a new one follows a fleet
-/// that changed meanwhile.
+/// The time for which its concurrency limit was adapted is not stored. A restored limit therefore adapts as fast as a
+/// new one, so that it follows changes of the fleet during the restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LearnedHardwareClass {
-    /// Seconds from dispatch to response of served requests, corrected for the mix of classes.
+    /// Seconds from dispatch to response of served requests, corrected for the mix of request classes.
     pub latency: SampledMean,
-    /// The same over fewer samples.
+    /// Like `latency`, but over fewer samples.
     pub recent_latency: SampledMean,
-    /// The same without contention, in seconds.
+    /// Latency without contention, in seconds.
     pub uncontended_latency_s: f64,
-    /// Requests that all proxies together keep in flight at one backend of the kind.
+    /// Maximum number of requests that all proxies together keep in flight at one backend of the class.
     pub concurrency_limit: f64,
 }
 
-/// What was learned of a backend.
+/// The learned state of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LearnedBackend {
-    /// What was left of its ejection when the state was taken.
+    /// Remaining duration of the ejection when the state was taken; `None` if the backend was not ejected.
     pub ejected_for: Option<Micros>,
-    /// Ejections without a successful attempt between them.
+    /// Number of ejections without a successful attempt in between.
     pub consecutive_ejections: i32,
-    /// How long before the state was taken operators put it back into use, from when its slow start counts.
+    /// Time from when an operator last enabled the backend until the state was taken. The backend's slow start began
+    /// when it was enabled.
     pub enabled_ago: Option<Micros>,
 }
 
-/// What a proxy learned: what [`Balancer::learned_state`](crate::Balancer::learned_state) returns and
-/// [`Event::StateRestored`](crate::Event::StateRestored) takes. Spans count back from the moment when it was taken;
-/// ids are this process's numbers.
+/// The learned state of a proxy, returned by [`Balancer::learned_state`](crate::Balancer::learned_state) and restored
+/// by [`Event::StateRestored`](crate::Event::StateRestored).
+///
+/// Durations are relative to the time at which the state was taken. Ids are those of this process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// By hardware class.
+    /// Learned state by hardware class.
     pub hardware_classes: Vec<(HardwareClassId, LearnedHardwareClass)>,
     /// Latency of served requests in seconds, by request class in use.
     pub classes: Vec<(ClassId, SampledMean)>,
-    /// The same over all classes.
+    /// Latency of served requests in seconds, over all request classes.
     pub overall_latency: SampledMean,
-    /// By backend, those of which something was learned.
+    /// Learned state by backend; backends without any are left out.
     pub backends: Vec<(BackendId, LearnedBackend)>,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decisions: configuration, events in, actions out. It holds no decisions itself.
+//! The types that a host exchanges with a [`Balancer`](crate::Balancer): configuration, events and actions.
 //!
-//! A host reports each [`Event`] with its [`Time`] to a [`Balancer`](crate::Balancer) and carries out the [`Action`]s
-//! that come back.
+//! A host reports each [`Event`] together with the [`Time`] at which it happened, and carries out the [`Action`]s that
+//! the balancer returns. This module contains no load-balancing logic.
 
 mod actions;
 mod config;
--- a/src/interface/validated_config.rs
+++ b/src/interface/validated_config.rs
@@ -1,4 +1,4 @@
-//! Configurations that are valid by their type, and how they are amended entry by entry.
+//! A configuration whose type guarantees that every field is valid, and changes to single entries of it.
 
 use super::config::{Config, ConfigError, RequestClass, Tenant};
 use super::ids::{ClassId, RegionId, TenantId, ZoneId};
@@ -6,9 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
 
-/// A configuration with every field in its range, and what follows from its tables as a whole.
+/// A configuration in which every field is within its range, with the sum of all tenant quotas.
 ///
-/// Made by [`Config::validated`]; an amendment checks only what it changes. A clone shares the tables.
+/// Created by [`Config::validated`]. Changes check only the entries that they replace. Clones share the tables of
+/// classes and tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidatedConfig {
     config: Config,
@@ -16,7 +17,8 @@
 }
 
 impl Config {
-    /// This configuration as a valid one, or the first field that is out of its range. Looks at every class and tenant.
+    /// Validates the configuration, including every class and tenant. Returns the first field that is out of range as
+    /// an error.
     pub fn validated(self) -> Result<ValidatedConfig, ConfigError> {
         match self.errors().into_iter().next() {
             Some(error) => Err(error),
@@ -37,18 +39,18 @@
 }
 
 impl ValidatedConfig {
-    /// Sum of all tenants' quotas, in requests a second.
+    /// Sum of all tenant quotas, in requests per second.
     pub fn quota_sum_per_s(&self) -> f64 {
         self.quotas.sum_per_s
     }
 
-    /// Replaces a class, or adds it under the next number.
+    /// Replaces a class, or appends it if `id` is the next free number.
     pub fn set_class(&mut self, id: ClassId, class: RequestClass) -> Result<(), ConfigError> {
         class.validate()?;
         set_or_append(&mut self.config.classes, id.0, class, "classes")
     }
 
-    /// Replaces tenants, or adds them under the next numbers: all of them or none.
+    /// Replaces tenants, or appends those whose ids are the next free numbers. On an error nothing is changed.
     pub fn set_tenants(
         &mut self,
         tenants: impl IntoIterator<Item = (TenantId, Tenant)>,
@@ -67,14 +69,14 @@
         Ok(())
     }
 
-    /// Moves this proxy into another zone, and zones into other regions.
+    /// Sets the zone of this proxy and the regions of all zones.
     pub fn set_location(&mut self, zone: ZoneId, regions: BTreeMap<ZoneId, RegionId>) {
         self.config.zone = zone;
         self.config.regions = regions;
     }
 }
 
-/// Replaces the item at `index`, or appends it where that is the next index.
+/// Replaces the item at `index`, or appends it if `index` is the table's length.
 fn set_or_append<T: Clone>(
     table: &mut Vector<T>,
     index: usize,
@@ -87,16 +89,16 @@
         _ => {
             return Err(ConfigError {
                 field,
-                expected: "a number in use, or the next",
+                expected: "an existing number or the next free one",
             })
         }
     }
     Ok(())
 }
 
-/// The sum of all quotas, kept by chunks of tenants: a change sums up its own chunk only.
+/// The sum of all tenant quotas, kept as sums over chunks of tenants. A change recomputes only its own chunk.
 ///
-/// The same tenants give the same sum to the last bit, whichever way they came about.
+/// The same tenants always give the same sum, to the last bit, regardless of the order of changes.
 #[derive(Clone, Debug, PartialEq)]
 struct QuotaSum {
     chunk_sums_per_s: Vec<f64>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
+//! Load balancing for a proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
-//! with the time at which they happened and carries out the [`Action`]s it returns.
+//! [`Balancer`] is a state machine without a clock, network access or threads: a host passes it [`Event`]s with the
+//! time at which they happened, and carries out the [`Action`]s that it returns.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,7 +17,7 @@
 pub use balancer::{halb_shares, Balancer, HardwareClassCapacity};
 pub use interface::*;
 
-/// The README's example, kept true by the documentation tests.
+/// Compiles and runs the README's examples as documentation tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
