--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -17,7 +17,7 @@
 pub(super) use record::{EndpointRecord, LatestPeerVerdict, PeerEjection};
 
 use super::random::RandomSource;
-use crate::interface::{BackendId, BackendState, Config, KindId, Micros, Time, ZoneId};
+use crate::interface::{BackendId, BackendState, Config, HardwareClassId, Micros, Time, ZoneId};
 use load::draw_weight;
 use std::collections::BTreeSet;
 
@@ -100,9 +100,9 @@
     }
 
     /// The index of the group of that kind, if it has endpoints.
-    pub fn group_index(&self, kind: KindId) -> Option<usize> {
+    pub fn group_index(&self, hardware_class: HardwareClassId) -> Option<usize> {
         self.groups
-            .binary_search_by_key(&kind, |group| group.kind)
+            .binary_search_by_key(&hardware_class, |group| group.hardware_class)
             .ok()
     }
 
@@ -210,10 +210,10 @@
         let began_at = record.slow_start_began_at();
         let duration = Micros(config.slow_start.0.max(1));
         load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
-        let warm_for_window = began_at.map_or(Time(0), |_| {
+        let past_window_at = began_at.map_or(Time(0), |_| {
             load.slow_start_ends_at + config.overload_window
         });
-        load.unrestricted_at = record.faults().overloaded_until.max(warm_for_window);
+        load.unrestricted_at = record.faults().overloaded_until.max(past_window_at);
         let index = index as u32;
         let is_busy = record.in_flight > 0;
         set_membership(&mut self.with_in_flight, index, load.in_flight > 0, is_busy);
@@ -270,12 +270,14 @@
     }
 
     /// The groups with an endpoint that may be drawn: their index and kind.
-    pub fn drawable_kinds(&self) -> impl Iterator<Item = (usize, KindId)> + '_ {
+    pub fn selectable_hardware_classes(
+        &self,
+    ) -> impl Iterator<Item = (usize, HardwareClassId)> + '_ {
         self.groups
             .iter()
             .enumerate()
-            .filter(|(_, group)| group.drawable > 0)
-            .map(|(index, group)| (index, group.kind))
+            .filter(|(_, group)| group.selectable > 0)
+            .map(|(index, group)| (index, group.hardware_class))
     }
 
     /// Draws an endpoint of the group by weight.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -45,7 +45,8 @@
 mod zone_failover;
 
 use crate::interface::{
-    Action, BackendId, Config, ConfigError, Event, KindId, Micros, Time, ValidatedConfig, ZoneId,
+    Action, BackendId, Config, ConfigError, Event, HardwareClassId, Micros, Time, ValidatedConfig,
+    ZoneId,
 };
 use classes::ClassTable;
 use discovery_polling::DiscoveryPolling;
@@ -64,11 +65,11 @@
 use schedule::{CheckSchedule, SplitSchedule};
 use slow_start::SlowStart;
 use std::collections::BTreeMap;
-pub use traffic_split::{halb_shares, KindCapacity};
+pub use traffic_split::{halb_shares, HardwareClassCapacity};
 use zone_failover::ZoneHealth;
 
 /// Memory of the rate at which requests arrive: short beside a ramp or a failure.
-const ARRIVAL_RATE_MEMORY_S: f64 = 2.0;
+const ARRIVAL_RATE_TIME_CONSTANT_S: f64 = 2.0;
 /// A proxy with nothing else to do looks at what time alone brings about this often.
 const IDLE_CHECK_INTERVAL: Micros = Micros(5_000_000);
 /// Beyond so many backends the debug check of their table is left out, as it takes too long.
@@ -79,7 +80,7 @@
     config: ValidatedConfig,
     random: RandomSource,
     backends: EndpointTable,
-    kinds: BTreeMap<KindId, HardwareClass>,
+    hardware_classes: BTreeMap<HardwareClassId, HardwareClass>,
     zones: BTreeMap<ZoneId, ZoneHealth>,
     classes: ClassTable,
     /// The part of all responses and broken connections that were errors or broken connections.
@@ -113,11 +114,11 @@
         Balancer {
             random: RandomSource::new(seed),
             backends: EndpointTable::default(),
-            kinds: BTreeMap::new(),
+            hardware_classes: BTreeMap::new(),
             zones: BTreeMap::new(),
             classes: ClassTable::new(&config.classes),
             error_share: RunningMean::default(),
-            arrivals: EventRate::new(ARRIVAL_RATE_MEMORY_S),
+            arrivals: EventRate::new(ARRIVAL_RATE_TIME_CONSTANT_S),
             fleet_load_estimator: FleetLoadEstimator::new(),
             quotas: TenantQuotas::default(),
             retry_budget: RetryBudget::default(),
@@ -144,7 +145,7 @@
         self.fleet_load_estimator.record_in_flight(now, in_flight);
         let has_work = matches!(event, Event::RequestArrived(_)) || !self.dispatch_queue.is_empty();
         if has_work && now >= self.split.due_at {
-            self.solve(now);
+            self.solve_traffic_split(now);
         }
         if let Event::TimerFired { token } = event {
             if !self.schedule.timer_fired(token) {
@@ -168,15 +169,15 @@
 
     /// The concurrency limit of each hardware class: requests that all proxies together have in flight on one of its
     /// backends.
-    pub fn concurrency_limits(&self) -> impl Iterator<Item = (KindId, f64)> + '_ {
-        self.kinds
+    pub fn concurrency_limits(&self) -> impl Iterator<Item = (HardwareClassId, f64)> + '_ {
+        self.hardware_classes
             .iter()
-            .map(|(id, kind)| (*id, kind.concurrency_limit.get()))
+            .map(|(id, hardware_class)| (*id, hardware_class.concurrency_limit.get()))
     }
 
     /// The part of its capacity that each backend is good for by its warm-up: 0 where it drains, is disabled or
     /// ejected. It leaves out zone failover, the share of errors, silence, pauses after overload and panic mode.
-    pub fn warm_up_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
+    pub fn slow_start_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let slow_start = SlowStart::new(&self.config);
         let readiness = move |record: &EndpointRecord| {
             let usable = self.backends.is_available(record) && !record.is_ejected();
@@ -274,7 +275,7 @@
 
     /// A line for the operators, unless one was written a moment ago.
     fn log(&mut self, now: Time, text: String) {
-        if self.log_limiter.take(now) {
+        if self.log_limiter.try_log(now) {
             self.actions.push(Action::Log(text));
         }
     }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -5,7 +5,7 @@
 use super::hardware_class::HardwareClass;
 use super::locality::locality_weighted_shares;
 use super::Balancer;
-use crate::interface::{Config, KindId, ZoneId};
+use crate::interface::{Config, HardwareClassId, ZoneId};
 use std::collections::BTreeMap;
 
 /// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The
@@ -14,7 +14,7 @@
 /// The part of an endpoint's capacity that goes by traffic; the rest is spread evenly over the proxies.
 const CAPACITY_BY_TRAFFIC: f64 = 0.5;
 /// The part of its readiness that an endpoint weighs at least, so that overflow finds it once all others are full.
-const OVERFLOW_PART: f64 = 1e-6;
+const OVERFLOW_FRACTION: f64 = 1e-6;
 /// A sum counts as at least this where something is divided by it.
 const MIN_DIVISOR: f64 = 1e-9;
 /// Multiples of the golden ratio's fraction spread evenly, however many there are.
@@ -83,7 +83,7 @@
 
 /// Where a walk over the ring of a group's endpoints has come to.
 #[derive(Clone, Copy, Debug, Default)]
-struct RingWalk {
+struct RingCursor {
     /// Sum of the traffic shares of the endpoints passed.
     traffic_share: f64,
     /// That sum as a part of the group's.
@@ -98,7 +98,7 @@
     pub(super) fn update_subset(&mut self) {
         let groups = self.backends.groups.iter();
         let splits: Vec<GroupSplit> = groups
-            .map(|group| GroupSplit::of(self.kinds.get(&group.kind)))
+            .map(|group| GroupSplit::of(self.hardware_classes.get(&group.hardware_class)))
             .collect();
         let fair_shares = zone_fair_shares(&self.backends, &splits, &self.config);
         let biases = zone_biases(&self.backends, &fair_shares, &self.config);
@@ -109,7 +109,7 @@
         let proxies = f64::from(self.config.proxy_count);
         let traffic = assign_traffic(&mut self.backends, &splits, &biases, proxies);
         update_own_traffic_shares(
-            &mut self.kinds,
+            &mut self.hardware_classes,
             &self.backends.groups,
             &traffic.group_shares,
         );
@@ -187,7 +187,7 @@
         let capacity = split.even_capacity(load, proxies) * by_traffic + load.rounding_offset;
         load.capacity = capacity.floor().max(1.0);
         let share = split.fair_share(load) * bias;
-        *traffic_share = share + load.readiness * OVERFLOW_PART;
+        *traffic_share = share + load.readiness * OVERFLOW_FRACTION;
         traffic.reached += u32::from(share > 0.0);
         traffic.group_shares[group] += *traffic_share;
     }
@@ -196,36 +196,39 @@
 
 /// Sets each hardware class's part of this proxy's traffic.
 fn update_own_traffic_shares(
-    kinds: &mut BTreeMap<KindId, HardwareClass>,
+    hardware_classes: &mut BTreeMap<HardwareClassId, HardwareClass>,
     groups: &[EndpointGroup],
     group_shares: &[f64],
 ) {
-    for class in kinds.values_mut() {
+    for class in hardware_classes.values_mut() {
         class.own_traffic_share = 0.0;
     }
     for (group, share) in groups.iter().zip(group_shares) {
-        kinds.entry(group.kind).or_default().own_traffic_share = *share;
+        hardware_classes
+            .entry(group.hardware_class)
+            .or_default()
+            .own_traffic_share = *share;
     }
 }
 
 /// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring
 /// of a group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
 fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: RingArc, proxies: f64) {
-    let mut walks = vec![RingWalk::default(); group_shares.len()];
+    let mut cursors = vec![RingCursor::default(); group_shares.len()];
     for &index in &endpoints.by_address_hash {
         let index = index as usize;
         let load = &mut endpoints.loads[index];
         let group = load.group_index as usize;
-        let from = walks[group].position;
-        let traffic_share = walks[group].traffic_share + endpoints.own_traffic_share[index];
+        let from = cursors[group].position;
+        let traffic_share = cursors[group].traffic_share + endpoints.own_traffic_share[index];
         let to = traffic_share / group_shares[group].max(MIN_DIVISOR);
-        walks[group] = RingWalk {
+        cursors[group] = RingCursor {
             traffic_share,
             position: to,
         };
         let subset_share = arc.overlap(from, to);
         endpoints.subset_share[index] = subset_share;
-        load.own_part = if subset_share > 0.0 {
+        load.own_share = if subset_share > 0.0 {
             subset_share / ((to - from) * arc.width * proxies).max(MIN_DIVISOR)
         } else {
             0.0
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decisions: configuration, events in, actions out. It holds no decisions itself.
+//! The types that a host exchanges with a [`Balancer`](crate::Balancer): configuration, events and actions.
 //!
-//! A host reports each [`Event`] with its [`Time`] to a [`Balancer`](crate::Balancer) and carries out the [`Action`]s
-//! that come back.
+//! A host reports each [`Event`] together with the [`Time`] at which it happened, and carries out the [`Action`]s that
+//! the balancer returns. This module contains no load-balancing logic.
 
 mod actions;
 mod config;
@@ -21,9 +21,9 @@
     AttemptEnd, ClassSuccessor, Event, Outcome, PeerVerdict, RequestArrival, Verdict,
 };
 pub use ids::{
-    AttemptNumber, BackendId, CellId, ClassId, KindId, PeerId, RegionId, RequestId, TenantId,
-    TimerToken, ZoneId,
+    AttemptNumber, BackendId, CellId, ClassId, HardwareClassId, PeerId, RegionId, RequestId,
+    TenantId, TimerToken, ZoneId,
 };
-pub use learned_state::{LearnedBackend, LearnedKind, LearnedState, SampledMean};
+pub use learned_state::{LearnedBackend, LearnedHardwareClass, LearnedState, SampledMean};
 pub use time::{Micros, Time};
 pub use validated_config::ValidatedConfig;
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -20,7 +20,7 @@
             .filter(|record| record.reasons.contains(DisableReason::Operator));
         SavedState {
             kinds: learned
-                .kinds
+                .hardware_classes
                 .iter()
                 .filter_map(|(kind, state)| Some((s.names.kind_name(*kind)?.into(), *state)))
                 .collect(),
@@ -47,17 +47,17 @@
                 self.disable_even_if_unlisted(name, DisableReason::Operator);
             }
         }
-        let state = self.with_ids(&saved);
+        let state = self.resolve_names(&saved);
         self.handle_event(Event::StateRestored {
             state: Box::new(state),
             age,
         });
     }
 
-    fn with_ids(&self, saved: &SavedState) -> LearnedState {
+    fn resolve_names(&self, saved: &SavedState) -> LearnedState {
         let s = self.state.borrow();
         LearnedState {
-            kinds: saved
+            hardware_classes: saved
                 .kinds
                 .iter()
                 .filter_map(|(name, state)| Some((s.names.kind(name)?, *state)))
