--- a/src/fleet/calendar/admin_calls.rs
+++ b/src/fleet/calendar/admin_calls.rs
@@ -27,7 +27,7 @@
     Conflict(#[source] InvalidField),
     /// There is no window with the id: status 404.
     #[error("no such window")]
-    Unknown,
+    NotFound,
     /// The calendar holds [`MAX_WINDOWS`] windows: status 507.
     #[error("calendar is full with {MAX_WINDOWS} windows")]
     Full,
@@ -39,7 +39,7 @@
         match self {
             CallError::Invalid(_) => 422,
             CallError::Conflict(_) => 409,
-            CallError::Unknown => 404,
+            CallError::NotFound => 404,
             CallError::Full => 507,
         }
     }
@@ -48,7 +48,7 @@
     pub fn invalid_field(&self) -> InvalidField {
         match self {
             CallError::Invalid(field) | CallError::Conflict(field) => field.clone(),
-            CallError::Unknown => InvalidField::new("id", "no such window"),
+            CallError::NotFound => InvalidField::new("id", "no such window"),
             CallError::Full => InvalidField::new(
                 "id",
                 format!("{MAX_WINDOWS} windows are kept, ended ones for an hour"),
@@ -149,7 +149,7 @@
         version: Version,
         now: WallTime,
     ) -> Result<CallOutcome, CallError> {
-        let window = self.windows.get_mut(id).ok_or(CallError::Unknown)?;
+        let window = self.windows.get_mut(id).ok_or(CallError::NotFound)?;
         if window.cancelled.is_some() {
             return Ok(CallOutcome::Unchanged);
         }
@@ -172,7 +172,7 @@
         version: Version,
         now: WallTime,
     ) -> Result<CallOutcome, CallError> {
-        let window = self.windows.get_mut(id).ok_or(CallError::Unknown)?;
+        let window = self.windows.get_mut(id).ok_or(CallError::NotFound)?;
         let planned = changeable_occurrence(window, now)?.planned;
         if until == window.actual_span(planned).end {
             return Ok(CallOutcome::Unchanged);
@@ -198,7 +198,7 @@
         version: Version,
         now: WallTime,
     ) -> Result<CallOutcome, CallError> {
-        let window = self.windows.get_mut(id).ok_or(CallError::Unknown)?;
+        let window = self.windows.get_mut(id).ok_or(CallError::NotFound)?;
         let current = changeable_occurrence(window, now)?;
         let occurrence = current.planned.begin;
         if current.phase == Phase::Open || window.is_started_early(occurrence) {
@@ -314,10 +314,12 @@
     }
 }
 
+/// The error for a call that conflicts with the state of the window.
 fn conflict(field: &str, reason: &str) -> CallError {
     CallError::Conflict(InvalidField::new(field, reason))
 }
 
+/// The list's entry for a window.
 fn view(window: &Window, now: WallTime) -> WindowView {
     let current = shown_occurrence(window, now);
     let phase = match (window.cancelled, current) {
--- a/src/fleet/calendar/anti_entropy.rs
+++ b/src/fleet/calendar/anti_entropy.rs
@@ -118,12 +118,12 @@
             .take(MAX_DIGEST_ROWS)
             .map(|row| (row.id_hash, row.content_hash))
             .collect();
-        let mine: BTreeMap<u64, &Window> = self
+        let own: BTreeMap<u64, &Window> = self
             .windows_by_id_hash(now)
             .filter(|(id_hash, _)| (digest.from..=digest.to).contains(id_hash))
             .collect();
         let mut difference = Difference::default();
-        for (id_hash, window) in &mine {
+        for (id_hash, window) in &own {
             let their_content = theirs.get(id_hash);
             if their_content == Some(&hash(&window.encode())) {
                 continue;
@@ -136,7 +136,7 @@
         difference.to_send.truncate(MAX_WINDOWS_PER_RESPONSE);
         difference
             .to_request
-            .extend(theirs.keys().filter(|id_hash| !mine.contains_key(id_hash)));
+            .extend(theirs.keys().filter(|id_hash| !own.contains_key(id_hash)));
         difference
     }
 
--- a/src/fleet/calendar/window.rs
+++ b/src/fleet/calendar/window.rs
@@ -361,11 +361,11 @@
     Ok(())
 }
 
-/// Replaces `mine` if `other` is higher. Returns whether it did.
-fn take_higher<T: Ord + Clone>(mine: &mut T, other: &T) -> bool {
-    let is_higher = *other > *mine;
+/// Replaces `own` if `other` is higher. Returns whether it did.
+fn take_higher<T: Ord + Clone>(own: &mut T, other: &T) -> bool {
+    let is_higher = *other > *own;
     if is_higher {
-        *mine = other.clone();
+        *own = other.clone();
     }
     is_higher
 }
--- a/src/fleet/membership/peer_ordering.rs
+++ b/src/fleet/membership/peer_ordering.rs
@@ -64,7 +64,7 @@
         now_us: u64,
     ) -> PeerVerdict {
         self.refresh_live(swim);
-        let health_check_turn = self.turn(broadcast);
+        let health_check_turn = self.health_check_turn(broadcast);
         PeerVerdict {
             backend: BackendId::default(),
             origin: self.origin_id(broadcast.origin),
@@ -78,7 +78,7 @@
 
     /// This proxy's position among the live ones in the pseudo-random order of the verdict. The origin of the verdict is
     /// last, as it has just sent requests to the backend.
-    fn turn(&self, broadcast: &VerdictBroadcast) -> u32 {
+    fn health_check_turn(&self, broadcast: &VerdictBroadcast) -> u32 {
         if broadcast.origin == self.own.address {
             return self.live_count();
         }
--- a/src/fleet/membership/seed_announcer.rs
+++ b/src/fleet/membership/seed_announcer.rs
@@ -20,7 +20,8 @@
     /// The addresses of the seeds without this proxy.
     seeds: Vec<SocketAddr>,
     next_due: Time,
-    intervals: u32,
+    /// The number of intervals so far.
+    interval_count: u32,
     random: Pcg32,
 }
 
@@ -36,7 +37,7 @@
         SeedAnnouncer {
             seeds: others.copied().collect(),
             next_due: now,
-            intervals: 0,
+            interval_count: 0,
             random: Pcg32::seed_from_u64(random_seed),
         }
     }
@@ -51,9 +52,13 @@
             return Vec::new();
         }
         self.next_due = self.next_due + INTERVAL;
-        self.intervals = self.intervals.wrapping_add(1);
+        self.interval_count = self.interval_count.wrapping_add(1);
         let live_members = swim.live_count();
-        if live_members > 0 && !self.intervals.is_multiple_of(INTERVALS_PER_ANNOUNCEMENT) {
+        if live_members > 0
+            && !self
+                .interval_count
+                .is_multiple_of(INTERVALS_PER_ANNOUNCEMENT)
+        {
             return Vec::new();
         }
         let missing: Vec<SocketAddr> = self
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -269,7 +269,7 @@
     match rejected {
         CallError::Invalid(_) => "invalid",
         CallError::Conflict(_) => "conflict",
-        CallError::Unknown => "unknown",
+        CallError::NotFound => "unknown",
         CallError::Full => "full",
     }
 }
