--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -13,7 +13,7 @@
 /// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining backend
 /// that it reports after this time can only become fewer.
 pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
-/// The time before a window drains from which on a new lease holder claims it: more than the clocks of two proxies differ.
+/// A new lease holder claims windows that start to drain within this time. The clocks of two proxies differ by less.
 pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
 /// The minimum time between two updates of the reason why a window waits, which contains changing figures.
 const REASON_REFRESH: Micros = Micros(5_000_000);
--- a/src/fleet/calendar/spec/mod.rs
+++ b/src/fleet/calendar/spec/mod.rs
@@ -128,7 +128,7 @@
                     .saturating_add(self.overrun_s);
                 check_seconds("recurring.lasts_s", total_s, MAX_RECURRING_S).map_err(|invalid| {
                     InvalidField {
-                        reason: format!("with lead and overrun {}", invalid.reason),
+                        reason: format!("together with lead and overrun, {}", invalid.reason),
                         ..invalid
                     }
                 })
@@ -299,7 +299,7 @@
 
 fn check_seconds(field: &str, value_s: u32, max_s: u32) -> Result<(), InvalidField> {
     if value_s > max_s {
-        let reason = format!("{value_s} s is over {max_s} s");
+        let reason = format!("{value_s} s exceed the maximum of {max_s} s");
         return Err(InvalidField::new(field, reason));
     }
     Ok(())
