--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,17 +1,18 @@
-//! Admission: what a request that arrives is worth, by its tenant's quota and by whether the client retries.
+//! Admission of arriving requests: sets their deadline and their value, which depends on the tenant's quota and on
+//! whether the client is retrying.
 
 use super::requests::PendingRequest;
 use super::Balancer;
 use crate::interface::{Micros, RequestArrival, RequestClass, Time};
 
-/// The latency objective of a request: that of its class, and more for the work that was announced.
+/// Returns the latency objective of a request: the objective of its class, extended for the announced work.
 fn latency_objective(class: &RequestClass, arrival: &RequestArrival) -> Micros {
     let work = arrival.work_hint.unwrap_or_default();
     Micros(class.latency_objective.0 + work.mul_f64(class.objective_per_work).0)
 }
 
-/// What is left to earn with a request within quota. A client that retries has waited for its original request: mostly
-/// the weight of a late response is left, and new requests go first.
+/// Returns the weight of a request within quota. A client that retries has already waited for its original request, so
+/// in most cases only the weight of a late response can still be earned, and new requests go first.
 fn retry_weight(class: &RequestClass, client_retry: bool) -> f64 {
     if client_retry {
         class.late_weight
@@ -21,7 +22,7 @@
 }
 
 impl Balancer {
-    /// A request arrived: it waits for dispatch with the value that it has.
+    /// Queues an arriving request for dispatch with its value.
     pub(super) fn admit(&mut self, now: Time, arrival: &RequestArrival) {
         let id = arrival.request;
         let known_class = arrival.class.0 < self.config.classes.len();
@@ -54,8 +55,8 @@
         self.dispatch_queue.push(id);
     }
 
-    /// 1 within the tenant's quota, and the weight that the settings give beyond it. A client's retry took its token
-    /// with the original request.
+    /// Returns 1 for a request within its tenant's quota, and `over_quota_weight` otherwise. A client's retry takes no
+    /// token, as its original request already took one.
     fn quota_weight(&mut self, now: Time, arrival: &RequestArrival) -> f64 {
         let traffic_multiple = self.traffic_multiple();
         let tenant = arrival
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,12 +1,12 @@
-//! What becomes of attempts: uploads, the start of a response, and the end.
+//! The life of an attempt after its dispatch: the end of an upload, the start of a response, and the attempt's end.
 
 use super::requests::{AttemptKey, InFlightAttempt};
 use super::Balancer;
 use crate::interface::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Time};
 
 impl Balancer {
-    /// The last byte of a streamed body was sent: from now on the backend owes a response, and the request's time
-    /// counts from here.
+    /// Handles the last byte of a streamed body: from now on the backend owes a response, and the request's deadline
+    /// and latency objective are counted from here.
     pub(super) fn upload_finished(&mut self, now: Time, key: AttemptKey, time_left: Micros) {
         if let Some(attempt) = self.requests.in_flight.get_mut(&key) {
             attempt.awaiting_response_since = now;
@@ -21,8 +21,8 @@
         self.schedule.check_at(now);
     }
 
-    /// A response began to stream. From here on the client's pace holds it up: what there is to learn is learned now,
-    /// and the backend has its capacity back.
+    /// Handles the start of a streamed response. The rest of the attempt depends on the speed of the client, so the
+    /// outcome is recorded now, and the backend's capacity counts as free.
     pub(super) fn response_started(&mut self, now: Time, key: AttemptKey) {
         let Some(request) = self.requests.pending.get_mut(&key.request) else {
             return;
@@ -51,7 +51,7 @@
         self.record_outcome(now, in_flight, &served);
     }
 
-    /// An attempt ended: its outcome is learned from, and its request is answered or waits for a further attempt.
+    /// Handles the end of an attempt: records its outcome, then closes the request or queues it for another attempt.
     pub(super) fn attempt_ended(&mut self, now: Time, end: &AttemptEnd) {
         let key = AttemptKey {
             request: end.request,
@@ -75,8 +75,8 @@
         self.answer_or_retry(end, response_started);
     }
 
-    /// The response broke off after its attempt was counted as served: the fault is counted on top, for an attempt that
-    /// has been in flight until now.
+    /// Counts the attempt as in flight again, after its response started, was recorded as served and then broke off. The
+    /// failure is then recorded like that of any other attempt in flight.
     fn restore_in_flight(&mut self, now: Time, backend: BackendId) {
         if let Some(record) = self.backends.get_mut(backend) {
             record.in_flight += 1;
@@ -103,13 +103,13 @@
         }
     }
 
-    /// Closes the request if it was answered, and queues it for a further attempt if none is left in flight.
+    /// Closes the request if it was answered, or queues it for another attempt if none is left in flight.
     fn answer_or_retry(&mut self, end: &AttemptEnd, response_started: bool) {
         let Some(request) = self.requests.pending.get(&end.request) else {
             return;
         };
         if request.response_streaming && !response_started {
-            return; // the other attempt of a hedged request streams its response
+            return; // the other attempt of the hedged request is streaming its response
         }
         if end.answered || end.outcome == Outcome::Ok {
             self.close(end.request);
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -1,4 +1,4 @@
-//! What is learned of the request classes: latencies, what requests were worth, and how much of it was served.
+//! Statistics by request class: latency, and the priority weight that was offered and earned.
 
 use super::estimators::RunningMean;
 use super::requests::PendingRequest;
@@ -7,21 +7,21 @@
 use imbl::Vector;
 use std::ops::{Index, IndexMut};
 
-/// Samples in a mean latency.
+/// Maximum number of samples in a mean latency.
 pub(super) const LATENCY_SAMPLES: f64 = 100.0;
-/// A class whose expected latency is so many times below its objective is well within it.
+/// A class is well within its latency objective if its expected latency is at most the objective divided by this.
 const WELL_WITHIN_OBJECTIVE_DIVISOR: f64 = 2.0;
-/// The expected latency of a class without a response, as a part of its latency objective.
+/// Expected latency of a class without any response, as a fraction of its latency objective.
 const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
 
-/// What is learned of a class.
+/// Statistics of a request class.
 #[derive(Default)]
 pub(super) struct ClassStats {
-    /// The settings have not retired it.
+    /// Whether the class is in use; false once the configuration retired it.
     pub in_use: bool,
     /// Seconds from dispatch to response, of served requests only.
     pub latency: RunningMean,
-    /// Sum of the priority weights of all original requests that arrived.
+    /// Sum of the priority weights of all original requests that arrived, without client retries.
     pub offered_weight: f64,
     /// Sum of the priority weights that served requests earned.
     pub earned_weight: f64,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The part (0 to 1) of the offered weight that was earned.
+    /// Returns the fraction (0 to 1) of the offered weight that was earned; 1 if none was offered.
     pub fn served_share(&self) -> f64 {
         if self.offered_weight > 0.0 {
             self.earned_weight / self.offered_weight
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A request was served: it earns its weight, or the late weight after the latency objective.
+    /// Records a served request, which earns its full weight within the latency objective and the late weight after it.
     pub fn record_served(&mut self, now: Time, request: &PendingRequest, class: &RequestClass) {
         let earned_fraction = if now <= request.objective_until {
             1.0
@@ -54,7 +54,7 @@
         self.earned_weight += class.priority_weight * request.value * earned_fraction;
     }
 
-    /// What a served request of the class usually takes.
+    /// Returns the time that a served request of the class is expected to take.
     pub fn expected_latency(&self, class: &RequestClass) -> Micros {
         let unknown = || class.latency_objective.mul_f64(UNKNOWN_LATENCY_FRACTION);
         self.latency
@@ -62,7 +62,7 @@
             .map_or_else(unknown, Micros::from_secs_f64)
     }
 
-    /// Whether the expected latency is well within the latency objective.
+    /// Returns whether the expected latency is well within the latency objective.
     fn is_well_within_objective(&self, class: &RequestClass) -> bool {
         self.expected_latency(class)
             .mul_f64(WELL_WITHIN_OBJECTIVE_DIVISOR)
@@ -70,11 +70,11 @@
     }
 }
 
-/// Counts of classes in use, so that no request has to go through all of them.
+/// Counts of classes in use. They save iterating over all classes for each request.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 struct ClassCounts {
     idempotent: usize,
-    /// Those with a response whose expected latency is not well within the objective.
+    /// Classes with at least one response whose expected latency is not well within the objective.
     slow: usize,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// All classes, by number.
+/// The statistics of all classes, indexed by class number.
 pub(super) struct ClassTable {
     stats: Vec<ClassStats>,
     /// Mean latency over all classes, in seconds.
@@ -113,7 +113,7 @@
 }
 
 impl ClassTable {
-    /// Classes of which nothing is known yet, all in use.
+    /// Creates the table with all classes in use and without samples.
     pub fn new(classes: &Vector<RequestClass>) -> ClassTable {
         let mut table = ClassTable {
             stats: classes.iter().map(|_| ClassStats::in_use()).collect(),
@@ -136,17 +136,17 @@
         self.stats.get_mut(class)
     }
 
-    /// Whether some class in use is idempotent.
+    /// Returns whether any class in use is idempotent.
     pub fn any_idempotent(&self) -> bool {
         self.counts.idempotent > 0
     }
 
-    /// Whether some class in use is not well within its latency objective.
+    /// Returns whether any class in use is not well within its latency objective.
     pub fn any_slow(&self) -> bool {
         self.counts.slow > 0
     }
 
-    /// A request of the class was served after `latency_s` seconds.
+    /// Records that a request of the class was served after `latency_s` seconds.
     pub fn record_latency(&mut self, class: usize, rules: &RequestClass, latency_s: f64) {
         let stats = &mut self.stats[class];
         let was_slow = !stats.is_well_within_objective(rules);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A class's work relative to the mean over all requests, as far as latency shows it.
+    /// Returns the work of a request of the class relative to the mean over all requests, estimated from latencies.
     pub fn relative_work(&self, class: usize) -> f64 {
         self.stats[class]
             .latency
@@ -166,8 +166,8 @@
             .map_or(1.0, |latency_s| latency_s / self.overall_latency.value)
     }
 
-    /// Changes classes that the `affected` numbers name, and keeps the counts: `classes` are the rules before, and
-    /// `changed` those after.
+    /// Applies a change to the classes with the `affected` numbers and updates the counts. `classes` are the rules
+    /// before the change, `changed` those after it.
     pub fn change(
         &mut self,
         affected: &[usize],
@@ -183,12 +183,12 @@
         self.counts.add(after);
     }
 
-    /// Counts all classes anew.
+    /// Recomputes the counts from all classes.
     pub fn recount(&mut self, classes: &Vector<RequestClass>) {
         self.counts = self.count(0..self.stats.len(), classes);
     }
 
-    /// Whether the counts are those of the classes.
+    /// Returns whether the counts agree with the classes.
     pub fn is_consistent(&self, classes: &Vector<RequestClass>) -> bool {
         self.counts == self.count(0..self.stats.len(), classes)
     }
@@ -214,12 +214,12 @@
 }
 
 impl Balancer {
-    /// What a served request of the class usually takes; see [`ClassStats::expected_latency`].
+    /// Returns the time that a served request of the class is expected to take; see [`ClassStats::expected_latency`].
     pub(super) fn expected_latency(&self, class: usize) -> Micros {
         self.classes[class].expected_latency(&self.config.classes[class])
     }
 
-    /// The classes that the settings have not retired, with their numbers.
+    /// Returns the classes in use with their numbers.
     pub(super) fn classes_in_use(&self) -> impl Iterator<Item = (usize, &RequestClass)> {
         self.config
             .classes
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -1,50 +1,51 @@
-//! The adaptive concurrency limit of a hardware class: how many requests all proxies together keep in flight at one of
-//! its endpoints. Nobody says how many cores an endpoint has; latency under load does.
+//! The adaptive concurrency limit of a hardware class: the maximum number of requests that all proxies together keep in
+//! flight at one of its endpoints. The number of cores is not configured, so the limit is inferred from latency under
+//! load.
 
 use super::Balancer;
 use crate::interface::Micros;
 
-/// The least limit, in requests: a single core at four fifths of its capacity holds four on average.
+/// Lowest limit, in requests: a single core at four fifths of its capacity has four in flight on average.
 pub(super) const MIN_CONCURRENCY_LIMIT: f64 = 4.0;
-/// Samples in the mean latency that the limit follows.
+/// Number of samples in the mean latency that the limit follows.
 pub(super) const RECENT_LATENCY_SAMPLES: f64 = 30.0;
-/// The limit grows while latency is below this multiple of the uncontended one: while cores are idle one more request
-/// delays none, from then on each adds its wait.
+/// The limit grows while latency is below this multiple of the uncontended latency. As long as a core is idle, another
+/// request delays no other; after that, each request adds waiting time.
 const CONTENDED_LATENCY_MULTIPLE: f64 = 1.4;
-/// The furthest from that multiple that one update counts, either way.
+/// Largest deviation from that multiple, in either direction, that one update takes into account.
 const MAX_LATENCY_DEVIATION: f64 = 0.25;
-/// How fast a limit moves at first, a second; after n seconds of adaptation it moves 1 + n times slower, as the cores
-/// of a machine do not come and go while its speed may.
+/// Initial rate of change of the limit, per second. After n seconds of adaptation it changes 1 + n times slower, as the
+/// number of cores of a machine stays the same while its speed may change.
 const ADAPTATION_PER_S: f64 = 5.0;
-/// How fast the uncontended latency grows while nothing confirms it, a second.
+/// Growth rate of the uncontended latency while no sample confirms it, per second.
 const UNCONTENDED_GROWTH_PER_S: f64 = 0.005;
-/// Latency says something of the limit from this part of the capacity in flight on.
+/// Fraction of the capacity that has to be in flight for the latency to be used to adapt the limit.
 const MIN_UTILIZATION: f64 = 0.8;
-/// The longest time that one update accounts for, s.
+/// Longest time that one update accounts for, in seconds.
 const MAX_ELAPSED_S: f64 = 1.0;
 
-/// How much the ready endpoints of a hardware class had to do for this proxy.
+/// The utilization of the ready endpoints of a hardware class by this proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Utilization {
-    /// Attempts of this proxy in flight.
+    /// Number of this proxy's attempts in flight.
     pub in_flight: f64,
-    /// Attempts that this proxy may keep in flight.
+    /// Maximum number of attempts that this proxy may keep in flight.
     pub capacity: f64,
 }
 
-/// The limit and what it is learned from.
+/// The concurrency limit and the estimates that it is derived from.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ConcurrencyLimit {
-    /// Requests in flight at one endpoint; 0 before the first update.
+    /// Maximum number of requests in flight at one endpoint; 0 before the first update.
     limit: f64,
-    /// Latency without contention, s: the least of late; 0 while unknown.
+    /// Latency without contention, in seconds: the lowest recent one; 0 while unknown.
     uncontended_latency_s: f64,
-    /// For how long the limit has been adapted, s.
+    /// Time for which the limit has been adapted, in seconds.
     adapted_s: f64,
 }
 
 impl ConcurrencyLimit {
-    /// Takes over learned numbers, which come from outside: none where they make no sense.
+    /// Restores a learned limit. The values come from a snapshot and are ignored if either is not positive and finite.
     pub fn restore(&mut self, limit: f64, uncontended_latency_s: f64) {
         let is_positive = |number: f64| number > 0.0 && number.is_finite();
         if is_positive(uncontended_latency_s) && is_positive(limit) {
@@ -53,17 +54,18 @@
         }
     }
 
-    /// Requests that all proxies together keep in flight at one endpoint; 0 before the first update.
+    /// Returns the maximum number of requests that all proxies together keep in flight at one endpoint; 0 before the
+    /// first update.
     pub fn get(&self) -> f64 {
         self.limit
     }
 
-    /// Latency without contention, s; 0 while unknown.
+    /// Returns the latency without contention, in seconds; 0 while unknown.
     pub fn uncontended_latency_s(&self) -> f64 {
         self.uncontended_latency_s
     }
 
-    /// Adapts the limit after `elapsed_s` seconds: up where full endpoints answer as fast as idle ones, down where
+    /// Adapts the limit after `elapsed_s` seconds: upwards if full endpoints respond as fast as idle ones, downwards if
     /// they take longer. `recent_latency_s` is `None` while there are too few samples.
     pub fn update(
         &mut self,
@@ -85,7 +87,7 @@
         }
         let is_contended = latency_s > self.uncontended_latency_s * CONTENDED_LATENCY_MULTIPLE;
         if self.limit <= MIN_CONCURRENCY_LIMIT && is_contended {
-            // So few requests do not delay each other: this is what one takes now.
+            // At the lowest limit requests do not delay each other, so this is the uncontended latency now.
             self.uncontended_latency_s = latency_s;
         }
         self.adapted_s += elapsed_s;
--- a/src/balancer/concurrency_limit/tests.rs
+++ b/src/balancer/concurrency_limit/tests.rs
@@ -10,7 +10,7 @@
 };
 const LATENCY_S: f64 = 0.02;
 
-/// A limit after a minute of updates, ten a second.
+/// Updates the limit ten times a second for one minute.
 fn adapt(limit: &mut ConcurrencyLimit, latency_s: f64, utilization: Utilization) {
     for _ in 0..600 {
         limit.update(0.1, Some(latency_s), utilization);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn without_latencies_the_limit_is_the_least() {
+fn without_latency_samples_the_limit_is_the_minimum() {
     let mut limit = ConcurrencyLimit::default();
     assert_eq!(limit.get(), 0.0);
     limit.update(0.1, None, FULL);
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn the_limit_grows_while_full_endpoints_answer_as_fast_as_idle_ones() {
+fn the_limit_grows_while_full_endpoints_respond_as_fast_as_idle_ones() {
     let mut limit = ConcurrencyLimit::default();
     adapt(&mut limit, LATENCY_S, FULL);
     assert!(limit.get() > 2.0 * MIN_CONCURRENCY_LIMIT);
 }
 
 #[test]
-fn the_limit_stays_while_endpoints_are_not_full() {
+fn the_limit_is_unchanged_while_endpoints_are_not_full() {
     let mut limit = ConcurrencyLimit::default();
     adapt(&mut limit, LATENCY_S, IDLE);
     assert_eq!(limit.get(), MIN_CONCURRENCY_LIMIT);
 }
 
 #[test]
-fn contention_lowers_the_limit_down_to_the_least() {
+fn contention_lowers_the_limit_to_no_less_than_the_minimum() {
     let mut limit = ConcurrencyLimit::default();
     limit.restore(8.0, LATENCY_S);
     limit.update(0.1, Some(2.0 * LATENCY_S), FULL);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_uncontended_latency_is_the_least_and_grows_slowly() {
+fn the_uncontended_latency_follows_the_lowest_sample_and_grows_slowly() {
     let mut limit = ConcurrencyLimit::default();
     limit.update(1.0, Some(LATENCY_S), IDLE);
     limit.update(1.0, Some(LATENCY_S / 2.0), IDLE);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn learned_numbers_that_make_no_sense_are_not_restored() {
+fn invalid_learned_values_are_not_restored() {
     for (number, latency_s) in [
         (f64::NAN, LATENCY_S),
         (8.0, 0.0),
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -1,13 +1,15 @@
-//! Deadlines: when a request is given up because no response can come in time any more.
+//! Deadlines: when a request is given up because a response can no longer arrive in time.
 
 use super::requests::PendingRequest;
 use super::Balancer;
 use crate::interface::{Micros, RequestClass, RequestId, Time};
 
-/// When a request is given up: shortly before its deadline while an attempt is in flight, as the deadline itself would
-/// be too late to answer. One that only waits is given up once a response can hardly come in time, which does no harm
-/// yet: in time for the latency objective, or for the deadline where a late response earns something for work that was
-/// already begun.
+/// Returns when a request is given up.
+///
+/// With an attempt in flight that is one timer resolution before its deadline, as an answer at the deadline itself would
+/// be too late. A request that only waits is given up once a response is unlikely to arrive in time, while giving up
+/// does no harm yet. In time means within the latency objective, or within the deadline if the request was already
+/// attempted and a late response still earns weight.
 fn give_up_at(
     request: &PendingRequest,
     class: &RequestClass,
@@ -26,19 +28,19 @@
     response_until - expected_latency.max(timer_resolution)
 }
 
-/// What a look at all requests that wait for a response found.
+/// The requests that are due for an action, among all that wait for a response.
 #[derive(Default)]
 pub(super) struct DueRequests {
-    /// To be given up.
+    /// Requests to give up.
     pub expired: Vec<RequestId>,
-    /// To be hedged, see [`Balancer::needs_hedge`].
+    /// Requests to hedge, see [`Balancer::needs_hedge`].
     pub to_hedge: Vec<RequestId>,
-    /// When the next request is to be given up, if any.
+    /// When the next request has to be given up, if any.
     pub next_give_up_at: Option<Time>,
 }
 
 impl Balancer {
-    /// Requests that are due to be given up or hedged. Streams take the time that they take.
+    /// Finds the requests to give up or to hedge. Requests whose body or response is streaming have no time limit.
     pub(super) fn due_requests(&self, now: Time) -> DueRequests {
         let mut due = DueRequests::default();
         for (&id, request) in &self.requests.pending {
--- a/src/balancer/deadline/tests.rs
+++ b/src/balancer/deadline/tests.rs
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn one_in_flight_is_given_up_just_before_its_deadline() {
+fn a_request_in_flight_is_given_up_just_before_its_deadline() {
     let in_flight = request(vec![attempt(true)]);
     assert_eq!(given_up_at(&in_flight, 0.0), DEADLINE - RESOLUTION);
 }
 
 #[test]
-fn one_that_waits_is_given_up_when_a_response_cannot_meet_the_objective() {
+fn a_waiting_request_is_given_up_when_a_response_cannot_meet_the_objective() {
     let waiting = request(Vec::new());
     let expected = OBJECTIVE_UNTIL - EXPECTED_LATENCY;
     assert_eq!(given_up_at(&waiting, 0.0), expected);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn one_that_was_attempted_waits_for_its_deadline_where_a_late_response_earns() {
+fn an_attempted_request_waits_until_its_deadline_if_late_responses_earn_weight() {
     let attempted = request(vec![attempt(false)]);
     assert_eq!(given_up_at(&attempted, 0.5), DEADLINE - EXPECTED_LATENCY);
     assert_eq!(
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -1,45 +1,46 @@
-//! Polling of discovery: when a proxy that has to poll for the endpoint list polls again, and how long it waits for a
-//! response.
+//! Polling of service discovery for the endpoint list: when the next poll is due, and how long to wait for a response.
 //!
-//! While polls fail the interval between the starts of two polls grows exponentially, with jitter, up to a maximum that
-//! depends on the size of the fleet. It runs from start to start and not from a failure on, so that a poll that hangs
-//! until its time-out delays the next one no more than one that is refused at once.
+//! While polls fail, the interval between them grows exponentially, with jitter, up to a maximum that depends on the
+//! size of the fleet. The interval is measured between the starts of two polls, so that a poll that hangs until its
+//! timeout delays the next one no more than a poll that is refused immediately.
 
 use super::Balancer;
 use crate::interface::{Action, Discovery, Micros, Time};
 
-/// The first interval after a failure; it doubles with each further one.
+/// Interval after the first failure, in seconds. It doubles with each further failure.
 const INITIAL_INTERVAL_S: f64 = 0.1;
-/// The maximum interval grows with the fleet: all proxies together then poll once in this time.
+/// Interval, in seconds, in which all proxies together poll once at the maximum interval, which is proportional to the
+/// number of proxies.
 const FLEET_INTERVAL_S: f64 = 0.05;
-/// The maximum interval of one proxy in a small fleet.
+/// Maximum interval of one proxy in a small fleet, in seconds.
 const MIN_INTERVAL_CAP_S: f64 = 1.0;
-/// The maximum interval of one proxy in a large fleet: it knows the list within 6 s after discovery can be reached
-/// again, with one more poll that runs into its time-out (docs/design.md).
+/// Maximum interval of one proxy in a large fleet, in seconds. With it a proxy gets the list within 6 s after discovery
+/// is reachable again, even if one more poll times out (docs/design.md).
 const MAX_INTERVAL_CAP_S: f64 = 3.9;
-/// The part of an interval that is not jitter while it grows: proxies that failed together soon spread evenly.
+/// Fraction of an interval that is not jitter while the interval grows. It is small, so that proxies that failed at the
+/// same time soon spread evenly.
 const GROWING_FIXED_FRACTION: f64 = 0.25;
-/// The same at the maximum: they stay spread.
+/// Fraction of an interval that is not jitter at the maximum interval, where the proxies are already spread.
 const MAXIMUM_FIXED_FRACTION: f64 = 0.75;
-/// A poll that is without a response for this part of the staleness limit is repeated.
+/// A poll without a response is repeated after this fraction of the staleness limit.
 const LOST_POLL_FRACTION: f64 = 0.5;
 
-/// How long to wait for the response of a poll that is answered at once.
+/// Timeout of a discovery poll that is expected to be answered immediately.
 pub const DISCOVERY_POLL_TIMEOUT: Micros = Micros(1_800_000);
-/// How long to wait for the response of a poll in discovery's queue: discovery itself rejects what waits for 3 s.
+/// Timeout of a poll that waits in discovery's queue, in seconds. Discovery itself rejects a poll after 3 s in the queue.
 const QUEUED_POLL_TIMEOUT_S: f64 = 3.2;
 
-/// The interval to which polls back off, unless half of the staleness limit is less.
+/// Returns the maximum backoff interval in seconds, unless half of the staleness limit is less.
 fn max_interval_s(proxies: u32) -> f64 {
     (f64::from(proxies) * FLEET_INTERVAL_S).clamp(MIN_INTERVAL_CAP_S, MAX_INTERVAL_CAP_S)
 }
 
-/// How long to wait for the response of a poll after one that discovery rejected.
+/// Returns the timeout of a poll that follows one that discovery rejected.
 ///
-/// Discovery is then alive, with a queue as long as it allows. Another poll would stand at the queue's end, so that
-/// giving up early costs the place. In a large fleet the time is shorter: if the poll hangs after all, what comes
-/// before the next one still fits into the 6 s. That is a pause of half the interval, or the interval where the
-/// decisions repeat the poll meanwhile.
+/// Discovery is then running, but its queue is full. Giving up early would lose the poll's place in the queue, as the
+/// next poll starts at the end. In a large fleet the timeout is shorter: if the poll hangs after all, the timeout and the
+/// pause before the next poll still have to fit into the 6 s. That pause is half the interval, or the whole interval if
+/// the balancer repeats the poll before the timeout.
 pub fn queued_discovery_poll_timeout(proxies: u32, staleness_limit: Micros) -> Micros {
     let repeated_after_s = staleness_limit.as_secs_f64() / 2.0;
     let interval_s = max_interval_s(proxies).min(repeated_after_s);
@@ -54,19 +55,19 @@
     )
 }
 
-/// When a proxy polls discovery.
+/// The schedule of a proxy's discovery polls.
 #[derive(Debug)]
 pub struct DiscoveryPolling {
-    /// When the next poll is due, if any is.
+    /// When the next poll is due, if any.
     next_at: Option<Time>,
-    /// When the last one started.
+    /// When the last poll started.
     started_at: Time,
-    /// The last interval before jitter; 0 while polls succeed.
+    /// The last interval before jitter, in seconds; 0 while polls succeed.
     interval_s: f64,
 }
 
 impl DiscoveryPolling {
-    /// A first poll is due at once; or never, where discovery pushes changes.
+    /// Creates a schedule whose first poll is due immediately, or never if discovery pushes changes.
     pub fn new(discovery: Discovery) -> DiscoveryPolling {
         DiscoveryPolling {
             next_at: (discovery != Discovery::Push).then_some(Time(0)),
@@ -75,7 +76,8 @@
         }
     }
 
-    /// A poll failed at one of `proxies`. `jitter`: a random number, even from 0 to 1.
+    /// Schedules the next poll after a failed one. `proxies` is the number of proxies in the fleet; `jitter` is a random
+    /// number, uniform from 0 to 1.
     pub fn failed(&mut self, now: Time, proxies: u32, staleness_limit: Micros, jitter: f64) {
         let max_s = max_interval_s(proxies).min(staleness_limit.as_secs_f64() / 2.0);
         let next_s =
@@ -89,23 +91,23 @@
         let interval = Micros::from_secs_f64(
             self.interval_s * (fixed_fraction + (1.0 - fixed_fraction) * jitter),
         );
-        // Polls may hang for longer than the interval at all proxies alike, which are not to stay in step.
+        // Polls may hang for longer than the interval on all proxies at once. The jittered pause spreads their next polls.
         let pause = Micros::from_secs_f64((INITIAL_INTERVAL_S + self.interval_s * jitter) / 2.0);
         self.next_at = Some((self.started_at + interval).max(now + pause));
     }
 
-    /// Discovery responded: none is due until it fails.
+    /// Records a successful poll: no poll is due until discovery fails.
     pub fn succeeded(&mut self) {
         self.next_at = None;
         self.interval_s = 0.0;
     }
 
-    /// When the next poll is due, if any is.
+    /// Returns when the next poll is due, if any.
     pub fn next_at(&self) -> Option<Time> {
         self.next_at
     }
 
-    /// Whether a poll is due; it then counts as started.
+    /// Returns whether a poll is due. If so, the poll counts as started.
     pub fn take_due(&mut self, now: Time, staleness_limit: Micros) -> bool {
         let due = self.next_at.is_some_and(|at| now >= at);
         if due {
@@ -118,7 +120,7 @@
 }
 
 impl Balancer {
-    /// Polls discovery if that is due.
+    /// Polls discovery if a poll is due.
     pub(super) fn poll_discovery(&mut self, now: Time) {
         let Discovery::Poll { staleness_limit } = self.config.discovery else {
             return;
--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for dispatch, and the order in which they get capacity.
+//! The queue of requests that wait for dispatch, and the order in which they get capacity.
 
 use super::load_shedding::{FleetLoad, LOW_PRIORITY_VALUE};
 use super::objective::ObjectiveProgress;
@@ -8,15 +8,15 @@
 use crate::interface::{Action, BackendId, RequestId, Time};
 use std::cmp::Ordering;
 
-/// More than any value: no first attempt finds capacity.
+/// A threshold above every request value: no first attempt finds capacity.
 const BLOCKS_ALL: f64 = f64::MAX;
 
-/// Requests that wait for dispatch.
+/// The queue of requests that wait for dispatch.
 #[derive(Default)]
 pub(super) struct DispatchQueue {
     waiting: Vec<RequestId>,
-    /// First attempts worth less than this found no capacity since the last event that could free some. They are not
-    /// tried again until then.
+    /// First attempts with a value below this are not tried until an event may free capacity, because one of them found
+    /// none.
     blocked_below: f64,
 }
 
@@ -37,12 +37,12 @@
         self.waiting.retain(|waiting| *waiting != request);
     }
 
-    /// Something happened that may have freed capacity.
+    /// Tries all requests again, after an event that may have freed capacity.
     pub fn unblock(&mut self) {
         self.blocked_below = 0.0;
     }
 
-    /// A first attempt of this value found no capacity.
+    /// Blocks further first attempts after one of this value found no capacity.
     fn block(&mut self, value: f64) {
         let low_priority = value < LOW_PRIORITY_VALUE;
         self.blocked_below = self.blocked_below.max(if low_priority {
@@ -57,18 +57,18 @@
     }
 }
 
-/// A request in the order of dispatch.
+/// A queued request with the keys of the dispatch order.
 struct QueuedRequest {
     id: RequestId,
     arrived_at: Time,
-    /// What it adds to the operators' objective for each unit of work.
+    /// Expected gain in the operators' objective per unit of work.
     priority: f64,
-    /// Compared with [`DispatchQueue::blocked_below`], which no retry waits for.
+    /// Value to compare with [`DispatchQueue::blocked_below`]. That of a retry is never below it.
     blocking_value: f64,
 }
 
 impl QueuedRequest {
-    /// The highest priority first, and the newest first within a priority.
+    /// Orders requests by descending priority, and the newest first within a priority.
     fn dispatch_order(&self, other: &QueuedRequest) -> Ordering {
         let by_priority = other.priority.total_cmp(&self.priority);
         let newest_first = by_priority.then(other.arrived_at.cmp(&self.arrived_at));
@@ -77,7 +77,7 @@
 }
 
 impl Balancer {
-    /// Dispatches what waits, see [`QueuedRequest::dispatch_order`].
+    /// Dispatches waiting requests in the order of [`QueuedRequest::dispatch_order`].
     pub(super) fn dispatch_waiting(&mut self, now: Time) {
         if self.dispatch_queue.nothing_to_dispatch() {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes all requests out of the queue, in the order of dispatch.
+    /// Removes all requests from the queue and returns them in order of dispatch.
     fn take_by_priority(&mut self) -> Vec<QueuedRequest> {
         let waiting = std::mem::take(&mut self.dispatch_queue.waiting);
         let progress = if waiting.len() > 1 {
@@ -102,13 +102,13 @@
         };
         let queued = waiting
             .into_iter()
-            .filter_map(|id| self.queued(id, progress));
+            .filter_map(|id| self.queued_request(id, progress));
         let mut queue: Vec<QueuedRequest> = queued.collect();
         queue.sort_by(QueuedRequest::dispatch_order);
         queue
     }
 
-    fn queued(&self, id: RequestId, progress: ObjectiveProgress) -> Option<QueuedRequest> {
+    fn queued_request(&self, id: RequestId, progress: ObjectiveProgress) -> Option<QueuedRequest> {
         let request = self.requests.pending.get(&id)?;
         let gain = self.objective_gain(request.class, progress);
         let is_first = request.attempts.is_empty();
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Dispatches a request; or lets it wait for capacity; or gives it up if it may not be sent.
+    /// Dispatches a request, queues it again if there is no capacity, or gives it up if it may not be sent.
     fn dispatch_or_reject(&mut self, now: Time, id: RequestId, load: FleetLoad) {
         let Some(mut request) = self.requests.pending.remove(&id) else {
             return;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether the request may have an attempt now, wherever there is capacity.
+    /// Returns whether the request may have an attempt now, regardless of capacity.
     fn may_send(&self, now: Time, request: &PendingRequest, load: FleetLoad) -> bool {
         let is_first = request.attempts.is_empty();
         let shed = is_first
@@ -156,7 +156,7 @@
         !shed && within_budget && self.allows_attempt(now, request)
     }
 
-    /// Sends an attempt to the backend; whether the backend is known.
+    /// Sends an attempt to the backend. Returns false if the backend is unknown.
     fn dispatch(
         &mut self,
         now: Time,
--- a/src/balancer/endpoint_updates.rs
+++ b/src/balancer/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and failures to get one.
+//! Handling of endpoint list updates and of failed discovery polls.
 
 use super::endpoints::EndpointRecord;
 use super::slow_start::SlowStart;
@@ -17,7 +17,8 @@
             EndpointUpdate::Incremental | EndpointUpdate::Full => self.polling.succeeded(),
             EndpointUpdate::Cached => {}
         }
-        // What a backend that warms up was sent still counts if it is listed again within the overload window.
+        // The record of work sent to a backend in slow start is kept: it still counts if the backend is listed again
+        // within the overload window.
         let slow_start = SlowStart::new(&self.config);
         let window = self.config.overload_window;
         let is_kept = |record: &EndpointRecord| {
@@ -30,7 +31,7 @@
         self.schedule.check_at(now);
     }
 
-    /// Discovery is polled again, later each time and not in step with the other proxies.
+    /// Schedules the next discovery poll with exponential backoff and jitter.
     fn discovery_failed(&mut self, now: Time) {
         let Discovery::Poll { staleness_limit } = self.config.discovery else {
             return;
--- a/src/balancer/endpoints/consistency.rs
+++ b/src/balancer/endpoints/consistency.rs
@@ -1,10 +1,10 @@
-//! A check for debug builds: whether the derived parts of the table agree with its records.
+//! A consistency check for debug builds: whether the derived values of the table agree with its records.
 
 use super::{EndpointGroup, EndpointTable};
 use std::collections::BTreeSet;
 
 impl EndpointTable {
-    /// Whether loads, groups, sets and sums say what the records do, but for records that are to be read again.
+    /// Returns whether loads, groups, sets and sums agree with the records, except for outdated endpoints.
     pub fn is_consistent(&self) -> bool {
         let outdated: BTreeSet<u32> = self.outdated.iter().copied().collect();
         let are_endpoints_consistent = (0..self.len()).all(|index| {
@@ -43,8 +43,7 @@
     fn is_weight_current(&self, index: usize) -> bool {
         let load = &self.loads[index];
         let weight = self.groups[load.group_index as usize].weights[load.weight_index as usize];
-        load.counted_in_flight == load.contending_in_flight()
-            && weight == self.weight_without_time(index)
+        load.counted_in_flight == load.contending_in_flight() && weight == self.stored_weight(index)
     }
 
     fn has_correct_set_membership(&self, index: usize) -> bool {
--- a/src/balancer/endpoints/groups.rs
+++ b/src/balancer/endpoints/groups.rs
@@ -1,16 +1,16 @@
-//! The endpoints of one hardware class with their weights in a draw, and the zones that have endpoints.
+//! Groups of endpoints by hardware class, with the weights for a random selection among them.
 
 use super::{EndpointTable, RandomSource};
 use crate::interface::HardwareClassId;
 
-/// The endpoints of one kind.
+/// The endpoints of one hardware class.
 pub struct EndpointGroup {
     pub hardware_class: HardwareClassId,
-    /// Their indices in the table, in order.
+    /// Table indices of the endpoints, in ascending order.
     pub(super) members: Vec<u32>,
-    /// The weight of each member in a draw; 0 for one that may not be drawn.
+    /// The selection weight of each member; 0 if it may not be selected.
     pub(super) weights: Vec<f64>,
-    /// Members with a weight.
+    /// Number of members with a weight above 0.
     pub(super) selectable: usize,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds an endpoint without a weight; returns its place among the weights.
+    /// Adds an endpoint with weight 0 and returns its index in `weights`.
     fn push(&mut self, member: u32) -> u32 {
         self.members.push(member);
         self.weights.push(0.0);
@@ -37,7 +37,7 @@
         *old = weight;
     }
 
-    /// Draws a member by weight; returns its index in the table.
+    /// Selects a member at random by weight and returns its table index.
     pub(super) fn draw(&self, random: &mut RandomSource) -> Option<u32> {
         let place = random.choose_index(&self.weights)?;
         Some(self.members[place])
@@ -45,7 +45,7 @@
 }
 
 impl EndpointTable {
-    /// Finds the groups, the zones and the order by address anew, after endpoints were added, removed or moved.
+    /// Rebuilds the groups, the zones and the order by address hash after endpoints were added, removed or moved.
     pub(super) fn regroup(&mut self) {
         self.sort_by_address_hash();
         self.groups = distinct(self.loads.iter().map(|load| load.hardware_class))
@@ -83,7 +83,7 @@
             load.group_index = group as u32;
             load.zone_index = zone as u32;
             load.weight_index = self.groups[group].push(index as u32);
-            // Not yet in the table's sums and sets, which are made anew.
+            // The endpoint is not yet counted in the table's sums and sets, which are rebuilt.
             load.counted_in_flight = 0;
             load.in_flight = 0;
             load.ejected = false;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Each of the values once, in order.
+/// Returns the distinct values in ascending order.
 fn distinct<T: Ord>(values: impl Iterator<Item = T>) -> Vec<T> {
     let mut distinct: Vec<T> = values.collect();
     distinct.sort_unstable();
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -1,12 +1,13 @@
-//! The values of an endpoint that decisions read for all endpoints at once.
+//! The values of an endpoint that the balancer reads in passes over all endpoints.
 
 use crate::interface::{HardwareClassId, Time, ZoneId};
 
-/// The part of its traffic share that an endpoint weighs beyond its share of the subset: a last resort where all of
-/// the subset is full.
+/// Fraction of an endpoint's traffic share that is added to its selection weight. It makes endpoints outside the
+/// subset a last resort when the whole subset is full.
 const LAST_RESORT_WEIGHT_FRACTION: f64 = 1e-6;
 
-/// What each pass over all endpoints reads of one: what its record says, and what was last solved for it.
+/// The values of one endpoint that every pass over all endpoints reads: some derived from its record, others computed
+/// by the last solution of the traffic split.
 #[derive(Clone, Copy, Default)]
 pub struct EndpointLoad {
     pub hardware_class: HardwareClassId,
@@ -17,30 +18,30 @@
     pub zone_index: u32,
     /// Index into the weights of its group.
     pub(super) weight_index: u32,
-    /// Attempts of this proxy in flight.
+    /// Number of this proxy's attempts in flight.
     pub in_flight: u32,
-    /// Those of them that are part of the table's sum.
+    /// Number of attempts that are included in the table's sum.
     pub(super) counted_in_flight: u32,
-    /// Listed as ready, and not disabled by operators.
+    /// Whether it is listed as ready and not disabled by operators.
     pub available: bool,
-    /// An attempt has been without a response for suspiciously long.
+    /// Whether an attempt has been without a response for longer than the silence limit.
     pub silent: bool,
     pub ejected: bool,
-    /// The part of its responses that were no errors of its own.
+    /// Running fraction (0 to 1) of its outcomes that were not errors.
     pub success_share: f64,
     pub slow_start_ends_at: Time,
-    /// From then on it is neither overloaded nor was it in slow start within the overload window.
+    /// Time from which it is neither overloaded nor was in slow start within the overload window.
     pub(super) unrestricted_at: Time,
-    /// That time has not come: time alone may change its weight.
+    /// Whether `unrestricted_at` is still ahead, so that the passage of time alone may change its weight.
     pub(super) restricted: bool,
-    /// The part of its capacity that it may be used for, from 0 (none) to 1 (healthy and warm).
+    /// Fraction of its capacity that may be used, from 0 (none) to 1 (healthy and past its slow start).
     pub readiness: f64,
-    /// Attempts of this proxy that it may have in flight.
+    /// Maximum number of this proxy's attempts in flight.
     pub capacity: f64,
-    /// This proxy's part of what all proxies send it.
+    /// This proxy's share (0 to 1) of the traffic that all proxies send it.
     pub own_share: f64,
-    /// From 0 to 1: rounds a fractional capacity up at some proxies and down at others, so that the sum over all
-    /// proxies is right.
+    /// Offset (0 to 1) that rounds a fractional capacity up on some proxies and down on others, so that the sum over
+    /// all proxies is right.
     pub rounding_offset: f64,
 }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether it may have one more attempt in flight, of all its capacity or of half of it.
+    /// Returns whether it has capacity for another attempt, within all of its capacity or only within half of it.
     pub fn has_capacity(&self, half_only: bool) -> bool {
         let capacity = if half_only {
             (self.capacity / 2.0).ceil()
@@ -66,7 +67,7 @@
             && f64::from(self.in_flight) < capacity
     }
 
-    /// Its attempts in flight where it is in use: only these contend with others.
+    /// Returns its attempts in flight, or 0 while it is out of use: only endpoints in use contend for load.
     pub(super) fn contending_in_flight(&self) -> u32 {
         if self.readiness > 0.0 && !self.silent {
             self.in_flight
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Forgets what was solved for it.
+    /// Resets the values computed by the traffic split.
     pub(super) fn reset_solution(&mut self) {
         self.readiness = 0.0;
         self.capacity = 0.0;
@@ -84,12 +85,12 @@
     }
 }
 
-/// What an endpoint weighs in a draw.
+/// Returns the selection weight of an endpoint.
 pub(super) fn draw_weight(subset_share: f64, traffic_share: f64) -> f64 {
     subset_share + traffic_share * LAST_RESORT_WEIGHT_FRACTION
 }
 
-/// A proxy's number among all proxies.
+/// The index of this proxy and the number of proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyPosition {
     pub index: u32,
@@ -97,7 +98,7 @@
 }
 
 impl ProxyPosition {
-    /// This proxy's rounding offset at an endpoint: the offsets of all proxies are evenly spread from 0 to 1.
+    /// Returns this proxy's rounding offset for an endpoint. The offsets of all proxies are evenly spread from 0 to 1.
     pub(super) fn rounding_offset(self, address_hash: u64) -> f64 {
         let slot = address_hash.wrapping_add(u64::from(self.index));
         ((slot % u64::from(self.count)) as f64 + 0.5) / f64::from(self.count)
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -1,10 +1,9 @@
-//! The table of endpoints: a record of each, and beside it the values that decisions read for all endpoints at once.
+//! The endpoint table: a record for each endpoint, and columns of derived values for passes over all endpoints.
 //!
-//! Its columns stand in the order of ids, which is the order of every sum over endpoints: rounding, and with it
-//! decisions, depends on that order. The table decides nothing.
+//! The columns are sorted by id. Sums over endpoints are computed in this order, as floating-point rounding, and thus
+//! the balancer's decisions, depend on it. The table contains no load-balancing logic.
 //!
-//! A change of a record marks its endpoint as outdated; [`EndpointTable::refresh`] brings the derived values up to
-//! date.
+//! A change to a record marks its endpoint as outdated; [`EndpointTable::refresh`] updates the derived values.
 
 mod consistency;
 mod groups;
@@ -21,39 +20,39 @@
 use load::draw_weight;
 use std::collections::BTreeSet;
 
-/// All endpoints.
+/// All known endpoints.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     ids: Vec<BackendId>,
     records: Vec<EndpointRecord>,
     pub loads: Vec<EndpointLoad>,
-    /// Each endpoint's part of this proxy's traffic.
+    /// Each endpoint's share of this proxy's traffic.
     pub own_traffic_share: Vec<f64>,
-    /// Each endpoint's part of this proxy's subset of its kind.
+    /// Each endpoint's share of this proxy's subset of its hardware class.
     pub subset_share: Vec<f64>,
     address_hashes: Vec<u64>,
-    /// All endpoints by address hash, an order that all proxies have in common.
+    /// Indices of all endpoints sorted by address hash, which is the same order on all proxies.
     pub by_address_hash: Vec<u32>,
-    /// The kinds that have endpoints, in order.
+    /// The hardware classes that have endpoints, sorted by id.
     pub groups: Vec<EndpointGroup>,
-    /// The zones that have endpoints, in order.
+    /// The zones that have endpoints, sorted by id.
     pub zones: Vec<ZoneId>,
-    /// Disabled by operators, whatever lists and health checks say.
+    /// Endpoints disabled by operators, regardless of the endpoint list and health checks.
     disabled: BTreeSet<BackendId>,
-    /// Endpoints whose record may have changed since their load was read from it.
+    /// Endpoints whose record may have changed since their load was derived from it.
     outdated: Vec<u32>,
     /// Endpoints with attempts in flight.
     pub with_in_flight: BTreeSet<u32>,
     pub ejected: BTreeSet<u32>,
-    /// Endpoints whose weight time alone may change, as they are in slow start or were overloaded of late.
+    /// Endpoints whose weight may change with time alone, because of slow start or a recent overload.
     pub restricted: BTreeSet<u32>,
     /// Endpoints that were silent at the last check.
     silent: Vec<BackendId>,
-    /// Removed from the list, while their records are still needed.
+    /// Endpoints removed from the list whose records are still needed.
     removed: Vec<BackendId>,
-    /// Attempts in flight at endpoints in use.
+    /// Number of attempts in flight at endpoints in use.
     in_flight: u64,
-    /// The position for which rounding offsets were assigned.
+    /// The proxy position for which rounding offsets were last assigned.
     offsets_assigned_for: ProxyPosition,
 }
 
@@ -62,7 +61,7 @@
         self.ids.len()
     }
 
-    /// Its index in the table.
+    /// Returns the table index of the endpoint.
     pub fn position(&self, id: BackendId) -> Option<usize> {
         self.ids.binary_search(&id).ok()
     }
@@ -79,7 +78,7 @@
         self.position(id).map(|index| &self.records[index])
     }
 
-    /// The record to change, which marks the endpoint as outdated.
+    /// Returns the record for a change and marks the endpoint as outdated.
     pub fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
         self.position(id).map(|index| self.record_at_mut(index))
     }
@@ -99,19 +98,19 @@
         self.loads.iter_mut().zip(self.records.iter())
     }
 
-    /// The index of the group of that kind, if it has endpoints.
+    /// Returns the index of the hardware class's group, if the class has endpoints.
     pub fn group_index(&self, hardware_class: HardwareClassId) -> Option<usize> {
         self.groups
             .binary_search_by_key(&hardware_class, |group| group.hardware_class)
             .ok()
     }
 
-    /// Listed as ready, and not disabled by operators.
+    /// Returns whether the endpoint is listed as ready and not disabled by operators.
     pub fn is_available(&self, record: &EndpointRecord) -> bool {
         record.entry.state == BackendState::Ready && !self.disabled.contains(&record.entry.id)
     }
 
-    /// Takes an endpoint out of use until shares are next solved.
+    /// Takes an endpoint out of use until the traffic split is next solved.
     pub fn suspend(&mut self, id: BackendId) {
         if let Some(index) = self.position(id) {
             self.loads[index].readiness = 0.0;
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Forgets all of an endpoint but its entry, its attempts in flight and the work dispatched to it.
+    /// Resets an endpoint, except for its list entry, its attempts in flight and its recent work.
     fn reset(&mut self, id: BackendId) {
         if let Some(index) = self.position(id) {
             self.record_at_mut(index).reset();
@@ -129,13 +128,13 @@
         }
     }
 
-    /// Operators take it out of use.
+    /// Disables the endpoint on behalf of an operator.
     pub fn disable(&mut self, id: BackendId) {
         self.disabled.insert(id);
         self.suspend(id);
     }
 
-    /// Operators put it back into use: its slow start counts from `enabled_at`.
+    /// Enables the endpoint on behalf of an operator. Its slow start begins at `enabled_at`.
     pub fn enable(&mut self, id: BackendId, enabled_at: Time) {
         self.disabled.remove(&id);
         self.reset(id);
@@ -144,7 +143,7 @@
         }
     }
 
-    /// Marks these endpoints as silent, and no others.
+    /// Marks exactly these endpoints as silent.
     pub fn set_silent(&mut self, silent: Vec<BackendId>) {
         for id in std::mem::take(&mut self.silent) {
             self.mark_silent(id, false);
@@ -161,13 +160,13 @@
         }
     }
 
-    /// Attempts in flight at endpoints in use.
+    /// Returns the number of attempts in flight at endpoints in use.
     pub fn in_flight(&mut self, now: Time, config: &Config) -> f64 {
         self.refresh(now, config);
         self.in_flight as f64
     }
 
-    /// Assigns rotation offsets, to all endpoints for a new position and else to those that have none.
+    /// Assigns rounding offsets: to all endpoints if the proxy's position changed, otherwise to those without one.
     pub fn assign_rounding_offsets(&mut self, position: ProxyPosition) {
         let has_changed = self.offsets_assigned_for != position;
         self.offsets_assigned_for = position;
@@ -178,12 +177,12 @@
         }
     }
 
-    /// The configuration changed, on which loads depend.
+    /// Marks all endpoints as outdated, after a change of the configuration that their loads depend on.
     pub fn mark_all_outdated(&mut self) {
         self.outdated = (0..self.len() as u32).collect();
     }
 
-    /// Brings the loads and weights of outdated endpoints up to date.
+    /// Updates the loads and weights of outdated endpoints.
     pub fn refresh(&mut self, now: Time, config: &Config) {
         while let Some(index) = self.outdated.pop() {
             self.refresh_load(index as usize, config);
@@ -191,14 +190,14 @@
         }
     }
 
-    /// Updates all weights, after shares were solved.
+    /// Updates all weights after the traffic split was solved.
     pub fn update_weights(&mut self, now: Time) {
         for index in 0..self.len() {
             self.update_weight(index, now);
         }
     }
 
-    /// Reads the load of an endpoint from its record.
+    /// Derives the load of an endpoint from its record.
     fn refresh_load(&mut self, index: usize, config: &Config) {
         let record = &self.records[index];
         let available = self.is_available(record);
@@ -222,7 +221,7 @@
         load.ejected = ejected;
     }
 
-    /// Updates what follows from the load of an endpoint.
+    /// Updates the sums, sets and weight that depend on the load of an endpoint.
     fn update_weight(&mut self, index: usize, now: Time) {
         let load = &mut self.loads[index];
         let in_flight = load.contending_in_flight();
@@ -236,11 +235,12 @@
             restricted,
         );
         load.restricted = restricted;
-        self.set_weight(index, self.weight_without_time(index));
+        self.set_weight(index, self.stored_weight(index));
     }
 
-    /// The weight of an endpoint while time alone doesn't change it; 0 for one that is restricted or full.
-    fn weight_without_time(&self, index: usize) -> f64 {
+    /// Returns the stored weight of an endpoint: 0 if it is full, or if it is restricted, as its weight then depends on
+    /// the time of the selection.
+    fn stored_weight(&self, index: usize) -> f64 {
         if !self.loads[index].restricted && self.has_capacity(index, false) {
             self.weight(index)
         } else {
@@ -248,12 +248,12 @@
         }
     }
 
-    /// Whether it may have one more attempt in flight, of all its capacity or of half of it.
+    /// Returns whether the endpoint has capacity for another attempt, see [`EndpointLoad::has_capacity`].
     pub fn has_capacity(&self, index: usize, half_only: bool) -> bool {
         self.loads[index].has_capacity(half_only)
     }
 
-    /// What an endpoint that may be drawn weighs: its share of the subset, and for all others a last resort.
+    /// Returns the weight of a selectable endpoint: its share of the subset, plus a tiny weight as a last resort.
     pub fn weight(&self, index: usize) -> f64 {
         draw_weight(self.subset_share[index], self.own_traffic_share[index])
     }
@@ -263,13 +263,13 @@
         self.groups[load.group_index as usize].set_weight(load.weight_index, weight);
     }
 
-    /// Sets the weight of an endpoint for the next draw only.
+    /// Sets the weight of an endpoint for the next selection only.
     pub fn override_weight(&mut self, index: usize, weight: f64) {
         self.set_weight(index, weight);
         self.outdated.push(index as u32);
     }
 
-    /// The groups with an endpoint that may be drawn: their index and kind.
+    /// Returns the index and hardware class of each group with a selectable endpoint.
     pub fn selectable_hardware_classes(
         &self,
     ) -> impl Iterator<Item = (usize, HardwareClassId)> + '_ {
@@ -280,14 +280,14 @@
             .map(|(index, group)| (index, group.hardware_class))
     }
 
-    /// Draws an endpoint of the group by weight.
+    /// Selects an endpoint of the group at random by weight.
     pub fn draw(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
         let index = self.groups[group].draw(random)?;
         Some(self.ids[index as usize])
     }
 }
 
-/// Adds an index to a set or removes it, where it changes.
+/// Adds an index to a set or removes it from the set, if its membership changed.
 fn set_membership(set: &mut BTreeSet<u32>, index: u32, was_member: bool, is_member: bool) {
     if is_member && !was_member {
         set.insert(index);
--- a/src/balancer/endpoints/record.rs
+++ b/src/balancer/endpoints/record.rs
@@ -1,57 +1,57 @@
-//! The record of an endpoint: its entry in the list and its health as this proxy and its peers found it.
+//! The record of an endpoint: its entry in the endpoint list, and its health as seen by this proxy and its peers.
 
 use crate::interface::{Backend, Micros, PeerId, Time};
 
-/// What is known of an endpoint, but for what is solved over all of them ([`EndpointLoad`](super::EndpointLoad)).
+/// The state of one endpoint, without the values computed over all endpoints ([`EndpointLoad`](super::EndpointLoad)).
 #[derive(Default)]
 pub struct EndpointRecord {
     /// Its entry in the endpoint list.
     pub entry: Backend,
-    /// Attempts of this proxy in flight.
+    /// Number of this proxy's attempts in flight.
     pub in_flight: u32,
-    /// Running share of error responses, from 0 to 1.
+    /// Running fraction of errors among its outcomes, from 0 to 1.
     pub error_share: f64,
-    /// When it last responded, with whatever outcome.
+    /// When it last responded, regardless of the outcome.
     pub last_response_at: Time,
-    /// An attempt has been without a response for suspiciously long.
+    /// Whether an attempt has been without a response for longer than the silence limit.
     pub silent: bool,
-    /// Ejections without a successful attempt between them.
+    /// Number of ejections without a successful attempt in between.
     pub consecutive_ejections: i32,
-    /// Successful attempts since the ejection.
+    /// Number of successful attempts since the ejection.
     pub health_checks_passed: u32,
     /// Work dispatched within the overload window.
     pub recent_work: Vec<DispatchedWork>,
-    /// Boxed, as most endpoints have none: made by the first [`EndpointRecord::faults_mut`].
+    /// Allocated by the first [`EndpointRecord::faults_mut`]. It is boxed because most endpoints have no faults.
     faults: Option<Box<EndpointFaults>>,
 }
 
-/// Work that was dispatched to an endpoint.
+/// The work of one attempt that was dispatched to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchedWork {
     pub dispatched_at: Time,
-    /// Relative to the mean over all requests.
+    /// Work relative to the mean over all requests.
     pub work: f64,
 }
 
-/// What is known of an endpoint that failed, was overloaded or was disabled by operators.
+/// The additional state of an endpoint that failed, was overloaded or was disabled by an operator.
 #[derive(Debug)]
 pub struct EndpointFaults {
-    /// When operators enabled it again, which counts as a start.
+    /// When an operator last enabled it, which counts as a start of the process.
     pub enabled_at: Option<Time>,
-    /// Ejected until this time at least, and until health checks pass.
+    /// Earliest end of the ejection; the endpoint stays ejected until its health checks pass. `None` if not ejected.
     pub ejected_until: Option<Time>,
-    /// When this proxy last found it failing.
+    /// When this proxy last detected a failure of it.
     pub last_failure_at: Time,
-    /// Peers that ejected it: one verdict each.
+    /// Ejections by peers, at most one per peer.
     pub peer_ejections: Vec<PeerEjection>,
     pub latest_peer_verdict: LatestPeerVerdict,
-    /// When it was ejected on peer verdicts alone.
+    /// When it was ejected because of peer verdicts alone.
     pub ejected_on_peer_verdicts_at: Option<Time>,
-    /// It reported an overload, and gets nothing until then.
+    /// End of the pause after it reported an overload; until then it gets no requests.
     pub overloaded_until: Time,
 }
 
-/// A peer's verdict that an endpoint is to be ejected.
+/// A peer's verdict to eject an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerEjection {
     pub peer: PeerId,
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LatestPeerVerdict {
     pub issued_at: Time,
-    /// When this proxy's turn to check the endpoint's health comes.
+    /// When it is this proxy's turn to health-check the endpoint.
     pub health_check_at: Time,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl EndpointRecord {
-    /// The record of an endpoint of which only its entry is known.
+    /// Creates the record of a new endpoint.
     pub fn new(entry: Backend) -> EndpointRecord {
         EndpointRecord {
             entry,
@@ -90,36 +90,37 @@
         }
     }
 
-    /// Its faults, to read.
+    /// Returns its faults, or empty ones if there are none.
     pub fn faults(&self) -> &EndpointFaults {
         static NONE: EndpointFaults = EndpointFaults::NONE;
         self.faults.as_deref().unwrap_or(&NONE)
     }
 
-    /// Its faults, to write: this allocates them.
+    /// Returns its faults for a change, allocating them if needed.
     pub fn faults_mut(&mut self) -> &mut EndpointFaults {
         self.faults
             .get_or_insert_with(|| Box::new(EndpointFaults::NONE))
     }
 
-    /// Whether it is ejected, be its term over or not.
+    /// Returns whether it is ejected, including the time after `ejected_until` in which it is health-checked.
     pub fn is_ejected(&self) -> bool {
         self.faults().ejected_until.is_some()
     }
 
-    /// When its slow start began: with its process or when operators enabled it; `None` means long ago.
+    /// Returns when its slow start began: when its process started or an operator enabled it, whichever is later.
+    /// `None` means long ago.
     pub fn slow_start_began_at(&self) -> Option<Time> {
         self.entry.started_at.max(self.faults().enabled_at)
     }
 
-    /// Whether work was dispatched to it within the last `window`.
+    /// Returns whether work was dispatched to it within the last `window`.
     pub fn has_recent_work(&self, now: Time, window: Micros) -> bool {
         self.recent_work
             .last()
             .is_some_and(|dispatched| now - dispatched.dispatched_at < window)
     }
 
-    /// Work that was dispatched to it within the last `window`.
+    /// Returns the work that was dispatched to it within the last `window`.
     pub fn work_within(&self, now: Time, window: Micros) -> f64 {
         self.recent_work
             .iter()
@@ -128,7 +129,7 @@
             .sum()
     }
 
-    /// An attempt of so much work was dispatched to it; forgets what is older than `window`.
+    /// Records the dispatch of an attempt and its work, and drops records that are older than `window`.
     pub fn record_dispatch(&mut self, now: Time, work: f64, window: Micros) {
         self.in_flight += 1;
         self.recent_work
@@ -139,7 +140,7 @@
         });
     }
 
-    /// Forgets all but its entry, its attempts in flight and the work dispatched to it.
+    /// Resets everything except its list entry, its attempts in flight and its recent work.
     pub fn reset(&mut self) {
         *self = EndpointRecord {
             entry: std::mem::take(&mut self.entry),
--- a/src/balancer/endpoints/update.rs
+++ b/src/balancer/endpoints/update.rs
@@ -1,19 +1,19 @@
-//! Updates of the endpoint list, applied to the table.
+//! Applies updates of the endpoint list to the endpoint table.
 
 use super::{EndpointLoad, EndpointRecord, EndpointTable};
 use crate::interface::{Backend, BackendId, BackendState};
 
-/// What the entries of a list did to the endpoints that the table has.
+/// The result of updating the known endpoints from a list.
 struct UpdatedEntries {
-    /// Entries of endpoints that the table does not have.
+    /// Entries of endpoints that are not in the table.
     unknown: Vec<Backend>,
-    /// Some endpoint has another kind, zone or address than before.
+    /// Whether the hardware class, zone or address of any endpoint changed.
     moved: bool,
 }
 
 impl EndpointTable {
-    /// Applies entries of a list; what a `complete` list doesn't name is removed. Then drops the removed endpoints,
-    /// but for those to `keep`.
+    /// Applies the entries of a list. Endpoints that a `complete` list omits are marked as removed. Then drops removed
+    /// endpoints, except for those that `keep` selects.
     pub fn apply_update(
         &mut self,
         complete: bool,
@@ -53,7 +53,7 @@
             unknown: Vec::new(),
             moved: false,
         };
-        let mut next = 0; // lists mostly stand in the order of ids
+        let mut next = 0; // most lists are sorted by id
         for entry in list {
             let index = match self.ids.get(next) {
                 Some(id) if *id == entry.id => Some(next),
@@ -69,13 +69,13 @@
         updated
     }
 
-    /// Replaces the entry of an endpoint; returns whether its kind, zone or address changed.
+    /// Replaces the entry of an endpoint. Returns whether its hardware class, zone or address changed.
     fn update_entry(&mut self, index: usize, entry: Backend) -> bool {
         if self.records[index].entry == entry {
             return false;
         }
         if self.records[index].entry.started_at != entry.started_at {
-            // A restarted process has nothing in common with the old one but its address.
+            // A restarted process shares only its address with the old one.
             self.reset(entry.id);
         }
         if entry.state == BackendState::Removed {
@@ -95,7 +95,7 @@
         moved
     }
 
-    /// Takes the indices of the removed endpoints that need not be kept.
+    /// Returns the indices of the removed endpoints that need not be kept.
     fn take_removed(&mut self, keep: impl Fn(&EndpointRecord) -> bool) -> Vec<usize> {
         let mut kept = Vec::new();
         let mut dropped = Vec::new();
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Reserves once for all: growth by push takes up to twice as much memory for a fleet that comes at once.
+    /// Reserves the memory for all added endpoints at once. Growth by push would take up to twice as much memory when a
+    /// whole fleet is added.
     fn reserve_exactly_enough(&mut self, added: usize) {
         self.ids.reserve(added);
         self.records.reserve(added);
@@ -191,7 +192,7 @@
     }
 }
 
-/// The last entry of each endpoint that is not removed, in the order of ids.
+/// Returns the last entry of each endpoint, sorted by id, without removed endpoints.
 fn newest_entries(mut entries: Vec<Backend>) -> Vec<Backend> {
     entries.sort_by_key(|entry| entry.id);
     entries.dedup_by(|later, earlier| {
@@ -205,7 +206,7 @@
     entries
 }
 
-/// By old position: the new one, or where it would be.
+/// Returns, for each old position, the new one. For a dropped item that is the position of the next kept one.
 fn positions_after_removal(is_kept: &[bool]) -> Vec<u32> {
     let mut next = 0;
     let mut positions = Vec::with_capacity(is_kept.len());
--- a/src/balancer/estimators.rs
+++ b/src/balancer/estimators.rs
@@ -1,31 +1,31 @@
-//! Running estimates: the mean over the latest samples, and the rate of the latest events.
+//! Running estimators: a mean over recent samples, and a rate of recent events.
 
 use crate::interface::{SampledMean, Time};
 
-/// A rate is known once one part in so many of its memory has been observed.
+/// A rate is known once the time constant divided by this has been observed.
 const MIN_OBSERVATION_DIVISOR: f64 = 20.0;
 
-/// A mean over about the latest samples; how many, each call of [`RunningMean::add`] says.
+/// A mean over recent samples. Each call of [`RunningMean::add`] sets how many.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunningMean {
     pub value: f64,
-    /// The number of samples that the value stands for.
+    /// Number of samples that the value represents.
     pub count: f64,
 }
 
 impl RunningMean {
-    /// Adds a sample to a mean over about `max_count` of them.
+    /// Adds a sample to a mean over approximately the last `max_count` samples.
     pub fn add(&mut self, sample: f64, max_count: f64) {
         self.count = (self.count + 1.0).min(max_count);
         self.value += (sample - self.value) / self.count;
     }
 
-    /// The mean, if there was a sample.
+    /// Returns the mean, if there was a sample.
     pub fn get(&self) -> Option<f64> {
         (self.count > 0.0).then_some(self.value)
     }
 
-    /// The mean as learned state.
+    /// Returns the mean in the form that is kept across a restart.
     pub fn sampled(&self) -> SampledMean {
         SampledMean {
             value: self.value,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// A mean from learned state whose samples count `weight` each. It comes from outside: without samples where its
-    /// numbers make no sense.
+    /// Creates a mean from learned state, with its samples discounted by `weight` (0 to 1). The state comes from a
+    /// snapshot; values that are not positive and finite give a mean without samples.
     pub fn restored(learned: SampledMean, weight: f64) -> RunningMean {
         let count = learned.count * weight;
         let is_positive = |number: f64| number > 0.0 && number.is_finite();
@@ -49,13 +49,14 @@
     }
 }
 
-/// Events a second over about the latest `time_constant_s` seconds, without bias from the first event on.
+/// A rate of events per second, exponentially averaged with a time constant of `time_constant_s` seconds. It is
+/// unbiased from the first event on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EventRate {
     time_constant_s: f64,
-    /// Events, each discounted by its age.
+    /// Number of events, each discounted by its age.
     events: f64,
-    /// Seconds observed, each discounted by its age.
+    /// Time observed, in seconds, each discounted by its age.
     observed_s: f64,
     updated_at: Option<Time>,
 }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Counts `level` events for each second since the last call.
+    /// Counts `level` events per second since the last call.
     pub fn add_level(&mut self, now: Time, level: f64) {
         let elapsed_s = self.elapsed_s(now);
         self.add(
@@ -79,7 +80,7 @@
         );
     }
 
-    /// Counts `events` that happened at `now`; 0 only lets time pass.
+    /// Counts `events` that happened at `now`; 0 only accounts for the time elapsed.
     pub fn add(&mut self, now: Time, events: f64) {
         let discount = (-self.elapsed_s(now) / self.time_constant_s).exp();
         self.events = self.events * discount + events;
@@ -87,12 +88,12 @@
         self.updated_at = Some(now);
     }
 
-    /// The seconds observed, each discounted by its age.
+    /// Returns the time observed, in seconds, each discounted by its age.
     pub fn observed_s(&self) -> f64 {
         self.observed_s
     }
 
-    /// The rate; `None` until enough has been observed.
+    /// Returns the rate per second; `None` until enough time has been observed.
     pub fn per_s(&self) -> Option<f64> {
         (self.observed_s > self.time_constant_s / MIN_OBSERVATION_DIVISOR)
             .then(|| self.events / self.observed_s)
--- a/src/balancer/final_answers.rs
+++ b/src/balancer/final_answers.rs
@@ -1,14 +1,15 @@
-//! The final answers of requests that are not served, and the end of every request.
+//! Final answers for requests that are not served, and the cleanup at the end of every request.
 
 use super::outlier_detection::BASE_EJECTION_S;
 use super::requests::PendingRequest;
 use super::Balancer;
 use crate::interface::{Action, AttemptNumber, Idempotency, KeyScope, Micros, RequestId};
 
-/// A client may retry after so many times the expected latency: what is in flight now has freed its capacity by then.
+/// Multiple of the expected latency after which a client may retry. The attempts now in flight have freed their capacity
+/// by then.
 const RETRY_AFTER_LATENCIES: f64 = 2.0;
 
-/// Whether a client's retry of the request can do no harm.
+/// Returns whether the client can safely retry the request.
 fn retry_is_harmless(request: &PendingRequest, idempotency: Idempotency) -> bool {
     let repeatable = match idempotency {
         Idempotency::Idempotent => true,
@@ -19,7 +20,8 @@
 }
 
 impl Balancer {
-    /// Final answer for a request that will not be served: rejected where a retry is harmless, failed elsewhere.
+    /// Gives the final answer to a request that will not be served: rejected if the client can safely retry it, failed
+    /// otherwise.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.get(&id) else {
             return;
@@ -37,7 +39,8 @@
         self.close(id);
     }
 
-    /// When a client should retry; without a ready backend, when an ejected one has its next health check.
+    /// Returns the time after which a client should retry. Without any ready backend that is the base duration of an
+    /// ejection, after which an ejected backend is health-checked.
     fn retry_after(&self, class: usize) -> Micros {
         let mut hardware_classes = self.hardware_classes.values();
         if hardware_classes.any(|hardware_class| hardware_class.ready_endpoints > 0.0) {
@@ -47,7 +50,7 @@
         }
     }
 
-    /// No answer is owed any more: attempts that are still in flight are cancelled.
+    /// Removes a request that needs no answer any more, and cancels its attempts that are still in flight.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(request) = self.requests.pending.remove(&id) else {
             return;
--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -1,25 +1,26 @@
-//! Fleet load: what this proxy estimates of the load of all proxies together, from what arrives and is in flight here.
+//! Estimates the load of all proxies together from the requests that arrive and are in flight at this proxy.
 
 use super::estimators::EventRate;
 use super::Balancer;
 use crate::interface::Time;
 
-/// Memory of the rate of original requests, from which this proxy's part of all traffic follows: the load balancer in
-/// front moves that part slowly.
+/// Time constant of the rate of original requests, in seconds. This proxy's share of all traffic is derived from the
+/// rate; the load balancer in front of the proxies changes that share slowly.
 const ORIGINAL_REQUEST_TIME_CONSTANT_S: f64 = 10.0;
-/// Memory of the mean number of attempts in flight: short beside a ramp or a failure.
+/// Time constant of the mean number of attempts in flight, in seconds. It is short compared with a ramp or a failure.
 const IN_FLIGHT_TIME_CONSTANT_S: f64 = 2.0;
-/// Before it was observed for so long, the number in flight says nothing of the other proxies.
+/// Time, in seconds, for which the number in flight has to be observed before the fleet's load is estimated from it.
 const MIN_OBSERVATION_S: f64 = 0.25;
-/// The whole fleet may get so many times its usual traffic for a while; more than that is this proxy's own part.
+/// Multiple of its usual traffic that the whole fleet may get for a while. An excess beyond it is attributed to this
+/// proxy alone.
 const FLEET_BURST_MULTIPLE: f64 = 1.5;
 
-/// Estimates from which this proxy tells the load of all proxies together: it takes the others to be like itself, but
-/// for its part of the traffic.
+/// Estimates the load of all proxies together. It assumes that the other proxies are like this one, except for their
+/// shares of the traffic.
 pub(super) struct FleetLoadEstimator {
-    /// Original requests that arrived here. Clients' retries swell in overload, original requests do not.
+    /// Rate of original requests that arrive at this proxy. Unlike these, client retries multiply during an overload.
     original_requests: EventRate,
-    /// Attempts of this proxy in flight: attempt seconds for each second.
+    /// Mean number of this proxy's attempts in flight: attempt-seconds per second.
     in_flight: EventRate,
 }
 
@@ -31,18 +32,18 @@
         }
     }
 
-    /// An original request arrived, which is no client's retry.
+    /// Records the arrival of an original request, that is, one that is not a client retry.
     pub fn record_original_request(&mut self, now: Time) {
         self.original_requests.add(now, 1.0);
     }
 
-    /// So many attempts of this proxy have been in flight on backends in use since the last call.
+    /// Records the number of this proxy's attempts that were in flight on backends in use since the last call.
     pub fn record_in_flight(&mut self, now: Time, attempts: f64) {
         self.in_flight.add_level(now, attempts);
     }
 
-    /// How many times an even part of all traffic arrives here, at least 1. `even_share_per_s`: the requests a second
-    /// that the fleet is meant to carry, by proxy; 0 where nobody says.
+    /// Returns this proxy's traffic as a multiple of an even share, at least 1. `even_share_per_s` is the fleet's
+    /// intended traffic per proxy, in requests per second; 0 if unknown.
     pub fn traffic_multiple(&self, even_share_per_s: f64) -> f64 {
         self.original_requests
             .per_s()
@@ -50,7 +51,7 @@
             .map_or(1.0, |here_per_s| (here_per_s / even_share_per_s).max(1.0))
     }
 
-    /// The estimated number of attempts of all `proxies` in flight; `None` while too little was observed.
+    /// Returns the estimated number of attempts of all `proxies` in flight; `None` until enough time was observed.
     pub fn fleet_in_flight(&self, proxies: f64, traffic_multiple: f64) -> Option<f64> {
         let own = self.in_flight.per_s().unwrap_or(0.0);
         let own_excess = (traffic_multiple / FLEET_BURST_MULTIPLE).max(1.0);
@@ -59,7 +60,8 @@
 }
 
 impl Balancer {
-    /// See [`FleetLoadEstimator::traffic_multiple`]. The sum of the quotas is what the fleet is meant to carry.
+    /// Returns this proxy's traffic multiple, see [`FleetLoadEstimator::traffic_multiple`]. The sum of all quotas is
+    /// taken as the fleet's intended traffic.
     pub(super) fn traffic_multiple(&self) -> f64 {
         let even_share_per_s = self.config.quota_sum_per_s() / f64::from(self.config.proxy_count);
         self.fleet_load_estimator.traffic_multiple(even_share_per_s)
--- a/src/balancer/hardware_class.rs
+++ b/src/balancer/hardware_class.rs
@@ -1,31 +1,31 @@
-//! What is learned of a hardware class: its latencies, its concurrency limit and its capacity.
+//! Estimates for a hardware class: its latency, concurrency limit and capacity.
 
 use super::classes::LATENCY_SAMPLES;
 use super::concurrency_limit::{ConcurrencyLimit, RECENT_LATENCY_SAMPLES};
 use super::estimators::{EventRate, RunningMean};
 use crate::interface::{LearnedHardwareClass, Time};
 
-/// Memory of the rate of served requests, s: some ten requests of a proxy that sees few.
+/// Time constant of the rate of served requests, in seconds: about ten requests of a proxy with little traffic.
 const SERVED_TIME_CONSTANT_S: f64 = 5.0;
-/// The proven capacity is at most this multiple of what the latency of one request at a time gives.
+/// Upper bound of the proven capacity, as a multiple of the rate of an endpoint that serves one request at a time.
 const MAX_PROVEN_MULTIPLE: f64 = 2.0;
 
-/// What is learned of the endpoints of one kind.
+/// The estimates for the endpoints of one hardware class.
 pub(super) struct HardwareClass {
     /// Seconds from dispatch to response, of served requests only, corrected for the mix of request classes.
     pub latency: RunningMean,
-    /// The same over fewer samples.
+    /// Like `latency`, but over fewer samples.
     pub recent_latency: RunningMean,
     pub concurrency_limit: ConcurrencyLimit,
     /// Sum of the readiness of its endpoints.
     pub ready_endpoints: f64,
-    /// Requests a second that one endpoint can serve.
+    /// Requests per second that one endpoint can serve.
     pub service_rate_per_s: f64,
-    /// Its part of the traffic of all proxies.
+    /// Share of the traffic of all proxies.
     pub fleet_traffic_share: f64,
-    /// Its part of the traffic of this proxy.
+    /// Share of this proxy's traffic.
     pub own_traffic_share: f64,
-    /// Requests of this proxy that were served there, for each ready endpoint.
+    /// Rate of this proxy's requests that were served, per ready endpoint.
     pub served_per_endpoint: EventRate,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl HardwareClass {
-    /// A request was served after `latency_s` seconds, corrected for the mix of request classes.
+    /// Records a request that was served after `latency_s` seconds, corrected for the mix of request classes.
     pub fn record_served(&mut self, now: Time, latency_s: f64) {
         self.latency.add(latency_s, LATENCY_SAMPLES);
         self.served_per_endpoint
@@ -53,15 +53,15 @@
         self.recent_latency.add(latency_s, RECENT_LATENCY_SAMPLES);
     }
 
-    /// The recent mean latency in seconds, once it has all its samples.
+    /// Returns the recent mean latency in seconds, once it has its full number of samples.
     pub fn recent_latency_s(&self) -> Option<f64> {
         self.recent_latency
             .get()
             .filter(|_| self.recent_latency.count >= RECENT_LATENCY_SAMPLES)
     }
 
-    /// Estimates what one endpoint can serve, given the requests a second of all proxies: what it serves now and what
-    /// it could serve beyond that. 0 while there is no latency.
+    /// Updates the service rate of one endpoint from the request rate of all proxies: the rate that it serves now plus
+    /// the rate that it could serve in addition. It is 0 while no latency is known.
     pub fn update_service_rate(&mut self, fleet_rate_per_s: f64) {
         let served_per_s = if self.ready_endpoints > 0.0 {
             fleet_rate_per_s * self.fleet_traffic_share / self.ready_endpoints
@@ -74,14 +74,14 @@
             .map_or(0.0, |latency_s| 1.0 / latency_s + served_per_s);
     }
 
-    /// Requests of mean work a second that a warm endpoint serves for certain; `None` while there is no latency.
-    /// Unlike [`HardwareClass::service_rate_per_s`] it counts what was served and not what was asked for, which in an
-    /// overload is more than the endpoint can do.
+    /// Returns a safe estimate of the requests of mean work per second that an endpoint past its slow start can serve;
+    /// `None` while no latency is known. Unlike [`HardwareClass::service_rate_per_s`] it is based on served requests
+    /// and not on the offered load, which exceeds the capacity in an overload.
     pub fn proven_capacity_per_s(&self, proxies: f64) -> Option<f64> {
         let served_per_s = self.served_per_endpoint.per_s().unwrap_or(0.0) * proxies;
-        // The inverse of a mean of n scattered samples overestimates by about one part in n.
+        // The inverse of a mean of n scattered samples is too high by a factor of about 1 + 1 / n.
         let latency_s = self.latency.get()? * (1.0 + 1.0 / self.latency.count);
-        // With few ready endpoints the sum overshoots.
+        // With few ready endpoints the sum would be too high.
         Some(
             (1.0 / latency_s + served_per_s)
                 .min(MAX_PROVEN_MULTIPLE / latency_s)
@@ -89,7 +89,7 @@
         )
     }
 
-    /// What outlives a restart.
+    /// Returns the estimates that are kept across a restart.
     pub fn learned(&self) -> LearnedHardwareClass {
         LearnedHardwareClass {
             latency: self.latency.sampled(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes over learned state whose samples count `weight` each, with its concurrency limit or without it.
+    /// Restores learned state, with its samples discounted by `weight`, and optionally its concurrency limit.
     pub fn restore(&mut self, learned: &LearnedHardwareClass, weight: f64, with_limit: bool) {
         self.latency = RunningMean::restored(learned.latency, weight);
         self.recent_latency = RunningMean::restored(learned.recent_latency, weight);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,6 +1,6 @@
-//! Hedged requests: a second attempt while the first is still in flight, on a backend that is ejected.
+//! Hedged requests: a second attempt while the first one is still in flight on a backend that was ejected.
 //!
-//! Age alone is no reason for one: hedges of requests that are merely heavy would load every backend.
+//! A request is not hedged because of its age alone: hedging requests that are merely heavy would load every backend.
 
 use super::endpoints::EndpointRecord;
 use super::requests::{Attempt, PendingRequest};
@@ -8,8 +8,8 @@
 use crate::interface::{Action, AttemptNumber, Idempotency, Micros, RequestId, Time};
 
 impl Balancer {
-    /// Whether the request's only attempt is in flight on a backend from which no response is expected, and another
-    /// could still meet the latency objective.
+    /// Returns whether the request's only attempt is in flight on a backend from which no response is expected, while
+    /// another attempt could still meet the latency objective.
     pub(super) fn needs_hedge(
         &self,
         now: Time,
@@ -33,7 +33,8 @@
         attempt.in_flight && on_ejected_backend()
     }
 
-    /// Queues a second attempt. Where no two may run at once, the first is cancelled to make way for it.
+    /// Queues a second attempt. If two attempts may not be in flight at once, the first is cancelled instead, and a
+    /// retry can follow its end.
     pub(super) fn hedge(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.pending.get(&id) else {
             return;
--- a/src/balancer/hot_restart/tests.rs
+++ b/src/balancer/hot_restart/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn processes_that_ended_share_budgets_for_one_overload_window() {
+fn an_ended_process_still_shares_budgets_for_one_overload_window() {
     let window = Micros(2_000_000);
     let mut processes = ProcessCount::new();
     processes.change(Time(0), 2, window);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn at_least_this_process_runs() {
+fn the_process_count_is_at_least_one() {
     let mut processes = ProcessCount::new();
     processes.change(Time(0), 0, Micros(0));
     assert!(processes.is_single());
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -1,4 +1,4 @@
-//! Learned state: what a proxy has learned and a later process of it takes over after a restart.
+//! Saves the learned state of a proxy and restores it in a later process after a restart.
 
 use super::endpoints::EndpointRecord;
 use super::estimators::RunningMean;
@@ -6,16 +6,16 @@
 use crate::interface::{BackendId, ClassId, HardwareClassId, LearnedBackend, LearnedHardwareClass};
 use crate::interface::{LearnedState, Micros, SampledMean, Time};
 
-/// Learned state loses half of its weight in so long, s: some hundred responses of each kind.
+/// Half-life of the weight of learned state, in seconds: about a hundred responses per hardware class.
 const HALF_LIFE_S: f64 = 60.0;
 
-/// What samples that are `age` old weigh, from 0 to 1.
+/// Returns the weight (0 to 1) of samples of the given age.
 fn age_weight(age: Micros) -> f64 {
     0.5f64.powf(age.as_secs_f64() / HALF_LIFE_S)
 }
 
 impl EndpointRecord {
-    /// What outlives a restart, with spans counted back from `now`.
+    /// Returns the state that is kept across a restart, with durations relative to `now`.
     fn learned(&self, now: Time) -> LearnedBackend {
         let faults = self.faults();
         LearnedBackend {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Takes over learned state that is `age` old. An ejection whose term ended meanwhile leaves the endpoint to its
-    /// health checks, as the end of any term does.
+    /// Restores learned state that is `age` old. If the ejection's duration has passed meanwhile, the endpoint stays
+    /// ejected until its health checks pass, as after any ejection.
     fn restore(&mut self, learned: &LearnedBackend, now: Time, age: Micros) {
         self.consecutive_ejections = learned.consecutive_ejections;
         let faults = self.faults_mut();
@@ -40,7 +40,7 @@
 }
 
 impl Balancer {
-    /// What was learned and outlives a restart, for a later process of this proxy.
+    /// Returns the state that a later process of this proxy can restore after a restart.
     pub fn learned_state(&self, now: Time) -> LearnedState {
         let hardware_classes = self.hardware_classes.iter();
         LearnedState {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The latencies of the classes in use that have one.
+    /// Returns the latencies of the classes in use that have samples.
     fn learned_classes(&self) -> Vec<(ClassId, SampledMean)> {
         self.classes
             .iter()
@@ -63,7 +63,7 @@
             .collect()
     }
 
-    /// The backends of which anything was learned.
+    /// Returns the backends with any learned state.
     fn learned_backends(&self, now: Time) -> Vec<(BackendId, LearnedBackend)> {
         self.backends
             .records()
@@ -72,8 +72,8 @@
             .collect()
     }
 
-    /// Takes over learned state that is `age` old. Its samples weigh less the older it is, so that new ones soon
-    /// outweigh them; what the endpoint list no longer names is dropped.
+    /// Restores learned state that is `age` old. The older it is, the less its samples weigh, so that new samples soon
+    /// outweigh them. Entries that are not in the endpoint list are dropped.
     pub(super) fn restore_learned_state(&mut self, now: Time, state: LearnedState, age: Micros) {
         let weight = age_weight(age);
         self.restore_hardware_classes(&state.hardware_classes, weight);
@@ -97,7 +97,7 @@
         hardware_classes: &[(HardwareClassId, LearnedHardwareClass)],
         weight: f64,
     ) {
-        // While the process that learned a concurrency limit goes on using it, the limit would count twice.
+        // While the process that learned a concurrency limit keeps running and using it, the limit would count twice.
         let with_limit = self.processes.is_single();
         for (id, learned) in hardware_classes {
             if self.backends.group_index(*id).is_some() {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// A class's work is its latency relative to the overall one: the two are restored together or not at all.
+    /// Restores the latencies of request classes. A class's work is its latency relative to the overall latency, so both
+    /// are restored or neither is.
     fn restore_classes(&mut self, state: &LearnedState, weight: f64) {
         let overall = RunningMean::restored(state.overall_latency, weight);
         if overall.count > 0.0 {
--- a/src/balancer/load_shedding/tests.rs
+++ b/src/balancer/load_shedding/tests.rs
@@ -3,7 +3,7 @@
 const LOW: f64 = LOW_PRIORITY_VALUE / 2.0;
 const FULL: f64 = 1.0;
 
-/// So many requests in flight on each of ten ready endpoints.
+/// A load of `per_endpoint` requests in flight on each of ten ready endpoints.
 fn load(per_endpoint: f64) -> FleetLoad {
     FleetLoad {
         in_flight: Some(per_endpoint * 10.0),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_that_can_hardly_be_answered_in_time_is_shed_under_load() {
+fn a_request_that_is_unlikely_to_be_answered_in_time_is_shed_under_load() {
     let now = Time(1_000_000);
     let request = PendingRequest {
         class: 0,
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -1,46 +1,46 @@
-//! Locality-weighted shares: traffic stays in its own zone and region as far as capacity allows.
+//! Locality-weighted traffic shares: traffic stays in its own zone and region as far as capacity allows.
 
 use crate::interface::{RegionId, ZoneId};
 use std::collections::BTreeMap;
 
-/// What the zones of a region have too much of, relative to the traffic that one zone brings.
+/// Surplus traffic and spare capacity of a region's zones, in units of the traffic that originates in one zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct RegionBalance {
-    /// Traffic that its zones bring beyond their fair share.
+    /// Traffic that originates in the zones beyond their fair share.
     surplus: f64,
-    /// Fair share beyond the traffic that its zones bring.
+    /// Fair share of the zones beyond the traffic that originates there.
     spare: f64,
 }
 
 impl RegionBalance {
-    /// Spare capacity that the region's own surplus leaves to others.
+    /// Returns the spare capacity that is left for other regions after the region's own surplus.
     fn spare_for_others(&self) -> f64 {
         (self.spare - self.surplus).max(0.0)
     }
 
-    /// The part of its surplus that stays in the region.
+    /// Returns the fraction of its surplus that stays in the region.
     fn retained_fraction(&self) -> f64 {
         fraction(self.spare, self.surplus)
     }
 }
 
-/// How the traffic of a proxy splits over the zones.
+/// The values from which a proxy's traffic share for each zone is computed.
 struct LocalityWeights<'a> {
     own_zone: ZoneId,
     regions: &'a BTreeMap<ZoneId, RegionId>,
     zone_count: f64,
     balances: BTreeMap<RegionId, RegionBalance>,
-    /// Traffic that the own zone brings beyond its fair share.
+    /// Traffic that originates in the proxy's own zone beyond its fair share.
     surplus: f64,
-    /// Spare capacity of all other regions.
+    /// Spare capacity of all regions but the own one, after their own surplus.
     spare_elsewhere: f64,
 }
 
-/// The part of a proxy's traffic for each zone, given each zone's fair share of all traffic (sum 1).
+/// Returns a proxy's traffic share for each zone, given each zone's fair share of all traffic. The fair shares sum to 1.
 ///
-/// Every zone brings as much traffic as any other and keeps it up to its fair share. Its surplus goes to the zones
-/// with spare capacity, in proportion to it: first to those in its own region, then to what other regions leave over.
-/// So all spare capacity is used and none is exceeded.
+/// The same amount of traffic is assumed to originate in every zone. A zone keeps its traffic up to its fair share. Its
+/// surplus goes to zones with spare capacity, in proportion to that capacity: first within its own region, then to
+/// what other regions have left. This uses all spare capacity and exceeds none.
 pub(super) fn locality_weighted_shares(
     fair_shares: &BTreeMap<ZoneId, f64>,
     own_zone: ZoneId,
@@ -94,12 +94,12 @@
         self.balances.get(&region).copied().unwrap_or_default()
     }
 
-    /// A zone's fair share beyond the traffic that it brings.
+    /// Returns a zone's fair share beyond the traffic that originates there.
     fn spare(&self, fair_share: f64) -> f64 {
         (fair_share * self.zone_count - 1.0).max(0.0)
     }
 
-    /// The part of the proxy's traffic for a zone.
+    /// Returns the proxy's traffic share for a zone.
     fn share(&self, zone: ZoneId, fair_share: f64) -> f64 {
         if zone == self.own_zone {
             return (fair_share * self.zone_count).min(1.0);
@@ -118,7 +118,7 @@
             * fraction_of_region
     }
 
-    /// The part of a region's surplus that stays in it; none where the region has no zone.
+    /// Returns the fraction of a region's surplus that stays in it; 0 if the region has no zone.
     fn retained_fraction(&self, region: RegionId) -> f64 {
         self.balances
             .get(&region)
@@ -126,7 +126,7 @@
     }
 }
 
-/// The part of `all` that `some` is, at most all of it.
+/// Returns `some` as a fraction of `all`, at most 1; 0 if `all` is 0.
 fn fraction(some: f64, all: f64) -> f64 {
     if all > 0.0 {
         (some / all).min(1.0)
--- a/src/balancer/locality/tests.rs
+++ b/src/balancer/locality/tests.rs
@@ -20,31 +20,32 @@
     for (found, expected) in found.iter().zip(expected) {
         assert!(
             (found - expected).abs() < 1e-12,
-            "{found} is not {expected}"
+            "got {found}, expected {expected}"
         );
     }
 }
 
 #[test]
-fn all_traffic_stays_in_a_zone_with_its_even_share() {
+fn all_traffic_stays_in_a_zone_whose_fair_share_is_even() {
     assert_close(&shares_of(0, &[0.25; 4]), &[1.0, 0.0, 0.0, 0.0]);
 }
 
 #[test]
 fn surplus_goes_to_the_own_region_first() {
-    // Zone 0 keeps half of its traffic; zones 1 and 2 have as much to spare, and the own region takes all.
+    // Zone 0 keeps half of its traffic. Zones 1 and 2 each have room for the other half; zone 1, in the own region,
+    // takes all of it.
     let shares = shares_of(0, &[0.125, 0.375, 0.375, 0.125]);
     assert_close(&shares, &[0.5, 0.5, 0.0, 0.0]);
 }
 
 #[test]
-fn other_regions_take_what_the_own_one_cannot() {
+fn other_regions_take_the_surplus_that_exceeds_the_own_region() {
     let shares = shares_of(0, &[0.0, 0.375, 0.625, 0.0]);
     assert_close(&shares, &[0.0, 0.5, 0.5, 0.0]);
 }
 
 #[test]
-fn all_zones_together_give_each_its_fair_share() {
+fn the_shares_of_all_zones_add_up_to_the_fair_shares() {
     let fair_shares = [0.05, 0.3, 0.15, 0.5];
     let mut total = [0.0; 4];
     for own_zone in 0..4 {
--- a/src/balancer/log_limiter.rs
+++ b/src/balancer/log_limiter.rs
@@ -1,18 +1,18 @@
-//! Bounds how often the decisions write to the log. Lines within the interval after another are lost, uncounted.
+//! Rate limit for the balancer's log lines. A line that follows another within the interval is dropped and not counted.
 
 use crate::interface::{Micros, Time};
 
-/// The shortest time between two lines.
+/// Minimum time between two lines.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
-/// Lets a line through if none was let through for a while.
+/// Allows a line if none was written within [`LOG_INTERVAL`].
 #[derive(Default)]
 pub(super) struct LogLimiter {
     next_line_at: Time,
 }
 
 impl LogLimiter {
-    /// Whether a line may be written now; it then counts as written.
+    /// Returns whether a line may be written now. If so, it counts as written.
     pub fn try_log(&mut self, now: Time) -> bool {
         let allowed = now >= self.next_line_at;
         if allowed {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,13 +1,12 @@
-//! The decisions of one proxy: events in, actions out. Its interface is `src/interface/`.
+//! The balancer of one proxy: a state machine that turns events into actions. Its types are in `src/interface/`.
 //!
-//! [`Balancer::handle`] takes an event, calls the rules that the event concerns, and then those that follow every
-//! event: checks that time alone made due, and the dispatch of waiting requests. The traffic split, where due, is
-//! solved before the event is applied. The handling of a timer that a later one replaced ends there. The rules stand in
-//! the modules below, one mechanism each.
+//! [`Balancer::handle`] first solves the traffic split if that is due and applies the event. After every event it runs
+//! the checks that have become due with time and dispatches waiting requests. A timer that was replaced by a later one
+//! is ignored. Each of the modules below implements one mechanism.
 //!
-//! On the ordinary path a request is admitted (`admission`), waits in the `dispatch_queue`, is sent to a backend that
-//! `selection` draws by the shares of the `traffic_split` (HALB), and its end is learned from (`attempts`,
-//! `outlier_detection`). The other modules deal with faults and overload.
+//! A request is admitted (`admission`), waits in the `dispatch_queue` and is sent to a backend that `selection` picks
+//! at random by the shares of the `traffic_split` (HALB). The outcome updates the estimates (`attempts`,
+//! `outlier_detection`). The other modules handle faults and overload.
 
 mod admission;
 mod attempts;
@@ -68,14 +67,14 @@
 pub use traffic_split::{halb_shares, HardwareClassCapacity};
 use zone_failover::ZoneHealth;
 
-/// Memory of the rate at which requests arrive: short beside a ramp or a failure.
+/// Time constant of the arrival rate, in seconds. It is short compared with a ramp or a failure.
 const ARRIVAL_RATE_TIME_CONSTANT_S: f64 = 2.0;
-/// A proxy with nothing else to do looks at what time alone brings about this often.
+/// Longest interval between two runs of the time-based checks.
 const IDLE_CHECK_INTERVAL: Micros = Micros(5_000_000);
-/// Beyond so many backends the debug check of their table is left out, as it takes too long.
+/// Number of backends above which the debug check of the endpoint table is skipped because it takes too long.
 const MAX_BACKENDS_IN_DEBUG_CHECK: usize = 200;
 
-/// The decisions of one proxy. Give it every event in order; it answers with actions.
+/// The load balancer of one proxy. It must be given every event in order, and returns the resulting actions.
 pub struct Balancer {
     config: ValidatedConfig,
     random: RandomSource,
@@ -83,9 +82,9 @@
     hardware_classes: BTreeMap<HardwareClassId, HardwareClass>,
     zones: BTreeMap<ZoneId, ZoneHealth>,
     classes: ClassTable,
-    /// The part of all responses and broken connections that were errors or broken connections.
+    /// Fraction of errors and broken connections among all responses and broken connections.
     error_share: RunningMean,
-    /// Requests that arrive here, retries of clients included.
+    /// Rate of requests that arrive at this proxy, including client retries.
     arrivals: EventRate,
     fleet_load_estimator: FleetLoadEstimator,
     quotas: TenantQuotas,
@@ -98,18 +97,18 @@
     processes: ProcessCount,
     first_event_at: Option<Time>,
     log_limiter: LogLimiter,
-    /// What the event at hand calls for.
+    /// Actions that result from the current event.
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration. `seed`: of its random numbers.
+    /// Creates a balancer without any learned state. `seed` initializes its random number generator.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         let config = config.validated()?;
         Ok(Balancer::from_validated(config, seed))
     }
 
-    /// The same with a configuration that was validated before.
+    /// Creates a balancer from a configuration that is already validated.
     pub fn from_validated(config: ValidatedConfig, seed: u64) -> Balancer {
         Balancer {
             random: RandomSource::new(seed),
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Takes one event that happened at `now` and adds the actions that it calls for.
+    /// Processes one event that happened at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.first_event_at.get_or_insert(now);
         if may_free_capacity(&event) {
@@ -162,21 +161,21 @@
         self.debug_check();
     }
 
-    /// Whether it keeps anything about the backend.
+    /// Returns whether the balancer still holds state about the backend.
     pub fn contains_backend(&self, backend: BackendId) -> bool {
         self.backends.position(backend).is_some()
     }
 
-    /// The concurrency limit of each hardware class: requests that all proxies together have in flight on one of its
-    /// backends.
+    /// Returns the concurrency limit of each hardware class: the maximum number of requests that all proxies together
+    /// keep in flight at one of its backends.
     pub fn concurrency_limits(&self) -> impl Iterator<Item = (HardwareClassId, f64)> + '_ {
         self.hardware_classes
             .iter()
             .map(|(id, hardware_class)| (*id, hardware_class.concurrency_limit.get()))
     }
 
-    /// The part of its capacity that each backend is good for by its warm-up: 0 where it drains, is disabled or
-    /// ejected. It leaves out zone failover, the share of errors, silence, pauses after overload and panic mode.
+    /// Returns the fraction of its capacity that each backend has by its slow start: 0 if it is draining, disabled or
+    /// ejected. Zone failover, the error share, silence, pauses after overload and panic mode are not included.
     pub fn slow_start_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let slow_start = SlowStart::new(&self.config);
         let readiness = move |record: &EndpointRecord| {
@@ -192,7 +191,7 @@
             .map(move |(id, record)| (id, readiness(record)))
     }
 
-    /// The rules that each event concerns.
+    /// Applies the event to the mechanisms that it concerns.
     fn apply(&mut self, now: Time, event: Event) {
         match event {
             Event::EndpointsUpdated { update, backends } => {
@@ -245,7 +244,7 @@
         }
     }
 
-    /// What time alone brings about: polls, silent backends, hedged requests, requests given up.
+    /// Runs the time-based checks: discovery polls, silent backends, requests to hedge and requests to give up.
     fn run_checks(&mut self, now: Time) {
         self.poll_discovery(now);
         let next_silence_at = self.detect_silence(now);
@@ -263,7 +262,7 @@
         }
     }
 
-    /// Sets the timer for the next check; soon while requests wait for capacity.
+    /// Sets the timer for the next check, which is one timer resolution away while requests wait for capacity.
     fn set_timer(&mut self, now: Time) {
         let resolution = self.config.timer_resolution;
         if !self.dispatch_queue.is_empty() {
@@ -273,7 +272,7 @@
         self.actions.extend(timer);
     }
 
-    /// A line for the operators, unless one was written a moment ago.
+    /// Logs a line for operators, unless the rate limit suppresses it.
     fn log(&mut self, now: Time, text: String) {
         if self.log_limiter.try_log(now) {
             self.actions.push(Action::Log(text));
@@ -283,16 +282,16 @@
     fn debug_check(&self) {
         debug_assert!(
             self.backends.len() > MAX_BACKENDS_IN_DEBUG_CHECK || self.backends.is_consistent(),
-            "the table of backends is inconsistent"
+            "the derived values of the endpoint table disagree with its records"
         );
         debug_assert!(
             self.classes.is_consistent(&self.config.classes),
-            "the counts of classes are wrong"
+            "the class counts disagree with the class table"
         );
     }
 }
 
-/// Whether requests that found no capacity may find some after the event. To try all of them in vain takes much CPU.
+/// Whether the event may free capacity for waiting requests. Retrying all of them without effect takes much CPU time.
 fn may_free_capacity(event: &Event) -> bool {
     !matches!(event, Event::RequestArrived(_) | Event::TimerFired { .. })
 }
--- a/src/balancer/objective.rs
+++ b/src/balancer/objective.rs
@@ -1,18 +1,18 @@
-//! The operators' objective: a weighted sum of the parts of the offered priority weight that are earned, in all traffic
-//! and in the class that is served worst. It decides which of the waiting requests is dispatched first.
+//! The operators' objective: a weighted sum of the fractions of the offered priority weight that are earned, over all
+//! traffic and in the worst-served class. It determines the dispatch order of waiting requests.
 
 use super::classes::{ClassStats, ClassTable};
 use super::Balancer;
 
-/// A sum of weights counts as at least this where something is divided by it.
+/// Lower bound of a sum of weights that is used as a divisor.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// How the objective stands over all classes in use.
+/// The current state of the objective over all classes in use.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ObjectiveProgress {
     /// Sum of the classes' offered weights.
     offered_weight: f64,
-    /// The least part (0 to 1) of its offered weight that a class earned.
+    /// Lowest fraction (0 to 1) of its offered weight that any class earned.
     worst_served_share: f64,
 }
 
@@ -33,8 +33,8 @@
 }
 
 impl Balancer {
-    /// What one more served request of the class adds to the objective: its priority weight as a part of all traffic's
-    /// and, in the class that is served worst, as a part of that class's.
+    /// Returns the gain in the objective from one more served request of the class: its priority weight relative to the
+    /// weight of all traffic and, for the worst-served class, also relative to the weight of that class.
     pub(super) fn objective_gain(&self, class: usize, progress: ObjectiveProgress) -> f64 {
         let stats = &self.classes[class];
         let per_weight_in_class = if progress.is_worst(stats) {
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,7 +1,7 @@
-//! Outlier detection: what the outcomes of attempts say of an endpoint, its ejection, and its readmission once health
-//! checks pass.
+//! Outlier detection: ejects endpoints based on the outcomes of attempts, and readmits them once health checks pass.
 //!
-//! Health checks are passive: ordinary client requests sent, one at a time, to an ejected endpoint after its term.
+//! Health checks are ordinary client requests, sent one at a time to an ejected endpoint once the ejection's duration
+//! has passed.
 
 use super::classes::LATENCY_SAMPLES;
 use super::endpoints::EndpointRecord;
@@ -10,46 +10,47 @@
 use super::Balancer;
 use crate::interface::{Action, AttemptEnd, BackendId, Micros, Outcome, Time, Verdict, ZoneId};
 
-/// Error share from which an endpoint is ejected: two errors close together reach it where errors are rare.
+/// Error share above which an endpoint is ejected, before the fleet's error share is added. If errors are rare, two
+/// errors in close succession exceed it.
 const EJECTION_ERROR_SHARE: f64 = 0.3;
-/// By how many times the fleet's error share an endpoint's has to exceed that: where every connection may break, two
-/// breaks close together are chance, and no endpoint is better than another.
+/// Multiple of the fleet's error share that is added to the ejection threshold. If any connection may break, two broken
+/// connections in close succession are chance, and no endpoint is better than another.
 const FLEET_ERROR_MULTIPLE: f64 = 3.0;
 /// Weight of the latest outcome in an endpoint's error share.
 const ERROR_SHARE_STEP: f64 = 0.2;
-/// An endpoint that responded within so many times the expected latency is alive, whatever one connection did.
+/// An endpoint that responded within this multiple of the expected latency counts as alive, even if a connection broke.
 const ALIVE_LATENCY_MULTIPLE: f64 = 2.0;
-/// Duration of a first ejection, s.
+/// Duration of a first ejection, in seconds, before jitter.
 pub(super) const BASE_EJECTION_S: f64 = 1.0;
-/// The duration doubles with each consecutive ejection, so often at most.
+/// Maximum number of times that the duration doubles with consecutive ejections.
 const MAX_EJECTION_DOUBLINGS: i32 = 2;
-/// The duration is drawn evenly from a range that begins at this part of it.
+/// Lower end of the jitter range, as a fraction of the duration. The jitter is uniform over the range.
 const EJECTION_JITTER_MIN: f64 = 0.75;
-/// Width of that range, as a part of the duration: proxies do not check an endpoint's health in step.
+/// Width of the jitter range, as a fraction of the duration. It keeps proxies from health-checking an endpoint in step.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
-/// An overloaded endpoint gets nothing for so long, s.
+/// Time for which an overloaded endpoint gets no requests, in seconds.
 const OVERLOADED_PAUSE_S: f64 = BASE_EJECTION_S / 2.0;
-/// Health checks that have to pass before an ejected endpoint is readmitted.
+/// Number of health checks that have to pass before an ejected endpoint is readmitted.
 const HEALTH_CHECKS_TO_PASS: u32 = 3;
-/// A response counts as no quicker than this, s.
+/// Lower bound of a recorded latency, in seconds.
 const MIN_LATENCY_S: f64 = 1e-6;
 
-/// What the end of an attempt says of its endpoint.
+/// The evidence about an endpoint's health from the end of an attempt.
 enum Evidence {
-    /// It served the request.
+    /// The endpoint served the request.
     Served,
-    /// It responds, but has no capacity.
+    /// The endpoint responds, but has no capacity.
     Overloaded,
-    /// It responded with an error, or one connection broke while others work: several of these eject it.
+    /// The endpoint responded with an error, or one connection broke while it is alive. Several of these eject it.
     Error,
-    /// It cannot be reached or does not respond: one of these ejects it.
+    /// The endpoint cannot be reached or does not respond. One of these ejects it.
     Failure,
-    /// Nothing.
+    /// The outcome says nothing about the endpoint.
     None,
 }
 
 impl Evidence {
-    /// `alive_within`: an endpoint that responded so recently is alive.
+    /// Classifies an outcome. An endpoint that responded within the last `alive_within` counts as alive.
     fn classify(
         outcome: Outcome,
         record: &EndpointRecord,
@@ -63,7 +64,7 @@
             Outcome::Overloaded => Evidence::Overloaded,
             Outcome::Cancelled | Outcome::NotSent => Evidence::None,
             Outcome::Error => Evidence::Error,
-            // One heavy request: other responses came back meanwhile.
+            // The endpoint responded to other requests meanwhile, so only this request is slow.
             Outcome::TimedOut if record.last_response_at >= sent_at => Evidence::None,
             Outcome::Reset | Outcome::ConnectFailed if is_alive => Evidence::Error,
             Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Evidence::Failure,
@@ -72,7 +73,7 @@
 }
 
 impl EndpointRecord {
-    /// It served an attempt that was sent at `sent_at`; returns whether that readmits it after an ejection.
+    /// Records a served attempt that was sent at `sent_at`. Returns whether this readmits the endpoint.
     fn record_served(&mut self, now: Time, sent_at: Time) -> bool {
         self.last_response_at = now;
         self.error_share *= 1.0 - ERROR_SHARE_STEP;
@@ -86,7 +87,8 @@
             self.error_share = 0.0;
             return true;
         }
-        // It responds to what was sent before its peers' verdicts came: they are cut off from it.
+        // The endpoint responds to an attempt that was sent before the peers' verdicts ejected it here, so it is the
+        // peers that cannot reach it.
         let on_peer_verdicts_at = self.faults().ejected_on_peer_verdicts_at;
         if on_peer_verdicts_at.is_some_and(|ejected_at| sent_at <= ejected_at) {
             self.end_ejection();
@@ -94,14 +96,14 @@
         false
     }
 
-    /// An error of its own, or one broken connection; returns whether that ejects it.
+    /// Records an error response or a broken connection. Returns whether this ejects the endpoint.
     fn record_error(&mut self, ejection_error_share: f64) -> bool {
         self.error_share += (1.0 - self.error_share) * ERROR_SHARE_STEP;
         self.error_share > ejection_error_share || self.is_ejected()
     }
 
-    /// This proxy found it failing; returns for how long that ejects it, unless it is ejected already. `base_s` is the
-    /// duration without earlier ejections.
+    /// Records a failure that this proxy detected. Returns the duration of the ejection, or `None` if the current one
+    /// has not ended yet. `base_s` is the duration without earlier ejections, in seconds.
     fn record_failure(&mut self, now: Time, base_s: f64) -> Option<Micros> {
         let earlier = self.consecutive_ejections;
         let faults = self.faults_mut();
@@ -118,7 +120,7 @@
         Some(duration)
     }
 
-    /// Readmits it.
+    /// Ends the ejection.
     pub(super) fn end_ejection(&mut self) {
         let faults = self.faults_mut();
         faults.ejected_until = None;
@@ -126,8 +128,8 @@
     }
 }
 
-/// Whether the attempt was answered, as far as its zone as a whole is concerned; `None` where that says nothing. A
-/// zone that is cut off may still answer some attempts.
+/// Returns whether the attempt counts as answered for the health of its zone; `None` if the outcome says nothing about
+/// it. A zone that is cut off may still answer some attempts.
 fn was_answered(outcome: Outcome, is_overdue: bool) -> Option<bool> {
     match outcome {
         Outcome::Ok => Some(true),
@@ -137,7 +139,7 @@
     }
 }
 
-/// Whether the outcome counts for the fleet's error share.
+/// Returns whether the outcome counts towards the fleet's error share.
 fn is_error_sample(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -146,8 +148,7 @@
 }
 
 impl Balancer {
-    /// Learns from the end of an attempt what it says of the endpoint, its hardware class, its zone and the request
-    /// class.
+    /// Records the outcome of an attempt for the endpoint, its hardware class, its zone and the request class.
     pub(super) fn record_outcome(&mut self, now: Time, attempt: InFlightAttempt, end: &AttemptEnd) {
         self.record_fleet_error(end.outcome);
         let id = attempt.backend;
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Ejects an endpoint that this proxy found failing, and announces it to the peers.
+    /// Ejects an endpoint because of a failure that this proxy detected, and publishes the verdict to the peers.
     fn eject(&mut self, now: Time, id: BackendId, outcome: Outcome) {
         let jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.random.unit();
         let Some(record) = self.backends.get_mut(id) else {
--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -1,12 +1,12 @@
-//! Peer verdicts: what other proxies found out about an endpoint counts as evidence, unless this proxy knows better
-//! from a response or a failure since.
+//! Peer verdicts: ejections and readmissions of endpoints by other proxies. They count as evidence, unless this proxy
+//! has seen a response or a failure of the endpoint since.
 
 use super::endpoints::{EndpointRecord, LatestPeerVerdict, PeerEjection};
 use super::outlier_detection::BASE_EJECTION_S;
 use super::Balancer;
 use crate::interface::{Micros, PeerVerdict, Time, Verdict};
 
-/// Peers whose verdicts eject an endpoint here: one may have a broken link of its own, two rarely do.
+/// Number of peers whose verdicts eject an endpoint here. One peer may have a broken link of its own; two rarely do.
 const EJECTING_PEERS: u32 = 2;
 
 /// An ejection that a peer announced.
@@ -17,14 +17,14 @@
 }
 
 impl EndpointRecord {
-    /// Forgets verdicts that are too old, and the one of the peer that now gives another.
+    /// Drops ejections by peers that are too old, and the previous one of the peer that issued `verdict`.
     fn expire_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
         self.faults_mut().peer_ejections.retain(|ejection| {
             Some(ejection.peer) != verdict.origin && now - ejection.issued_at <= verdict.max_age
         });
     }
 
-    /// A peer readmitted it; returns whether that readmits it here.
+    /// Handles a readmission by a peer. Returns whether this readmits the endpoint here.
     fn readmit_on_peer_verdict(&mut self, issued_at: Time) -> bool {
         if !self.is_ejected() || issued_at <= self.faults().last_failure_at {
             return false;
@@ -36,9 +36,10 @@
         true
     }
 
-    /// Keeps a peer's ejection. Proxies check in check_delay, by the number that the newest verdict gives each: number n at
-    /// the ejection's end + n x [`BASE_EJECTION_S`]. So the result of one reaches the others first, and no proxy with a
-    /// broken link keeps an endpoint out for long.
+    /// Records a peer's ejection. Proxies health-check the endpoint in turn, in the order given by the newest verdict:
+    /// the proxy at position n does so n x [`BASE_EJECTION_S`] after the end of the ejection. The result of one check
+    /// thus reaches the other proxies before their turn, and a proxy with a broken link does not keep an endpoint
+    /// ejected for long.
     fn record_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
         let issued_at = ejection.issued_at;
         let faults = self.faults_mut();
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Ejects it if enough peers did; for one that is ejected it follows the peers' term. Returns whether it is
-    /// ejected only now.
+    /// Ejects the endpoint if enough peers did. If it is already ejected, the time of its next health check follows the
+    /// newest verdict. Returns whether the endpoint is newly ejected.
     fn eject_on_peer_verdicts(
         &mut self,
         now: Time,
@@ -84,7 +85,7 @@
 }
 
 impl Balancer {
-    /// A peer announced a verdict.
+    /// Applies a verdict that a peer announced.
     pub(super) fn apply_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict) {
         if verdict.age > verdict.max_age {
             return;
--- a/src/balancer/quota.rs
+++ b/src/balancer/quota.rs
@@ -1,13 +1,13 @@
-//! Tenants' quotas: a token bucket for each tenant that had traffic. A request without a token is over quota.
+//! Tenant quotas: a token bucket for each tenant that had traffic. A request that finds no token is over quota.
 
 use crate::interface::{TenantId, Time};
 use std::collections::HashMap;
 
-/// A bucket holds the tokens of this time.
+/// Depth of a bucket, in seconds of its tenant's quota.
 const BUCKET_DEPTH_S: f64 = 2.0;
-/// A bucket may gather at least so many tokens, as requests of small tenants come a few at once by chance.
+/// Minimum depth that a bucket may fill to, in tokens, as a few requests of a small tenant may arrive at once by chance.
 const MIN_BUCKET_DEPTH_TOKENS: f64 = 5.0;
-/// Tokens that a request takes.
+/// Number of tokens that a request takes.
 const TOKENS_PER_REQUEST: f64 = 1.0;
 
 struct TokenBucket {
@@ -17,15 +17,15 @@
 
 /// The token buckets of all tenants.
 ///
-/// A bucket starts with the tokens of [`BUCKET_DEPTH_S`]. It is kept once it is full again, as a new one of a small
-/// tenant would hold less.
+/// A new bucket holds the tokens of [`BUCKET_DEPTH_S`], but at least one. A full bucket is not dropped, as a new one of a
+/// small tenant would hold fewer tokens.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: HashMap<TenantId, TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Takes a token of the tenant, whose bucket is filled at `rate_per_s`; whether there was one.
+    /// Takes a token from the tenant's bucket, which is filled at `rate_per_s`. Returns whether there was one.
     pub fn try_take(&mut self, tenant: TenantId, now: Time, rate_per_s: f64) -> bool {
         let depth = rate_per_s * BUCKET_DEPTH_S;
         let tokens = match self.buckets.get(&tenant) {
--- a/src/balancer/random.rs
+++ b/src/balancer/random.rs
@@ -1,15 +1,15 @@
-//! The random numbers of the decisions: the same sequence on every machine for the same seed.
+//! The balancer's random number generator. It gives the same sequence on every machine for the same seed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// The number of values of a `u32`.
+/// Number of values of a `u32`.
 const U32_VALUES: f64 = 4_294_967_296.0;
 
-/// A seeded source of random numbers.
+/// A seeded random number generator.
 pub(super) struct RandomSource(Pcg32);
 
-/// An item of a weighted draw.
+/// An item of a weighted random selection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Weighted<T> {
     pub item: T,
@@ -21,12 +21,12 @@
         RandomSource(Pcg32::seed_from_u64(seed))
     }
 
-    /// Uniform from 0 up to, but without, 1.
+    /// Returns a uniform random number from 0 (inclusive) to 1 (exclusive).
     pub fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / U32_VALUES
     }
 
-    /// One of the items, with a probability in proportion to its weight; the last one where all weigh nothing.
+    /// Selects an item with a probability proportional to its weight; the last item if all weights are 0.
     pub fn choose<T: Copy>(&mut self, items: &[Weighted<T>]) -> Option<T> {
         let total: f64 = items.iter().map(|entry| entry.weight).sum();
         let mut remaining = self.unit() * total;
@@ -41,7 +41,7 @@
             .map(|entry| entry.item)
     }
 
-    /// The index of one of the weights, with a probability in proportion to it; never one of a weight of 0.
+    /// Selects the index of a weight with a probability proportional to the weight; never one whose weight is 0.
     pub fn choose_index(&mut self, weights: &[f64]) -> Option<usize> {
         let mut remaining = self.unit() * weights.iter().sum::<f64>();
         let mut is_drawn = |weight: &f64| {
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -1,22 +1,22 @@
-//! A new configuration at run time.
+//! Applies a new configuration at run time, including classes that are added, retired or reinstated.
 
 use super::Balancer;
 use crate::interface::{ClassId, ClassSuccessor, Time, ValidatedConfig};
 
-/// A new configuration, and what became of the classes.
+/// A new configuration and the changes to the set of request classes.
 pub(super) struct ConfigChange {
     pub config: ValidatedConfig,
     /// Classes that are no longer in use.
     pub retired: Vec<ClassId>,
     /// Retired classes that are in use again.
     pub reinstated: Vec<ClassId>,
-    /// Classes that take over another's latency estimate.
+    /// Classes that inherit the latency estimate of another class.
     pub successors: Vec<ClassSuccessor>,
 }
 
 impl ConfigChange {
-    /// The classes that come into use or go out of it, each once, where `classes_before` were known. A class that
-    /// stays keeps its rules.
+    /// Returns the distinct numbers of the classes that are added, retired or reinstated. `classes_before` is the number
+    /// of classes before the change. All other classes keep their rules.
     fn affected_classes(&self, classes_before: usize) -> Vec<usize> {
         let classes = self.config.classes.len();
         let named = self.retired.iter().chain(&self.reinstated);
@@ -32,8 +32,8 @@
 }
 
 impl Balancer {
-    /// Takes a new configuration. Classes and tenants keep their numbers, so that all that is open and learned goes
-    /// on. The host sees to that; a configuration that lacks a number all the same changes nothing.
+    /// Applies a new configuration. The host makes sure that classes and tenants keep their numbers, so that pending
+    /// requests and learned state remain valid. A configuration with missing numbers is rejected.
     pub(super) fn reconfigure(&mut self, now: Time, change: ConfigChange) {
         let lacks_classes = change.config.classes.len() < self.classes.len();
         let lacks_tenants = change.config.tenants.len() < self.config.tenants.len();
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,20 +1,21 @@
-//! Requests that are owed a final answer, and their attempts.
+//! The table of requests that are waiting for their final answer, and of their attempts.
 
 use crate::interface::{AttemptNumber, Backend, BackendId, RequestId, Time};
 use std::collections::BTreeMap;
 
 /// An attempt of a request.
 pub(super) struct Attempt {
-    /// The backend, as the endpoint list described it at the dispatch.
+    /// The backend, as described by the endpoint list at the time of dispatch.
     pub backend: Backend,
     pub dispatched_at: Time,
-    /// It has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
-    /// Its outcome proves that the backend did not run it.
+    /// Whether the outcome proves that the backend did not process the attempt.
     pub unprocessed: bool,
-    /// It was not sent because its backend was removed meanwhile: the attempt in its place is no retry.
+    /// Whether the attempt was not sent because its backend became unavailable. The attempt that replaces it is not a
+    /// retry.
     pub replaceable: bool,
-    /// Its response has begun to stream: the backend has done the work.
+    /// Whether the response started to stream, which means that the backend has done the work.
     pub response_started: bool,
 }
 
@@ -31,24 +32,24 @@
     }
 }
 
-/// A request that is owed a final answer.
+/// A request that is waiting for its final answer.
 pub(super) struct PendingRequest {
-    /// Its class, by number.
+    /// Number of the request's class.
     pub class: usize,
     pub arrived_at: Time,
-    /// A response until then is within the latency objective.
+    /// End of the latency objective: a response until then earns the full weight.
     pub objective_until: Time,
-    /// The client gives up then.
+    /// Time at which the client gives up.
     pub deadline: Time,
-    /// 1 for an original request within quota; less over quota or for a client's retry.
+    /// Relative value: 1 for an original request within quota, less over quota or for a client's retry.
     pub value: f64,
-    /// A response streams to the client.
+    /// Whether a response is streaming to the client.
     pub response_streaming: bool,
-    /// Its body is streamed to one backend as it arrives, and cannot be sent to another.
+    /// Whether the body is being streamed to one backend as it arrives, so that it cannot be sent to another.
     pub upload_streaming: bool,
-    /// Attempts allowed under the rules that it arrived with; no more once its body streams.
+    /// Maximum number of attempts by the configuration at arrival; no further ones once the body streams.
     pub max_attempts: usize,
-    /// In order of their numbers.
+    /// The attempts in order of their numbers.
     pub attempts: Vec<Attempt>,
 }
 
@@ -57,7 +58,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether a further attempt is paid from the retry budget.
+    /// Returns whether the next attempt is a retry, which counts against the retry budget.
     pub fn next_attempt_is_retry(&self) -> bool {
         self.attempts
             .last()
@@ -69,27 +70,27 @@
     }
 }
 
-/// Names one attempt.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub request: RequestId,
     pub attempt: AttemptNumber,
 }
 
-/// An attempt whose end has not been reported yet. It may outlive its request.
+/// An attempt whose end has not been reported yet. It may remain in flight after its request was closed.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightAttempt {
     pub backend: BackendId,
-    /// The request's class, by number.
+    /// Number of the request's class.
     pub class: usize,
-    /// Since when a response is awaited; [`NO_RESPONSE_DUE`] while the body is uploaded.
+    /// Time since which a response is awaited; [`NO_RESPONSE_DUE`] while the body is uploaded.
     pub awaiting_response_since: Time,
 }
 
-/// Stands for a time that does not come: the backend owes no response yet.
+/// The time in the far future that means that the backend owes no response yet.
 pub(super) const NO_RESPONSE_DUE: Time = Time(u64::MAX);
 
-/// All requests that are owed a final answer, and all attempts in flight.
+/// All requests that are waiting for their final answer, and all attempts in flight.
 #[derive(Default)]
 pub(super) struct RequestTable {
     pub pending: BTreeMap<RequestId, PendingRequest>,
@@ -97,7 +98,7 @@
 }
 
 impl RequestTable {
-    /// A further attempt of the request goes to the backend.
+    /// Adds an attempt of the request on the backend.
     pub fn start_attempt(
         &mut self,
         now: Time,
@@ -118,7 +119,8 @@
         request.attempts.push(Attempt::new(backend, now));
     }
 
-    /// The body of a request streams to the attempt's backend, which owes no response until it is complete.
+    /// Records that the request's body is being streamed to the attempt's backend, which owes no response until the body
+    /// is complete.
     pub fn upload_started(&mut self, key: AttemptKey) {
         if let Some(request) = self.pending.get_mut(&key.request) {
             request.upload_streaming = true;
@@ -128,7 +130,7 @@
             attempt.awaiting_response_since = NO_RESPONSE_DUE;
         }
     }
-    /// Whether the attempt's response has begun to stream.
+    /// Returns whether the attempt's response started to stream.
     pub fn response_started(&self, key: AttemptKey) -> bool {
         self.pending
             .get(&key.request)
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,50 +1,50 @@
-//! Retries: when a request may have a further attempt, and the budget that bounds them all.
+//! Retries: when a request may have another attempt, and the budget that limits all retries together.
 
 use super::requests::{Attempt, PendingRequest};
 use super::Balancer;
 use crate::interface::{Idempotency, Micros, Time};
 
-/// Retries that the budget allows for each request.
+/// Number of retries that each request adds to the budget.
 const RETRY_BUDGET_RATIO: f64 = 0.2;
-/// The budget gathers what so many requests bring.
+/// Number of requests whose additions the budget can accumulate.
 const RETRY_BUDGET_MAX_REQUESTS: f64 = 100.0;
 
-/// Bounds retries and hedged requests to a part of all requests, so that they cannot multiply an overload.
+/// Limits retries and hedged requests to a fraction of all requests, so that they cannot amplify an overload.
 #[derive(Default)]
 pub(super) struct RetryBudget {
-    /// Retries that may be sent now.
+    /// Number of retries that may be sent now.
     balance: f64,
 }
 
 impl RetryBudget {
-    /// A request arrived.
+    /// Adds to the budget for a request that arrived.
     pub fn deposit(&mut self) {
         self.balance =
             (self.balance + RETRY_BUDGET_RATIO).min(RETRY_BUDGET_RATIO * RETRY_BUDGET_MAX_REQUESTS);
     }
 
-    /// Whether a retry may be sent.
+    /// Returns whether a retry may be sent.
     pub fn allows_retry(&self) -> bool {
         self.balance >= 1.0
     }
 
-    /// A retry was sent.
+    /// Takes a retry that was sent from the budget.
     pub fn withdraw(&mut self) {
         self.balance -= 1.0;
     }
 }
 
-/// The rules on further attempts of one request.
+/// The rules for further attempts of one request.
 struct RetryPolicy {
     idempotency: Idempotency,
     /// Whether two attempts may be in flight at once.
     hedging: bool,
-    /// The shortest time between two rounds of events.
+    /// Shortest time between two rounds of events.
     timer_resolution: Micros,
 }
 
 impl RetryPolicy {
-    /// Whether the request may have a further attempt, its first one included.
+    /// Returns whether the request may have another attempt, or its first one.
     fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
         let concurrency_allowed = self.hedging || !request.has_attempt_in_flight();
         concurrency_allowed
@@ -55,7 +55,7 @@
                 .all(|attempt| self.may_repeat(now, attempt))
     }
 
-    /// Whether the attempt may be repeated without the risk of a second run that does harm.
+    /// Returns whether the attempt may be repeated without the risk that a request is processed twice that must not be.
     fn may_repeat(&self, now: Time, attempt: &Attempt) -> bool {
         match self.idempotency {
             Idempotency::Idempotent => true,
@@ -69,7 +69,7 @@
 }
 
 impl Balancer {
-    /// Whether the rules of the request's class allow a further attempt, its first one included.
+    /// Returns whether the rules of the request's class allow another attempt, or its first one.
     pub(super) fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
         let policy = RetryPolicy {
             idempotency: self.config.classes[request.class].idempotency,
--- a/src/balancer/retry/tests.rs
+++ b/src/balancer/retry/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn five_requests_bring_one_retry() {
+fn five_requests_add_one_retry_to_the_budget() {
     let mut budget = RetryBudget::default();
     (0..4).for_each(|_| budget.deposit());
     assert!(!budget.allows_retry());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_budget_gathers_what_a_hundred_requests_bring() {
+fn the_budget_accumulates_the_retries_of_a_hundred_requests() {
     let mut budget = RetryBudget::default();
     (0..10_000).for_each(|_| budget.deposit());
     let mut retries = 0;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn attempts_are_bounded_in_number() {
+fn the_number_of_attempts_is_limited() {
     let idempotent = policy(Idempotency::Idempotent);
     let one = request(vec![ended(false)]);
     let two = request(vec![ended(false), ended(false)]);
@@ -76,10 +76,10 @@
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_is_repeated_only_if_it_never_ran() {
-    let once = policy(Idempotency::NonIdempotent);
-    assert!(!once.allows_attempt(DISPATCHED_AT, &request(vec![ended(false)])));
-    assert!(once.allows_attempt(DISPATCHED_AT, &request(vec![ended(true)])));
+fn a_non_idempotent_request_is_repeated_only_if_it_was_not_processed() {
+    let non_idempotent = policy(Idempotency::NonIdempotent);
+    assert!(!non_idempotent.allows_attempt(DISPATCHED_AT, &request(vec![ended(false)])));
+    assert!(non_idempotent.allows_attempt(DISPATCHED_AT, &request(vec![ended(true)])));
 }
 
 #[test]
--- a/src/balancer/schedule.rs
+++ b/src/balancer/schedule.rs
@@ -1,21 +1,20 @@
-//! What the proxy does at set times: solve the traffic split, and check what time alone brings about, for which it sets
-//! the one timer at its host.
+//! Scheduling of the traffic split and of the time-based checks. A single host timer wakes the balancer for the checks.
 
 use crate::interface::{Action, Micros, Time, TimerToken};
 
-/// No timer is set.
+/// The expiry time that means that no timer is set.
 const NOT_SET: Time = Time(u64::MAX);
 
-/// The next scheduled check, and the timer that wakes the proxy for it.
+/// The next scheduled check, and the timer that wakes the balancer for it.
 pub(super) struct CheckSchedule {
     next_check_at: Time,
-    /// Only the latest timer counts.
+    /// Token of the latest timer; earlier timers are ignored.
     timer: TimerToken,
     timer_due_at: Time,
 }
 
 impl CheckSchedule {
-    /// A check is due at once, and no timer is set.
+    /// Creates a schedule with a check due immediately and no timer set.
     pub fn new() -> CheckSchedule {
         CheckSchedule {
             next_check_at: Time(0),
@@ -28,17 +27,17 @@
         now >= self.next_check_at
     }
 
-    /// Schedules the next check, in place of the one that was scheduled.
+    /// Schedules the next check, replacing the scheduled one.
     pub fn check_at(&mut self, at: Time) {
         self.next_check_at = at;
     }
 
-    /// Schedules the next check unless one is scheduled before.
+    /// Schedules the next check, unless one is scheduled earlier.
     pub fn check_by(&mut self, at: Time) {
         self.next_check_at = self.next_check_at.min(at);
     }
 
-    /// A timer fell due; whether it is the latest.
+    /// Handles an expired timer. Returns whether it is the latest one.
     pub fn timer_fired(&mut self, token: TimerToken) -> bool {
         let latest = token == self.timer;
         if latest {
@@ -47,7 +46,7 @@
         latest
     }
 
-    /// Sets a new timer where the present one would fall due after the next check.
+    /// Sets a new timer if the current one would expire after the next check.
     pub fn set_timer(&mut self, now: Time, resolution: Micros) -> Option<Action> {
         if self.next_check_at >= self.timer_due_at {
             return None;
@@ -61,7 +60,7 @@
     }
 }
 
-/// When the traffic split was last solved, and when it is due again. It is solved only while requests arrive or wait.
+/// When the traffic split was last solved, and when it is due again. It is solved only when requests arrive or wait.
 #[derive(Default)]
 pub(super) struct SplitSchedule {
     pub solved_at: Time,
--- a/src/balancer/schedule/tests.rs
+++ b/src/balancer/schedule/tests.rs
@@ -5,17 +5,17 @@
 fn token_of(action: Option<Action>) -> TimerToken {
     match action {
         Some(Action::SetTimer { token, .. }) => token,
-        other => panic!("no timer but {other:?}"),
+        other => panic!("expected Action::SetTimer, got {other:?}"),
     }
 }
 
 #[test]
-fn a_timer_is_set_once_for_a_check() {
+fn a_timer_is_set_only_once_for_a_check() {
     let mut schedule = CheckSchedule::new();
     schedule.check_at(Time(100_000));
     let after = match schedule.set_timer(Time(0), RESOLUTION) {
         Some(Action::SetTimer { after, .. }) => after,
-        other => panic!("no timer but {other:?}"),
+        other => panic!("expected Action::SetTimer, got {other:?}"),
     };
     assert_eq!(after, Micros(100_000));
     assert_eq!(schedule.set_timer(Time(0), RESOLUTION), None);
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of a backend for a request: a hardware class by its share of the traffic, then a backend of it by its
-//! weight, both at random.
+//! Selection of a backend for an attempt: a random hardware class by its share of the traffic, then a random backend of
+//! that class by its weight.
 
 use super::load_shedding::LOW_PRIORITY_VALUE;
 use super::random::Weighted;
@@ -8,7 +8,7 @@
 use crate::interface::{Backend, BackendId, HardwareClassId, Idempotency, KeyScope, Time};
 use std::collections::BTreeMap;
 
-/// Whether the second backend discards a repeat of a keyed request that the first may have run.
+/// Returns whether the second backend discards a repeat of a keyed request that the first one may have processed.
 fn shares_keys(scope: KeyScope, first: &Backend, second: &Backend) -> bool {
     match scope {
         KeyScope::All => true,
@@ -17,16 +17,16 @@
     }
 }
 
-/// Requests a second that a warm backend of each hardware class serves for certain: worked out once a draw.
+/// Proven capacity of a backend of each hardware class, in requests per second, cached for one selection.
 type ProvenCapacities = BTreeMap<HardwareClassId, f64>;
 
-/// The weight of an endpoint for one draw only.
+/// The weight of an endpoint for one selection only.
 struct WeightOverride {
     endpoint_index: usize,
     weight: f64,
 }
 
-/// An endpoint that one draw leaves out.
+/// Returns the override that excludes an endpoint from one selection.
 fn exclude(endpoint_index: usize) -> WeightOverride {
     WeightOverride {
         endpoint_index,
@@ -35,7 +35,7 @@
 }
 
 impl Balancer {
-    /// A backend for the request's next attempt, if one has capacity.
+    /// Selects a backend with capacity for the request's next attempt, if there is one.
     pub(super) fn select_backend(
         &mut self,
         now: Time,
@@ -57,7 +57,7 @@
         self.backends.draw(group, &mut self.random)
     }
 
-    /// A hardware class with a backend that may be drawn: the index of its group.
+    /// Selects a hardware class with a selectable backend, and returns the index of its group.
     fn select_group(&mut self) -> Option<usize> {
         let groups = self.backends.selectable_hardware_classes();
         let weighted = groups.filter_map(|(index, hardware_class)| {
@@ -73,15 +73,16 @@
         self.random.choose(&weighted)
     }
 
-    /// Whether the request may be sent to an ejected backend: one that can be repeated without harm, or any where no
-    /// class can.
+    /// Returns whether the request may be sent to an ejected backend as a health check: the first attempt of an idempotent
+    /// request, or of any request if no class is idempotent.
     fn may_serve_as_health_check(&self, request: &PendingRequest) -> bool {
         let idempotency = self.config.classes[request.class].idempotency;
         let repeatable = idempotency == Idempotency::Idempotent || !self.classes.any_idempotent();
         request.attempts.is_empty() && repeatable
     }
 
-    /// An ejected backend whose ejection is over and that has nothing in flight: it is tried with one request at a time.
+    /// Returns an ejected backend whose ejection's duration has passed and that has nothing in flight, as it is
+    /// health-checked with one request at a time.
     fn health_check_candidate(
         &self,
         now: Time,
@@ -109,8 +110,8 @@
         Some(self.backends.id(index))
     }
 
-    /// The weights of this draw that differ from those kept. A full backend is left out rather than overfilled, as one
-    /// with too much in flight stays slow for long.
+    /// Returns the weights for this selection that differ from the stored ones. A full backend is excluded rather than
+    /// overfilled, as a backend with too many requests in flight stays slow for a long time.
     fn weight_overrides(
         &self,
         now: Time,
@@ -148,7 +149,7 @@
         overrides
     }
 
-    /// Leaves out the backends that would run a repeat of a keyed attempt a second time.
+    /// Excludes the backends that would not recognize a repeat of a keyed attempt and would process it a second time.
     fn exclude_foreign_key_scopes(
         &self,
         request: &PendingRequest,
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Whether the backend is warm, or may still be sent the work of a request (relative to the mean) while it warms up.
+    /// Returns whether the backend may be sent a request of the given work (relative to the mean): it is past its slow
+    /// start, or the request fits into its remaining slow-start budget.
     fn fits_slow_start(
         &self,
         now: Time,
--- a/src/balancer/silence_detection.rs
+++ b/src/balancer/silence_detection.rs
@@ -1,24 +1,24 @@
-//! Silence detection: a backend is silent while it owes a response for suspiciously long and has answered nothing
-//! since that attempt. It gets nothing new until it answers.
+//! Silence detection: a backend is silent if an attempt has been without a response for longer than the silence limit and
+//! the backend has not responded to any other attempt since. A silent backend gets no new attempts until it responds.
 
 use super::Balancer;
 use crate::interface::{Micros, Time};
 
-/// An attempt without a response is suspicious after so many times the expected latency.
+/// The silence limit as a multiple of the expected latency.
 const SILENT_AFTER_LATENCIES: f64 = 6.0;
 
-/// How long a response may take before the backend counts as silent.
+/// Returns the time that a response may take before the backend counts as silent.
 pub(super) fn silence_limit(expected_latency: Micros) -> Micros {
     expected_latency.mul_f64(SILENT_AFTER_LATENCIES)
 }
 
-/// When a backend counts as silent that owes a response since `awaiting_since`.
+/// Returns the time at which a backend that has owed a response since `awaiting_since` counts as silent.
 pub(super) fn silent_at(awaiting_since: Time, expected_latency: Micros) -> Time {
     awaiting_since + silence_limit(expected_latency)
 }
 
 impl Balancer {
-    /// Marks the backends that are silent now; returns when the next one may become so, if any.
+    /// Marks the backends that are silent now. Returns when the next backend may become silent, if any.
     pub(super) fn detect_silence(&mut self, now: Time) -> Option<Time> {
         let mut silent = Vec::new();
         let mut next_at = None;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,17 +1,18 @@
-//! Slow start: the readiness of an endpoint that warms up, and the budget of work that it may be sent so that it is
-//! not overloaded while it is cold.
+//! Slow start: the readiness of an endpoint that was recently started, and the budget of work that it may be sent without
+//! being overloaded.
 
 use super::hardware_class::HardwareClass;
 use super::Balancer;
 use crate::interface::{Config, HardwareClassId, Micros, Time};
 use std::collections::BTreeMap;
 
-/// The part of its warm-up budget that a proxy uses: the rest is for skew between proxies and for heavy requests.
+/// Fraction of its slow-start budget that a proxy uses. The rest is a margin for skew between proxies and for heavy
+/// requests.
 const BUDGET_MARGIN: f64 = 0.8;
-/// A span counts as at least this long where something is divided by it, s.
+/// Lower bound of a duration that is used as a divisor, in seconds.
 const MIN_SPAN_S: f64 = 1e-6;
 
-/// The ramp of an endpoint, or of a whole zone, that starts cold.
+/// The readiness ramp of an endpoint, or of a whole zone, that comes into use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStart {
     pub duration: Micros,
@@ -27,7 +28,8 @@
         }
     }
 
-    /// The part of its capacity that an endpoint has at least, given when its slow start began; `None` means long ago.
+    /// Returns the fraction of its capacity that an endpoint is sure to have, given when its slow start began; `None`
+    /// means long ago.
     pub fn readiness(&self, now: Time, began_at: Option<Time>) -> f64 {
         let elapsed_fraction = began_at.map_or(f64::MAX, |began_at| {
             (now - began_at).as_secs_f64() / self.duration.as_secs_f64().max(MIN_SPAN_S)
@@ -35,48 +37,49 @@
         self.ramp(elapsed_fraction)
     }
 
-    /// Readiness after `elapsed_fraction` of a ramp: it grows evenly, up to 1 at its end and after.
+    /// Returns the readiness after `elapsed_fraction` of the ramp. It grows linearly to 1 at the end of the ramp.
     pub fn ramp(&self, elapsed_fraction: f64) -> f64 {
         self.min_readiness + (1.0 - self.min_readiness) * elapsed_fraction.min(1.0)
     }
 }
 
-/// What a proxy may send to an endpoint in slow start within one overload window.
+/// The inputs of the work budget of an endpoint in slow start, for one proxy and one overload window.
 #[derive(Clone, Copy, Debug)]
 struct SlowStartBudget {
-    /// The multiple of its present capacity at which an endpoint in slow start fails.
+    /// Multiple of its current capacity at which an endpoint in slow start fails.
     overload_multiple: f64,
     overload_window: Micros,
     /// Readiness when the window began, from 0 to 1.
     readiness: f64,
-    /// Requests of mean work a second that the endpoint serves for certain once warm.
+    /// Requests of mean work per second that the endpoint is sure to serve after its slow start.
     proven_capacity_per_s: f64,
-    /// For how long this process has run, in overload windows: what a process before it sent falls out of the window
-    /// evenly.
+    /// Uptime of this process, in overload windows. The budget grows with it over the first window, as the work that a
+    /// previous process sent leaves the window at an even rate.
     uptime_windows: f64,
-    /// This proxy's part of what all proxies send the endpoint.
+    /// This proxy's share (0 to 1) of the traffic that all proxies send the endpoint.
     own_share: f64,
-    /// Processes that share the budget of this proxy during a hot restart.
+    /// Number of processes that share the budget of this proxy during a hot restart.
     processes: u32,
 }
 
 impl SlowStartBudget {
-    /// The work that may be sent within the window, in requests of mean work.
+    /// Returns the work that may be sent within the window, in requests of mean work.
     fn work(&self) -> f64 {
         let fleet_work = self.overload_multiple
             * self.readiness
             * self.proven_capacity_per_s
             * self.overload_window.as_secs_f64();
-        // One request of all proxies together is always allowed: else a process that starts among endpoints that are
-        // all in slow start would reject its first requests.
+        // One request by all proxies together is always allowed. Otherwise a process that starts while all endpoints
+        // are in slow start would reject its first requests.
         let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
         fleet_work * self.own_share / f64::from(self.processes)
     }
 }
 
 impl Balancer {
-    /// Work that this proxy may still send to an endpoint within the present overload window; unlimited for a warm
-    /// one. `proven_capacity` caches [`Balancer::proven_capacity_per_s`].
+    /// Returns the work that this proxy may still send to an endpoint within the current overload window, in requests of
+    /// mean work; unlimited for an endpoint past its slow start. `proven_capacity` caches
+    /// [`Balancer::proven_capacity_per_s`].
     pub(super) fn remaining_slow_start_budget(
         &self,
         now: Time,
@@ -107,7 +110,7 @@
         budget.work() - record.work_within(now, overload_window)
     }
 
-    /// For how long this process has run, in overload windows.
+    /// Returns the uptime of this process in overload windows.
     fn uptime_windows(&self, now: Time) -> f64 {
         let window_s = self.config.overload_window.as_secs_f64().max(MIN_SPAN_S);
         self.first_event_at.map_or(0.0, |started_at| {
@@ -115,9 +118,10 @@
         })
     }
 
-    /// Requests of mean work a second that a warm endpoint of the kind serves for certain. A kind without a response
-    /// is taken for as slow as the slowest of the others, or else for one core at the shortest latency expected of a
-    /// class.
+    /// Returns the requests of mean work per second that an endpoint of the hardware class is sure to serve after its
+    /// slow start. Without any response, the class is assumed to be as slow as the slowest of the others or, if there is
+    /// none, to have one core with the lowest expected latency of any request class; in both cases not to serve more
+    /// than an even share of the traffic.
     fn proven_capacity_per_s(&self, hardware_class: HardwareClassId) -> f64 {
         let proxies = f64::from(self.config.proxy_count);
         let proven = |class: &HardwareClass| class.proven_capacity_per_s(proxies);
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn readiness_grows_evenly_from_the_least_to_all() {
+fn readiness_grows_linearly_from_its_minimum_to_one() {
     assert_eq!(readiness_after(Micros(0)), 0.2);
     assert!((readiness_after(Micros(5_000_000)) - 0.6).abs() < 1e-12);
     assert_eq!(readiness_after(Micros(10_000_000)), 1.0);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_slow_start_without_a_duration_ends_at_once() {
+fn a_slow_start_of_zero_duration_ends_immediately() {
     let at_once = SlowStart {
         duration: Micros(0),
         ..SLOW_START
@@ -32,7 +32,7 @@
     assert_eq!(at_once.readiness(BEGAN_AT + Micros(1), Some(BEGAN_AT)), 1.0);
 }
 
-/// 20 requests of work for each window and endpoint, half of them by this proxy.
+/// A budget of 20 requests of mean work per window and endpoint, half of it for this proxy.
 const BUDGET: SlowStartBudget = SlowStartBudget {
     overload_multiple: 1.0,
     overload_window: Micros(1_000_000),
@@ -44,7 +44,7 @@
 };
 
 #[test]
-fn the_budget_is_this_proxys_part_of_what_the_endpoint_can_do() {
+fn the_budget_is_this_proxys_share_of_the_endpoints_capacity() {
     assert!((BUDGET.work() - 10.0).abs() < 1e-12);
     let two_processes = SlowStartBudget {
         processes: 2,
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn the_budget_of_a_young_process_grows_over_a_window() {
-    let young = SlowStartBudget {
+fn the_budget_of_a_new_process_grows_over_one_window() {
+    let new_process = SlowStartBudget {
         uptime_windows: 0.25,
         ..BUDGET
     };
-    assert!((young.work() - 2.5).abs() < 1e-12);
+    assert!((new_process.work() - 2.5).abs() < 1e-12);
 }
 
 #[test]
-fn one_request_of_the_fleet_is_always_in_the_budget() {
-    let cold = SlowStartBudget {
+fn the_budget_always_allows_one_request_by_the_whole_fleet() {
+    let not_ready = SlowStartBudget {
         readiness: 0.0,
         ..BUDGET
     };
-    assert!((cold.work() - 0.5).abs() < 1e-12);
+    assert!((not_ready.work() - 0.5).abs() < 1e-12);
 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,4 +1,4 @@
-//! Each proxy's subset of the endpoints, and the capacity that it may use there.
+//! Subsetting: the endpoints that each proxy uses, and the capacity that it may use at each of them.
 
 use super::concurrency_limit::MIN_CONCURRENCY_LIMIT;
 use super::endpoints::{EndpointGroup, EndpointLoad, EndpointTable, ProxyPosition};
@@ -8,26 +8,28 @@
 use crate::interface::{Config, HardwareClassId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Proxies that share an endpoint, where there are more: an endpoint takes few connections, and each costs it. The
-/// load that so many give still evens out, to a fifth of what one gives.
+/// Number of proxies that share an endpoint, if there are more proxies than that. It is limited because connections cost
+/// an endpoint resources. The load from this many proxies still evens out, to a fluctuation of about a fifth of that
+/// from a single proxy.
 const PROXIES_PER_ENDPOINT: f64 = 20.0;
-/// The part of an endpoint's capacity that goes by traffic; the rest is spread evenly over the proxies.
+/// Fraction of an endpoint's capacity that is divided in proportion to the proxies' traffic. The rest is divided evenly.
 const CAPACITY_BY_TRAFFIC: f64 = 0.5;
-/// The part of its readiness that an endpoint weighs at least, so that overflow finds it once all others are full.
+/// Fraction of its readiness that is added to an endpoint's traffic share, so that it takes overflow once all others are
+/// full.
 const OVERFLOW_FRACTION: f64 = 1e-6;
-/// A sum counts as at least this where something is divided by it.
+/// Lower bound of a value that is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-9;
-/// Multiples of the golden ratio's fraction spread evenly, however many there are.
+/// The fractional part of the golden ratio. Its multiples modulo 1 are spread evenly, for any number of them.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// What a hardware class contributes to the split over its endpoints.
+/// The values of a hardware class from which the traffic is split over its endpoints.
 #[derive(Clone, Copy, Debug)]
 struct GroupSplit {
-    /// Its part of the traffic of all proxies.
+    /// Share of the traffic of all proxies.
     traffic_share: f64,
     /// Sum of the readiness of its endpoints.
     ready_endpoints: f64,
-    /// Requests that all proxies together keep in flight at one endpoint.
+    /// Maximum number of requests that all proxies together keep in flight at one endpoint.
     concurrency_limit: f64,
 }
 
@@ -47,26 +49,26 @@
         )
     }
 
-    /// An endpoint's part of the traffic of all proxies.
+    /// Returns an endpoint's share of the traffic of all proxies.
     fn fair_share(&self, load: &EndpointLoad) -> f64 {
         self.traffic_share * load.readiness / self.ready_endpoints
     }
 
-    /// An even part of an endpoint's capacity for each proxy.
+    /// Returns each proxy's even share of an endpoint's capacity, in requests in flight.
     fn even_capacity(&self, load: &EndpointLoad, proxies: f64) -> f64 {
         self.concurrency_limit / proxies * load.readiness
     }
 }
 
-/// What this proxy sends, as far as its subset depends on it.
+/// This proxy's traffic, as needed for its subset.
 struct ProxyTraffic {
-    /// By group: the sum of its endpoints' traffic shares.
+    /// For each group, the sum of its endpoints' traffic shares.
     group_shares: Vec<f64>,
-    /// Endpoints that get traffic.
+    /// Number of endpoints that get traffic.
     reached: u32,
 }
 
-/// An arc of the ring of a group's endpoints, which has length 1.
+/// An arc of the ring of a group's endpoints. The ring has length 1.
 #[derive(Clone, Copy, Debug)]
 struct RingArc {
     start: f64,
@@ -74,27 +76,27 @@
 }
 
 impl RingArc {
-    /// The length of the part of the ring from `from` to `to` that the arc covers.
+    /// Returns the length that the arc covers of the section of the ring between `from` and `to`.
     fn overlap(&self, from: f64, to: f64) -> f64 {
         let inside = |start: f64| (to.min(start + self.width) - from.max(start)).max(0.0);
         inside(self.start) + inside(self.start - 1.0)
     }
 }
 
-/// Where a walk over the ring of a group's endpoints has come to.
+/// A position on the ring of a group's endpoints, while iterating over them.
 #[derive(Clone, Copy, Debug, Default)]
 struct RingCursor {
     /// Sum of the traffic shares of the endpoints passed.
     traffic_share: f64,
-    /// That sum as a part of the group's.
+    /// That sum as a fraction of the group's traffic share.
     position: f64,
 }
 
 impl Balancer {
-    /// Assigns each endpoint its part of this proxy's traffic, its capacity for this proxy and its part of the subset.
+    /// Assigns each endpoint its share of this proxy's traffic, its capacity for this proxy and its share of the subset.
     ///
-    /// A kind's share is divided by readiness. Where traffic between zones costs, it stays near as far as all proxies
-    /// together still give every endpoint its fair share.
+    /// The share of a hardware class is divided among its endpoints by readiness. If traffic between zones has a cost,
+    /// it stays local as far as all proxies together still give every endpoint its fair share.
     pub(super) fn update_subset(&mut self) {
         let groups = self.backends.groups.iter();
         let splits: Vec<GroupSplit> = groups
@@ -115,8 +117,8 @@
         );
         let reached = f64::from(traffic.reached.max(1));
         let width = PROXIES_PER_ENDPOINT / proxies * self.backends.len() as f64 / reached;
-        // The same width for all proxies at evenly spread starts: all subsets together cover every endpoint by its
-        // share.
+        // The arcs of all proxies have the same width and evenly spread starts, so that together they cover every
+        // endpoint in proportion to its share.
         let arc = RingArc {
             start: (f64::from(self.config.proxy_index) * GOLDEN_RATIO_FRACTION).fract(),
             width: width.min(1.0),
@@ -125,8 +127,8 @@
     }
 }
 
-/// The part of all traffic that the endpoints of each zone are to get. With zone failover a zone that is out of use
-/// has one too, as its clients bring traffic all the same.
+/// Returns the fair share of all traffic for the endpoints of each zone. With zone failover, a zone that is out of use is
+/// included with a share of 0, as traffic still originates there.
 fn zone_fair_shares(
     endpoints: &EndpointTable,
     splits: &[GroupSplit],
@@ -143,14 +145,14 @@
         .collect()
 }
 
-/// By zone: how many times its endpoints' fair share this proxy sends them.
+/// Returns, for each zone, the traffic that this proxy sends to its endpoints as a multiple of their fair share.
 fn zone_biases(
     endpoints: &EndpointTable,
     fair_shares: &BTreeMap<ZoneId, f64>,
     config: &Config,
 ) -> Vec<f64> {
-    // With fewer proxies than zones some zone has none, and no proxy knows which: keeping traffic near would leave
-    // that zone's endpoints idle and fill the others.
+    // With fewer proxies than zones, some zone has no proxy, and no proxy knows which one. Keeping traffic local would
+    // leave that zone's endpoints idle and overload the others.
     let is_local = (config.cross_zone_cost > 0.0 || config.zone_failover.is_some())
         && f64::from(config.proxy_count) >= fair_shares.len() as f64;
     let local_shares = locality_weighted_shares(fair_shares, config.zone, &config.regions);
@@ -165,7 +167,7 @@
     endpoints.zones.iter().map(bias).collect()
 }
 
-/// Assigns each endpoint its capacity for this proxy and its part of this proxy's traffic.
+/// Assigns each endpoint its capacity for this proxy and its share of this proxy's traffic.
 fn assign_traffic(
     endpoints: &mut EndpointTable,
     splits: &[GroupSplit],
@@ -181,8 +183,8 @@
         let group = load.group_index as usize;
         let split = &splits[group];
         let bias = biases[load.zone_index as usize];
-        // At least one each: with more proxies than the limit they would wait for turns, and shedding load keeps the
-        // limit there.
+        // Each proxy gets a capacity of at least one. With more proxies than the limit they would otherwise have to take
+        // turns; in that case load shedding enforces the limit.
         let by_traffic = (1.0 - CAPACITY_BY_TRAFFIC) + CAPACITY_BY_TRAFFIC * bias;
         let capacity = split.even_capacity(load, proxies) * by_traffic + load.rounding_offset;
         load.capacity = capacity.floor().max(1.0);
@@ -194,7 +196,7 @@
     traffic
 }
 
-/// Sets each hardware class's part of this proxy's traffic.
+/// Sets each hardware class's share of this proxy's traffic.
 fn update_own_traffic_shares(
     hardware_classes: &mut BTreeMap<HardwareClassId, HardwareClass>,
     groups: &[EndpointGroup],
@@ -211,8 +213,9 @@
     }
 }
 
-/// Assigns each endpoint its part of this proxy's subset: how much of its place on the ring the arc covers. The ring
-/// of a group is its endpoints in the order of their address hashes, each as long as its part of the group's traffic.
+/// Assigns each endpoint its share of this proxy's subset: the length that the arc covers of the endpoint's section of
+/// the ring. The ring of a group consists of its endpoints in order of address hash, each with a section as long as its
+/// share of the group's traffic.
 fn assign_subset(endpoints: &mut EndpointTable, group_shares: &[f64], arc: RingArc, proxies: f64) {
     let mut cursors = vec![RingCursor::default(); group_shares.len()];
     for &index in &endpoints.by_address_hash {
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -1,48 +1,48 @@
-//! The split of the traffic over hardware classes by HALB, and when it is solved anew.
+//! Splits the traffic over hardware classes by HALB (heterogeneity-aware load balancing), at regular intervals.
 //!
-//! HALB is heterogeneity-aware load balancing: Gandhi, Mittal and Zhang, "Optimal Load-Balancing for Heterogeneous
-//! Clusters", Stony Brook University.
+//! HALB is described by Gandhi, Mittal and Zhang, "Optimal Load-Balancing for Heterogeneous Clusters", Stony Brook
+//! University.
 
 use super::slow_start::SlowStart;
 use super::Balancer;
 use crate::interface::{Micros, Time};
 
-/// The split is solved this often, s: far faster than the arrival rate's memory.
+/// Interval between two solutions of the split, in seconds. It is much shorter than the arrival rate's time constant.
 const SOLVE_INTERVAL_S: f64 = 0.1;
-/// The split is not solved again before so many requests arrived: fewer are chance alone.
+/// Number of requests expected to arrive between two solutions of the split, at least. Fewer would be mere chance.
 const MIN_ARRIVALS_PER_SPLIT: f64 = 5.0;
-/// With more than this part of the available endpoints ejected, ejected ones are used after all: the fault is then not
-/// theirs.
+/// Panic threshold: if more than this fraction of the available endpoints are ejected, ejected endpoints are used after
+/// all, as the fault is then not theirs.
 const PANIC_THRESHOLD: f64 = 0.5;
-/// Below this part of the capacity the arrival rate is taken for none, as the solution divides by it.
+/// Fraction of the capacity below which the arrival rate counts as 0, as the solution divides by the rate.
 const MIN_RATE_FRACTION: f64 = 1e-6;
 
-/// What a hardware class can serve.
+/// The capacity of a hardware class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HardwareClassCapacity {
-    /// Endpoints that are ready; fractional, as one in slow start counts in part.
+    /// Number of ready endpoints. It is fractional because an endpoint in slow start counts as a fraction.
     pub ready_endpoints: f64,
-    /// Requests a second that one ready endpoint can serve.
+    /// Requests per second that one ready endpoint can serve.
     pub service_rate_per_s: f64,
 }
 
 impl HardwareClassCapacity {
-    /// Requests a second that all its endpoints can serve.
+    /// Returns the requests per second that all its endpoints can serve.
     fn total_per_s(&self) -> f64 {
         self.ready_endpoints * self.service_rate_per_s
     }
 
-    /// Its weight in the optimum: the square root of the speed of each endpoint.
+    /// Returns its weight in the optimal split: the sum of the square roots of its endpoints' service rates.
     fn root_weight(&self) -> f64 {
         self.ready_endpoints * self.service_rate_per_s.sqrt()
     }
 }
 
-/// HALB: the part of the traffic for each hardware class that gives the least mean latency where every endpoint is an
-/// M/G/1 queue with processor sharing. All 0 when nothing is ready.
+/// Returns the HALB traffic share of each hardware class. These shares minimize the mean latency if every endpoint is an
+/// M/G/1 queue with processor sharing. All shares are 0 if no endpoint is ready.
 ///
-/// Without an arrival rate (requests a second of all proxies) the ready endpoints decide; close to a rate of 0 the
-/// fastest class takes all.
+/// `rate_per_s` is the arrival rate of all proxies, in requests per second. Without a rate, the shares are proportional
+/// to the ready endpoints; at a rate close to 0, the fastest classes get all traffic.
 ///
 /// ```
 /// use meadowproxy::{halb_shares, HardwareClassCapacity};
@@ -72,7 +72,7 @@
         if flows.iter().all(|flow| *flow >= 0.0) {
             return flows.iter().map(|flow| flow / rate_per_s).collect();
         }
-        // A class that would get less than nothing gets nothing, and the others are solved without it.
+        // A class whose flow would be negative gets no traffic, and the split is solved again without it.
         for (class, flow) in used.iter_mut().zip(&flows) {
             if *flow <= 0.0 {
                 class.ready_endpoints = 0.0;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Shares in proportion to the ready endpoints of the `used` classes.
+/// Returns shares in proportion to the ready endpoints of the `used` classes.
 fn shares_by_ready(
     classes: &[HardwareClassCapacity],
     used: impl Fn(&HardwareClassCapacity) -> bool,
@@ -108,7 +108,7 @@
     classes.iter().fold(0.0, |sum, class| sum + value(class))
 }
 
-/// The speed of the fastest class with ready endpoints.
+/// Returns the highest service rate of the classes with ready endpoints, in requests per second.
 fn highest_ready_rate_per_s(classes: &[HardwareClassCapacity]) -> f64 {
     classes
         .iter()
@@ -118,8 +118,8 @@
 }
 
 impl Balancer {
-    /// Solves the split: the readiness of every endpoint, speed and share of every hardware class, and this proxy's
-    /// subset.
+    /// Solves the split: updates the readiness of every endpoint, the service rate and share of every hardware class, and
+    /// this proxy's subset.
     pub(super) fn solve_traffic_split(&mut self, now: Time) {
         self.backends.refresh(now, &self.config);
         self.update_concurrency_limits(now - self.split.solved_at);
@@ -137,7 +137,7 @@
         self.backends.update_weights(now);
     }
 
-    /// The time to the next solution, in which a few requests at least are to arrive.
+    /// Returns the time until the next solution, in which at least [`MIN_ARRIVALS_PER_SPLIT`] requests are expected.
     fn solve_interval(&self) -> Micros {
         let rate_per_s = self
             .arrivals
@@ -147,7 +147,7 @@
         Micros::from_secs_f64(SOLVE_INTERVAL_S.max(for_enough_arrivals_s))
     }
 
-    /// Sets the readiness of every endpoint: that of its zone times its health times its slow start.
+    /// Sets the readiness of every endpoint: the product of its zone's readiness, its health and its slow-start ramp.
     fn update_readiness(&mut self, now: Time) {
         let ejected_readiness = f64::from(self.is_in_panic());
         for class in self.hardware_classes.values_mut() {
@@ -180,14 +180,15 @@
         }
     }
 
-    /// Whether too many endpoints are ejected for that to be their fault.
+    /// Returns whether so many endpoints are ejected that the fault is unlikely to be theirs.
     fn is_in_panic(&self) -> bool {
         let available = || self.backends.loads.iter().filter(|load| load.available);
         let ejected = available().filter(|load| load.ejected).count();
         ejected as f64 > available().count() as f64 * PANIC_THRESHOLD
     }
 
-    /// Sets the speed and the share of every hardware class, given the requests a second of all proxies.
+    /// Sets the service rate and the share of every hardware class. `rate_per_s` is the arrival rate of all proxies, in
+    /// requests per second.
     fn update_shares(&mut self, rate_per_s: Option<f64>) {
         for class in self.hardware_classes.values_mut() {
             class.update_service_rate(rate_per_s.unwrap_or(0.0));
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The mean speed of the hardware classes whose speed is known, as which all others are taken.
+    /// Returns the mean service rate of the hardware classes for which it is known. It is assumed for all other classes.
     fn mean_service_rate_per_s(&self) -> Option<f64> {
         let known = || {
             self.hardware_classes
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -1,5 +1,5 @@
-//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts remain without a response, is taken
-//! out of use as a whole, and returns over a recovery ramp. Applies where the settings have `locality`.
+//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts get no response, is taken out of use as
+//! a whole and returns over a recovery ramp. It is enabled by `locality` in the settings.
 
 use super::estimators::RunningMean;
 use super::outlier_detection::BASE_EJECTION_S;
@@ -8,26 +8,26 @@
 use crate::interface::{Action, Micros, Time, ZoneFailover, ZoneId};
 use std::collections::BTreeMap;
 
-/// A zone is taken out of use once it has been unhealthy for so long, s: a shorter silence is no failure.
+/// Time for which a zone has to be unhealthy before it is taken out of use, in seconds. A shorter silence is no failure.
 const UNHEALTHY_FOR_S: f64 = BASE_EJECTION_S / 2.0;
-/// Samples in the share of attempts without a response.
+/// Maximum number of samples in the share of attempts without a response.
 const ATTEMPT_SAMPLES: f64 = 30.0;
-/// The share of attempts without a response counts from so many samples on.
+/// Minimum number of samples for the share of attempts without a response to be used.
 const MIN_ATTEMPT_SAMPLES: f64 = ATTEMPT_SAMPLES / 2.0;
-/// A zone returns below this part of the threshold at which it is taken out of use.
+/// A zone returns once it is below this fraction of the threshold at which it is taken out of use.
 const RETURN_THRESHOLD_FRACTION: f64 = 0.5;
-/// Failovers within so long make the next recovery longer.
+/// Time for which a failover makes the next recovery longer.
 const FLAP_WINDOW: Micros = Micros(60_000_000);
-/// Failovers beyond so many make the next recovery no longer.
+/// Maximum number of failovers that make the next recovery longer.
 const MAX_COUNTED_FAILOVERS: usize = 6;
-/// A ramp counts as at least this long where something is divided by it, s.
+/// Lower bound of a ramp's duration when it is used as a divisor, in seconds.
 const MIN_RAMP_S: f64 = 1e-6;
 
-/// The endpoints of a zone that are listed as ready and not disabled.
+/// The number of endpoints in a zone that are listed as ready and not disabled.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneCounts {
     available: f64,
-    /// Those of them that are ejected or silent.
+    /// Number of available endpoints that are ejected or silent.
     unhealthy: f64,
 }
 
@@ -37,21 +37,21 @@
     }
 }
 
-/// What is known of a zone as a whole.
+/// The health of a zone as a whole.
 #[derive(Default)]
 pub(super) struct ZoneHealth {
     out_of_use: bool,
-    /// The part of the latest attempts there that remained without a response.
+    /// Fraction of the zone's latest attempts that got no response.
     unanswered_share: RunningMean,
-    /// Since when it has been unhealthy enough to be taken out of use.
+    /// Time since which the zone has been unhealthy enough to be taken out of use.
     unhealthy_since: Option<Time>,
-    /// When its recovery ramp began; `None` while it has not been out of use, or once the ramp is over.
+    /// When the recovery ramp began; `None` while the zone is not recovering.
     recovering_since: Option<Time>,
-    /// When it was taken out of use, within [`FLAP_WINDOW`].
+    /// Times at which the zone was taken out of use, within [`FLAP_WINDOW`].
     failovers: Vec<Time>,
 }
 
-/// A change in the use of a zone.
+/// A transition of a zone into or out of use.
 enum ZoneTransition {
     TakenOutOfUse { unanswered_percent: f64 },
     Returning,
@@ -59,13 +59,14 @@
 }
 
 impl ZoneHealth {
-    /// An attempt there ended: with a response or, in the end, without.
+    /// Records the end of an attempt in the zone, with a response or without.
     pub fn record_attempt(&mut self, answered: bool) {
         self.unanswered_share
             .add(f64::from(!answered), ATTEMPT_SAMPLES);
     }
 
-    /// Doubles with each failover within [`FLAP_WINDOW`], from 1 with the first.
+    /// Returns the multiple by which the recovery is prolonged: 1 for the first failover, doubling with each further
+    /// failover within [`FLAP_WINDOW`].
     fn backoff_multiple(&self) -> f64 {
         f64::from(1u32 << self.failovers.len().clamp(1, MAX_COUNTED_FAILOVERS)) / 2.0
     }
@@ -74,7 +75,7 @@
         rules.recovery_ramp.mul_f64(self.backoff_multiple())
     }
 
-    /// Whether the zone may return, by the time since it was taken out of use.
+    /// Returns whether the hold-down time since the zone was taken out of use has passed.
     fn hold_down_elapsed(&self, now: Time) -> bool {
         let hold_down = Micros::from_secs_f64(BASE_EJECTION_S * self.backoff_multiple());
         self.failovers
@@ -82,7 +83,7 @@
             .is_none_or(|failover_at| now - *failover_at >= hold_down)
     }
 
-    /// Takes the present counts of its endpoints into account.
+    /// Updates the zone's health from the current counts of its endpoints. Returns the resulting transition, if any.
     fn update(
         &mut self,
         now: Time,
@@ -138,7 +139,7 @@
         ZoneTransition::Returning
     }
 
-    /// The factor on the readiness of its endpoints, from 0 to 1.
+    /// Returns the factor (0 to 1) for the readiness of the zone's endpoints.
     fn readiness(&self, now: Time, rules: &ZoneFailover, slow_start: SlowStart) -> f64 {
         if self.out_of_use {
             return 0.0;
@@ -152,7 +153,8 @@
 }
 
 impl Balancer {
-    /// The factor of each zone on the readiness of its endpoints, in the order of the table's zones.
+    /// Updates the health of all zones. Returns the factor for the readiness of each zone's endpoints, in the order of
+    /// the table's zones.
     pub(super) fn update_zones(&mut self, now: Time) -> Vec<f64> {
         let readiness = match self.config.zone_failover {
             Some(rules) => self.update_zone_health(now, &rules),
@@ -164,7 +166,8 @@
             .collect()
     }
 
-    /// Its log lines bypass the log limiter: each change of a zone's use is logged.
+    /// Updates the health of all zones and logs their transitions. The log lines bypass the rate limit, so that every
+    /// transition is logged.
     fn update_zone_health(&mut self, now: Time, rules: &ZoneFailover) -> BTreeMap<ZoneId, f64> {
         let slow_start = SlowStart::new(&self.config);
         let mut readiness = BTreeMap::new();
@@ -174,18 +177,18 @@
             readiness.insert(id, zone.readiness(now, rules, slow_start));
             let ramp = zone.recovery_ramp(rules);
             if let Some(transition) = transition {
-                let line = describe(id, counts, ramp, &transition);
+                let line = transition_log_line(id, counts, ramp, &transition);
                 self.actions.push(Action::Log(line));
             }
         }
-        // With every zone out of use some endpoints may still serve.
+        // If every zone is out of use, all are used, as some endpoints may still serve.
         if readiness.values().all(|factor| *factor == 0.0) {
             readiness.values_mut().for_each(|factor| *factor = 1.0);
         }
         readiness
     }
 
-    /// The zones with available endpoints.
+    /// Counts the available and unhealthy endpoints of each zone that has available ones.
     fn count_zones(&self) -> Vec<(ZoneId, ZoneCounts)> {
         let mut counts = vec![ZoneCounts::default(); self.backends.zones.len()];
         for load in self.backends.loads.iter().filter(|load| load.available) {
@@ -198,8 +201,8 @@
     }
 }
 
-/// The log line of a change in the use of a zone.
-fn describe(
+/// Returns the log line for a transition of a zone.
+fn transition_log_line(
     zone: ZoneId,
     counts: ZoneCounts,
     recovery_ramp: Micros,
--- a/src/balancer/zone_failover/tests.rs
+++ b/src/balancer/zone_failover/tests.rs
@@ -22,7 +22,7 @@
     START + Micros(ms * 1_000)
 }
 
-/// A zone that was taken out of use at this time.
+/// Returns a zone that was taken out of use at this time, in milliseconds after the start.
 fn taken_out_of_use_at(ms: u64) -> ZoneHealth {
     let mut zone = ZoneHealth::default();
     zone.update(ms_after_start(ms - 500), UNHEALTHY, &RULES);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_zone_is_taken_out_of_use_once_it_stays_unhealthy() {
+fn a_zone_is_taken_out_of_use_after_staying_unhealthy_for_half_a_second() {
     let mut zone = ZoneHealth::default();
     assert!(zone.update(START, UNHEALTHY, &RULES).is_none());
     let shortly_before = ms_after_start(499);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_hiccup_starts_the_span_anew() {
+fn a_healthy_moment_restarts_the_unhealthy_interval() {
     let mut zone = ZoneHealth::default();
     zone.update(START, UNHEALTHY, &RULES);
     zone.update(ms_after_start(400), HEALTHY, &RULES);
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn a_zone_rests_then_ramps_and_is_recovered_at_the_end() {
+fn a_zone_returns_after_the_hold_down_and_recovers_at_the_end_of_the_ramp() {
     let mut zone = taken_out_of_use_at(500);
-    let resting = zone.update(ms_after_start(1_499), HEALTHY, &RULES);
-    assert!(resting.is_none());
+    let held_down = zone.update(ms_after_start(1_499), HEALTHY, &RULES);
+    assert!(held_down.is_none());
     let returning = zone.update(ms_after_start(1_500), HEALTHY, &RULES);
     assert!(matches!(returning, Some(ZoneTransition::Returning)));
     let half_way = zone.readiness(ms_after_start(3_500), &RULES, SLOW_START);
@@ -104,7 +104,7 @@
         unanswered_percent: 12.4,
     };
     assert_eq!(
-        describe(ZoneId(3), UNHEALTHY, RULES.recovery_ramp, &transition),
+        transition_log_line(ZoneId(3), UNHEALTHY, RULES.recovery_ramp, &transition),
         "zone 3 taken out of use: 2 of 4 endpoints ejected or silent, 12% of attempts without a response"
     );
 }
