--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -1,10 +1,13 @@
-//! The acceptor of Paxos: a voter's promise and the change that it accepted, in memory only.
+//! The Paxos acceptor: stores a voter's promise and the change that it accepted, in memory only.
 //!
-//! A voter that restarts has forgotten both. It is silent for as long as a lease's grant lives, so that no round counts a
-//! reply from before the restart and one from after it. Then it asks the other voters for their state, and votes once a
-//! majority of all voters, itself not among them, replied with complete states: that majority shares a voter with every
-//! majority that its former process was part of. Where a majority has restarted, the replies of all others do: nobody alive
-//! knows more. As forgotten changes may have had versions, none up to the wall clock in milliseconds is used then.
+//! A voter loses both in a restart and recovers them from the other voters before it votes again:
+//!
+//! 1. It is silent for the duration of one lease grant, so that no round counts replies from before and after the restart.
+//! 2. It requests the states of the other voters, and waits until a majority of all voters, not counting itself, replied
+//!    with complete states. That majority shares a voter with every majority that its former process was part of.
+//! 3. If a majority has restarted, the replies of all other voters are enough, because no running voter knows more. Lost
+//!    changes may have used any version up to the present, so new versions are then above the wall clock in milliseconds.
+//! 4. It waits until its table has caught up.
 
 use super::limits::VERSION_LIMIT;
 use super::message::{AcceptedChange, AcceptorState, PaxosMessage};
@@ -12,12 +15,12 @@
 use crate::interface::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// A voter whose table has not caught up by then recovers anew: nobody may have that version any more.
+/// The time after which a voter whose table has not caught up restarts its recovery: no replica may have that version.
 const CATCH_UP_TIMEOUT: Micros = Micros(60_000_000);
 
-/// Another voter's state, as it replied to a recovery request.
+/// The state of another voter, from its reply to a recovery request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct KnownState {
+struct VoterState {
     is_complete: bool,
     state: AcceptorState,
 }
@@ -25,38 +28,38 @@
 /// Another voter's reply to a recovery request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryReply {
-    /// The index of the voter that replied.
+    /// The index of the replying voter.
     pub voter: usize,
     /// The request's nonce.
     pub nonce: u64,
-    /// That voter's state.
+    /// The replying voter's state.
     pub state: AcceptorState,
-    /// Whether that voter has voted without interruption.
+    /// Whether the replying voter is voting, and not itself recovering.
     pub is_complete: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It sends nothing until then.
+    /// The voter sends nothing until this time.
     Silent { until: Time },
-    /// It waits for the other voters' states, by voter.
+    /// The voter waits for the other voters' states, by the voter's index.
     Recovering {
         since: Time,
-        replies: BTreeMap<usize, KnownState>,
+        replies: BTreeMap<usize, VoterState>,
     },
-    /// It knows the state it needs, and its table is catching up to that version.
+    /// The voter has recovered its state, and its table is catching up to this version.
     CatchingUp { version: u64, since: Time },
-    /// It votes.
+    /// The voter votes.
     Voting,
 }
 
-/// One voter of the configuration.
+/// A voter for changes of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     rules: Rules,
-    /// Its index among the voters.
+    /// The index of this proxy among the voters.
     index: usize,
-    /// Of the last recovery request.
+    /// The nonce of the last recovery request.
     nonce: u64,
     phase: Phase,
     promised: Token,
@@ -65,8 +68,8 @@
 }
 
 impl Acceptor {
-    /// A voter that has just started and knows nothing. `index`: its own among the voters, from 0; `nonce` is drawn at
-    /// random at each start, so that no reply to a former process is taken for one to this.
+    /// Creates a voter that has just started, without state. `index` is its index among the voters, from 0. `nonce` is drawn
+    /// at random at each start, so that replies to a former process are not accepted.
     pub fn new(rules: Rules, index: usize, nonce: u64, now: Time) -> Acceptor {
         let phase = Phase::Silent {
             until: now + rules.grant_duration(),
@@ -82,19 +85,19 @@
         }
     }
 
-    /// Whether it votes; else it is silent or recovers.
+    /// Returns whether the voter votes; otherwise it is silent or recovers.
     pub fn is_voting(&self) -> bool {
         self.phase == Phase::Voting
     }
 
-    /// The version of the change that it accepted and does not know to be committed.
+    /// Returns the version of the accepted change that is not known to be committed.
     pub fn accepted_version(&self) -> Option<u64> {
         self.accepted
             .as_ref()
             .map(|accepted| accepted.change.version)
     }
 
-    /// The version that its table has to catch up to before it votes.
+    /// Returns the version that the table has to catch up to before this voter votes.
     pub fn catch_up_target(&self) -> Option<u64> {
         match self.phase {
             Phase::CatchingUp { version, .. } => Some(version),
@@ -102,7 +105,7 @@
         }
     }
 
-    /// The indices of the voters that have not replied, while it recovers.
+    /// Returns the indices of the voters that have not replied to the recovery request.
     pub fn unanswered_voters(&self) -> Vec<usize> {
         let Phase::Recovering { replies, .. } = &self.phase else {
             return Vec::new();
@@ -112,13 +115,13 @@
             .collect()
     }
 
-    /// Lets time pass. `wall_ms`: the wall clock in milliseconds since 1970; `version`: of this proxy's table. What is put
-    /// into `out` goes to every other voter. Call it about every tenth of a second.
+    /// Drives the recovery. `wall_ms` is the wall clock in milliseconds since 1970, `version` the version of this proxy's
+    /// table. The messages in `out` go to every other voter. Call it about every tenth of a second.
     pub fn tick(&mut self, now: Time, wall_ms: u64, version: u64, out: &mut Vec<PaxosMessage>) {
         self.drop_committed(version);
         let request_due = match &self.phase {
             Phase::Silent { until } => now >= *until,
-            // Replies count together only if they came within one round's time.
+            // Only replies within one election timeout count together.
             Phase::Recovering { since, .. } => now - *since >= self.rules.election_timeout(),
             Phase::CatchingUp { since, .. } => now - *since >= CATCH_UP_TIMEOUT,
             Phase::Voting => false,
@@ -134,7 +137,7 @@
         self.finish_recovery(now, wall_ms, version);
     }
 
-    /// Handles a request of the leader or of a recovering voter, and returns the reply to it, if there is one.
+    /// Handles a request of the leader or of a recovering voter, and returns the reply, if there is one.
     pub fn handle(&mut self, message: PaxosMessage, version: u64) -> Option<PaxosMessage> {
         self.drop_committed(version);
         match message {
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Takes another voter's reply to this voter's recovery request.
+    /// Handles another voter's reply to this voter's recovery request.
     pub fn on_recovery_reply(
         &mut self,
         now: Time,
@@ -171,11 +174,11 @@
         let from_other = reply.voter < self.rules.voters() && reply.voter != self.index;
         let in_time = now - *since < self.rules.election_timeout();
         if from_other && reply.nonce == self.nonce && in_time {
-            let known = KnownState {
+            let state = VoterState {
                 is_complete: reply.is_complete,
                 state: reply.state,
             };
-            replies.insert(reply.voter, known);
+            replies.insert(reply.voter, state);
             self.finish_recovery(now, wall_ms, version);
         }
     }
@@ -229,11 +232,11 @@
             });
         }
         if proposal.change.previous < version {
-            return None; // this voter's table has the change that was committed there
+            return None; // this voter's table already has the change that was committed after `previous`
         }
         if proposal.change.version <= self.version_floor {
-            // A leader that prepared before a majority restarted may use a version again. Under another token it prepares
-            // anew.
+            // A leader that prepared before a majority of the voters restarted may reuse a version. Promising a higher token
+            // makes it prepare again under a new one.
             self.promised = token.successor();
             return Some(self.nack(token));
         }
@@ -241,7 +244,7 @@
         Some(PaxosMessage::Accepted { token, round })
     }
 
-    /// Drops an accepted change once the table is past it.
+    /// Drops the accepted change once the table has the change committed in its place.
     fn drop_committed(&mut self, version: u64) {
         let committed = self
             .accepted
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Goes on with the recovery as far as the replies and the table allow.
+    /// Continues the recovery as far as the replies and the table's version allow.
     fn finish_recovery(&mut self, now: Time, wall_ms: u64, version: u64) {
         if let Phase::Recovering { replies, .. } = &self.phase {
             let complete = replies.values().filter(|reply| reply.is_complete).count();
@@ -263,7 +266,7 @@
             }
             let states: Vec<AcceptorState> =
                 replies.values().map(|reply| reply.state.clone()).collect();
-            let target = self.adopt(states, version);
+            let target = self.merge_states(states, version);
             if !has_majority {
                 let floor = wall_ms.min(VERSION_LIMIT / 2);
                 self.version_floor = self.version_floor.max(floor);
@@ -282,9 +285,9 @@
         }
     }
 
-    /// Merges the other voters' states into its own, which earlier recovery requests may have filled. Returns the version
-    /// to catch up to.
-    fn adopt(&mut self, states: Vec<AcceptorState>, version: u64) -> u64 {
+    /// Merges the other voters' states into this voter's own, which may have content from earlier recovery requests. Returns
+    /// the version to catch up to.
+    fn merge_states(&mut self, states: Vec<AcceptorState>, version: u64) -> u64 {
         let mut merged = self.state(version);
         for state in &states {
             merged.promised = merged.promised.max(state.promised);
--- a/src/fleet/config/applied_changes.rs
+++ b/src/fleet/config/applied_changes.rs
@@ -1,4 +1,4 @@
-//! Which submissions became changes lately, so that one that is sent again is not made a second time.
+//! Records which submissions became changes lately, so that a duplicate of a submission isn't applied twice.
 
 use super::limits::MAX_APPLIED_IDS;
 use super::submission::Submission;
@@ -6,23 +6,23 @@
 use crate::interface::{Micros, Time};
 use std::collections::VecDeque;
 
-/// How long a datagram may be on its way.
+/// The longest time that a datagram may be in transit.
 const MAX_DATAGRAM_DELAY: Micros = Micros(5_000_000);
-/// How long after a change was applied its submission may still arrive again.
-pub(super) const REPEAT_WINDOW: Micros = Micros(SUBMIT_TIMEOUT.0 + MAX_DATAGRAM_DELAY.0);
+/// The time after which no duplicate of a submission arrives any more, counted from when its change was applied.
+pub(super) const DUPLICATE_WINDOW: Micros = Micros(SUBMIT_TIMEOUT.0 + MAX_DATAGRAM_DELAY.0);
 
-/// What is known of a submission.
+/// Whether a submission has become a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionStatus {
-    /// No change was made from it.
+    /// The submission has not become a change.
     New,
-    /// The change of this version was made from it.
+    /// The submission became the change with this version.
     Applied(u64),
-    /// It may have become a change whose id is not known here.
+    /// The submission may have become a change whose id this replica doesn't know.
     Unknown,
 }
 
-/// A change whose id is known.
+/// A change that this replica applied, with the id of its submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AppliedChange {
     id: u64,
@@ -30,35 +30,35 @@
     at: Time,
 }
 
-/// The ids of the last changes that a replica applied one by one, at most [`MAX_APPLIED_IDS`]. Where the table came in one
-/// step, from another replica or from a stored copy, the ids of the changes in it are not known.
+/// The ids of the last changes that a replica applied one by one, at most [`MAX_APPLIED_IDS`]. If the table was replaced in
+/// one step, from another replica or from a snapshot, the ids of the changes in it are not known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AppliedChanges {
     now: Time,
     recent: VecDeque<AppliedChange>,
-    /// The ids of all changes after this version are in `recent`.
+    /// `recent` has the ids of all changes after this version.
     known_since: u64,
-    /// Until then a submission of a change up to `known_since` may arrive again.
-    repeats_until: Time,
+    /// Until this time, duplicates of submissions of changes up to `known_since` may arrive.
+    duplicates_until: Time,
 }
 
 impl AppliedChanges {
-    /// Of an empty table.
+    /// Creates the record for an empty table.
     pub fn new(now: Time) -> AppliedChanges {
         AppliedChanges {
             now,
             recent: VecDeque::new(),
             known_since: 0,
-            repeats_until: now,
+            duplicates_until: now,
         }
     }
 
-    /// Lets time pass, before anything else happens at that time.
+    /// Sets the current time. Call it before any other method at that time.
     pub fn set_time(&mut self, now: Time) {
         self.now = now;
     }
 
-    /// A change was applied to the table.
+    /// Records a change that was applied to the table.
     pub fn record(&mut self, id: u64, version: u64) {
         let at = self.now;
         self.recent.push_back(AppliedChange { id, version, at });
@@ -67,21 +67,21 @@
         }
         if let Some(oldest) = self.recent.pop_front() {
             self.known_since = oldest.version;
-            self.repeats_until = self.repeats_until.max(oldest.at + REPEAT_WINDOW);
+            self.duplicates_until = self.duplicates_until.max(oldest.at + DUPLICATE_WINDOW);
         }
     }
 
-    /// The table went to this version in one step, without the ids of the changes up to it.
+    /// Discards the known ids, because the table was replaced in one step by one at this version.
     pub fn forget_ids_up_to(&mut self, version: u64) {
         self.recent.clear();
         self.known_since = version;
-        self.repeats_until = self.now + REPEAT_WINDOW;
+        self.duplicates_until = self.now + DUPLICATE_WINDOW;
     }
 
-    /// What is known of a submission at a table of that version.
+    /// Returns whether a submission has become a change, given the table's version.
     ///
-    /// The change of a submission has a later version than its base. So it is among the known ones, unless the base is
-    /// older than these, or no version that the table had.
+    /// A submission's change always has a later version than the submission's base. So its id is known, unless the base is
+    /// older than the known changes or later than the table.
     pub fn status(&self, submission: &Submission, table_version: u64) -> SubmissionStatus {
         let known = self
             .recent
@@ -92,7 +92,7 @@
             return SubmissionStatus::Applied(change.version);
         }
         let covered = (self.known_since..=table_version).contains(&submission.base);
-        if covered || self.now >= self.repeats_until {
+        if covered || self.now >= self.duplicates_until {
             SubmissionStatus::New
         } else {
             SubmissionStatus::Unknown
--- a/src/fleet/config/batch.rs
+++ b/src/fleet/config/batch.rs
@@ -1,9 +1,10 @@
-//! Splits lists into parts that each fit into one message.
+//! Splits lists of changes or entries into parts that each fit into one message.
 
 /// The most bytes of changes or entries in one message.
 pub(super) const MAX_MESSAGE_BYTES: usize = 1150;
 
-/// Splits items, by their sizes in bytes, in order. An item that is larger than a message gets a part of its own.
+/// Splits `items` in order into parts of at most [`MAX_MESSAGE_BYTES`]; `size` returns an item's size in bytes. An item that
+/// is larger than that gets a part of its own.
 pub(super) fn split<T>(items: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part_bytes = 0;
--- a/src/fleet/config/catch_up.rs
+++ b/src/fleet/config/catch_up.rs
@@ -1,6 +1,6 @@
-//! How a replica that is behind catches up: it requests the changes since its version where another replica's log has them,
-//! else it compares the Merkle trees from the root down and fetches the ranges that differ (anti-entropy). Its own table
-//! stays in use until the fetched one is complete.
+//! Brings a replica that is behind up to date. It requests the changes since its version from another replica's log. If that
+//! log doesn't reach back far enough, it compares the two Merkle trees from the root down and fetches the ranges of entries
+//! that differ (anti-entropy). Its own table stays in use until the fetched one is complete.
 
 use super::entry::Entry;
 use super::error::MessageError;
@@ -11,65 +11,66 @@
 use crate::interface::{Micros, Time};
 use std::net::SocketAddr;
 
-/// How long a replica has for a reply before the request is repeated.
+/// The time after which a request without a reply is repeated.
 const REPLY_TIMEOUT: Micros = Micros(300_000);
-/// Repetitions after which a state is given up that nobody seems to have.
+/// The retries of one request after which the fetch is abandoned, as no replica seems to have that state.
 const MAX_RETRIES: u32 = 20;
-/// Each so many repetitions the request goes to another replica; a datagram may just have been lost.
-const SOURCE_CHANGE_ONE_IN: u32 = 3;
+/// The retries after which another replica is asked. A single missing reply may just be a lost datagram.
+const RETRIES_PER_SOURCE: u32 = 3;
 
-/// The last request for changes.
+/// The last request for changes from a replica's log.
 #[derive(Clone, Copy, Debug)]
 struct ChangesRequest {
     source: SocketAddr,
     at: Time,
 }
 
-/// One request of a fetch.
+/// One request of a [`Fetch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Task {
+enum FetchRequest {
     Compare(Node),
     Fetch(PositionRange),
 }
 
-impl Task {
-    /// What to do about a node that differs.
-    fn for_node(node: Node) -> Task {
+impl FetchRequest {
+    /// Returns the request for a node whose hash differs.
+    fn for_node(node: Node) -> FetchRequest {
         if node.is_leaf() {
-            Task::Fetch(node.range())
+            FetchRequest::Fetch(node.range())
         } else {
-            Task::Compare(node)
+            FetchRequest::Compare(node)
         }
     }
 
-    fn request(self) -> Message {
+    fn message(self) -> Message {
         match self {
-            Task::Compare(node) => Message::CompareNode { node },
-            Task::Fetch(range) => Message::FetchRange { range },
+            FetchRequest::Compare(node) => Message::CompareNode { node },
+            FetchRequest::Fetch(range) => Message::FetchRange { range },
         }
     }
 }
 
-/// A table that is fetched by ranges.
+/// A table that is being fetched by ranges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Fetch {
     source: SocketAddr,
     staged: StagedTable,
-    /// The request that waits for its reply.
-    current: Task,
-    /// The requests after it, the last first.
-    remaining: Vec<Task>,
+    /// The request that is waiting for its reply.
+    current: FetchRequest,
+    /// The requests after the current one, in reverse order.
+    remaining: Vec<FetchRequest>,
     requested_at: Time,
     retries: u32,
 }
 
 impl Fetch {
-    /// Checks that a reply is to the current request, and takes its state as the target, which never goes back.
+    /// Checks that a reply is to the current request, and sets the target to its digest. The target's version never
+    /// decreases.
     fn accept_reply(
         &mut self,
         source: SocketAddr,
         digest: Digest,
-        request: Task,
+        request: FetchRequest,
     ) -> Result<(), MessageError> {
         let expected = self.source == source && self.current == request;
         if !expected || digest.version < self.staged.target.version {
@@ -79,9 +80,13 @@
         Ok(())
     }
 
-    /// Sends the next request; where none remains the other replica's table went on and is compared anew.
+    /// Sends the next request. If none remains, the other replica's table has changed in the meantime, and the comparison
+    /// starts again at the root.
     fn request_next(&mut self, now: Time, out: &mut Outbox) {
-        self.current = self.remaining.pop().unwrap_or(Task::Compare(Node::ROOT));
+        self.current = self
+            .remaining
+            .pop()
+            .unwrap_or(FetchRequest::Compare(Node::ROOT));
         self.retries = 0;
         self.send(now, out);
     }
@@ -90,12 +95,12 @@
         self.requested_at = now;
         out.push(Outgoing {
             to: self.source,
-            message: self.current.request(),
+            message: self.current.message(),
         });
     }
 }
 
-/// The hashes of a node's children, from another replica.
+/// A reply with the hashes of a node's children.
 #[derive(Clone, Debug)]
 pub(super) struct NodeHashes {
     pub(super) source: SocketAddr,
@@ -104,7 +109,7 @@
     pub(super) hashes: Vec<u64>,
 }
 
-/// The entries of a range, from another replica.
+/// A reply with the entries of a range.
 #[derive(Clone, Debug)]
 pub(super) struct RangeEntries {
     pub(super) source: SocketAddr,
@@ -113,18 +118,18 @@
     pub(super) entries: Vec<Entry>,
 }
 
-/// A fetched table was installed.
+/// The result of installing a fetched table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Installed {
-    /// The replica that it came from.
+    /// The replica that the table was fetched from.
     pub(super) source: SocketAddr,
     /// The table's new version.
     pub(super) version: u64,
-    /// The entries that differ from before.
+    /// The entries that differ from the previous table.
     pub(super) entries: Vec<Entry>,
 }
 
-/// The catch-up of one replica.
+/// The state of a replica's catch-up.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUp {
     request: Option<ChangesRequest>,
@@ -132,17 +137,17 @@
 }
 
 impl CatchUp {
-    /// Whether a table is being fetched by ranges.
+    /// Returns whether a table is being fetched by ranges.
     pub(super) fn is_fetching(&self) -> bool {
         self.fetch.is_some()
     }
 
-    /// Drops everything staged: the table went to another version.
+    /// Aborts the catch-up and drops the staged table, because the replica's table has another version now.
     pub(super) fn reset(&mut self) {
         *self = CatchUp::default();
     }
 
-    /// Requests the changes since this table's version from a replica that is ahead, one request at a time.
+    /// Requests the changes after `version` from a replica that is ahead. Only one request is in progress at a time.
     pub(super) fn request_changes(
         &mut self,
         now: Time,
@@ -164,8 +169,8 @@
         }
     }
 
-    /// Handles the hashes of a node's children: the reply to a comparison, or to a request for changes that the other
-    /// replica's log does not have, which begins a fetch.
+    /// Handles the hashes of a node's children. They are the reply to a comparison, or to a request for changes that the
+    /// other replica's log doesn't have; the latter starts a fetch.
     pub(super) fn on_node_hashes(
         &mut self,
         now: Time,
@@ -178,18 +183,18 @@
             self.begin_fetch(now, reply.source, reply.digest, table);
         }
         let fetch = self.fetch.as_mut().ok_or(MessageError::Unsolicited)?;
-        fetch.accept_reply(reply.source, reply.digest, Task::Compare(node))?;
+        fetch.accept_reply(reply.source, reply.digest, FetchRequest::Compare(node))?;
         let differing = fetch.staged.differing_children(node, &reply.hashes);
         if node == Node::ROOT && differing.is_empty() && !fetch.staged.is_complete() {
-            self.fetch = None; // its hashes do not add up to its root
+            self.fetch = None; // the hashes do not add up to the root hash of the digest
             return Err(MessageError::Unsolicited);
         }
         fetch
             .remaining
-            .extend(differing.into_iter().map(Task::for_node));
+            .extend(differing.into_iter().map(FetchRequest::for_node));
         if node == Node::ROOT && table.is_empty() {
-            // Everything is missing: nothing is to be compared.
-            fetch.remaining = vec![Task::Fetch(PositionRange::ALL)];
+            // The own table is empty, so all entries are fetched without a comparison.
+            fetch.remaining = vec![FetchRequest::Fetch(PositionRange::ALL)];
         }
         Ok(self.advance(now, table, out))
     }
@@ -204,16 +209,16 @@
     ) -> Result<Option<Installed>, MessageError> {
         let range = reply.range;
         let fetch = self.fetch.as_mut().ok_or(MessageError::Unsolicited)?;
-        let Task::Fetch(requested) = fetch.current else {
+        let FetchRequest::Fetch(requested) = fetch.current else {
             return Err(MessageError::Unsolicited);
         };
         if range.first != requested.first || range.last > requested.last {
             return Err(MessageError::Unsolicited);
         }
-        fetch.accept_reply(reply.source, reply.digest, Task::Fetch(requested))?;
+        fetch.accept_reply(reply.source, reply.digest, FetchRequest::Fetch(requested))?;
         fetch.staged.stage(table, range, reply.entries)?;
         if range.last < requested.last {
-            fetch.remaining.push(Task::Fetch(PositionRange {
+            fetch.remaining.push(FetchRequest::Fetch(PositionRange {
                 first: range.last + 1,
                 last: requested.last,
             }));
@@ -221,15 +226,15 @@
         Ok(self.advance(now, table, out))
     }
 
-    /// Whether a request of the fetch has waited too long for its reply.
-    pub(super) fn is_late(&self, now: Time) -> bool {
+    /// Returns whether the current request of the fetch has waited for its reply for [`REPLY_TIMEOUT`].
+    pub(super) fn is_overdue(&self, now: Time) -> bool {
         self.fetch
             .as_ref()
             .is_some_and(|fetch| now - fetch.requested_at >= REPLY_TIMEOUT)
     }
 
-    /// Repeats a late request, now and then to another replica: what is staged stays, and is compared with what that one
-    /// has.
+    /// Repeats an overdue request. Every [`RETRIES_PER_SOURCE`] retries the fetch continues with `other_source`: the staged
+    /// entries are kept and compared with the table of that replica.
     pub(super) fn retry(&mut self, now: Time, other_source: SocketAddr, out: &mut Outbox) {
         let Some(fetch) = &mut self.fetch else {
             return;
@@ -239,15 +244,15 @@
             self.fetch = None;
             return;
         }
-        if fetch.retries.is_multiple_of(SOURCE_CHANGE_ONE_IN) {
+        if fetch.retries.is_multiple_of(RETRIES_PER_SOURCE) {
             fetch.source = other_source;
             fetch.remaining.clear();
-            fetch.current = Task::Compare(Node::ROOT);
+            fetch.current = FetchRequest::Compare(Node::ROOT);
         }
         fetch.send(now, out);
     }
 
-    /// Begins a fetch where this replica requested changes of that one, which is ahead.
+    /// Starts a fetch, if this replica requested changes from `source` and `source` is ahead.
     fn begin_fetch(&mut self, now: Time, source: SocketAddr, digest: Digest, table: &Table) {
         let requested = self.request.is_some_and(|request| request.source == source);
         if !requested || self.fetch.is_some() || digest.version <= table.version() {
@@ -257,7 +262,7 @@
         self.fetch = Some(Fetch {
             source,
             staged: StagedTable::new(table, digest),
-            current: Task::Compare(Node::ROOT),
+            current: FetchRequest::Compare(Node::ROOT),
             remaining: Vec::new(),
             requested_at: now,
             retries: 0,
--- a/src/fleet/config/catch_up_source.rs
+++ b/src/fleet/config/catch_up_source.rs
@@ -1,5 +1,5 @@
-//! Serves other replicas that catch up: changes from the log, hashes of the Merkle tree, and ranges of entries, within a
-//! budget of bytes.
+//! Serves other replicas that catch up: sends changes from the log, hashes of the Merkle tree, and ranges of entries, within
+//! a limit of bytes per second.
 
 use super::batch::{self, MAX_MESSAGE_BYTES};
 use super::change::Change;
@@ -9,30 +9,31 @@
 use crate::interface::{Micros, Time};
 use std::net::SocketAddr;
 
-/// The most changes in the reply to one request.
+/// The most changes sent in reply to one request.
 const MAX_CHANGES: usize = 64;
-/// About what a message takes besides its changes.
+/// The approximate size of a message without its changes.
 const CHANGES_OVERHEAD_BYTES: usize = 80;
-/// About what a message takes besides its entries.
+/// The approximate size of a message without its entries.
 const ENTRIES_OVERHEAD_BYTES: usize = 100;
-/// About what an entry takes in a message besides its edit.
+/// The approximate size of an entry in a message without its edit.
 const ENTRY_OVERHEAD_BYTES: usize = 10;
-/// About what the hashes of a node's children take.
+/// The approximate size of a message with the hashes of a node's children.
 const HASHES_BYTES: usize = 180;
-/// What this proxy spends on others' catch-up.
+/// The rate at which this proxy sends to replicas that catch up.
 const BUDGET_BYTES_PER_S: u64 = 24 << 10;
-/// How far ahead of the budget it may be.
+/// The most time by which the sent bytes may be ahead of [`BUDGET_BYTES_PER_S`].
 const MAX_BURST: Micros = Micros(2_000_000);
 
-/// Limits the bytes that this proxy spends on others' catch-up.
+/// Limits the rate at which this proxy sends to replicas that catch up.
 #[derive(Clone, Debug)]
 struct ByteBudget {
-    /// Up to when the budget is spent.
+    /// The time up to which the budget is spent.
     spent_until: Time,
 }
 
 impl ByteBudget {
-    /// Spends bytes, unless too many were spent lately.
+    /// Spends `bytes` of the budget. Returns false, and spends nothing, if the budget is overdrawn
+    /// by more than [`MAX_BURST`].
     fn try_spend(&mut self, now: Time, bytes: usize) -> bool {
         let start = self.spent_until.max(now);
         if start - now > MAX_BURST {
@@ -43,7 +44,8 @@
     }
 }
 
-/// Serves other replicas that catch up. What exceeds the budget is not sent: they ask again, or another replica.
+/// Serves other replicas that catch up. Replies over the budget are dropped: the replicas repeat their requests or ask
+/// another replica.
 #[derive(Clone, Debug)]
 pub(super) struct CatchUpSource {
     budget: ByteBudget,
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Sends the changes after a version, a few messages of them, or the root's hashes where the log does not reach back.
+    /// Sends up to [`MAX_CHANGES`] changes after the version `since`, or the hashes of the root's children if the log doesn't
+    /// reach back so far.
     pub(super) fn send_changes(
         &mut self,
         now: Time,
@@ -75,7 +78,7 @@
         let mut parts = batch::split(changes, Change::size).into_iter().peekable();
         while let Some(part) = parts.next() {
             let bytes = part.iter().map(Change::size).sum::<usize>() + CHANGES_OVERHEAD_BYTES;
-            // Only the last message's version makes the other replica request more.
+            // Only the last message has the table's version, which makes the receiver request more changes.
             let is_last = parts.peek().is_none();
             let message = Message::Changes {
                 changes: part,
@@ -103,7 +106,7 @@
         self.send(now, Outgoing { to, message }, HASHES_BYTES, out);
     }
 
-    /// Sends the entries of a range, as many as fit into one message.
+    /// Sends the entries of a range, up to as many as fit into one message.
     pub(super) fn send_range(
         &mut self,
         now: Time,
@@ -118,7 +121,7 @@
         for (position, entry) in table.range(range) {
             bytes += entry.edit.size() + ENTRY_OVERHEAD_BYTES;
             if bytes > MAX_MESSAGE_BYTES && !entries.is_empty() {
-                last = position - 1; // at or above the entry before
+                last = position - 1; // not below the position of the previous entry
                 break;
             }
             entries.push(entry.clone());
--- a/src/fleet/config/change.rs
+++ b/src/fleet/config/change.rs
@@ -1,34 +1,34 @@
-//! Changes: the log entries of the replicated configuration. Each follows one earlier version, so the committed ones form
-//! one chain and a version names a state of the table.
+//! Changes: the log entries of the replicated configuration. Each change names the version that it follows, so committed
+//! changes form one chain, and a version identifies one state of the table.
 
 use super::entry::{Edit, Entry, InvalidEntry};
 use super::error::TableError;
 use super::limits::{MAX_CHANGE_BYTES, MAX_EDITS_PER_CHANGE, VERSION_LIMIT};
 use serde::{Deserialize, Serialize};
 
-/// Bytes that a change takes in a datagram besides its edits.
+/// The approximate size of a change in a datagram without its edits, in bytes.
 const CHANGE_OVERHEAD_BYTES: usize = 28;
 
-/// A change: one link of the chain.
+/// A set of edits that are committed and applied together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The version of the table that it makes.
+    /// The version of the table after this change.
     pub version: u64,
-    /// The version that it follows. One change is committed for each.
+    /// The version of the table before this change. Only one change is committed after each version.
     pub previous: u64,
-    /// Drawn at random by the proxy that received the operator's call.
+    /// The id of the submission, drawn at random by the proxy that received the operator's call.
     pub id: u64,
-    /// What it sets.
+    /// The entries that the change sets.
     pub edits: Vec<Edit>,
 }
 
 impl Change {
-    /// The approximate size in a datagram, in bytes.
+    /// Returns the approximate size in a datagram, in bytes.
     pub fn size(&self) -> usize {
         self.edits.iter().map(Edit::size).sum::<usize>() + CHANGE_OVERHEAD_BYTES
     }
 
-    /// The entries that it makes.
+    /// Returns the table entries that result from this change.
     pub fn entries(&self) -> Vec<Entry> {
         self.edits
             .iter()
@@ -39,10 +39,10 @@
             .collect()
     }
 
-    /// Checks a change that came from another proxy.
+    /// Checks a change from another proxy.
     ///
     /// # Errors
-    /// Its versions are out of order, or an edit is out of its bounds.
+    /// The versions are out of order, or an edit is out of its bounds.
     pub fn check(&self) -> Result<(), TableError> {
         if self.version <= self.previous || self.version >= VERSION_LIMIT {
             return Err(TableError::InvalidVersion(self.version));
@@ -62,7 +62,8 @@
 /// Checks the edits of a change before it is submitted.
 ///
 /// # Errors
-/// The first edit that is out of its bounds or sets an entry twice, or too many of them.
+/// There are no edits or more than [`MAX_EDITS_PER_CHANGE`], they exceed `MAX_CHANGE_BYTES` together, or one of them is
+/// out of its bounds or sets the same entry as another.
 pub fn check_edits(edits: &[Edit]) -> Result<(), InvalidEntry> {
     let invalid = |reason: String| InvalidEntry {
         key: "entries".into(),
@@ -78,12 +79,14 @@
     let size: usize = edits.iter().map(Edit::size).sum();
     if size > MAX_CHANGE_BYTES {
         return Err(invalid(format!(
-            "{size} bytes, over the {MAX_CHANGE_BYTES} of one change"
+            "{size} bytes, over the limit of {MAX_CHANGE_BYTES} bytes per change"
         )));
     }
     for (index, edit) in edits.iter().enumerate() {
         if edits[..index].iter().any(|other| other.key == edit.key) {
-            return Err(edit.key.invalid("it is named twice"));
+            return Err(edit
+                .key
+                .invalid("the change sets this entry more than once"));
         }
     }
     Ok(())
--- a/src/fleet/config/entry.rs
+++ b/src/fleet/config/entry.rs
@@ -1,27 +1,27 @@
-//! The entries of the replicated configuration: a [`Key`] names one, an [`Edit`] says what it is from now on, and an
-//! [`Entry`] is an edit with the version that made it.
+//! The entries of the replicated configuration: a [`Key`] identifies an entry, an [`Edit`] sets its value, and an [`Entry`]
+//! is an edit with the version of the change that made it.
 
 use super::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES, VERSION_LIMIT};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes that an edit takes in a datagram besides its name and its value.
+/// The approximate size of an edit in a datagram without its name and value, in bytes.
 const EDIT_OVERHEAD_BYTES: usize = 6;
 
-/// What an entry is about. The reader of the entry knows how its value is encoded.
+/// The kind of object that an entry configures. The encoding of the value depends on the kind, and is opaque here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A request class (a profile of the settings), named by its route, with its deadline.
+    /// A request class (a profile in the settings), named by its route. The value has its deadline.
     #[serde(rename = "Route")]
     RequestClass,
-    /// A tenant, with its quota.
+    /// A tenant. The value has its quota.
     Tenant,
-    /// The platform's files, with the one entry [`Key::compaction`].
+    /// The platform's configuration files. The only entry of this kind is [`Key::compaction`].
     File,
 }
 
 impl Kind {
-    /// The name in paths and logs.
+    /// Returns the kind's name in paths and logs.
     pub fn name(self) -> &'static str {
         match self {
             Kind::RequestClass => "routes",
@@ -31,18 +31,18 @@
     }
 }
 
-/// Names an entry.
+/// Identifies an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// What it is about.
+    /// The kind of object.
     pub kind: Kind,
-    /// Which one; 1 to [`MAX_NAME_BYTES`] bytes.
+    /// The object's name, 1 to [`MAX_NAME_BYTES`] bytes.
     pub name: String,
 }
 
 impl Key {
-    /// The entry whose value is the compacted version: the platform's files contain all changes up to it. The change that
-    /// sets it drops the entries up to there from the table, on every replica alike.
+    /// Returns the key of the entry whose value is the compacted version: the platform's files contain all changes up to that
+    /// version. The change that sets the entry drops all entries up to that version from every replica's table.
     pub fn compaction() -> Key {
         Key {
             kind: Kind::File,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The position in the table: the first bytes of the key's BLAKE3 hash.
+    /// Returns the key's position in the table: the first 8 bytes of its BLAKE3 hash.
     pub fn position(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher
@@ -59,10 +59,10 @@
         leading_u64(&hasher.finalize())
     }
 
-    /// Checks the name.
+    /// Checks the length of the name.
     ///
     /// # Errors
-    /// It is empty or too long.
+    /// The name is empty or longer than [`MAX_NAME_BYTES`].
     pub fn check(&self) -> Result<(), InvalidEntry> {
         match self.name.len() {
             1..=MAX_NAME_BYTES => Ok(()),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// An error about this entry.
+    /// Creates an error about this entry.
     pub(super) fn invalid(&self, reason: impl Into<String>) -> InvalidEntry {
         InvalidEntry {
             key: self.to_string(),
@@ -87,28 +87,28 @@
     }
 }
 
-/// What an entry is set to.
+/// The value that an edit gives to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Value {
-    /// This value, up to [`MAX_VALUE_BYTES`], in place of the file's.
+    /// A value of up to [`MAX_VALUE_BYTES`] that overrides the file's.
     Set(Vec<u8>),
-    /// A tombstone: the entry does not exist, whatever the file has.
+    /// A tombstone: the entry does not exist, even if the file has it.
     Removed,
-    /// The file's value again: an earlier change is reverted.
+    /// The file's value: reverts earlier changes of the entry.
     AsFile,
 }
 
-/// Sets one entry.
+/// Sets the value of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Edit {
-    /// Which entry.
+    /// The entry to set.
     pub key: Key,
     /// Its new value.
     pub value: Value,
 }
 
 impl Edit {
-    /// The approximate size in bytes, in memory and in a datagram.
+    /// Returns the approximate size in memory and in a datagram, in bytes.
     pub fn size(&self) -> usize {
         let value_bytes = match &self.value {
             Value::Set(bytes) => bytes.len(),
@@ -117,7 +117,7 @@
         self.key.name.len() + value_bytes + EDIT_OVERHEAD_BYTES
     }
 
-    /// The edit that compacts the table: the platform's files contain all changes up to `version`.
+    /// Returns the edit that compacts the table up to `version`, because the platform's files contain all changes up to it.
     pub fn compact_up_to(version: u64) -> Edit {
         Edit {
             key: Key::compaction(),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The version up to which this edit compacts the table, if it does.
+    /// Returns the version up to which this edit compacts the table; `None` for edits of other entries.
     pub fn compacted_version(&self) -> Option<u64> {
         match &self.value {
             Value::Set(bytes) if self.key == Key::compaction() => {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Checks the edit by itself.
+    /// Checks the name and the value, without regard to the table.
     ///
     /// # Errors
     /// The name or the value is out of its bounds.
@@ -158,33 +158,33 @@
     }
 }
 
-/// An entry of the table.
+/// An entry of the table, with the version of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     /// The key and the value.
     pub edit: Edit,
-    /// The version of the change that set it last.
+    /// The version of the change that last set this entry.
     pub version: u64,
 }
 
 impl Entry {
-    /// The hash that the Merkle tree sums up.
+    /// Returns the entry's hash, which the Merkle tree adds up.
     pub(super) fn hash(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.version.to_le_bytes());
-        // Plain data always encodes.
+        // Encoding cannot fail for this type, so the default is never used.
         hasher.update(&postcard::to_stdvec(&self.edit).unwrap_or_default());
         leading_u64(&hasher.finalize())
     }
 }
 
-/// An entry is out of its bounds. The reason is the operator's answer.
+/// The error of an invalid entry. The operator gets its text as the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct InvalidEntry {
-    /// The key's path.
+    /// The path of the entry's key.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with the entry.
     pub reason: String,
 }
 
--- a/src/fleet/config/error.rs
+++ b/src/fleet/config/error.rs
@@ -1,55 +1,56 @@
-//! Why data or a message of another proxy is rejected.
+//! The errors for changes, entries and messages from other proxies that are rejected.
 
 use super::entry::InvalidEntry;
+use super::limits::{MAX_ENTRIES, MAX_TABLE_BYTES};
 use thiserror::Error;
 
-/// Why changes or entries do not go into a table, which stays as it was.
+/// Why a table rejects changes or entries. The table is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// A version that is not above the one it follows, or that no clock gives.
-    #[error("invalid version {0} of the configuration")]
+    /// The version is not above the one that it follows, or not below [`VERSION_LIMIT`](super::VERSION_LIMIT).
+    #[error("invalid configuration version {0}")]
     InvalidVersion(u64),
     /// An entry is out of its bounds.
-    #[error("invalid entry of the configuration: {0}")]
+    #[error("invalid configuration entry {0}")]
     InvalidEntry(#[source] InvalidEntry),
-    /// The table is full.
-    #[error("the configuration's table is full")]
+    /// The table has no room for the entries.
+    #[error("the configuration table is full: the limits are {MAX_ENTRIES} entries and {MAX_TABLE_BYTES} bytes")]
     Full,
-    /// The entries do not have the digest that came with them.
+    /// The entries do not match the digest that came with them.
     #[error("the entries do not match their digest")]
     DigestMismatch,
 }
 
-/// Why a replica rejects a message. It changed nothing.
+/// Why a replica rejects a message. The replica is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// Its changes or entries do not go into the table.
+    /// The table rejects the changes or entries in the message.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// A voter's reply from a proxy that is no voter.
-    #[error("a voter's reply from a proxy that is no voter")]
+    /// The message is a voter's reply, but its sender is not a voter.
+    #[error("a voter's reply from a proxy that is not a voter")]
     SenderNotVoter,
-    /// A message to a voter, which this proxy is not.
-    #[error("a message to a voter, and this proxy is none")]
+    /// The message is for a voter, but this proxy is not a voter.
+    #[error("a message for a voter, but this proxy is not a voter")]
     NotVoter,
-    /// A part of the table that was not requested, or not so.
-    #[error("an unsolicited part of the configuration")]
+    /// The message names an invalid node or range, or is a reply that this replica did not request.
+    #[error("invalid or unsolicited message about a part of the configuration table")]
     Unsolicited,
 }
 
 impl MessageError {
-    /// A stable name for logs and counters.
+    /// Returns a stable name of the error for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
-            // A version that does not follow the one before it, or is too high for any clock: see the sender's clock.
+            // The version is out of order or above the limit: check the sender's clock.
             MessageError::Table(TableError::InvalidVersion(_)) => "number",
             MessageError::Table(TableError::InvalidEntry(_)) => "entry",
             MessageError::Table(TableError::Full) => "full",
-            // Entries that this proxy did not request, or that do not match their digest.
+            // This proxy did not request the entries, or they do not match their digest.
             MessageError::Table(TableError::DigestMismatch) | MessageError::Unsolicited => {
                 "unasked"
             }
-            // A voter's reply from a proxy that is no voter by this proxy's settings: the settings differ.
+            // By this proxy's settings the sender is not a voter: the settings of the two proxies differ.
             MessageError::SenderNotVoter => "stranger",
             MessageError::NotVoter => "no_voter",
         }
--- a/src/fleet/config/gossip.rs
+++ b/src/fleet/config/gossip.rs
@@ -1,5 +1,5 @@
-//! How committed changes and digests spread: a change goes to some members drawn at random, each of which passes it on while
-//! it is new there, and the leader repeats it; a digest goes to one other proxy at regular intervals.
+//! Spreads committed changes and digests by gossip. A change goes to a few random members, and each member that did not have
+//! it forwards it; the leader also retransmits it. A digest goes to one other proxy at regular intervals.
 
 use super::batch;
 use super::change::Change;
@@ -9,18 +9,18 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Members that a change is passed on to.
+/// The number of members that a change is sent to.
 const FANOUT: usize = 6;
-/// When the leader sends a change again, after it was committed.
-const REPEAT_AFTER: [Micros; 2] = [Micros(200_000), Micros(600_000)];
-/// The interval of digests.
+/// The times after the commit at which the leader sends a change again.
+const RETRANSMIT_DELAYS: [Micros; 2] = [Micros(200_000), Micros(600_000)];
+/// The interval between digests.
 const DIGEST_INTERVAL: Micros = Micros(1_000_000);
-/// The interval of digests while this replica waits for changes.
+/// The interval between digests while this replica has just started or waits for changes.
 const CATCH_UP_INTERVAL: Micros = Micros(200_000);
-/// Each so many digests one goes to a voter, whether it is believed alive or not.
-const VOTER_DIGEST_ONE_IN: u32 = 5;
+/// Every fifth digest goes to a voter, even if that voter is not known to be alive.
+const VOTER_DIGEST_PERIOD: u32 = 5;
 
-/// Sends changes to members drawn at random. `version`: of this replica's table.
+/// Sends changes to [`FANOUT`] random members. `version` is the version of this replica's table.
 pub(super) fn push_changes(
     changes: &[Change],
     version: u64,
@@ -41,41 +41,43 @@
 }
 
 #[derive(Clone, Debug)]
-struct Repeat {
+struct Retransmission {
     at: Time,
     change: Change,
 }
 
-/// The changes that the leader sends again, so that a lost datagram delays nobody until the next digest.
+/// The changes that the leader is going to send again, so that a member that lost a datagram doesn't have to wait for the
+/// next digest.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Repeats {
-    queue: VecDeque<Repeat>,
+pub(super) struct Retransmissions {
+    queue: VecDeque<Retransmission>,
 }
 
-impl Repeats {
-    /// A change was committed here.
+impl Retransmissions {
+    /// Schedules the retransmissions of a change that was committed at `now`.
     pub(super) fn schedule(&mut self, now: Time, change: &Change) {
-        self.queue.extend(REPEAT_AFTER.map(|pause| Repeat {
-            at: now + pause,
-            change: change.clone(),
-        }));
-        self.queue.make_contiguous().sort_by_key(|repeat| repeat.at);
+        self.queue
+            .extend(RETRANSMIT_DELAYS.map(|pause| Retransmission {
+                at: now + pause,
+                change: change.clone(),
+            }));
+        self.queue.make_contiguous().sort_by_key(|entry| entry.at);
     }
 
-    /// The next change that is due.
+    /// Removes and returns the next change that is due.
     pub(super) fn next_due(&mut self, now: Time) -> Option<Change> {
-        let due = self.queue.front().is_some_and(|repeat| repeat.at <= now);
+        let due = self.queue.front().is_some_and(|entry| entry.at <= now);
         if !due {
             return None;
         }
-        self.queue.pop_front().map(|repeat| repeat.change)
+        self.queue.pop_front().map(|entry| entry.change)
     }
 }
 
-/// What decides when the next digest goes out, and to whom.
+/// The conditions that determine the next digest's receiver and the interval after it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DigestNeed<'a> {
-    /// A voter or the leader waits for changes before it can go on.
+    /// This replica, as a voter or the leader, waits for changes.
     pub(super) is_catching_up: bool,
     /// This replica has just started.
     pub(super) is_new: bool,
@@ -83,7 +85,7 @@
     pub(super) voters: &'a [SocketAddr],
 }
 
-/// When digests go out, and to whom.
+/// Schedules digests and selects their receivers.
 #[derive(Clone, Debug)]
 pub(super) struct DigestSchedule {
     due: Time,
@@ -99,7 +101,7 @@
         now >= self.due
     }
 
-    /// Counts a digest that is due and selects its receiver, if there is any.
+    /// Returns the receiver of a digest that is due, if there is one, and schedules the next digest.
     pub(super) fn next_receiver(
         &mut self,
         now: Time,
@@ -115,7 +117,7 @@
         self.due = now + interval;
         self.sent = self.sent.wrapping_add(1);
         let to_voter = need.is_catching_up
-            || self.sent.is_multiple_of(VOTER_DIGEST_ONE_IN)
+            || self.sent.is_multiple_of(VOTER_DIGEST_PERIOD)
             || context.members.is_empty();
         if to_voter {
             peers.choose(need.voters)
--- a/src/fleet/config/merkle.rs
+++ b/src/fleet/config/merkle.rs
@@ -1,29 +1,29 @@
-//! A Merkle tree over ranges of positions. Two replicas find the entries that they differ in by comparing it from the root
-//! down; a change updates one node a level, whatever the table's size.
+//! A Merkle tree over ranges of entry positions. Two replicas find the entries in which they differ by comparing their trees
+//! from the root down. Changing an entry updates one node per level, independent of the table's size.
 
 use serde::{Deserialize, Serialize};
 
-/// Children of an inner node.
+/// The number of children of an inner node.
 pub const CHILDREN: usize = 16;
-/// Bits of a position that one level divides by.
+/// The number of position bits that select a node's child.
 const BITS_PER_LEVEL: u32 = 4;
-/// Levels below the root; the ranges of the last one are the leaves.
+/// The number of levels below the root. The nodes of the last level are the leaves.
 const LEVELS: u8 = 3;
-/// All nodes: 1 + 16 + 256 + 4,096.
+/// The number of nodes: 1 + 16 + 256 + 4,096.
 const NODES: usize = 4369;
 /// The index of each level's first node among all nodes.
 const LEVEL_OFFSETS: [usize; 4] = [0, 1, 17, 273];
 
-/// Identifies one state of the table: equal versions of one fleet have equal roots.
+/// Identifies one state of the table. Replicas of a fleet with equal versions have equal roots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest {
-    /// The version of the last change, 0 for none.
+    /// The version of the last change, 0 if there was none.
     pub version: u64,
-    /// The hash of all entries.
+    /// The hash of the tree's root.
     pub root: u64,
 }
 
-/// A range of positions, both ends included.
+/// A range of positions, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PositionRange {
     /// The first position.
@@ -33,48 +33,48 @@
 }
 
 impl PositionRange {
-    /// All positions.
+    /// The range of all positions.
     pub const ALL: PositionRange = PositionRange {
         first: 0,
         last: u64::MAX,
     };
 
-    /// Whether the first position is not behind the last. A range from another proxy may be none.
+    /// Returns whether the first position is not after the last. A range from another proxy may be invalid.
     pub fn is_valid(self) -> bool {
         self.first <= self.last
     }
 
-    /// Whether the position lies in it.
+    /// Returns whether the range contains the position.
     pub fn contains(self, position: u64) -> bool {
         (self.first..=self.last).contains(&position)
     }
 }
 
-/// A node of the tree: the root is level 0.
+/// A node of the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node {
-    /// 0 to 3.
+    /// The level, from 0 for the root to 3 for the leaves.
     pub level: u8,
-    /// Which of its level, from 0.
+    /// The index within the level, from 0.
     pub index: u16,
 }
 
 impl Node {
-    /// The node over all positions.
+    /// The root, which covers all positions.
     pub const ROOT: Node = Node { level: 0, index: 0 };
 
-    /// Whether the tree has such a node. One from another proxy may not exist.
+    /// Returns whether the tree has this node. A node from another proxy may not exist.
     pub fn is_valid(self) -> bool {
         self.level <= LEVELS
             && usize::from(self.index) < 1 << (BITS_PER_LEVEL * u32::from(self.level))
     }
 
-    /// Whether it has no children.
+    /// Returns whether the node has no children.
     pub fn is_leaf(self) -> bool {
         self.level >= LEVELS
     }
 
-    /// Its children, none for a leaf.
+    /// Iterates over the node's children; a leaf has none.
     pub fn children(self) -> impl Iterator<Item = Node> {
         let count = if self.is_leaf() { 0 } else { CHILDREN as u16 };
         (0..count).map(move |child| Node {
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The positions below it.
+    /// Returns the range of positions that the node covers.
     pub fn range(self) -> PositionRange {
         let bits = BITS_PER_LEVEL * u32::from(self.level);
         let first = if bits == 0 {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The node of a level that a position lies below.
+    /// Returns the node of a level that covers a position.
     fn at(level: u8, position: u64) -> Node {
         let index = position
             .checked_shr(64 - BITS_PER_LEVEL * u32::from(level))
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Its index among all nodes.
+    /// Returns the node's index among the nodes of all levels.
     fn offset(self) -> usize {
         LEVEL_OFFSETS[usize::from(self.level)] + usize::from(self.index)
     }
 }
 
-/// The tree's hashes. A node's hash is the wrapping sum of the hashes of the entries below it.
+/// The hashes of all nodes. A node's hash is the wrapping sum of the hashes of the entries in its range.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MerkleTree {
     hashes: Vec<u64>,
@@ -129,7 +129,7 @@
 }
 
 impl MerkleTree {
-    /// Replaces the hash of the entry at a position; 0 for no entry.
+    /// Replaces the hash `old` of the entry at a position with `new`; 0 stands for no entry.
     pub fn replace(&mut self, position: u64, old: u64, new: u64) {
         for level in 0..=LEVELS {
             let hash = &mut self.hashes[Node::at(level, position).offset()];
@@ -137,12 +137,12 @@
         }
     }
 
-    /// The hash of a [valid](Node::is_valid) node.
+    /// Returns the hash of a [valid](Node::is_valid) node.
     pub fn hash(&self, node: Node) -> u64 {
         self.hashes.get(node.offset()).copied().unwrap_or_default()
     }
 
-    /// The hash of all entries.
+    /// Returns the hash of the root, which sums up all entries.
     pub fn root(&self) -> u64 {
         self.hash(Node::ROOT)
     }
--- a/src/fleet/config/message.rs
+++ b/src/fleet/config/message.rs
@@ -1,4 +1,4 @@
-//! The messages that proxies exchange about the replicated configuration. The encoding depends on the order of variants
+//! The messages that proxies exchange about the replicated configuration. Their encoding depends on the order of the variants
 //! and fields, which must not change.
 
 use super::change::Change;
@@ -10,121 +10,121 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A change that a voter accepted and does not know to be committed.
+/// A change that a voter accepted and that it doesn't know to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The token that it was accepted under.
+    /// The token under which the change was accepted.
     pub token: Token,
     /// The change.
     pub change: Change,
 }
 
-/// The messages of Paxos between the leader and the voters, and among voters. The leader's token is the ballot; rounds and
-/// nonces tie a reply to its request.
+/// The Paxos messages between the leader and the voters, and among voters. The leader's fencing token is the ballot. Rounds
+/// and nonces match a reply to its request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PaxosMessage {
-    /// Leader to voter: promise to accept nothing under a lower token, and tell what you accepted.
+    /// Leader to voter: asks for a promise to accept nothing under a lower token, and for the change that it accepted.
     Prepare {
         /// The leader's token.
         token: Token,
-        /// Which of the leader's rounds.
+        /// The number of the leader's round.
         round: u32,
     },
-    /// Voter to leader: promised.
+    /// Voter to leader: promises to accept nothing under a lower token.
     Promise {
-        /// The token that it promised.
+        /// The promised token.
         token: Token,
-        /// The round that it answers.
+        /// The round of the request.
         round: u32,
         /// The version of the voter's table.
         version: u64,
-        /// The change that it accepted after that version.
+        /// The change that the voter accepted after that version.
         accepted: Option<AcceptedChange>,
-        /// New versions have to be above this: lower ones may have been used and forgotten.
+        /// New versions have to be above this one, as lower ones may have been used by changes that the voter lost.
         version_floor: u64,
     },
-    /// Leader to voter: accept this change.
+    /// Leader to voter: asks to accept a change.
     Accept {
         /// The leader's token.
         token: Token,
-        /// Which of the leader's rounds.
+        /// The number of the leader's round.
         round: u32,
-        /// The change.
+        /// The change to accept.
         change: Change,
     },
-    /// Voter to leader: accepted.
+    /// Voter to leader: accepted the change.
     Accepted {
-        /// The token that it was accepted under.
+        /// The token under which the change was accepted.
         token: Token,
-        /// The round that it answers.
+        /// The round of the request.
         round: u32,
     },
-    /// Voter to leader: not accepted, as this voter's table lacks earlier changes.
+    /// Voter to leader: did not accept the change, because the voter's table lacks earlier changes.
     Behind {
-        /// The token of the change.
+        /// The token of the request.
         token: Token,
-        /// The round that it answers.
+        /// The round of the request.
         round: u32,
         /// The version of the voter's table.
         version: u64,
     },
-    /// Voter to leader: rejected, as it promised a higher token.
+    /// Voter to leader: rejects the request, because the voter promised a higher token.
     Nack {
-        /// The token that it rejects.
+        /// The rejected token.
         token: Token,
-        /// The highest that it promised.
+        /// The highest promised token.
         highest: Token,
     },
-    /// A voter that restarted to the other voters: tell me your state.
+    /// Restarted voter to the other voters: requests their states.
     Recover {
-        /// Identifies this request.
+        /// Identifies the request.
         nonce: u64,
     },
-    /// Another voter's reply to [`PaxosMessage::Recover`].
+    /// Voter to restarted voter: the reply to [`PaxosMessage::Recover`].
     RecoverReply {
-        /// The request's.
+        /// The nonce of the request.
         nonce: u64,
         /// The replying voter's state.
         state: AcceptorState,
-        /// Whether that voter has voted without interruption, and is not itself recovering.
+        /// Whether the replying voter is voting, and not itself recovering.
         is_complete: bool,
     },
 }
 
-/// What a voter must not forget.
+/// The state that a voter has to keep, or recover after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptorState {
-    /// The highest token that it promised.
+    /// The highest promised token.
     pub promised: Token,
-    /// The version of its table.
+    /// The version of the voter's table.
     pub version: u64,
-    /// The change that it accepted after that version.
+    /// The change that the voter accepted after that version.
     pub accepted: Option<AcceptedChange>,
-    /// New versions have to be above this.
+    /// New versions have to be above this one.
     pub version_floor: u64,
 }
 
 /// A message about the replicated configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// About the change that is to be committed.
+    /// Consensus on the next change.
     Paxos(PaxosMessage),
-    /// Committed changes in order.
+    /// Committed changes, in order.
     Changes {
         /// The changes.
         changes: Vec<Change>,
         /// The version of the sender's table.
         version: u64,
-        /// Whether they are new to the sender as well, and so are to be passed on.
+        /// Whether the changes were new to the sender as well, so the receiver has to forward them.
         push: bool,
     },
-    /// The state of the sender's table.
+    /// The digest of the sender's table.
     Digest {
-        /// Its version and root.
+        /// The version and the root hash.
         digest: Digest,
-        /// The sender has just started and may lack anything.
+        /// Whether the sender has just started and may lack any number of changes.
         is_new: bool,
-        /// The receiver is to reply with its own digest, also where it is equal.
+        /// Whether the receiver has to reply with its own digest, even if it is equal.
         wants_reply: bool,
     },
     /// A request for the changes after the sender's version.
@@ -134,45 +134,45 @@
     },
     /// A request for the hashes of a node's children.
     CompareNode {
-        /// The node.
+        /// The node to compare.
         node: Node,
     },
-    /// The reply to [`Message::CompareNode`]; also to [`Message::ChangesSince`] where the log does not reach back so far.
+    /// The reply to [`Message::CompareNode`], and to [`Message::ChangesSince`] if the log does not reach back so far.
     NodeHashes {
-        /// The state of the sender's table.
+        /// The digest of the sender's table.
         digest: Digest,
-        /// The node.
+        /// The compared node.
         node: Node,
-        /// Its children's hashes, in order.
+        /// The hashes of the node's children, in order.
         hashes: Vec<u64>,
     },
     /// A request for the entries of a range.
     FetchRange {
-        /// The range.
+        /// The requested range.
         range: PositionRange,
     },
-    /// The reply to [`Message::FetchRange`]: all entries of a range, which ends early where one message is full.
+    /// The reply to [`Message::FetchRange`]: all entries of a range, which ends early if the message is full.
     RangeEntries {
-        /// The state of the sender's table.
+        /// The digest of the sender's table.
         digest: Digest,
-        /// The range, which may be shorter than the requested one.
+        /// The covered range, which may be shorter than the requested one.
         range: PositionRange,
-        /// The entries.
+        /// All entries in the range.
         entries: Vec<Entry>,
     },
-    /// An operator's change, to the leader.
+    /// A proxy to the leader: submits an operator's change.
     Submit(Submission),
     /// The leader's reply to [`Message::Submit`].
     Outcome {
-        /// The submission's.
+        /// The id of the submission.
         id: u64,
-        /// The change's version, or why it is rejected.
+        /// The version of the change, or why the submission was rejected.
         result: Result<u64, SubmitError>,
     },
 }
 
 impl Message {
-    /// The tokens in it.
+    /// Returns all fencing tokens in the message.
     pub fn tokens(&self) -> Vec<Token> {
         let Message::Paxos(message) = self else {
             return Vec::new();
@@ -193,10 +193,10 @@
         }
     }
 
-    /// Checks what the state machines rely on. Changes and entries are checked where they are applied.
+    /// Checks that nodes, hashes and ranges are valid. Changes and entries are checked where they are applied.
     ///
     /// # Errors
-    /// A node or a range that does not exist.
+    /// The message has an invalid node or range, or too many hashes.
     pub(super) fn check(&self) -> Result<(), MessageError> {
         let valid = match self {
             Message::CompareNode { node } => node.is_valid(),
@@ -221,14 +221,14 @@
     tokens
 }
 
-/// A message on its way to another proxy.
+/// A message to send to another proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The receiver.
+    /// The receiver's address.
     pub to: SocketAddr,
-    /// The message.
+    /// The message to send.
     pub message: Message,
 }
 
-/// The messages that a step of a replica sends, in order.
+/// The messages that a call of the replica wants sent, in order.
 pub type Outbox = Vec<Outgoing>;
--- a/src/fleet/config/mod.rs
+++ b/src/fleet/config/mod.rs
@@ -1,10 +1,11 @@
-//! The fleet's replicated configuration: what operators changed since the platform's file, as one chain of changes that
-//! every proxy applies. State machines without clock, network or threads.
+//! The fleet's replicated configuration: the operators' changes on top of the platform's configuration file, as one chain of
+//! changes that every proxy applies.
 //!
-//! Use a [`Replica`] at each proxy; it holds the [`Table`] and is driven by ticks and messages. The leader, who holds the
-//! configuration's lease, [proposes](Proposer) changes to the voters, which [accept](Acceptor) them: it is Multi-Paxos with
-//! the lease's token as the ballot and one slot open at a time. Committed changes spread by gossip, and a replica that
-//! missed some catches up from another one's log or by anti-entropy over a Merkle tree.
+//! Run one [`Replica`] on each proxy. It holds the [`Table`], and the host drives it with ticks and received messages; it has
+//! no clock, network or threads. The leader is the proxy that holds the configuration's lease. It [proposes](Proposer)
+//! changes to the voters, which [accept](Acceptor) them. The protocol is Multi-Paxos with the lease's token as the ballot and
+//! one open slot at a time. Committed changes spread by gossip. A replica that missed changes catches up from another
+//! replica's log, or by anti-entropy over a Merkle tree.
 //!
 //! ```
 //! use meadowproxy::fleet::config::{ApplyOutcome, Change, Edit, Key, Kind, Table, Value};
@@ -17,19 +18,19 @@
 //! assert_eq!(table.apply(&change), Ok(ApplyOutcome::AlreadyApplied));
 //! ```
 //!
-//! The modules use each other in one direction, from the top of this list to its end:
+//! A module depends only on modules in the same row or further down in this table:
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `replica` | one proxy's part: drives all below |
-//! | `gossip`, `catch_up`, `catch_up_source`, `submit` | one mechanism each: spreading, catching up, serving, queueing |
-//! | `applied_changes`, `answered_submissions` | which submissions became changes lately, and what the others were told |
-//! | `acceptor`, `proposer` | the two roles of Paxos |
-//! | `overrides` | the table's entries over the platform's file |
-//! | `staged_table`, `table`, `early_changes` | the state, its fetched successor, and what came too early |
-//! | `message`, `batch`, `peers` | messages, their size, and who gets them |
-//! | `submission`, `change`, `error` | changes on their way and in the log, and why they are rejected |
-//! | `entry`, `merkle`, `limits` | plain data and bounds |
+//! | `replica` | one proxy's replica, which drives all modules below |
+//! | `applied_changes`, `answered_submissions` | detecting duplicates of submissions that became changes, and of those that did not |
+//! | `gossip`, `catch_up`, `catch_up_source`, `submit` | spreading changes, catching up, serving replicas that catch up, queueing submissions |
+//! | `acceptor`, `proposer` | the two Paxos roles |
+//! | `overrides` | the table's entries that override the platform's file |
+//! | `staged_table`, `table`, `early_changes` | a table that is being fetched, the table in use, and changes that arrived out of order |
+//! | `message`, `batch`, `peers` | messages, splitting them by size, and selecting their receivers |
+//! | `submission`, `change`, `error` | submitted changes, log entries, and errors |
+//! | `entry`, `merkle`, `limits` | entries, the Merkle tree, and limits |
 
 mod acceptor;
 mod answered_submissions;
--- a/src/fleet/config/overrides.rs
+++ b/src/fleet/config/overrides.rs
@@ -1,88 +1,88 @@
-//! Which entries of the table are in force over the platform's file at this proxy: those later than the changes that the
-//! file says it contains.
+//! Determines which entries of the replicated table override the platform's configuration file on this proxy. Use it when
+//! the table changes and when a file is loaded.
 //!
-//! A file that contains the changes up to a version is the table at that version, so what is in force is the file with all
-//! later entries over it, whichever files the proxies have. The fleet's table drops entries only by a change of its own
-//! ([`Key::compaction`]), which all replicas apply at one version; a proxy whose file is older than that keeps those it has.
+//! A file states the version up to which it contains the fleet's changes. The entries with a later version override it, so
+//! all proxies have the same configuration even if their files differ. Only a change ([`Key::compaction`]) drops entries from
+//! the fleet's table, at the same version on all replicas. A proxy whose file is older than that keeps the dropped entries
+//! here.
 
 use super::entry::{Edit, Entry, Key, Kind, Value};
 use imbl::OrdMap;
 use std::ops::Bound;
 use thiserror::Error;
 
-/// Entries that one step of the clean-up looks at, so that no request waits for a pass over all of them.
+/// The number of entries that one step of the clean-up visits. Visiting all at once would delay requests.
 const CLEAN_UP_BATCH: usize = 256;
 
-/// Why a file cannot be used: the version that it says it contains is not possible here. The texts are the operator's
-/// answer.
+/// Why a file cannot be used with its stated version. The operator gets the text as the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FileError {
-    /// It says that it contains changes that the fleet does not have.
-    #[error("version: {version} is above {newest}, the newest that was heard of here")]
+    /// The file claims to contain changes that the fleet does not have.
+    #[error("version: {version} is above {newest}, the newest configuration version known to this proxy")]
     Ahead {
         /// The file's version.
         version: u64,
-        /// The newest version that is known here.
+        /// The newest version known to this proxy.
         newest: u64,
     },
-    /// It lacks changes that the fleet's table has dropped.
+    /// The file lacks changes that were compacted out of the fleet's table.
     #[error(
-        "version: expected at least {compacted}, as older changes are only in files here, got {version}"
+        "version: expected at least {compacted}, got {version}: earlier changes were compacted and are only in newer files"
     )]
     TooOld {
         /// The file's version, 0 for none.
         version: u64,
-        /// Changes up to this version are only in files.
+        /// The version up to which changes are only in files.
         compacted: u64,
     },
 }
 
-/// The file in force is ahead of the fleet, and counts as one that contains no change.
+/// The error of a file in force that is ahead of the fleet, and is treated as a file without changes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{error}")]
 pub struct FileAhead {
-    /// What is wrong with it.
+    /// The file's version and the fleet's.
     #[source]
     pub error: FileError,
-    /// All entries, which are to be put in force over it.
+    /// All entries of the table, which have to override the file.
     pub edits: Vec<Edit>,
 }
 
-/// The version that the file in force says it contains.
+/// The version up to which the file in force claims to contain the fleet's changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum FileVersion {
-    /// Not compared with the fleet's version yet.
+    /// The version has not been compared with the fleet's version yet.
     Unconfirmed(u64),
-    /// Not above the fleet's version, 0 for a file without changes.
+    /// The version is not above the fleet's version; 0 for a file without changes.
     Confirmed(u64),
 }
 
-/// An entry's value and the version that set it.
+/// An entry's value and the version of the change that set it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Override {
     value: Value,
     version: u64,
 }
 
-/// A proxy's entries over its file. A clone shares all entries.
+/// The entries that may override this proxy's file. Cloning is cheap, because clones share the entries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Overrides {
     entries: OrdMap<Key, Override>,
-    /// The version of the table that they come from.
+    /// The version of the table that the entries come from.
     table_version: u64,
-    /// The fleet's table has dropped the entries up to this version.
+    /// The version up to which the fleet's table was compacted.
     compacted_version: u64,
-    /// Some entries up to this version are not here either: a file has to contain them.
+    /// The version up to which entries may be missing here as well, so that a file has to contain them.
     dropped_version: u64,
     file: FileVersion,
-    /// Entries up to this version are cleaned up.
+    /// The version up to which the clean-up is complete.
     cleaned_version: u64,
-    /// The last key that an unfinished clean-up looked at.
+    /// The last key that an unfinished clean-up visited.
     clean_up_cursor: Option<Key>,
 }
 
 impl Overrides {
-    /// No entries, over a file that says it contains the changes up to `file_version`, 0 for none.
+    /// Creates overrides without entries, for a file that claims to contain the changes up to `file_version`, 0 for none.
     pub fn new(file_version: u64) -> Overrides {
         Overrides {
             entries: OrdMap::new(),
@@ -95,34 +95,34 @@
         }
     }
 
-    /// The version up to which the file contains all changes.
+    /// Returns the version up to which the file in force contains all changes.
     pub fn file_version(&self) -> u64 {
         match self.file {
             FileVersion::Unconfirmed(version) | FileVersion::Confirmed(version) => version,
         }
     }
 
-    /// The version that a file has to contain at least, where the one in force does not: some changes are missing here, and
-    /// the entries over the file would be no state that the fleet ever had.
+    /// Returns the version that a file has to contain at least, if the file in force does not: some changes are missing here,
+    /// and the file with the remaining entries would be a configuration that the fleet never had.
     pub fn required_file_version(&self) -> Option<u64> {
         (self.dropped_version > self.file_version()).then_some(self.dropped_version)
     }
 
-    /// Whether this entry was changed for the fleet and not reverted, as far as is known here.
+    /// Returns whether the entry was changed for the fleet and not reverted, as far as this proxy knows.
     pub fn is_changed(&self, key: &Key) -> bool {
         self.entries
             .get(key)
             .is_some_and(|entry| entry.value != Value::AsFile)
     }
 
-    /// Whether this entry is later than the file in force.
+    /// Returns whether the entry has a later version than the file in force.
     pub fn overrides_file(&self, key: &Key) -> bool {
         self.entries
             .get(key)
             .is_some_and(|entry| entry.version > self.file_version())
     }
 
-    /// The entries that are in force over a file that contains the changes up to `file_version`.
+    /// Returns the entries that override a file that contains the changes up to `file_version`.
     pub fn entries_over(&self, file_version: u64) -> Vec<Edit> {
         self.entries
             .iter()
@@ -134,7 +134,7 @@
             .collect()
     }
 
-    /// Applies entries that changed together; the table is at `version` now. Returns those that go over the file.
+    /// Applies the entries that changed when the table went to `version`. Returns those that override the file.
     pub fn apply(&mut self, version: u64, entries: Vec<Entry>) -> Vec<Edit> {
         let previous_version = self.table_version;
         self.table_version = version;
@@ -152,32 +152,32 @@
             self.entries.insert(edit.key, Override { value, version });
         }
         if previous_version < self.compacted_version {
-            // A table that came in one step does not have the compacted entries.
+            // The table was replaced in one step, without the entries that had been compacted.
             self.dropped_version = self.dropped_version.max(self.compacted_version);
         }
         self.clean_up();
         over_file
     }
 
-    /// Checks whether a file that contains the changes up to `version` can be used; `newest`: the fleet's newest version,
-    /// `None` while it is not known.
+    /// Checks whether a file that contains the changes up to `version` can be used. `newest` is the fleet's newest version, or
+    /// `None` while it is unknown.
     ///
     /// # Errors
-    /// It is ahead of the fleet, or lacks changes that are only in files by now.
+    /// The file is ahead of the fleet, or lacks changes that were compacted.
     pub fn check_file(&self, version: u64, newest: Option<u64>) -> Result<(), FileError> {
         if let Some(newest) = newest.filter(|newest| version > *newest) {
             return Err(FileError::Ahead { version, newest });
         }
-        let compacted = self.least_file_version();
+        let compacted = self.min_file_version();
         if version < compacted {
             return Err(FileError::TooOld { version, compacted });
         }
         Ok(())
     }
 
-    /// The version that a file has to contain so that this proxy misses nothing: a table that is behind its file has those
-    /// changes from there.
-    fn least_file_version(&self) -> u64 {
+    /// Returns the version that a new file has to contain at least, so that no change gets lost on this proxy. If the table is
+    /// behind the current file, the changes in between are only in the file.
+    fn min_file_version(&self) -> u64 {
         match self.file {
             FileVersion::Confirmed(version) if version > self.table_version => {
                 version.max(self.dropped_version)
@@ -186,7 +186,7 @@
         }
     }
 
-    /// A file that [`check_file`](Overrides::check_file) accepted is in force.
+    /// Puts a file in force that [`check_file`](Overrides::check_file) accepted.
     pub fn set_file(&mut self, version: u64, newest: Option<u64>) {
         self.file = match newest {
             None => FileVersion::Unconfirmed(version),
@@ -195,10 +195,10 @@
         self.clean_up();
     }
 
-    /// The fleet's newest version became known after the start: compares the file in force with it.
+    /// Compares the file in force with the fleet's newest version, once that became known after the start.
     ///
     /// # Errors
-    /// The file is ahead: from now on it counts as one that contains no change.
+    /// The file is ahead of the fleet. From now on it is treated as a file without changes.
     pub fn confirm_file(&mut self, newest: u64) -> Result<(), FileAhead> {
         let FileVersion::Unconfirmed(version) = self.file else {
             return Ok(());
@@ -215,7 +215,7 @@
         })
     }
 
-    /// Removes entries that the table has dropped and the file contains, a batch at a time: they are not in force anyway.
+    /// Removes entries that were compacted and that the file contains, one batch per call. They don't override the file.
     fn clean_up(&mut self) {
         let FileVersion::Confirmed(file_version) = self.file else {
             return;
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer of Paxos: the leader prepares with a majority of the voters, finishes the change that an earlier leader
-//! left, and then proposes one change after the other.
+//! The Paxos proposer: the leader prepares with a majority of the voters, completes a change that an earlier leader left
+//! uncommitted, and then proposes one change at a time.
 
 use super::change::Change;
 use super::entry::Edit;
@@ -14,74 +14,74 @@
 struct Promise {
     /// The version of the voter's table.
     version: u64,
-    /// The change that it accepted after that version.
+    /// The change that the voter accepted after that version.
     accepted: Option<AcceptedChange>,
-    /// New versions have to be above this.
+    /// New versions have to be above this one.
     version_floor: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It waits for promises; those that came, by voter.
+    /// The proposer waits for promises. Those received so far, by the voter's index.
     Preparing { promises: BTreeMap<usize, Promise> },
-    /// Its table is catching up to that version; the accepted change that follows it.
+    /// The proxy's table is catching up to `version`. `pending` is the accepted change that follows it, to be completed.
     CatchingUp {
         version: u64,
         pending: Option<Change>,
     },
     /// A change may be proposed.
     Ready,
-    /// A change is proposed; the voters that accepted it, a bit each.
+    /// A change is proposed. `votes` has one bit per voter that accepted it.
     Proposing { change: Change, votes: u8 },
 }
 
-/// The content of a change that is to be proposed.
+/// The content of a change to propose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
     /// The submission's id.
     pub id: u64,
-    /// What it sets.
+    /// The entries that the change sets.
     pub edits: Vec<Edit>,
 }
 
-/// What a voter's reply led to.
+/// What the leader has to do after a voter's reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// Nothing yet.
+    /// Nothing, except to wait for more replies.
     Wait,
-    /// A majority accepted the change.
+    /// Apply the change, which a majority accepted.
     Committed(Change),
-    /// The voter's table lacks changes.
+    /// Send the voter the changes that its table lacks.
     VoterBehind {
         /// The version of the voter's table.
         version: u64,
-        /// The request to send once more, after the changes that it lacks.
+        /// The request to send again after those changes.
         retry: PaxosMessage,
     },
-    /// Another leader has this higher token, or will.
+    /// Stop, because a voter promised this higher token.
     Superseded(Token),
 }
 
-/// What a proxy does while it is the leader.
+/// The proposer of a proxy that is the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     rules: Rules,
     token: Token,
     round: u32,
-    /// When the round began.
-    sent: Time,
+    /// When the current round's requests were sent.
+    round_sent_at: Time,
     version_floor: u64,
     phase: Phase,
 }
 
 impl Proposer {
-    /// A new leader under that token. Its first tick sends the first round.
+    /// Creates the proposer of a new leader under that token. The first tick sends the first round.
     pub fn new(rules: Rules, token: Token) -> Proposer {
         Proposer {
             rules,
             token,
             round: 0,
-            sent: Time(0),
+            round_sent_at: Time(0),
             version_floor: 0,
             phase: Phase::Preparing {
                 promises: BTreeMap::new(),
@@ -89,17 +89,17 @@
         }
     }
 
-    /// The token that it proposes under.
+    /// Returns the token under which it proposes.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// Whether a change may be proposed now.
+    /// Returns whether a change may be proposed now.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// The change that waits for a majority.
+    /// Returns the proposed change that is waiting for a majority.
     pub fn proposed(&self) -> Option<&Change> {
         match &self.phase {
             Phase::Proposing { change, .. } => Some(change),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The version that its table has to catch up to first.
+    /// Returns the version that the proxy's table has to catch up to before a change may be proposed.
     pub fn catch_up_target(&self) -> Option<u64> {
         match self.phase {
             Phase::CatchingUp { version, .. } => Some(version),
@@ -115,21 +115,22 @@
         }
     }
 
-    /// Lets time pass: begins a new round where no majority replied to the last one in time. `version`: of this proxy's
-    /// table. What is put into `out` goes to every voter. Call it only while the lease is valid by the clock.
+    /// Starts a new round if no majority replied to the last one in time. `version` is the version of this proxy's table. The
+    /// messages in `out` go to every voter. Call it only while the lease is valid.
     pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<PaxosMessage>) {
         self.advance(now, version, out);
         let waiting = matches!(
             self.phase,
             Phase::Preparing { .. } | Phase::Proposing { .. }
         );
-        if waiting && (self.round == 0 || now - self.sent >= self.rules.election_timeout()) {
+        if waiting && (self.round == 0 || now - self.round_sent_at >= self.rules.election_timeout())
+        {
             self.send_round(now, out);
         }
     }
 
-    /// Proposes a change after this table's version; returns the new version, or none while it is not
-    /// [ready](Proposer::is_ready). `wall_ms`: the wall clock in milliseconds since 1970.
+    /// Proposes a change that follows `version`, the version of this proxy's table. Returns the change's version, or `None` if
+    /// the proposer is not [ready](Proposer::is_ready). `wall_ms` is the wall clock in milliseconds since 1970.
     pub fn propose(
         &mut self,
         now: Time,
@@ -155,7 +156,8 @@
         Some(new_version)
     }
 
-    /// Handles a voter's reply; `voter` is its index, from 0. A reply counts for the current round, and only in its time.
+    /// Handles the reply of the voter with the index `voter`, from 0. A reply counts only for the current round, and only
+    /// within the election timeout from its start.
     pub fn handle(
         &mut self,
         now: Time,
@@ -166,7 +168,7 @@
     ) -> ReplyOutcome {
         self.advance(now, version, out);
         let in_time =
-            voter < self.rules.voters() && now - self.sent < self.rules.election_timeout();
+            voter < self.rules.voters() && now - self.round_sent_at < self.rules.election_timeout();
         let own_token = self.token;
         let own_round = self.round;
         let counts = |token: Token, round: u32| in_time && token == own_token && round == own_round;
@@ -205,8 +207,8 @@
         self.rules.voters() / 2 + 1
     }
 
-    /// The version of the next change. Voters that recovered later than those that promised have higher floors, and these
-    /// are not above the clock.
+    /// Returns the version of the next change. Voters that recover after the promises may have higher version floors, but not
+    /// above the wall clock, so the version is raised above the clock if the floor of the promises is above the table's version.
     fn next_version(&self, wall_ms: u64, version: u64) -> u64 {
         let voters_recovered = self.version_floor > version && wall_ms < VERSION_LIMIT / 2;
         let floor = if voters_recovered {
@@ -217,10 +219,10 @@
         version.max(floor).saturating_add(1)
     }
 
-    /// Begins a new round: replies to earlier ones count no more.
+    /// Starts a new round. Replies to earlier rounds no longer count.
     fn send_round(&mut self, now: Time, out: &mut Vec<PaxosMessage>) {
         self.round = self.round.saturating_add(1);
-        self.sent = now;
+        self.round_sent_at = now;
         match &mut self.phase {
             Phase::Preparing { promises } => {
                 promises.clear();
@@ -262,8 +264,8 @@
         self.version_floor = floors.max().unwrap_or_default();
         let versions = promises.values().map(|promise| promise.version);
         let highest = versions.max().unwrap_or_default();
-        // Of the accepted changes the one with the highest token counts: had another been committed, that leader would have
-        // proposed it.
+        // The accepted change with the highest token wins: if another one had been committed, that token's leader would have
+        // proposed it again.
         let pending = promises
             .into_values()
             .filter_map(|promise| promise.accepted)
@@ -276,7 +278,8 @@
         self.advance(now, version, out);
     }
 
-    /// A change that only a minority remembers since the others recovered gets a new version.
+    /// Gives the change a new version if its own is not above the version floor. In that case only a minority still has it,
+    /// because the other voters lost it in a restart.
     fn above_floor(&self, change: Change) -> Change {
         Change {
             version: change.version.max(self.version_floor.saturating_add(1)),
@@ -284,8 +287,8 @@
         }
     }
 
-    /// Goes on once this proxy's table has caught up, and gives up a proposal that the table is past: an earlier leader's
-    /// change was committed there, or this one was.
+    /// Continues once this proxy's table has caught up. Ends a proposal once the table is past its previous version, as this
+    /// change or an earlier leader's was committed in its place.
     fn advance(&mut self, now: Time, version: u64, out: &mut Vec<PaxosMessage>) {
         if self
             .proposed()
--- a/src/fleet/config/replica.rs
+++ b/src/fleet/config/replica.rs
@@ -1,9 +1,9 @@
-//! One proxy's part in the replicated configuration: its table, the roles of a voter and of the leader, and the mechanisms
-//! that keep all replicas equal. Create one at the start, call [`Replica::tick`] about every tenth of a second and
-//! [`Replica::handle`] for each message, send what they put out, and carry out [`Replica::take_events`].
+//! One proxy's replica of the configuration: its table, its roles as a voter and as the leader, and the mechanisms that keep
+//! all replicas equal. Create one at the start of the proxy. Call [`Replica::tick`] about every tenth of a second and
+//! [`Replica::handle`] for each message, send the messages that they return, and process [`Replica::take_events`].
 //!
-//! The submodules have one mechanism each: `consensus` drives Paxos, `spreading` applies, passes on and exchanges committed
-//! changes, `submissions` takes operators' changes to the leader.
+//! Each submodule implements one mechanism: `consensus` drives Paxos, `spreading` applies, forwards and exchanges committed
+//! changes, and `submissions` forwards operators' changes to the leader.
 
 mod consensus;
 mod spreading;
@@ -17,7 +17,7 @@
 use super::early_changes::EarlyChanges;
 use super::entry::Entry;
 use super::error::{MessageError, TableError};
-use super::gossip::{DigestSchedule, Repeats};
+use super::gossip::{DigestSchedule, Retransmissions};
 use super::limits::VERSION_LIMIT;
 use super::merkle::PositionRange;
 use super::message::{Message, Outbox};
@@ -33,14 +33,14 @@
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
 
-/// What all proxies agree on, and which one this is.
+/// The parameters that all proxies share, and the address of this proxy.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The leases': terms and the number of voters.
+    /// The rules of the leases: the term and the number of voters.
     pub lease: lease::Rules,
-    /// The voters, as many as the leases' rules say.
+    /// The addresses of the voters, as many as the lease rules say.
     pub voters: Vec<SocketAddr>,
-    /// This proxy.
+    /// The address of this proxy.
     pub own: SocketAddr,
 }
 
@@ -55,26 +55,26 @@
     }
 }
 
-/// What the host has to carry out.
+/// An event that the host has to process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The table is at another version.
+    /// The table went to another version.
     TableChanged {
-        /// The version.
+        /// The table's version.
         version: u64,
         /// The entries that changed together.
         entries: Vec<Entry>,
     },
-    /// What became of a submission of this proxy.
+    /// The outcome of a submission of this proxy is known.
     Outcome {
         /// The submission's id.
         id: u64,
-        /// The change's version, or why it is rejected.
+        /// The version of the change, or why the submission was rejected.
         result: Result<u64, SubmitError>,
     },
-    /// Another proxy is the leader under a higher token, which the lease has to learn.
+    /// A higher token was seen, and this proxy stopped leading. The host has to report the token to the lease's candidate.
     Superseded(Token),
-    /// Another replica has other content at the same version, which must not be.
+    /// The replica at this address has different content at the same version, which must never happen.
     Diverged(SocketAddr),
 }
 
@@ -84,11 +84,11 @@
     rules: Rules,
     table: Table,
     applied: AppliedChanges,
-    /// The role of a voter, where this proxy is one.
+    /// The voter role, if this proxy is a voter.
     acceptor: Option<Acceptor>,
-    /// The role of the leader, while this proxy is it.
+    /// The leader role, while this proxy is the leader.
     proposer: Option<Proposer>,
-    /// The last token that it proposed under, which is never used again.
+    /// The last token under which this proxy proposed. It is never used for another proposer.
     last_token: Token,
     queue: SubmissionQueue,
     answered: AnsweredSubmissions,
@@ -96,17 +96,17 @@
     early_changes: EarlyChanges,
     catch_up: CatchUp,
     catch_up_source: CatchUpSource,
-    repeats: Repeats,
+    retransmissions: Retransmissions,
     digests: DigestSchedule,
     newest_version: u64,
-    /// It has just started, and no other replica confirmed yet that it is up to date.
+    /// Whether the replica has just started, and no other one has confirmed that it is up to date.
     is_new: bool,
     peers: PeerSampler,
     events: Vec<Event>,
 }
 
 impl Replica {
-    /// A replica with an empty table. `seed` is drawn at random by the host at each start.
+    /// Creates a replica with an empty table. The host draws `seed` at random at each start.
     pub fn new(rules: Rules, seed: u64, now: Time) -> Replica {
         let mut random = Pcg32::seed_from_u64(seed);
         let acceptor = rules
@@ -125,7 +125,7 @@
             early_changes: EarlyChanges::default(),
             catch_up: CatchUp::default(),
             catch_up_source: CatchUpSource::new(now),
-            repeats: Repeats::default(),
+            retransmissions: Retransmissions::default(),
             digests: DigestSchedule::new(now),
             newest_version: 0,
             is_new: true,
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Starts from the snapshot that an earlier process of this proxy wrote, unless the table is later by now: it never goes
-    /// back. The promises of a voter are not in a snapshot, as it may be older than them.
+    /// Installs the table from the snapshot that an earlier process of this proxy wrote, unless the current table has the same
+    /// or a later version. A snapshot doesn't contain a voter's promises, because it may be older than they are.
     pub fn restore(&mut self, table: Table) {
         if self.table.version() < table.version() {
             let entries = table
@@ -148,32 +148,33 @@
         }
     }
 
-    /// The table.
+    /// Returns the table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// The highest version that this replica knows of: above its table's while it is behind.
+    /// Returns the highest version that this replica knows of, which is above its table's version while it is behind.
     pub fn newest_version(&self) -> u64 {
         self.newest_version.max(self.table.version())
     }
 
-    /// Whether no other replica has confirmed yet, since the start, that this one is up to date.
+    /// Returns whether no other replica has confirmed since the start that this one is up to date.
     pub fn is_new(&self) -> bool {
         self.is_new
     }
 
-    /// Takes part though no other replica confirmed that this one is up to date: there is none, or none answered for long.
+    /// Treats this replica as up to date without confirmation, for a host that found no other replica or got no reply for
+    /// long.
     pub fn assume_up_to_date(&mut self) {
         self.is_new = false;
     }
 
-    /// Whether it is a voter that votes; `None` where it is no voter.
+    /// Returns whether this proxy votes, or `None` if it is not a voter.
     pub fn is_voting(&self) -> Option<bool> {
         self.acceptor.as_ref().map(Acceptor::is_voting)
     }
 
-    /// The voters whose reply a recovering voter waits for.
+    /// Returns the voters that have not replied to this proxy's recovery request.
     pub fn unanswered_voters(&self) -> Vec<SocketAddr> {
         let unanswered = self.acceptor.as_ref().map(Acceptor::unanswered_voters);
         unanswered
@@ -183,7 +184,7 @@
             .collect()
     }
 
-    /// The version of the change that this proxy, as the leader, waits for a majority with.
+    /// Returns the version of the change that this proxy, as the leader, has proposed and that has no majority yet.
     pub fn proposed_version(&self) -> Option<u64> {
         self.proposer
             .as_ref()
@@ -191,28 +192,29 @@
             .map(|change| change.version)
     }
 
-    /// The version of the change that this proxy, as a voter, accepted and does not know to be committed.
+    /// Returns the version of the change that this proxy, as a voter, accepted and that it doesn't know to be committed.
     pub fn accepted_version(&self) -> Option<u64> {
         self.acceptor.as_ref().and_then(Acceptor::accepted_version)
     }
 
-    /// Whether this replica fetches the table by ranges.
+    /// Returns whether this replica is fetching a table by ranges.
     pub fn is_fetching(&self) -> bool {
         self.catch_up.is_fetching()
     }
 
-    /// What happened since the last call, in order.
+    /// Returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Lets time pass. Call it every tenth of a second or more often, and when this proxy gains or loses the lease.
+    /// Processes everything that is due at `now`. Call it every tenth of a second or more often, and when this proxy gains or
+    /// loses the lease.
     pub fn tick(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         self.applied.set_time(now);
         self.recover_voter(now, context, out);
-        self.lead(now, context, out);
+        self.update_leadership(now, context, out);
         self.resend_submissions(now, context, out);
-        self.repeat_changes(now, context, out);
+        self.retransmit_changes(now, context, out);
         self.send_digest(now, context, out);
         self.retry_catch_up(now, context, out);
     }
@@ -220,7 +222,7 @@
     /// Handles another proxy's message.
     ///
     /// # Errors
-    /// Why it is rejected; it changed nothing.
+    /// The message is rejected, and the replica is unchanged.
     pub fn handle(
         &mut self,
         now: Time,
@@ -246,7 +248,7 @@
             } => {
                 check_version(version)?;
                 self.newest_version = self.newest_version.max(version);
-                self.apply_and_pass_on(context, changes, push, out)?;
+                self.apply_and_forward(context, changes, push, out)?;
                 self.request_changes(now, from, version, out);
             }
             Message::Digest {
@@ -265,7 +267,7 @@
         Ok(())
     }
 
-    /// Handles the requests and the replies of replicas that catch up.
+    /// Handles the requests of replicas that catch up, and the replies to this replica's requests.
     fn on_catch_up(
         &mut self,
         now: Time,
--- a/src/fleet/config/replica/consensus.rs
+++ b/src/fleet/config/replica/consensus.rs
@@ -1,5 +1,5 @@
-//! Drives Paxos: routes its messages to this proxy's roles, begins and ends the leader's role with the lease, and hands
-//! committed changes on.
+//! Drives Paxos: dispatches its messages to this proxy's roles, starts and ends the leader role with the lease, and spreads
+//! committed changes.
 
 use super::{Event, Replica};
 use crate::fleet::config::acceptor::RecoveryReply;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A request to this proxy as a voter.
+    /// Handles a request to this proxy as a voter.
     fn on_voter_request(
         &mut self,
         from: SocketAddr,
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// A voter's reply to the leader. Requests that follow from it go to all voters.
+    /// Handles a voter's reply to this proxy as the leader. The messages in `requests` go to all voters.
     fn on_voter_reply(
         &mut self,
         now: Time,
@@ -101,7 +101,7 @@
         requests: &mut Vec<PaxosMessage>,
         out: &mut Outbox,
     ) {
-        // A leader that was paused has to look at its lease before it counts anything.
+        // The lease may have ended while the process was paused, so it is checked before a reply counts.
         let Some(proposer) = self
             .proposer
             .as_mut()
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Sends the leader's requests to every voter; where this proxy is one it replies here.
+    /// Sends the leader's requests to every voter. If this proxy is a voter, its own replies are handled at once.
     pub(super) fn send_to_voters(
         &mut self,
         now: Time,
@@ -156,9 +156,9 @@
         }
     }
 
-    /// A majority of the voters accepted a change of this leader.
+    /// Applies and spreads a change of this leader that a majority of the voters accepted, and answers its submitter.
     fn on_committed(&mut self, now: Time, context: &Context, change: &Change, out: &mut Outbox) {
-        if self.apply_or_keep(change) == Ok(ApplyOutcome::Applied) {
+        if self.apply_or_buffer(change) == Ok(ApplyOutcome::Applied) {
             let message = Message::Changes {
                 changes: vec![change.clone()],
                 version: change.version,
@@ -172,14 +172,14 @@
                 &mut self.peers,
                 out,
             );
-            self.repeats.schedule(now, change);
+            self.retransmissions.schedule(now, change);
         }
-        if let Some(submitter) = self.queue.close(change.id) {
+        if let Some(submitter) = self.queue.take_proposed(change.id) {
             self.send_outcome(submitter, change.id, Ok(change.version), out);
         }
     }
 
-    /// A voter that restarted requests the other voters' states.
+    /// Drives the recovery of this proxy as a voter that restarted.
     pub(super) fn recover_voter(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Begins and ends the leader's role with the lease, and goes on with it.
-    pub(super) fn lead(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+    /// Starts or ends the leader role with the lease, and drives it in between.
+    pub(super) fn update_leadership(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         let lease_lost = self
             .proposer
             .as_ref()
--- a/src/fleet/config/replica/spreading.rs
+++ b/src/fleet/config/replica/spreading.rs
@@ -1,5 +1,5 @@
-//! Applies committed changes, passes them on, and keeps the table equal to the other replicas': digests are compared, and
-//! whoever is behind catches up.
+//! Applies committed changes, forwards them to other replicas, and compares digests with other replicas so that the one that
+//! is behind catches up.
 
 use super::{Event, Replica};
 use crate::fleet::config::acceptor::Acceptor;
@@ -16,12 +16,12 @@
 use crate::interface::Time;
 use std::net::SocketAddr;
 
-/// More changes at once than this are a catch-up, and are not passed on.
-const MAX_PASSED_ON: usize = 4;
+/// The most new changes from a catch-up that are forwarded. More than this are too old to be new to other members.
+const MAX_FORWARDED: usize = 4;
 
 impl Replica {
-    /// Applies changes from another replica, and passes on those that were new here too.
-    pub(super) fn apply_and_pass_on(
+    /// Applies changes from another replica and forwards those that were new here.
+    pub(super) fn apply_and_forward(
         &mut self,
         context: &Context,
         changes: Vec<Change>,
@@ -31,24 +31,25 @@
         changes.iter().try_for_each(Change::check)?;
         let mut new = Vec::new();
         for change in changes {
-            if self.apply_or_keep(&change)? == ApplyOutcome::Applied {
+            if self.apply_or_buffer(&change)? == ApplyOutcome::Applied {
                 new.push(change);
             }
         }
-        // What came by a catch-up is new to those that were partitioned with this proxy, unless it is long past.
-        if !new.is_empty() && (push || new.len() <= MAX_PASSED_ON) {
+        // Recent changes from a catch-up may also be new to members that were partitioned together with this proxy.
+        if !new.is_empty() && (push || new.len() <= MAX_FORWARDED) {
             let version = self.table.version();
             gossip::push_changes(&new, version, context, &mut self.peers, out);
         }
         Ok(())
     }
 
-    /// Applies a change if it is the next one, and then those that waited for it; keeps one that is early.
-    pub(super) fn apply_or_keep(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
+    /// Applies a change if it is the next one, and then the buffered changes that follow it. Buffers a change that is early.
+    pub(super) fn apply_or_buffer(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
         let applied = self.apply(change)?;
         match applied {
             ApplyOutcome::Applied => self.apply_early_changes(),
-            // A change that follows an earlier version is of another chain: anti-entropy brings its successors.
+            // A change that follows an earlier version belongs to another chain. If that chain prevails, anti-entropy
+            // fetches it.
             ApplyOutcome::Gap if change.previous > self.table.version() => {
                 self.early_changes.insert(change.clone());
             }
@@ -62,26 +63,26 @@
         if applied == ApplyOutcome::Applied {
             self.applied.record(change.id, change.version);
             self.table_changed(change.version, change.entries());
-            self.on_outcome(change.id, Ok(change.version)); // the leader's own message may be lost
+            self.on_outcome(change.id, Ok(change.version)); // the leader's outcome message may get lost
         }
         Ok(applied)
     }
 
     fn apply_early_changes(&mut self) {
         while let Some(change) = self.early_changes.remove(self.table.version()) {
-            // One that does not apply any more is dropped.
+            // A change that no longer applies is dropped.
             let _ = self.apply(&change);
         }
         self.early_changes.drop_before(self.table.version());
     }
 
-    /// The table went to another version.
+    /// Reports that the table went to another version, and aborts the catch-up.
     pub(super) fn table_changed(&mut self, version: u64, entries: Vec<Entry>) {
         self.events.push(Event::TableChanged { version, entries });
-        self.catch_up.reset(); // a staged table starts from the old one
+        self.catch_up.reset(); // a staged table is based on the previous version
     }
 
-    /// A fetched table was installed.
+    /// Reports a fetched table that was installed, and requests the changes since.
     pub(super) fn on_installed(&mut self, installed: Installed, out: &mut Outbox) {
         let version = installed.version;
         self.applied.forget_ids_up_to(version);
@@ -93,15 +94,15 @@
         });
     }
 
-    /// Sends the changes again that the leader committed lately.
-    pub(super) fn repeat_changes(&mut self, now: Time, context: &Context, out: &mut Outbox) {
-        while let Some(change) = self.repeats.next_due(now) {
+    /// Sends the scheduled retransmissions of changes that this proxy committed as the leader.
+    pub(super) fn retransmit_changes(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+        while let Some(change) = self.retransmissions.next_due(now) {
             let version = self.table.version();
             gossip::push_changes(&[change], version, context, &mut self.peers, out);
         }
     }
 
-    /// Requests what a replica has that is ahead.
+    /// Requests the missing changes from a replica that is ahead.
     pub(super) fn request_changes(
         &mut self,
         now: Time,
@@ -114,9 +115,9 @@
             .request_changes(now, source, their_version, version, out);
     }
 
-    /// Repeats a request of a fetch that has no reply.
+    /// Repeats an overdue request of a fetch.
     pub(super) fn retry_catch_up(&mut self, now: Time, context: &Context, out: &mut Outbox) {
-        if !self.catch_up.is_late(now) {
+        if !self.catch_up.is_overdue(now) {
             return;
         }
         if let Some(source) = self.peers.choose_nearby(context) {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Compares another replica's digest with this table: whoever is behind gets the changes.
+    /// Compares another replica's digest with this table's. Requests changes if this replica is behind, and sends them if the
+    /// other one is.
     pub(super) fn on_digest(
         &mut self,
         now: Time,
@@ -139,7 +141,7 @@
             self.events.push(Event::Diverged(from));
         }
         if !sender_is_new && theirs.version <= own.version {
-            self.is_new = false; // this table has all that a replica has that takes part
+            self.is_new = false; // this table has all changes of a replica that is up to date
         }
         if theirs.version > own.version {
             self.request_changes(now, from, theirs.version, out);
@@ -159,7 +161,7 @@
         out.push(Outgoing { to, message });
     }
 
-    /// Sends the digest to one other proxy, where it is due. A new replica wants a reply.
+    /// Sends the digest to one other proxy if it is due. A new replica requests a reply.
     pub(super) fn send_digest(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         if !self.digests.is_due(now) {
             return;
--- a/src/fleet/config/replica/submissions.rs
+++ b/src/fleet/config/replica/submissions.rs
@@ -1,4 +1,4 @@
-//! Takes operators' changes from the proxy that received them to the leader, and their outcomes back.
+//! Forwards operators' changes from the proxy that received them to the leader, and their outcomes back.
 
 use super::{Event, Replica};
 use crate::fleet::config::applied_changes::SubmissionStatus;
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// Submits an operator's change; its outcome comes as an event.
+    /// Submits an operator's change. Its outcome follows as an [`Event::Outcome`].
     ///
     /// # Errors
-    /// What can be said at once.
+    /// The submission is invalid, too many are waiting, or no leader is known.
     pub fn submit(
         &mut self,
         now: Time,
@@ -35,12 +35,12 @@
         Ok(())
     }
 
-    /// Stops sending a submission to the leader: the operator was answered that its outcome is not known.
+    /// Stops sending a submission to the leader, because the operator was already told that its outcome is unknown.
     pub fn stop_resending(&mut self, id: u64) {
         self.pending.remove(id);
     }
 
-    /// Sends the submissions without an outcome to the leader, and gives up the old ones.
+    /// Sends the submissions without an outcome to the leader, and ends those that timed out.
     pub(super) fn resend_submissions(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         for id in self.pending.remove_expired(now) {
             self.events.push(Event::Outcome {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Queues a submission, if this proxy is the leader; else the submitter sends it to another.
+    /// Queues a submission, or answers it at once if it is a duplicate or the queue is full. Ignores it if this proxy is not
+    /// the leader, as the submitter sends it again.
     pub(super) fn enqueue(
         &mut self,
         now: Time,
@@ -81,7 +82,7 @@
             SubmissionStatus::Applied(version) => {
                 return self.send_outcome(submitter, id, Ok(version), out);
             }
-            SubmissionStatus::Unknown => return, // the submitter sends it again
+            SubmissionStatus::Unknown => return, // the submitter sends the submission again
         }
         let is_proposed = proposer.proposed().is_some_and(|change| change.id == id);
         if is_proposed || self.queue.contains(id) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Proposes the next valid submission, while no change is proposed.
+    /// Proposes the next valid submission, unless a change is already proposed.
     pub(super) fn propose_next(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         while self.proposer.as_ref().is_some_and(Proposer::is_ready) {
             let Some(Queued {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Proposes a submission, or answers one that makes no new change.
+    /// Proposes a submission, or answers it if it leads to no new change.
     fn propose_or_answer(
         &mut self,
         now: Time,
@@ -117,7 +118,7 @@
         out: &mut Outbox,
     ) {
         let id = submission.id;
-        // It may have been committed since it was queued: an earlier leader had proposed it.
+        // An earlier leader may have proposed the submission, and its change been committed since it was queued here.
         match self.applied.status(&submission, self.table.version()) {
             SubmissionStatus::New => {}
             SubmissionStatus::Applied(version) => {
@@ -127,7 +128,7 @@
         }
         match validate(&self.table, &submission) {
             Ok(Validated::Change) => {
-                self.queue.open(submitter, id);
+                self.queue.set_proposed(submitter, id);
                 self.propose(now, context, submission, out);
             }
             Ok(Validated::NoChange) => {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Answers a submission that no change is made from, for good.
+    /// Answers a submission that leads to no change, and records the answer for duplicates.
     fn answer(
         &mut self,
         now: Time,
@@ -163,7 +164,7 @@
         self.send_to_voters(now, context, requests, out);
     }
 
-    /// Answers a submission.
+    /// Sends the outcome of a submission to its submitter.
     pub(super) fn send_outcome(
         &mut self,
         submitter: SocketAddr,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// An outcome came; the first one counts.
+    /// Reports the outcome of a submission of this proxy. Only the first outcome counts.
     pub(super) fn on_outcome(&mut self, id: u64, result: Result<u64, SubmitError>) {
         if self.pending.remove(id) {
             self.events.push(Event::Outcome { id, result });
--- a/src/fleet/config/staged_table.rs
+++ b/src/fleet/config/staged_table.rs
@@ -1,5 +1,5 @@
-//! Another replica's table while it is fetched range by range: what differs from this replica's table, which stays in use
-//! until the staged one is complete.
+//! Stages another replica's table while it is fetched range by range. It holds only the differences from this replica's own
+//! table, which stays in use until the staged one is complete.
 
 use super::change::check_edits;
 use super::entry::Entry;
@@ -9,21 +9,21 @@
 use super::table::Table;
 use std::collections::BTreeMap;
 
-/// The most positions staged: all entries of both tables.
+/// The most positions that are staged, enough for all entries of both tables.
 const MAX_STAGED: usize = 2 * MAX_ENTRIES;
 
 /// A table that is being fetched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagedTable {
-    /// The state to reach: its version never decreases.
+    /// The digest of the table to fetch. Its version never decreases.
     pub target: Digest,
-    /// The entry at each position that was fetched; `None` for no entry.
+    /// The entry at each fetched position, or `None` if there is none.
     fetched: BTreeMap<u64, Option<Entry>>,
     tree: MerkleTree,
 }
 
 impl StagedTable {
-    /// Starts from the table as it is.
+    /// Creates a staged table that is equal to `table`, to reach the state `target`.
     pub fn new(table: &Table, target: Digest) -> StagedTable {
         StagedTable {
             target,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The children of a node whose hashes differ from the other replica's, the last first.
+    /// Returns the children of a node whose hashes differ from the other replica's, in reverse order.
     pub fn differing_children(&self, node: Node, their_hashes: &[u64]) -> Vec<Node> {
         let mut nodes: Vec<Node> = node
             .children()
@@ -47,14 +47,14 @@
     /// Stages all entries that the other replica has in a range.
     ///
     /// # Errors
-    /// An entry that is out of bounds or of that range, or too many; none of them is staged.
+    /// An entry is invalid or outside of the range, or there are too many. None of the entries is staged.
     pub fn stage(
         &mut self,
         table: &Table,
         range: PositionRange,
         entries: Vec<Entry>,
     ) -> Result<(), TableError> {
-        let mut staged = self.checked(range, entries)?;
+        let mut staged = self.check_entries(range, entries)?;
         if self.fetched.len() + staged.len() > MAX_STAGED {
             return Err(TableError::Full);
         }
@@ -76,13 +76,13 @@
         Ok(())
     }
 
-    /// Whether it has the target's content.
+    /// Returns whether the staged table has the content of the target.
     pub fn is_complete(&self) -> bool {
         self.tree.root() == self.target.root
     }
 
-    /// Installs it in one step and returns the entries that differ. `None`, and no change, unless it is complete and later
-    /// than the table.
+    /// Installs the staged table in one step and returns the entries that differ. Returns `None`, and changes nothing, unless
+    /// the staged table is complete and has a later version than `table`.
     pub fn install(self, table: &mut Table) -> Option<Vec<Entry>> {
         let version = self.target.version;
         if !self.is_complete() || version <= table.version() {
@@ -91,7 +91,7 @@
         Some(table.advance_to(version, self.fetched))
     }
 
-    fn checked(
+    fn check_entries(
         &self,
         range: PositionRange,
         entries: Vec<Entry>,
--- a/src/fleet/config/submit.rs
+++ b/src/fleet/config/submit.rs
@@ -1,4 +1,5 @@
-//! Operators' changes on their way: the submissions of this proxy until their outcome is known, and the leader's queue.
+//! Queues of submissions: those of this proxy until their outcome is known, and those that wait at the leader. Also validates
+//! a submission against the table.
 
 use super::change::check_edits;
 use super::entry::{Edit, Key};
@@ -9,12 +10,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How often a submission is sent to the leader until its outcome is known.
+/// The interval at which a submission is sent to the leader until its outcome is known.
 const RESEND_INTERVAL: Micros = Micros(250_000);
-/// For how long it is sent.
+/// The time after which a submission without an outcome is given up.
 pub(super) const SUBMIT_TIMEOUT: Micros = Micros(10_000_000);
 
-/// A submission that waits for its outcome.
+/// A submission that is waiting for its outcome.
 #[derive(Clone, Debug)]
 struct Pending {
     submission: Submission,
@@ -22,7 +23,7 @@
     last_sent: Option<Time>,
 }
 
-/// The submissions of this proxy whose outcome is not known.
+/// The submissions of this proxy whose outcome is not known yet, at most [`MAX_QUEUED`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingSubmissions {
     by_id: BTreeMap<u64, Pending>,
@@ -42,12 +43,12 @@
         self.by_id.insert(pending.submission.id, pending);
     }
 
-    /// Removes a submission whose outcome came; whether it waited for one.
+    /// Removes a submission. Returns whether it was waiting for its outcome.
     pub(super) fn remove(&mut self, id: u64) -> bool {
         self.by_id.remove(&id).is_some()
     }
 
-    /// Removes the submissions that no outcome came for in time and returns their ids.
+    /// Removes the submissions that have waited for [`SUBMIT_TIMEOUT`] and returns their ids.
     pub(super) fn remove_expired(&mut self, now: Time) -> Vec<u64> {
         let is_expired = |pending: &Pending| now - pending.since >= SUBMIT_TIMEOUT;
         let expired: Vec<u64> = self
@@ -60,7 +61,7 @@
         expired
     }
 
-    /// The submissions that are to be sent to the leader now.
+    /// Returns the submissions that are due to be sent to the leader, and records them as sent at `now`.
     pub(super) fn take_due(&mut self, now: Time) -> Vec<Submission> {
         let mut due = Vec::new();
         for pending in self.by_id.values_mut() {
@@ -76,33 +77,33 @@
     }
 }
 
-/// A submission at the leader.
+/// A submission in the leader's queue.
 #[derive(Clone, Debug)]
 pub(super) struct Queued {
-    /// The proxy that sent it.
+    /// The address of the proxy that sent the submission.
     pub(super) submitter: SocketAddr,
     pub(super) submission: Submission,
 }
 
-/// The submission whose change is proposed.
+/// The submission whose change is currently proposed.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct ProposedSubmission {
     submitter: SocketAddr,
     id: u64,
 }
 
-/// The submissions that wait at the leader.
+/// The submissions at the leader: those that wait, at most [`MAX_QUEUED`], and the proposed one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SubmissionQueue {
     waiting: VecDeque<Queued>,
-    open: Option<Open>,
+    proposed: Option<ProposedSubmission>,
 }
 
 impl SubmissionQueue {
-    /// This proxy is the leader no more: the submitters send theirs to the next one.
+    /// Drops all submissions when this proxy stops being the leader. The submitters send them to the next leader.
     pub(super) fn clear(&mut self) {
         self.waiting.clear();
-        self.open = None;
+        self.proposed = None;
     }
 
     pub(super) fn contains(&self, id: u64) -> bool {
@@ -112,7 +113,7 @@
     /// Appends a submission.
     ///
     /// # Errors
-    /// [`SubmitError::Busy`].
+    /// Returns [`SubmitError::Busy`] if the queue is full.
     pub(super) fn push(
         &mut self,
         submitter: SocketAddr,
@@ -132,32 +133,32 @@
         self.waiting.pop_front()
     }
 
-    /// A submission's change is proposed.
-    pub(super) fn open(&mut self, submitter: SocketAddr, id: u64) {
-        self.open = Some(Open { submitter, id });
+    /// Records that a submission's change was proposed.
+    pub(super) fn set_proposed(&mut self, submitter: SocketAddr, id: u64) {
+        self.proposed = Some(ProposedSubmission { submitter, id });
     }
 
-    /// A change was committed; returns the submitter, if the change was proposed here.
-    pub(super) fn close(&mut self, id: u64) -> Option<SocketAddr> {
-        self.open
-            .take_if(|open| open.id == id)
-            .map(|open| open.submitter)
+    /// Returns the submitter of a committed change and clears the proposed submission, if the change was proposed here.
+    pub(super) fn take_proposed(&mut self, id: u64) -> Option<SocketAddr> {
+        self.proposed
+            .take_if(|proposed| proposed.id == id)
+            .map(|proposed| proposed.submitter)
     }
 }
 
-/// What a valid submission would do.
+/// The effect that a valid submission would have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Validated {
-    /// It changes at least one entry.
+    /// The submission changes at least one entry.
     Change,
-    /// All entries are as it wants them.
+    /// All entries already have the submitted values.
     NoChange,
 }
 
-/// Checks whether a submission may follow on the table.
+/// Checks whether a submission can be applied to the table.
 ///
 /// # Errors
-/// It is invalid, conflicts with a later change, or does not fit into the table.
+/// The submission is invalid, conflicts with a later change, or does not fit into the table.
 pub(super) fn validate(table: &Table, submission: &Submission) -> Result<Validated, SubmitError> {
     check_edits(&submission.edits).map_err(SubmitError::Invalid)?;
     let mut validated = Validated::NoChange;
@@ -186,7 +187,10 @@
     }
     match entry {
         Some(entry) if entry.edit.key != edit.key => {
-            let reason = format!("its name's hash is that of {}", entry.edit.key);
+            let reason = format!(
+                "the hash of its name collides with that of {}",
+                entry.edit.key
+            );
             Err(SubmitError::Invalid(edit.key.invalid(reason)))
         }
         Some(entry) if entry.version > base => Err(SubmitError::Conflict {
@@ -198,8 +202,8 @@
     }
 }
 
-/// Checks an edit of an entry that the table does not have: a compaction after the base may have dropped a later change of
-/// it.
+/// Checks an edit of an entry that the table does not have. If the table was compacted after the base, a later change of the
+/// entry may have been dropped, so the edit is a conflict.
 fn check_compacted(table: &Table, edit: &Edit, base: u64) -> Result<Validated, SubmitError> {
     match table.get(Key::compaction().position()) {
         Some(compaction) if compaction.version > base => Err(SubmitError::Conflict {
--- a/src/fleet/config/table.rs
+++ b/src/fleet/config/table.rs
@@ -1,4 +1,4 @@
-//! A replica's table: the entries, the Merkle tree over them, and the log of the last changes.
+//! The table of a replica: its entries, the Merkle tree over them, and the log of the last changes.
 
 use super::change::Change;
 use super::entry::{Edit, Entry, Key, Value};
@@ -7,18 +7,18 @@
 use super::merkle::{Digest, MerkleTree, Node, PositionRange};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What became of a change.
+/// The outcome of applying a change to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is applied.
+    /// The change was applied.
     Applied,
-    /// The table had this version or a later one.
+    /// The table already has the change's version or a later one.
     AlreadyApplied,
-    /// It does not follow the table's version: changes in between are missing.
+    /// The change does not follow the table's version, so changes in between are missing.
     Gap,
 }
 
-/// One replica's table. It goes from version to version, each change completely, and only upwards.
+/// One replica's table. Changes are applied completely or not at all, and the version only increases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Table {
     version: u64,
@@ -30,10 +30,10 @@
 }
 
 impl Table {
-    /// The table of a snapshot: these entries at that version and with that root, without a log.
+    /// Creates a table with the entries of a snapshot, the digest's version and an empty log.
     ///
     /// # Errors
-    /// The entries are invalid or do not have that digest.
+    /// The entries are invalid or do not match the digest.
     pub fn restore(digest: Digest, entries: Vec<Entry>) -> Result<Table, TableError> {
         if digest.version >= VERSION_LIMIT {
             return Err(TableError::InvalidVersion(digest.version));
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Version and root.
+    /// Returns the table's version and root hash.
     pub fn digest(&self) -> Digest {
         Digest {
             version: self.version,
@@ -69,34 +69,34 @@
         }
     }
 
-    /// The version of the last change, 0 for none.
+    /// Returns the version of the last change, 0 if there was none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries, including tombstones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Changes up to this version are only in the platform's files, 0 where all are here.
+    /// Returns the version up to which changes are only in the platform's files, 0 if the table was never compacted.
     pub fn compacted_version(&self) -> u64 {
         self.get(Key::compaction().position())
             .and_then(|entry| entry.edit.compacted_version())
             .unwrap_or_default()
     }
 
-    /// The entry at a position.
+    /// Returns the entry at a position.
     pub fn get(&self, position: u64) -> Option<&Entry> {
         self.entries.get(&position)
     }
 
-    /// The entries of a range, by position; none where the range is invalid.
+    /// Iterates over the entries of a range in the order of their positions. An invalid range has no entries.
     pub fn range(&self, range: PositionRange) -> impl Iterator<Item = (u64, &Entry)> {
         range
             .is_valid()
@@ -106,7 +106,7 @@
             .map(|(position, entry)| (*position, entry))
     }
 
-    /// The changes after a version, in order; `None` where the log does not reach back so far, or never had that version.
+    /// Returns the changes after a version, in order; `None` if the log does not reach back so far or never had that version.
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = &Change>> {
         if version == self.version {
             return Some(self.log.range(self.log.len()..));
@@ -118,10 +118,10 @@
         Some(self.log.range(start..))
     }
 
-    /// Checks that these entries can be set without exceeding the bounds.
+    /// Checks that the edits can be applied within the table's limits.
     ///
     /// # Errors
-    /// [`TableError::Full`].
+    /// Returns [`TableError::Full`] if they cannot.
     pub fn check_capacity(&self, edits: &[Edit]) -> Result<(), TableError> {
         let new = edits
             .iter()
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Applies a committed change, if it is the next.
+    /// Applies a committed change, if it is the next one.
     ///
     /// # Errors
-    /// Its versions or entries are out of bounds; the table stays as it was.
+    /// The versions or entries of the change are out of bounds. The table is unchanged.
     pub fn apply(&mut self, change: &Change) -> Result<ApplyOutcome, TableError> {
         change.check()?;
         if change.version <= self.version {
@@ -158,7 +158,7 @@
         Ok(ApplyOutcome::Applied)
     }
 
-    /// The hashes of a valid node's children.
+    /// Returns the hashes of the children of a [valid](Node::is_valid) node.
     pub fn child_hashes(&self, node: Node) -> Vec<u64> {
         node.children().map(|child| self.tree.hash(child)).collect()
     }
@@ -167,8 +167,8 @@
         &self.tree
     }
 
-    /// Goes to a later version in one step, by the entries at the positions that may differ; `None` for no entry. Returns
-    /// the entries that did.
+    /// Goes to a later version in one step. `staged` has the entries at the positions that may differ, or `None` where there is
+    /// none. Returns the entries that differed.
     pub(super) fn advance_to(
         &mut self,
         version: u64,
@@ -188,7 +188,7 @@
             }
             self.put(position, entry);
         }
-        // A removed entry was compacted into the files; a later one is of a chain that the fleet lost.
+        // Removed entries up to the compacted version are in the files. Later ones belong to a chain that the fleet lost.
         let compacted = self.compacted_version();
         let lost = removed.into_iter().filter(|old| old.version > compacted);
         differing.extend(lost.map(|old| Entry {
@@ -204,7 +204,7 @@
         differing
     }
 
-    /// Drops the entries that all files contain.
+    /// Drops the entries up to the compacted version.
     fn compact(&mut self, compacted: u64) {
         let dropped: Vec<u64> = self
             .entries
--- a/src/fleet/fencing.rs
+++ b/src/fleet/fencing.rs
@@ -1,12 +1,12 @@
 //! Fencing: rejects effects of former lease holders.
 //!
-//! Whatever a lease holder does elsewhere carries its fencing token. Whoever carries the effect out checks it with
-//! [`Fence::admit`] first: of each duty only the highest token seen so far may act.
+//! Each effect that a lease holder requests from another proxy carries the holder's fencing token. The proxy that carries
+//! the effect out checks the token with [`Fence::admit`] first, which accepts only the highest token seen for the duty.
 
 use super::lease::Token;
 use std::collections::BTreeMap;
 
-/// The highest token that this proxy has seen, by duty.
+/// The highest fencing token that this proxy has seen for each duty.
 #[derive(Clone, Debug)]
 pub struct Fence<K> {
     highest: BTreeMap<K, Token>,
@@ -23,10 +23,10 @@
 }
 
 impl<K: Ord> Fence<K> {
-    /// Whether an effect under this token may still be carried out; the token counts as seen from then on.
+    /// Checks that an effect under `token` may be carried out, and records the token as seen.
     ///
     /// # Errors
-    /// The token is stale: its holder lost the duty and is to be notified.
+    /// Returns [`StaleToken`] if a higher token was seen: the sender lost the duty and has to be notified.
     pub fn admit(&mut self, duty: K, token: Token) -> Result<(), StaleToken> {
         let highest = self.highest.entry(duty).or_insert(token);
         if token < *highest {
@@ -37,32 +37,32 @@
         Ok(())
     }
 
-    /// A token was seen without an effect: in another proxy's digest, or as this proxy's own.
+    /// Records a token that came without an effect: from another proxy's digest, or this proxy's own.
     pub fn observe(&mut self, duty: K, token: Token) {
         let highest = self.highest.entry(duty).or_insert(token);
         *highest = token.max(*highest);
     }
 
-    /// The highest token seen for a duty.
+    /// Returns the highest token seen for a duty.
     pub fn highest(&self, duty: &K) -> Option<Token> {
         self.highest.get(duty).copied()
     }
 
-    /// The highest token of each duty, for the digests that go to other proxies.
+    /// Iterates over the highest token of each duty, for the digests that go to other proxies.
     pub fn tokens(&self) -> impl Iterator<Item = (&K, Token)> {
         self.highest.iter().map(|(duty, token)| (duty, *token))
     }
 
-    /// How many effects were rejected so far, over all duties.
+    /// Returns the number of effects rejected so far, over all duties.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 }
 
-/// Why an effect was rejected: a higher token was seen for its duty.
+/// The error of an effect whose duty has a higher token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a higher fencing token was seen")]
+#[error("stale fencing token: a higher one was seen for the duty")]
 pub struct StaleToken {
-    /// The highest token seen.
+    /// The highest token seen for the duty.
     pub highest: Token,
 }
--- a/src/fleet/lease/ballot.rs
+++ b/src/fleet/lease/ballot.rs
@@ -1,21 +1,21 @@
-//! Ballots, by which voters order the bids for a duty, and the fencing tokens that successful ballots become.
+//! Ballots order the elections for a duty; the ballot that wins an election is the fencing token of the lease.
 
 use serde::{Deserialize, Serialize};
 
-/// A bid for a duty, ordered by number and then by candidate.
+/// Identifies one election of one candidate for a duty. Ballots are ordered by number, then by incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Above every number that the candidate had seen, and at least its wall clock in milliseconds since 1970.
+    /// Higher than every number that the candidate had seen, and at least its wall clock in milliseconds since 1970.
     pub number: u64,
-    /// The candidate's incarnation: a number that its host draws at random at each start.
+    /// The candidate's incarnation, a random number that its host draws at each start.
     #[serde(rename = "by")]
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// The least ballot above this one.
+    /// Returns the lowest ballot above this one.
     pub(crate) fn successor(self) -> Ballot {
         match self.incarnation.checked_add(1) {
             Some(incarnation) => Ballot {
@@ -30,6 +30,6 @@
     }
 }
 
-/// The fencing token of one lease from its acquisition to its loss, over all renewals: the ballot that won it. Every
-/// effect of the holder carries it.
+/// The fencing token of a lease: the ballot that won it. It stays the same over all renewals, and every effect of the
+/// holder carries it.
 pub type Token = Ballot;
--- a/src/fleet/lease/candidate.rs
+++ b/src/fleet/lease/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate: bids for a duty, renews the lease while it holds it, and gives it up.
+//! The candidate: starts elections for a duty, renews the lease while it holds it, and releases it.
 
 use super::ballot::{Ballot, Token};
 use super::message::Message;
@@ -7,36 +7,36 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A renewed lease is renewed again after a term divided by this, so that most of the term is left for retries.
+/// A lease is renewed at intervals of a term divided by this, so that most of the term is left for retries.
 const RENEWALS_PER_TERM: u64 = 3;
-/// A renewal without a quorum is retried after a term divided by this.
+/// A renewal that got no quorum is retried after a term divided by this.
 const RETRIES_PER_TERM: u64 = 6;
-/// The shortest pause between two bids is a term divided by this; the longest is twice that.
+/// The shortest pause between two elections is a term divided by this; the longest pause is twice as long.
 const MIN_PAUSES_PER_TERM: u64 = 10;
-/// How many values a random `u32` has.
+/// The number of values of a random `u32`.
 const U32_VALUES: f64 = 4_294_967_296.0;
 
-/// What became of a candidate's lease.
+/// The start or the end of a candidate's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
-    /// It holds the duty, under this token.
+    /// The candidate became the lease holder, under this token.
     Acquired(Token),
-    /// It holds the duty no longer.
+    /// The candidate lost the lease of this token.
     Lost(Token, LossReason),
 }
 
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LossReason {
-    /// The host gave it up.
+    /// The host released it.
     Released,
     /// No quorum renewed it within its term.
     Expired,
-    /// A higher token was seen.
+    /// This higher token was seen.
     Superseded(Token),
 }
 
-/// Voters that gave the same response, a bit each.
+/// The voters that gave the same response, one bit each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct VoterSet(u8);
 
@@ -50,22 +50,22 @@
     }
 }
 
-/// A ballot from its pre-vote on, and its lease once it is won.
+/// An election under one ballot, from its pre-vote on, and the lease once the election is won.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Bid {
+struct Election {
     ballot: Ballot,
     started_at: Time,
-    /// 0 for the pre-vote.
+    /// The number of the current round, 0 for the pre-vote.
     round: u32,
-    /// When the latest round's request was sent.
+    /// When the current round's request was sent.
     round_sent_at: Time,
     granted: VoterSet,
     denied: VoterSet,
-    /// The end of the lease, once the bid is won.
-    expires_at: Option<Time>,
+    /// The end of the lease, once the election is won.
+    lease_expires_at: Option<Time>,
 }
 
-impl Bid {
+impl Election {
     fn is_round(&self, round: Round) -> bool {
         self.ballot == round.ballot && self.round == round.number
     }
@@ -78,76 +78,82 @@
     number: u32,
 }
 
-/// A proxy that may come to hold one duty.
+/// A proxy that may be elected as the holder of one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     rules: Rules,
     incarnation: u64,
     /// The highest ballot number seen anywhere.
     highest_number: u64,
-    bid: Option<Bid>,
-    /// No bid before this; `None` while the duty is not wanted.
-    next_bid_at: Option<Time>,
-    changes: Vec<LeaseEvent>,
+    election: Option<Election>,
+    /// The earliest time of the next election; `None` while the duty is not wanted.
+    next_election_at: Option<Time>,
+    events: Vec<LeaseEvent>,
 }
 
 impl Candidate {
-    /// A candidate that holds nothing. `incarnation` is drawn at random by the host at each start, so that no two
-    /// candidates and no two incarnations of one ever share a ballot.
+    /// Creates a candidate without a lease. The host draws `incarnation` at random at each start, so that no two
+    /// candidates, and no two processes of the same proxy, use the same ballot.
     pub fn new(rules: Rules, incarnation: u64) -> Candidate {
         Candidate {
             rules,
             incarnation,
             highest_number: 0,
-            bid: None,
-            next_bid_at: None,
-            changes: Vec::new(),
+            election: None,
+            next_election_at: None,
+            events: Vec::new(),
         }
     }
 
-    /// The token under which it holds the duty at this instant. Call it with the clock's time right before each
-    /// effect: a holder that was stalled finds its term over here, whatever happened to it last.
+    /// Returns the fencing token while the lease is valid at `now`. Call it with the current time right before each effect,
+    /// so that a holder whose process was stalled notices that its term is over.
     pub fn held_token(&self, now: Time) -> Option<Token> {
-        let bid = self.bid.as_ref()?;
-        bid.expires_at
+        let election = self.election.as_ref()?;
+        election
+            .lease_expires_at
             .filter(|expires_at| now < *expires_at)
-            .map(|_| bid.ballot)
+            .map(|_| election.ballot)
     }
 
-    /// The end of its term, as far as it is renewed, while it holds the duty.
+    /// Returns the end of the current term while the candidate holds the lease.
     pub fn lease_expires_at(&self) -> Option<Time> {
-        self.bid.as_ref().and_then(|bid| bid.expires_at)
+        self.election
+            .as_ref()
+            .and_then(|election| election.lease_expires_at)
     }
 
-    /// Lets time pass: bids, renews, gives up. `wall_ms` is the wall clock in milliseconds since 1970. What is put
-    /// into `out` goes to every voter. Call it at [`Candidate::next_tick_at`] and when `wanted` changes.
+    /// Starts elections, renews the lease, and ends both when they time out or the duty is no longer `wanted`. `wall_ms` is
+    /// the wall clock in milliseconds since 1970. The messages in `out` go to every voter. Call it at
+    /// [`Candidate::next_tick_at`] and when `wanted` changes.
     pub fn tick(&mut self, now: Time, wall_ms: u64, wanted: bool, out: &mut Vec<Message>) {
         if !wanted {
             return self.release(now, out);
         }
         self.expire(now, out);
-        let next_bid_at = *self.next_bid_at.get_or_insert(now);
-        match &self.bid {
-            None if now >= next_bid_at => self.send_pre_vote(now, wall_ms, out),
-            Some(bid) if bid.expires_at.is_some() && now >= self.renew_at(bid) => {
+        let next_election_at = *self.next_election_at.get_or_insert(now);
+        match &self.election {
+            None if now >= next_election_at => self.send_pre_vote(now, wall_ms, out),
+            Some(election)
+                if election.lease_expires_at.is_some() && now >= self.renew_at(election) =>
+            {
                 self.send_request(now, out);
             }
             _ => {}
         }
     }
 
-    /// When to tick next, if ever; later than the last tick.
+    /// Returns the time of the next [`Candidate::tick`], always later than the last one; `None` if none is needed.
     pub fn next_tick_at(&self) -> Option<Time> {
-        let Some(bid) = &self.bid else {
-            return self.next_bid_at;
+        let Some(election) = &self.election else {
+            return self.next_election_at;
         };
-        Some(match bid.expires_at {
-            Some(expires_at) => expires_at.min(self.renew_at(bid)),
-            None => bid.started_at + self.rules.election_timeout() + Micros(1),
+        Some(match election.lease_expires_at {
+            Some(expires_at) => expires_at.min(self.renew_at(election)),
+            None => election.started_at + self.rules.election_timeout() + Micros(1),
         })
     }
 
-    /// Takes a voter's response; `voter` is its place, from 0. What is put into `out` goes to every voter.
+    /// Handles the response of the voter with the index `voter`, from 0. The messages in `out` go to every voter.
     pub fn handle_response(
         &mut self,
         now: Time,
@@ -186,47 +192,56 @@
         }
     }
 
-    /// A token was seen: in an effect, in the rejection of one, or in a digest. A lower lease or bid ends.
+    /// Records a token that was seen in an effect, in the rejection of one, or in a digest. Ends a lease or an election
+    /// with a lower token. The messages in `out` go to every voter.
     pub fn observe_token(&mut self, now: Time, token: Token, out: &mut Vec<Message>) {
         self.expire(now, out);
         self.highest_number = self.highest_number.max(token.number);
-        if self.bid.as_ref().is_some_and(|bid| bid.ballot < token) {
-            self.end_bid(now, LossReason::Superseded(token), out);
+        if self
+            .election
+            .as_ref()
+            .is_some_and(|election| election.ballot < token)
+        {
+            self.end_election(now, LossReason::Superseded(token), out);
         }
     }
 
-    /// Gives the lease up, or the bid for it, until a tick wants it again: for a host that drains.
+    /// Releases the lease or abandons the election, for a host that drains. The next tick with `wanted` may start a new
+    /// election. The messages in `out` go to every voter.
     pub fn release(&mut self, now: Time, out: &mut Vec<Message>) {
         self.expire(now, out);
-        self.end_bid(now, LossReason::Released, out);
-        self.next_bid_at = None;
+        self.end_election(now, LossReason::Released, out);
+        self.next_election_at = None;
     }
 
-    /// What has become of its lease since the last call, in order. At [`LossReason::Expired`] the term may have been over
-    /// for long; [`Candidate::held_token`] returned nothing from its end on.
+    /// Returns the lease's events since the last call, in order. [`LossReason::Expired`] may come long after the end of the
+    /// term; [`Candidate::held_token`] returns `None` from the end of the term on.
     pub fn take_events(&mut self) -> Vec<LeaseEvent> {
-        std::mem::take(&mut self.changes)
+        std::mem::take(&mut self.events)
     }
 
-    /// When the next request is due: a round with a quorum leaves most of its term for the next, one without is
-    /// repeated sooner.
-    fn renew_at(&self, bid: &Bid) -> Time {
-        let attempts_per_term = if bid.granted.has_quorum(&self.rules) {
+    /// Returns when the next request is due: [`RENEWALS_PER_TERM`] applies if the last round got a quorum, else
+    /// [`RETRIES_PER_TERM`].
+    fn renew_at(&self, election: &Election) -> Time {
+        let attempts_per_term = if election.granted.has_quorum(&self.rules) {
             RENEWALS_PER_TERM
         } else {
             RETRIES_PER_TERM
         };
-        bid.round_sent_at + self.rules.term_divided_by(attempts_per_term)
+        election.round_sent_at + self.rules.term_divided_by(attempts_per_term)
     }
 
-    /// Ends what is over by the clock.
+    /// Ends a lease whose term is over, or an election that timed out.
     fn expire(&mut self, now: Time, out: &mut Vec<Message>) {
-        let expired = self.bid.as_ref().is_some_and(|bid| match bid.expires_at {
-            Some(expires_at) => now >= expires_at,
-            None => now - bid.started_at > self.rules.election_timeout(),
-        });
+        let expired =
+            self.election
+                .as_ref()
+                .is_some_and(|election| match election.lease_expires_at {
+                    Some(expires_at) => now >= expires_at,
+                    None => now - election.started_at > self.rules.election_timeout(),
+                });
         if expired {
-            self.end_bid(now, LossReason::Expired, out);
+            self.end_election(now, LossReason::Expired, out);
         }
     }
 
@@ -236,50 +251,55 @@
             number: self.highest_number,
             incarnation: self.incarnation,
         };
-        self.bid = Some(Bid {
+        self.election = Some(Election {
             ballot,
             started_at: now,
             round: 0,
             round_sent_at: now,
             granted: VoterSet::default(),
             denied: VoterSet::default(),
-            expires_at: None,
+            lease_expires_at: None,
         });
         out.push(Message::PreVote { ballot });
     }
 
     fn send_request(&mut self, now: Time, out: &mut Vec<Message>) {
-        if let Some(bid) = &mut self.bid {
-            bid.round = bid.round.saturating_add(1);
-            bid.round_sent_at = now;
-            bid.granted = VoterSet::default();
-            bid.denied = VoterSet::default();
+        if let Some(election) = &mut self.election {
+            election.round = election.round.saturating_add(1);
+            election.round_sent_at = now;
+            election.granted = VoterSet::default();
+            election.denied = VoterSet::default();
             out.push(Message::RequestGrant {
-                ballot: bid.ballot,
-                round: bid.round,
+                ballot: election.ballot,
+                round: election.round,
             });
         }
     }
 
-    /// Callers run [`Candidate::expire`] first, so the bid here is live.
+    /// Handles a grant. Callers call [`Candidate::expire`] first, so the election has not timed out.
     fn handle_granted(&mut self, now: Time, voter: usize, round: Round, out: &mut Vec<Message>) {
-        let Some(bid) = self.bid.as_mut().filter(|bid| bid.is_round(round)) else {
+        let Some(election) = self
+            .election
+            .as_mut()
+            .filter(|election| election.is_round(round))
+        else {
             return;
         };
-        bid.granted.insert(voter);
-        if !bid.granted.has_quorum(&self.rules) {
+        election.granted.insert(voter);
+        if !election.granted.has_quorum(&self.rules) {
             return;
         }
         if round.number == 0 {
             return self.send_request(now, out);
         }
-        if bid.expires_at.is_none() {
-            self.changes.push(LeaseEvent::Acquired(round.ballot));
+        if election.lease_expires_at.is_none() {
+            self.events.push(LeaseEvent::Acquired(round.ballot));
         }
-        bid.expires_at = Some(bid.round_sent_at + self.rules.term());
+        election.lease_expires_at = Some(election.round_sent_at + self.rules.term());
     }
 
-    /// A holder outlasts denials by a minority; a bid that cannot be won any more, or is too low, ends at once.
+    /// Handles a denial. An election ends when a quorum denied it or a voter has seen a higher ballot; a lease isn't affected
+    /// by denials.
     fn handle_denied(
         &mut self,
         now: Time,
@@ -288,29 +308,36 @@
         highest: Ballot,
         out: &mut Vec<Message>,
     ) {
-        let is_open = |bid: &&mut Bid| bid.is_round(round) && bid.expires_at.is_none();
-        let Some(bid) = self.bid.as_mut().filter(is_open) else {
+        let is_open = |election: &&mut Election| {
+            election.is_round(round) && election.lease_expires_at.is_none()
+        };
+        let Some(election) = self.election.as_mut().filter(is_open) else {
             return;
         };
-        bid.denied.insert(voter);
-        if highest > round.ballot || bid.denied.has_quorum(&self.rules) {
-            self.end_bid(now, LossReason::Expired, out);
+        election.denied.insert(voter);
+        if highest > round.ballot || election.denied.has_quorum(&self.rules) {
+            self.end_election(now, LossReason::Expired, out);
         }
     }
 
-    /// Ends the bid, whether it was won or not, and schedules the next one.
-    fn end_bid(&mut self, now: Time, loss: LossReason, out: &mut Vec<Message>) {
-        let Some(bid) = self.bid.take() else { return };
-        if bid.expires_at.is_some() {
-            self.changes.push(LeaseEvent::Lost(bid.ballot, loss));
+    /// Ends the election and its lease, if it was won, and schedules the next election.
+    fn end_election(&mut self, now: Time, loss: LossReason, out: &mut Vec<Message>) {
+        let Some(election) = self.election.take() else {
+            return;
+        };
+        if election.lease_expires_at.is_some() {
+            self.events.push(LeaseEvent::Lost(election.ballot, loss));
         }
-        if bid.round > 0 {
-            out.push(Message::Release { ballot: bid.ballot });
+        if election.round > 0 {
+            out.push(Message::Release {
+                ballot: election.ballot,
+            });
         }
-        self.next_bid_at = Some(now + self.pause_after(bid.ballot));
+        self.next_election_at = Some(now + self.pause_after(election.ballot));
     }
 
-    /// The pause before the next bid, drawn from the last ballot, so that candidates do not stay in step.
+    /// Returns the pause before the next election: random, seeded with the last ballot, so that competing candidates do not
+    /// keep colliding.
     fn pause_after(&self, ballot: Ballot) -> Micros {
         let drawn =
             Pcg32::seed_from_u64(ballot.number ^ ballot.incarnation.rotate_left(32)).next_u32();
--- a/src/fleet/lease/message.rs
+++ b/src/fleet/lease/message.rs
@@ -1,47 +1,48 @@
-//! What candidates and voters exchange about one duty.
+//! The messages that candidates and voters exchange about one duty.
 
 use super::ballot::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// A candidate's request, which goes to all voters at once, or a voter's response to it.
+/// A request of a candidate, which goes to all voters, or the response of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Candidate: would this be granted? It binds nobody, so that a bid without a chance takes no voter from a holder.
+    /// Candidate: asks whether the voter would grant this ballot. The answer isn't binding, so an election that can't be
+    /// won doesn't cost the holder any grant.
     PreVote {
-        /// What would be requested.
+        /// The ballot that the candidate would request.
         ballot: Ballot,
     },
-    /// Voter: as things are, yes.
+    /// Voter: would grant the ballot at present.
     PreVoteGranted {
-        /// What the pre-vote named.
+        /// The ballot of the pre-vote.
         ballot: Ballot,
     },
-    /// Candidate: grant this, or renew the grant.
+    /// Candidate: requests a grant, or its renewal.
     RequestGrant {
-        /// What is to be granted.
+        /// The ballot to grant.
         ballot: Ballot,
-        /// Which of this ballot's rounds this is, from 1.
+        /// The number of the round within this ballot, from 1.
         round: u32,
     },
-    /// Voter: granted, for the duration of one grant from now.
+    /// Voter: granted the ballot, for the duration of one grant from now.
     Granted {
-        /// What was granted.
+        /// The granted ballot.
         ballot: Ballot,
-        /// The round that it answers.
+        /// The round of the request.
         round: u32,
     },
-    /// Voter: no, as another's grant is live or a higher ballot was granted.
+    /// Voter: denied, because another candidate's grant is live or a higher ballot was granted or observed.
     Denied {
-        /// What was requested.
+        /// The requested ballot.
         ballot: Ballot,
-        /// The round that it answers, 0 for [`Message::PreVote`].
+        /// The round of the request, 0 for [`Message::PreVote`].
         round: u32,
-        /// The highest ballot that this voter granted or observed.
+        /// The highest ballot that the voter granted or observed.
         highest: Ballot,
     },
-    /// Candidate: what was granted to this ballot is no longer needed, for ever.
+    /// Candidate: gives up the grants of a ballot, which it doesn't use again.
     Release {
-        /// The ballot.
+        /// The ballot to release.
         ballot: Ballot,
     },
 }
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -1,24 +1,24 @@
-//! Leases: a duty that one proxy of the fleet performs at a time, agreed on by a majority and without a disk.
+//! Leases: elect the one proxy of the fleet that performs a duty, by majority vote and without stable storage.
 //!
-//! A [`Candidate`] sends its requests to the [`Voter`]s, a small fixed set of proxies. Each voter grants a duty to one
-//! candidate at a time, for a while; the candidate with grants from a quorum is the lease holder for one term, and
-//! renews the lease from then on. There is one candidate and one voter machine for each duty; the duty's name travels
-//! beside the [`Message`].
+//! A duty is work that at most one proxy may do at a time. Use this module to elect that proxy, and check each of its
+//! effects with a [`Fence`](crate::fleet::fencing::Fence) where the effect is carried out.
 //!
-//! Use these machines where work may be done by one proxy only, and check each of its effects with a
-//! [`Fence`](crate::fleet::fencing::Fence) where it takes place.
+//! A [`Candidate`] sends requests to the [`Voter`]s, a small fixed set of proxies. Each voter grants the duty to one
+//! candidate at a time, for a limited time. The candidate with grants from a quorum is the lease holder for one term, and
+//! keeps renewing the lease. Each duty has its own candidates and voters; the host sends the duty's name along with the
+//! [`Message`].
 //!
 //! # Why there is at most one holder
-//! Two quorums share a voter, and a voter has one live grant at a time. A holder counts its term from before it sent
-//! the request, and a grant outlives that on any clock that runs within `1 +- drift` of true time. A voter that starts
-//! with empty memory answers nothing for the duration of one grant, so that whatever it granted before has expired. A
-//! response counts only for the round that it names, so a late one proves nothing.
+//! Any two quorums share a voter, and a voter has one live grant at a time. A holder counts its term from before it sent
+//! the request, and a grant outlasts that term if both clocks run within `1 +- drift` of true time. A voter that has just
+//! started, without memory, doesn't answer for the duration of one grant, so that all its earlier grants have expired. A
+//! response counts only for the round that it names, so late responses are ignored.
 //!
 //! # Why fencing tokens grow
-//! A voter grants nothing below the highest ballot that it granted, and the shared voter saw both. Where voters forgot
-//! that in a restart, [`Voter::observe_token`] restores it, and no ballot's number is below the wall clock at its bid.
-//! A bid that is not won within [`Rules::election_timeout`] is given up, so two leases between which a voter forgot were
-//! bid for most of a term apart.
+//! A voter grants no ballot below the highest one that it granted, and any two quorums share a voter. A voter that lost
+//! this state in a restart restores it through [`Voter::observe_token`]. In addition, a ballot's number is at least the
+//! wall clock at the start of its election. An election that is not won within [`Rules::election_timeout`] is abandoned,
+//! so the elections of two leases with a restart of the shared voter between them began most of a term apart.
 
 mod ballot;
 mod candidate;
--- a/src/fleet/lease/voter.rs
+++ b/src/fleet/lease/voter.rs
@@ -1,21 +1,21 @@
-//! The voter: grants a duty to one candidate at a time.
+//! The voter: grants a duty to one candidate at a time, and keeps the grant in memory only.
 
 use super::ballot::{Ballot, Token};
 use super::message::Message;
 use super::rules::Rules;
 use crate::interface::Time;
 
-/// One voter's memory of one duty.
+/// One voter's state for one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     rules: Rules,
     silent_until: Time,
-    /// Nothing below this is granted.
+    /// The voter grants no ballot below this one.
     lowest_grantable: Ballot,
     grant: Option<Grant>,
 }
 
-/// What a voter granted last.
+/// The voter's last grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     ballot: Ballot,
@@ -23,7 +23,7 @@
 }
 
 impl Voter {
-    /// A voter that has just started and remembers nothing: it is silent for the duration of one grant.
+    /// Creates a voter that has just started, without memory: it is silent for the duration of one grant.
     pub fn new(rules: Rules, now: Time) -> Voter {
         Voter {
             rules,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether it still answers nothing, as grants from before its start may be live.
+    /// Returns whether the voter doesn't answer yet, because grants from before its start may be live.
     pub fn is_silent(&self, now: Time) -> bool {
         now < self.silent_until
     }
 
-    /// Takes a candidate's request and gives the response to it, if there is one.
+    /// Handles a candidate's request and returns the response, if there is one.
     pub fn handle(&mut self, now: Time, message: Message) -> Option<Message> {
         self.grant = self.grant.filter(|grant| now < grant.expires_at);
         match message {
@@ -48,7 +48,7 @@
             Message::RequestGrant { ballot, round } if !self.is_silent(now) => {
                 Some(self.handle_request(now, ballot, round))
             }
-            // A renewal names a ballot that this voter may have granted before its restart.
+            // A renewal may name a ballot that this voter granted before its restart.
             Message::RequestGrant { ballot, .. } => {
                 self.observe_token(ballot);
                 None
@@ -61,12 +61,12 @@
         }
     }
 
-    /// A token was seen elsewhere: nothing below it is granted from now on.
+    /// Records a token that was seen elsewhere: the voter grants no ballot below it from now on.
     pub fn observe_token(&mut self, token: Token) {
         self.lowest_grantable = self.lowest_grantable.max(token);
     }
 
-    /// The ballot that its grant is for, while one is live.
+    /// Returns the ballot of the live grant, if there is one.
     pub fn granted_ballot(&self, now: Time) -> Option<Ballot> {
         self.grant
             .filter(|grant| now < grant.expires_at)
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A request that arrives behind its release must not be granted any more.
+    /// Ends the grant. Raises the lowest grantable ballot, so that a request that arrives after its release is denied.
     fn handle_release(&mut self, ballot: Ballot) {
         if self.grant.is_some_and(|grant| grant.ballot == ballot) {
             self.grant = None;
--- a/src/fleet/message_age.rs
+++ b/src/fleet/message_age.rs
@@ -1,23 +1,23 @@
-//! The check of a message's age: what proxies share is valid only for a limited time after its creation.
+//! Checks the age of messages from other proxies, which are valid only for a limited time after their creation.
 
 use crate::interface::Micros;
 
-/// How far the wall clock of a message's creator may run ahead of the receiver's.
+/// The most that the wall clock of a message's creator may run ahead of the receiver's.
 const MAX_CLOCK_SKEW: Micros = Micros(1_000_000);
 
-/// Why the age of a message is invalid.
+/// Why a message is rejected for its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AgeError {
-    /// Older than the maximum age.
-    #[error("sent {:.1} s ago", .0.as_secs_f64())]
+    /// The message is older than the maximum age. The value is its age.
+    #[error("too old: sent {:.1} s ago", .0.as_secs_f64())]
     Stale(Micros),
-    /// Further in the future than clock skew explains.
-    #[error("sent {:.1} s in the future", .0.as_secs_f64())]
+    /// The message's creation time is further in the future than clock skew explains. The value is how far.
+    #[error("sent {:.1} s in the future, more than the allowed clock skew", .0.as_secs_f64())]
     FromFuture(Micros),
 }
 
 impl AgeError {
-    /// A stable name for logs and counters.
+    /// Returns a stable name of the error for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
             AgeError::Stale(_) => "stale",
@@ -26,10 +26,10 @@
     }
 }
 
-/// The age at wall time `now_us` of what was created at `created_us`, if it is at most `max_age`.
+/// Returns the age of a message that was created at `created_us`. Both times are wall-clock microseconds since 1970.
 ///
 /// # Errors
-/// Where it is too old or too far in the future.
+/// The message is older than `max_age`, or created too far in the future.
 pub fn check_age(created_us: u64, now_us: u64, max_age: Micros) -> Result<Micros, AgeError> {
     let ahead = Micros(created_us.saturating_sub(now_us));
     if ahead > MAX_CLOCK_SKEW {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,8 @@
-//! What the proxies of a fleet decide together: state machines without clock, sockets or threads. Time and messages
-//! go in, messages and changes come out. None of them picks a backend for a request.
+//! Coordination between the proxies of a fleet: membership, leases, the replicated configuration, the maintenance calendar
+//! and broadcasts.
+//!
+//! Each module is a state machine without a clock, sockets or threads: the host passes in the time and received messages,
+//! and sends or carries out what comes back. None of them selects a backend for a request.
 
 pub mod calendar;
 pub mod config;
--- a/src/fleet/relay/duplicate_filter.rs
+++ b/src/fleet/relay/duplicate_filter.rs
@@ -1,28 +1,28 @@
-//! Recognizes broadcasts that were received before.
+//! Detects broadcasts that were received before, within bounded memory.
 
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many origins are remembered at most.
+/// The most origins that are remembered.
 const MAX_ORIGINS: usize = 256;
-/// How many broadcasts of each origin are remembered at most.
+/// The most broadcasts that are remembered per origin.
 const MAX_BROADCASTS_PER_ORIGIN: usize = 256;
 
-/// The broadcasts that were received within the maximum age, by the incarnation of their origin. Older ones are rejected
-/// for their age and need not be remembered.
+/// The broadcasts that were received within the maximum age, by the incarnation of their origin. Older broadcasts are
+/// rejected for their age, so they need not be remembered.
 #[derive(Debug)]
 pub(super) struct DuplicateFilter {
     max_age: Micros,
     origins: BTreeMap<u64, OriginHistory>,
 }
 
-/// The broadcasts of one origin.
+/// The remembered broadcasts of one origin, by their `sent_us`.
 #[derive(Debug, Default)]
 struct OriginHistory {
     newest_us: u64,
-    /// In the order in which they were received.
+    /// The remembered broadcasts in the order in which they were received.
     recent_us: VecDeque<u64>,
-    /// Those up to this one may have been forgotten and are rejected.
+    /// Broadcasts up to this one may have been forgotten, and are rejected as duplicates.
     forgotten_up_to_us: u64,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Remembers a broadcast, if it is new; whether it is the newest of its origin then.
+    /// Records a broadcast. Returns whether it is the newest of its origin, or `None` if it is a duplicate.
     pub(super) fn insert(&mut self, incarnation: u64, sent_us: u64, now_us: u64) -> Option<bool> {
         let expired_before_us = now_us.saturating_sub(self.max_age.0);
         if !self.origins.contains_key(&incarnation) {
@@ -44,8 +44,8 @@
         origin.insert(sent_us, expired_before_us)
     }
 
-    /// Ensures capacity for one more origin: forgets those without current broadcasts, and if need be the one that was silent
-    /// for longest.
+    /// Makes room for one more origin: removes the origins without unexpired broadcasts, and if that isn't enough, the one
+    /// with the oldest newest broadcast.
     fn evict(&mut self, expired_before_us: u64) {
         if self.origins.len() < MAX_ORIGINS {
             return;
@@ -78,7 +78,7 @@
         Some(is_newest)
     }
 
-    /// Forgets the first received ones while they have expired or there are too many.
+    /// Removes the broadcasts received first while they have expired or [`MAX_BROADCASTS_PER_ORIGIN`] is reached.
     fn forget(&mut self, expired_before_us: u64) {
         while let Some(first_us) = self.recent_us.front().copied() {
             let is_full = self.recent_us.len() >= MAX_BROADCASTS_PER_ORIGIN;
--- a/src/fleet/relay/mod.rs
+++ b/src/fleet/relay/mod.rs
@@ -1,9 +1,12 @@
-//! Broadcasts to all members of the fleet over a tree: each proxy that receives one forwards it to a few others.
+//! Broadcasts to all members of the fleet over a tree: each proxy that receives a broadcast forwards it to a few others.
 //!
-//! A state machine without clock, network or threads: [`Relay::originate`] starts a broadcast, [`Relay::accept`] checks a
-//! received one, and [`Relay::forward`] says whom it goes to next. A broadcast costs one datagram a member, at most
-//! [`FAN_OUT`] of them sent by its origin. It isn't reliable: where the members that proxies know differ, where a member
-//! is dead or a datagram gets lost, a part of the tree gets nothing; the next broadcast has another tree.
+//! Use it for messages to the whole fleet that need not be reliable. [`Relay::originate`] starts a broadcast,
+//! [`Relay::accept`] checks a received one, and [`Relay::forward`] returns its next receivers. The state machine has no
+//! clock, network or threads.
+//!
+//! A broadcast costs one datagram per member, and its origin sends at most [`FAN_OUT`] of them. If a datagram is lost, a
+//! member is dead, or proxies have different member lists, part of the tree doesn't receive the broadcast. The next
+//! broadcast uses a different tree.
 
 mod duplicate_filter;
 mod tree;
@@ -17,17 +20,17 @@
 use std::net::SocketAddr;
 use tree::MemberOrder;
 
-/// What precedes the content of a broadcast.
+/// The header of a broadcast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BroadcastHeader {
-    /// The advertised address of the proxy that originated it; not the sender's, who may have forwarded it.
+    /// The advertised address of the proxy that originated the broadcast, which may not be the one that sent the datagram.
     pub origin: SocketAddr,
-    /// The origin's incarnation, drawn at random at its start.
+    /// The origin's incarnation, a random number drawn at its start.
     pub incarnation: u64,
-    /// The origin's wall time in microseconds since 1970, and the broadcast's number: strictly increasing for each
-    /// incarnation.
+    /// The origin's wall time in microseconds since 1970. It is strictly increasing per incarnation, and serves as the
+    /// broadcast's sequence number.
     pub sent_us: u64,
-    /// The members that the receiver forwards it to.
+    /// The range of members that the receiver forwards the broadcast to.
     pub range: HashRange,
 }
 
@@ -37,7 +40,7 @@
     }
 }
 
-/// A broadcast's next receiver, with the header for it.
+/// A receiver of a forwarded broadcast, and the header to send it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forward {
     /// The receiver's advertised address.
@@ -49,29 +52,29 @@
 /// Why a broadcast is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum BroadcastError {
-    /// It was forwarded too often.
-    #[error("forwarded {0} times, over the {MAX_HOPS} allowed")]
+    /// The broadcast was forwarded more often than [`MAX_HOPS`].
+    #[error("forwarded {0} times, over the limit of {MAX_HOPS}")]
     TooManyHops(u8),
-    /// Its range is invalid, or this proxy isn't in it.
-    #[error("meant for other members")]
+    /// The range is invalid, or doesn't include this proxy.
+    #[error("the broadcast's range of members does not include this proxy")]
     OutsideRange,
-    /// Its origin is no address that can be replied to.
-    #[error("from {0}, which is no proxy's address")]
+    /// The origin is not a unicast address with a port.
+    #[error("invalid origin {0}: expected a unicast address with a port")]
     InvalidOrigin(SocketAddr),
-    /// It was received before, or is this proxy's own.
-    #[error("received before")]
+    /// The broadcast was received before, or is this proxy's own.
+    #[error("duplicate: received before, or sent by this proxy")]
     Duplicate,
-    /// Originated too long ago, or in the future: its time isn't renewed when it is forwarded.
+    /// The broadcast was originated too long ago, or in the future. Forwarding doesn't change its time.
     #[error(transparent)]
     Age(#[from] AgeError),
 }
 
 impl BroadcastError {
-    /// A stable name for logs and counters.
+    /// Returns a stable name of the error for logs and counters.
     pub fn cause(&self) -> &'static str {
         match self {
             BroadcastError::TooManyHops(_) => "hops",
-            // The range it was forwarded for is invalid or does not include this proxy.
+            // The range of the broadcast is invalid or does not include this proxy.
             BroadcastError::OutsideRange => "astray",
             BroadcastError::InvalidOrigin(_) => "origin",
             BroadcastError::Duplicate => "repeated",
@@ -80,20 +83,20 @@
     }
 }
 
-/// One proxy's part in the broadcasts of all.
+/// One proxy's state for the broadcasts of the fleet.
 #[derive(Debug)]
 pub struct Relay {
     own_address: SocketAddr,
     incarnation: u64,
     max_age: Micros,
-    /// When this proxy's latest broadcast was sent.
+    /// The [`BroadcastHeader::sent_us`] of this proxy's latest broadcast.
     last_sent_us: u64,
     received: DuplicateFilter,
 }
 
 impl Relay {
-    /// For the proxy with that advertised address. `incarnation` is drawn at random at each start; broadcasts older than
-    /// `max_age` are rejected.
+    /// Creates the relay of the proxy with the advertised address `own_address`. `incarnation` is drawn at random at each
+    /// start. Broadcasts older than `max_age` are rejected.
     pub fn new(own_address: SocketAddr, incarnation: u64, max_age: Micros) -> Relay {
         Relay {
             own_address,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// The header of a new broadcast at wall time `now_us`, to be [forwarded](Relay::forward) to all.
+    /// Returns the header of a new broadcast at wall time `now_us`, for [`Relay::forward`].
     pub fn originate(&mut self, now_us: u64) -> BroadcastHeader {
         self.last_sent_us = now_us.max(self.last_sent_us.saturating_add(1));
         BroadcastHeader {
@@ -115,11 +118,11 @@
         }
     }
 
-    /// Accepts a broadcast at wall time `now_us`, once; whether it is the newest of its origin so far, and was not
-    /// overtaken by a later one.
+    /// Accepts a received broadcast at wall time `now_us`. Returns whether it is the newest of its origin so far, that is,
+    /// no later one arrived before it.
     ///
     /// # Errors
-    /// Why it is neither to be used nor to be forwarded.
+    /// The broadcast is invalid, a duplicate or too old, and must be neither used nor forwarded.
     pub fn accept(
         &mut self,
         header: &BroadcastHeader,
@@ -144,7 +147,7 @@
             .ok_or(BroadcastError::Duplicate)
     }
 
-    /// Whom this proxy sends an accepted broadcast, or one of its own, among the live members that it knows.
+    /// Returns the receivers, among the live `members`, that this proxy sends an accepted broadcast or one of its own to.
     pub fn forward(&self, header: &BroadcastHeader, members: &[SocketAddr]) -> Vec<Forward> {
         if header.range.hops >= MAX_HOPS {
             return Vec::new();
@@ -167,7 +170,7 @@
     }
 }
 
-/// Whether a proxy may have that address.
+/// Returns whether the address is a unicast address with a port, as a proxy's has to be.
 fn is_unicast(address: SocketAddr) -> bool {
     let ip = address.ip();
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast()
--- a/src/fleet/relay/tree.rs
+++ b/src/fleet/relay/tree.rs
@@ -1,31 +1,31 @@
-//! The tree that a broadcast takes. Its number orders the members by a hash of their addresses, so that no two broadcasts
-//! have the same tree.
+//! The tree of receivers of a broadcast. The members are ordered by a hash of their address and the broadcast's number, so
+//! that each broadcast has a different tree.
 //!
-//! Each proxy that has a broadcast is responsible for the members in a [`HashRange`], the origin for all. It splits its
-//! range into as many as its fan-out, and sends the broadcast to the first member of each, which is then responsible for
-//! that range.
+//! Each proxy that receives a broadcast is responsible for the members in a [`HashRange`]; the origin is responsible for
+//! all. A proxy splits its range into at most [`FAN_OUT`] ranges, and sends the broadcast to the first member of each, which
+//! is then responsible for that range.
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// To how many others a proxy forwards a broadcast at most.
+/// The most receivers that a proxy forwards a broadcast to.
 pub const FAN_OUT: usize = 8;
-/// The greatest depth of a tree: with the fan-out, 8 levels reach 16 million proxies.
+/// The maximum depth of a tree: at [`FAN_OUT`] receivers per proxy, 8 levels reach 16 million proxies.
 pub const MAX_HOPS: u8 = 8;
 
-/// The members, by the hash of their addresses, that the receiver of a broadcast is responsible for.
+/// The range of address hashes whose members the receiver of a broadcast is responsible for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HashRange {
-    /// The first hash.
+    /// The first hash in the range.
     pub first: u32,
-    /// The last hash.
+    /// The last hash in the range.
     pub last: u32,
-    /// How often the broadcast was forwarded so far.
+    /// The number of times that the broadcast was forwarded so far.
     pub hops: u8,
 }
 
 impl HashRange {
-    /// All members, at the origin.
+    /// The range of all members, for the origin.
     pub(super) const ALL: HashRange = HashRange {
         first: 0,
         last: u32::MAX,
@@ -44,14 +44,14 @@
 }
 
 impl MemberOrder {
-    /// Of the broadcast with that origin and number.
+    /// Creates the order of the broadcast with this origin incarnation and `sent_us`.
     pub(super) fn new(incarnation: u64, sent_us: u64) -> MemberOrder {
         MemberOrder {
             salt: mix(incarnation ^ mix(sent_us)),
         }
     }
 
-    /// The hash of a member's address.
+    /// Returns the hash of a member's address in this order.
     pub(super) fn position(self, member: SocketAddr) -> u32 {
         let ip = match member.ip() {
             IpAddr::V4(ip) => u64::from(ip.to_bits()),
@@ -62,28 +62,28 @@
     }
 }
 
-/// The finalizer of SplitMix64: each bit of the input changes half of the bits of the output.
+/// The finalizer of SplitMix64: changing one bit of the input changes about half of the bits of the output.
 fn mix(n: u64) -> u64 {
     let n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     n ^ (n >> 31)
 }
 
-/// A member that a broadcast is forwarded to, and the range that it becomes responsible for.
+/// A member that a broadcast is forwarded to, and the range that the member is responsible for.
 pub(super) struct Child {
     pub(super) member: SocketAddr,
     pub(super) range: HashRange,
 }
 
-/// A member in the order of a broadcast.
+/// A member and its hash in the order of a broadcast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PositionedMember {
     position: u32,
     member: SocketAddr,
 }
 
-/// Splits a range among the `others` in it, [`FAN_OUT`] at most. The ranges leave no gap, as the receiver of one may know
-/// members in it that are unknown here.
+/// Splits a range among at most [`FAN_OUT`] of the `others` in it. The resulting ranges leave no gap, because a receiver may
+/// know members that this proxy doesn't.
 pub(super) fn split(
     range: HashRange,
     own_position: u32,
@@ -101,7 +101,7 @@
     let Some(first_member) = members.first() else {
         return Vec::new();
     };
-    // A proxy is the first of its range as its sender sees it; members before it are not left to it.
+    // A receiver is the first member of its range that its sender knows, so it isn't responsible for hashes before its own.
     let is_first = range.hops > 0 && own_position < first_member.position;
     let mut first = if is_first {
         own_position + 1
