--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -46,8 +46,8 @@
 impl RetryPolicy {
     /// Whether the request may have a further attempt, its first one included.
     fn allows_attempt(&self, now: Time, request: &PendingRequest) -> bool {
-        let alone = self.hedging || !request.has_attempt_in_flight();
-        alone
+        let concurrency_allowed = self.hedging || !request.has_attempt_in_flight();
+        concurrency_allowed
             && request.attempts.len() < request.max_attempts
             && request
                 .attempts
@@ -61,9 +61,9 @@
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
                 let key_known_until = attempt.dispatched_at + window;
-                attempt.never_ran || now + self.timer_resolution < key_known_until
+                attempt.unprocessed || now + self.timer_resolution < key_known_until
             }
-            Idempotency::NonIdempotent => attempt.never_ran,
+            Idempotency::NonIdempotent => attempt.unprocessed,
         }
     }
 }
--- a/src/net/downstream/upload.rs
+++ b/src/net/downstream/upload.rs
@@ -1,6 +1,8 @@
-//! A client's body as it arrives, with limits on how slowly it may.
+//! A client's request body, read with timeouts for slow and stalled uploads.
+//!
+//! [`Upload`] is the body; [`UploadProgress`] observes how far it was forwarded while hyper owns it.
 
-use crate::net::observed_stream::RemoteEnd;
+use crate::net::observed_stream::PeerMonitor;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::Cell;
@@ -12,28 +14,28 @@
 use thiserror::Error;
 use tokio::time::{Instant, Sleep};
 
-/// How long a body may take from its head on, besides the time that its bytes are given.
+/// Base of a body's timeout, counted from the request's head; each byte extends it.
 const BASE_TIMEOUT: Duration = Duration::from_millis(2_800);
-/// Each byte that arrives extends the timeout at this rate: half that of the slowest proper client.
+/// Each received byte extends the timeout at this rate, which is half that of the slowest well-behaved client.
 const MIN_BYTES_PER_S: f64 = 32e3;
-/// A body of which nothing arrives for so long has stalled, whatever arrived before.
+/// A body fails if nothing of it arrives for this time, however much arrived before.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a client's body ended early.
+/// Why a client's body ended early. The texts are sent to the client.
 #[derive(Debug, Error)]
 pub enum UploadError {
-    /// It arrives too slowly, or stopped.
+    /// It arrives too slowly, or has stalled.
     #[error("the body did not come in time")]
     Slow,
-    /// Its connection ended, or its framing is wrong.
+    /// Its connection ended, or its framing is invalid.
     #[error("the body is malformed")]
     Malformed,
 }
 
-/// How far a body was forwarded, while hyper owns it.
+/// How far a body was forwarded. Shared with the attempt, as hyper owns the body while it is sent.
 pub struct UploadProgress {
     last_forwarded_at: Cell<Instant>,
-    /// Its last byte was forwarded: from then on the backend may run the request.
+    /// The last byte was forwarded: from then on the backend may execute the request.
     has_ended: Cell<bool>,
     on_end: Cell<Option<Box<dyn FnOnce()>>>,
 }
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Waits until nothing was forwarded for `timeout`: the backend takes no more. For ever once everything was.
+    /// Waits until nothing has been forwarded for `timeout`, as the backend no longer reads. Never returns once the whole body
+    /// was forwarded.
     pub async fn stalled(&self, timeout: Duration) {
         while self.last_forwarded_at.get() + timeout > Instant::now() {
             tokio::time::sleep_until(self.last_forwarded_at.get() + timeout).await;
@@ -57,21 +60,21 @@
         }
     }
 
-    /// Whether the last byte was forwarded.
+    /// Returns whether the last byte was forwarded.
     pub fn has_ended(&self) -> bool {
         self.has_ended.get()
     }
 
-    /// Calls `callback` when the last byte is forwarded.
+    /// Sets a callback that runs when the last byte is forwarded.
     pub fn on_end(&self, callback: impl FnOnce() + 'static) {
         self.on_end.set(Some(Box::new(callback)));
     }
 
-    fn forwarded(&self, now: Instant) {
+    fn record_forwarded(&self, now: Instant) {
         self.last_forwarded_at.set(now);
     }
 
-    fn end(&self) {
+    fn mark_ended(&self) {
         self.has_ended.set(true);
         if let Some(callback) = self.on_end.take() {
             callback();
@@ -79,69 +82,69 @@
     }
 }
 
-/// A client's body. It fails when it arrives too slowly; time in which nobody reads it does not count.
+/// A client's request body. Reading fails if it arrives too slowly; time in which nothing reads it does not count.
 pub struct Upload {
-    /// What was read before the body was known to be long.
-    beginning: Option<Bytes>,
+    /// Bytes that were read before the body was known to be too long to buffer.
+    prefix: Option<Bytes>,
     incoming: Incoming,
-    /// When it has taken too long, by the bytes that arrived.
+    /// When it will have taken too long, given the bytes received so far.
     deadline: Instant,
-    /// When it was last read from, or a frame last arrived.
+    /// When reading last resumed, or the last frame arrived.
     last_active_at: Instant,
     timer: Pin<Box<Sleep>>,
-    /// Somebody waits for the next frame.
-    is_read: bool,
-    client: RemoteEnd,
+    /// A reader waits for the next frame.
+    has_waiting_reader: bool,
+    client: PeerMonitor,
     pub progress: Rc<UploadProgress>,
 }
 
 impl Upload {
-    /// A body whose time counts from `started_at`.
-    pub fn new(incoming: Incoming, client: RemoteEnd, started_at: Instant) -> Upload {
+    /// Creates an upload whose timeout starts at `started_at`.
+    pub fn new(incoming: Incoming, client: PeerMonitor, started_at: Instant) -> Upload {
         let deadline = started_at + BASE_TIMEOUT;
         Upload {
-            beginning: None,
+            prefix: None,
             incoming,
             deadline,
             last_active_at: Instant::now(),
             timer: Box::pin(tokio::time::sleep_until(deadline)),
-            is_read: false,
+            has_waiting_reader: false,
             client,
             progress: Rc::new(UploadProgress::new()),
         }
     }
 
-    /// Gives back what was read from its beginning.
-    pub fn put_back(&mut self, beginning: Bytes) {
-        self.beginning = Some(beginning);
+    /// Puts back the bytes that were read from the start of the body.
+    pub fn put_back(&mut self, prefix: Bytes) {
+        self.prefix = Some(prefix);
     }
 
-    /// Its length in bytes, where the client stated one.
+    /// Returns the body's length in bytes, if the client stated one.
     pub fn length(&self) -> Option<u64> {
         self.size_hint().exact()
     }
 
-    fn take_beginning(&mut self) -> Option<Bytes> {
-        let beginning = self.beginning.take()?;
-        self.progress.forwarded(Instant::now());
+    fn take_prefix(&mut self) -> Option<Bytes> {
+        let prefix = self.prefix.take()?;
+        self.progress.record_forwarded(Instant::now());
         if self.incoming.is_end_stream() {
-            self.progress.end();
+            self.progress.mark_ended();
         }
-        Some(beginning)
+        Some(prefix)
     }
 
-    /// Extends the deadline by the time in which nobody read.
+    /// Extends the deadline by the time in which nothing read the body.
     fn resume(&mut self, now: Instant) {
-        if self.is_read {
+        if self.has_waiting_reader {
             return;
         }
         let unread_time = now - self.last_active_at;
         self.deadline += unread_time;
         self.last_active_at = now;
-        self.is_read = true;
+        self.has_waiting_reader = true;
     }
 
-    /// Ready once the body has taken too long or stalled.
+    /// Is ready once the body has taken too long or has stalled.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let timeout_at = self.deadline.min(self.last_active_at + STALL_TIMEOUT);
         if self.timer.deadline() != timeout_at {
@@ -154,7 +157,7 @@
         let bytes = frame.data_ref().map_or(0, Bytes::len);
         self.deadline += Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_S);
         if self.incoming.is_end_stream() {
-            self.progress.end();
+            self.progress.mark_ended();
         }
     }
 }
@@ -167,8 +170,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
-        if let Some(beginning) = self.take_beginning() {
-            return Poll::Ready(Some(Ok(Frame::data(beginning))));
+        if let Some(prefix) = self.take_prefix() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         let now = Instant::now();
         self.resume(now);
@@ -177,11 +180,12 @@
             return Poll::Ready(Some(Err(UploadError::Slow)));
         };
         self.last_active_at = now;
-        self.is_read = false;
-        self.progress.forwarded(now);
-        // The end of a client that left long ago may be read right behind its last byte, which then is not forwarded.
+        self.has_waiting_reader = false;
+        self.progress.record_forwarded(now);
+        // A client's disconnect may have arrived long ago but be read only now, right behind the body's last byte. The last
+        // byte is then not forwarded, so that the backend does not execute the request.
         let is_complete = next.is_none() || self.incoming.is_end_stream();
-        if is_complete && self.client.has_left() {
+        if is_complete && self.client.has_closed() {
             return Poll::Ready(Some(Err(UploadError::Malformed)));
         }
         Poll::Ready(match next {
@@ -191,20 +195,20 @@
             }
             Some(Err(_)) => Some(Err(UploadError::Malformed)),
             None => {
-                self.progress.end();
+                self.progress.mark_ended();
                 None
             }
         })
     }
 
     fn size_hint(&self) -> SizeHint {
-        let beginning = self.beginning.as_ref().map_or(0, Bytes::len) as u64;
+        let prefix = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         let incoming = self.incoming.size_hint();
         let mut hint = SizeHint::new();
         if let Some(upper) = incoming.upper() {
-            hint.set_upper(upper + beginning);
+            hint.set_upper(upper + prefix);
         }
-        hint.set_lower(incoming.lower() + beginning);
+        hint.set_lower(incoming.lower() + prefix);
         hint
     }
 }
