--- a/src/net/cluster/coordination/admin_calls.rs
+++ b/src/net/cluster/coordination/admin_calls.rs
@@ -1,4 +1,5 @@
-//! The operators' calls on duties and maintenance windows, carried out by the timer worker.
+//! Operators' calls on duties, maintenance windows and the configuration, which the timer worker handles with
+//! [`handle_call`]. Calls that change the configuration are parsed in `config_change`.
 
 use super::call::{json_line, Call, CallResponse};
 use super::clocks::wall_now;
@@ -10,34 +11,36 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// The body of an extension.
+/// The body of a call that extends a window.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Extension {
     until: String,
 }
 
-/// Carries a call out.
+/// Handles a call and returns the response.
 pub fn handle_call(shared: &SharedState, call: &Call) -> CallResponse {
     let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
     match (call.method.as_str(), path.as_slice()) {
         ("GET", ["config"]) => ok(&shared.config_status()),
         ("GET", ["config", kind, name]) => shared.config_entry(kind, name),
-        ("GET", ["duties"]) => ok(&duties(shared)),
+        ("GET", ["duties"]) => ok(&duties_status(shared)),
         ("GET", ["windows"]) => {
             let windows = shared.maintenance.lock().calendar.list(wall_now());
             ok(&json!({ "windows": windows }))
         }
-        (method, ["windows", id, action @ ..]) => match change(shared, method, id, action, call) {
-            Some(changed) => respond_to_change(shared, changed),
-            None => no_such_call(),
-        },
+        (method, ["windows", id, action @ ..]) => {
+            match change_window(shared, method, id, action, call) {
+                Some(changed) => respond_to_change(shared, changed),
+                None => no_such_call(),
+            }
+        }
         _ => no_such_call(),
     }
 }
 
-/// Carries a call out that changes a window; `None` where there is no such call.
-fn change(
+/// Handles a call that changes a window. Returns `None` if there is no such call.
+fn change_window(
     shared: &SharedState,
     method: &str,
     id: &str,
@@ -60,7 +63,7 @@
                     .put(id, spec, version, now)
             }),
         ("DELETE", []) => shared.maintenance.lock().calendar.cancel(id, version, now),
-        ("POST", ["extend"]) => extension_end(&call.body)
+        ("POST", ["extend"]) => parse_extension_end(&call.body)
             .map_err(CallError::Invalid)
             .and_then(|until| {
                 let calendar = &mut shared.maintenance.lock().calendar;
@@ -76,6 +79,7 @@
     Some(changed)
 }
 
+/// Announces the changed windows and formats the response, or formats the error.
 fn respond_to_change(
     shared: &SharedState,
     changed: Result<CallOutcome, CallError>,
@@ -103,16 +107,17 @@
     (StatusCode::NOT_FOUND, json_line(&body))
 }
 
-fn extension_end(body: &[u8]) -> Result<WallTime, InvalidField> {
-    let extension: Extension = serde_json::from_slice(body).map_err(|error| InvalidField {
+/// Parses the end of a window from the body of a call that extends it.
+fn parse_extension_end(body: &[u8]) -> Result<WallTime, InvalidField> {
+    let body: Extension = serde_json::from_slice(body).map_err(|error| InvalidField {
         field: "until".into(),
         reason: error.to_string(),
     })?;
-    parse_instant("until", &extension.until)
+    parse_instant("until", &body.until)
 }
 
-/// The state of the calendar's duty; the names are the operators' ones.
-fn duties(shared: &SharedState) -> serde_json::Value {
+/// Returns the status of the calendar duty. The JSON keys are part of the admin interface.
+fn duties_status(shared: &SharedState) -> serde_json::Value {
     let mut status = shared.calendar_lease.lock().status();
     let (windows, in_maintenance, ready) = {
         let maintenance = shared.maintenance.lock();
@@ -124,12 +129,12 @@
     };
     let members = shared.fleet_view.lock().members().len();
     let effect_queue = shared.effect_queue.lock();
-    let more = json!({
+    let details = json!({
         "windows": windows, "out": in_maintenance, "ready": ready, "members": members, "sent": effect_queue.sent,
         "received": effect_queue.received, "refused": effect_queue.rejected,
     });
-    if let (Some(status), serde_json::Value::Object(more)) = (status.as_object_mut(), more) {
-        status.extend(more);
+    if let (Some(status), serde_json::Value::Object(details)) = (status.as_object_mut(), details) {
+        status.extend(details);
     }
     status
 }
--- a/src/net/cluster/coordination/admin_calls/stored_formats.rs
+++ b/src/net/cluster/coordination/admin_calls/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The answers to operators' calls on duties and windows: status and JSON.
+//! Tests that the responses to operators' calls on duties and windows keep their status and JSON.
 
 use super::super::duty_lease::DutyMessages;
 use super::*;
@@ -24,17 +24,17 @@
 
 const WINDOW: &str =
     r#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"ops"}"#;
-const OTHER: &str =
+const OTHER_WINDOW: &str =
     r#"{"zone":"e","begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"ops"}"#;
 
 #[test]
-fn calls_on_windows_keep_their_answers() {
-    let (shared, _told) = SharedState::example();
+fn calls_on_windows_keep_their_responses() {
+    let (shared, _effects) = SharedState::example();
     let calls = [
         ("none yet", "GET /windows", ""),
         ("put", "PUT /windows/w", WINDOW),
         ("put again", "PUT /windows/w", WINDOW),
-        ("put another", "PUT /windows/w", OTHER),
+        ("put another", "PUT /windows/w", OTHER_WINDOW),
         ("put garbage", "PUT /windows/x", "{"),
         ("listed", "GET /windows", ""),
         (
@@ -61,13 +61,13 @@
         ("cancelled", "GET /windows", ""),
         ("no such call", "GET /nothing", ""),
     ];
-    let forms = calls.map(|(name, of, body)| (name, call(&shared, of, body)));
-    assert_lines("window-calls.txt", &forms);
+    let responses = calls.map(|(name, request, body)| (name, call(&shared, request, body)));
+    assert_lines("window-calls.txt", &responses);
 }
 
-/// The answer to `GET /duties` without what the clock says.
-fn state(shared: &SharedState) -> String {
-    let mut status = duties(shared);
+/// The response to `GET /duties` with fixed values for the fields that depend on the clock.
+fn duties_without_clock(shared: &SharedState) -> String {
+    let mut status = duties_status(shared);
     if status["heard_ms"].is_u64() {
         status["heard_ms"] = 0.into();
     }
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn the_state_of_duties_keeps_its_json() {
-    let (shared, _told) = SharedState::example();
-    let before = state(&shared);
+fn the_status_of_duties_keeps_its_json() {
+    let (shared, _effects) = SharedState::example();
+    let before = duties_without_clock(&shared);
     assert!(call(&shared, "GET /duties", "").starts_with("200 {"));
     call(&shared, "PUT /windows/w", WINDOW);
     shared.maintenance.lock().in_maintenance.insert("a".into());
@@ -94,6 +94,9 @@
         .admit_effect(from, token, true, &mut DutyMessages::new())
         .unwrap();
     shared.effect_queue.lock().rejected.insert("token", 3);
-    let forms = [("at the start", before), ("with a holder", state(&shared))];
-    assert_lines("duties-status.txt", &forms);
+    let responses = [
+        ("at the start", before),
+        ("with a holder", duties_without_clock(&shared)),
+    ];
+    assert_lines("duties-status.txt", &responses);
 }
--- a/src/net/cluster/coordination/announcements.rs
+++ b/src/net/cluster/coordination/announcements.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Announces changed windows to all live members, and schedules repetitions, as datagrams may be lost. `held` is the
-    /// duty under which the windows changed, or `None` if an operator changed them.
+    /// Announces changed windows to all live members, and schedules repetitions, as datagrams may be lost. `held` is
+    /// the duty under which the windows changed, or `None` if an operator changed them.
     pub fn announce_windows(&self, changed: &[Window], held: Option<HeldDuty>) {
         let announcements: Vec<Announcement> = encode_windows(changed)
             .into_iter()
--- a/src/net/cluster/coordination/config/stored_formats.rs
+++ b/src/net/cluster/coordination/config/stored_formats.rs
@@ -1,15 +1,15 @@
-//! The answers to operators' calls on the configuration: status and JSON.
+//! Tests that the responses to operators' calls on the configuration keep their status and JSON.
 
 use super::*;
 use crate::fixtures::assert_lines;
 use meadowproxy::fleet::config::{Change, Edit, InvalidEntry, Kind, SubmitError};
 use meadowproxy::fleet::lease;
 
-fn text((status, body): CallResponse) -> String {
+fn format_response((status, body): CallResponse) -> String {
     format!("{} {body}", status.as_u16())
 }
 
-/// A result's name; whoever adds a reason has to name it here and to give one below.
+/// Returns the name of a result in the fixture. A new error has to be named here and added to the test below.
 fn name(result: &Result<u64, SubmitError>) -> &'static str {
     match result {
         Ok(_) => "taken",
@@ -24,7 +24,7 @@
 
 #[test]
 fn outcomes_of_changes_keep_their_status_and_json() {
-    let (shared, _told) = SharedState::example();
+    let (shared, _effects) = SharedState::example();
     let key = "tenants.acme".to_string();
     let results = [
         Ok(1_764_748_800_124),
@@ -42,8 +42,13 @@
         Err(SubmitError::Unknown),
     ];
     let config = shared.config.lock();
-    let forms = results.map(|result| (name(&result), text(config.outcome_response(result))));
-    assert_lines("config-outcomes.txt", &forms);
+    let responses = results.map(|result| {
+        (
+            name(&result),
+            format_response(config.outcome_response(result)),
+        )
+    });
+    assert_lines("config-outcomes.txt", &responses);
 }
 
 fn edit(kind: Kind, name: &str, value: Value) -> Edit {
@@ -73,7 +78,7 @@
 
 #[test]
 fn entries_of_the_configuration_keep_their_json() {
-    let (shared, _told) = SharedState::example();
+    let (shared, _effects) = SharedState::example();
     let changes = Message::Changes {
         changes: vec![change()],
         version: change().version,
@@ -82,25 +87,37 @@
     shared
         .handle_config_message(SocketAddr::from(([127, 0, 0, 1], 10)), changes)
         .unwrap();
-    let forms = [
-        ("set", text(shared.config_entry("routes", "/read/*"))),
-        ("removed", text(shared.config_entry("tenants", "acme"))),
-        ("taken back", text(shared.config_entry("tenants", "größer"))),
+    let responses = [
+        (
+            "set",
+            format_response(shared.config_entry("routes", "/read/*")),
+        ),
+        (
+            "removed",
+            format_response(shared.config_entry("tenants", "acme")),
+        ),
+        (
+            "taken back",
+            format_response(shared.config_entry("tenants", "größer")),
+        ),
         (
             "never changed",
-            text(shared.config_entry("tenants", "other")),
+            format_response(shared.config_entry("tenants", "other")),
+        ),
+        (
+            "unknown kind",
+            format_response(shared.config_entry("classes", "acme")),
         ),
-        ("unknown kind", text(shared.config_entry("classes", "acme"))),
     ];
-    assert_lines("config-entries.txt", &forms);
+    assert_lines("config-entries.txt", &responses);
 }
 
 #[test]
-fn the_state_of_the_configuration_keeps_its_json() {
-    let (shared, _told) = SharedState::example();
+fn the_status_of_the_configuration_keeps_its_json() {
+    let (shared, _effects) = SharedState::example();
     let mut before = shared.config_status();
     assert!(before["silent"].is_boolean());
-    before["silent"] = true.into(); // by the clock, as below
+    before["silent"] = true.into(); // depends on the clock, as below
     let from = SocketAddr::from(([127, 0, 0, 1], 10));
     let changes = Message::Changes {
         changes: vec![change()],
@@ -122,9 +139,9 @@
     assert!(after["heard_ms"].is_u64());
     after["heard_ms"] = 0.into();
     after["silent"] = true.into();
-    let forms = [
+    let responses = [
         ("empty", before.to_string()),
         ("with a holder", after.to_string()),
     ];
-    assert_lines("config-status.txt", &forms);
+    assert_lines("config-status.txt", &responses);
 }
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -1,5 +1,5 @@
-//! Parses operators' calls that change the configuration with [`parse_change`], and validates them against the settings in
-//! force at this proxy. The texts of its errors are returned to the operator.
+//! Parses operators' calls that change the configuration with [`parse_change`], and validates them against the settings
+//! in force at this proxy. The texts of its errors are returned to the operator.
 
 use super::call::{json_line, Call, CallResponse};
 use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
@@ -165,10 +165,10 @@
         .filter(|edit| edit.value == Value::AsFile)
         .map(|edit| &edit.key)
         .collect();
-    let errors = |reason: &str, is_wrong: &dyn Fn(&Key) -> bool| -> Vec<FieldError> {
+    let errors = |reason: &str, is_invalid: &dyn Fn(&Key) -> bool| -> Vec<FieldError> {
         reverted
             .iter()
-            .filter(|key| is_wrong(key))
+            .filter(|key| is_invalid(key))
             .map(|key| FieldError::new(key.to_string(), reason))
             .collect()
     };
@@ -187,7 +187,8 @@
     Ok(())
 }
 
-/// Returns the kind of entry that a segment of the path names. The version of the platform's files has a call of its own.
+/// Returns the kind of entry that a segment of the path names. The version of the platform's files has a call of its
+/// own.
 pub fn kind_by_name(name: &str) -> Option<Kind> {
     [Kind::RequestClass, Kind::Tenant]
         .into_iter()
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -2,10 +2,11 @@
 //! process of the same proxy loads it, and so has to catch up with the differences only. Load it at the start with
 //! [`SnapshotFile::load`], and run [`SnapshotFile::save_changes`] on a thread.
 //!
-//! The file consists of the magic bytes `SHTC`, the format version (u16, little endian), the CRC-32 of the body (u32, little
-//! endian) and the body in postcard. The restored table is treated like that of any replica: it may be behind the fleet, or
-//! belong to a chain of changes that the fleet lost, and catches up from there. It does not contain a voter's promises, as
-//! it may be older than the last promise; a voter that starts from it runs the recovery of voters first.
+//! The file consists of the magic bytes `SHTC`, the format version (u16, little endian), the CRC-32 of the body (u32,
+//! little endian) and the body in postcard. The restored table is treated like that of any replica: it may be behind
+//! the fleet, or belong to a chain of changes that the fleet lost, and catches up from there. It does not contain a
+//! voter's promises, as it may be older than the last promise; a voter that starts from it runs the recovery of voters
+//! first.
 
 use super::shared_state::SharedState;
 use crate::net::state::snapshot::replace;
@@ -74,7 +75,7 @@
     Format(u16),
     #[error("checksum mismatch: file is truncated or corrupted")]
     Checksum,
-    #[error("file body cannot be decoded: {0}")]
+    #[error("invalid file body: {0}")]
     Body(#[source] postcard::Error),
     #[error("file belongs to the fleet {0:?}")]
     Cluster(String),
@@ -233,8 +234,8 @@
         }
     }
 
-    /// Copies the complete table of one version. It is locked for one page of entries at a time, so that other threads do
-    /// not wait long for the lock.
+    /// Copies the complete table of one version. It is locked for one page of entries at a time, so that other threads
+    /// do not wait long for the lock.
     fn copy_table(&self, shared: &SharedState) -> Body {
         let mut body = Body {
             cluster: self.cluster.clone(),
--- a/src/net/cluster/coordination/config_snapshot/stored_formats.rs
+++ b/src/net/cluster/coordination/config_snapshot/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The file of the configuration's snapshot, byte for byte, and its name.
+//! Tests that the configuration snapshot keeps its file format and its file name.
 
 use super::*;
 use crate::fixtures::{assert_bytes, assert_lines};
@@ -51,10 +51,10 @@
     .unwrap()
 }
 
-/// What of a table is in its snapshot: all but the log.
-type Saved = (Digest, Vec<(u64, Entry)>);
+/// The parts of a table that are in its snapshot: everything but the log of changes.
+type SavedTable = (Digest, Vec<(u64, Entry)>);
 
-fn saved(table: &Table) -> Saved {
+fn saved(table: &Table) -> SavedTable {
     (
         table.digest(),
         table
@@ -65,29 +65,30 @@
 }
 
 #[test]
-fn the_snapshot_of_the_configuration_keeps_its_bytes() {
-    let restored =
-        |of: &Saved| Table::restore(of.0, of.1.iter().map(|(_, e)| e.clone()).collect()).unwrap();
-    let forms = [
+fn the_configuration_snapshot_keeps_its_bytes() {
+    let restored = |saved: &SavedTable| {
+        Table::restore(saved.0, saved.1.iter().map(|(_, e)| e.clone()).collect()).unwrap()
+    };
+    let cases = [
         ("four entries", saved(&table())),
         ("none", saved(&Table::default())),
     ];
     assert_eq!(
-        forms[0].1 .1.len(),
+        cases[0].1 .1.len(),
         4,
-        "what the platform's file contains is dropped"
+        "expected the entries that the platform's file contains to be dropped"
     );
     assert_bytes(
         "config-copy.txt",
-        &forms,
-        |of| body(&restored(of)),
+        &cases,
+        |saved| body(&restored(saved)),
         |bytes| saved(&decode(bytes, "lagos").unwrap()),
     );
 }
 
 #[test]
-fn the_file_of_the_snapshot_keeps_its_name() {
-    let of = |cluster: &str| SnapshotFile {
+fn the_snapshot_file_keeps_its_name() {
+    let file = |cluster: &str| SnapshotFile {
         dir: PathBuf::new(),
         cluster: cluster.into(),
     };
@@ -95,10 +96,10 @@
         "127.0.0.1:7000".parse().unwrap(),
         "[::1]:7000".parse().unwrap(),
     );
-    let forms = [
-        ("ipv4", of("lagos").name(v4)),
-        ("ipv6", of("lagos").name(v6)),
-        ("other", of("x").name(v4)),
+    let cases = [
+        ("ipv4", file("lagos").name(v4)),
+        ("ipv6", file("lagos").name(v6)),
+        ("other", file("x").name(v4)),
     ];
-    assert_lines("config-copy-names.txt", &forms);
+    assert_lines("config-copy-names.txt", &cases);
 }
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -129,14 +129,14 @@
         self.candidate
             .tick(now, wall_ms, wants_lease, &mut requests);
         self.send_to_voters(now, requests, outgoing);
-        self.apply_changes(now);
+        self.apply_lease_events(now);
         self.check_quorum(now, wants_lease);
         self.candidate.next_tick_at()
     }
 
-    /// Whether this proxy's candidate wants the lease. A voter campaigns as soon as its own vote is free; any other proxy
-    /// only after `campaign_delay` without a heartbeat, so that in a large fleet only the voters campaign when a holder
-    /// fails.
+    /// Whether this proxy's candidate wants the lease. A voter campaigns as soon as its own vote is free; any other
+    /// proxy only after `campaign_delay` without a heartbeat, so that in a large fleet only the voters campaign when a
+    /// holder fails.
     fn wants_lease(&self, now: Time) -> bool {
         if !self.is_eligible || self.is_leaving {
             return false;
@@ -180,7 +180,7 @@
                 self.send_to_voters(now, requests, outgoing);
             }
         }
-        self.apply_changes(now);
+        self.apply_lease_events(now);
         Ok(())
     }
 
@@ -248,7 +248,7 @@
         let mut requests = Vec::new();
         self.candidate.observe_token(now, token, &mut requests);
         self.send_to_voters(now, requests, outgoing);
-        self.apply_changes(now);
+        self.apply_lease_events(now);
     }
 
     /// Returns what this proxy knows of the duty, for its digests.
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Sends requests to every voter. The request to this proxy's own voter is handled here, with any requests that follow
-    /// from its response.
+    /// Sends requests to every voter. The request to this proxy's own voter is handled here, with any requests that
+    /// follow from its response.
     fn send_to_voters(&mut self, now: Time, requests: Vec<Message>, outgoing: &mut DutyMessages) {
         let mut requests = VecDeque::from(requests);
         while let Some(message) = requests.pop_front() {
@@ -324,10 +324,10 @@
         }
     }
 
-    /// Logs and records the changes of the lease's state.
-    fn apply_changes(&mut self, now: Time) {
-        for change in self.candidate.take_events() {
-            match change {
+    /// Logs and records the events of the candidate.
+    fn apply_lease_events(&mut self, now: Time) {
+        for event in self.candidate.take_events() {
+            match event {
                 LeaseEvent::Acquired(token) => {
                     self.raise_token(token);
                     info!(event = "duty_held", duty = self.duty.name(), token = %format_token(token), mono_us = now.0,
--- a/src/net/cluster/coordination/maintenance.rs
+++ b/src/net/cluster/coordination/maintenance.rs
@@ -8,8 +8,8 @@
     pub calendar: Calendar,
     /// The backends that the request loop has been told to keep in maintenance.
     pub in_maintenance: BTreeSet<String>,
-    /// Ranges of id hashes in which this proxy, since its start, turned out to lack no window; `None` once it has caught
-    /// up.
+    /// Ranges of id hashes in which this proxy, since its start, turned out to lack no window; `None` once it has
+    /// caught up.
     pub compared_ranges: Option<Vec<HashRange>>,
 }
 
--- a/src/net/cluster/coordination/message.rs
+++ b/src/net/cluster/coordination/message.rs
@@ -2,8 +2,9 @@
 //! [`decode`].
 //!
 //! A message is a version byte and a [`DutyMessage`] in postcard, sent as the body
-//! [`Body::Coordination`](crate::net::cluster::gossip::wire::Body::Coordination) of a datagram with a checksum. Decoding
-//! never panics, whatever the bytes. The order of variants and fields is part of the format; their names are not.
+//! [`Body::Coordination`](crate::net::cluster::gossip::wire::Body::Coordination) of a datagram with a checksum.
+//! Decoding never panics, whatever the bytes. The order of variants and fields is part of the format; their names are
+//! not.
 
 use crate::net::cluster::gossip::wire::MAX_DATAGRAM_BODY_BYTES;
 use meadowproxy::fleet::calendar::{Digest, WindowError};
@@ -160,8 +161,8 @@
 }
 
 impl DutyMessage {
-    /// Checks every token in the message with [`check_token`], except in encoded windows, which are checked when they are
-    /// merged.
+    /// Checks every token in the message with [`check_token`], except in encoded windows, which are checked when they
+    /// are merged.
     fn check(&self) -> Result<(), MessageError> {
         match self {
             DutyMessage::Lease { message, .. } => check_lease_message(message),
@@ -219,7 +220,8 @@
     }
 }
 
-/// Splits a list into parts that each fit into one message. `size_bytes` returns the approximate encoded size of an item.
+/// Splits a list into parts that each fit into one message. `size_bytes` returns the approximate encoded size of an
+/// item.
 pub fn split_to_fit<T>(items: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part_bytes = MAX_ITEMS_BYTES;
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -168,8 +168,8 @@
 }
 
 proptest! {
-    /// A message decodes to what was encoded. A truncated message or one with trailing bytes is rejected. Decoding a message
-    /// with a changed byte, or random bytes, never panics, and never succeeds with another version.
+    /// A message decodes to what was encoded. A truncated message or one with trailing bytes is rejected. Decoding a
+    /// message with a changed byte, or random bytes, never panics, and never succeeds with another version.
     #[test]
     fn only_complete_messages_are_decoded(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
                                     junk in prop::collection::vec(any::<u8>(), 1..64)) {
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! Coordination of the fleet's proxies: leases for the duties that one proxy performs at a time, the maintenance windows
-//! that the holder of the calendar duty advances, and the replicated configuration. The state machines are in
+//! Coordination of the fleet's proxies: leases for the duties that one proxy performs at a time, the maintenance
+//! windows that the holder of the calendar duty advances, and the replicated configuration. The state machines are in
 //! [`meadowproxy::fleet`]; this module runs them on sockets, clocks and threads.
 //!
 //! Start it with [`Coordinator::start`]. Two threads run beside the request loop: the message worker (`duties-wire`)
--- a/src/net/cluster/coordination/ordered_locks.rs
+++ b/src/net/cluster/coordination/ordered_locks.rs
@@ -1,7 +1,8 @@
 //! Locks with a fixed order, which prevents deadlocks.
 //!
-//! Each lock has a rank, and a thread may take a lock only if its rank is higher than those of all locks that the thread
-//! holds. So no two threads ever wait for each other. Builds with debug assertions check the order at every lock.
+//! Each lock has a rank, and a thread may take a lock only if its rank is higher than those of all locks that the
+//! thread holds. So no two threads ever wait for each other. Builds with debug assertions check the order at every
+//! lock.
 
 use std::cell::Cell;
 use std::ops::{Deref, DerefMut};
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -1,5 +1,5 @@
-//! Tasks on the request loop's thread: [`apply_effects`] applies the workers' effects, and [`LoopViewTask`] publishes the
-//! loop's state to the workers.
+//! Tasks on the request loop's thread: [`apply_effects`] applies the workers' effects, and [`LoopViewTask`] publishes
+//! the loop's state to the workers.
 
 use super::clocks::monotonic_now;
 use super::command::Command;
--- a/src/net/cluster/coordination/shared_state.rs
+++ b/src/net/cluster/coordination/shared_state.rs
@@ -105,20 +105,20 @@
         {
             return;
         }
-        let fleet = self
+        let backends = self
             .fleet_view
             .lock()
             .listed_backends(&maintenance.in_maintenance, decides_locally);
-        let fleet = match fleet {
-            Some(fleet) => fleet,
+        let backends = match backends {
+            Some(backends) => backends,
             // The backends of zones are not known yet; windows that name their backends take effect without them.
             None if decides_locally || !maintenance.has_caught_up() => return,
             None => Arc::default(),
         };
         let target = maintenance
             .calendar
-            .backends_in_maintenance(now, since_heartbeat, &fleet);
-        self.notify_request_loop(&mut maintenance.in_maintenance, &target, &fleet);
+            .backends_in_maintenance(now, since_heartbeat, &backends);
+        self.notify_request_loop(&mut maintenance.in_maintenance, &target, &backends);
     }
 
     /// Sends the effects that turn `notified` into `target`, and updates `notified` by those that were queued.
@@ -126,7 +126,7 @@
         &self,
         notified: &mut BTreeSet<String>,
         target: &BTreeSet<String>,
-        fleet: &ListedBackends,
+        backends: &ListedBackends,
     ) {
         let effect_queue = self.effect_queue.lock();
         let try_send = |effect| effect_queue.effects.try_send(effect).is_ok();
@@ -137,7 +137,7 @@
         }
         // A backend that is no longer listed stays in maintenance, as it may be listed again before its window ends.
         notified.retain(|name| {
-            let is_over = !target.contains(name) && fleet.contains_key(name);
+            let is_over = !target.contains(name) && backends.contains_key(name);
             !is_over || !try_send(Effect::EndMaintenance(name.clone()))
         });
     }
--- a/src/net/cluster/coordination/stored_formats.rs
+++ b/src/net/cluster/coordination/stored_formats.rs
@@ -1,4 +1,4 @@
-//! One message of every kind on duties, windows and the configuration, byte for byte.
+//! Test that one message of every kind on duties, windows and the configuration keeps its encoding byte for byte.
 
 use super::message::{
     decode, encode, Announcement, Duty, DutyMessage, HeldDuty, OpenRequestCount, TokenReport,
@@ -55,7 +55,8 @@
     }
 }
 
-/// A value's name; whoever adds a kind has to name it here and to give one of it below.
+/// Returns the name of a lease message in the fixture. A new kind of message has to be named in the function for its
+/// type and added to the examples below.
 fn lease_name(message: &Message) -> &'static str {
     match message {
         Message::PreVote { .. } => "lease ask",
@@ -295,7 +296,7 @@
 }
 
 fn messages() -> Vec<DutyMessage> {
-    let part = HashRange {
+    let range = HashRange {
         first: 7,
         last: u32::MAX,
         hops: 2,
@@ -305,13 +306,13 @@
         origin,
         incarnation: 0x55aa,
         sent_us: 1_764_748_800_123_456,
-        range: part,
+        range,
     };
-    let holding = |duty, number| HeldDuty {
+    let held_duty = |duty, number| HeldDuty {
         duty,
         token: token(number),
     };
-    let held = vec![holding(Duty::Calendar, 5), holding(Duty::Config, 6)];
+    let held = vec![held_duty(Duty::Calendar, 5), held_duty(Duty::Config, 6)];
     let windows = vec![vec![1, 2, 3], vec![], vec![255]];
     let count = |backend: &str, open| OpenRequestCount {
         backend: backend.into(),
@@ -339,10 +340,10 @@
 }
 
 #[test]
-fn every_kind_of_message_on_duties_keeps_its_bytes() {
-    let forms: Vec<_> = messages()
+fn every_kind_of_coordination_message_keeps_its_bytes() {
+    let named: Vec<_> = messages()
         .into_iter()
         .map(|message| (name(&message), message))
         .collect();
-    assert_bytes("duties.txt", &forms, encode, |bytes| decode(bytes).unwrap());
+    assert_bytes("duties.txt", &named, encode, |bytes| decode(bytes).unwrap());
 }
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -145,25 +145,25 @@
             .unwrap_or_else(|| monotonic_now() + MAX_ROUND_INTERVAL)
     }
 
-    /// Marks the calendar and the configuration as caught up if there is no other proxy to catch up with, or if catching
-    /// up has timed out.
+    /// Marks the calendar and the configuration as caught up if there is no other proxy to catch up with, or if
+    /// catching up has timed out.
     fn catch_up(&self) {
         let has_caught_up = self.shared.maintenance.lock().has_caught_up();
         let has_loop_view = self.shared.fleet_view.lock().loop_view.is_some();
-        let is_timed_out = monotonic_now() - self.started_at > CATCH_UP_TIMEOUT;
-        let takes_part = self.is_only_proxy && has_loop_view || is_timed_out;
-        if !has_caught_up && takes_part {
+        let has_timed_out = monotonic_now() - self.started_at > CATCH_UP_TIMEOUT;
+        let ends_catch_up = self.is_only_proxy && has_loop_view || has_timed_out;
+        if !has_caught_up && ends_catch_up {
             self.shared.set_caught_up();
         }
         let is_new = self.shared.config.lock().replica.is_new();
-        if is_new && takes_part {
+        if is_new && ends_catch_up {
             self.shared.config.lock().replica.assume_up_to_date();
             self.shared.signal_ready_if_caught_up();
         }
     }
 
-    /// Has the request loop publish the listed backends while they are needed. Most proxies of a fleet without windows in
-    /// effect never need them.
+    /// Has the request loop publish the listed backends while they are needed. Most proxies of a fleet without windows
+    /// in effect never need them.
     fn update_demand(&self) {
         let (is_holder, since_heartbeat) = {
             let lease = self.shared.calendar_lease.lock();
@@ -173,8 +173,8 @@
         let calendar = &maintenance.calendar;
         let is_isolated = since_heartbeat > calendar.rules.isolation_timeout;
         let needs_backends = (is_holder || is_isolated) && calendar.needs_backends(wall_now());
-        // If the windows name all backends in maintenance, the list is not needed: it only tells whether a backend whose
-        // maintenance is over is still listed.
+        // If the windows name all backends in maintenance, the list is not needed: it only tells whether a backend
+        // whose maintenance is over is still listed.
         let names_all = |named: &BTreeSet<&str>| {
             let mut in_maintenance = maintenance.in_maintenance.iter();
             in_maintenance.all(|name| named.contains(name.as_str()))
@@ -200,7 +200,8 @@
             .send_if_modified(|previous| std::mem::replace(previous, demand) != demand);
     }
 
-    /// Advances the calendar while this proxy holds its duty, and announces the changes. Returns the duty if it is held.
+    /// Advances the calendar while this proxy holds its duty, and announces the changes. Returns the duty if it is
+    /// held.
     fn advance_calendar(&self) -> Option<HeldDuty> {
         let CalendarAdvance {
             held,
@@ -223,10 +224,10 @@
         let mut maintenance = self.shared.maintenance.lock();
         let mut fleet_view = self.shared.fleet_view.lock();
         let now = wall_now();
-        let mut fleet = Some(Arc::default());
+        let mut backends = Some(Arc::default());
         let mut reports = OpenRequestReports::new();
         if maintenance.calendar.needs_backends(now) {
-            fleet = fleet_view.listed_backends(&maintenance.in_maintenance, true);
+            backends = fleet_view.listed_backends(&maintenance.in_maintenance, true);
             reports = fleet_view.open_requests(self.own_address, &maintenance.in_maintenance);
         }
         let checked_at = monotonic_now();
@@ -241,9 +242,9 @@
             changed: Vec::new(),
         };
         // Transitions wait for an up-to-date list of the backends.
-        if let Some(fleet) = fleet {
+        if let Some(backends) = backends {
             let calendar = &mut maintenance.calendar;
-            advance.transitions = calendar.advance(now, held.token, &fleet, &reports);
+            advance.transitions = calendar.advance(now, held.token, &backends, &reports);
             advance.changed = calendar.take_changed();
         }
         Some(advance)
@@ -302,8 +303,8 @@
         self.shared.send(outgoing);
     }
 
-    /// Reports the number of open requests at each backend in maintenance to the holder: each second, and at once when it
-    /// falls to zero at a backend.
+    /// Reports the number of open requests at each backend in maintenance to the holder: each second, and at once when
+    /// it falls to zero at a backend.
     fn report_open_requests(&mut self) {
         let holder = self.shared.calendar_lease.lock().holder();
         let in_maintenance = self.shared.maintenance.lock().in_maintenance.clone();
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -1,4 +1,4 @@
-//! When the request loop is asked to show the listed backends, and which decisions wait for them.
+//! Tests of when the request loop has to publish the listed backends, and which decisions wait for them.
 
 use super::super::fleet_view::FleetView;
 use super::super::request_loop::{BackendSnapshot, Effect};
@@ -7,9 +7,9 @@
 use meadowproxy::fleet::calendar::{Phase, Progress, Spec, Version, WallTime};
 use meadowproxy::fleet::lease::Ballot;
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// The timer worker of a proxy that takes part, what it demands of the request loop, and the effects for it.
+/// The timer worker of a proxy that has caught up, its demand for snapshots, and the effects for its request loop.
 struct TestProxy {
     worker: TimerWorker,
     demand: watch::Receiver<BackendDemand>,
@@ -21,12 +21,12 @@
         let (shared, effects) = SharedState::example();
         shared.maintenance.lock().compared_ranges = None;
         *shared.fleet_view.lock() = FleetView::default();
-        let (demanded, demand) = watch::channel(BackendDemand::NotNeeded);
+        let (set_demand, demand) = watch::channel(BackendDemand::NotNeeded);
         let own_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let worker = TimerWorker::new(
             Arc::new(shared),
             watch::channel(None).1,
-            demanded,
+            set_demand,
             own_address,
             false,
         );
@@ -41,8 +41,8 @@
         &self.worker.shared
     }
 
-    /// The request loop shows what is demanded, as it is at that time.
-    fn show(&self, at: Time) {
+    /// Publishes a view taken at `at`, with two backends unless they are not needed.
+    fn publish_view(&self, at: Time) {
         let row = |name: &str| BackendStatus {
             name: name.into(),
             zone: "z".into(),
@@ -54,25 +54,25 @@
             disabled_by_operator: false,
             in_flight: 0,
         };
-        let rows = BackendSnapshot {
+        let snapshot = BackendSnapshot {
             taken_at: at,
             rows: vec![row("a"), row("b")],
         };
-        let rows =
-            Some(Arc::new(rows)).filter(|_| *self.demand.borrow() != BackendDemand::NotNeeded);
-        let seen = LoopView {
-            backends: rows,
+        let snapshot =
+            Some(Arc::new(snapshot)).filter(|_| *self.demand.borrow() != BackendDemand::NotNeeded);
+        let view = LoopView {
+            backends: snapshot,
             open: BTreeMap::new(),
             members: Vec::new(),
             config_version: 0,
             file_version: 0,
         };
-        self.shared().fleet_view.lock().update(Arc::new(seen));
+        self.shared().fleet_view.lock().update(Arc::new(view));
     }
 
-    /// Adds a window with those targets that begins in so many seconds.
+    /// Adds a window of 60 s with those targets that begins in `begin` seconds.
     fn put(&self, id: &str, targets: &str, begin: u64) {
-        let at = |secs| WallTime(wall_now().0 + secs * S);
+        let at = |secs| WallTime(wall_now().0 + secs * SECOND_US);
         let body = format!(
             r#"{{{targets},"begin":"{}","end":"{}","lead_s":1,"by":"x"}}"#,
             at(begin),
@@ -91,7 +91,7 @@
         put.unwrap();
     }
 
-    /// A holder's heartbeat came just now; with `phase` its decision on the window as well.
+    /// Receives a holder's heartbeat and, with `phase`, the holder's progress of window "w".
     fn receive_heartbeat(&self, phase: Option<Phase>) {
         let token = Ballot {
             number: 5,
@@ -109,7 +109,7 @@
         let mut window = maintenance.calendar.get("w").unwrap().clone();
         let occurrence = match window.spec.value.schedule {
             meadowproxy::fleet::calendar::Schedule::Once(span) => span.begin,
-            _ => unreachable!("it comes once"),
+            _ => unreachable!("the window is not recurring"),
         };
         window.progress = Some(Progress {
             occurrence,
@@ -126,16 +126,16 @@
         *self.demand.borrow()
     }
 
-    /// The backends whose maintenance begins (`-`) and ends (`+`).
+    /// Updates the maintenance, and returns the backends whose maintenance begins (`-`) or ends (`+`).
     fn take_effects(&mut self) -> Vec<(char, String)> {
         self.shared().update_maintenance();
-        let of = |effect| match effect {
+        let signed = |effect| match effect {
             Effect::BeginMaintenance(name) => ('-', name),
             Effect::EndMaintenance(name) => ('+', name),
-            _ => unreachable!("no other effects here"),
+            _ => unreachable!("expected effects on maintenance only"),
         };
         std::iter::from_fn(|| self.effects.try_recv().ok())
-            .map(of)
+            .map(signed)
             .collect()
     }
 }
@@ -144,10 +144,10 @@
     names.iter().map(|name| (sign, name.to_string())).collect()
 }
 
-/// A proxy with a holder's heartbeats never demands the backends while none is in maintenance, whatever is due; an
-/// isolated one does from shortly before a window.
+/// A proxy that receives the holder's heartbeats never needs the backends while none is in maintenance, even if a
+/// window is due; an isolated proxy needs them from shortly before a window.
 #[test]
-fn backends_are_demanded_only_where_they_are_needed() {
+fn backends_are_demanded_only_when_needed() {
     let mut proxy = TestProxy::new();
     assert!(
         proxy.demand() == BackendDemand::NotNeeded,
@@ -161,7 +161,7 @@
     proxy.put("w", r#""ids":["a"]"#, 3);
     assert!(
         proxy.demand() == BackendDemand::EveryUpdate,
-        "isolated, with one that is due"
+        "isolated, with a window that is due"
     );
     proxy.receive_heartbeat(None);
     assert!(
@@ -183,29 +183,30 @@
         proxy.demand() == BackendDemand::Occasional,
         "its maintenance has not ended yet"
     );
-    proxy.show(monotonic_now());
+    proxy.publish_view(monotonic_now());
     assert_eq!(proxy.take_effects(), effects('+', &["a"]));
     assert!(proxy.demand() == BackendDemand::NotNeeded);
 }
 
-/// An isolated proxy decides by snapshots since decisions depend on them, not by earlier ones.
+/// An isolated proxy bases its decisions only on snapshots taken since decisions depend on them.
 #[test]
-fn earlier_snapshots_decide_nothing() {
+fn decisions_ignore_earlier_snapshots() {
     let mut proxy = TestProxy::new();
     proxy.put("w", r#""ids":["a"]"#, 1);
     let before = monotonic_now();
     assert!(proxy.demand() == BackendDemand::EveryUpdate);
-    assert_eq!(proxy.take_effects(), [], "without any");
-    proxy.show(Time(before.0 - 1));
-    assert_eq!(proxy.take_effects(), [], "by an earlier snapshot");
-    proxy.show(monotonic_now());
+    assert_eq!(proxy.take_effects(), [], "without a snapshot");
+    proxy.publish_view(Time(before.0 - 1));
+    assert_eq!(proxy.take_effects(), [], "with an earlier snapshot only");
+    proxy.publish_view(monotonic_now());
     assert!(proxy.demand() == BackendDemand::EveryUpdate);
     assert_eq!(proxy.take_effects(), effects('-', &["a"]));
 }
 
-/// A window that names its backends takes effect before any backend is shown; a zone's as soon as they are.
+/// A window that names its backends takes effect without the list of backends; a window of a zone takes effect as soon
+/// as the list is published.
 #[test]
-fn a_holders_decision_waits_for_no_more_than_it_names() {
+fn only_windows_of_zones_wait_for_the_list_of_backends() {
     let mut proxy = TestProxy::new();
     proxy.put("w", r#""ids":["a"]"#, 3);
     proxy.receive_heartbeat(Some(Phase::Draining));
@@ -215,6 +216,6 @@
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert_eq!(proxy.take_effects(), []);
     assert!(proxy.demand() == BackendDemand::Occasional);
-    proxy.show(monotonic_now());
+    proxy.publish_view(monotonic_now());
     assert_eq!(proxy.take_effects(), effects('-', &["a", "b"]));
 }
--- a/src/net/cluster/coordination/voter_contacts.rs
+++ b/src/net/cluster/coordination/voter_contacts.rs
@@ -66,8 +66,8 @@
             .count()
     }
 
-    /// Returns the addresses of the voters of which a message arrived within the time before `now`. This proxy, if it is
-    /// a voter, is always included.
+    /// Returns the addresses of the voters of which a message arrived within the time before `now`. This proxy, if it
+    /// is a voter, is always included.
     pub fn reachable(&self, now: Time, within: Micros, own_address: SocketAddr) -> Vec<String> {
         self.contacts
             .iter()
--- a/src/net/cluster/gossip/datagram_sender.rs
+++ b/src/net/cluster/gossip/datagram_sender.rs
@@ -1,14 +1,14 @@
-//! The sending side of the gossip socket. The request loop and the workers of the coordination share it, so that sending
-//! times increase over all datagrams of this proxy.
+//! The sending side of the gossip socket. The request loop and the workers of the coordination share one
+//! [`DatagramSender`], so that the sending times in all datagrams of this proxy increase.
 
 use super::wire::{Body, ClusterId, DatagramSealer};
 use crate::net::state::snapshot::wall_us;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Seals datagrams, sends them and counts them.
+/// Seals, sends and counts datagrams.
 pub struct DatagramSender {
-    /// Does not block.
+    /// Non-blocking.
     socket: UdpSocket,
     sealer: DatagramSealer,
     sent: AtomicU64,
@@ -16,19 +16,19 @@
     unsent: AtomicU64,
 }
 
-/// What was sent since the start.
+/// Counters of datagrams since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendCounters {
-    /// Datagrams.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams that could not be sent.
+    /// Number of datagrams that could not be sent.
     pub unsent: u64,
 }
 
 impl DatagramSender {
-    /// For datagrams within that cluster from `own_address`, this proxy's advertised address.
+    /// Creates a sender of datagrams within `cluster`. `own_address` is this proxy's advertised address.
     pub fn new(socket: UdpSocket, cluster: ClusterId, own_address: SocketAddr) -> DatagramSender {
         DatagramSender {
             socket,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a datagram, or counts it as unsent: delivery by UDP isn't reliable anyway.
+    /// Sends a datagram, or counts it as unsent if that fails, as UDP does not guarantee delivery anyway.
     pub fn send(&self, to: SocketAddr, body: Body) {
         let sent_bytes = self
             .sealer
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What was sent since the start.
+    /// Returns the counters of datagrams since the start.
     pub fn counters(&self) -> SendCounters {
         SendCounters {
             sent: self.sent.load(Relaxed),
--- a/src/net/cluster/gossip/driver.rs
+++ b/src/net/cluster/gossip/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the membership state machine on a UDP socket and the host's clocks.
+//! Runs the membership state machine on a UDP socket and the process's clocks.
 
 use super::datagram_sender::DatagramSender;
 use super::snapshot_exchange::SnapshotExchange;
@@ -22,10 +22,10 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// How many of this proxy's own verdicts wait at most to be broadcast.
+/// Maximum number of this proxy's own verdicts that wait to be broadcast.
 const MAX_QUEUED_VERDICTS: usize = 1024;
 
-/// A received message of the coordination of leases, windows and configuration.
+/// A received message about the coordination of leases, windows and the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinationDatagram {
     /// The sender's advertised address.
@@ -34,47 +34,47 @@
     pub bytes: Vec<u8>,
 }
 
-/// What the driver is started with.
+/// Options with which the driver starts.
 pub struct GossipOptions {
-    /// `peers` of the configuration.
+    /// The section `peers` of the configuration.
     pub section: GossipSection,
     /// Hash of the settings in force, which a reload changes.
     pub settings_hash: Rc<Cell<[u8; 32]>>,
     /// Expected number of proxies, this one included.
     pub fleet_size: u32,
-    /// For the draws of the membership.
+    /// Seed of the membership's random numbers.
     pub seed: u64,
-    /// This proxy has no learned state and requests a snapshot from a member.
+    /// Whether to request a snapshot from a member, as this proxy has no learned state.
     pub wants_snapshot: bool,
 }
 
-/// This proxy's membership in the fleet.
+/// Runs this proxy's membership in the fleet, and connects it to the host and the coordination.
 pub struct GossipDriver {
     host: Rc<Host>,
     section: GossipSection,
     own_address: SocketAddr,
     fleet_size: u32,
     socket: UdpSocket,
-    /// The same socket's sending side.
+    /// Sends through the same socket; shared with the coordination.
     sender: Arc<DatagramSender>,
     snapshots: SnapshotExchange,
-    /// The queue of the coordination, while it runs.
-    coordination: RefCell<Option<SyncSender<CoordinationDatagram>>>,
-    /// The zero of the membership's monotonic clock.
-    started: Instant,
+    /// Queue for received coordination messages; `None` until the coordination runs.
+    coordination_queue: RefCell<Option<SyncSender<CoordinationDatagram>>>,
+    /// Origin of the membership's monotonic clock.
+    started_at: Instant,
     membership: RefCell<Membership>,
 }
 
 impl GossipDriver {
-    /// Joins the fleet through the seeds, for as long as the program runs.
+    /// Joins the fleet through the seeds, and starts the task that runs the membership until the process ends.
     pub fn start(
         host: Rc<Host>,
         socket: std::net::UdpSocket,
         options: GossipOptions,
     ) -> io::Result<Rc<GossipDriver>> {
-        let (sender, receiver) = mpsc::channel(MAX_QUEUED_VERDICTS);
+        let (verdict_sender, own_verdicts) = mpsc::channel(MAX_QUEUED_VERDICTS);
         let driver = Rc::new(GossipDriver::new(host.clone(), socket, options)?);
-        host.publish_verdicts_to(sender);
+        host.publish_verdicts_to(verdict_sender);
         let section = &driver.section;
         info!(
             event = "peers_start",
@@ -82,9 +82,9 @@
             advertise = %driver.own_address,
             cluster = section.cluster,
             seeds = section.seeds.len(),
-            "shares state with its peers"
+            "started gossip with the peers"
         );
-        tokio::task::spawn_local(driver.clone().run(receiver));
+        tokio::task::spawn_local(driver.clone().run(own_verdicts));
         Ok(driver)
     }
 
@@ -95,8 +95,8 @@
     ) -> io::Result<GossipDriver> {
         let section = options.section;
         socket.set_nonblocking(true)?;
-        let receiving = UdpSocket::from_std(socket.try_clone()?)?;
-        let own_address = section.advertise.unwrap_or(receiving.local_addr()?);
+        let receiver_socket = UdpSocket::from_std(socket.try_clone()?)?;
+        let own_address = section.advertise.unwrap_or(receiver_socket.local_addr()?);
         let max_age = Micros::from_secs_f64(section.max_age_s);
         let config = MembershipConfig {
             cluster: wire::cluster_id(&section.cluster),
@@ -105,8 +105,8 @@
             fleet_size: options.fleet_size,
         };
         let sender = Arc::new(DatagramSender::new(socket, config.cluster, own_address));
-        let started = Instant::now();
-        let now = read_clocks(started);
+        let started_at = Instant::now();
+        let now = read_clocks(started_at);
         let membership = Membership::new(
             config,
             own_address,
@@ -120,25 +120,26 @@
             section,
             own_address,
             fleet_size: options.fleet_size,
-            socket: receiving,
+            socket: receiver_socket,
             sender,
-            coordination: RefCell::new(None),
-            started,
+            coordination_queue: RefCell::new(None),
+            started_at,
             membership: RefCell::new(membership),
         })
     }
 
+    /// Handles received datagrams, due timers and this proxy's own verdicts.
     async fn run(self: Rc<Self>, mut own_verdicts: mpsc::Receiver<(String, Verdict)>) {
         let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = self.membership.borrow().next_due();
-            let due = self.started + Duration::from_micros(due.0);
+            let due = self.started_at + Duration::from_micros(due.0);
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, _)) => self.step(|membership, now, outputs| {
                         membership.handle_datagram(&buffer[..length], now, outputs);
                     }),
-                    // On loopback, sending to a dead peer makes the next receive fail.
+                    // On loopback, a datagram sent to a stopped peer makes the next receive fail.
                     Err(_) => tokio::task::yield_now().await,
                 },
                 () = tokio::time::sleep_until(due) => self.step(Membership::run_timers),
@@ -151,10 +152,10 @@
         }
     }
 
-    /// One step of the membership, and what comes of it.
+    /// Runs a step of the membership, then sends its datagrams and handles its events.
     pub(super) fn step(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let mut outputs = Vec::new();
-        let now = read_clocks(self.started);
+        let now = read_clocks(self.started_at);
         step(&mut self.membership.borrow_mut(), now, &mut outputs);
         for output in outputs {
             match output {
@@ -164,6 +165,7 @@
         }
     }
 
+    /// Passes an event on to the host, the coordination or the log.
     fn handle_event(&self, event: MembershipEvent) {
         match event {
             MembershipEvent::VerdictReceived { backend, verdict } => {
@@ -178,9 +180,10 @@
         }
     }
 
+    /// Queues a message for the coordination, or rejects it if the coordination does not run or its queue is full.
     fn deliver_coordination(&self, datagram: CoordinationDatagram) {
         let is_delivered = self
-            .coordination
+            .coordination_queue
             .borrow()
             .as_ref()
             .is_some_and(|queue| queue.try_send(datagram).is_ok());
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Sends a member this proxy's snapshot. While there is none it doesn't respond, and the member asks another one.
+    /// Sends this proxy's snapshot to a member. Without a snapshot it does not respond, and the member asks another
+    /// one.
     fn send_snapshot(&self, to: SocketAddr, nonce: u64) {
         let Some(snapshot) = self.snapshots.encode() else {
             return;
@@ -201,13 +205,13 @@
                 warn!(
                     event = "peer_snapshot_too_large",
                     bytes = snapshot.len(),
-                    "snapshot too large for a peer: {error}"
+                    "snapshot is too large to send to a peer: {error}"
                 );
             }
         });
     }
 
-    /// Announces that this proxy leaves the fleet, so that the others need not detect it.
+    /// Announces that this proxy leaves the fleet, so that the others need not detect its failure.
     pub fn leave(&self) {
         self.step(Membership::leave);
     }
@@ -217,7 +221,7 @@
         self.own_address
     }
 
-    /// The live members but this one, by address.
+    /// Returns the addresses of the live members other than this proxy.
     pub fn members(&self) -> Vec<SocketAddr> {
         self.membership.borrow().members()
     }
@@ -228,22 +232,22 @@
         self.fleet_size <= 1 && seeds.iter().all(|seed| *seed == self.own_address)
     }
 
-    /// The age past which shared state is neither used nor passed on.
+    /// Maximum age of shared state that is used or passed on.
     pub fn max_age(&self) -> Micros {
         Micros::from_secs_f64(self.section.max_age_s)
     }
 
-    /// The sending side of the socket.
+    /// Returns the sender of the gossip socket.
     pub fn sender(&self) -> Arc<DatagramSender> {
         self.sender.clone()
     }
 
-    /// Delivers coordination messages to that queue from now on; those that it has no capacity for are rejected.
+    /// Sets the queue to which coordination messages are delivered. Messages are rejected while it is full.
     pub fn deliver_coordination_to(&self, queue: SyncSender<CoordinationDatagram>) {
-        *self.coordination.borrow_mut() = Some(queue);
+        *self.coordination_queue.borrow_mut() = Some(queue);
     }
 
-    /// Members and counters for the operators, as JSON.
+    /// Returns members and counters for operators, as JSON. The keys are part of the admin interface.
     pub fn status(&self) -> String {
         let membership = self.membership.borrow();
         let received = membership.counters();
@@ -266,7 +270,7 @@
     }
 }
 
-/// Logs an event that needs no other reaction.
+/// Logs an event that requires no other reaction.
 fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::MemberUp { peer, members } => {
@@ -278,7 +282,7 @@
         MembershipEvent::Rejoined { members } => {
             info!(
                 event = "peers_rejoined",
-                members, "declared down by its peers, joined again"
+                members, "rejoined the fleet after its peers had declared this proxy down"
             );
         }
         MembershipEvent::SnapshotUnavailable { requests } => {
@@ -303,7 +307,7 @@
         MembershipEvent::AnnounceFailed { to, error } => {
             warn!(event = "membership_announce", to = %to, "announcement failed: {error}");
         }
-        // Logged as up or down where that changed; the other events are not only logged.
+        // A replacement is logged as up or down if it changes that; `handle_event` handles the others.
         MembershipEvent::MemberReplaced { .. }
         | MembershipEvent::VerdictReceived { .. }
         | MembershipEvent::CoordinationMessage { .. }
@@ -312,10 +316,10 @@
     }
 }
 
-/// Both clocks, the monotonic one since `started`.
-fn read_clocks(started: Instant) -> ClockReading {
+/// Reads both clocks, the monotonic one relative to `started_at`.
+fn read_clocks(started_at: Instant) -> ClockReading {
     ClockReading {
-        monotonic: Time(started.elapsed().as_micros() as u64),
+        monotonic: Time(started_at.elapsed().as_micros() as u64),
         wall_us: wall_us(),
     }
 }
--- a/src/net/cluster/gossip/mod.rs
+++ b/src/net/cluster/gossip/mod.rs
@@ -1,7 +1,9 @@
-//! Gossip between the proxies of a fleet over UDP: the driver of [`meadowproxy::fleet::membership`].
+//! Gossip between the proxies of a fleet over UDP, which drives [`meadowproxy::fleet::membership`]. Start it with
+//! [`GossipDriver::start`].
 //!
-//! [`GossipDriver`] passes verdicts between the fleet and the host, snapshots between the fleet and the host's learned
-//! state, and messages to the coordination, which sends its own through the same [`DatagramSender`].
+//! The driver passes on verdicts about backends between the fleet and the host, snapshots of the host's learned state,
+//! and received messages of the coordination. The coordination sends its own messages through the same
+//! [`DatagramSender`].
 
 mod datagram_sender;
 mod driver;
--- a/src/net/cluster/gossip/snapshot_exchange.rs
+++ b/src/net/cluster/gossip/snapshot_exchange.rs
@@ -1,4 +1,4 @@
-//! The content of the snapshots of learned state that proxies of a fleet transfer to each other.
+//! Encodes and restores the snapshots of learned state that the proxies of a fleet send to each other.
 
 use crate::net::host::Host;
 use crate::net::state::snapshot::{self, Header, Snapshot, SnapshotScope, VerifiedSnapshot};
@@ -10,9 +10,9 @@
 /// Encodes the host's learned state for another proxy, and restores what another proxy sent.
 pub struct SnapshotExchange {
     host: Rc<Host>,
-    /// Hash of the settings in force, which a reload changes; a snapshot is valid only under equal ones.
+    /// Hash of the settings in force, which a reload changes. A snapshot is valid only under equal settings.
     settings_hash: Rc<Cell<[u8; 32]>>,
-    /// The age past which a snapshot is rejected.
+    /// Maximum age of a snapshot that is restored.
     max_age: Micros,
 }
 
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The learned state of this proxy, or nothing while it has learned nothing. Which backends operators disabled isn't
-    /// part of it, as that applies to this proxy only.
+    /// Encodes the learned state of this proxy; returns `None` while nothing was learned. The backends that operators
+    /// disabled are not included, as that applies to this proxy only.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let mut saved = self.host.learned_state();
         saved.disabled.clear();
@@ -41,7 +41,7 @@
         snapshot::encode(&Snapshot { header, saved }).ok()
     }
 
-    /// Restores a snapshot of another proxy, if it is valid here.
+    /// Restores another proxy's snapshot if it is valid for this proxy, and logs the result.
     pub fn restore(&self, bytes: &[u8]) {
         let checked = snapshot::decode(bytes)
             .and_then(|snapshot| snapshot.checked(&self.scope(), self.max_age));
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Returns the scope in which a snapshot is valid.
     fn scope(&self) -> SnapshotScope {
         SnapshotScope::for_fleet(self.settings_hash.get())
     }
--- a/src/net/cluster/gossip/stored_formats.rs
+++ b/src/net/cluster/gossip/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The response to `GET /peers`.
+//! Test that the response to `GET /peers` keeps its format.
 
 use super::wire::DatagramError;
 use super::{GossipDriver, GossipOptions};
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 
 #[tokio::test]
-async fn the_status_of_gossip_keeps_its_json() {
-    let scope = tokio::task::LocalSet::new();
-    let status = scope.run_until(async {
+async fn the_gossip_status_keeps_its_json() {
+    let tasks = tokio::task::LocalSet::new();
+    let status = tasks.run_until(async {
         let own_address: SocketAddr = "127.0.0.1:7000".parse().unwrap();
         let options = GossipOptions {
             section: GossipSection {
