--- a/src/fleet/config/acceptor.rs
+++ b/src/fleet/config/acceptor.rs
@@ -15,7 +15,8 @@
 use crate::interface::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// The time after which a voter whose table has not caught up restarts its recovery: no replica may have that version.
+/// The time after which a voter whose table has not caught up restarts its recovery, because possibly no replica
+/// has the awaited version any more.
 const CATCH_UP_TIMEOUT: Micros = Micros(60_000_000);
 
 /// The state of another voter, from its reply to a recovery request.
@@ -38,6 +39,7 @@
     pub is_complete: bool,
 }
 
+/// The phases of a voter, in the order in which a restarted voter goes through them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     /// The voter sends nothing until this time.
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Returns the indices of the voters that have not replied to the recovery request.
+    /// Returns the indices of the voters that have not replied to the recovery request; none while this voter isn't
+    /// recovering.
     pub fn unanswered_voters(&self) -> Vec<usize> {
         let Phase::Recovering { replies, .. } = &self.phase else {
             return Vec::new();
--- a/src/fleet/config/batch.rs
+++ b/src/fleet/config/batch.rs
@@ -1,6 +1,6 @@
 //! Splits lists of changes or entries into parts that each fit into one message.
 
-/// The most bytes of changes or entries in one message.
+/// The maximum number of bytes of changes or entries in one message.
 pub(super) const MAX_MESSAGE_BYTES: usize = 1150;
 
 /// Splits `items` in order into parts of at most [`MAX_MESSAGE_BYTES`]; `size` returns an item's size in bytes. An item that
--- a/src/fleet/config/catch_up.rs
+++ b/src/fleet/config/catch_up.rs
@@ -13,9 +13,9 @@
 
 /// The time after which a request without a reply is repeated.
 const REPLY_TIMEOUT: Micros = Micros(300_000);
-/// The retries of one request after which the fetch is abandoned, as no replica seems to have that state.
+/// The number of retries of a request after which the fetch is abandoned, because no replica seems to have that state.
 const MAX_RETRIES: u32 = 20;
-/// The retries after which another replica is asked. A single missing reply may just be a lost datagram.
+/// The number of retries after which another replica is asked. A single missing reply may just be a lost datagram.
 const RETRIES_PER_SOURCE: u32 = 3;
 
 /// The last request for changes from a replica's log.
--- a/src/fleet/config/catch_up_source.rs
+++ b/src/fleet/config/catch_up_source.rs
@@ -9,7 +9,7 @@
 use crate::interface::{Micros, Time};
 use std::net::SocketAddr;
 
-/// The most changes sent in reply to one request.
+/// The maximum number of changes sent in reply to one request.
 const MAX_CHANGES: usize = 64;
 /// The approximate size of a message without its changes.
 const CHANGES_OVERHEAD_BYTES: usize = 80;
@@ -32,8 +32,8 @@
 }
 
 impl ByteBudget {
-    /// Spends `bytes` of the budget. Returns false, and spends nothing, if the budget is overdrawn
-    /// by more than [`MAX_BURST`].
+    /// Spends `bytes` of the budget. Returns false, and spends nothing, if the budget is overdrawn by more than
+    /// [`MAX_BURST`].
     fn try_spend(&mut self, now: Time, bytes: usize) -> bool {
         let start = self.spent_until.max(now);
         if start - now > MAX_BURST {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Sends up to [`MAX_CHANGES`] changes after the version `since`, or the hashes of the root's children if the log doesn't
-    /// reach back so far.
+    /// Sends up to [`MAX_CHANGES`] changes after the version `since`, or the hashes of the root's children if the log
+    /// doesn't reach back so far.
     pub(super) fn send_changes(
         &mut self,
         now: Time,
--- a/src/fleet/config/early_changes.rs
+++ b/src/fleet/config/early_changes.rs
@@ -11,7 +11,8 @@
 }
 
 impl EarlyChanges {
-    /// Buffers a change until the table has the version that it follows. If the buffer is full, the latest change is dropped.
+    /// Buffers a change until the table has the version that it follows. If the buffer is full, the latest change is
+    /// dropped.
     pub(super) fn insert(&mut self, change: Change) {
         self.by_previous.insert(change.previous, change);
         if self.by_previous.len() > MAX_QUEUED {
--- a/src/fleet/config/entry.rs
+++ b/src/fleet/config/entry.rs
@@ -41,8 +41,8 @@
 }
 
 impl Key {
-    /// Returns the key of the entry whose value is the compacted version: the platform's files contain all changes up to that
-    /// version. The change that sets the entry drops all entries up to that version from every replica's table.
+    /// Returns the key of the entry whose value is the compacted version: the platform's files contain all changes up to
+    /// that version. The change that sets the entry drops all entries up to that version from every replica's table.
     pub fn compaction() -> Key {
         Key {
             kind: Kind::File,
@@ -103,7 +103,7 @@
 pub struct Edit {
     /// The entry to set.
     pub key: Key,
-    /// Its new value.
+    /// The entry's new value.
     pub value: Value,
 }
 
--- a/src/fleet/config/gossip.rs
+++ b/src/fleet/config/gossip.rs
@@ -17,7 +17,7 @@
 const DIGEST_INTERVAL: Micros = Micros(1_000_000);
 /// The interval between digests while this replica has just started or waits for changes.
 const CATCH_UP_INTERVAL: Micros = Micros(200_000);
-/// Every fifth digest goes to a voter, even if that voter is not known to be alive.
+/// One digest in this many goes to a voter, even if that voter is not known to be alive.
 const VOTER_DIGEST_PERIOD: u32 = 5;
 
 /// Sends changes to [`FANOUT`] random members. `version` is the version of this replica's table.
--- a/src/fleet/config/message.rs
+++ b/src/fleet/config/message.rs
@@ -1,5 +1,5 @@
-//! The messages that proxies exchange about the replicated configuration. Their encoding depends on the order of the variants
-//! and fields, which must not change.
+//! The messages that proxies exchange about the replicated configuration. Their encoding depends on the order of the
+//! variants and fields, which must not change.
 
 use super::change::Change;
 use super::entry::Entry;
@@ -230,5 +230,5 @@
     pub message: Message,
 }
 
-/// The messages that a call of the replica wants sent, in order.
+/// The messages that a replica has to send after a method call, in order.
 pub type Outbox = Vec<Outgoing>;
--- a/src/fleet/config/mod.rs
+++ b/src/fleet/config/mod.rs
@@ -1,10 +1,10 @@
 //! The fleet's replicated configuration: the operators' changes on top of the platform's configuration file, as one chain of
 //! changes that every proxy applies.
 //!
-//! Run one [`Replica`] on each proxy. It holds the [`Table`], and the host drives it with ticks and received messages; it has
-//! no clock, network or threads. The leader is the proxy that holds the configuration's lease. It [proposes](Proposer)
-//! changes to the voters, which [accept](Acceptor) them. The protocol is Multi-Paxos with the lease's token as the ballot and
-//! one open slot at a time. Committed changes spread by gossip. A replica that missed changes catches up from another
+//! Run one [`Replica`] on each proxy. It holds the [`Table`], and the host drives it with ticks and received messages; it
+//! has no clock, network or threads. The leader is the proxy that holds the configuration's lease. It [proposes](Proposer)
+//! changes to the voters, which [accept](Acceptor) them. The protocol is Multi-Paxos with the lease's token as the ballot
+//! and one open slot at a time. Committed changes spread by gossip. A replica that missed changes catches up from another
 //! replica's log, or by anti-entropy over a Merkle tree.
 //!
 //! ```
--- a/src/fleet/config/overrides.rs
+++ b/src/fleet/config/overrides.rs
@@ -2,9 +2,9 @@
 //! the table changes and when a file is loaded.
 //!
 //! A file states the version up to which it contains the fleet's changes. The entries with a later version override it, so
-//! all proxies have the same configuration even if their files differ. Only a change ([`Key::compaction`]) drops entries from
-//! the fleet's table, at the same version on all replicas. A proxy whose file is older than that keeps the dropped entries
-//! here.
+//! all proxies have the same configuration even if their files differ. Only a change ([`Key::compaction`]) drops entries
+//! from the fleet's table, at the same version on all replicas. A proxy whose file is older than that keeps the dropped
+//! entries here.
 
 use super::entry::{Edit, Entry, Key, Kind, Value};
 use imbl::OrdMap;
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Returns the version that a file has to contain at least, if the file in force does not: some changes are missing here,
-    /// and the file with the remaining entries would be a configuration that the fleet never had.
+    /// Returns the version that a file has to contain at least, if the file in force does not: some changes are missing
+    /// here, and the file with the remaining entries would be a configuration that the fleet never had.
     pub fn required_file_version(&self) -> Option<u64> {
         (self.dropped_version > self.file_version()).then_some(self.dropped_version)
     }
@@ -159,8 +159,8 @@
         over_file
     }
 
-    /// Checks whether a file that contains the changes up to `version` can be used. `newest` is the fleet's newest version, or
-    /// `None` while it is unknown.
+    /// Checks whether a file that contains the changes up to `version` can be used. `newest` is the fleet's newest version,
+    /// or `None` while it is unknown.
     ///
     /// # Errors
     /// The file is ahead of the fleet, or lacks changes that were compacted.
@@ -175,8 +175,8 @@
         Ok(())
     }
 
-    /// Returns the version that a new file has to contain at least, so that no change gets lost on this proxy. If the table is
-    /// behind the current file, the changes in between are only in the file.
+    /// Returns the version that a new file has to contain at least, so that no change gets lost on this proxy. If the table
+    /// is behind the current file, the changes in between are only in the file.
     fn min_file_version(&self) -> u64 {
         match self.file {
             FileVersion::Confirmed(version) if version > self.table_version => {
--- a/src/fleet/config/peers.rs
+++ b/src/fleet/config/peers.rs
@@ -15,7 +15,7 @@
     pub wall_ms: u64,
     /// The live members except this proxy.
     pub members: &'a [SocketAddr],
-    /// The live members in this proxy's zone except this proxy. May be empty, as peers are then chosen from all members.
+    /// The live members in this proxy's zone except this proxy. If empty, peers are chosen from all members.
     pub zone_members: &'a [SocketAddr],
     /// The token of this proxy's lease while the lease is valid and this proxy is the leader.
     pub lease: Option<Token>,
@@ -42,7 +42,7 @@
         Some(peers[self.random_below(peers.len())])
     }
 
-    /// Returns a member to catch up from, which is usually one of `zone_members` unless that is empty.
+    /// Returns a member to catch up from. Prefers `zone_members` unless that is empty; the proxy's host leaves it empty.
     pub(super) fn choose_nearby(&mut self, context: &Context) -> Option<SocketAddr> {
         if context.zone_members.is_empty() || self.random_below(ANY_ZONE_ONE_IN) == 0 {
             self.choose(context.members)
--- a/src/fleet/config/proposer.rs
+++ b/src/fleet/config/proposer.rs
@@ -20,6 +20,7 @@
     version_floor: u64,
 }
 
+/// The phases of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     /// The proposer waits for promises. Those received so far, by the voter's index.
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Starts a new round if no majority replied to the last one in time. `version` is the version of this proxy's table. The
-    /// messages in `out` go to every voter. Call it only while the lease is valid.
+    /// Starts a new round if no majority replied to the last one in time. `version` is the version of this proxy's table.
+    /// The messages in `out` go to every voter. Call it only while the lease is valid.
     pub fn tick(&mut self, now: Time, version: u64, out: &mut Vec<PaxosMessage>) {
         self.advance(now, version, out);
         let waiting = matches!(
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Proposes a change that follows `version`, the version of this proxy's table. Returns the change's version, or `None` if
-    /// the proposer is not [ready](Proposer::is_ready). `wall_ms` is the wall clock in milliseconds since 1970.
+    /// Proposes a change that follows `version`, the version of this proxy's table. Returns the change's version, or `None`
+    /// if the proposer is not [ready](Proposer::is_ready). `wall_ms` is the wall clock in milliseconds since 1970.
     pub fn propose(
         &mut self,
         now: Time,
@@ -207,8 +208,9 @@
         self.rules.voters() / 2 + 1
     }
 
-    /// Returns the version of the next change. Voters that recover after the promises may have higher version floors, but not
-    /// above the wall clock, so the version is raised above the clock if the floor of the promises is above the table's version.
+    /// Returns the version of the next change. Voters that recover after the promises may have higher version floors, but
+    /// not above the wall clock, so the version is raised above the clock if the floor of the promises is above the table's
+    /// version.
     fn next_version(&self, wall_ms: u64, version: u64) -> u64 {
         let voters_recovered = self.version_floor > version && wall_ms < VERSION_LIMIT / 2;
         let floor = if voters_recovered {
--- a/src/fleet/config/replica.rs
+++ b/src/fleet/config/replica.rs
@@ -1,6 +1,6 @@
 //! One proxy's replica of the configuration: its table, its roles as a voter and as the leader, and the mechanisms that keep
 //! all replicas equal. Create one at the start of the proxy. Call [`Replica::tick`] about every tenth of a second and
-//! [`Replica::handle`] for each message, send the messages that they return, and process [`Replica::take_events`].
+//! [`Replica::handle`] for each message, send the messages that they put into `out`, and process [`Replica::take_events`].
 //!
 //! Each submodule implements one mechanism: `consensus` drives Paxos, `spreading` applies, forwards and exchanges committed
 //! changes, and `submissions` forwards operators' changes to the leader.
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Installs the table from the snapshot that an earlier process of this proxy wrote, unless the current table has the same
-    /// or a later version. A snapshot doesn't contain a voter's promises, because it may be older than they are.
+    /// Installs the table from the snapshot that an earlier process of this proxy wrote, unless the current table has the
+    /// same or a later version. A snapshot doesn't contain a voter's promises, because it may be older than they are.
     pub fn restore(&mut self, table: Table) {
         if self.table.version() < table.version() {
             let entries = table
@@ -207,8 +207,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Processes everything that is due at `now`. Call it every tenth of a second or more often, and when this proxy gains or
-    /// loses the lease.
+    /// Processes everything that is due at `now`. Call it every tenth of a second or more often, and when this proxy gains
+    /// or loses the lease.
     pub fn tick(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         self.applied.set_time(now);
         self.recover_voter(now, context, out);
--- a/src/fleet/config/replica/consensus.rs
+++ b/src/fleet/config/replica/consensus.rs
@@ -15,6 +15,7 @@
 use std::net::SocketAddr;
 
 impl Replica {
+    /// Dispatches a Paxos message to this proxy's voter or leader role.
     pub(super) fn on_paxos(
         &mut self,
         now: Time,
@@ -79,6 +80,7 @@
         Ok(())
     }
 
+    /// Handles another voter's reply to this proxy's recovery request.
     fn on_recovery_reply(
         &mut self,
         now: Time,
@@ -214,6 +216,7 @@
         self.propose_next(now, context, out);
     }
 
+    /// Ends the leader role and drops the queued submissions.
     fn stop_leading(&mut self) {
         self.proposer = None;
         self.queue.clear();
--- a/src/fleet/config/replica/spreading.rs
+++ b/src/fleet/config/replica/spreading.rs
@@ -16,7 +16,8 @@
 use crate::interface::Time;
 use std::net::SocketAddr;
 
-/// The most new changes from a catch-up that are forwarded. More than this are too old to be new to other members.
+/// The maximum number of new changes from a catch-up that are forwarded. More than this are too old to be new to other
+/// members.
 const MAX_FORWARDED: usize = 4;
 
 impl Replica {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Compares another replica's digest with this table's. Requests changes if this replica is behind, and sends them if the
-    /// other one is.
+    /// Compares another replica's digest with this table's. Requests changes if this replica is behind, and sends them if
+    /// the other one is.
     pub(super) fn on_digest(
         &mut self,
         now: Time,
--- a/src/fleet/config/staged_table.rs
+++ b/src/fleet/config/staged_table.rs
@@ -1,5 +1,5 @@
-//! Stages another replica's table while it is fetched range by range. It holds only the differences from this replica's own
-//! table, which stays in use until the staged one is complete.
+//! Stages another replica's table while it is fetched range by range. It holds the fetched positions, as differences from
+//! this replica's own table, which stays in use until the staged one is complete.
 
 use super::change::check_edits;
 use super::entry::Entry;
@@ -9,7 +9,7 @@
 use super::table::Table;
 use std::collections::BTreeMap;
 
-/// The most positions that are staged, enough for all entries of both tables.
+/// The maximum number of positions that are staged, enough for all entries of both tables.
 const MAX_STAGED: usize = 2 * MAX_ENTRIES;
 
 /// A table that is being fetched.
@@ -81,8 +81,8 @@
         self.tree.root() == self.target.root
     }
 
-    /// Installs the staged table in one step and returns the entries that differ. Returns `None`, and changes nothing, unless
-    /// the staged table is complete and has a later version than `table`.
+    /// Installs the staged table in one step and returns the entries that differ. Returns `None`, and changes nothing,
+    /// unless the staged table is complete and has a later version than `table`.
     pub fn install(self, table: &mut Table) -> Option<Vec<Entry>> {
         let version = self.target.version;
         if !self.is_complete() || version <= table.version() {
--- a/src/fleet/config/submit.rs
+++ b/src/fleet/config/submit.rs
@@ -1,5 +1,5 @@
-//! Queues of submissions: those of this proxy until their outcome is known, and those that wait at the leader. Also validates
-//! a submission against the table.
+//! Queues of submissions: those of this proxy until their outcome is known, and those that wait at the leader. Also
+//! validates a submission against the table.
 
 use super::change::check_edits;
 use super::entry::{Edit, Key};
--- a/src/fleet/config/table.rs
+++ b/src/fleet/config/table.rs
@@ -106,7 +106,8 @@
             .map(|(position, entry)| (*position, entry))
     }
 
-    /// Returns the changes after a version, in order; `None` if the log does not reach back so far or never had that version.
+    /// Returns the changes after a version, in order; `None` if the log does not reach back so far or never had that
+    /// version.
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = &Change>> {
         if version == self.version {
             return Some(self.log.range(self.log.len()..));
@@ -167,8 +168,8 @@
         &self.tree
     }
 
-    /// Goes to a later version in one step. `staged` has the entries at the positions that may differ, or `None` where there is
-    /// none. Returns the entries that differed.
+    /// Goes to a later version in one step. `staged` has the entries at the positions that may differ, or `None` where
+    /// there is none. Returns the entries that differed.
     pub(super) fn advance_to(
         &mut self,
         version: u64,
--- a/src/fleet/lease/candidate.rs
+++ b/src/fleet/lease/candidate.rs
@@ -298,8 +298,8 @@
         election.lease_expires_at = Some(election.round_sent_at + self.rules.term());
     }
 
-    /// Handles a denial. An election ends when a quorum denied it or a voter has seen a higher ballot; a lease isn't affected
-    /// by denials.
+    /// Handles a denial. An election ends when a quorum denied it or a voter has seen a higher ballot; a lease isn't
+    /// affected by denials.
     fn handle_denied(
         &mut self,
         now: Time,
--- a/src/fleet/lease/message.rs
+++ b/src/fleet/lease/message.rs
@@ -40,7 +40,7 @@
         /// The highest ballot that the voter granted or observed.
         highest: Ballot,
     },
-    /// Candidate: gives up the grants of a ballot, which it doesn't use again.
+    /// Candidate: releases the grants of a ballot, for good.
     Release {
         /// The ballot to release.
         ballot: Ballot,
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -17,8 +17,8 @@
 //! # Why fencing tokens grow
 //! A voter grants no ballot below the highest one that it granted, and any two quorums share a voter. A voter that lost
 //! this state in a restart restores it through [`Voter::observe_token`]. In addition, a ballot's number is at least the
-//! wall clock at the start of its election. An election that is not won within [`Rules::election_timeout`] is abandoned,
-//! so the elections of two leases with a restart of the shared voter between them began most of a term apart.
+//! wall clock at the start of its election. An election that is not won within [`Rules::election_timeout`] is abandoned, so
+//! if the shared voter lost its state between two leases, the elections of these leases began most of a term apart.
 
 mod ballot;
 mod candidate;
--- a/src/fleet/relay/duplicate_filter.rs
+++ b/src/fleet/relay/duplicate_filter.rs
@@ -3,9 +3,9 @@
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most origins that are remembered.
+/// The maximum number of origins that are remembered.
 const MAX_ORIGINS: usize = 256;
-/// The most broadcasts that are remembered per origin.
+/// The maximum number of broadcasts that are remembered per origin.
 const MAX_BROADCASTS_PER_ORIGIN: usize = 256;
 
 /// The broadcasts that were received within the maximum age, by the incarnation of their origin. Older broadcasts are
@@ -45,7 +45,7 @@
     }
 
     /// Makes room for one more origin: removes the origins without unexpired broadcasts, and if that isn't enough, the one
-    /// with the oldest newest broadcast.
+    /// whose newest broadcast is the oldest.
     fn evict(&mut self, expired_before_us: u64) {
         if self.origins.len() < MAX_ORIGINS {
             return;
--- a/src/fleet/relay/tree.rs
+++ b/src/fleet/relay/tree.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// The most receivers that a proxy forwards a broadcast to.
+/// The maximum number of receivers that a proxy forwards a broadcast to.
 pub const FAN_OUT: usize = 8;
 /// The maximum depth of a tree: at [`FAN_OUT`] receivers per proxy, 8 levels reach 16 million proxies.
 pub const MAX_HOPS: u8 = 8;
