--- a/src/fleet/calendar/admin_calls.rs
+++ b/src/fleet/calendar/admin_calls.rs
@@ -93,7 +93,8 @@
     /// Adds a window. A repeated call with the same id and content is accepted, even when the window is over.
     ///
     /// # Errors
-    /// If a field is invalid, the id belongs to a cancelled window or to one with other content, or the calendar is full.
+    /// If a field is invalid, the id belongs to a cancelled window or to one with other content, or the calendar is
+    /// full.
     pub fn put(
         &mut self,
         id: &str,
@@ -280,8 +281,8 @@
     Ok(())
 }
 
-/// A change with a version above the previous change's, so that of two calls to one proxy the later one wins even if the
-/// clock was set back in between.
+/// A change with a version above the previous change's, so that of two calls to one proxy the later one wins even if
+/// the clock was set back in between.
 fn supersede(
     previous: &Option<Versioned<OccurrenceChange>>,
     version: Version,
--- a/src/fleet/calendar/anti_entropy.rs
+++ b/src/fleet/calendar/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: repairs replicas of the calendar after messages were lost.
 //!
-//! Changes are broadcast at once. In addition, proxies send each other [`Digest`]s, and [`Calendar::compare`] determines
-//! which windows either side lacks.
+//! Changes are broadcast at once. In addition, proxies send each other [`Digest`]s, and [`Calendar::compare`]
+//! determines which windows either side lacks.
 
 use super::window::{Window, WindowError};
 use super::{Calendar, WallTime, MAX_MERGED_WINDOWS};
@@ -14,8 +14,8 @@
 /// The maximum number of windows sent in response to one digest or request.
 pub const MAX_WINDOWS_PER_RESPONSE: usize = 64;
 
-/// A summary of the windows whose id hashes lie in one range. The ranges of all digests of a calendar together cover all
-/// hashes.
+/// A summary of the windows whose id hashes lie in one range. The ranges of all digests of a calendar together cover
+/// all hashes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The first hash of the range.
--- a/src/fleet/calendar/backend_demand.rs
+++ b/src/fleet/calendar/backend_demand.rs
@@ -21,8 +21,8 @@
             })
     }
 
-    /// Whether any window may have a backend in maintenance, by a decision of the lease holder or of this proxy while it
-    /// was isolated.
+    /// Whether any window may have a backend in maintenance, by a decision of the lease holder or of this proxy while
+    /// it was isolated.
     pub fn any_window_in_effect(&self) -> bool {
         !self.isolated_decisions.is_empty() || self.in_effect_by_holder().next().is_some()
     }
--- a/src/fleet/calendar/disruption_budget.rs
+++ b/src/fleet/calendar/disruption_budget.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The share of the listed capacity by which a group may fall short of its floor, as sums of floating-point numbers are not
-/// exact.
+/// The share of the listed capacity by which a group may fall short of its floor, as sums of floating-point numbers are
+/// not exact.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// A backend in discovery's list, with the capacity that it contributes.
@@ -169,8 +169,8 @@
         remaining
     }
 
-    /// Takes a window's backends out of the available capacity if the budget allows it. To be called for one window after
-    /// the other, in their order of precedence.
+    /// Takes a window's backends out of the available capacity if the budget allows it. To be called for one window
+    /// after the other, in their order of precedence.
     ///
     /// # Errors
     /// The group whose capacity the window has to wait for.
@@ -208,8 +208,8 @@
     }
 
     /// The available capacity that `backends` take from each of their groups. This includes groups from which they take
-    /// nothing now because they are in maintenance or not available: these backends could return while the window is open,
-    /// so the window has to wait for these groups as well.
+    /// nothing now because they are in maintenance or not available: these backends could return while the window is
+    /// open, so the window has to wait for these groups as well.
     fn taken_by(&self, backends: &BTreeSet<&'a str>) -> BTreeMap<Group<'a>, f64> {
         let mut taken: BTreeMap<Group, f64> = BTreeMap::new();
         for name in backends {
--- a/src/fleet/calendar/isolation.rs
+++ b/src/fleet/calendar/isolation.rs
@@ -1,12 +1,12 @@
-//! Determines which backends are in maintenance: by the lease holder's decisions or, while this proxy is isolated, by its
-//! own.
+//! Determines which backends are in maintenance: by the lease holder's decisions or, while this proxy is isolated, by
+//! its own.
 //!
-//! A proxy that has heard of no lease holder for longer than [`Rules::isolation_timeout`](super::Rules::isolation_timeout)
-//! is isolated. It then decides for itself, based on the backends that it knows: a window that is due and fits the budget
-//! takes effect when its lead begins, and each window in effect ends at its end, whatever its overrun. The proxy stores
-//! these decisions, because checking the budget again during a window could return a backend to service too early. A
-//! decision is valid until the lease holder's next decision on the window; a proxy that becomes the lease holder adopts
-//! its own decisions.
+//! A proxy that has heard of no lease holder for longer than
+//! [`Rules::isolation_timeout`](super::Rules::isolation_timeout) is isolated. It then decides for itself, based on the
+//! backends that it knows: a window that is due and fits the budget takes effect when its lead begins, and each window
+//! in effect ends at its end, whatever its overrun. The proxy stores these decisions, because checking the budget again
+//! during a window could return a backend to service too early. A decision is valid until the lease holder's next
+//! decision on the window; a proxy that becomes the lease holder adopts its own decisions.
 
 use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
@@ -73,8 +73,8 @@
 }
 
 impl Calendar {
-    /// The backends that get no new requests from this proxy now because of windows. `since_holder` is the time since this
-    /// proxy last heard of a lease holder, a very large value if it never did.
+    /// The backends that get no new requests from this proxy now because of windows. `since_holder` is the time since
+    /// this proxy last heard of a lease holder, a very large value if it never did.
     pub fn backends_in_maintenance(
         &mut self,
         now: WallTime,
@@ -125,7 +125,8 @@
         window.cancelled.is_none() && !window.is_over(decision.occurrence, now)
     }
 
-    /// Ends windows that the lease holder put into effect: at their end, or when this replica has received a cancellation.
+    /// Ends windows that the lease holder put into effect: at their end, or when this replica has received a
+    /// cancellation.
     fn end_isolated(&mut self, now: WallTime) {
         for window in self.windows.values() {
             let Some(progress) = &window.progress else {
--- a/src/fleet/calendar/mod.rs
+++ b/src/fleet/calendar/mod.rs
@@ -1,11 +1,11 @@
-//! The calendar of maintenance windows, during which backends get no new requests: a state machine without clock, network
-//! or threads.
+//! The calendar of maintenance windows, during which backends get no new requests: a state machine without clock,
+//! network or threads.
 //!
 //! Every proxy has a replica of the [`Calendar`]. Operators change it by calls to any proxy. The lease holder
 //! [advances](Calendar::advance) the windows through their [phases](Phase) within the [disruption
 //! budget](DisruptionBudget). Proxies exchange changed [windows](Window) and [merge](Window::merge) them. Each proxy
-//! [derives](Calendar::backends_in_maintenance) from its replica which backends get no new requests. All times are passed
-//! in as [`WallTime`].
+//! [derives](Calendar::backends_in_maintenance) from its replica which backends get no new requests. All times are
+//! passed in as [`WallTime`].
 //!
 //! | module | mechanism |
 //! | --- | --- |
--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -10,8 +10,8 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining backend
-/// that it reports after this time can only become fewer.
+/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining
+/// backend that it reports after this time can only become fewer.
 pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
 /// A new lease holder claims windows that start to drain within this time. The clocks of two proxies differ by less.
 pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
@@ -23,8 +23,8 @@
 pub struct OpenRequestReport {
     /// The time since the report.
     pub age: Micros,
-    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose number
-    /// was not reported with 1.
+    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose
+    /// number was not reported with 1.
     pub open: BTreeMap<String, u32>,
 }
 
@@ -72,9 +72,9 @@
 }
 
 impl Calendar {
-    /// Performs all transitions that are due, and returns them. To be called a few times per second by the current lease
-    /// holder only, with a clock that is not set back in between. If any window has a higher token, nothing happens. All
-    /// changed windows, also those without a transition, are returned by the next
+    /// Performs all transitions that are due, and returns them. To be called a few times per second by the current
+    /// lease holder only, with a clock that is not set back in between. If any window has a higher token, nothing
+    /// happens. All changed windows, also those without a transition, are returned by the next
     /// [`take_changed`](Calendar::take_changed).
     pub fn advance(
         &mut self,
@@ -101,9 +101,9 @@
         transitions
     }
 
-    /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They last
-    /// until their end, however little time is left and whatever the budget allows now, because they are in effect already
-    /// at this proxy and at every other isolated one.
+    /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They
+    /// last until their end, however little time is left and whatever the budget allows now, because they are in effect
+    /// already at this proxy and at every other isolated one.
     fn adopt_isolated_decisions(
         &mut self,
         now: WallTime,
@@ -253,8 +253,8 @@
         due
     }
 
-    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A decision
-    /// of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
+    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A
+    /// decision of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
     fn claim_windows(&mut self, now: WallTime, token: Token) {
         for (id, window) in &mut self.windows {
             let Some(current) = window.current_occurrence(now) else {
@@ -286,8 +286,8 @@
     (current.phase != Phase::Planned || is_due) && !is_claimed
 }
 
-/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in slow
-/// start. The list of backends may be too old to show the latter.
+/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in
+/// slow start. The list of backends may be too old to show the latter.
 fn occupies_backends(window: &Window, now: WallTime, slow_start: Micros) -> bool {
     window
         .progress
@@ -328,8 +328,8 @@
     }
 }
 
-/// A planned window ends without taking effect when it is cancelled or too little time is left. Its start depends on the
-/// budget and is decided in `start_due_windows`.
+/// A planned window ends without taking effect when it is cancelled or too little time is left. Its start depends on
+/// the budget and is decided in `start_due_windows`.
 fn after_planned(window: &Window, planned: Span, now: WallTime) -> Option<NextPhase> {
     let progress = window.progress.as_ref();
     if window.cancelled.is_some() {
@@ -346,7 +346,8 @@
     Some(NextPhase::new(Phase::Refused, reason))
 }
 
-/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and closes.
+/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and
+/// closes.
 fn after_in_effect(
     window: &Window,
     current: CurrentOccurrence,
@@ -400,8 +401,9 @@
     Some(NextPhase::new(Phase::Drained, reason))
 }
 
-/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not required: no
-/// requests are sent to them during the window, so a backend that was ejected before could not become ready.
+/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not
+/// required: no requests are sent to them during the window, so a backend that was ejected before could not become
+/// ready.
 fn after_open(window: &Window, span: Span, observations: &Observations) -> Option<NextPhase> {
     let listed = observations.listed;
     let not_serving: BTreeSet<&str> = window
--- a/src/fleet/calendar/spec/mod.rs
+++ b/src/fleet/calendar/spec/mod.rs
@@ -1,5 +1,5 @@
-//! The content of a maintenance window as an operator requests it: targets, schedule, lead and overrun. Every content is
-//! validated by [`Spec::check`], whether it comes from an operator or from another proxy.
+//! The content of a maintenance window as an operator requests it: targets, schedule, lead and overrun. Every content
+//! is validated by [`Spec::check`], whether it comes from an operator or from another proxy.
 
 mod call_body;
 
@@ -19,16 +19,16 @@
 pub const MAX_OVERRUN_S: u32 = 24 * 3600;
 /// The maximum duration of a window, in seconds.
 pub const MAX_DURATION_S: u32 = 7 * 24 * 3600;
-/// The maximum duration of a recurring window together with its lead and overrun, in seconds. It ensures that an occurrence
-/// is over before the next one drains, even on a day that is shortened by a change to daylight saving time.
+/// The maximum duration of a recurring window together with its lead and overrun, in seconds. It ensures that an
+/// occurrence is over before the next one drains, even on a day that is shortened by a change to daylight saving time.
 pub const MAX_RECURRING_S: u32 = 21 * 3600;
 /// The weekdays of a daily window, as a bit mask.
 const EVERY_DAY: u8 = 0x7f;
 const MINUTES_PER_DAY: u16 = 24 * 60;
 /// The maximum length of an id, name, zone or kind, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The maximum total length of the names in `ids`, in bytes, each counted with one more byte. It ensures that a window fits
-/// into one datagram.
+/// The maximum total length of the names in `ids`, in bytes, each counted with one more byte. It ensures that a window
+/// fits into one datagram.
 pub const MAX_IDS_BYTES: usize = 640;
 
 /// The reason why a call is rejected: a field, and what is wrong with it. Serialized as JSON, it is the body of the
@@ -86,8 +86,8 @@
 pub enum Schedule {
     /// A single occurrence.
     Once(Span),
-    /// An occurrence at a local time on some days of the week. A time that is skipped by a change to daylight saving time
-    /// is moved forward by the length of the gap. Of a time that occurs twice on a day, the first one counts.
+    /// An occurrence at a local time on some days of the week. A time that is skipped by a change to daylight saving
+    /// time is moved forward by the length of the gap. Of a time that occurs twice on a day, the first one counts.
     Recurring {
         /// The days as a bit mask; bit 0 is Monday.
         weekdays: u8,
@@ -246,8 +246,8 @@
     }
 }
 
-/// Parses an instant in the format of RFC 3339 with an offset, or of RFC 9557 with a time zone in brackets. `field` is the
-/// field of the body that an error names.
+/// Parses an instant in the format of RFC 3339 with an offset, or of RFC 9557 with a time zone in brackets. `field` is
+/// the field of the body that an error names.
 pub fn parse_instant(field: &str, text: &str) -> Result<WallTime, InvalidField> {
     let parsed = if text.contains('[') {
         text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp())
@@ -312,8 +312,8 @@
     time_zone: &TimeZone,
     at_or_after: WallTime,
 ) -> Option<WallTime> {
-    // The search starts a day early, as a skipped time is moved forward. Within two weeks, every weekday occurs even if a
-    // time zone skipped a whole day.
+    // The search starts a day early, as a skipped time is moved forward. Within two weeks, every weekday occurs even if
+    // a time zone skipped a whole day.
     let mut date = at_or_after
         .timestamp()?
         .to_zoned_datetime(time_zone.clone())
@@ -334,7 +334,8 @@
 
 /// The instant at which local clocks show `time` on `date`.
 fn instant(date: Date, time: Time, zone: &TimeZone) -> Option<WallTime> {
-    // `to_zoned_datetime` follows RFC 5545: a time in a gap is moved forward, and of a repeated time the first one counts.
+    // `to_zoned_datetime` follows RFC 5545: a time in a gap is moved forward, and of a repeated time the first one
+    // counts.
     let at = date
         .to_datetime(time)
         .to_zoned_datetime(zone.clone())
--- a/src/fleet/calendar/window.rs
+++ b/src/fleet/calendar/window.rs
@@ -11,11 +11,11 @@
 /// The maximum time by which a time from another proxy may be in the future. The clocks of proxies differ by less.
 const MAX_CLOCK_AHEAD: Micros = Micros(60_000_000);
 /// The maximum time by which a token may be in the future, in milliseconds. A token's number is the wall clock in
-/// milliseconds, or slightly above the previous token. One that is a year ahead is invalid, and would block the lease for
-/// as long if it were accepted.
+/// milliseconds, or slightly above the previous token. One that is a year ahead is invalid, and would block the lease
+/// for as long if it were accepted.
 const MAX_TOKEN_AHEAD_MS: u64 = 365 * 24 * 3600 * 1000;
-/// The time for which an occurrence that is over remains the current one, so that the lease holder can still record it as
-/// [`Phase::Refused`].
+/// The time for which an occurrence that is over remains the current one, so that the lease holder can still record it
+/// as [`Phase::Refused`].
 const MISSED_GRACE: Micros = Micros(3600 * 1_000_000);
 
 /// The version of a field that operators change; the later version wins.
@@ -27,8 +27,8 @@
     pub incarnation: u64,
 }
 
-/// A field with its version. Fields are compared by version and then by content, so that all proxies agree on the higher
-/// one.
+/// A field with its version. Fields are compared by version and then by content, so that all proxies agree on the
+/// higher one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Versioned<T> {
     /// The version of the field.
@@ -97,8 +97,8 @@
     }
 }
 
-/// The lease holder's decision on one occurrence. Decisions are compared in the order of the fields: the latest occurrence
-/// wins, then the highest token, and then the later phase.
+/// The lease holder's decision on one occurrence. Decisions are compared in the order of the fields: the latest
+/// occurrence wins, then the highest token, and then the later phase.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Progress {
     /// The occurrence, by its planned begin.
@@ -113,8 +113,8 @@
     pub reason: String,
 }
 
-/// One window. Two replicas are merged by taking the maximum of each field, so that merging is commutative, associative and
-/// idempotent.
+/// One window. Two replicas are merged by taking the maximum of each field, so that merging is commutative, associative
+/// and idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// The window's id.
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Merges a replica of the same window: takes the higher value of each field. Returns whether anything changed. A window
-    /// with another id changes nothing.
+    /// Merges a replica of the same window: takes the higher value of each field. Returns whether anything changed. A
+    /// window with another id changes nothing.
     pub fn merge(&mut self, other: &Window) -> bool {
         if self.id != other.id {
             return false;
@@ -234,8 +234,8 @@
             .map_or(now, |progress| progress.since)
     }
 
-    /// The actual begin and end of a planned occurrence. An early start moves the begin to its time plus the lead, if that is
-    /// earlier, with the same duration. An extension moves the end.
+    /// The actual begin and end of a planned occurrence. An early start moves the begin to its time plus the lead, if
+    /// that is earlier, with the same duration. An extension moves the end.
     pub(super) fn actual_span(&self, planned: Span) -> Span {
         let early_start = change_of(&self.early_start, planned);
         let begin = early_start.map_or(planned.begin, |at| planned.begin.min(at + self.lead()));
@@ -302,8 +302,8 @@
         })
     }
 
-    /// The planned span of the first occurrence that is not finished and ends later than `after`; for a window that occurs
-    /// once, of its occurrence, whenever that ends.
+    /// The planned span of the first occurrence that is not finished and ends later than `after`; for a window that
+    /// occurs once, of its occurrence, whenever that ends.
     pub(super) fn next_planned(&self, after: WallTime) -> Option<Span> {
         let earliest = match (&self.progress, &self.spec.value.schedule) {
             (Some(progress), _) if progress.phase.is_final() => progress.occurrence + Micros(1),
@@ -329,8 +329,8 @@
             |planned| spec.next_occurrence(planned.begin + Micros(1)),
         )
         .take(4);
-        // The first planned ones may still be an occurrence that ends exactly at `after` and one that was started early and
-        // is over; hence up to 4 are checked.
+        // The first planned ones may still be an occurrence that ends exactly at `after` and one that was started early
+        // and is over; hence up to 4 are checked.
         moved.chain(planned.find(ends_later)).min()
     }
 
--- a/src/fleet/membership/anti_entropy/mod.rs
+++ b/src/fleet/membership/anti_entropy/mod.rs
@@ -1,7 +1,8 @@
 //! Anti-entropy for member lists: completes the list of a proxy that missed gossip.
 //!
-//! A proxy sends a random member a [`ListDigest`] of the members it knows, with one checksum for each bucket of members,
-//! and receives the other proxy's members of the buckets that differ. Members received in a list are not gossiped.
+//! A proxy sends a random member a [`ListDigest`] of the members it knows, with one checksum for each bucket of
+//! members, and receives the other proxy's members of the buckets that differ. Members received in a list are not
+//! gossiped.
 
 mod list_digest;
 mod member_list;
@@ -28,8 +29,8 @@
 /// The maximum number of datagrams sent in response to one digest.
 const MAX_RESPONSE_DATAGRAMS: usize = 3;
 
-/// The times at which digests are sent: the first one [`MIN_INTERVAL`] after new members were found, the next ones after
-/// exponentially growing intervals of up to [`MAX_INTERVAL`].
+/// The times at which digests are sent: the first one [`MIN_INTERVAL`] after new members were found, the next ones
+/// after exponentially growing intervals of up to [`MAX_INTERVAL`].
 struct AntiEntropySchedule {
     next_at: Time,
     interval: Micros,
@@ -122,8 +123,8 @@
         self.merge(swim, decoded.members, now)
     }
 
-    /// Processes a feed, foca's response to an announcement. Its members are merged like any other list, and only the rest
-    /// of the message is passed to foca, which would gossip each of the members.
+    /// Processes a feed, foca's response to an announcement. Its members are merged like any other list, and only the
+    /// rest of the message is passed to foca, which would gossip each of the members.
     pub(super) fn receive_feed(
         &mut self,
         swim: &mut SwimNode,
@@ -162,8 +163,8 @@
     }
 }
 
-/// Responds to a digest with this proxy's members of the buckets that differ, up to [`MAX_RESPONSE_DATAGRAMS`] and as far
-/// as the egress limit allows. An equal digest gets no response.
+/// Responds to a digest with this proxy's members of the buckets that differ, up to [`MAX_RESPONSE_DATAGRAMS`] and as
+/// far as the egress limit allows. An equal digest gets no response.
 pub(super) fn respond_to_digest(
     swim: &SwimNode,
     to: SocketAddr,
--- a/src/fleet/membership/egress_limit.rs
+++ b/src/fleet/membership/egress_limit.rs
@@ -1,8 +1,10 @@
-//! The egress limit: a token bucket that limits the bytes that membership sends.
+//! The egress limit: a token bucket that limits the bytes that the SWIM protocol and the comparison of member lists
+//! send.
 //!
 //! Probes and their acknowledgements cost no tokens and are sent at once: a late one looks like a failure, and a member
-//! that is probed by many others at the same time could not acknowledge all probes otherwise. Updates piggybacked on them,
-//! and all other messages, cost one token per byte and are sent only when there are enough tokens.
+//! that is probed by many others at the same time could not acknowledge all probes otherwise. Updates piggybacked on
+//! them, gossip, broadcasts, digests and member lists cost one token per byte and are sent only when there are enough
+//! tokens.
 
 use super::member::Member;
 use super::wire::MAX_DATAGRAM_BODY_BYTES;
@@ -59,7 +61,8 @@
         self.tokens -= bytes as f64;
     }
 
-    /// Takes the tokens for a datagram with a body of `body_bytes`, if there are enough. Returns whether it may be sent.
+    /// Takes the tokens for a datagram with a body of `body_bytes`, if there are enough. Returns whether it may be
+    /// sent.
     pub(super) fn try_spend_datagram(&mut self, body_bytes: usize) -> bool {
         let cost = body_bytes + ENVELOPE_BYTES;
         let affordable = self.available() >= cost;
--- a/src/fleet/membership/event.rs
+++ b/src/fleet/membership/event.rs
@@ -73,12 +73,12 @@
         /// The encoded snapshot.
         bytes: Vec<u8>,
     },
-    /// No member sent a complete snapshot, and this proxy requests none any more.
+    /// No member sent a complete snapshot, and no further requests follow.
     SnapshotUnavailable {
         /// The number of requests sent, each to one member.
         requests: u32,
     },
-    /// A datagram was rejected; reported at most once per second and cause.
+    /// A datagram was rejected; reported at most once per second for each cause.
     DatagramRejected(DatagramError),
     /// A timer of the SWIM implementation, or a rejoin, failed.
     TimerFailed(foca::Error),
--- a/src/fleet/membership/member.rs
+++ b/src/fleet/membership/member.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The wall time of the current step, shared with the callbacks of the SWIM implementation, which are passed no clock.
+/// The wall time of the current step, shared with the callbacks of the SWIM implementation, which receive no clock
+/// reading.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WallClock(Rc<Cell<u64>>);
 
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,9 +1,9 @@
 //! Cluster membership by the SWIM protocol: tracks which proxies of the fleet are live, and exchanges verdicts on
 //! backends, snapshots for new proxies, and coordination messages with them.
 //!
-//! [`Membership`] is a state machine: datagrams and clock readings go in, [`Output`]s come out. Its driver seals and sends
-//! bodies ([`wire::DatagramSealer`]), calls [`Membership::run_timers`] when it is [due](Membership::next_due), and handles
-//! the events.
+//! [`Membership`] is a state machine: datagrams and clock readings go in, [`Output`]s come out. Its driver seals and
+//! sends bodies ([`wire::DatagramSealer`]), calls [`Membership::run_timers`] when it is [due](Membership::next_due),
+//! and handles the events.
 //!
 //! Each module implements one mechanism: `swim` the protocol itself, `egress_limit` the limit on the bytes sent,
 //! `verdict_broadcast` the broadcast of verdicts, `peer_ordering` the order in which the proxies health-check a backend
@@ -197,7 +197,7 @@
             .map_err(DatagramError::Swim)
     }
 
-    /// Counts a datagram as rejected, and reports it at most once per second and cause.
+    /// Counts a datagram as rejected, and reports it at most once per second for each cause.
     pub fn reject_datagram(
         &mut self,
         error: DatagramError,
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Broadcasts a verdict that this proxy reached. It is also reported as an event, like the verdicts of other proxies,
-    /// because the order of the health checks at all proxies follows from it.
+    /// Broadcasts a verdict that this proxy reached. It is also reported as an event, like the verdicts of other
+    /// proxies, because the order of the health checks at all proxies follows from it.
     pub fn broadcast_verdict(
         &mut self,
         backend: String,
--- a/src/fleet/membership/partition_recovery.rs
+++ b/src/fleet/membership/partition_recovery.rs
@@ -1,5 +1,5 @@
-//! Rejoining after a network partition: for a proxy that the others declared down, and for all proxies on the smaller side
-//! of a partition that has healed.
+//! Rejoining after a network partition: for a proxy that the others declared down, and for all proxies on the smaller
+//! side of a partition that has healed.
 
 use super::config::ClockReading;
 use super::event::{MembershipEvent, Output};
@@ -10,17 +10,17 @@
 use std::collections::HashSet;
 
 /// A proxy considers itself on the smaller side of a partition if more than one member is down per this number of live
-/// members, itself included. If less than a quarter of the fleet is cut off, the larger side stays below this ratio, and
-/// the smaller side exceeds it even before it has detected that all the others are down.
+/// members, itself included. If less than a quarter of the fleet is cut off, the larger side stays below this ratio,
+/// and the smaller side exceeds it even before it has detected that all the others are down.
 const LIVE_PER_DOWN: usize = 3;
-/// The time after a rejoin during which updates from members of this proxy's former side are ignored: they may still say
-/// that the members of the other side are down.
+/// The time after a rejoin during which updates from members of this proxy's former side are ignored: they may still
+/// say that the members of the other side are down.
 const IGNORE_UPDATES_PERIOD: Micros = Micros(5_000_000);
 
 /// Brings this proxy back into the fleet under a later incarnation.
 pub(super) struct PartitionRecovery {
-    /// The members that were on this proxy's side of the last partition, in their incarnations of that time. A member that
-    /// has rejoined has a later incarnation and does not match.
+    /// The members that were on this proxy's side of the last partition, in their incarnations of that time. A member
+    /// that has rejoined has a later incarnation and does not match.
     former_side: HashSet<Member>,
     ignore_updates_until: Time,
 }
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Joins again under a later incarnation, and discards the updates that still waited to be sent. foca's own rejoin is
-    /// not used: it first announces that the previous incarnation is down, and a member that receives this announcement
-    /// first would declare the new incarnation down as well. On the smaller side of a partition, this proxy also forgets
-    /// the members that it considers down, so that they need not rejoin.
+    /// Joins again under a later incarnation, and discards the updates that still waited to be sent. foca's own rejoin
+    /// is not used: it first announces that the previous incarnation is down, and a member that receives this
+    /// announcement first would declare the new incarnation down as well. On the smaller side of a partition, this
+    /// proxy also forgets the members that it considers down, so that they need not rejoin.
     pub(super) fn rejoin(
         &mut self,
         swim: &mut SwimNode,
@@ -61,16 +61,16 @@
         }));
     }
 
-    /// Whether a message from the member `from` shows that a partition has healed and this proxy has to rejoin: the member
-    /// is considered down here, and this proxy is on the smaller side. On the larger side, foca tells the member to rejoin
-    /// instead.
+    /// Whether a message from the member `from` shows that a partition has healed and this proxy has to rejoin: the
+    /// member is considered down here, and this proxy is on the smaller side. On the larger side, foca tells the member
+    /// to rejoin instead.
     pub(super) fn is_healed_by(&self, from: &Member, swim: &SwimNode) -> bool {
         let is_down = |member: &KnownMember| member.state() == State::Down && member.id() == from;
         swim.known_members().any(is_down) && is_on_smaller_side(swim)
     }
 
-    /// Whether updates from the member `from` are ignored, as they may date from the partition. The member's own state is
-    /// still accepted.
+    /// Whether updates from the member `from` are ignored, as they may date from the partition. The member's own state
+    /// is still accepted.
     pub(super) fn ignores_updates_from(&self, from: &Member, now: Time) -> bool {
         now < self.ignore_updates_until && self.former_side.contains(from)
     }
--- a/src/fleet/membership/peer_ordering.rs
+++ b/src/fleet/membership/peer_ordering.rs
@@ -34,8 +34,8 @@
 /// Determines this proxy's position in the order after each verdict, and numbers the proxies that verdicts come from.
 pub(super) struct PeerOrdering {
     own: NamedAddress,
-    /// The live members, cached until they change, as formatting all addresses for each verdict would be slow in a large
-    /// fleet.
+    /// The live members, cached until they change, as formatting all addresses for each verdict would be slow in a
+    /// large fleet.
     live: Option<Vec<NamedAddress>>,
     origin_ids: HashMap<SocketAddr, PeerId>,
 }
@@ -54,8 +54,8 @@
         self.live = None;
     }
 
-    /// The verdict in the form that the balancer expects, at wall time `now_us`. The driver sets the backend's id, which it
-    /// looks up by name.
+    /// The verdict in the form that the balancer expects, at wall time `now_us`. The driver sets the backend's id,
+    /// which it looks up by name.
     pub(super) fn peer_verdict(
         &mut self,
         broadcast: &VerdictBroadcast,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// This proxy's position among the live ones in the pseudo-random order of the verdict. The origin of the verdict is
-    /// last, as it has just sent requests to the backend.
+    /// This proxy's position among the live ones in the pseudo-random order of the verdict. The origin of the verdict
+    /// is last, as it has just sent requests to the backend.
     fn health_check_turn(&self, broadcast: &VerdictBroadcast) -> u32 {
         if broadcast.origin == self.own.address {
             return self.live_count();
--- a/src/fleet/membership/seed_announcer.rs
+++ b/src/fleet/membership/seed_announcer.rs
@@ -11,8 +11,8 @@
 const INTERVAL: Micros = Micros(1_000_000);
 /// A proxy that knows live members may announce itself once per this number of intervals.
 const INTERVALS_PER_ANNOUNCEMENT: u32 = 2;
-/// The expected number of proxies of a group that announce themselves at the same time. A few suffice, as each one tells
-/// its group what it learns; and the messages sent to a seed that is gone do not grow with the size of the group.
+/// The expected number of proxies of a group that announce themselves at the same time. A few suffice, as each one
+/// tells its group what it learns; and the messages sent to a seed that is gone do not grow with the size of the group.
 const EXPECTED_ANNOUNCERS: usize = 4;
 
 /// Decides at which times this proxy announces itself, and to which seeds.
@@ -73,7 +73,8 @@
         missing
     }
 
-    /// Randomly decides whether this proxy is one of those in a group of `group_size` that announce themselves this time.
+    /// Randomly decides whether this proxy is one of those in a group of `group_size` that announce themselves this
+    /// time.
     fn is_announcer(&mut self, group_size: usize) -> bool {
         group_size <= EXPECTED_ANNOUNCERS
             || self.random.next_u32() as usize % group_size < EXPECTED_ANNOUNCERS
--- a/src/fleet/membership/snapshot_transfer.rs
+++ b/src/fleet/membership/snapshot_transfer.rs
@@ -1,12 +1,12 @@
-//! The transfer of a snapshot of learned state from a live member to a new proxy: selects the member to request it from,
-//! splits a snapshot into chunks, and reassembles it. The encoding of the snapshot is left to the driver.
+//! The transfer of a snapshot of learned state from a live member to a new proxy: selects the member to request it
+//! from, splits a snapshot into chunks, and reassembles it. The encoding of the snapshot is left to the driver.
 
 use super::event::{MembershipEvent, Output};
 use super::wire::{Body, DatagramError, SnapshotChunk, MAX_DATAGRAM_BODY_BYTES};
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// The time that a member has to send its snapshot before another member is requested to.
+/// The time that a member has to send its snapshot before the snapshot is requested from another member.
 pub(super) const REQUEST_TIMEOUT: Micros = Micros(500_000);
 /// The maximum number of requests for a snapshot, each to one member.
 const MAX_REQUESTS: u32 = 3;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Requests the snapshot from the next of the live members, or gives up after [`MAX_REQUESTS`]. To be called once per
-    /// [`REQUEST_TIMEOUT`].
+    /// Requests the snapshot from the next of the live members, or gives up after [`MAX_REQUESTS`]. To be called once
+    /// per [`REQUEST_TIMEOUT`].
     pub(super) fn request(&mut self, live_members: &[SocketAddr]) -> Option<Output> {
         let pending = self.pending.as_mut()?;
         if live_members.is_empty() {
--- a/src/fleet/membership/stored_formats.rs
+++ b/src/fleet/membership/stored_formats.rs
@@ -207,8 +207,8 @@
     }
 }
 
-/// Compares all datagrams that two proxies exchange, from the first announcement until one leaves, with the fixture: any
-/// change of the content or of the order of the datagrams is detected.
+/// Compares all datagrams that two proxies exchange, from the first announcement until one leaves, with the fixture:
+/// any change of the content or of the order of the datagrams is detected.
 #[test]
 fn datagrams_between_two_proxies_match_the_fixture() {
     let mut pair = ProxyPair::new();
@@ -244,8 +244,8 @@
     assert_lines("membership-dialogue.txt", &lines);
 }
 
-/// All proxies have to assign members to the same buckets and compute the same checksums, or else digests of equal lists
-/// differ.
+/// All proxies have to assign members to the same buckets and compute the same checksums, or else digests of equal
+/// lists differ.
 #[test]
 fn encoded_list_digests_and_member_lists_match_the_fixture() {
     let now = clock_at(0);
--- a/src/fleet/membership/swim.rs
+++ b/src/fleet/membership/swim.rs
@@ -1,5 +1,5 @@
-//! This proxy's node in the SWIM protocol. It wraps the implementation by `foca`: runs its timers, configures it, and sends
-//! gossip as far as the egress limit allows.
+//! This proxy's node in the SWIM protocol. It wraps the implementation by `foca`: runs its timers, configures it, and
+//! sends gossip as far as the egress limit allows.
 
 use super::config::{ClockReading, MembershipConfig};
 use super::egress_limit::{EgressLimit, RateLimitedCodec, RateLimitedRuntime, SharedEgressLimit};
@@ -24,15 +24,15 @@
 const GOSSIP_FAN_OUT: usize = 3;
 /// The maximum number of times that each of them is sent while the backlog exceeds a datagram.
 const MAX_TRANSMISSIONS_BACKLOGGED: NonZeroU8 = NonZeroU8::new(4).expect("not zero");
-/// The interval at which this proxy announces itself to a member that is down, so that the sides of a partition find each
-/// other again once it has healed.
+/// The interval at which this proxy announces itself to a member that is down, so that the sides of a partition find
+/// each other again once it has healed.
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(2);
 /// The assumed size of a waiting membership update, in bytes.
 const UPDATE_BYTES: usize = 20;
 /// The assumed size of a waiting verdict broadcast, in bytes.
 const VERDICT_BYTES: usize = 32;
-/// The tokens reserved for member lists while the gossip backlog exceeds a datagram, in bytes: enough for two lists, as a
-/// list takes fewer bytes per member than gossip.
+/// The tokens reserved for member lists while the gossip backlog exceeds a datagram, in bytes: enough for two lists, as
+/// a list takes fewer bytes per member than gossip.
 const LIST_RESERVE_BYTES: usize = 2 * MAX_DATAGRAM_BYTES;
 
 /// A member with its state and its SWIM incarnation, as known here.
@@ -211,8 +211,8 @@
         self.foca.handle_timer(timer, &mut self.runtime)
     }
 
-    /// Whether the timer is to declare a suspect member down that has refuted the suspicion since. foca would still tell the
-    /// member that it is down.
+    /// Whether the timer is to declare a suspect member down that has refuted the suspicion since. foca would still
+    /// tell the member that it is down.
     fn is_refuted_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -308,8 +308,8 @@
     )
 }
 
-/// foca's LAN settings for a fleet of `fleet_size`, with more frequent gossip and with announcements to members that are
-/// down. Periodic announcements to live members are disabled, as `AntiEntropy` compares member lists instead.
+/// foca's LAN settings for a fleet of `fleet_size`, with more frequent gossip and with announcements to members that
+/// are down. Periodic announcements to live members are disabled, as `AntiEntropy` compares member lists instead.
 fn foca_config(fleet_size: u32, gossip_fan_out: usize, is_backlogged: bool) -> foca::Config {
     let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let lan = foca::Config::new_lan(NonZeroU32::new(fleet_size).unwrap_or(NonZeroU32::MIN));
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-/// The merge rule for verdicts: for each origin, the latest verdict wins in any order of arrival. Stale verdicts and echoes
-/// of the proxy's own verdicts are dropped. Invalid input is an error and changes nothing.
+/// The merge rule for verdicts: for each origin, the latest verdict wins in any order of arrival. Stale verdicts and
+/// echoes of the proxy's own verdicts are dropped. Invalid input is an error and changes nothing.
 #[test]
 fn latest_verdict_of_each_origin_within_the_maximum_age_wins() {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
--- a/src/fleet/membership/verdict_broadcast.rs
+++ b/src/fleet/membership/verdict_broadcast.rs
@@ -1,5 +1,5 @@
-//! The broadcast of verdicts on backends, as custom broadcasts of the SWIM protocol. A receiver forwards a verdict if it is
-//! new to it, among the newest ones on its backend, and not older than the maximum age.
+//! The broadcast of verdicts on backends, as custom broadcasts of the SWIM protocol. A receiver forwards a verdict if
+//! it is new to it, among the newest ones on its backend, and not older than the maximum age.
 
 use super::member::{Member, WallClock};
 use super::wire::DatagramError;
@@ -16,8 +16,8 @@
 const MAX_BACKEND_NAME_BYTES: usize = 200;
 /// The maximum number of verdicts that are remembered.
 const MAX_REMEMBERED: usize = 16_384;
-/// The maximum number of verdicts on one backend that are forwarded. The newest ones suffice: a proxy acts when two others
-/// agree, and older verdicts do not change that.
+/// The maximum number of verdicts on one backend that are forwarded. The newest ones suffice: a proxy acts when two
+/// others agree, and older verdicts do not change that.
 const MAX_FORWARDED_PER_BACKEND: usize = 3;
 
 /// One proxy's verdict on one backend.
@@ -139,8 +139,8 @@
         std::mem::take(&mut self.unreported)
     }
 
-    /// Stores a verdict of this proxy (`is_own`) or of another one. If it has to be sent or forwarded, returns which waiting
-    /// broadcasts it supersedes.
+    /// Stores a verdict of this proxy (`is_own`) or of another one. If it has to be sent or forwarded, returns which
+    /// waiting broadcasts it supersedes.
     fn store(&mut self, broadcast: VerdictBroadcast, is_own: bool) -> Option<Supersedes> {
         let now_us = self.clock.now_us();
         if check_age(broadcast.created_us, now_us, self.max_age).is_err() {
@@ -186,8 +186,8 @@
         self.latest_us.len() < MAX_REMEMBERED
     }
 
-    /// Inserts a verdict into the versions on its backend. Returns the creation time of the oldest one that is forwarded, or
-    /// 0 while there are fewer than [`MAX_FORWARDED_PER_BACKEND`].
+    /// Inserts a verdict into the versions on its backend. Returns the creation time of the oldest one that is
+    /// forwarded, or 0 while there are fewer than [`MAX_FORWARDED_PER_BACKEND`].
     fn insert_version(&mut self, broadcast: &VerdictBroadcast, expired_before_us: u64) -> u64 {
         let versions = self.forwarded.entry(broadcast.backend.clone()).or_default();
         versions.retain(|v| v.origin != broadcast.origin && v.created_us >= expired_before_us);
--- a/src/fleet/membership/wire.rs
+++ b/src/fleet/membership/wire.rs
@@ -1,8 +1,8 @@
 //! The datagrams that proxies send each other: their format, encoding and validation.
 //!
-//! A datagram consists of a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an [`Envelope`]
-//! in postcard encoding. [`DatagramSealer`] encodes outgoing datagrams; [`decode`] and [`ReplayFilter`] validate incoming
-//! ones. Invalid input is rejected with a [`DatagramError`] and never causes a panic.
+//! A datagram consists of a prefix (magic `SHTP`, version (u8), CRC-32 of the rest (u32, little endian)) and an
+//! [`Envelope`] in postcard encoding. [`DatagramSealer`] encodes outgoing datagrams; [`decode`] and [`ReplayFilter`]
+//! validate incoming ones. Invalid input is rejected with a [`DatagramError`] and never causes a panic.
 
 use crate::fleet::message_age::{check_age, AgeError};
 use crate::interface::Micros;
