--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -75,8 +75,8 @@
         self.answer_or_retry(end, response_started);
     }
 
-    /// Counts the attempt as in flight again, after its response started, was recorded as served and then broke off. The
-    /// failure is then recorded like that of any other attempt in flight.
+    /// Counts the attempt as in flight again, after its response started, was recorded as served and then broke off.
+    /// The failure is then recorded like that of any other attempt in flight.
     fn restore_in_flight(&mut self, now: Time, backend: BackendId) {
         if let Some(record) = self.backends.get_mut(backend) {
             record.in_flight += 1;
--- a/src/balancer/deadline.rs
+++ b/src/balancer/deadline.rs
@@ -6,9 +6,9 @@
 
 /// Returns when a request is given up.
 ///
-/// With an attempt in flight that is one timer resolution before its deadline, as an answer at the deadline itself would
-/// be too late. A request that only waits is given up once a response is unlikely to arrive in time, while giving up
-/// does no harm yet. In time means within the latency objective, or within the deadline if the request was already
+/// With an attempt in flight that is one timer resolution before its deadline, as an answer at the deadline itself
+/// would be too late. A request that only waits is given up once a response is unlikely to arrive in time, while giving
+/// up does no harm yet. In time means within the latency objective, or within the deadline if the request was already
 /// attempted and a late response still earns weight.
 fn give_up_at(
     request: &PendingRequest,
--- a/src/balancer/discovery_polling.rs
+++ b/src/balancer/discovery_polling.rs
@@ -27,7 +27,8 @@
 
 /// Timeout of a discovery poll that is expected to be answered immediately.
 pub const DISCOVERY_POLL_TIMEOUT: Micros = Micros(1_800_000);
-/// Timeout of a poll that waits in discovery's queue, in seconds. Discovery itself rejects a poll after 3 s in the queue.
+/// Timeout of a poll that waits in discovery's queue, in seconds. Discovery itself rejects a poll after 3 s in the
+/// queue.
 const QUEUED_POLL_TIMEOUT_S: f64 = 3.2;
 
 /// Returns the maximum backoff interval in seconds, unless half of the staleness limit is less.
@@ -38,9 +39,9 @@
 /// Returns the timeout of a poll that follows one that discovery rejected.
 ///
 /// Discovery is then running, but its queue is full. Giving up early would lose the poll's place in the queue, as the
-/// next poll starts at the end. In a large fleet the timeout is shorter: if the poll hangs after all, the timeout and the
-/// pause before the next poll still have to fit into the 6 s. That pause is half the interval, or the whole interval if
-/// the balancer repeats the poll before the timeout.
+/// next poll starts at the end. In a large fleet the timeout is shorter: if the poll hangs after all, the timeout and
+/// the pause before the next poll still have to fit into the 6 s. That pause is half the interval, or the whole
+/// interval if the balancer repeats the poll before the timeout.
 pub fn queued_discovery_poll_timeout(proxies: u32, staleness_limit: Micros) -> Micros {
     let repeated_after_s = staleness_limit.as_secs_f64() / 2.0;
     let interval_s = max_interval_s(proxies).min(repeated_after_s);
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Schedules the next poll after a failed one. `proxies` is the number of proxies in the fleet; `jitter` is a random
-    /// number, uniform from 0 to 1.
+    /// Schedules the next poll after a failed one. `proxies` is the number of proxies in the fleet; `jitter` is a
+    /// random number, uniform from 0 to 1.
     pub fn failed(&mut self, now: Time, proxies: u32, staleness_limit: Micros, jitter: f64) {
         let max_s = max_interval_s(proxies).min(staleness_limit.as_secs_f64() / 2.0);
         let next_s =
@@ -91,7 +92,8 @@
         let interval = Micros::from_secs_f64(
             self.interval_s * (fixed_fraction + (1.0 - fixed_fraction) * jitter),
         );
-        // Polls may hang for longer than the interval on all proxies at once. The jittered pause spreads their next polls.
+        // Polls may hang for longer than the interval on all proxies at once. The jittered pause spreads their next
+        // polls.
         let pause = Micros::from_secs_f64((INITIAL_INTERVAL_S + self.interval_s * jitter) / 2.0);
         self.next_at = Some((self.started_at + interval).max(now + pause));
     }
--- a/src/balancer/endpoints/groups.rs
+++ b/src/balancer/endpoints/groups.rs
@@ -38,7 +38,7 @@
     }
 
     /// Selects a member at random by weight and returns its table index.
-    pub(super) fn draw(&self, random: &mut RandomSource) -> Option<u32> {
+    pub(super) fn select_member(&self, random: &mut RandomSource) -> Option<u32> {
         let place = random.choose_index(&self.weights)?;
         Some(self.members[place])
     }
--- a/src/balancer/endpoints/load.rs
+++ b/src/balancer/endpoints/load.rs
@@ -86,7 +86,7 @@
 }
 
 /// Returns the selection weight of an endpoint.
-pub(super) fn draw_weight(subset_share: f64, traffic_share: f64) -> f64 {
+pub(super) fn selection_weight(subset_share: f64, traffic_share: f64) -> f64 {
     subset_share + traffic_share * LAST_RESORT_WEIGHT_FRACTION
 }
 
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -17,7 +17,7 @@
 
 use super::random::RandomSource;
 use crate::interface::{BackendId, BackendState, Config, HardwareClassId, Micros, Time, ZoneId};
-use load::draw_weight;
+use load::selection_weight;
 use std::collections::BTreeSet;
 
 /// All known endpoints.
@@ -255,7 +255,7 @@
 
     /// Returns the weight of a selectable endpoint: its share of the subset, plus a tiny weight as a last resort.
     pub fn weight(&self, index: usize) -> f64 {
-        draw_weight(self.subset_share[index], self.own_traffic_share[index])
+        selection_weight(self.subset_share[index], self.own_traffic_share[index])
     }
 
     fn set_weight(&mut self, index: usize, weight: f64) {
@@ -281,8 +281,8 @@
     }
 
     /// Selects an endpoint of the group at random by weight.
-    pub fn draw(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
-        let index = self.groups[group].draw(random)?;
+    pub fn select_endpoint(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
+        let index = self.groups[group].select_member(random)?;
         Some(self.ids[index as usize])
     }
 }
--- a/src/balancer/final_answers.rs
+++ b/src/balancer/final_answers.rs
@@ -5,8 +5,8 @@
 use super::Balancer;
 use crate::interface::{Action, AttemptNumber, Idempotency, KeyScope, Micros, RequestId};
 
-/// Multiple of the expected latency after which a client may retry. The attempts now in flight have freed their capacity
-/// by then.
+/// Multiple of the expected latency after which a client may retry. The attempts now in flight have freed their
+/// capacity by then.
 const RETRY_AFTER_LATENCIES: f64 = 2.0;
 
 /// Returns whether the client can safely retry the request.
--- a/src/balancer/learned_state.rs
+++ b/src/balancer/learned_state.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Restores the latencies of request classes. A class's work is its latency relative to the overall latency, so both
-    /// are restored or neither is.
+    /// Restores the latencies of request classes. A class's work is its latency relative to the overall latency, so
+    /// both are restored or neither is.
     fn restore_classes(&mut self, state: &LearnedState, weight: f64) {
         let overall = RunningMean::restored(state.overall_latency, weight);
         if overall.count > 0.0 {
--- a/src/balancer/locality.rs
+++ b/src/balancer/locality.rs
@@ -36,7 +36,7 @@
     spare_elsewhere: f64,
 }
 
-/// Returns a proxy's traffic share for each zone, given each zone's fair share of all traffic. The fair shares sum to 1.
+/// Returns a proxy's traffic share for each zone, given the zones' fair shares of all traffic, which sum to 1.
 ///
 /// The same amount of traffic is assumed to originate in every zone. A zone keeps its traffic up to its fair share. Its
 /// surplus goes to zones with spare capacity, in proportion to that capacity: first within its own region, then to
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,8 @@
 //! The balancer of one proxy: a state machine that turns events into actions. Its types are in `src/interface/`.
 //!
-//! [`Balancer::handle`] first solves the traffic split if that is due and applies the event. After every event it runs
-//! the checks that have become due with time and dispatches waiting requests. A timer that was replaced by a later one
-//! is ignored. Each of the modules below implements one mechanism.
+//! [`Balancer::handle`] solves the traffic split if that is due, and applies the event. It then runs the time-based
+//! checks that are due and dispatches waiting requests. The event of a timer that was replaced by a later one has no
+//! further effect. Each of the modules below implements one mechanism.
 //!
 //! A request is admitted (`admission`), waits in the `dispatch_queue` and is sent to a backend that `selection` picks
 //! at random by the shares of the `traffic_split` (HALB). The outcome updates the estimates (`attempts`,
@@ -174,7 +174,7 @@
             .map(|(id, hardware_class)| (*id, hardware_class.concurrency_limit.get()))
     }
 
-    /// Returns the fraction of its capacity that each backend has by its slow start: 0 if it is draining, disabled or
+    /// Returns the fraction of its capacity that each backend has in its slow start: 0 if it is draining, disabled or
     /// ejected. Zone failover, the error share, silence, pauses after overload and panic mode are not included.
     pub fn slow_start_readiness(&self, now: Time) -> impl Iterator<Item = (BackendId, f64)> + '_ {
         let slow_start = SlowStart::new(&self.config);
--- a/src/balancer/quota.rs
+++ b/src/balancer/quota.rs
@@ -5,7 +5,8 @@
 
 /// Depth of a bucket, in seconds of its tenant's quota.
 const BUCKET_DEPTH_S: f64 = 2.0;
-/// Minimum depth that a bucket may fill to, in tokens, as a few requests of a small tenant may arrive at once by chance.
+/// Minimum depth that a bucket may fill to, in tokens, as a few requests of a small tenant may arrive at once by
+/// chance.
 const MIN_BUCKET_DEPTH_TOKENS: f64 = 5.0;
 /// Number of tokens that a request takes.
 const TOKENS_PER_REQUEST: f64 = 1.0;
@@ -17,8 +18,8 @@
 
 /// The token buckets of all tenants.
 ///
-/// A new bucket holds the tokens of [`BUCKET_DEPTH_S`], but at least one. A full bucket is not dropped, as a new one of a
-/// small tenant would hold fewer tokens.
+/// A new bucket holds the tokens of [`BUCKET_DEPTH_S`], but at least one. A full bucket is not dropped, as a new one of
+/// a small tenant would hold fewer tokens.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: HashMap<TenantId, TokenBucket>,
--- a/src/balancer/random.rs
+++ b/src/balancer/random.rs
@@ -30,13 +30,13 @@
     pub fn choose<T: Copy>(&mut self, items: &[Weighted<T>]) -> Option<T> {
         let total: f64 = items.iter().map(|entry| entry.weight).sum();
         let mut remaining = self.unit() * total;
-        let mut is_drawn = |entry: &&Weighted<T>| {
+        let mut is_selected = |entry: &&Weighted<T>| {
             remaining -= entry.weight;
             remaining < 0.0
         };
         items
             .iter()
-            .find(&mut is_drawn)
+            .find(&mut is_selected)
             .or(items.last())
             .map(|entry| entry.item)
     }
@@ -44,13 +44,13 @@
     /// Selects the index of a weight with a probability proportional to the weight; never one whose weight is 0.
     pub fn choose_index(&mut self, weights: &[f64]) -> Option<usize> {
         let mut remaining = self.unit() * weights.iter().sum::<f64>();
-        let mut is_drawn = |weight: &f64| {
+        let mut is_selected = |weight: &f64| {
             remaining -= weight;
             remaining < 0.0
         };
         weights
             .iter()
-            .position(&mut is_drawn)
+            .position(&mut is_selected)
             .or_else(|| weights.iter().rposition(|weight| *weight > 0.0))
     }
 }
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -15,8 +15,8 @@
 }
 
 impl ConfigChange {
-    /// Returns the distinct numbers of the classes that are added, retired or reinstated. `classes_before` is the number
-    /// of classes before the change. All other classes keep their rules.
+    /// Returns the distinct numbers of the classes that are added, retired or reinstated. `classes_before` is the
+    /// number of classes before the change. All other classes keep their rules.
     fn affected_classes(&self, classes_before: usize) -> Vec<usize> {
         let classes = self.config.classes.len();
         let named = self.retired.iter().chain(&self.reinstated);
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -119,8 +119,8 @@
         request.attempts.push(Attempt::new(backend, now));
     }
 
-    /// Records that the request's body is being streamed to the attempt's backend, which owes no response until the body
-    /// is complete.
+    /// Records that the request's body is being streamed to the attempt's backend, which owes no response until the
+    /// body is complete.
     pub fn upload_started(&mut self, key: AttemptKey) {
         if let Some(request) = self.pending.get_mut(&key.request) {
             request.upload_streaming = true;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -54,7 +54,7 @@
                 .override_weight(change.endpoint_index, change.weight);
         }
         let group = self.select_group()?;
-        self.backends.draw(group, &mut self.random)
+        self.backends.select_endpoint(group, &mut self.random)
     }
 
     /// Selects a hardware class with a selectable backend, and returns the index of its group.
@@ -73,8 +73,8 @@
         self.random.choose(&weighted)
     }
 
-    /// Returns whether the request may be sent to an ejected backend as a health check: the first attempt of an idempotent
-    /// request, or of any request if no class is idempotent.
+    /// Returns whether the request may be sent to an ejected backend as a health check: the first attempt of an
+    /// idempotent request, or of any request if no class is idempotent.
     fn may_serve_as_health_check(&self, request: &PendingRequest) -> bool {
         let idempotency = self.config.classes[request.class].idempotency;
         let repeatable = idempotency == Idempotency::Idempotent || !self.classes.any_idempotent();
--- a/src/balancer/silence_detection.rs
+++ b/src/balancer/silence_detection.rs
@@ -1,5 +1,6 @@
-//! Silence detection: a backend is silent if an attempt has been without a response for longer than the silence limit and
-//! the backend has not responded to any other attempt since. A silent backend gets no new attempts until it responds.
+//! Silence detection: a backend is silent if an attempt has been without a response for longer than the silence limit
+//! and the backend has not responded to any other attempt since. A silent backend gets no new attempts until it
+//! responds.
 
 use super::Balancer;
 use crate::interface::{Micros, Time};
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: the readiness of an endpoint that was recently started, and the budget of work that it may be sent without
-//! being overloaded.
+//! Slow start: the readiness of an endpoint that was recently started, and the budget of work that it may be sent
+//! without being overloaded.
 
 use super::hardware_class::HardwareClass;
 use super::Balancer;
@@ -77,8 +77,8 @@
 }
 
 impl Balancer {
-    /// Returns the work that this proxy may still send to an endpoint within the current overload window, in requests of
-    /// mean work; unlimited for an endpoint past its slow start. `proven_capacity` caches
+    /// Returns the work that this proxy may still send to an endpoint within the current overload window, in requests
+    /// of mean work; unlimited for an endpoint past its slow start. `proven_capacity` caches
     /// [`Balancer::proven_capacity_per_s`].
     pub(super) fn remaining_slow_start_budget(
         &self,
@@ -119,8 +119,8 @@
     }
 
     /// Returns the requests of mean work per second that an endpoint of the hardware class is sure to serve after its
-    /// slow start. Without any response, the class is assumed to be as slow as the slowest of the others or, if there is
-    /// none, to have one core with the lowest expected latency of any request class; in both cases not to serve more
+    /// slow start. Without any response, the class is assumed to be as slow as the slowest of the others or, if there
+    /// is none, to have one core with the lowest expected latency of any request class; in both cases not to serve more
     /// than an even share of the traffic.
     fn proven_capacity_per_s(&self, hardware_class: HardwareClassId) -> f64 {
         let proxies = f64::from(self.config.proxy_count);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -8,14 +8,15 @@
 use crate::interface::{Config, HardwareClassId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Number of proxies that share an endpoint, if there are more proxies than that. It is limited because connections cost
-/// an endpoint resources. The load from this many proxies still evens out, to a fluctuation of about a fifth of that
-/// from a single proxy.
+/// Number of proxies that share an endpoint, if there are more proxies than that. It is limited because connections
+/// cost an endpoint resources. The load from this many proxies still evens out, to a fluctuation of about a fifth of
+/// that from a single proxy.
 const PROXIES_PER_ENDPOINT: f64 = 20.0;
-/// Fraction of an endpoint's capacity that is divided in proportion to the proxies' traffic. The rest is divided evenly.
-const CAPACITY_BY_TRAFFIC: f64 = 0.5;
-/// Fraction of its readiness that is added to an endpoint's traffic share, so that it takes overflow once all others are
-/// full.
+/// Fraction of an endpoint's capacity that is divided in proportion to the proxies' traffic. The rest is divided
+/// evenly.
+const TRAFFIC_CAPACITY_FRACTION: f64 = 0.5;
+/// Fraction of its readiness that is added to an endpoint's traffic share, so that it takes overflow once all others
+/// are full.
 const OVERFLOW_FRACTION: f64 = 1e-6;
 /// Lower bound of a value that is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-9;
@@ -93,7 +94,8 @@
 }
 
 impl Balancer {
-    /// Assigns each endpoint its share of this proxy's traffic, its capacity for this proxy and its share of the subset.
+    /// Assigns each endpoint its share of this proxy's traffic, its capacity for this proxy and its share of the
+    /// subset.
     ///
     /// The share of a hardware class is divided among its endpoints by readiness. If traffic between zones has a cost,
     /// it stays local as far as all proxies together still give every endpoint its fair share.
@@ -127,8 +129,8 @@
     }
 }
 
-/// Returns the fair share of all traffic for the endpoints of each zone. With zone failover, a zone that is out of use is
-/// included with a share of 0, as traffic still originates there.
+/// Returns the fair share of all traffic for the endpoints of each zone. With zone failover, a zone that is out of use
+/// is included with a share of 0, as traffic still originates there.
 fn zone_fair_shares(
     endpoints: &EndpointTable,
     splits: &[GroupSplit],
@@ -183,10 +185,10 @@
         let group = load.group_index as usize;
         let split = &splits[group];
         let bias = biases[load.zone_index as usize];
-        // Each proxy gets a capacity of at least one. With more proxies than the limit they would otherwise have to take
-        // turns; in that case load shedding enforces the limit.
-        let by_traffic = (1.0 - CAPACITY_BY_TRAFFIC) + CAPACITY_BY_TRAFFIC * bias;
-        let capacity = split.even_capacity(load, proxies) * by_traffic + load.rounding_offset;
+        // Each proxy gets a capacity of at least one. With more proxies than the limit they would otherwise have to
+        // take turns; in that case load shedding enforces the limit.
+        let traffic_factor = (1.0 - TRAFFIC_CAPACITY_FRACTION) + TRAFFIC_CAPACITY_FRACTION * bias;
+        let capacity = split.even_capacity(load, proxies) * traffic_factor + load.rounding_offset;
         load.capacity = capacity.floor().max(1.0);
         let share = split.fair_share(load) * bias;
         *traffic_share = share + load.readiness * OVERFLOW_FRACTION;
--- a/src/balancer/traffic_split.rs
+++ b/src/balancer/traffic_split.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns the HALB traffic share of each hardware class. These shares minimize the mean latency if every endpoint is an
-/// M/G/1 queue with processor sharing. All shares are 0 if no endpoint is ready.
+/// Returns the HALB traffic share of each hardware class. These shares minimize the mean latency if every endpoint is
+/// an M/G/1 queue with processor sharing. All shares are 0 if no endpoint is ready.
 ///
 /// `rate_per_s` is the arrival rate of all proxies, in requests per second. Without a rate, the shares are proportional
 /// to the ready endpoints; at a rate close to 0, the fastest classes get all traffic.
@@ -118,8 +118,8 @@
 }
 
 impl Balancer {
-    /// Solves the split: updates the readiness of every endpoint, the service rate and share of every hardware class, and
-    /// this proxy's subset.
+    /// Solves the split: updates the readiness of every endpoint, the service rate and share of every hardware class,
+    /// and this proxy's subset.
     pub(super) fn solve_traffic_split(&mut self, now: Time) {
         self.backends.refresh(now, &self.config);
         self.update_concurrency_limits(now - self.split.solved_at);
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Returns the mean service rate of the hardware classes for which it is known. It is assumed for all other classes.
+    /// Returns the mean service rate of the hardware classes for which it is known. It is assumed for all other
+    /// classes.
     fn mean_service_rate_per_s(&self) -> Option<f64> {
         let known = || {
             self.hardware_classes
--- a/src/balancer/zone_failover.rs
+++ b/src/balancer/zone_failover.rs
@@ -1,5 +1,5 @@
-//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts get no response, is taken out of use as
-//! a whole and returns over a recovery ramp. It is enabled by `locality` in the settings.
+//! Zone failover: a zone whose endpoints are ejected or silent, or whose attempts get no response, is taken out of use
+//! as a whole and returns over a recovery ramp. It is enabled by `locality` in the settings.
 
 use super::estimators::RunningMean;
 use super::outlier_detection::BASE_EJECTION_S;
@@ -8,7 +8,8 @@
 use crate::interface::{Action, Micros, Time, ZoneFailover, ZoneId};
 use std::collections::BTreeMap;
 
-/// Time for which a zone has to be unhealthy before it is taken out of use, in seconds. A shorter silence is no failure.
+/// Time for which a zone has to be unhealthy before it is taken out of use, in seconds. A shorter silence is no
+/// failure.
 const UNHEALTHY_FOR_S: f64 = BASE_EJECTION_S / 2.0;
 /// Maximum number of samples in the share of attempts without a response.
 const ATTEMPT_SAMPLES: f64 = 30.0;
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -56,9 +56,9 @@
 /// When a whole zone is taken out of use, and how it returns (`locality` in the settings).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFailover {
-    /// The zone is taken out of use once, for half a second, this fraction (0 to 1) of its ready backends was ejected or
-    /// silent, or this fraction of its latest attempts got no response. It returns when the unhealthy fraction of its
-    /// backends is below half of this threshold, after a hold-down time that grows with repeated failovers.
+    /// The zone is taken out of use once, for half a second, this fraction (0 to 1) of its ready backends was ejected
+    /// or silent, or this fraction of its latest attempts got no response. It returns when the unhealthy fraction of
+    /// its backends is below half of this threshold, after a hold-down time that grows with repeated failovers.
     pub unhealthy_threshold: f64,
     /// Time over which a returning zone ramps up to its full readiness. It doubles with each further failover within a
     /// minute, up to 32 times this value.
@@ -121,8 +121,8 @@
     Push,
     /// The proxy polls, see [`Action::PollDiscovery`](crate::Action::PollDiscovery).
     Poll {
-        /// Time after which a proxy that does not poll is assumed to know of a change. Half of it is the longest backoff
-        /// interval, and the time after which a poll without a response is repeated.
+        /// Time after which a proxy that does not poll is assumed to know of a change. Half of it is the longest
+        /// backoff interval, and the time after which a poll without a response is repeated.
         staleness_limit: Micros,
     },
 }
