--- a/src/balancer/dispatch_queue.rs
+++ b/src/balancer/dispatch_queue.rs
@@ -52,7 +52,7 @@
         });
     }
 
-    fn nothing_to_dispatch(&self) -> bool {
+    fn has_nothing_to_dispatch(&self) -> bool {
         self.waiting.is_empty() || self.blocked_below == BLOCKS_ALL
     }
 }
@@ -79,7 +79,7 @@
 impl Balancer {
     /// Dispatches waiting requests in the order of [`QueuedRequest::dispatch_order`].
     pub(super) fn dispatch_waiting(&mut self, now: Time) {
-        if self.dispatch_queue.nothing_to_dispatch() {
+        if self.dispatch_queue.has_nothing_to_dispatch() {
             return;
         }
         let load = self.fleet_load();
--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -207,7 +207,7 @@
         load.silent = record.silent;
         load.available = available;
         let began_at = record.slow_start_began_at();
-        let duration = Micros(config.slow_start.0.max(1));
+        let duration = Micros(config.slow_start_duration.0.max(1));
         load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
         let past_window_at = began_at.map_or(Time(0), |_| {
             load.slow_start_ends_at + config.overload_window
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -44,7 +44,8 @@
             );
         }
         self.change_classes(&change);
-        let slow_start_changed = change.config.slow_start != self.config.slow_start
+        let slow_start_changed = change.config.slow_start_duration
+            != self.config.slow_start_duration
             || change.config.overload_window != self.config.overload_window;
         if slow_start_changed {
             self.backends.mark_all_outdated();
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -8,9 +8,9 @@
 
 /// Fraction of its slow-start budget that a proxy uses. The rest is a margin for skew between proxies and for heavy
 /// requests.
-const BUDGET_MARGIN: f64 = 0.8;
+const USED_BUDGET_FRACTION: f64 = 0.8;
 /// Lower bound of a duration that is used as a divisor, in seconds.
-const MIN_SPAN_S: f64 = 1e-6;
+const MIN_DURATION_S: f64 = 1e-6;
 
 /// The readiness ramp of an endpoint, or of a whole zone, that comes into use.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
 impl SlowStart {
     pub fn new(config: &Config) -> SlowStart {
         SlowStart {
-            duration: config.slow_start,
+            duration: config.slow_start_duration,
             min_readiness: config.slow_start_min_readiness,
         }
     }
@@ -32,7 +32,7 @@
     /// means long ago.
     pub fn readiness(&self, now: Time, began_at: Option<Time>) -> f64 {
         let elapsed_fraction = began_at.map_or(f64::MAX, |began_at| {
-            (now - began_at).as_secs_f64() / self.duration.as_secs_f64().max(MIN_SPAN_S)
+            (now - began_at).as_secs_f64() / self.duration.as_secs_f64().max(MIN_DURATION_S)
         });
         self.ramp(elapsed_fraction)
     }
@@ -71,7 +71,8 @@
             * self.overload_window.as_secs_f64();
         // One request by all proxies together is always allowed. Otherwise a process that starts while all endpoints
         // are in slow start would reject its first requests.
-        let fleet_work = (fleet_work * BUDGET_MARGIN * self.uptime_windows.min(1.0)).max(1.0);
+        let fleet_work =
+            (fleet_work * USED_BUDGET_FRACTION * self.uptime_windows.min(1.0)).max(1.0);
         fleet_work * self.own_share / f64::from(self.processes)
     }
 }
@@ -112,7 +113,11 @@
 
     /// Returns the uptime of this process in overload windows.
     fn uptime_windows(&self, now: Time) -> f64 {
-        let window_s = self.config.overload_window.as_secs_f64().max(MIN_SPAN_S);
+        let window_s = self
+            .config
+            .overload_window
+            .as_secs_f64()
+            .max(MIN_DURATION_S);
         self.first_event_at.map_or(0.0, |started_at| {
             (now - started_at).as_secs_f64() / window_s
         })
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -41,7 +41,7 @@
     /// Fraction (0 to 1) of its capacity that a backend is sure to have when it starts.
     pub slow_start_min_readiness: f64,
     /// Time from the start of a backend until it has its full capacity.
-    pub slow_start: Micros,
+    pub slow_start_duration: Micros,
     /// A backend in slow start fails if it gets more than this multiple of its current capacity within
     /// `overload_window`.
     pub overload_multiple: f64,
@@ -163,7 +163,7 @@
             hedging: true,
             timer_resolution: Micros(5_000),
             slow_start_min_readiness: 0.3,
-            slow_start: Micros(10_000_000),
+            slow_start_duration: Micros(10_000_000),
             overload_multiple: 3.0,
             overload_window: Micros(2_000_000),
             zone_failover: None,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -13,7 +13,7 @@
     EndpointsUpdated {
         /// How `backends` relates to the list that is known already.
         update: EndpointUpdate,
-        /// The listed backends; empty for a failed update.
+        /// The entries of the update.
         backends: Vec<Backend>,
     },
     /// A client request arrived. It must get exactly one final answer.
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -197,7 +197,7 @@
             hedging: limits.get("parallel_tries").flag(),
             timer_resolution: root.get("granularity_us").micros(),
             slow_start_min_readiness: rules.get("cold_from").number(),
-            slow_start: rules.get("ramp_time_us").micros(),
+            slow_start_duration: rules.get("ramp_time_us").micros(),
             overload_multiple: rules.get("fall_multiple").number(),
             overload_window: rules.get("tip_after_us").micros(),
             zone_failover: read_zone_failover(&root.get("locality")),
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -101,7 +101,7 @@
         start.host.clone(),
         peers,
         voting,
-        start.config.slow_start,
+        start.config.slow_start_duration,
         start.fleet_overrides.clone(),
         config_snapshot_file(start.node),
     );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -204,7 +204,7 @@
     let ramp = 23 * SECOND;
     let cfg = Config {
         slow_start_min_readiness: 0.13,
-        slow_start: Micros(ramp),
+        slow_start_duration: Micros(ramp),
         overload_window: Micros(3 * SECOND),
         ..Config::example()
     };
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -151,7 +151,7 @@
         });
         cfg.regions = (0..s.zones).map(|z| (ZoneId(z), RegionId(z % 3))).collect();
     }
-    cfg.slow_start = Micros(4_000_000);
+    cfg.slow_start_duration = Micros(4_000_000);
     cfg
 }
 
@@ -688,7 +688,7 @@
         let mut cfg = self.cfg.clone();
         let (mut retired, mut successors) = (Vec::new(), Vec::new());
         match self.below(7) {
-            0 => cfg.slow_start = Micros(1_000_000 + self.below(8_000_000)),
+            0 => cfg.slow_start_duration = Micros(1_000_000 + self.below(8_000_000)),
             1 => cfg.overload_window = Micros(500_000 + self.below(3_000_000)),
             2 => cfg.cross_zone_cost = 0.02 * self.below(3) as f64,
             3 => {
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -69,7 +69,7 @@
         ]
         .into_iter()
         .collect();
-        (cfg.cross_zone_cost, cfg.slow_start) = (0.1, Micros(600_000));
+        (cfg.cross_zone_cost, cfg.slow_start_duration) = (0.1, Micros(600_000));
         let balancer = Balancer::new(cfg, 5).expect("sound");
         Side {
             balancer,
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -321,7 +321,7 @@
         hedging: limits.get("parallel_tries").flag(),
         timer_resolution: root.get("granularity_us").micros(),
         slow_start_min_readiness: rules.get("cold_from").real(),
-        slow_start: rules.get("ramp_time_us").micros(),
+        slow_start_duration: rules.get("ramp_time_us").micros(),
         overload_multiple: rules.get("fall_multiple").real(),
         overload_window: rules.get("tip_after_us").micros(),
         zone_failover: locality(&root.get("locality")),
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -111,7 +111,7 @@
         classes: vec![class(300_000), class(SECOND)].into(),
         cross_zone_cost: if case.near { 0.05 } else { 0.0 },
         slow_start_min_readiness: COLD_FROM,
-        slow_start: Micros(RAMP),
+        slow_start_duration: Micros(RAMP),
         overload_window: Micros(WINDOW),
         ..Config::example()
     }
