--- a/src/net/background_thread.rs
+++ b/src/net/background_thread.rs
@@ -1,7 +1,7 @@
-//! A thread for long work, while the event loop goes on.
+//! A thread for long-running work, so that it does not block the event loop.
 //!
-//! Use [`BackgroundThread::run`] for work whose result the event loop waits for, such as reading the configuration or
-//! amending the settings, and [`BackgroundThread::discard`] to free large values.
+//! Use [`BackgroundThread::run`] for work whose result is awaited, such as reading the configuration or amending the
+//! settings, and [`BackgroundThread::discard`] to free large values.
 
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -11,20 +11,20 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Why work was not done in the background. The texts name the reading of the configuration; amending the settings
-/// is awaited too.
+/// Why background work has no result. The texts name reading the configuration, although amending the settings can fail in the
+/// same way.
 #[derive(Debug, Error)]
 pub enum BackgroundError {
     /// The thread cannot be started.
-    #[error("no thread to read the configuration on: {0}")]
+    #[error("cannot start the thread that reads the configuration: {0}")]
     StartThread(#[source] io::Error),
     /// The work panicked.
-    #[error("the reading of the configuration broke off")]
+    #[error("reading the configuration failed: the background job panicked")]
     Panicked,
 }
 
-/// A handle on the thread; clones share it. There is one for as long as the program runs: a second thread would allocate
-/// in a memory arena of its own, which the allocator does not give back.
+/// Handle of the background thread; clones share it. There is only one thread, which runs until the process ends: each
+/// further thread would allocate from a memory arena of its own, which the allocator does not return to the system.
 #[derive(Clone)]
 pub struct BackgroundThread(mpsc::Sender<Job>);
 
@@ -34,7 +34,7 @@
         let (sender, jobs) = mpsc::channel::<Job>();
         let run_jobs = move || {
             for job in jobs {
-                // A panic is reported to whoever waits for the job, and later jobs still run.
+                // A panic is reported to the caller that awaits the job, and later jobs still run.
                 let _ = catch_unwind(AssertUnwindSafe(job));
             }
         };
@@ -45,18 +45,18 @@
         Ok(BackgroundThread(sender))
     }
 
-    /// Does the work on the thread and waits for its result.
+    /// Runs the work on the thread and waits for its result.
     pub async fn run<T: Send + 'static>(
         &self,
         work: impl FnOnce() -> T + Send + 'static,
     ) -> Result<T, BackgroundError> {
         let (sender, result) = oneshot::channel();
-        // A job that cannot be sent drops `sender`, on which the wait below ends with an error.
+        // A job that cannot be sent is dropped with `sender`, so that the wait below ends with an error.
         let _ = self.0.send(Box::new(move || drop(sender.send(work()))));
         result.await.map_err(|_| BackgroundError::Panicked)
     }
 
-    /// Drops a value on the thread: it may hold a hundred thousand entries.
+    /// Drops a value on the thread, as freeing a hundred thousand entries would block the event loop.
     pub fn discard(&self, value: impl Send + 'static) {
         let _ = self.0.send(Box::new(move || drop(value)));
     }
--- a/src/net/connection_driver.rs
+++ b/src/net/connection_driver.rs
@@ -1,8 +1,8 @@
-//! Runs work on an HTTP/1 client connection while driving that connection.
+//! Runs a future that uses an HTTP/1 client connection while polling that connection.
 //!
-//! hyper's connection is a future that must be polled for anything to be read or written, and it does not end a wait on
-//! its sender when the connection ends. [`drive_until_closed`] gives up work whose connection has ended;
-//! [`drive_past_close`] lets work finish with what the connection brought before its end.
+//! hyper's connection is a future that must be polled for anything to be read or written, and a wait on its sender does not
+//! end when the connection does. [`drive_until_closed`] abandons work whose connection has ended; [`drive_past_close`] lets
+//! the work finish with what was received before the end.
 
 use crate::net::observed_stream::ObservedStream;
 use bytes::Bytes;
@@ -12,17 +12,17 @@
 use std::pin::{pin, Pin};
 use std::task::Poll;
 
-/// An error of any kind.
+/// A boxed error of any type.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What [`drive_past_close`] ended with.
+/// The result of [`drive_past_close`].
 pub struct DriveResult<T> {
     pub value: T,
-    /// Whether the connection was still open.
+    /// Whether the connection was still open when the work finished.
     pub is_open: bool,
 }
 
-/// Runs `work` to its end while driving its connection. `None`: the connection ended first.
+/// Runs `work` while polling its connection. Returns `None` if the connection ends first.
 pub async fn drive_until_closed<T>(
     connection: &mut Connection<
         ObservedStream,
@@ -41,15 +41,15 @@
         }
         if Pin::new(&mut *connection).poll(cx).is_ready() {
             is_closed = true;
-            cx.waker().wake_by_ref(); // once more for what it brought before it ended
+            cx.waker().wake_by_ref(); // polls the work once more, for what was received before the end
         }
         work.as_mut().poll(cx).map(Some)
     })
     .await
 }
 
-/// Runs `work` to its end, and drives its connection for as long as that lasts: what a connection brought before its end
-/// may take `work` long to pass on.
+/// Runs `work` to its end, and polls its connection while that is open. The work may take long to forward what was received
+/// before the connection ended.
 pub async fn drive_past_close<T>(
     connection: &mut Connection<
         ObservedStream,
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -1,7 +1,7 @@
-//! How many client and backend connections a process may hold within its limit of file descriptors.
+//! Limits on client and backend connections, derived from the process's limit of file descriptors.
 //!
-//! [`DescriptorLimits`] says it at any moment. During a hot restart two processes are one proxy and share its descriptors;
-//! [`track_other_process`] keeps their limits in step.
+//! [`DescriptorLimits`] holds the current limits. During a hot restart two processes make up one proxy and share its descriptors;
+//! [`track_other_process`] adjusts the limits of each to what the other uses.
 
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
@@ -13,14 +13,14 @@
 
 /// Descriptors reserved for everything but client and backend connections.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// How often a process that is the only one looks for another.
+/// How often the only process of a proxy checks for another one.
 const SINGLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often one of two processes looks at the other.
+/// How often each of two processes checks the other's connections.
 const SHARED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Client connections, and as many to backends, that a process may have whatever the other one has. They come out of the
-/// reserve.
+/// Client connections, and as many backend connections, that a process may hold regardless of the other one. They use reserved
+/// descriptors if necessary.
 const MIN_CONNECTIONS: usize = 8;
-/// Descriptors that a second process needs for everything else, and for clients over its limit.
+/// Additional descriptors reserved for a second process: for everything but connections, and for clients above its limit.
 const SECOND_PROCESS_DESCRIPTORS: usize = 40;
 /// Backend connections that a process may open between two checks.
 const UPSTREAM_HEADROOM: usize = 16;
@@ -28,14 +28,14 @@
 /// How many connections a process may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// From clients.
+    /// Connections from clients.
     pub clients: usize,
-    /// To backends.
+    /// Connections to backends.
     pub upstreams: usize,
 }
 
 impl ConnectionLimits {
-    /// Half of the capacity each, for a process with that many descriptors to itself.
+    /// Returns the limits of a proxy's only process: half of the capacity for each kind of connection.
     pub fn for_single_process(descriptors: usize) -> ConnectionLimits {
         let capacity = connection_capacity(descriptors);
         let upstreams = capacity / 2;
@@ -45,8 +45,9 @@
         }
     }
 
-    /// For one of two processes, where the other one has `other` open: backend connections a little
-    /// above those it has, and clients out of all else, as those of the old process still wait when the new one's come.
+    /// Returns the limits of one of two processes, where `other` is what the other one has open. Backend connections are limited
+    /// to slightly more than are open, and clients get all the rest, as clients of the old process stay connected while new ones
+    /// connect to the new process.
     fn for_shared_capacity(
         descriptors: usize,
         open_upstreams: usize,
@@ -62,17 +63,17 @@
     }
 }
 
-/// The descriptors that the process may hold, and what another process of this proxy has of them.
+/// The proxy's number of descriptors, and how many connections another process of it holds.
 #[derive(Debug)]
 pub struct DescriptorLimits {
-    /// A reload can change the number.
+    /// The number of descriptors; a reload can change it.
     descriptors: Cell<usize>,
     /// The open connections of the other process, while there is one.
     other: Cell<Option<ConnectionCounts>>,
 }
 
 impl DescriptorLimits {
-    /// For a process that knows of no other one.
+    /// Creates the limits of a process that knows of no other one.
     pub fn new(descriptors: usize) -> DescriptorLimits {
         DescriptorLimits {
             descriptors: Cell::new(descriptors),
@@ -80,17 +81,17 @@
         }
     }
 
-    /// Sets the number of descriptors; another process still has its share.
+    /// Sets the number of descriptors; what another process uses is still subtracted.
     pub fn set_descriptors(&self, descriptors: usize) {
         self.descriptors.set(descriptors);
     }
 
-    /// Sets what another process has; returns whether it came or went.
+    /// Sets the open connections of another process. Returns whether that process appeared or disappeared.
     pub fn set_other(&self, other: Option<ConnectionCounts>) -> bool {
         self.other.replace(other).is_some() != other.is_some()
     }
 
-    /// How many connections the process may hold now, with so many open to backends.
+    /// Returns how many connections the process may hold now, while `open_upstreams` are open to backends.
     pub fn connection_limits(&self, open_upstreams: usize) -> ConnectionLimits {
         let descriptors = self.descriptors.get();
         match self.other.get() {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Puts them in force.
+    /// Applies the current limits to the server and the connection pool.
     pub fn apply(&self, host: &Host, server: &Server) {
         let limits = self.connection_limits(host.pool.open_connections());
         host.pool.set_max_open(limits.upstreams);
@@ -109,14 +110,14 @@
     }
 }
 
-/// Connections that fit into that many descriptors.
+/// Returns how many connections that many descriptors allow, without the reserved ones.
 fn connection_capacity(descriptors: usize) -> usize {
     descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2)
 }
 
-/// Watches for another process of this proxy, for as long as the program runs. While there are two they share the
-/// proxy's descriptors and the request rate that backends in slow start may get: what one process has the other may
-/// not have. The old process's clients come over one by one, and the limits of each side follow them.
+/// Watches for another process of this proxy, and runs until the process ends. While there are two, they share the proxy's
+/// descriptors and the request rate of backends in slow start: what one process uses is not available to the other. Clients
+/// move from the old process to the new one by one, and the limits of both follow.
 pub async fn track_other_process(
     presence: Rc<Presence>,
     host: Rc<Host>,
@@ -147,10 +148,10 @@
 
 fn process_count_changed(host: &Rc<Host>, is_shared: bool) {
     if is_shared {
-        info!("hot restart: sharing connection limits with another process of this proxy");
+        info!("hot restart: connection limits are shared with another process of this proxy");
         host.set_process_count(2);
     } else {
-        info!("hot restart is over: this is the only process of this proxy");
+        info!("hot restart finished: this is the only process of this proxy");
         host.set_process_count(1);
     }
 }
--- a/src/net/descriptor_limits/tests.rs
+++ b/src/net/descriptor_limits/tests.rs
@@ -1,13 +1,13 @@
-//! Two processes within one limit.
+//! Connection limits of two processes that share one limit of descriptors.
 
 use super::*;
 
 const DESCRIPTORS: usize = 384;
 
-/// While the clients of the old process still wait, the new one can take as many where the descriptors allow it, and
-/// both together never have more than those.
+/// While the old process still holds its clients, the new one gets the rest of the capacity, and both together stay within
+/// it.
 #[test]
-fn two_processes_share_the_capacity_by_what_each_holds() {
+fn two_processes_stay_within_the_capacity() {
     let capacity = connection_capacity(DESCRIPTORS);
     let other = ConnectionCounts {
         clients: 128,
@@ -27,12 +27,16 @@
         upstreams: 300,
     };
     let limits = ConnectionLimits::for_shared_capacity(DESCRIPTORS, 0, crowded);
-    assert!(limits.clients > 0 && limits.upstreams > 0, "never shut out");
+    assert!(
+        limits.clients > 0 && limits.upstreams > 0,
+        "a process must always get some connections"
+    );
 }
 
-/// A reload during a hot restart took the limits of a single process: two processes could pass the proxy's limit.
+/// A reload during a hot restart keeps the shared limits. It used to apply those of a single process, with which both
+/// processes together could exceed the proxy's limit.
 #[test]
-fn a_reload_beside_another_process_keeps_to_the_shared_limits() {
+fn a_reload_beside_another_process_keeps_the_shared_limits() {
     const DESCRIPTORS: usize = 256;
     const OWN_UPSTREAMS: usize = 20;
     let other = ConnectionCounts {
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -1,4 +1,7 @@
 //! Attempts at backends, from their dispatch to their end.
+//!
+//! The balancer's `Dispatch` starts a task that runs the attempt on the connection pool. The task reports back through
+//! [`Progress`] and `attempt_ended`.
 
 use super::state::{Answer, AttemptKey, InFlightAttempt, OpenRequest, State};
 use super::Host;
@@ -58,8 +61,8 @@
             .insert(AttemptKey { request, attempt }, in_flight);
     }
 
-    /// Asked at the moment of the first byte: whether the endpoint list still allows the backend at that address, the
-    /// request and its client still wait, and a backend would still drop a duplicate.
+    /// Returns whether an attempt may still be sent, right before its first byte: the backend is still usable at that address,
+    /// the request and its client still wait, and a backend would still drop a duplicate.
     pub(super) fn may_send(
         self: &Rc<Self>,
         request: RequestId,
@@ -90,8 +93,8 @@
         client.is_some_and(PeerMonitor::has_closed)
     }
 
-    /// When the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
-    /// that is sent later than this may run first, and the backend then takes this one for the duplicate.
+    /// Returns when the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
+    /// sent after that time could be executed first, and the backend would then take this attempt for the duplicate.
     pub(super) fn send_deadline(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let s = self.state.borrow();
         let window = s.retry_window(s.requests.get(&request)?)?;
@@ -103,7 +106,7 @@
         Some(duplicate_deadline.map_or(own_deadline, |deadline| deadline.min(own_deadline)))
     }
 
-    /// The last byte of a streamed body was sent: the request's time begins to run.
+    /// Handles that the last byte of a streamed body was sent: the request's time starts now.
     pub(super) fn upload_finished(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber) {
         let now = self.clock.now();
         let time_left = {
@@ -129,7 +132,7 @@
         });
     }
 
-    /// A streamed response begins: it is the client's from here on, and other attempts are cancelled.
+    /// Hands a streamed response that has begun to the client, and cancels the request's other attempts.
     pub(super) fn response_started(
         self: &Rc<Self>,
         request: RequestId,
@@ -163,7 +166,7 @@
             let Some(in_flight) = s.attempts.remove(&AttemptKey { request, attempt }) else {
                 return;
             };
-            in_flight.task.abort(); // closes its connection, if it is still on one
+            in_flight.task.abort(); // closes its connection, if the task still runs
             let outcome = result.outcome;
             self.count_outcome(&mut s, outcome, &in_flight);
             if !outcome.proves_unprocessed() {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Attempts of the request that are in flight.
+    /// Returns the request's attempts that are in flight.
     pub(super) fn in_flight_attempts(&self, id: RequestId) -> Vec<AttemptNumber> {
         let s = self.state.borrow();
         let count = s.requests.get(&id).map_or(0, |request| request.attempts);
@@ -224,7 +227,7 @@
         (0..count).map(AttemptNumber).filter(is_in_flight).collect()
     }
 
-    /// Ends what is in flight for a client that left, where the balancer may not cancel it.
+    /// Cancels the attempts of a disconnected client that the balancer has not cancelled itself.
     pub(super) fn cancel_attempts(self: &Rc<Self>, id: RequestId) {
         let attempts: Vec<AttemptNumber> = {
             let s = self.state.borrow();
@@ -245,7 +248,7 @@
     request.first_possible_run_at = Some(first);
 }
 
-/// What an attempt reports to, and asks, as it proceeds.
+/// Identifies an attempt, and connects its [`Progress`] callbacks to the host.
 struct AttemptContext {
     host: Rc<Host>,
     request: RequestId,
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -1,3 +1,5 @@
+//! When an attempt may be sent, and which of several outcomes becomes the final answer.
+
 use super::*;
 use crate::net::discovery::endpoint_list::List;
 use crate::net::host::state::{InFlightAttempt, OpenRequest};
@@ -5,17 +7,18 @@
 use meadowproxy::{ClassId, Config, EndpointUpdate, Idempotency, KeyScope, RequestClass};
 use tokio::sync::oneshot;
 
-const B: BackendId = BackendId(0);
+const BACKEND: BackendId = BackendId(0);
 const FIRST: AttemptNumber = AttemptNumber(0);
 const SECOND: AttemptNumber = AttemptNumber(1);
 const WINDOW: Micros = Micros(500_000);
 
-fn at(port: u16) -> SocketAddr {
+fn address_of(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 fn update(host: &Rc<Host>, index: u64, status: &str, port: u16) {
-    let entry = serde_json::json!({"name": "b", "address": at(port).to_string(), "status": status});
+    let entry =
+        serde_json::json!({"name": "b", "address": address_of(port).to_string(), "status": status});
     host.update_endpoints(
         EndpointUpdate::Incremental,
         &List {
@@ -26,11 +29,12 @@
     );
 }
 
-async fn scoped(test: impl std::future::Future<Output = ()>) {
+async fn with_local_tasks(test: impl std::future::Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A request with an idempotency key and attempts that were each sent so long ago; the balancer does not know it.
+/// Adds a request with an idempotency key and one attempt per entry of `sent_ago_us`, sent that many microseconds ago. The
+/// balancer does not know the attempts.
 fn request_with_attempts(
     host: &Rc<Host>,
     sent_ago_us: &[u64],
@@ -64,7 +68,7 @@
     for (number, ago_us) in sent_ago_us.iter().enumerate() {
         let task = tokio::task::spawn_local(std::future::pending::<()>()).abort_handle();
         let in_flight = InFlightAttempt {
-            backend: B,
+            backend: BACKEND,
             sent_at: host.clock.now() - Micros(*ago_us),
             task,
         };
@@ -78,61 +82,70 @@
     (id, wait)
 }
 
-/// Whatever may change while a connection is established prevents the send: the endpoint list, the address in it, and the
-/// request's end.
+/// Nothing is sent if, while the connection is established, the backend starts to drain or changes its address, or the
+/// request ends.
 #[tokio::test]
-async fn the_first_byte_waits_for_list_and_request() {
+async fn nothing_is_sent_after_the_backend_drains_or_the_request_ends() {
     let host = Host::example();
-    scoped(async {
+    with_local_tasks(async {
         update(&host, 1, "SERVING", 9);
         let PendingRequest { id, answer: _wait } = host.example_request();
-        assert!(host.may_send(id, FIRST, B, at(9)));
+        assert!(host.may_send(id, FIRST, BACKEND, address_of(9)));
         assert!(
-            !host.may_send(RequestId(99), FIRST, B, at(9)),
-            "the request is over"
+            !host.may_send(RequestId(99), FIRST, BACKEND, address_of(9)),
+            "the request has ended"
         );
         update(&host, 2, "SERVING", 10);
         assert!(
-            !host.may_send(id, FIRST, B, at(9)),
-            "the backend is elsewhere now"
+            !host.may_send(id, FIRST, BACKEND, address_of(9)),
+            "the backend has another address now"
         );
-        assert!(host.may_send(id, FIRST, B, at(10)));
+        assert!(host.may_send(id, FIRST, BACKEND, address_of(10)));
         update(&host, 3, "DRAINING", 10);
-        assert!(!host.may_send(id, FIRST, B, at(10)), "the backend drains");
+        assert!(
+            !host.may_send(id, FIRST, BACKEND, address_of(10)),
+            "the backend is draining"
+        );
         host.client_disconnected(id);
         assert!(
             host.state.borrow().attempts.is_empty(),
-            "nothing is in flight for a client that left"
+            "attempts of a disconnected client are still in flight"
         );
     })
     .await;
 }
 
-/// Another attempt is sent only while backends still drop duplicates, whichever attempt was dispatched first: one whose
-/// connection was established late duplicates a later one that was faster.
+/// Another attempt is sent only while backends still drop duplicates, whichever attempt was dispatched first: an earlier
+/// attempt whose connection is established late duplicates a later one that was faster.
 #[tokio::test]
-async fn nothing_is_sent_once_another_attempt_may_have_run_a_window_ago() {
+async fn nothing_is_sent_once_another_attempt_may_have_been_executed_a_window_ago() {
     let host = Host::example();
-    scoped(async {
+    with_local_tasks(async {
         update(&host, 1, "SERVING", 9);
         let (id, _wait) = request_with_attempts(&host, &[0]);
         assert!(
-            host.may_send(id, FIRST, B, at(9)),
-            "as the only one it is no duplicate"
+            host.may_send(id, FIRST, BACKEND, address_of(9)),
+            "the only attempt is no duplicate"
         );
         let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
-        assert!(host.may_send(id, SECOND, B, at(9)), "still dropped");
+        assert!(
+            host.may_send(id, SECOND, BACKEND, address_of(9)),
+            "a duplicate is still dropped"
+        );
         let (id, _wait) = request_with_attempts(&host, &[500_000, 0]);
-        assert!(!host.may_send(id, SECOND, B, at(9)), "the window is over");
+        assert!(
+            !host.may_send(id, SECOND, BACKEND, address_of(9)),
+            "the window is over"
+        );
         let (id, _wait) = request_with_attempts(&host, &[900_000, 500_000]);
         assert!(
-            !host.may_send(id, FIRST, B, at(9)),
-            "the later attempt may have run a window ago"
+            !host.may_send(id, FIRST, BACKEND, address_of(9)),
+            "the later attempt may have been executed a window ago"
         );
         host.attempt_ended(id, SECOND, AttemptResult::without_response(Outcome::Reset));
         assert!(
-            !host.may_send(id, FIRST, B, at(9)),
-            "and so it may once it has ended"
+            !host.may_send(id, FIRST, BACKEND, address_of(9)),
+            "the later attempt still counts after it has ended"
         );
         let (id, _wait) = request_with_attempts(&host, &[900_000, 500_000]);
         host.attempt_ended(
@@ -140,22 +153,25 @@
             SECOND,
             AttemptResult::without_response(Outcome::ConnectFailed),
         );
-        assert!(host.may_send(id, FIRST, B, at(9)), "it never ran");
-        // The last byte must be sent in time as well, counted from now where no other attempt has been sent.
+        assert!(
+            host.may_send(id, FIRST, BACKEND, address_of(9)),
+            "the later attempt was never executed"
+        );
+        // The deadline of the last byte counts from now if no other attempt was sent.
         let now = host.clock.now();
-        let by = host.send_deadline(id, FIRST).unwrap();
-        assert!(by >= now + WINDOW && by < now + WINDOW + WINDOW);
+        let deadline = host.send_deadline(id, FIRST).unwrap();
+        assert!(deadline >= now + WINDOW && deadline < now + WINDOW + WINDOW);
         let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
         assert!(host.send_deadline(id, SECOND).unwrap() <= host.clock.now() + Micros(100_000));
     })
     .await;
 }
 
-/// Settings that changed meanwhile shorten the window, or allow no other attempt at all; longer ones change nothing.
+/// Settings that change while a request is open can shorten its window or forbid another attempt, but not extend the window.
 #[tokio::test]
 async fn changed_settings_can_only_shorten_the_window() {
     let host = Host::example();
-    scoped(async {
+    with_local_tasks(async {
         update(&host, 1, "SERVING", 9);
         for (idempotency, is_allowed) in [
             (
@@ -182,7 +198,7 @@
             .into();
             let (id, _wait) = request_with_attempts(&host, &[400_000, 0]);
             assert_eq!(
-                host.may_send(id, SECOND, B, at(9)),
+                host.may_send(id, SECOND, BACKEND, address_of(9)),
                 is_allowed,
                 "{idempotency:?}"
             );
@@ -203,19 +219,19 @@
     }
 }
 
-/// Of outcomes in one turn of the event loop the first is the final answer.
+/// Of several outcomes in one turn of the event loop the first becomes the final answer.
 #[tokio::test]
-async fn of_outcomes_in_one_turn_the_first_is_the_answer() {
+async fn the_first_of_several_outcomes_in_one_turn_is_the_answer() {
     use crate::net::upstream::ResponseBody;
     let text = |answer: Answer| match answer {
         Answer::Served(ServedResponse {
             body: ResponseBody::Buffered(body),
             ..
         }) => String::from_utf8(body.to_vec()).unwrap(),
-        _ => "none of theirs".into(),
+        _ => "no response".into(),
     };
     let host = Host::example();
-    scoped(async {
+    with_local_tasks(async {
         update(&host, 1, "SERVING", 9);
         let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.attempt_ended(id, SECOND, served("second"));
@@ -224,25 +240,28 @@
         assert_eq!(
             text(wait.try_recv().unwrap()),
             "second",
-            "two answers, then the deadline"
+            "two responses, then the deadline"
         );
         let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.deadline_expired(id);
         host.attempt_ended(id, FIRST, served("late"));
         assert_eq!(
             text(wait.try_recv().unwrap()),
-            "none of theirs",
-            "the deadline, then an answer"
+            "no response",
+            "the deadline, then a response"
         );
         let (id, mut wait) = request_with_attempts(&host, &[0, 0]);
         host.client_disconnected(id);
         host.attempt_ended(id, FIRST, served("late"));
         host.deadline_expired(id);
-        assert!(wait.try_recv().is_err(), "nobody waits");
+        assert!(
+            wait.try_recv().is_err(),
+            "a disconnected client got an answer"
+        );
         let s = host.state.borrow();
         assert!(
             s.attempts.is_empty() && s.requests.is_empty(),
-            "nothing is left of them"
+            "requests or attempts were left over"
         );
     })
     .await;
--- a/src/net/host/backend_directory.rs
+++ b/src/net/host/backend_directory.rs
@@ -1,17 +1,17 @@
-//! Every backend that an endpoint list, operators or another process named, by id: in one sorted vector, as there may be
-//! tens of thousands.
+//! Directory of every backend that an endpoint list, an operator or another process has named, by id. It is one sorted
+//! vector, as there may be tens of thousands.
 
 use meadowproxy::{Backend, BackendId, BackendState};
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Why a backend is kept out of use, whatever the endpoint list says of it. Reasons begin and end independently.
+/// Why a backend is disabled, regardless of its state in the endpoint list. Reasons begin and end independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisableReason {
-    /// Operators disabled it at this proxy.
+    /// An operator disabled it at this proxy.
     Operator,
-    /// A maintenance window of the fleet's calendar.
+    /// A maintenance window of the fleet's calendar covers it.
     MaintenanceWindow,
 }
 
@@ -23,17 +23,17 @@
     }
 }
 
-/// A set of reasons.
+/// A set of reasons, as a bit mask.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub struct DisableReasonSet(u8);
 
 impl DisableReasonSet {
-    /// Whether nothing disables the backend.
+    /// Returns whether the set is empty, so that the backend is enabled.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Whether the reason is in the set.
+    /// Returns whether the reason is in the set.
     pub fn contains(self, reason: DisableReason) -> bool {
         self.0 & reason.bit() != 0
     }
@@ -43,7 +43,7 @@
         self.0 |= reason.bit();
     }
 
-    /// Removes a reason; whether it was there.
+    /// Removes a reason, and returns whether it was in the set.
     pub fn remove(&mut self, reason: DisableReason) -> bool {
         let was_there = self.contains(reason);
         self.0 &= !reason.bit();
@@ -60,21 +60,21 @@
     }
 }
 
-/// One backend.
+/// What the proxy knows of one backend.
 pub struct BackendRecord {
-    /// Its name in the endpoint list; the table of ids shares the text.
+    /// Its name in the endpoint list. The text is shared with the map of ids.
     pub name: Rc<str>,
     pub address: SocketAddr,
-    /// Its entry in the endpoint list; `None` if no list has had one yet.
+    /// Its last entry in an endpoint list; `None` if no list has contained it yet.
     pub entry: Option<Backend>,
     pub reasons: DisableReasonSet,
-    /// The pool keeps no idle connection to it.
+    /// Whether the pool keeps no idle connections to it.
     pub is_pool_closed: bool,
     id: BackendId,
 }
 
 impl BackendRecord {
-    /// A backend without an entry in the endpoint list.
+    /// Creates a record without an entry of the endpoint list.
     pub fn new(id: BackendId, name: Rc<str>, address: SocketAddr) -> BackendRecord {
         BackendRecord {
             name,
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Its state in the endpoint list.
+    /// Returns its state in the endpoint list; removed if it was never listed.
     pub fn state(&self) -> BackendState {
         self.entry
             .as_ref()
             .map_or(BackendState::Removed, |entry| entry.state)
     }
 
-    /// Whether it may get new requests.
+    /// Returns whether it may get new requests.
     pub fn is_usable(&self) -> bool {
         self.state() == BackendState::Ready && self.reasons.is_empty()
     }
@@ -108,53 +108,53 @@
         self.0.binary_search_by_key(&id, |record| record.id).ok()
     }
 
-    /// The record of that backend.
+    /// Returns the record of that backend.
     pub fn get(&self, id: &BackendId) -> Option<&BackendRecord> {
         self.position(*id).map(|at| &self.0[at])
     }
 
-    /// The record of that backend.
+    /// Returns the mutable record of that backend.
     pub fn get_mut(&mut self, id: &BackendId) -> Option<&mut BackendRecord> {
         self.position(*id).map(|at| &mut self.0[at])
     }
 
-    /// Adds a record under an id above all others.
+    /// Adds a record, whose id must be greater than all others.
     pub fn push(&mut self, record: BackendRecord) {
         debug_assert!(
             self.0.last().is_none_or(|last| last.id < record.id),
-            "ids are given in ascending order"
+            "a new record's id must be greater than all others"
         );
         self.0.push(record);
     }
 
-    /// Allocates for so many more records, without doubling the allocation.
+    /// Reserves space for `additional` records. Growth by `push` alone would double the allocation.
     pub fn reserve(&mut self, additional: usize) {
         self.0.reserve(additional);
     }
 
-    /// Removes the records of these backends; `ids` are in order.
+    /// Removes and returns the records of these backends; `ids` must be sorted.
     pub fn remove(&mut self, ids: &[BackendId]) -> Vec<BackendRecord> {
         self.0
             .extract_if(.., |record| ids.binary_search(&record.id).is_ok())
             .collect()
     }
 
-    /// All records in the order of ids.
+    /// Iterates over all records in the order of ids.
     pub fn iter(&self) -> impl Iterator<Item = (&BackendId, &BackendRecord)> {
         self.0.iter().map(|record| (&record.id, record))
     }
 
-    /// All records in the order of ids.
+    /// Iterates over all records mutably, in the order of ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (BackendId, &mut BackendRecord)> {
         self.0.iter_mut().map(|record| (record.id, record))
     }
 
-    /// All records in the order of ids.
+    /// Iterates over all records without ids, in the order of ids.
     pub fn values(&self) -> impl Iterator<Item = &BackendRecord> {
         self.0.iter()
     }
 
-    /// How many records there are.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/src/net/host/disabled.rs
+++ b/src/net/host/disabled.rs
@@ -1,4 +1,6 @@
-//! Backends that are kept out of use whatever the endpoint list says: operators or a maintenance window disabled them.
+//! Disables and enables backends for operators and maintenance windows, regardless of the endpoint list.
+//!
+//! A backend is enabled again once its last [`DisableReason`] has ended.
 
 use super::backend_directory::DisableReason;
 use super::Host;
@@ -8,14 +10,14 @@
 use tracing::info;
 
 impl Host {
-    /// Whether the backend is disabled for that reason, with or without another.
+    /// Returns whether the backend is disabled for that reason, with or without others.
     pub fn is_disabled(&self, name: &str, reason: DisableReason) -> bool {
         let s = self.state.borrow();
         let record = s.ids_by_name.get(name).and_then(|id| s.backends.get(id));
         record.is_some_and(|record| record.reasons.contains(reason))
     }
 
-    /// Takes the backend out of use; false where none of that name is known.
+    /// Disables the backend for a reason. Returns false if no backend of that name is known.
     pub fn disable_backend(self: &Rc<Self>, name: &str, reason: DisableReason) -> bool {
         let is_known = self.is_known_backend(name);
         if is_known {
@@ -24,21 +26,21 @@
         is_known
     }
 
-    /// Takes the backend out of use, even if no endpoint list has named it yet.
+    /// Disables the backend for a reason, even if no endpoint list has contained it yet.
     pub fn disable_even_if_unlisted(self: &Rc<Self>, name: &str, reason: DisableReason) {
         if let Some(backend) = self.add_reason(name, reason) {
             self.handle_event(Event::BackendDisabled { backend });
         }
     }
 
-    /// Records the reason; the backend's id if it had none before.
+    /// Adds the reason. Returns the backend's id if it was enabled before.
     fn add_reason(&self, name: &str, reason: DisableReason) -> Option<BackendId> {
         let mut s = self.state.borrow_mut();
         let next_id = s.next_backend_id;
         let id = s.get_or_create_id(name, SocketAddr::from(([0, 0, 0, 0], 0)));
         if id.0 == next_id {
             info!(
-                "backend {} is {name}, which is not in the endpoint list yet",
+                "backend {} is {name}, which no endpoint list has contained yet",
                 id.0
             );
         }
@@ -52,8 +54,8 @@
         Some(id)
     }
 
-    /// Ends that reason. With its last reason gone the backend is used again, as one that may have started as late as
-    /// `since`. False, and nothing changes, where it was not disabled for that reason.
+    /// Ends a reason. If it was the last one the backend is enabled again, as one that may have started as late as `since`.
+    /// Returns false, and changes nothing, if the backend was not disabled for that reason.
     pub fn enable_backend(self: &Rc<Self>, name: &str, reason: DisableReason, since: Time) -> bool {
         let was_disabled = self.remove_reason(name, reason);
         if was_disabled {
@@ -71,8 +73,8 @@
         record.is_some_and(|record| record.reasons.remove(reason))
     }
 
-    /// A reason ended at `since`, here or in another process: unless another reason remains, the backend is used as one
-    /// that started then.
+    /// Handles that a reason ended at `since`, in this or another process: unless another reason remains, the backend is
+    /// enabled as one that started then.
     pub fn disable_reason_ended(self: &Rc<Self>, name: &str, since: Time) {
         let backend = {
             let mut s = self.state.borrow_mut();
@@ -85,7 +87,10 @@
                 .map(|record| record.reasons)
                 .unwrap_or_default();
             if !reasons.is_empty() {
-                info!(backend = name, "{name} stays disabled: {reasons:?}");
+                info!(
+                    backend = name,
+                    "backend {name} stays disabled, remaining reasons: {reasons:?}"
+                );
                 return;
             }
             self.backend_changed(&mut s, id);
--- a/src/net/host/disconnect_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -1,12 +1,13 @@
-//! Clients that leave between two turns of the event loop.
+//! Clients that disconnect between two turns of the event loop.
 
 use super::*;
 use crate::net::observed_stream::ObservedStream;
 use meadowproxy::{AttemptNumber, BackendId, EndpointUpdate};
 
-/// The client leaves as the first byte is about to be sent: the kernel knows it before the event loop.
+/// Nothing is sent for a client that disconnects right before the first byte: the kernel is asked, as the event loop has not
+/// seen the disconnect yet.
 #[tokio::test]
-async fn the_first_byte_is_not_sent_for_a_client_that_has_just_left() {
+async fn nothing_is_sent_for_a_client_that_has_just_disconnected() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let tcp = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -32,7 +33,7 @@
             let s = host.state.borrow();
             assert!(
                 s.requests.is_empty() && s.attempts.is_empty(),
-                "no other attempt follows"
+                "the request or an attempt was left over"
             );
         })
         .await;
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and what this proxy knows of each backend in it.
+//! Applies updates of the endpoint list, and reports the status of each backend in it.
 
 use super::backend_directory::{BackendRecord, DisableReason};
 use super::state::State;
@@ -10,28 +10,28 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// A backend that was in an endpoint list, as this proxy sees it now.
+/// The status of a backend that was in an endpoint list, as seen by this proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendStatus {
     pub name: String,
     pub zone: String,
     pub kind: String,
     pub cell: u64,
-    /// It is in the list in force, in whatever state.
+    /// Whether it is in the list in force, serving or draining.
     pub listed: bool,
-    /// The list says that it serves, and not that it drains.
+    /// Whether the list says that it is serving rather than draining.
     pub serving: bool,
-    /// The part of its capacity that is in use or could be: 0 for one that drains, is ejected or disabled, less than 1
-    /// for one that warms up.
+    /// The available part of its capacity, from 0 to 1: 0 while it drains or is ejected or disabled, less than 1 while it
+    /// warms up.
     pub readiness: f64,
-    /// Operators disabled it.
+    /// Whether an operator disabled it.
     pub disabled_by_operator: bool,
-    /// Attempts of this proxy that are in flight.
+    /// The number of attempts of this proxy in flight.
     pub in_flight: u32,
 }
 
 impl State {
-    /// The id of that name, a new one where it has none.
+    /// Returns the id of that name, or assigns a new one and adds a record with the address.
     pub(super) fn get_or_create_id(&mut self, name: &str, address: SocketAddr) -> BackendId {
         if let Some(id) = self.ids_by_name.get(name) {
             return *id;
@@ -45,12 +45,12 @@
         id
     }
 
-    /// Takes an entry of the list; adds its backend to `changed` if the entry differs from the one before.
+    /// Applies an entry of the list. Adds its backend to `changed` if the entry differs from the previous one.
     fn apply_endpoint(&mut self, endpoint: &Endpoint, changed: &mut Vec<BackendId>) -> Backend {
         let next_id = self.next_backend_id;
         let id = self.get_or_create_id(&endpoint.name, endpoint.address);
         if id.0 == next_id {
-            // The balancer's log lines refer to ids.
+            // The balancer's log lines contain ids only.
             info!(
                 "backend {} is {} at {}",
                 id.0, endpoint.name, endpoint.address
@@ -67,8 +67,8 @@
         entry
     }
 
-    /// Takes an entry that is malformed but for its name: a backend that is known drains, as whatever the entry means,
-    /// it does not say that the backend serves.
+    /// Applies a malformed entry of which only the name could be read. A known backend is treated as draining, as the entry
+    /// does not say that it is serving.
     fn apply_unreadable(&mut self, name: &str, changed: &mut Vec<BackendId>) -> Option<Backend> {
         let id = self.ids_by_name.get(name)?;
         changed.push(*id);
@@ -77,7 +77,7 @@
         Some(entry.clone())
     }
 
-    /// Marks as removed what a full list does not contain. `listed` is in the order of ids.
+    /// Marks backends that a full list does not contain as removed. `listed` must be in the order of ids.
     fn remove_absent(&mut self, listed: &[Backend], changed: &mut Vec<BackendId>) {
         let mut listed = listed.iter().map(|backend| backend.id).peekable();
         for (id, record) in self.backends.iter_mut() {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Backends that left the list, that nobody disables, that have no attempt in flight and of which the balancer
-    /// remembers nothing.
+    /// Returns the backends that are no longer listed, are not disabled, have no attempt in flight, and of which the balancer
+    /// holds no state.
     fn unused_backends(&self) -> Vec<BackendId> {
         let in_use: HashSet<BackendId> = self
             .attempts
@@ -115,7 +115,7 @@
     }
 }
 
-/// Sorts entries by id; of several for one backend the last counts.
+/// Sorts entries by id. Of several entries for one backend only the last is kept.
 fn last_entry_per_backend(mut entries: Vec<Backend>) -> Vec<Backend> {
     entries.reverse();
     entries.sort_by_key(|entry| entry.id);
@@ -124,13 +124,13 @@
 }
 
 impl Host {
-    /// Takes an update of the endpoint list, see [`Host::apply_endpoints`].
+    /// Parses and applies an update of the endpoint list, see [`Host::apply_endpoints`].
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate, list: &List) {
         self.apply_endpoints(update, &list.entries());
     }
 
-    /// Takes an update of the endpoint list. Of several entries for one backend the last counts. A known backend whose
-    /// entry is malformed gets no new requests.
+    /// Applies an update of the endpoint list. Of several entries for one backend the last counts. A known backend whose entry
+    /// is malformed gets no new requests.
     pub fn apply_endpoints(self: &Rc<Self>, update: EndpointUpdate, entries: &EntryChunks) {
         let backends = {
             let mut s = self.state.borrow_mut();
@@ -157,7 +157,8 @@
         }
     }
 
-    /// A call to discovery failed. An earlier wish of the balancer to poll is void: it referred to earlier calls.
+    /// Tells the balancer that a call to discovery failed. A pending poll request is discarded, as it was made before this call
+    /// failed.
     pub fn discovery_failed(self: &Rc<Self>) {
         std::pin::pin!(self.poll_request.notified())
             .as_mut()
@@ -171,8 +172,8 @@
         let _ = received.wait_for(|received| *received).await;
     }
 
-    /// Brings the pool in line with a change of the backend's entry or reasons: no idle connection is kept to a backend
-    /// that gets no new requests.
+    /// Updates the pool and the set of unlisted backends after a change of the backend's entry or disable reasons: no idle
+    /// connections are kept to a backend that gets no new requests.
     pub(super) fn backend_changed(&self, s: &mut State, id: BackendId) {
         let Some(record) = s.backends.get_mut(&id) else {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Forgets backends that are of no use any more. A name that comes back gets a new id.
+    /// Removes the records of backends that are no longer needed. If such a name is listed again it gets a new id.
     fn remove_unused_backends(&self) {
         let mut s = self.state.borrow_mut();
         if s.unlisted.is_empty() {
@@ -202,23 +203,26 @@
         for id in &forgettable {
             s.unlisted.remove(id);
             self.pool.remove_backend(*id);
-            debug!("backend {} is forgotten", id.0);
+            debug!(
+                "backend {} is removed, as it is no longer listed or in use",
+                id.0
+            );
         }
         for record in s.backends.remove(&forgettable) {
             s.ids_by_name.remove(&record.name);
         }
     }
 
-    /// Whether a backend of that name is known and not forgotten.
+    /// Returns whether there is a record of a backend of that name.
     pub fn is_known_backend(&self, name: &str) -> bool {
         self.state.borrow().ids_by_name.contains_key(name)
     }
 
-    /// Every backend that was in an endpoint list, by what this proxy knows of it.
+    /// Returns the status of every known backend that was in an endpoint list.
     pub fn backend_statuses(&self) -> Vec<BackendStatus> {
         let s = self.state.borrow();
         let in_flight = s.in_flight_by_backend();
-        let mut readiness = s.balancer.slow_start_readiness(self.clock.now()).peekable(); // in the order of ids as well
+        let mut readiness = s.balancer.slow_start_readiness(self.clock.now()).peekable(); // also in the order of ids
         let mut statuses = Vec::new();
         for (id, record) in s.backends.iter() {
             while readiness.next_if(|(ready_id, _)| ready_id < id).is_some() {}
@@ -245,7 +249,8 @@
         statuses
     }
 
-    /// Attempts of this proxy that are in flight at those of these backends that were in an endpoint list.
+    /// Returns the number of attempts of this proxy in flight at each of these backends, without those that were never in an
+    /// endpoint list.
     pub fn in_flight_counts(&self, names: &BTreeSet<String>) -> BTreeMap<String, u32> {
         if names.is_empty() {
             return BTreeMap::new();
@@ -261,7 +266,7 @@
     }
 }
 
-/// Takes the entries of a list, and returns those of its backends in the order of ids.
+/// Applies the entries of a list, and returns one per backend in the order of ids.
 fn apply_entries(
     s: &mut State,
     entries: &EntryChunks,
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and reasons for which backends are disabled.
+//! Updates of the endpoint list, disabling of backends, and removal of unused records.
 
 use super::*;
 use crate::net::host::PendingRequest;
@@ -26,7 +26,7 @@
     statuses[0].clone()
 }
 
-/// Whichever reason ends first, the backend is enabled with the last one, and warms up from then on.
+/// A backend stays disabled until both reasons have ended, in either order, and warms up from then on.
 #[test]
 fn a_backend_is_disabled_while_either_reason_remains() {
     for (first, last) in [
@@ -34,7 +34,7 @@
         (DisableReason::MaintenanceWindow, DisableReason::Operator),
     ] {
         let host = host();
-        let warm = BackendStatus {
+        let ready = BackendStatus {
             name: "b".into(),
             zone: "east".into(),
             kind: "small".into(),
@@ -45,12 +45,12 @@
             disabled_by_operator: false,
             in_flight: 0,
         };
-        assert_eq!(status(&host), warm);
+        assert_eq!(status(&host), ready);
         assert!(
             !host.enable_backend("b", first, host.clock.now()),
-            "no such reason"
+            "it was not disabled for that reason"
         );
-        assert_eq!(status(&host), warm, "a fresh start would warm up");
+        assert_eq!(status(&host), ready, "enabled backends do not warm up");
         assert!(
             host.disable_backend("b", first)
                 && host.disable_backend("b", last)
@@ -59,25 +59,28 @@
         assert!(host.enable_backend("b", first, host.clock.now()));
         assert!(
             !host.enable_backend("b", first, host.clock.now()),
-            "it is over"
+            "the reason has ended already"
         );
-        let out = BackendStatus {
+        let disabled_status = BackendStatus {
             readiness: 0.0,
             disabled_by_operator: last == DisableReason::Operator,
-            ..warm.clone()
+            ..ready.clone()
         };
-        assert_eq!(status(&host), out, "{last:?} still disables it");
+        assert_eq!(status(&host), disabled_status, "{last:?} still disables it");
         assert_eq!(
             host.learned_state().disabled,
-            if out.disabled_by_operator {
+            if disabled_status.disabled_by_operator {
                 vec!["b"]
             } else {
                 vec![]
             }
         );
         assert!(host.enable_backend("b", last, host.clock.now()));
-        let back = status(&host);
-        assert!(back.readiness > 0.0 && back.readiness < 1.0, "{back:?}");
+        let enabled_status = status(&host);
+        assert!(
+            enabled_status.readiness > 0.0 && enabled_status.readiness < 1.0,
+            "{enabled_status:?}"
+        );
         assert!(
             !host.disable_backend("never", first)
                 && !host.enable_backend("never", first, host.clock.now())
@@ -96,20 +99,22 @@
     line
 }
 
-/// A malformed entry of a known backend does not say that it serves: it gets no new requests, whichever list has the entry.
-/// With the next valid entry it is as before. A backend that was never listed stays unknown.
+/// A known backend whose entry is malformed gets no new requests, in full lists and in changes, until its next valid entry.
+/// A malformed entry does not add a backend that was never listed.
 #[test]
-fn a_backend_with_a_malformed_entry_gets_nothing_new_until_a_valid_one() {
-    let bad = [
+fn a_backend_with_a_malformed_entry_gets_no_new_requests_until_a_valid_one() {
+    let malformed = [
         serde_json::json!({"status": "LAME"}),
         serde_json::json!({"status": 3}),
         serde_json::json!({"address": "nowhere"}),
         serde_json::json!({"group": -1}),
     ];
-    for (bad, update) in bad
-        .iter()
-        .flat_map(|b| [(b, EndpointUpdate::Full), (b, EndpointUpdate::Incremental)])
-    {
+    for (malformed, update) in malformed.iter().flat_map(|entry| {
+        [
+            (entry, EndpointUpdate::Full),
+            (entry, EndpointUpdate::Incremental),
+        ]
+    }) {
         let host = host();
         let list = |endpoints| List {
             index: 2,
@@ -117,24 +122,24 @@
             endpoints,
         };
         let other = entry(serde_json::json!({"name": "never", "status": "LAME"}));
-        host.update_endpoints(update, &list(vec![entry(bad.clone()), other]));
-        let out = status(&host);
+        host.update_endpoints(update, &list(vec![entry(malformed.clone()), other]));
+        let draining_status = status(&host);
         assert!(
-            out.listed && !out.serving && out.readiness == 0.0,
-            "{bad} {update:?}: {out:?}"
+            draining_status.listed && !draining_status.serving && draining_status.readiness == 0.0,
+            "{malformed} {update:?}: {draining_status:?}"
         );
         assert!(!host.is_known_backend("never"));
         host.update_endpoints(update, &list(vec![entry(serde_json::json!({}))]));
-        let back = status(&host);
+        let serving_status = status(&host);
         assert!(
-            back.serving && back.readiness == 1.0,
-            "{bad} {update:?}: {back:?}"
+            serving_status.serving && serving_status.readiness == 1.0,
+            "{malformed} {update:?}: {serving_status:?}"
         );
     }
 }
 
-/// Of several entries for one backend the last one counts, for the host and for the balancer; and its start is the last
-/// entry's alone: a repeated list does not start it anew.
+/// Of several entries for one backend the last one counts, for the host and for the balancer. Only the last entry's start time
+/// counts too, so a repeated list does not restart the warm-up.
 #[test]
 fn of_several_entries_for_one_backend_the_last_counts() {
     let list_of_statuses = |statuses: [&str; 2]| {
@@ -166,23 +171,23 @@
         "{:?}",
         status(&host)
     );
-    let withdrawn = host.disable_backend("b", DisableReason::Operator)
+    let was_cycled = host.disable_backend("b", DisableReason::Operator)
         && host.enable_backend("b", DisableReason::Operator, host.clock.now());
-    let cold = status(&host).readiness;
+    let cold_readiness = status(&host).readiness;
     host.update_endpoints(
         EndpointUpdate::Full,
         &list_of_statuses(["DRAINING", "SERVING"]),
     );
     assert!(
-        withdrawn && cold < 1.0 && status(&host).readiness < 1.0,
-        "the slow start goes on: {:?}",
+        was_cycled && cold_readiness < 1.0 && status(&host).readiness < 1.0,
+        "the slow start ended early: {:?}",
         status(&host)
     );
 }
 
-/// A new start time makes it warm up, an unchanged one does not.
+/// A changed start time makes a backend warm up; repeating it does not end the warm-up.
 #[test]
-fn a_backend_that_started_anew_warms_up() {
+fn a_backend_with_a_new_start_time_warms_up() {
     let host = host();
     let now = host.clock.now().0 as f64 / 1e3;
     let started = |at: f64| {
@@ -199,11 +204,11 @@
     assert!(started(now) < 1.0);
 }
 
-fn list_of(of: impl IntoIterator<Item = serde_json::Value>, is_full: bool) -> List {
+fn list_of(entries: impl IntoIterator<Item = serde_json::Value>, is_full: bool) -> List {
     List {
         index: 2,
         is_full,
-        endpoints: of.into_iter().collect(),
+        endpoints: entries.into_iter().collect(),
     }
 }
 
@@ -218,9 +223,9 @@
     s.backends.values().map(|b| b.name.to_string()).collect()
 }
 
-/// A day's replacements, by changes and by full lists, leave nothing behind, and no id refers to two backends.
+/// Backends replaced by changes and by full lists leave no records behind, and ids are not reused.
 #[test]
-fn replaced_backends_are_forgotten() {
+fn records_of_replaced_backends_are_removed() {
     let host = host();
     let mut ids = BTreeSet::new();
     for n in 0..500 {
@@ -246,13 +251,13 @@
     assert_eq!(
         host.state.borrow().next_backend_id,
         502,
-        "each name had an id of its own"
+        "a name did not get an id of its own"
     );
 }
 
-/// A backend that left the list stays known while it is disabled: it is disabled if it comes back.
+/// A disabled backend that is no longer listed stays known, and is still disabled when it is listed again.
 #[test]
-fn a_reason_outlives_the_list() {
+fn a_disabled_backend_stays_known_after_it_is_unlisted() {
     for reason in [DisableReason::Operator, DisableReason::MaintenanceWindow] {
         let host = host();
         assert!(host.disable_backend("b", reason));
@@ -273,10 +278,10 @@
     }
 }
 
-/// A backend that left the list stays known while an attempt is in flight there, so that its end still refers to it; and
-/// while the balancer remembers what it was sent as it warmed up.
+/// A backend that is no longer listed stays known while an attempt to it is in flight, so that the attempt's end still refers
+/// to it, and while the balancer holds state of its warm-up.
 #[tokio::test]
-async fn attempts_in_flight_and_slow_start_outlive_the_list() {
+async fn an_unlisted_backend_stays_known_during_attempts_and_slow_start() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -296,28 +301,32 @@
                 let PendingRequest { id, answer: _wait } = host.example_request();
                 assert_eq!(host.state.borrow().attempts.len(), 1);
                 host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
-                assert_eq!(known_names(&host), vec!["b"], "its attempt is in flight");
+                assert_eq!(
+                    known_names(&host),
+                    vec!["b"],
+                    "the record was removed while an attempt is in flight"
+                );
                 host.client_disconnected(id);
                 assert_eq!(host.state.borrow().attempts.len(), 0);
                 host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
                 assert_eq!(
                     known_names(&host).len(),
                     usize::from(is_warming_up),
-                    "what it was sent as it warmed up still counts"
+                    "the record must stay during the warm-up and only then"
                 );
                 host.update_endpoints(EndpointUpdate::Incremental, &list_of([serving], false));
                 let id_after = host.state.borrow().ids_by_name["b"];
                 assert_eq!(
                     id_after == id_before,
                     is_warming_up,
-                    "an id is never given again"
+                    "the id must change exactly if the record was removed"
                 );
             }
         })
         .await;
 }
 
-/// Full lists and the changes between them lead to the same backends, in any order of entries.
+/// Full lists and the equivalent changes lead to the same backends, in any order of entries.
 #[test]
 fn full_lists_and_changes_lead_to_the_same_backends() {
     let mut seed = 7u64;
@@ -364,9 +373,9 @@
     }
 }
 
-/// The balancer has no part in a response that is still streamed: its backend stays known all the same.
+/// The backend of a response that is still streamed stays known after it is unlisted, although the balancer has released it.
 #[tokio::test]
-async fn a_streamed_response_outlives_the_list() {
+async fn an_unlisted_backend_stays_known_while_it_streams_a_response() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -384,7 +393,7 @@
             host.update_endpoints(EndpointUpdate::Full, &list_of([], true));
             assert!(
                 !host.state.borrow().balancer.contains_backend(BackendId(0)),
-                "its work is done"
+                "the balancer still holds the backend"
             );
             assert_eq!(known_names(&host), vec!["b"]);
             host.attempt_ended(
--- a/src/net/host/example.rs
+++ b/src/net/host/example.rs
@@ -1,4 +1,4 @@
-//! A host with the example's configuration, for tests.
+//! Test helpers: a host with the example configuration, and example requests.
 
 use super::{Host, PendingRequest};
 use crate::net::observed_stream::PeerMonitor;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Host {
-    /// With the example's configuration and no backends.
+    /// Creates a host with the example configuration and no backends.
     pub fn example() -> Rc<Host> {
         let second = Micros(1_000_000);
         let network = NetworkSettings {
@@ -23,12 +23,12 @@
         Host::new(balancer, Names::default(), Clock::new(), pool)
     }
 
-    /// A request of the example's first class with a minute left, as a client's `GET`.
+    /// Submits a `GET` request of the first example class with a time limit of one minute.
     pub fn example_request(self: &Rc<Self>) -> PendingRequest {
         self.example_request_from(None)
     }
 
-    /// The same from a client that may leave.
+    /// Submits the same request for a client whose disconnect is observed.
     pub fn example_request_from(self: &Rc<Self>, client: Option<PeerMonitor>) -> PendingRequest {
         let forwarded = ForwardedRequest {
             method: hyper::Method::GET,
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -1,5 +1,5 @@
-//! What survives a restart: the balancer's learned state under names instead of ids, and the backends that operators
-//! disabled.
+//! State that survives a restart: the balancer's learned state, with names instead of ids, and the backends that operators
+//! disabled. `net::state` stores it.
 
 use super::backend_directory::DisableReason;
 use super::Host;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Host {
-    /// The state to save now.
+    /// Returns the current state to be saved.
     pub fn learned_state(&self) -> SavedState {
         let s = self.state.borrow();
         let learned = s.balancer.learned_state(self.clock.now());
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Restores what an earlier process saved, `age` ago: disabled backends at once, the rest as the balancer sees fit.
-    /// Names that this process does not know are left out.
+    /// Restores what an earlier process saved `age` ago. Disabled backends are disabled at once; the balancer decides how much
+    /// of the rest it uses. Learned state under names that this process does not know is ignored.
     pub fn restore_learned_state(self: &Rc<Self>, saved: SavedState, age: Micros) {
         for name in &saved.disabled {
             if !self.is_disabled(name, DisableReason::Operator) {
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -1,13 +1,12 @@
-//! The host of the decisions: sole owner of the [`Balancer`]. Events go in, and the actions that it decides on are carried
-//! out.
+//! Runs the [`Balancer`]: the [`Host`] is its sole owner, passes it events, and executes the actions that it returns.
 //!
-//! - `requests`: requests from their arrival to their final answer.
-//! - `attempts`: attempts at backends, from their dispatch to their end.
-//! - `endpoints`: updates of the endpoint list; `backend_directory` records what is known of each backend.
-//! - `disabled`: backends that operators or maintenance windows keep out of use.
-//! - `learned_state`: what survives a restart.
-//! - `timers`: the balancer's timers.
-//! - `report`: log lines and metrics.
+//! - `requests`: handles requests from their arrival to their final answer.
+//! - `attempts`: handles attempts at backends, from their dispatch to their end.
+//! - `endpoints`: applies updates of the endpoint list; `backend_directory` stores what is known of each backend.
+//! - `disabled`: disables backends for operators and maintenance windows.
+//! - `learned_state`: exports and restores the state that survives a restart.
+//! - `timers`: fires the balancer's timers.
+//! - `report`: log lines and metrics on traffic.
 
 mod attempts;
 mod backend_directory;
@@ -41,33 +40,33 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tracing::info;
 
-/// Part of the client's time that is reserved for the response's way back, on top of the lag of timers.
+/// Part of a client's time that is reserved for returning the response, in addition to the timer lag.
 const BASE_RESPONSE_MARGIN: Micros = Micros(3_000);
-/// Upper bound of that part.
+/// Maximum of the reserved time, with the timer lag.
 const MAX_RESPONSE_MARGIN: Micros = Micros(20_000);
 
-/// A verdict of this proxy on a backend, for the other proxies of its fleet.
+/// A verdict of this proxy for the other proxies of its fleet, with the name of the backend that it is about.
 pub type NamedVerdict = (String, Verdict);
 
-/// Owner of the balancer and of everything that its decisions are about.
+/// Owner of the balancer and of the requests, attempts and backends that it decides on.
 pub struct Host {
     state: RefCell<State>,
     pub clock: Clock,
     pub pool: Rc<ConnectionPool>,
-    /// A timer was set that fires before all others.
+    /// Notified when a timer is set that is due before all others.
     earlier_timer: Notify,
-    /// The balancer wants discovery to be polled.
+    /// Notified when the balancer requests a poll of discovery.
     poll_request: Notify,
     /// Whether discovery has answered.
     list_received: watch::Sender<bool>,
-    /// How late timers fire: a decaying maximum, in microseconds.
+    /// Decaying maximum of how late timers fire, in microseconds.
     timer_lag_us: Cell<u64>,
-    /// Where this proxy's verdicts go, while state is shared.
+    /// Receives this proxy's verdicts, if the fleet shares state.
     verdict_sender: RefCell<Option<mpsc::Sender<NamedVerdict>>>,
 }
 
 impl Host {
-    /// A host without backends.
+    /// Creates a host without backends.
     pub fn new(
         balancer: Balancer,
         names: Names,
@@ -86,33 +85,33 @@
         })
     }
 
-    /// The request class of that name.
+    /// Returns the request class of that name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.state.borrow().names.class(name)
     }
 
-    /// The tenant of that name.
+    /// Returns the tenant of that name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.state.borrow().names.tenant(name)
     }
 
-    /// The names in force, with all ids given so far: shared, not copied.
+    /// Returns the names in force with all ids assigned so far. Cloning shares them and does not copy.
     pub fn names(&self) -> Names {
         self.state.borrow().names.clone()
     }
 
-    /// Part of a client's time that is reserved for the response's way back.
+    /// Returns the part of a client's time that is reserved for returning the response.
     pub fn response_margin(&self) -> Micros {
         let margin_us = BASE_RESPONSE_MARGIN.0 + self.timer_lag_us.get();
         Micros(margin_us.min(MAX_RESPONSE_MARGIN.0))
     }
 
-    /// Sends this proxy's verdicts there from now on, under the backends' names.
+    /// Sends this proxy's verdicts to `sender` from now on.
     pub fn publish_verdicts_to(&self, sender: mpsc::Sender<NamedVerdict>) {
         *self.verdict_sender.borrow_mut() = Some(sender);
     }
 
-    /// Takes another proxy's verdict; one on a backend that no endpoint list named here is ignored.
+    /// Passes another proxy's verdict to the balancer. A verdict on a backend that is not known here is ignored.
     pub fn receive_verdict(self: &Rc<Self>, name: &str, verdict: PeerVerdict) {
         let backend = self.state.borrow().ids_by_name.get(name).copied();
         if let Some(backend) = backend {
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Puts settings in force that were read against [`Host::names`], which endpoint lists may have added to since.
+    /// Applies settings that were read against [`Host::names`], to which endpoint lists may have added since.
     pub fn apply_settings(self: &Rc<Self>, change: SettingsChange) {
         let SettingsChange {
             to,
@@ -143,17 +142,17 @@
         });
     }
 
-    /// So many processes are this proxy now.
+    /// Tells the balancer how many processes make up this proxy; two during a hot restart.
     pub fn set_process_count(self: &Rc<Self>, processes: u32) {
         self.handle_event(Event::ProcessCountChanged { processes });
     }
 
-    /// Waits until the balancer wants discovery to be polled.
+    /// Waits until the balancer requests a poll of discovery.
     pub async fn poll_requested(&self) {
         self.poll_request.notified().await;
     }
 
-    /// Passes an event to the balancer and carries out its actions, and those of all events that follow from them.
+    /// Passes an event to the balancer and executes its actions, and those of all events that result from them.
     fn handle_event(self: &Rc<Self>, event: Event) {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
@@ -165,7 +164,7 @@
             for action in actions.drain(..) {
                 self.execute(s, now, action);
             }
-            s.actions = actions; // its allocation is used again
+            s.actions = actions; // keeps its allocation for the next event
         }
     }
 
@@ -218,7 +217,7 @@
 
     fn publish_verdict(&self, name: String, verdict: Verdict) {
         if let Some(sender) = self.verdict_sender.borrow().as_ref() {
-            // A full queue drops the newest: a verdict that is late by so many is of no use.
+            // A full queue drops the newest verdict: behind that many others it would arrive too late to be of use.
             let _ = sender.try_send((name, verdict));
         }
     }
--- a/src/net/host/report.rs
+++ b/src/net/host/report.rs
@@ -1,11 +1,11 @@
-//! Log lines and metrics on what the proxy does.
+//! Log lines and metrics on traffic, connections and concurrency limits.
 
 use super::Host;
 use meadowproxy::Micros;
 use tracing::{debug, info};
 
 impl Host {
-    /// Logs each kind's concurrency limit at debug level, to observe how fast it converges.
+    /// Logs the concurrency limit of each backend kind at debug level, to observe how fast it converges.
     pub fn report_concurrency_limits(&self) {
         let s = self.state.borrow();
         let limits: Vec<String> = s
@@ -20,7 +20,7 @@
         );
     }
 
-    /// Logs one line on traffic since the last such line. `clients` are open client connections.
+    /// Logs one line on the traffic since the last such line. `clients` is the number of open client connections.
     pub fn report_traffic(&self, clients: usize) {
         let mut s = self.state.borrow_mut();
         let counters = std::mem::take(&mut s.counters);
@@ -51,7 +51,7 @@
         );
     }
 
-    /// Brings the metrics up to date: when they are read, so that requests pay nothing for them.
+    /// Updates the metrics. Called when they are read, so that requests have no cost for them.
     pub fn update_metrics(&self, clients: usize) {
         let s = self.state.borrow();
         for (reported, (name, new)) in s.reported_totals.iter().zip(s.counters.named()) {
--- a/src/net/host/report/tests.rs
+++ b/src/net/host/report/tests.rs
@@ -1,12 +1,12 @@
-//! What reports count.
+//! Counters in log lines and metrics.
 
 use super::*;
 use crate::net::admin::prometheus::PrometheusRecorder;
 use crate::net::host::PendingRequest;
 
-/// A log line counts from the last one, the metrics from the start.
+/// Log lines count from the previous line, metrics from the start of the process.
 #[test]
-fn metrics_count_on_across_log_lines() {
+fn log_lines_do_not_reset_metrics() {
     let host = Host::example();
     let recorder = PrometheusRecorder::default();
     for n in 1..4 {
--- a/src/net/host/requests.rs
+++ b/src/net/host/requests.rs
@@ -1,4 +1,6 @@
 //! Requests, from their arrival to their final answer.
+//!
+//! [`Host::accept_request`] starts one. It ends with its [`Answer`], the client's disconnect, or its deadline.
 
 use super::state::{Answer, OpenRequest, DEADLINE_UNKNOWN};
 use super::Host;
@@ -8,14 +10,14 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
-/// A request that waits for its final answer.
+/// A request that was accepted and waits for its final answer.
 pub struct PendingRequest {
     pub id: RequestId,
     pub answer: oneshot::Receiver<Answer>,
 }
 
 impl Host {
-    /// Takes a request, and gives it the id that stands in place of `arrival.request`.
+    /// Accepts a request and assigns its id, which replaces `arrival.request`.
     pub fn accept_request(
         self: &Rc<Self>,
         mut arrival: RequestArrival,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// When the request's time is up.
+    /// Returns the request's deadline, or [`DEADLINE_UNKNOWN`] while its body is still arriving or once it is over.
     pub fn request_deadline(&self, id: RequestId) -> Time {
         self.state
             .borrow()
@@ -54,7 +56,7 @@
             .map_or(DEADLINE_UNKNOWN, |request| request.deadline)
     }
 
-    /// The client left before its answer.
+    /// Ends a request whose client disconnected before its answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut s = self.state.borrow_mut();
@@ -67,8 +69,8 @@
         self.cancel_attempts(id);
     }
 
-    /// The request's time is up. Its attempts have timed out, on which the balancer gives its final answer; should it
-    /// give none, the request is answered all the same.
+    /// Ends a request at its deadline. Its attempts are reported as timed out, on which the balancer decides the final answer;
+    /// if it does not, the request is answered as timed out.
     pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
         for attempt in self.in_flight_attempts(id) {
             self.attempt_ended(
@@ -82,7 +84,7 @@
             warn!(
                 request = id.0,
                 attempts = request.attempts,
-                "no decision on request {} by its deadline",
+                "no decision on request {} by its deadline, answered as timed out",
                 id.0
             );
             self.state.borrow_mut().counters.timed_out += 1;
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -1,4 +1,4 @@
-//! The host's state between events: requests, attempts, backends, timers and counters.
+//! The host's mutable state: requests, attempts, backends, timers and counters.
 
 use super::backend_directory::BackendDirectory;
 use super::timers::TimerQueue;
@@ -19,34 +19,34 @@
 
 /// The final answer to a request.
 pub enum Answer {
-    /// A backend's response.
+    /// The response of a backend.
     Served(ServedResponse),
-    /// Load was shed.
+    /// Rejected by load shedding.
     Rejected {
-        /// After this time the client should retry.
+        /// How long the client should wait before it retries.
         retry_after: Micros,
     },
     /// All attempts failed.
     Failed,
-    /// There was no decision by the deadline.
+    /// The balancer made no decision by the deadline.
     TimedOut,
 }
 
-/// A request without its final answer.
+/// A request that has no final answer yet.
 pub struct OpenRequest {
     pub forwarded: Rc<ForwardedRequest>,
     pub class: ClassId,
-    /// By the settings that were in force as the request arrived.
+    /// From the settings in force when the request arrived.
     pub idempotency: Idempotency,
-    /// When the first attempt was sent that may have run, of those that have ended.
+    /// Of the attempts that have ended and may have been executed, when the first was sent.
     pub first_possible_run_at: Option<Time>,
     pub answer: oneshot::Sender<Answer>,
     pub deadline: Time,
-    /// How many there have been so far.
+    /// The number of attempts dispatched so far.
     pub attempts: u32,
 }
 
-/// Which attempt at which request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     pub request: RequestId,
@@ -61,7 +61,7 @@
     pub task: AbortHandle,
 }
 
-/// What happened since the last log line on traffic.
+/// Counters since the last log line on traffic.
 #[derive(Default)]
 pub struct RequestCounters {
     pub requests: u64,
@@ -82,8 +82,9 @@
 pub const COUNTER_COUNT: usize = 12;
 
 impl RequestCounters {
-    /// Each counter with the name of its metric. Some metrics have older words for them: rejected is `refused`, timed out
-    /// `overdue`, client disconnected `gone`, overloaded `full`, connect failed `unconnected`, not sent `unsent`.
+    /// Returns each counter with the name of its metric. Some metrics keep older terms: `refused` for rejected, `overdue` for
+    /// timed out, `gone` for client disconnected, `full` for overloaded, `unconnected` for connect failed, and `unsent` for not
+    /// sent.
     pub fn named(&self) -> [(&'static str, u64); COUNTER_COUNT] {
         [
             ("meadowproxy_requests_total", self.requests),
@@ -109,28 +110,29 @@
 pub struct State {
     pub balancer: Balancer,
     pub names: Names,
-    /// The classes in force, once settings have changed.
+    /// The classes in force; empty until settings change for the first time.
     pub classes: Vector<RequestClass>,
     pub ids_by_name: HashMap<Rc<str>, BackendId>,
-    /// By id. No id is ever given again, so that what arrives late for a forgotten backend refers to nothing.
+    /// The backends by id. Ids are never reused, so that a late event for a removed backend does not refer to another one.
     pub backends: BackendDirectory,
     pub next_backend_id: u32,
-    /// Backends that are not in the endpoint list.
+    /// The known backends that are not in the endpoint list.
     pub unlisted: BTreeSet<BackendId>,
     pub requests: HashMap<RequestId, OpenRequest>,
     pub attempts: HashMap<AttemptKey, InFlightAttempt>,
     pub timers: TimerQueue,
-    /// Events that are still to be handled, in order.
+    /// Events that the balancer has not handled yet, in order.
     pub events: VecDeque<Event>,
+    /// Buffer for the actions of one event, empty between events.
     pub actions: Vec<Action>,
     pub last_request_id: u64,
     pub counters: RequestCounters,
-    /// Sums of the counters up to the last log line, in the order of [`RequestCounters::named`].
+    /// Totals of the counters up to the last log line, in the order of [`RequestCounters::named`].
     pub reported_totals: [u64; COUNTER_COUNT],
 }
 
 impl State {
-    /// State without backends and requests.
+    /// Creates the state without backends and requests.
     pub fn new(balancer: Balancer, names: Names) -> State {
         State {
             balancer,
@@ -160,16 +162,16 @@
         id
     }
 
-    /// Gives a request its final answer, unless it has had one. Returns whether this was it.
+    /// Gives a request its final answer. Returns false if it already had one or was abandoned.
     pub fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
         let Some(request) = self.requests.remove(&request) else {
             return false;
         };
-        let _ = request.answer.send(answer); // an error: its client has just left
+        let _ = request.answer.send(answer); // fails if the client has just disconnected
         true
     }
 
-    /// Attempts in flight by backend.
+    /// Returns the number of attempts in flight by backend.
     pub fn in_flight_by_backend(&self) -> BTreeMap<BackendId, u32> {
         let mut counts = BTreeMap::new();
         for attempt in self.attempts.values() {
@@ -178,8 +180,9 @@
         counts
     }
 
-    /// How long after the first send that may have run another attempt may be sent: `None` for ever, zero not at all,
-    /// else for as long as backends recognise the idempotency key. Settings that changed meanwhile can only shorten it.
+    /// Returns how long after the first attempt that may have been executed another one may be sent: `None` without limit, zero
+    /// never, and otherwise for as long as backends recognise the idempotency key. Changes of settings since the request
+    /// arrived can only shorten it.
     pub fn retry_window(&self, request: &OpenRequest) -> Option<Micros> {
         let at_arrival = retry_window_of(&request.idempotency);
         let in_force = self
@@ -189,9 +192,9 @@
         [at_arrival, in_force].into_iter().flatten().min()
     }
 
-    /// Until when a backend still drops another attempt at a request with an idempotency key, where any other attempt
-    /// may have run or may yet. That one counts from its dispatch, before which it cannot have begun; a later attempt
-    /// counts like an earlier one, as it may have been faster.
+    /// Returns until when a backend still drops `attempt` as a duplicate of another attempt that may have been executed or still
+    /// may be. The window starts with the dispatch of that other attempt, before which it cannot have been executed. Later
+    /// attempts count like earlier ones, as they may have reached a backend first.
     pub fn duplicate_deadline(&self, id: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let request = self.requests.get(&id)?;
         let in_flight_sends = (0..request.attempts)
--- a/src/net/host/timers.rs
+++ b/src/net/host/timers.rs
@@ -1,4 +1,6 @@
-//! The balancer's timers.
+//! The balancer's timers: a queue by due time, and the task that fires them.
+//!
+//! Firing also measures the timer lag, which [`Host::response_margin`] includes.
 
 use super::Host;
 use meadowproxy::{Event, Time, TimerToken};
@@ -6,35 +8,35 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// The largest lag decays to 15/16 with each timer that fires less late.
+/// The recorded lag decays to 15/16 with each timer that fires; a larger lag replaces it.
 const LAG_DECAY_NUMERATOR: u64 = 15;
 const LAG_DECAY_DENOMINATOR: u64 = 16;
 
-/// A timer that was set. Ordered by time, and by token among equal times.
+/// A pending timer. Ordered by due time, then by token.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timer {
     pub due_at: Time,
     pub token: TimerToken,
 }
 
-/// Timers that have not fired yet, the earliest first.
+/// Pending timers, the earliest first.
 #[derive(Default)]
 pub struct TimerQueue(BinaryHeap<Reverse<Timer>>);
 
 impl TimerQueue {
-    /// Adds a timer; true if it is due before all others.
+    /// Adds a timer. Returns true if it is due before all others.
     pub fn set(&mut self, due_at: Time, token: TimerToken) -> bool {
         let is_earliest = self.next_due_at().is_none_or(|next| due_at < next);
         self.0.push(Reverse(Timer { due_at, token }));
         is_earliest
     }
 
-    /// When the earliest timer is due.
+    /// Returns when the earliest timer is due.
     pub fn next_due_at(&self) -> Option<Time> {
         self.0.peek().map(|Reverse(timer)| timer.due_at)
     }
 
-    /// Removes the earliest timer if it is due by then.
+    /// Removes and returns the earliest timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Time) -> Option<Timer> {
         if self.next_due_at()? > now {
             return None;
@@ -44,7 +46,7 @@
 }
 
 impl Host {
-    /// Fires the balancer's timers for as long as the program runs.
+    /// Fires the balancer's timers. Runs until the process ends.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.state.borrow().timers.next_due_at();
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -1,7 +1,7 @@
-//! A TCP stream under hyper that can also be observed from outside.
+//! TCP stream for hyper whose state the proxy can also observe.
 //!
-//! [`ObservedStream`] tells how much of a request was written, and whether the other side has closed or sent anything, as
-//! the kernel knows it at this moment. [`PeerMonitor`] observes the other side without keeping the stream open.
+//! [`ObservedStream`] tells whether a request was completely written, and whether the peer has closed or sent anything
+//! according to the kernel. [`PeerMonitor`] observes the peer without keeping the stream open.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -15,23 +15,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long, and for how many bytes, a lingering close waits for the other side's end.
+/// Maximum duration of a lingering close, and the maximum number of bytes that it reads, before it stops waiting for the
+/// peer to close.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_LINGER_BYTES: usize = 1 << 20;
-/// Most bytes of one read.
+/// Maximum size of a read, in bytes.
 const READ_CHUNK_BYTES: usize = 8192;
-/// Length of the end of a request's head: CR LF CR LF.
+/// Length of the sequence that ends a request's head, CR LF CR LF, in bytes.
 const HEAD_END_BYTES: u8 = 4;
 
-/// A TCP stream; clones share it, one for hyper and others for the proxy.
+/// A TCP stream. Clones share it: hyper owns one, and the proxy observes the connection through others.
 #[derive(Clone)]
 pub struct ObservedStream(Rc<Inner>);
 
-/// The other side of a stream, seen by whoever must not keep that stream open.
+/// Observes the peer of a stream without keeping the stream open.
 pub struct PeerMonitor(Weak<Inner>);
 
 impl PeerMonitor {
-    /// It ended its sending or the connection, or this side did.
+    /// Returns whether the peer has closed the connection or its sending side, or the stream was dropped here.
     pub fn has_closed(&self) -> bool {
         self.0.upgrade().is_none_or(|inner| inner.has_closed())
     }
@@ -39,29 +40,30 @@
 
 struct Inner {
     tcp: TcpStream,
-    /// Bytes of the head's end matched so far in what was written; all of them once the head was written.
+    /// How many bytes of the sequence that ends the head were matched so far; all of them once the head was written.
     head_end_matched: Cell<u8>,
-    /// Bytes of the body still to be written after the head.
+    /// Number of body bytes still to be written after the head.
     body_bytes_left: Cell<usize>,
-    /// Something was read since the last `mark_idle`.
+    /// Whether something was read since the last `mark_idle`.
     has_received: Cell<bool>,
     last_received_at: Cell<Instant>,
-    /// It is closed with a reset.
+    /// Whether closing it sends a reset.
     resets_on_close: Cell<bool>,
 }
 
 impl Inner {
-    /// Asks the kernel itself, as the event loop may not have come round to it yet. A peek would not see an end
-    /// behind bytes that nobody has read.
+    /// Queries the kernel, as the event loop may not have processed the close yet. Peeking would not detect an end of the stream
+    /// behind unread bytes.
     fn has_closed(&self) -> bool {
-        let mut end = [PollFd::new(&self.tcp, PollFlags::RDHUP)];
-        poll(&mut end, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
+        let mut peer_close = [PollFd::new(&self.tcp, PollFlags::RDHUP)];
+        poll(&mut peer_close, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
     }
 }
 
 impl ObservedStream {
+    /// Wraps a TCP stream and disables Nagle's algorithm.
     pub fn new(tcp: TcpStream) -> ObservedStream {
-        let _ = tcp.set_nodelay(true); // small writes are complete messages here
+        let _ = tcp.set_nodelay(true); // small writes are complete messages
         ObservedStream(Rc::new(Inner {
             tcp,
             head_end_matched: Cell::new(HEAD_END_BYTES),
@@ -72,23 +74,24 @@
         }))
     }
 
+    /// Returns a monitor of the peer that does not keep the stream open.
     pub fn peer_monitor(&self) -> PeerMonitor {
         PeerMonitor(Rc::downgrade(&self.0))
     }
 
-    /// Waits until the other side ends its sending or the connection, even behind bytes that nobody reads. Urgent
-    /// data is never sent: of what this waits for only the end of the reading side occurs.
+    /// Waits until the peer closes the connection or its sending side, even behind unread bytes. It waits for priority
+    /// readiness, which also signals the end of the reading side; urgent data, the other cause, is never sent.
     pub async fn closed_by_peer(&self) {
         let _ = self.0.tcp.ready(Interest::PRIORITY).await;
     }
 
-    /// From now on counts the bytes of a new request with a body of that size.
+    /// Starts counting the written bytes of a new request whose body has `body_bytes` bytes.
     pub fn begin_request(&self, body_bytes: usize) {
         self.0.head_end_matched.set(0);
         self.0.body_bytes_left.set(body_bytes);
     }
 
-    /// The last byte of the request was written: from then on the backend may run it.
+    /// Returns whether the last byte of the request was written. From then on the backend may execute it.
     pub fn request_written(&self) -> bool {
         self.0.head_end_matched.get() == HEAD_END_BYTES && self.0.body_bytes_left.get() == 0
     }
@@ -98,8 +101,8 @@
         for (at, byte) in bytes.iter().enumerate() {
             if s.head_end_matched.get() == HEAD_END_BYTES {
                 let body_bytes = bytes.len() - at;
-                let left = s.body_bytes_left.get().saturating_sub(body_bytes);
-                s.body_bytes_left.set(left);
+                let bytes_left = s.body_bytes_left.get().saturating_sub(body_bytes);
+                s.body_bytes_left.set(bytes_left);
                 return;
             }
             s.head_end_matched
@@ -111,15 +114,15 @@
         }
     }
 
-    /// Ends the connection with a reset: the other side can tell that the response is truncated even where only
-    /// the end of the connection ends the answer.
+    /// Makes closing the stream send a reset, so that the peer can tell that a response is truncated even if the response is
+    /// delimited by the end of the connection.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.0.tcp).set_linger(Some(Duration::ZERO));
         self.0.resets_on_close.set(true);
     }
 
-    /// Closes it: a close over unread bytes is a reset, which takes away what the other side has not read
-    /// yet. So this side ends its sending only, and reads and drops what still comes until the other has ended too.
+    /// Performs a lingering close: closes the sending side, then reads and discards input until the peer closes too, within
+    /// limits. Closing a socket with unread input would send a reset, on which the peer loses what it has not read yet.
     pub async fn close_lingering(&self) {
         if self.0.resets_on_close.get() {
             return;
@@ -129,47 +132,48 @@
     }
 
     async fn drain(&self) {
-        let mut left = MAX_LINGER_BYTES;
-        while left > 0 && self.0.tcp.readable().await.is_ok() {
+        let mut bytes_left = MAX_LINGER_BYTES;
+        while bytes_left > 0 && self.0.tcp.readable().await.is_ok() {
             match self.0.tcp.try_read(&mut [0; READ_CHUNK_BYTES]) {
                 Ok(0) => return,
-                Ok(n) => left = left.saturating_sub(n),
+                Ok(n) => bytes_left = bytes_left.saturating_sub(n),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     }
 
+    /// Marks the connection as idle: input from now on counts as new.
     pub fn mark_idle(&self) {
         self.0.has_received.set(false);
     }
 
-    /// When the last bytes since `mark_idle` were read, if any were.
+    /// Returns when bytes were last read since `mark_idle`, if any were.
     pub fn last_received_at(&self) -> Option<Instant> {
         let received_at = self.0.last_received_at.get();
         self.0.has_received.get().then_some(received_at)
     }
 
-    /// Whether bytes were read since `mark_idle`, and nothing more waits in the kernel.
+    /// Returns whether bytes were read since `mark_idle`, and no more are waiting in the kernel.
     pub fn has_partial_input(&self) -> bool {
         self.last_received_at().is_some() && !self.has_unread_input()
     }
 
-    /// Bytes came since `mark_idle`, or wait in the kernel, or the other side has closed. Asks the kernel
-    /// itself: the event loop may not have come round to it yet.
+    /// Returns whether bytes were read since `mark_idle` or are waiting in the kernel, or the peer has closed. Queries the
+    /// kernel, as the event loop may not have processed the input yet.
     pub fn has_activity(&self) -> bool {
         self.0.has_received.get() || self.has_unread_input()
     }
 
-    /// Bytes wait in the kernel, or the other side has closed.
+    /// Returns whether bytes are waiting in the kernel, or the peer has closed.
     pub fn has_unread_input(&self) -> bool {
         #[cfg(test)]
         tests::UNREAD_CHECKS.with(|asked| asked.set(asked.get() + 1));
         let mut byte = [std::mem::MaybeUninit::uninit()];
-        let quiet = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
+        let is_empty = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
         !socket2::SockRef::from(&self.0.tcp)
             .peek(&mut byte)
-            .is_err_and(quiet)
+            .is_err_and(is_empty)
     }
 }
 
