--- a/src/balancer/peer_verdicts.rs
+++ b/src/balancer/peer_verdicts.rs
@@ -1,32 +1,32 @@
-//! Peer verdicts: what other proxies found out about an endpoint counts as evidence, unless this proxy knows better
-//! from a response or a failure since.
+//! Peer verdicts: ejections and readmissions of endpoints by other proxies. They count as evidence, unless this proxy
+//! has seen a response or a failure of the endpoint since.
 
 use super::endpoints::{EndpointRecord, LatestPeerVerdict, PeerEjection};
 use super::outlier_detection::BASE_EJECTION_S;
 use super::Balancer;
 use crate::interface::{Micros, PeerVerdict, Time, Verdict};
 
-/// Peers whose verdicts eject an endpoint here: one may have a broken link of its own, two rarely do.
+/// Number of peers whose verdicts eject an endpoint here. One peer may have a broken link of its own; two rarely do.
 const EJECTING_PEERS: u32 = 2;
 
 /// An ejection that a peer announced.
 struct AnnouncedEjection {
-    given_at: Time,
+    issued_at: Time,
     duration: Micros,
     consecutive_ejections: i32,
 }
 
 impl EndpointRecord {
-    /// Forgets verdicts that are too old, and the one of the peer that now gives another.
-    fn forget_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
+    /// Drops ejections by peers that are too old, and the previous one of the peer that issued `verdict`.
+    fn expire_peer_ejections(&mut self, now: Time, verdict: &PeerVerdict) {
         self.faults_mut().peer_ejections.retain(|ejection| {
-            Some(ejection.peer) != verdict.origin && now - ejection.given_at <= verdict.max_age
+            Some(ejection.peer) != verdict.origin && now - ejection.issued_at <= verdict.max_age
         });
     }
 
-    /// A peer readmitted it; returns whether that readmits it here.
-    fn readmit_on_peer_verdict(&mut self, given_at: Time) -> bool {
-        if !self.is_ejected() || given_at <= self.faults().last_failure_at {
+    /// Handles a readmission by a peer. Returns whether this readmits the endpoint here.
+    fn readmit_on_peer_verdict(&mut self, issued_at: Time) -> bool {
+        if !self.is_ejected() || issued_at <= self.faults().last_failure_at {
             return false;
         }
         self.end_ejection();
@@ -36,27 +36,28 @@
         true
     }
 
-    /// Keeps a peer's ejection. Proxies check in turn, by the number that the newest verdict gives each: number n at
-    /// the ejection's end + n x [`BASE_EJECTION_S`]. So the result of one reaches the others first, and no proxy with a
-    /// broken link keeps an endpoint out for long.
-    fn keep_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
-        let given_at = ejection.given_at;
+    /// Records a peer's ejection. Proxies health-check the endpoint in turn, in the order given by the newest verdict:
+    /// the proxy at position n does so n x [`BASE_EJECTION_S`] after the end of the ejection. The result of one check
+    /// thus reaches the other proxies before their turn, and a proxy with a broken link does not keep an endpoint
+    /// ejected for long.
+    fn record_peer_ejection(&mut self, verdict: &PeerVerdict, ejection: &AnnouncedEjection) {
+        let issued_at = ejection.issued_at;
         let faults = self.faults_mut();
         if let Some(peer) = verdict.origin {
-            faults.peer_ejections.push(PeerEjection { peer, given_at });
+            faults.peer_ejections.push(PeerEjection { peer, issued_at });
         }
-        if given_at >= faults.latest_peer_verdict.given_at {
-            let turn_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
-            let turn = Micros::from_secs_f64(turn_s).min(verdict.max_age);
+        if issued_at >= faults.latest_peer_verdict.issued_at {
+            let check_delay_s = BASE_EJECTION_S * f64::from(verdict.health_check_turn);
+            let check_delay = Micros::from_secs_f64(check_delay_s).min(verdict.max_age);
             faults.latest_peer_verdict = LatestPeerVerdict {
-                given_at,
-                health_check_at: given_at + ejection.duration + turn,
+                issued_at,
+                health_check_at: issued_at + ejection.duration + check_delay,
             };
         }
     }
 
-    /// Ejects it if enough peers did; for one that is ejected it follows the peers' term. Returns whether it is
-    /// ejected only now.
+    /// Ejects the endpoint if enough peers did. If it is already ejected, the time of its next health check follows the
+    /// newest verdict. Returns whether the endpoint is newly ejected.
     fn eject_on_peer_verdicts(
         &mut self,
         now: Time,
@@ -84,24 +85,24 @@
 }
 
 impl Balancer {
-    /// A peer announced a verdict.
+    /// Applies a verdict that a peer announced.
     pub(super) fn apply_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict) {
         if verdict.age > verdict.max_age {
             return;
         }
-        let given_at = now - verdict.age;
+        let issued_at = now - verdict.age;
         let Some(record) = self.backends.get_mut(verdict.backend) else {
             return;
         };
-        record.forget_peer_ejections(now, verdict);
+        record.expire_peer_ejections(now, verdict);
         match verdict.verdict {
-            Verdict::Readmitted => self.readmit_on_peer_verdict(now, verdict, given_at),
+            Verdict::Readmitted => self.readmit_on_peer_verdict(now, verdict, issued_at),
             Verdict::Ejected {
                 duration,
                 consecutive_ejections,
             } => {
                 let ejection = AnnouncedEjection {
-                    given_at,
+                    issued_at,
                     duration,
                     consecutive_ejections: i32::from(consecutive_ejections),
                 };
@@ -110,10 +111,10 @@
         }
     }
 
-    fn readmit_on_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict, given_at: Time) {
+    fn readmit_on_peer_verdict(&mut self, now: Time, verdict: &PeerVerdict, issued_at: Time) {
         let id = verdict.backend;
         let record = self.backends.get_mut(id);
-        if record.is_some_and(|record| record.readmit_on_peer_verdict(given_at)) {
+        if record.is_some_and(|record| record.readmit_on_peer_verdict(issued_at)) {
             self.split.due_at = now;
             self.log(now, format!("backend {} readmitted by a peer", id.0));
         }
@@ -129,10 +130,10 @@
         let Some(record) = self.backends.get_mut(id) else {
             return;
         };
-        if ejection.given_at < record.last_response_at.max(record.faults().last_failure_at) {
+        if ejection.issued_at < record.last_response_at.max(record.faults().last_failure_at) {
             return;
         }
-        record.keep_peer_ejection(verdict, ejection);
+        record.record_peer_ejection(verdict, ejection);
         if record.eject_on_peer_verdicts(now, verdict, ejection) {
             let peers = record.faults().peer_ejections.len();
             self.schedule.check_at(now);
