--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -115,10 +115,10 @@
     pub fn submit_config_change(
         &self,
         change: ConfigChange,
-        respond: oneshot::Sender<CallResponse>,
+        response_sender: oneshot::Sender<CallResponse>,
     ) {
         self.step_config(|config, now, context, out| {
-            config.submit(now, context, change, respond, out);
+            config.submit(now, context, change, response_sender, out);
         });
     }
 
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -28,7 +28,7 @@
 
 /// An operator's call that waits for the outcome of its change.
 struct PendingCall {
-    respond: oneshot::Sender<CallResponse>,
+    response_sender: oneshot::Sender<CallResponse>,
     submitted_at: Time,
 }
 
@@ -50,7 +50,7 @@
     pub unsent: Option<UnsentChanges>,
     /// The newest version that this proxy knows of, read by the request loop.
     newest: NewestVersion,
-    metrics_due: Time,
+    next_metrics_at: Time,
 }
 
 impl ConfigDriver {
@@ -73,7 +73,7 @@
             pending_calls: BTreeMap::new(),
             unsent: None,
             newest,
-            metrics_due: now,
+            next_metrics_at: now,
         }
     }
 
@@ -103,7 +103,7 @@
     /// Responds to the call of a submission, if it is waiting.
     fn complete_call(&mut self, id: u64, result: Result<u64, SubmitError>) {
         if let Some(call) = self.pending_calls.remove(&id) {
-            let _ = call.respond.send(self.outcome_response(result)); // fails if the caller is gone
+            let _ = call.response_sender.send(self.outcome_response(result)); // fails if the caller is gone
         }
     }
 
@@ -136,14 +136,14 @@
         now: Time,
         context: &Context,
         change: ConfigChange,
-        respond: oneshot::Sender<CallResponse>,
+        response_sender: oneshot::Sender<CallResponse>,
         out: &mut Outbox,
     ) {
         let id = random_id();
         self.pending_calls.insert(
             id,
             PendingCall {
-                respond,
+                response_sender,
                 submitted_at: now,
             },
         );
@@ -181,8 +181,8 @@
 
     /// Updates the metrics if they are due.
     pub fn update_metrics(&mut self, now: Time) {
-        if now >= self.metrics_due {
-            self.metrics_due = now + METRICS_INTERVAL;
+        if now >= self.next_metrics_at {
+            self.next_metrics_at = now + METRICS_INTERVAL;
             self.set_metrics();
         }
     }
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -24,8 +24,8 @@
 const MAGIC: [u8; 4] = *b"SHTC";
 /// Version of the body's format. Increase it with every change of the body's structure.
 const FORMAT: u16 = 1;
-/// Size of magic, format and checksum, in bytes.
-const HEADER_BYTES: usize = 10;
+/// Size of the prefix, which is magic, format version and checksum, in bytes.
+const PREFIX_BYTES: usize = 10;
 /// Maximum file size, in bytes: the table's size limit plus its entries' versions. Larger files are neither written nor
 /// read.
 const MAX_FILE_BYTES: usize = 32 << 20;
@@ -65,7 +65,7 @@
     Missing,
     #[error("cannot read the file: {0}")]
     Unreadable(#[source] io::Error),
-    #[error("file is truncated: {0} bytes, expected at least {HEADER_BYTES}")]
+    #[error("file is truncated: {0} bytes, expected at least {PREFIX_BYTES}")]
     Truncated(usize),
     #[error("file has {0} bytes, expected at most {MAX_FILE_BYTES}")]
     TooLarge(usize),
@@ -115,15 +115,15 @@
 
 /// Encodes a body as the content of a file.
 fn encode(body: &Body) -> Result<Vec<u8>, SnapshotError> {
-    let mut bytes = vec![0; HEADER_BYTES];
+    let mut bytes = vec![0; PREFIX_BYTES];
     bytes[..4].copy_from_slice(&MAGIC);
     bytes[4..6].copy_from_slice(&FORMAT.to_le_bytes());
     let mut bytes = postcard::to_extend(body, bytes).map_err(SnapshotError::Body)?;
     if bytes.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLarge(bytes.len()));
     }
-    let checksum = crc32fast::hash(&bytes[HEADER_BYTES..]);
-    bytes[6..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[PREFIX_BYTES..]);
+    bytes[6..PREFIX_BYTES].copy_from_slice(&checksum.to_le_bytes());
     Ok(bytes)
 }
 
@@ -132,18 +132,18 @@
     if bytes.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLarge(bytes.len()));
     }
-    let (header, body) = bytes
-        .split_at_checked(HEADER_BYTES)
+    let (prefix, body) = bytes
+        .split_at_checked(PREFIX_BYTES)
         .ok_or(SnapshotError::Truncated(bytes.len()))?;
-    let magic = [header[0], header[1], header[2], header[3]];
+    let magic = [prefix[0], prefix[1], prefix[2], prefix[3]];
     if magic != MAGIC {
         return Err(SnapshotError::Magic(magic));
     }
-    let format = u16::from_le_bytes([header[4], header[5]]);
+    let format = u16::from_le_bytes([prefix[4], prefix[5]]);
     if format != FORMAT {
         return Err(SnapshotError::Format(format));
     }
-    let checksum = u32::from_le_bytes([header[6], header[7], header[8], header[9]]);
+    let checksum = u32::from_le_bytes([prefix[6], prefix[7], prefix[8], prefix[9]]);
     if checksum != crc32fast::hash(body) {
         return Err(SnapshotError::Checksum);
     }
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -346,7 +346,8 @@
         }
     }
 
-    /// Logs the loss of the lease. A stalled holder notices the loss late; the lease ended with its term.
+    /// Logs the loss of the lease. A stalled holder notices the loss late, so the logged time is the end of its term at
+    /// the latest.
     fn log_loss(&self, token: Token, loss: LossReason, now: Time) {
         let ended_at = self
             .expires_at
--- a/src/net/cluster/coordination/fleet_view.rs
+++ b/src/net/cluster/coordination/fleet_view.rs
@@ -23,7 +23,7 @@
 }
 
 /// The listed backends, computed from a snapshot and the set of backends in maintenance.
-struct DerivedBackends {
+struct CachedBackends {
     snapshot: Arc<BackendSnapshot>,
     in_maintenance: BTreeSet<String>,
     backends: Arc<ListedBackends>,
@@ -36,8 +36,8 @@
     pub loop_view: Option<Arc<LoopView>>,
     /// When decisions began to depend on the backends; `None` while none does. Earlier snapshots are not used for them.
     pub decisions_since: Option<Time>,
-    /// The result of the last computation of the listed backends.
-    derived: Option<DerivedBackends>,
+    /// The listed backends as computed last, reused while snapshot and maintenance stay the same.
+    cached: Option<CachedBackends>,
     /// Open requests at backends in maintenance, by the reporting member and the backend's name.
     reports: BTreeMap<SocketAddr, BTreeMap<String, ReportedCount>>,
 }
@@ -62,7 +62,7 @@
     /// Stores a view published by the request loop.
     pub fn update(&mut self, loop_view: Arc<LoopView>) {
         if loop_view.backends.is_none() {
-            self.derived = None;
+            self.cached = None;
         }
         self.loop_view = Some(loop_view);
     }
@@ -82,10 +82,9 @@
         {
             return None;
         }
-        if let Some(derived) = &self.derived {
-            if Arc::ptr_eq(&derived.snapshot, snapshot) && derived.in_maintenance == *in_maintenance
-            {
-                return Some(derived.backends.clone());
+        if let Some(cached) = &self.cached {
+            if Arc::ptr_eq(&cached.snapshot, snapshot) && cached.in_maintenance == *in_maintenance {
+                return Some(cached.backends.clone());
             }
         }
         let backends: ListedBackends = snapshot
@@ -95,7 +94,7 @@
             .map(|row| (row.name.clone(), backend_capacity(row, in_maintenance)))
             .collect();
         let backends = Arc::new(backends);
-        self.derived = Some(DerivedBackends {
+        self.cached = Some(CachedBackends {
             snapshot: snapshot.clone(),
             in_maintenance: in_maintenance.clone(),
             backends: backends.clone(),
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -118,12 +118,12 @@
         }
         let (messages, received_messages) = sync_channel(MAX_QUEUED_MESSAGES);
         let (commands, queued_commands) = sync_channel(MAX_QUEUED_COMMANDS);
-        let (publish_view, loop_view) = watch::channel(None);
-        let (set_demand, demand) = watch::channel(BackendDemand::EveryUpdate);
+        let (view_sender, loop_view) = watch::channel(None);
+        let (demand_sender, demand) = watch::channel(BackendDemand::EveryUpdate);
         let timers = TimerWorker::new(
             shared.clone(),
             loop_view,
-            set_demand,
+            demand_sender,
             own_address,
             gossip.is_only_proxy(),
         );
@@ -148,7 +148,7 @@
             host,
             gossip: gossip.clone(),
             applied,
-            publish_view,
+            view_sender,
             demand,
             commands: commands.clone(),
         };
@@ -193,7 +193,7 @@
         isolation_timeout: gossip.max_age(),
     });
     let voters = section.voters.clone();
-    let lease = DutyLease::new(
+    let calendar_lease = DutyLease::new(
         Duty::Calendar,
         lease_rules,
         voters.clone(),
@@ -201,7 +201,7 @@
         incarnation,
     );
     Ok(Arc::new(SharedState::new(SharedStateParts {
-        lease,
+        calendar_lease,
         config: ConfigDriver::new(
             lease_rules,
             voters,
@@ -240,7 +240,7 @@
 
 impl FleetAdmin for Coordinator {
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
-        let (respond, response) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
         let call = Call {
             method: method.clone(),
@@ -248,8 +248,8 @@
             body,
         };
         let command = match config_change::parse_change(&call, &self.fleet_overrides) {
-            None => Command::Call(call, respond),
-            Some(Ok(change)) => Command::ChangeConfig(change, respond),
+            None => Command::Call(call, response_sender),
+            Some(Ok(change)) => Command::ChangeConfig(change, response_sender),
             Some(Err(error)) => return Box::pin(std::future::ready(error.response())),
         };
         let is_queued = self.commands.try_send(command).is_ok();
--- a/src/net/cluster/coordination/request_loop_tasks.rs
+++ b/src/net/cluster/coordination/request_loop_tasks.rs
@@ -85,7 +85,7 @@
     pub host: Rc<Host>,
     pub gossip: Rc<GossipDriver>,
     pub applied: Rc<AppliedEffects>,
-    pub publish_view: watch::Sender<Option<Arc<LoopView>>>,
+    pub view_sender: watch::Sender<Option<Arc<LoopView>>>,
     pub demand: watch::Receiver<BackendDemand>,
     pub commands: SyncSender<Command>,
 }
@@ -98,7 +98,7 @@
         loop {
             let demand = *self.demand.borrow_and_update();
             backends = self.snapshot_backends(demand, backends);
-            self.publish_view
+            self.view_sender
                 .send_replace(Some(Arc::new(self.build_view(&backends))));
             if demand != previous_demand {
                 previous_demand = demand;
--- a/src/net/cluster/coordination/shared_state.rs
+++ b/src/net/cluster/coordination/shared_state.rs
@@ -39,7 +39,7 @@
 
 /// The parts of [`SharedState`] without their locks.
 pub struct SharedStateParts {
-    pub lease: DutyLease,
+    pub calendar_lease: DutyLease,
     pub config: ConfigDriver,
     pub maintenance: MaintenanceState,
     pub fleet_view: FleetView,
@@ -53,7 +53,7 @@
     /// Puts each part behind a lock with its rank in the lock order.
     pub fn new(parts: SharedStateParts) -> SharedState {
         SharedState {
-            calendar_lease: OrderedLock::new(0, parts.lease),
+            calendar_lease: OrderedLock::new(0, parts.calendar_lease),
             config: OrderedLock::new(1, parts.config),
             maintenance: OrderedLock::new(2, parts.maintenance),
             fleet_view: OrderedLock::new(3, parts.fleet_view),
--- a/src/net/cluster/coordination/shared_state/example.rs
+++ b/src/net/cluster/coordination/shared_state/example.rs
@@ -56,7 +56,7 @@
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let (effects, pending_effects) = mpsc::channel(64);
         let shared = SharedState::new(SharedStateParts {
-            lease: DutyLease::new(
+            calendar_lease: DutyLease::new(
                 Duty::Calendar,
                 lease_rules,
                 voters,
--- a/src/net/cluster/coordination/timer_worker.rs
+++ b/src/net/cluster/coordination/timer_worker.rs
@@ -92,12 +92,12 @@
             let due_at = self.run_round();
             let wait_us = (due_at - monotonic_now()).0.min(MAX_ROUND_INTERVAL.0);
             match commands.recv_timeout(Duration::from_micros(wait_us)) {
-                Ok(Command::Call(call, respond)) => {
+                Ok(Command::Call(call, response_sender)) => {
                     // Sending fails if the caller is gone.
-                    let _ = respond.send(admin_calls::handle_call(&self.shared, &call));
+                    let _ = response_sender.send(admin_calls::handle_call(&self.shared, &call));
                 }
-                Ok(Command::ChangeConfig(change, respond)) => {
-                    self.shared.submit_config_change(change, respond);
+                Ok(Command::ChangeConfig(change, response_sender)) => {
+                    self.shared.submit_config_change(change, response_sender);
                 }
                 Ok(Command::Leave) => self.leave(),
                 Ok(Command::Wake) | Err(RecvTimeoutError::Timeout) => {}
--- a/src/net/cluster/coordination/timer_worker/tests.rs
+++ b/src/net/cluster/coordination/timer_worker/tests.rs
@@ -21,12 +21,12 @@
         let (shared, effects) = SharedState::example();
         shared.maintenance.lock().compared_ranges = None;
         *shared.fleet_view.lock() = FleetView::default();
-        let (set_demand, demand) = watch::channel(BackendDemand::NotNeeded);
+        let (demand_sender, demand) = watch::channel(BackendDemand::NotNeeded);
         let own_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let worker = TimerWorker::new(
             Arc::new(shared),
             watch::channel(None).1,
-            set_demand,
+            demand_sender,
             own_address,
             false,
         );
@@ -71,7 +71,7 @@
     }
 
     /// Adds a window of 60 s with those targets that begins in `begin` seconds.
-    fn put(&self, id: &str, targets: &str, begin: u64) {
+    fn put_window(&self, id: &str, targets: &str, begin: u64) {
         let at = |secs| WallTime(wall_now().0 + secs * SECOND_US);
         let body = format!(
             r#"{{{targets},"begin":"{}","end":"{}","lead_s":1,"by":"x"}}"#,
@@ -153,12 +153,12 @@
         proxy.demand() == BackendDemand::NotNeeded,
         "isolated, without windows"
     );
-    proxy.put("v", r#""ids":["b"]"#, 3600);
+    proxy.put_window("v", r#""ids":["b"]"#, 3600);
     assert!(
         proxy.demand() == BackendDemand::NotNeeded,
         "isolated, with a window in an hour"
     );
-    proxy.put("w", r#""ids":["a"]"#, 3);
+    proxy.put_window("w", r#""ids":["a"]"#, 3);
     assert!(
         proxy.demand() == BackendDemand::EveryUpdate,
         "isolated, with a window that is due"
@@ -166,22 +166,22 @@
     proxy.receive_heartbeat(None);
     assert!(
         proxy.demand() == BackendDemand::NotNeeded,
-        "the holder decides"
+        "with a holder, which makes the decisions"
     );
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert!(
         proxy.demand() == BackendDemand::NotNeeded,
-        "the window names it"
+        "with a window in effect that names its backend"
     );
     assert_eq!(proxy.take_effects(), effects('-', &["a"]));
     assert!(
         proxy.demand() == BackendDemand::NotNeeded,
-        "the window names it"
+        "with a window in effect that names its backend"
     );
     proxy.receive_heartbeat(Some(Phase::Done));
     assert!(
         proxy.demand() == BackendDemand::Occasional,
-        "its maintenance has not ended yet"
+        "with a backend whose maintenance has not ended yet"
     );
     proxy.publish_view(monotonic_now());
     assert_eq!(proxy.take_effects(), effects('+', &["a"]));
@@ -192,7 +192,7 @@
 #[test]
 fn decisions_ignore_earlier_snapshots() {
     let mut proxy = TestProxy::new();
-    proxy.put("w", r#""ids":["a"]"#, 1);
+    proxy.put_window("w", r#""ids":["a"]"#, 1);
     let before = monotonic_now();
     assert!(proxy.demand() == BackendDemand::EveryUpdate);
     assert_eq!(proxy.take_effects(), [], "without a snapshot");
@@ -208,11 +208,11 @@
 #[test]
 fn only_windows_of_zones_wait_for_the_list_of_backends() {
     let mut proxy = TestProxy::new();
-    proxy.put("w", r#""ids":["a"]"#, 3);
+    proxy.put_window("w", r#""ids":["a"]"#, 3);
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert_eq!(proxy.take_effects(), effects('-', &["a"]));
     let mut proxy = TestProxy::new();
-    proxy.put("w", r#""zone":"z""#, 3);
+    proxy.put_window("w", r#""zone":"z""#, 3);
     proxy.receive_heartbeat(Some(Phase::Draining));
     assert_eq!(proxy.take_effects(), []);
     assert!(proxy.demand() == BackendDemand::Occasional);
