--- a/src/fleet/config/replica/consensus.rs
+++ b/src/fleet/config/replica/consensus.rs
@@ -1,5 +1,5 @@
-//! Drives Paxos: routes its messages to this proxy's roles, begins and ends the leader's role with the lease, and hands
-//! committed changes on.
+//! Drives Paxos: dispatches its messages to this proxy's roles, starts and ends the leader role with the lease, and spreads
+//! committed changes.
 
 use super::{Event, Replica};
 use crate::fleet::config::acceptor::RecoveryReply;
@@ -15,6 +15,7 @@
 use std::net::SocketAddr;
 
 impl Replica {
+    /// Dispatches a Paxos message to this proxy's voter or leader role.
     pub(super) fn on_paxos(
         &mut self,
         now: Time,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A request to this proxy as a voter.
+    /// Handles a request to this proxy as a voter.
     fn on_voter_request(
         &mut self,
         from: SocketAddr,
@@ -79,6 +80,7 @@
         Ok(())
     }
 
+    /// Handles another voter's reply to this proxy's recovery request.
     fn on_recovery_reply(
         &mut self,
         now: Time,
@@ -91,7 +93,7 @@
         Ok(())
     }
 
-    /// A voter's reply to the leader. Requests that follow from it go to all voters.
+    /// Handles a voter's reply to this proxy as the leader. The messages in `requests` go to all voters.
     fn on_voter_reply(
         &mut self,
         now: Time,
@@ -101,7 +103,7 @@
         requests: &mut Vec<PaxosMessage>,
         out: &mut Outbox,
     ) {
-        // A leader that was paused has to look at its lease before it counts anything.
+        // The lease may have ended while the process was paused, so it is checked before a reply counts.
         let Some(proposer) = self
             .proposer
             .as_mut()
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Sends the leader's requests to every voter; where this proxy is one it replies here.
+    /// Sends the leader's requests to every voter. If this proxy is a voter, its own replies are handled at once.
     pub(super) fn send_to_voters(
         &mut self,
         now: Time,
@@ -156,9 +158,9 @@
         }
     }
 
-    /// A majority of the voters accepted a change of this leader.
+    /// Applies and spreads a change of this leader that a majority of the voters accepted, and answers its submitter.
     fn on_committed(&mut self, now: Time, context: &Context, change: &Change, out: &mut Outbox) {
-        if self.apply_or_keep(change) == Ok(ApplyOutcome::Applied) {
+        if self.apply_or_buffer(change) == Ok(ApplyOutcome::Applied) {
             let message = Message::Changes {
                 changes: vec![change.clone()],
                 version: change.version,
@@ -172,14 +174,14 @@
                 &mut self.peers,
                 out,
             );
-            self.repeats.schedule(now, change);
+            self.retransmissions.schedule(now, change);
         }
-        if let Some(submitter) = self.queue.close(change.id) {
+        if let Some(submitter) = self.queue.take_proposed(change.id) {
             self.send_outcome(submitter, change.id, Ok(change.version), out);
         }
     }
 
-    /// A voter that restarted requests the other voters' states.
+    /// Drives the recovery of this proxy as a voter that restarted.
     pub(super) fn recover_voter(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Begins and ends the leader's role with the lease, and goes on with it.
-    pub(super) fn lead(&mut self, now: Time, context: &Context, out: &mut Outbox) {
+    /// Starts or ends the leader role with the lease, and drives it in between.
+    pub(super) fn update_leadership(&mut self, now: Time, context: &Context, out: &mut Outbox) {
         let lease_lost = self
             .proposer
             .as_ref()
@@ -214,6 +216,7 @@
         self.propose_next(now, context, out);
     }
 
+    /// Ends the leader role and drops the queued submissions.
     fn stop_leading(&mut self) {
         self.proposer = None;
         self.queue.clear();
