--- a/src/net/background_thread.rs
+++ b/src/net/background_thread.rs
@@ -11,8 +11,8 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Why background work has no result. The texts name reading the configuration, although amending the settings can fail in the
-/// same way.
+/// Why background work has no result. The texts name reading the configuration, although amending the settings can fail
+/// in the same way.
 #[derive(Debug, Error)]
 pub enum BackgroundError {
     /// The thread cannot be started.
--- a/src/net/connection_driver.rs
+++ b/src/net/connection_driver.rs
@@ -1,8 +1,8 @@
 //! Runs a future that uses an HTTP/1 client connection while polling that connection.
 //!
-//! hyper's connection is a future that must be polled for anything to be read or written, and a wait on its sender does not
-//! end when the connection does. [`drive_until_closed`] abandons work whose connection has ended; [`drive_past_close`] lets
-//! the work finish with what was received before the end.
+//! hyper's connection is a future that must be polled for anything to be read or written, and a wait on its sender does
+//! not end when the connection does. [`drive_until_closed`] abandons work whose connection has ended;
+//! [`drive_past_close`] lets the work finish with what was received before the end.
 
 use crate::net::observed_stream::ObservedStream;
 use bytes::Bytes;
@@ -48,8 +48,8 @@
     .await
 }
 
-/// Runs `work` to its end, and polls its connection while that is open. The work may take long to forward what was received
-/// before the connection ended.
+/// Runs `work` to its end, and polls its connection while that is open. The work may take long to forward what was
+/// received before the connection ended.
 pub async fn drive_past_close<T>(
     connection: &mut Connection<
         ObservedStream,
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -1,7 +1,7 @@
 //! Limits on client and backend connections, derived from the process's limit of file descriptors.
 //!
-//! [`DescriptorLimits`] holds the current limits. During a hot restart two processes make up one proxy and share its descriptors;
-//! [`track_other_process`] adjusts the limits of each to what the other uses.
+//! [`DescriptorLimits`] holds the current limits. During a hot restart two processes make up one proxy and share its
+//! descriptors; [`track_other_process`] adjusts the limits of each to what the other uses.
 
 use crate::net::downstream::server::Server;
 use crate::net::host::Host;
@@ -17,10 +17,11 @@
 const SINGLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often each of two processes checks the other's connections.
 const SHARED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Client connections, and as many backend connections, that a process may hold regardless of the other one. They use reserved
-/// descriptors if necessary.
+/// Client connections, and as many backend connections, that a process may hold regardless of the other one. They use
+/// reserved descriptors if necessary.
 const MIN_CONNECTIONS: usize = 8;
-/// Additional descriptors reserved for a second process: for everything but connections, and for clients above its limit.
+/// Additional descriptors reserved for a second process: for everything but connections, and for clients above its
+/// limit.
 const SECOND_PROCESS_DESCRIPTORS: usize = 40;
 /// Backend connections that a process may open between two checks.
 const UPSTREAM_HEADROOM: usize = 16;
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Returns the limits of one of two processes, where `other` is what the other one has open. Backend connections are limited
-    /// to slightly more than are open, and clients get all the rest, as clients of the old process stay connected while new ones
-    /// connect to the new process.
+    /// Returns the limits of one of two processes, where `other` is what the other one has open. Backend connections
+    /// are limited to slightly more than are open, and clients get all the rest, as clients of the old process stay
+    /// connected while new ones connect to the new process.
     fn for_shared_capacity(
         descriptors: usize,
         open_upstreams: usize,
@@ -115,9 +116,9 @@
     descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2)
 }
 
-/// Watches for another process of this proxy, and runs until the process ends. While there are two, they share the proxy's
-/// descriptors and the request rate of backends in slow start: what one process uses is not available to the other. Clients
-/// move from the old process to the new one by one, and the limits of both follow.
+/// Watches for another process of this proxy, and runs until the process ends. While there are two, they share the
+/// proxy's descriptors and the request rate of backends in slow start: what one process uses is not available to the
+/// other. Clients move from the old process to the new one by one, and the limits of both follow.
 pub async fn track_other_process(
     presence: Rc<Presence>,
     host: Rc<Host>,
--- a/src/net/descriptor_limits/tests.rs
+++ b/src/net/descriptor_limits/tests.rs
@@ -4,8 +4,8 @@
 
 const DESCRIPTORS: usize = 384;
 
-/// While the old process still holds its clients, the new one gets the rest of the capacity, and both together stay within
-/// it.
+/// While the old process still holds its clients, the new one gets the rest of the capacity, and both together stay
+/// within it.
 #[test]
 fn two_processes_stay_within_the_capacity() {
     let capacity = connection_capacity(DESCRIPTORS);
@@ -19,7 +19,7 @@
         let limits = ConnectionLimits::for_shared_capacity(DESCRIPTORS, open, other);
         assert!(
             limits.clients + limits.upstreams + other.clients + other.upstreams <= capacity,
-            "{open}"
+            "{open} open backend connections: {limits:?}"
         );
     }
     let crowded = ConnectionCounts {
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -15,9 +15,9 @@
 
 /// Maximum size of an answer: four times that of a list of 25,000 backends.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// Maximum size of an answer that is parsed on the event loop, which takes about half a millisecond. Longer ones are parsed
-/// on a blocking thread.
-pub const MAX_INLINE_PARSE_BYTES: usize = 32 * 1024;
+/// Answers of at least this size are parsed on a blocking thread: parsing this much takes the event loop half a
+/// millisecond.
+pub const MIN_OFFLOADED_PARSE_BYTES: usize = 32 * 1024;
 
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
@@ -135,9 +135,9 @@
     parse_answer(body).await
 }
 
-/// Parses an answer; one of at least [`MAX_INLINE_PARSE_BYTES`] on a blocking thread.
+/// Parses an answer; one of at least [`MIN_OFFLOADED_PARSE_BYTES`] on a blocking thread.
 pub async fn parse_answer(body: impl Buf + Send + 'static) -> Result<ListAnswer, DiscoveryError> {
-    if body.remaining() < MAX_INLINE_PARSE_BYTES {
+    if body.remaining() < MIN_OFFLOADED_PARSE_BYTES {
         return Ok(ListAnswer::read(body)?);
     }
     let read = tokio::task::spawn_blocking(move || ListAnswer::read(body)).await;
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -19,8 +19,8 @@
 /// Maximum size of a chunk of entries, in bytes: less than a chunk of the settings' text.
 const MAX_CHUNK_BYTES: usize = 1 << 19;
 
-/// A full list, or the changes to one. Entries stay JSON values until each is parsed by itself, so that a malformed entry
-/// does not affect the others.
+/// A full list, or the changes to one. Entries stay JSON values until each is parsed by itself, so that a malformed
+/// entry does not affect the others.
 #[derive(Clone, Debug, Default, Deserialize, serde::Serialize)]
 pub struct List {
     pub index: u64,
@@ -107,9 +107,9 @@
     Unreadable(CompactString),
 }
 
-/// Entries in chunks of limited size. The allocator obtains each chunk from the operating system and returns it when it is
-/// freed; afterwards it keeps freed blocks that are smaller than the largest chunk. A single vector for a full list would
-/// thus make it keep all texts of a configuration.
+/// Entries in chunks of limited size. The allocator obtains each chunk from the operating system and returns it when it
+/// is freed; afterwards it keeps freed blocks that are smaller than the largest chunk. A single vector for a full list
+/// would thus make it keep all texts of a configuration.
 #[derive(Default)]
 pub struct EntryChunks(Vec<Vec<ListEntry>>);
 
--- a/src/net/discovery/list_tracker.rs
+++ b/src/net/discovery/list_tracker.rs
@@ -1,8 +1,8 @@
 //! Tracks the version of the endpoint list in force, and decides which answers of discovery may replace it.
 //!
-//! Calls can overlap: an answer to a call that timed out is still awaited, as discovery counts what it has written to that
-//! call as delivered. [`ListTracker::apply_if_newer`] compares versions to decide whether an answer is newer than the list
-//! in force.
+//! Calls can overlap: an answer to a call that timed out is still awaited, as discovery counts what it has written to
+//! that call as delivered. [`ListTracker::apply_if_newer`] compares versions to decide whether an answer is newer than
+//! the list in force.
 
 use super::client::{CallResult, DiscoveryError};
 use super::endpoint_list::ListAnswer;
@@ -18,8 +18,8 @@
 
 /// How long the answer to an abandoned call is still awaited.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum number of abandoned calls still awaited; above it the oldest is cancelled. Each holds a descriptor, and possibly a
-/// partly received list in memory.
+/// Maximum number of abandoned calls still awaited; above it the oldest is cancelled. Each holds a descriptor, and
+/// possibly a partly received list in memory.
 const MAX_LATE_CALLS: usize = 4;
 
 /// A call in progress, with the state of the list when it began.
@@ -50,8 +50,8 @@
     host: Rc<Host>,
     index: Cell<u64>,
     applied_lists: Cell<u64>,
-    /// The epoch of the list in force. Versions are comparable only within an epoch: numbering restarts with each address and
-    /// with each start of discovery.
+    /// The epoch of the list in force. Versions are comparable only within an epoch: numbering restarts with each
+    /// address and with each start of discovery.
     epoch: Cell<u64>,
     /// The epoch of new calls.
     latest_epoch: Cell<u64>,
@@ -95,9 +95,9 @@
         self.latest_epoch.set(self.latest_epoch.get() + 1);
     }
 
-    /// Applies an answer if it is newer than the list in force. Of two answers whose calls overlapped, the one with the higher
-    /// index is newer. A lower index is accepted only if the call began after the list in force was applied: then discovery
-    /// has restarted.
+    /// Applies an answer if it is newer than the list in force. Of two answers whose calls overlapped, the one with the
+    /// higher index is newer. A lower index is accepted only if the call began after the list in force was applied:
+    /// then discovery has restarted.
     fn apply_if_newer(&self, call: &PendingCall, list: &ListAnswer) -> UpdateResult {
         let epoch = self.epoch.get();
         let index = self.index.get();
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Switches to discovery's configured address if it has changed. Called before each call, whatever ended the last wait.
+    /// Switches to discovery's configured address if it has changed. Called before each call, whatever ended the last
+    /// wait.
     fn update_address(&mut self, address: SocketAddr) {
         if address == self.address {
             return;
@@ -123,7 +124,8 @@
         self.wants_full_list = result == UpdateResult::Gap;
     }
 
-    /// Records a failed call and returns the backoff before the next one, which [`Watcher::next_call_due`] may cut short.
+    /// Records a failed call and returns the backoff before the next one, which [`Watcher::next_call_due`] may cut
+    /// short.
     fn failed(&mut self, error: &DiscoveryError) -> Duration {
         self.queue_timeout = if matches!(error, DiscoveryError::Status(_)) {
             self.schedule.full_queue_timeout
@@ -143,7 +145,8 @@
         self.schedule.backoff(self.failures, has_moved)
     }
 
-    /// Waits until the backoff is over, the balancer requests a poll, or a late answer shows that discovery is reachable.
+    /// Waits until the backoff is over, the balancer requests a poll, or a late answer shows that discovery is
+    /// reachable.
     async fn next_call_due(&self, backoff: Duration) {
         tokio::select! {
             () = self.host.poll_requested() => {}
@@ -153,9 +156,9 @@
     }
 }
 
-/// Keeps the endpoint list up to date until the process ends; `index` is the version of the list in force. When discovery's
-/// address changes, the full list is requested from the new address at once. The answer to a call that is abandoned, then
-/// or after a timeout, is still awaited and applied if it is newer.
+/// Keeps the endpoint list up to date until the process ends; `index` is the version of the list in force. When
+/// discovery's address changes, the full list is requested from the new address at once. The answer to a call that is
+/// abandoned, then or after a timeout, is still awaited and applied if it is newer.
 pub async fn watch(
     host: Rc<Host>,
     mut addresses: watch::Receiver<SocketAddr>,
--- a/src/net/discovery/poll_schedule.rs
+++ b/src/net/discovery/poll_schedule.rs
@@ -5,28 +5,29 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Maximum rate of calls from a whole fleet while the list does not change, per second. Discovery handles these in the time
-/// that a few full lists take.
+/// Maximum rate of calls from a whole fleet while the list does not change, per second. Discovery handles these in the
+/// time that a few full lists take.
 pub const MAX_QUIET_CALLS_PER_S: f64 = 100.0;
-/// Bounds of how long a call waits for changes, in seconds; between them it is the shortest wait that keeps the fleet within
-/// [`MAX_QUIET_CALLS_PER_S`]. With the longest one, a call that stays unanswered is detected and repeated within the 6 s
-/// after which a proxy must have a change (docs/design.md).
+/// Bounds of how long a call waits for changes, in seconds; between them it is the shortest wait that keeps the fleet
+/// within [`MAX_QUIET_CALLS_PER_S`]. With the longest one, a call that stays unanswered is detected and repeated within
+/// the 6 s after which a proxy must have a change (docs/design.md).
 const MIN_LONG_POLL_S: f64 = 1.5;
 const MAX_LONG_POLL_S: f64 = 2.8;
 /// Lower bound of the random factor applied to that wait, so that proxies answered together do not call together again.
 pub const MIN_JITTER_FACTOR: f64 = 0.75;
 /// How long an answer may take beyond the call's wait before the call times out.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout of a call that does not wait for changes. It is longer, as the call may be queued at discovery, and each call that
-/// is abandoned and repeated lengthens the queue.
+/// Timeout of a call that does not wait for changes. It is longer, as the call may be queued at discovery, and each
+/// call that is abandoned and repeated lengthens the queue.
 pub const QUEUE_TIMEOUT: Duration = Duration::from_micros(DISCOVERY_POLL_TIMEOUT.0);
-/// Connect timeout for a discovery agent. Where lists are pushed, an agent (a discovery process whose only caller is this
-/// proxy) keeps the list and answers each long poll as soon as the list changes. Connecting to it succeeds at once or not at
-/// all. It is retried soon, as the time to apply a change counts from the moment the agent is back.
+/// Connect timeout for a discovery agent. Where lists are pushed, an agent (a discovery process whose only caller is
+/// this proxy) keeps the list and answers each long poll as soon as the list changes. Connecting to it succeeds at once
+/// or not at all. It is retried soon, as the time to apply a change counts from the moment the agent is back.
 pub const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Backoff after the first failed call to an agent. It doubles only once, as calls to an agent are cheap.
+/// Backoff after the first failed call to an agent, which doubles only once, as calls to an agent are cheap. Also the
+/// minimum backoff after a failed call to a new address of discovery.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Maximum backoff as a multiple of [`INITIAL_BACKOFF`].
+/// Maximum backoff between calls to an agent, as a multiple of [`INITIAL_BACKOFF`].
 const MAX_BACKOFF_FACTOR: u32 = 2;
 
 /// When and for how long discovery is polled.
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Returns whether the balancer decides when to poll, at the start and after a failure. With [`Discovery::Push`] the proxy
-    /// long-polls an agent without the balancer, and the agent decides when to answer.
+    /// Returns whether the balancer decides when to poll, at the start and after a failure. With [`Discovery::Push`]
+    /// the proxy long-polls an agent without the balancer, and the agent decides when to answer.
     pub fn balancer_schedules_polls(&self) -> bool {
         self.mode != Discovery::Push
     }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,7 +1,7 @@
-//! Timing of discovery calls together with the balancer's own backoff (docs/design.md, "One clock for the list of servers"),
-//! changes of address, and parsing of answers.
+//! Timing of discovery calls together with the balancer's own backoff (docs/design.md, "One clock for the list of
+//! servers"), changes of address, and parsing of answers.
 
-use super::client::{parse_answer, MAX_INLINE_PARSE_BYTES};
+use super::client::{parse_answer, MIN_OFFLOADED_PARSE_BYTES};
 use super::endpoint_list::{AnswerError, List, ListEntry};
 use super::poll_schedule::{
     AGENT_CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_QUIET_CALLS_PER_S, MIN_JITTER_FACTOR,
@@ -101,15 +101,15 @@
         }
     }
 
-    /// Simulates an outage of `span` microseconds in which the n-th call fails after `takes(n)`. Returns when each call began,
-    /// in microseconds since the outage began.
-    fn outage(mut self, span: u64, takes: impl Fn(usize) -> Duration) -> Vec<u64> {
+    /// Simulates an outage of `span` microseconds in which the n-th call fails after `call_duration(n)`. Returns when
+    /// each call began, in microseconds since the outage began.
+    fn outage(mut self, span: u64, call_duration: impl Fn(usize) -> Duration) -> Vec<u64> {
         let (begin, mut call_times) = (self.now, Vec::new());
         while self.now < begin + span {
             self.advance(60 * SECOND, Some(self.calls.len() + 1));
             call_times.push(*self.calls.last().expect("the balancer does not poll again"));
             // Polls that the balancer requests while a call is in progress are discarded when the call fails.
-            self.advance(takes(call_times.len()).as_micros() as u64, None);
+            self.advance(call_duration(call_times.len()).as_micros() as u64, None);
             self.call_failed();
         }
         call_times.iter().map(|at| at - begin).collect()
@@ -132,16 +132,16 @@
     },
 ];
 
-/// Whenever discovery becomes reachable during an outage, the next call begins and reaches its timeout within the time limit
-/// for having the list. The call in progress at that moment may be lost.
+/// Whenever discovery becomes reachable during an outage, the next call begins and reaches its timeout within the time
+/// limit for having the list. The call in progress at that moment may be lost.
 #[test]
 fn the_list_is_up_to_date_in_time_after_an_outage_of_any_length_and_kind() {
     for proxies in [3, 30, 300] {
         for staleness_limit_s in [0.5, 1.0, 2.0, 5.0, 9.0, 10.0, 30.0, 120.0, 3600.0] {
-            for takes in FAILURES {
+            for call_duration in FAILURES {
                 for position in [0, 1, 2] {
                     let call_times = SimulatedPoller::new(proxies, position, staleness_limit_s)
-                        .outage(60 * SECOND, takes);
+                        .outage(60 * SECOND, call_duration);
                     let gaps = call_times
                         .windows(2)
                         .map(|pair| (pair[1] - pair[0]) as f64 / 1e6);
@@ -157,8 +157,8 @@
     }
 }
 
-/// The limit also holds where refused and hanging calls alternate: a call after a refused one has the longer timeout of a
-/// call that may be in a full queue.
+/// The limit also holds where refused and hanging calls alternate: a call after a refused one has the longer timeout of
+/// a call that may be in a full queue.
 #[test]
 fn the_longer_timeout_of_queued_calls_keeps_the_limit() {
     for proxies in [2, 3, 20, 32, 60, 78, 300, 1800] {
@@ -166,11 +166,11 @@
             let queued = Duration::from_micros(
                 queued_discovery_poll_timeout(proxies, Micros::from_secs_f64(staleness_limit_s)).0,
             );
-            assert!(queued >= QUEUE_TIMEOUT, "{proxies}");
+            assert!(queued >= QUEUE_TIMEOUT, "{proxies} proxies: {queued:?}");
             for refused in [|n| n % 2 == 0, |n| n % 3 == 0, |n| n != 5] {
-                let takes = |n| if refused(n) { Duration::ZERO } else { queued };
-                let call_times =
-                    SimulatedPoller::new(proxies, 1, staleness_limit_s).outage(60 * SECOND, takes);
+                let call_duration = |n| if refused(n) { Duration::ZERO } else { queued };
+                let call_times = SimulatedPoller::new(proxies, 1, staleness_limit_s)
+                    .outage(60 * SECOND, call_duration);
                 let longest = call_times
                     .windows(2)
                     .map(|pair| (pair[1] - pair[0]) as f64 / 1e6)
@@ -190,15 +190,17 @@
     );
 }
 
-/// Bounds the calls of a whole fleet to a failing discovery: their rate after the initial backoff, their rate in any tenth of
-/// a second, as proxies must not synchronise, and each proxy's calls during the initial backoff.
+/// Bounds the calls of a whole fleet to a failing discovery: their rate after the initial backoff, their rate in any
+/// tenth of a second, as proxies must not synchronise, and each proxy's calls during the initial backoff.
 #[test]
 fn a_fleet_calls_a_failing_discovery_no_faster_than_stated() {
     for (proxies, a_second, a_tenth) in [(3, 6, 3), (30, 32, 10), (300, 130, 24)] {
-        for takes in FAILURES {
+        for call_duration in FAILURES {
             let pollers =
                 (0..proxies).map(|position| SimulatedPoller::new(proxies, position, 10.0));
-            let each: Vec<Vec<u64>> = pollers.map(|c| c.outage(40 * SECOND, takes)).collect();
+            let each: Vec<Vec<u64>> = pollers
+                .map(|c| c.outage(40 * SECOND, call_duration))
+                .collect();
             let calls = |from: u64, span: u64| {
                 let all = each.iter().flatten();
                 all.filter(|at| (from..from + span).contains(*at)).count()
@@ -227,8 +229,8 @@
     }
 }
 
-/// For any size of fleet, a call that stays unanswered and the one that repeats it end within the time limit for having the
-/// list, a fleet without changes stays within its rate of calls, and its proxies do not synchronise.
+/// For any size of fleet, a call that stays unanswered and the one that repeats it end within the time limit for having
+/// the list, a fleet without changes stays within its rate of calls, and its proxies do not synchronise.
 #[test]
 fn an_unanswered_call_is_repeated_in_time_within_the_fleets_rate_of_calls() {
     for proxies in [1, 3, 48, 100, 200, 300] {
@@ -315,9 +317,9 @@
     )
 }
 
-/// A change of address and the end of a backoff fall into one turn of the event loop. Whichever the task sees first, its next
-/// call goes to the new address and requests the full list. Which one it sees first is random, so the test repeats the race
-/// a dozen times.
+/// A change of address and the end of a backoff fall into one turn of the event loop. Whichever the task sees first,
+/// its next call goes to the new address and requests the full list. Which one it sees first is random, so the test
+/// repeats the race a dozen times.
 #[tokio::test]
 async fn a_change_of_address_at_the_end_of_a_backoff_is_not_missed() {
     let calls = async |from: &std::sync::mpsc::Receiver<String>| loop {
@@ -340,7 +342,7 @@
         calls(&failed).await;
         tokio::time::sleep(Duration::from_millis(30)).await; // the balancer handles the failure
         std::thread::sleep(Duration::from_millis(150)); // the backoff ends while the event loop is blocked
-        host.update_endpoints(EndpointUpdate::Cached, &List::default()); // lets the balancer see that the backoff is over
+        host.update_endpoints(EndpointUpdate::Cached, &List::default()); // the balancer sees that the backoff is over
         moves.send(new).unwrap();
         let first = calls(&asked).await;
         task.abort();
@@ -377,7 +379,7 @@
     };
     for count in [2, 1_000] {
         assert_eq!(
-            body(true, count, 0).len() >= MAX_INLINE_PARSE_BYTES,
+            body(true, count, 0).len() >= MIN_OFFLOADED_PARSE_BYTES,
             count > 2
         );
         let answer = parse_answer(body(true, count, count)).await.unwrap();
--- a/src/net/downstream/server.rs
+++ b/src/net/downstream/server.rs
@@ -28,7 +28,8 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Connections accepted above the limit, using reserved descriptors. Above the limit every response closes its connection.
+/// Connections accepted above the limit, using reserved descriptors. Above the limit every response closes its
+/// connection.
 const CONNECTIONS_ABOVE_LIMIT: usize = 24;
 const BACKLOG: u32 = 1024;
 /// The first request of a connection younger than this is assumed to be in transit.
@@ -151,7 +152,8 @@
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         while self.client_count() >= self.max_clients.get() + CONNECTIONS_ABOVE_LIMIT {
-            // A closing connection still holds its descriptor; accepting the whole backlog would use up the remaining ones.
+            // A closing connection still holds its descriptor; accepting the whole backlog would use up the remaining
+            // ones.
             self.close_least_useful(EVENT_LOOP_TURN);
             self.wait_for_client_close(EVENT_LOOP_TURN).await;
         }
--- a/src/net/downstream/server/client_connection.rs
+++ b/src/net/downstream/server/client_connection.rs
@@ -87,8 +87,8 @@
         self.is_closing.set(false);
     }
 
-    /// Returns its idle state, or `None` if it is in use or already closing. Unread input in the kernel is not considered
-    /// here; the caller checks it for the selected connection only.
+    /// Returns its idle state, or `None` if it is in use or already closing. Unread input in the kernel is not
+    /// considered here; the caller checks it for the selected connection only.
     pub fn idle_state(&self, now: Instant, since: Instant) -> Option<IdleState> {
         if self.is_busy.get() || self.is_closing.get() {
             return None;
@@ -194,8 +194,8 @@
         response
     }
 
-    /// Marks the connection idle when the stream ends. Where the response is delimited by the connection's end, a truncated
-    /// response resets the connection, so that the client can tell that it is incomplete.
+    /// Marks the connection idle when the stream ends. Where the response is delimited by the connection's end, a
+    /// truncated response resets the connection, so that the client can tell that it is incomplete.
     fn mark_idle_after(
         self: &Rc<Self>,
         stream: &mut ResponseStream,
--- a/src/net/downstream/server/request.rs
+++ b/src/net/downstream/server/request.rs
@@ -276,8 +276,8 @@
     Ok(RequestBody::Streaming(streamed))
 }
 
-/// Reads the rest of a streamed body that no backend took: a client that is still sending reads the response only once its
-/// body has been read to the end.
+/// Reads the rest of a streamed body that no backend took: a client that is still sending reads the response only once
+/// its body has been read to the end.
 fn drain_unsent(body: &RequestBody) {
     if let RequestBody::Streaming(upload) = body {
         if let Some(rest) = upload.take() {
--- a/src/net/downstream/server/shutdown.rs
+++ b/src/net/downstream/server/shutdown.rs
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Closes connections as they become idle, until none is left. After the longest deadline no answer is due any more, so
-    /// a connection with an incomplete request does not delay the exit. A response or an upload that is still being
-    /// streamed does, until the platform kills the process.
+    /// Closes connections as they become idle, until none is left. After the longest deadline no answer is due any
+    /// more, so a connection with an incomplete request does not delay the exit. A response or an upload that is still
+    /// being streamed does, until the platform kills the process.
     async fn close_connections(&self) {
         let end = Instant::now() + to_duration(self.longest_deadline()) + FLUSH_TIME;
         while self.client_count() > 0 && (Instant::now() < end || self.is_any_busy()) {
--- a/src/net/downstream/server/tests.rs
+++ b/src/net/downstream/server/tests.rs
@@ -47,8 +47,8 @@
     (text, true)
 }
 
-/// A connection is selected to be closed, and its next request arrives before its task is notified. The request is answered
-/// and the response closes the connection; closing it later could lose another request.
+/// A connection is selected to be closed, and its next request arrives before its task is notified. The request is
+/// answered and the response closes the connection; closing it later could lose another request.
 #[test]
 fn a_request_that_arrives_as_its_connection_is_selected_is_answered_and_closes_it() {
     with_server(async |server, listener| {
@@ -67,8 +67,8 @@
     });
 }
 
-/// A connection is closed while its client's next request is in transit: the request is not served, and the client sees an
-/// orderly end instead of a reset.
+/// A connection is closed while its client's next request is in transit: the request is not served, and the client sees
+/// an orderly end instead of a reset.
 #[test]
 fn a_request_that_crosses_the_close_is_neither_served_nor_reset() {
     with_server(async |server, listener| {
@@ -126,8 +126,8 @@
     });
 }
 
-/// Selecting one of many connections checks for unread input only on the selected one and on those with a request waiting,
-/// once each: checking all of them at each accept left no processor time to accept.
+/// Selecting one of many connections checks for unread input only on the selected one and on those with a request
+/// waiting, once each: checking all of them at each accept left no processor time to accept.
 #[test]
 fn selecting_a_connection_does_not_check_all_of_them_for_unread_input() {
     const SILENT_CLIENTS: usize = 100;
@@ -153,7 +153,8 @@
     });
 }
 
-/// A connection that never sent a request is closed before one that is idle between requests, even if that is idle longer.
+/// A connection that never sent a request is closed before one that is idle between requests, even if that is idle
+/// longer.
 #[test]
 fn a_connection_without_any_request_is_closed_before_an_idle_one() {
     with_server(async |server, listener| {
--- a/src/net/downstream/upload.rs
+++ b/src/net/downstream/upload.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Waits until nothing has been forwarded for `timeout`, as the backend no longer reads. Never returns once the whole body
-    /// was forwarded.
+    /// Waits until nothing has been forwarded for `timeout`, as the backend no longer reads. Never returns once the
+    /// whole body was forwarded.
     pub async fn stalled(&self, timeout: Duration) {
         while self.last_forwarded_at.get() + timeout > Instant::now() {
             tokio::time::sleep_until(self.last_forwarded_at.get() + timeout).await;
@@ -182,8 +182,8 @@
         self.last_active_at = now;
         self.has_waiting_reader = false;
         self.progress.record_forwarded(now);
-        // A client's disconnect may have arrived long ago but be read only now, right behind the body's last byte. The last
-        // byte is then not forwarded, so that the backend does not execute the request.
+        // A client's disconnect may have arrived long ago but be read only now, right behind the body's last byte. The
+        // last byte is then not forwarded, so that the backend does not execute the request.
         let is_complete = next.is_none() || self.incoming.is_end_stream();
         if is_complete && self.client.has_closed() {
             return Poll::Ready(Some(Err(UploadError::Malformed)));
--- a/src/net/host/attempts.rs
+++ b/src/net/host/attempts.rs
@@ -61,8 +61,8 @@
             .insert(AttemptKey { request, attempt }, in_flight);
     }
 
-    /// Returns whether an attempt may still be sent, right before its first byte: the backend is still usable at that address,
-    /// the request and its client still wait, and a backend would still drop a duplicate.
+    /// Returns whether an attempt may still be sent, right before its first byte: the backend is still usable at that
+    /// address, the request and its client still wait, and a backend would still drop a duplicate.
     pub(super) fn may_send(
         self: &Rc<Self>,
         request: RequestId,
@@ -93,8 +93,9 @@
         client.is_some_and(PeerMonitor::has_closed)
     }
 
-    /// Returns when the last byte must be sent of a request with an idempotency key whose first byte is sent now: a duplicate
-    /// sent after that time could be executed first, and the backend would then take this attempt for the duplicate.
+    /// Returns when the last byte must be sent of a request with an idempotency key whose first byte is sent now: a
+    /// duplicate sent after that time could be executed first, and the backend would then take this attempt for the
+    /// duplicate.
     pub(super) fn send_deadline(&self, request: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let s = self.state.borrow();
         let window = s.retry_window(s.requests.get(&request)?)?;
--- a/src/net/host/attempts/tests.rs
+++ b/src/net/host/attempts/tests.rs
@@ -33,8 +33,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Adds a request with an idempotency key and one attempt per entry of `sent_ago_us`, sent that many microseconds ago. The
-/// balancer does not know the attempts.
+/// Adds a request with an idempotency key and one attempt per entry of `sent_ago_us`, sent that many microseconds ago.
+/// The balancer does not know the attempts.
 fn request_with_attempts(
     host: &Rc<Host>,
     sent_ago_us: &[u64],
@@ -115,8 +115,8 @@
     .await;
 }
 
-/// Another attempt is sent only while backends still drop duplicates, whichever attempt was dispatched first: an earlier
-/// attempt whose connection is established late duplicates a later one that was faster.
+/// Another attempt is sent only while backends still drop duplicates, whichever attempt was dispatched first: an
+/// earlier attempt whose connection is established late duplicates a later one that was faster.
 #[tokio::test]
 async fn nothing_is_sent_once_another_attempt_may_have_been_executed_a_window_ago() {
     let host = Host::example();
@@ -167,7 +167,8 @@
     .await;
 }
 
-/// Settings that change while a request is open can shorten its window or forbid another attempt, but not extend the window.
+/// Settings that change while a request is open can shorten its window or forbid another attempt, but not extend the
+/// window.
 #[tokio::test]
 async fn changed_settings_can_only_shorten_the_window() {
     let host = Host::example();
--- a/src/net/host/disabled.rs
+++ b/src/net/host/disabled.rs
@@ -54,8 +54,8 @@
         Some(id)
     }
 
-    /// Ends a reason. If it was the last one the backend is enabled again, as one that may have started as late as `since`.
-    /// Returns false, and changes nothing, if the backend was not disabled for that reason.
+    /// Ends a reason. If it was the last one the backend is enabled again, as one that may have started as late as
+    /// `since`. Returns false, and changes nothing, if the backend was not disabled for that reason.
     pub fn enable_backend(self: &Rc<Self>, name: &str, reason: DisableReason, since: Time) -> bool {
         let was_disabled = self.remove_reason(name, reason);
         if was_disabled {
@@ -73,8 +73,8 @@
         record.is_some_and(|record| record.reasons.remove(reason))
     }
 
-    /// Handles that a reason ended at `since`, in this or another process: unless another reason remains, the backend is
-    /// enabled as one that started then.
+    /// Handles that a reason ended at `since`, in this or another process: unless another reason remains, the backend
+    /// is enabled as one that started then.
     pub fn disable_reason_ended(self: &Rc<Self>, name: &str, since: Time) {
         let backend = {
             let mut s = self.state.borrow_mut();
--- a/src/net/host/disconnect_tests.rs
+++ b/src/net/host/disconnect_tests.rs
@@ -4,8 +4,8 @@
 use crate::net::observed_stream::ObservedStream;
 use meadowproxy::{AttemptNumber, BackendId, EndpointUpdate};
 
-/// Nothing is sent for a client that disconnects right before the first byte: the kernel is asked, as the event loop has not
-/// seen the disconnect yet.
+/// Nothing is sent for a client that disconnects right before the first byte: the kernel is asked, as the event loop
+/// has not seen the disconnect yet.
 #[tokio::test]
 async fn nothing_is_sent_for_a_client_that_has_just_disconnected() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -21,8 +21,8 @@
     pub listed: bool,
     /// Whether the list says that it is serving rather than draining.
     pub serving: bool,
-    /// The available part of its capacity, from 0 to 1: 0 while it drains or is ejected or disabled, less than 1 while it
-    /// warms up.
+    /// The available part of its capacity, from 0 to 1: 0 while it drains or is ejected or disabled, less than 1 while
+    /// it warms up.
     pub readiness: f64,
     /// Whether an operator disabled it.
     pub disabled_by_operator: bool,
@@ -67,8 +67,8 @@
         entry
     }
 
-    /// Applies a malformed entry of which only the name could be read. A known backend is treated as draining, as the entry
-    /// does not say that it is serving.
+    /// Applies a malformed entry of which only the name could be read. A known backend is treated as draining, as the
+    /// entry does not say that it is serving.
     fn apply_unreadable(&mut self, name: &str, changed: &mut Vec<BackendId>) -> Option<Backend> {
         let id = self.ids_by_name.get(name)?;
         changed.push(*id);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns the backends that are no longer listed, are not disabled, have no attempt in flight, and of which the balancer
-    /// holds no state.
+    /// Returns the backends that are no longer listed, are not disabled, have no attempt in flight, and of which the
+    /// balancer holds no state.
     fn unused_backends(&self) -> Vec<BackendId> {
         let in_use: HashSet<BackendId> = self
             .attempts
@@ -129,8 +129,8 @@
         self.apply_endpoints(update, &list.entries());
     }
 
-    /// Applies an update of the endpoint list. Of several entries for one backend the last counts. A known backend whose entry
-    /// is malformed gets no new requests.
+    /// Applies an update of the endpoint list. Of several entries for one backend the last counts. A known backend
+    /// whose entry is malformed gets no new requests.
     pub fn apply_endpoints(self: &Rc<Self>, update: EndpointUpdate, entries: &EntryChunks) {
         let backends = {
             let mut s = self.state.borrow_mut();
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Tells the balancer that a call to discovery failed. A pending poll request is discarded, as it was made before this call
-    /// failed.
+    /// Tells the balancer that a call to discovery failed. A pending poll request is discarded, as it was made before
+    /// this call failed.
     pub fn discovery_failed(self: &Rc<Self>) {
         std::pin::pin!(self.poll_request.notified())
             .as_mut()
@@ -172,8 +172,8 @@
         let _ = received.wait_for(|received| *received).await;
     }
 
-    /// Updates the pool and the set of unlisted backends after a change of the backend's entry or disable reasons: no idle
-    /// connections are kept to a backend that gets no new requests.
+    /// Updates the pool and the set of unlisted backends after a change of the backend's entry or disable reasons: no
+    /// idle connections are kept to a backend that gets no new requests.
     pub(super) fn backend_changed(&self, s: &mut State, id: BackendId) {
         let Some(record) = s.backends.get_mut(&id) else {
             return;
@@ -249,8 +249,8 @@
         statuses
     }
 
-    /// Returns the number of attempts of this proxy in flight at each of these backends, without those that were never in an
-    /// endpoint list.
+    /// Returns the number of attempts of this proxy in flight at each of these backends, without those that were never
+    /// in an endpoint list.
     pub fn in_flight_counts(&self, names: &BTreeSet<String>) -> BTreeMap<String, u32> {
         if names.is_empty() {
             return BTreeMap::new();
--- a/src/net/host/endpoints/tests.rs
+++ b/src/net/host/endpoints/tests.rs
@@ -89,18 +89,18 @@
 }
 
 fn entry(change: serde_json::Value) -> serde_json::Value {
-    let mut line = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
+    let mut json = serde_json::json!({"name": "b", "address": "127.0.0.1:9", "status": "SERVING",
         "zone": "east", "type": "small", "group": 7});
     change
         .as_object()
         .unwrap()
         .iter()
-        .for_each(|(key, value)| line[key] = value.clone());
-    line
+        .for_each(|(key, value)| json[key] = value.clone());
+    json
 }
 
-/// A known backend whose entry is malformed gets no new requests, in full lists and in changes, until its next valid entry.
-/// A malformed entry does not add a backend that was never listed.
+/// A known backend whose entry is malformed gets no new requests, in full lists and in changes, until its next valid
+/// entry. A malformed entry does not add a backend that was never listed.
 #[test]
 fn a_backend_with_a_malformed_entry_gets_no_new_requests_until_a_valid_one() {
     let malformed = [
@@ -138,8 +138,8 @@
     }
 }
 
-/// Of several entries for one backend the last one counts, for the host and for the balancer. Only the last entry's start time
-/// counts too, so a repeated list does not restart the warm-up.
+/// Of several entries for one backend the last one counts, for the host and for the balancer. Only the last entry's
+/// start time counts too, so a repeated list does not restart the warm-up.
 #[test]
 fn of_several_entries_for_one_backend_the_last_counts() {
     let list_of_statuses = |statuses: [&str; 2]| {
@@ -212,7 +212,7 @@
     }
 }
 
-fn named(name: &str, status: &str) -> serde_json::Value {
+fn entry_with_status(name: &str, status: &str) -> serde_json::Value {
     entry(serde_json::json!({"name": name, "status": status}))
 }
 
@@ -232,17 +232,29 @@
         let (old, new) = (format!("r{n}"), format!("r{}", n + 1));
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &list_of([named(&old, "SERVING")], false),
+            &list_of([entry_with_status(&old, "SERVING")], false),
         );
         assert!(ids.insert(host.state.borrow().ids_by_name[old.as_str()]) || n > 0);
         match n % 2 {
             0 => host.update_endpoints(
                 EndpointUpdate::Incremental,
-                &list_of([named(&old, "DELETED"), named(&new, "SERVING")], false),
+                &list_of(
+                    [
+                        entry_with_status(&old, "DELETED"),
+                        entry_with_status(&new, "SERVING"),
+                    ],
+                    false,
+                ),
             ),
             _ => host.update_endpoints(
                 EndpointUpdate::Full,
-                &list_of([named("b", "SERVING"), named(&new, "SERVING")], true),
+                &list_of(
+                    [
+                        entry_with_status("b", "SERVING"),
+                        entry_with_status(&new, "SERVING"),
+                    ],
+                    true,
+                ),
             ),
         }
         assert_eq!(known_names(&host), vec!["b".to_string(), new]);
@@ -265,12 +277,12 @@
         assert_eq!(known_names(&host), vec!["b"]);
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &list_of([named("b", "SERVING")], false),
+            &list_of([entry_with_status("b", "SERVING")], false),
         );
         assert_eq!(status(&host).readiness, 0.0);
         host.update_endpoints(
             EndpointUpdate::Incremental,
-            &list_of([named("b", "DELETED")], false),
+            &list_of([entry_with_status("b", "DELETED")], false),
         );
         assert!(host.enable_backend("b", reason, host.clock.now()));
         host.update_endpoints(EndpointUpdate::Incremental, &list_of([], false));
@@ -278,8 +290,8 @@
     }
 }
 
-/// A backend that is no longer listed stays known while an attempt to it is in flight, so that the attempt's end still refers
-/// to it, and while the balancer holds state of its warm-up.
+/// A backend that is no longer listed stays known while an attempt to it is in flight, so that the attempt's end still
+/// refers to it, and while the balancer holds state of its warm-up.
 #[tokio::test]
 async fn an_unlisted_backend_stays_known_during_attempts_and_slow_start() {
     let scope = tokio::task::LocalSet::new();
@@ -373,7 +385,8 @@
     }
 }
 
-/// The backend of a response that is still streamed stays known after it is unlisted, although the balancer has released it.
+/// The backend of a response that is still streamed stays known after it is unlisted, although the balancer has
+/// released it.
 #[tokio::test]
 async fn an_unlisted_backend_stays_known_while_it_streams_a_response() {
     let scope = tokio::task::LocalSet::new();
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -1,5 +1,5 @@
-//! State that survives a restart: the balancer's learned state, with names instead of ids, and the backends that operators
-//! disabled. `net::state` stores it.
+//! State that survives a restart: the balancer's learned state, with names instead of ids, and the backends that
+//! operators disabled. `net::state` stores it.
 
 use super::backend_directory::DisableReason;
 use super::Host;
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Restores what an earlier process saved `age` ago. Disabled backends are disabled at once; the balancer decides how much
-    /// of the rest it uses. Learned state under names that this process does not know is ignored.
+    /// Restores what an earlier process saved `age` ago. Disabled backends are disabled at once; the balancer decides
+    /// how much of the rest it uses. Learned state under names that this process does not know is ignored.
     pub fn restore_learned_state(self: &Rc<Self>, saved: SavedState, age: Micros) {
         for name in &saved.disabled {
             if !self.is_disabled(name, DisableReason::Operator) {
--- a/src/net/host/requests.rs
+++ b/src/net/host/requests.rs
@@ -69,8 +69,8 @@
         self.cancel_attempts(id);
     }
 
-    /// Ends a request at its deadline. Its attempts are reported as timed out, on which the balancer decides the final answer;
-    /// if it does not, the request is answered as timed out.
+    /// Ends a request at its deadline. Its attempts are reported as timed out, on which the balancer decides the final
+    /// answer; if it does not, the request is answered as timed out.
     pub fn deadline_expired(self: &Rc<Self>, id: RequestId) {
         for attempt in self.in_flight_attempts(id) {
             self.attempt_ended(
--- a/src/net/host/state.rs
+++ b/src/net/host/state.rs
@@ -82,9 +82,9 @@
 pub const COUNTER_COUNT: usize = 12;
 
 impl RequestCounters {
-    /// Returns each counter with the name of its metric. Some metrics keep older terms: `refused` for rejected, `overdue` for
-    /// timed out, `gone` for client disconnected, `full` for overloaded, `unconnected` for connect failed, and `unsent` for not
-    /// sent.
+    /// Returns each counter with the name of its metric. Some metrics keep older terms: `refused` for rejected,
+    /// `overdue` for timed out, `gone` for client disconnected, `full` for overloaded, `unconnected` for connect
+    /// failed, and `unsent` for not sent.
     pub fn named(&self) -> [(&'static str, u64); COUNTER_COUNT] {
         [
             ("meadowproxy_requests_total", self.requests),
@@ -113,7 +113,8 @@
     /// The classes in force; empty until settings change for the first time.
     pub classes: Vector<RequestClass>,
     pub ids_by_name: HashMap<Rc<str>, BackendId>,
-    /// The backends by id. Ids are never reused, so that a late event for a removed backend does not refer to another one.
+    /// The backends by id. Ids are never reused, so that a late event for a removed backend does not refer to another
+    /// one.
     pub backends: BackendDirectory,
     pub next_backend_id: u32,
     /// The known backends that are not in the endpoint list.
@@ -180,9 +181,9 @@
         counts
     }
 
-    /// Returns how long after the first attempt that may have been executed another one may be sent: `None` without limit, zero
-    /// never, and otherwise for as long as backends recognise the idempotency key. Changes of settings since the request
-    /// arrived can only shorten it.
+    /// Returns how long after the first attempt that may have been executed another one may be sent: `None` without
+    /// limit, zero never, and otherwise for as long as backends recognise the idempotency key. Changes of settings
+    /// since the request arrived can only shorten it.
     pub fn retry_window(&self, request: &OpenRequest) -> Option<Micros> {
         let at_arrival = retry_window_of(&request.idempotency);
         let in_force = self
@@ -192,9 +193,9 @@
         [at_arrival, in_force].into_iter().flatten().min()
     }
 
-    /// Returns until when a backend still drops `attempt` as a duplicate of another attempt that may have been executed or still
-    /// may be. The window starts with the dispatch of that other attempt, before which it cannot have been executed. Later
-    /// attempts count like earlier ones, as they may have reached a backend first.
+    /// Returns until when a backend still drops `attempt` as a duplicate of another attempt that may have been executed
+    /// or still may be. The window starts with the dispatch of that other attempt, before which it cannot have been
+    /// executed. Later attempts count like earlier ones, as they may have reached a backend first.
     pub fn duplicate_deadline(&self, id: RequestId, attempt: AttemptNumber) -> Option<Time> {
         let request = self.requests.get(&id)?;
         let in_flight_sends = (0..request.attempts)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
 //! The proxy's network I/O: runs [`meadowproxy::Balancer`] on real sockets.
 //!
-//! A request arrives through [`downstream`], [`host`] passes it to the balancer, and [`upstream`] forwards it. The endpoint
-//! list comes from [`discovery`], the configuration from [`config`], and operators' calls from [`admin`]. The proxies of a
-//! fleet share state through [`cluster`]; [`state`] holds what outlives the process.
+//! A request arrives through [`downstream`], [`host`] passes it to the balancer, and [`upstream`] forwards it. The
+//! endpoint list comes from [`discovery`], the configuration from [`config`], and operators' calls from [`admin`]. The
+//! proxies of a fleet share state through [`cluster`]; [`state`] holds what outlives the process.
 
 pub mod admin;
 pub mod background_thread;
@@ -23,8 +23,8 @@
 /// Maximum size of a buffered request or response body, in bytes. Longer bodies are streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// The balancer's clock: monotonic, and aligned with Unix time when it is created, so that start times in endpoint lists
-/// can be compared with it.
+/// The balancer's clock: monotonic, and aligned with Unix time when it is created, so that start times in endpoint
+/// lists can be compared with it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
--- a/src/net/observed_stream.rs
+++ b/src/net/observed_stream.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Maximum duration of a lingering close, and the maximum number of bytes that it reads, before it stops waiting for the
-/// peer to close.
+/// Maximum duration of a lingering close, and the maximum number of bytes that it reads, before it stops waiting for
+/// the peer to close.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_LINGER_BYTES: usize = 1 << 20;
 /// Maximum size of a read, in bytes.
@@ -52,8 +52,8 @@
 }
 
 impl Inner {
-    /// Queries the kernel, as the event loop may not have processed the close yet. Peeking would not detect an end of the stream
-    /// behind unread bytes.
+    /// Queries the kernel, as the event loop may not have processed the close yet. Peeking would not detect an end of
+    /// the stream behind unread bytes.
     fn has_closed(&self) -> bool {
         let mut peer_close = [PollFd::new(&self.tcp, PollFlags::RDHUP)];
         poll(&mut peer_close, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
@@ -114,15 +114,16 @@
         }
     }
 
-    /// Makes closing the stream send a reset, so that the peer can tell that a response is truncated even if the response is
-    /// delimited by the end of the connection.
+    /// Makes closing the stream send a reset, so that the peer can tell that a response is truncated even if the
+    /// response is delimited by the end of the connection.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.0.tcp).set_linger(Some(Duration::ZERO));
         self.0.resets_on_close.set(true);
     }
 
-    /// Performs a lingering close: closes the sending side, then reads and discards input until the peer closes too, within
-    /// limits. Closing a socket with unread input would send a reset, on which the peer loses what it has not read yet.
+    /// Performs a lingering close: closes the sending side, then reads and discards input until the peer closes too,
+    /// within limits. Closing a socket with unread input would send a reset, on which the peer loses what it has not
+    /// read yet.
     pub async fn close_lingering(&self) {
         if self.0.resets_on_close.get() {
             return;
@@ -159,8 +160,8 @@
         self.last_received_at().is_some() && !self.has_unread_input()
     }
 
-    /// Returns whether bytes were read since `mark_idle` or are waiting in the kernel, or the peer has closed. Queries the
-    /// kernel, as the event loop may not have processed the input yet.
+    /// Returns whether bytes were read since `mark_idle` or are waiting in the kernel, or the peer has closed. Queries
+    /// the kernel, as the event loop may not have processed the input yet.
     pub fn has_activity(&self) -> bool {
         self.0.has_received.get() || self.has_unread_input()
     }
--- a/src/net/observed_stream/tests.rs
+++ b/src/net/observed_stream/tests.rs
@@ -89,8 +89,8 @@
     peer.read_to_end(&mut received).map(|_| received)
 }
 
-/// A lingering close with unread input, and more input afterwards, lets the peer read everything that was written and an
-/// orderly end instead of a reset.
+/// A lingering close with unread input, and more input afterwards, lets the peer read everything that was written and
+/// an orderly end instead of a reset.
 #[tokio::test]
 async fn a_lingering_close_over_unread_input_loses_no_output() {
     let (mut stream, mut peer) = connected_pair().await;
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -77,8 +77,8 @@
 }
 
 impl ConnectionPool {
-    /// Sends `request` to a backend and waits for the response. `deadline` is sent along as `X-Time-Left`; the caller enforces
-    /// it.
+    /// Sends `request` to a backend and waits for the response. `deadline` is sent along as `X-Time-Left`; the caller
+    /// enforces it.
     pub async fn attempt(
         &self,
         backend: BackendId,
@@ -180,8 +180,8 @@
             }
             (outcome, Err(error)) => {
                 target.log_failure(error_chain(error.as_ref()));
-                // The body is unusable. A request answered with 200 was executed, and a truncated response that claims the
-                // opposite is not trusted.
+                // The body is unusable. A request answered with 200 was executed, and a truncated response that claims
+                // the opposite is not trusted.
                 AttemptResult::without_response(match outcome {
                     Outcome::Error => outcome,
                     _ => Outcome::Reset,
@@ -209,8 +209,8 @@
             headers: strip_backend_headers(&mut head.headers),
             body: ResponseBody::Streaming(stream),
         });
-        // The backend may send everything long before the client has read it. For the backend's idle timeout the connection
-        // may be idle from here on.
+        // The backend may send everything long before the client has read it. For the backend's idle timeout the
+        // connection may be idle from here on.
         let started = Instant::now();
         let driven = drive_past_close(
             &mut connection.connection,
@@ -283,8 +283,8 @@
     let work = async {
         sender.ready().await?;
         let response = sender.send_request(request).await?;
-        // A response that arrives before the request's last byte cannot be a response to it. The connection is dropped, so
-        // the request is never executed.
+        // A response that arrives before the request's last byte cannot be a response to it. The connection is dropped,
+        // so the request is never executed.
         if !status.is_sent() {
             return Ok(BackendResponse::BeforeRequestSent(outcome_of(&response)));
         }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// A connection to a backend and its slot in the pool's count. It is polled only while a request is in progress. Dropping it
-/// closes the socket, which is how an attempt is cancelled.
+/// A connection to a backend and its slot in the pool's count. It is polled only while a request is in progress.
+/// Dropping it closes the socket, which is how an attempt is cancelled.
 pub struct PooledConnection {
     pub sender: http1::SendRequest<OutgoingBody>,
     pub connection: http1::Connection<ObservedStream, OutgoingBody>,
@@ -50,8 +50,8 @@
 }
 
 impl PooledConnection {
-    /// Performs the HTTP/1 handshake. hyper accepts a request only after the connection was polled once; polling it here
-    /// avoids a wait between the last check of whether a request may be sent and its first byte.
+    /// Performs the HTTP/1 handshake. hyper accepts a request only after the connection was polled once; polling it
+    /// here avoids a wait between the last check of whether a request may be sent and its first byte.
     pub async fn open(
         stream: ObservedStream,
         address: SocketAddr,
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -109,11 +109,11 @@
 
 /// Callbacks that an attempt queries and notifies as it proceeds.
 pub trait Progress {
-    /// Returns whether the request may still be sent. Called right before the first byte, as the backend may have begun to
-    /// drain while the connection was established.
+    /// Returns whether the request may still be sent. Called right before the first byte, as the backend may have begun
+    /// to drain while the connection was established.
     fn may_send(&self) -> bool;
-    /// Returns the time by which the last byte of a buffered request must be sent, if there is one. Called right before the
-    /// first byte.
+    /// Returns the time by which the last byte of a buffered request must be sent, if there is one. Called right before
+    /// the first byte.
     fn send_deadline(&self) -> Option<Instant>;
     /// A streamed body has begun to be sent; it cannot be sent again.
     fn upload_started(&self);
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -16,11 +16,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Fraction of the backends' idle timeout after which a connection is no longer reused. Well below 1, as a backend may have
-/// started its timer before the proxy did.
+/// Fraction of the backends' idle timeout after which a connection is no longer reused. Well below 1, as a backend may
+/// have started its timer before the proxy did.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// Minimum time between a response and the next request on the same connection. Stray bytes of a faulty backend, such as a
-/// second response, arrive in this time and are not taken for the response to the next request.
+/// Minimum time between a response and the next request on the same connection. Stray bytes of a faulty backend, such
+/// as a second response, arrive in this time and are not taken for the response to the next request.
 const MIN_REUSE_DELAY: Duration = Duration::from_millis(3);
 /// Interval at which expired idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -135,8 +135,8 @@
         idle.entry(id).or_default().push(connection);
     }
 
-    /// Returns a connection to the pool after its response, idle since `idle_since`. If it is not ready for another request it
-    /// is closed instead: the response must not wait for it.
+    /// Returns a connection to the pool after its response, idle since `idle_since`. If it is not ready for another
+    /// request it is closed instead: the response must not wait for it.
     pub(super) fn check_in_if_ready(
         &self,
         id: BackendId,
@@ -175,10 +175,10 @@
         self.reopen_backend(id);
     }
 
-    /// Records that an attempt sent at `sent_at` was given up without a response. If the backend has not responded to anything
-    /// since, its machine may be unreachable and its idle connections dead without notice, so they are closed. A request
-    /// written to a dead connection may have been executed as far as the proxy can tell, while a failure to connect proves
-    /// that it was not.
+    /// Records that an attempt sent at `sent_at` was given up without a response. If the backend has not responded to
+    /// anything since, its machine may be unreachable and its idle connections dead without notice, so they are closed.
+    /// A request written to a dead connection may have been executed as far as the proxy can tell, while a failure to
+    /// connect proves that it was not.
     pub fn record_unanswered_attempt(&self, id: BackendId, sent_at: Instant) {
         let responses = self.last_response_at.borrow();
         if responses.get(&id).is_none_or(|at| *at < sent_at) {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -33,7 +33,7 @@
     TooLong,
 }
 
-/// A response, as much of it as was read before its outcome was known.
+/// A backend's response, read as far as it is buffered.
 pub enum BackendResponse {
     /// Its head arrived before the request was completely sent; the outcome is the one that the head states.
     BeforeRequestSent(Outcome),
@@ -148,8 +148,8 @@
     std::mem::take(headers)
 }
 
-/// Returns the outcome that a response's head states. Under a status that the protocol does not list the request may have
-/// been executed.
+/// Returns the outcome that a response's head states. Under a status that the protocol does not list the request may
+/// have been executed.
 pub fn outcome_of(response: &Response<Incoming>) -> Outcome {
     let is_unprocessed = response
         .headers()
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -74,8 +74,8 @@
     assert!(received.is_empty(), "{received:?}");
 }
 
-/// At the limit an idle connection to another backend is closed first. If there is none the attempt ends as `NotSent`, which
-/// does not count against the backend.
+/// At the limit an idle connection to another backend is closed first. If there is none the attempt ends as `NotSent`,
+/// which does not count against the backend.
 #[tokio::test]
 async fn at_the_limit_idle_connections_are_closed() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -108,8 +108,8 @@
     fn response_started(&self, _: ServedResponse) {}
 }
 
-/// Adds a connection with small socket buffers to the pool, so that a long request cannot be written until the backend reads.
-/// Returns the backend's address and its end of the connection.
+/// Adds a connection with small socket buffers to the pool, so that a long request cannot be written until the backend
+/// reads. Returns the backend's address and its end of the connection.
 async fn connection_with_small_buffers(pool: &ConnectionPool) -> (SocketAddr, std::net::TcpStream) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -145,8 +145,8 @@
     }
 }
 
-/// A response that arrives while the request is still being sent cannot be a response to it: the connection is closed, and
-/// the outcome says that the request was not executed.
+/// A response that arrives while the request is still being sent cannot be a response to it: the connection is closed,
+/// and the outcome says that the request was not executed.
 #[tokio::test]
 async fn a_response_before_the_last_byte_is_not_taken_for_the_requests_own() {
     for (head, outcome) in [
@@ -194,8 +194,8 @@
     }
 }
 
-/// A duplicate that is not completely sent by its deadline is cut off before the last byte. A backend that reads it slowly
-/// would otherwise complete it after the time in which it drops duplicates, and execute it again.
+/// A duplicate that is not completely sent by its deadline is cut off before the last byte. A backend that reads it
+/// slowly would otherwise complete it after the time in which it drops duplicates, and execute it again.
 #[tokio::test]
 async fn a_duplicate_that_is_not_sent_in_time_is_never_complete() {
     let pool = pool(4);
