--- a/src/balancer/endpoints/mod.rs
+++ b/src/balancer/endpoints/mod.rs
@@ -17,7 +17,7 @@
 
 use super::random::RandomSource;
 use crate::interface::{BackendId, BackendState, Config, HardwareClassId, Micros, Time, ZoneId};
-use load::draw_weight;
+use load::selection_weight;
 use std::collections::BTreeSet;
 
 /// All known endpoints.
@@ -207,7 +207,7 @@
         load.silent = record.silent;
         load.available = available;
         let began_at = record.slow_start_began_at();
-        let duration = Micros(config.slow_start.0.max(1));
+        let duration = Micros(config.slow_start_duration.0.max(1));
         load.slow_start_ends_at = began_at.map_or(Time(0), |began_at| began_at + duration);
         let past_window_at = began_at.map_or(Time(0), |_| {
             load.slow_start_ends_at + config.overload_window
@@ -255,7 +255,7 @@
 
     /// Returns the weight of a selectable endpoint: its share of the subset, plus a tiny weight as a last resort.
     pub fn weight(&self, index: usize) -> f64 {
-        draw_weight(self.subset_share[index], self.own_traffic_share[index])
+        selection_weight(self.subset_share[index], self.own_traffic_share[index])
     }
 
     fn set_weight(&mut self, index: usize, weight: f64) {
@@ -281,8 +281,8 @@
     }
 
     /// Selects an endpoint of the group at random by weight.
-    pub fn draw(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
-        let index = self.groups[group].draw(random)?;
+    pub fn select_endpoint(&self, group: usize, random: &mut RandomSource) -> Option<BackendId> {
+        let index = self.groups[group].select_member(random)?;
         Some(self.ids[index as usize])
     }
 }
