--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -9,7 +9,7 @@
 mod rig;
 
 use generated::{request, settings, Size};
-use meadowproxy::settings::{ActiveSettings, Amendment, ReadOptions, Settings, SettingsChange};
+use meadowproxy::settings::{ActiveSettings, EntryChange, ReadOptions, Settings, SettingsChange};
 use meadowproxy::{Balancer, Event, Time};
 use rig::{entry, ok, BackendServer, Proxy};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -187,7 +187,8 @@
 /// What one amended entry costs where requests wait, in ms: the change itself, and the module's taking of it.
 fn amendments(name: &str, size: Size) {
     let text: serde_json::Value = serde_json::from_str(&settings(size, 1.0)).unwrap();
-    let mut tables = ActiveSettings::first(&Settings::of(&text, ReadOptions::default())).unwrap();
+    let mut tables =
+        ActiveSettings::initial(&Settings::from_value(&text, ReadOptions::default())).unwrap();
     let mut balancer = Balancer::from_validated(tables.config.clone(), 1);
     let mut took = Vec::new();
     for n in 0..AMENDMENTS {
@@ -195,11 +196,11 @@
             0 => {
                 let mut route = text["profiles"][n % size.routes].clone();
                 route["gain"] = (2 + n).into();
-                Amendment::SetProfile(route)
+                EntryChange::SetProfile(route)
             }
             tenants => {
                 let entry = &text["customers"][(n * 104_729) % tenants];
-                Amendment::SetCustomer(
+                EntryChange::SetCustomer(
                     serde_json::json!({"name": entry["name"], "quota_rps": 3 + n}),
                 )
             }
@@ -211,7 +212,7 @@
             reinstated,
             successors,
             ..
-        } = tables.amend(&[one]).unwrap();
+        } = tables.change_entries(&[one]).unwrap();
         let config = Box::new(to.config.clone());
         balancer.handle(
             Time(1),
--- a/src/bin/meadowproxy-adapter/event.rs
+++ b/src/bin/meadowproxy-adapter/event.rs
@@ -82,7 +82,7 @@
             .ok_or_else(|| message.unexpected(ROSTER_NUMBER, "a known roster number"))?;
         for entry in entries {
             let id = instance.backend(&entry.address);
-            backends.push(instance.names.entry(&entry.row, id));
+            backends.push(instance.names.backend_for(&entry.row, id));
         }
     }
     Ok(Event::EndpointsUpdated { update, backends })
--- a/src/net/cluster/coordination/config_change.rs
+++ b/src/net/cluster/coordination/config_change.rs
@@ -2,7 +2,7 @@
 //! in force at this proxy. The texts of its errors are returned to the operator.
 
 use super::call::{json_line, Call, CallResponse};
-use crate::net::config::fleet_overrides::{AmendError, FleetOverrides};
+use crate::net::config::fleet_overrides::{FleetOverrides, InvalidEntries};
 use hyper::{Method, StatusCode};
 use meadowproxy::fleet::config::{check_edits, Edit, InvalidEntry, Key, Kind, Value};
 use serde::Deserialize;
@@ -63,8 +63,8 @@
     NotFound(Vec<FieldError>),
 }
 
-impl From<AmendError> for CallError {
-    fn from(error: AmendError) -> CallError {
+impl From<InvalidEntries> for CallError {
+    fn from(error: InvalidEntries) -> CallError {
         let texts = error.0.iter().map(ToString::to_string);
         CallError::Invalid(texts.map(|text| FieldError::from_text(&text)).collect())
     }
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -181,7 +181,7 @@
 ) -> io::Result<Arc<SharedState>> {
     let own_address = gossip.own_address();
     let lease_rules = section
-        .leases()
+        .lease_rules()
         .map_err(|error| io::Error::other(error.to_string()))?;
     let incarnation = RandomState::new().build_hasher().finish();
     let calendar = Calendar::new(Rules {
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -8,12 +8,12 @@
 
 /// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum NodeConfigError {
     /// No file is named.
     #[error(
         "NODE_CONFIG is not set: expected the path of the configuration there, or --config FILE"
     )]
-    FileMissing,
+    FileNotSpecified,
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
@@ -32,7 +32,7 @@
     },
     /// The environment variable for the admin address holds something else.
     #[error("NODE_CONTROL={0}: expected an address and a port")]
-    AdminAddress(String),
+    InvalidAdminAddress(String),
     /// A value of the command line has no place in the file.
     #[error(transparent)]
     Override(#[from] OverrideError),
@@ -44,16 +44,16 @@
     Settings(#[from] SettingsError),
     /// The seed is no number.
     #[error("settings: seed: expected a number or up to 16 hex digits")]
-    Seed,
+    InvalidSeed,
     /// A key that stood in the file before is missing.
     #[error("settings: {0}: missing")]
-    KeyMissing(String),
+    MissingKey(String),
     /// The part on coordination has an error.
     #[error("duties: {0}")]
     Coordination(#[from] CoordinationError),
     /// The version of the fleet's configuration is too large.
     #[error("version: expected a version of the configuration, below {VERSION_LIMIT}")]
-    Version,
+    VersionTooLarge,
 }
 
 /// Why a value of the command line cannot be used.
@@ -61,13 +61,13 @@
 pub enum OverrideError {
     /// There is no `=`.
     #[error("expected KEY=VALUE")]
-    ValueMissing,
+    MissingValue,
     /// The path before the `=` is empty or has an empty segment.
     #[error("expected a dotted path before the =")]
-    PathMissing,
+    EmptyPathSegment,
     /// The path leads through something that is no table, or to an item that a list does not have.
     #[error("--set {path}: there is no {segment}")]
-    UnknownItem {
+    PathNotFound {
         /// The whole path.
         path: String,
         /// Where it leads no further.
@@ -80,21 +80,21 @@
 pub enum CoordinationError {
     /// Coordination needs gossip.
     #[error("peers is missing: duties are kept between the proxies of a fleet")]
-    PeersMissing,
+    MissingPeers,
     /// Gossip would be too old before the leader's next heartbeat.
-    #[error("peers.max_age_s: expected at least {least_s} with duties")]
-    MaxAge {
+    #[error("peers.max_age_s: expected at least {min_s} with duties")]
+    MaxAgeTooShort {
         /// The least value.
-        least_s: f64,
+        min_s: f64,
     },
     /// A voter is named twice.
     #[error("voters: an address stands twice")]
     DuplicateVoter,
     /// A lease would end before it is renewed.
-    #[error("lease_ms: expected at least {least_ms}")]
+    #[error("lease_ms: expected at least {min_ms}")]
     LeaseTooShort {
         /// The least value.
-        least_ms: u64,
+        min_ms: u64,
     },
     /// A part that is not between 0 and 1.
     #[error("{key}: expected from 0 to 1")]
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -1,6 +1,6 @@
 //! The configuration file: its schema, and how it is read.
 
-use super::error::NodeError;
+use super::error::NodeConfigError;
 use super::sections::{CoordinationSection, GossipSection, SnapshotSection};
 use super::source::{is_toml, Source};
 use super::text_reader::TextReader;
@@ -70,9 +70,9 @@
 
 impl ConfigFile {
     /// Checks what concerns the fleet.
-    pub fn check_fleet(&self) -> Result<(), NodeError> {
+    pub fn check_fleet(&self) -> Result<(), NodeConfigError> {
         if self.version.is_some_and(|version| version >= VERSION_LIMIT) {
-            return Err(NodeError::Version);
+            return Err(NodeConfigError::VersionTooLarge);
         }
         if let Some(duties) = &self.duties {
             duties.check(self.peers.as_ref())?;
@@ -81,18 +81,20 @@
     }
 
     /// The seed: a number, or up to 16 hex digits.
-    pub fn parse_seed(&self) -> Result<u64, NodeError> {
+    pub fn parse_seed(&self) -> Result<u64, NodeConfigError> {
         let digits = self.seed.as_str();
         let from_hex = digits.and_then(|digits| u64::from_str_radix(digits, 16).ok());
-        from_hex.or(self.seed.as_u64()).ok_or(NodeError::Seed)
+        from_hex
+            .or(self.seed.as_u64())
+            .ok_or(NodeConfigError::InvalidSeed)
     }
 }
 
 /// The endpoint list that the file brings along.
 #[derive(Default)]
-pub struct Known {
+pub struct KnownEndpoints {
     pub index: u64,
-    pub lines: EntryChunks,
+    pub entries: EntryChunks,
 }
 
 /// What is wanted of a file.
@@ -110,7 +112,7 @@
 pub(super) struct ParsedFile {
     /// The file without settings and endpoint list.
     pub file: ConfigFile,
-    pub known: Known,
+    pub known: KnownEndpoints,
     pub settings: Settings,
     /// The paths of the file's keys but those inside lists.
     pub keys: BTreeSet<String>,
@@ -119,20 +121,23 @@
 }
 
 /// Reads the file of a source.
-pub(super) fn parse(source: &Source, purpose: Purpose<'_>) -> Result<ParsedFile, NodeError> {
-    let path = source.file.as_deref().ok_or(NodeError::FileMissing)?;
+pub(super) fn parse(source: &Source, purpose: Purpose<'_>) -> Result<ParsedFile, NodeConfigError> {
+    let path = source
+        .file
+        .as_deref()
+        .ok_or(NodeConfigError::FileNotSpecified)?;
     let mut lists = FileLists::new(source, purpose);
     let rest = read_without_lists(source, path, &mut lists)?;
     let mut keys = BTreeSet::new();
     collect_keys(&rest, "", &mut keys);
     let mut unknown = Vec::new();
     let mut file = deserialize(rest, path, &mut unknown)?;
-    let lines = lists
+    let entries = lists
         .endpoints
         .map_or_else(EntryChunks::default, ParsedEntries::into_entries);
     let settings = Settings::new(std::mem::take(&mut file.settings), lists.settings);
     if source.is_strict() {
-        let inside = settings.unknown();
+        let inside = settings.unknown_paths();
         unknown.extend(inside.into_iter().map(|key| format!("settings.{key}")));
     }
     if !is_toml(path) {
@@ -140,9 +145,9 @@
         unknown.retain(is_override);
     }
     Ok(ParsedFile {
-        known: Known {
+        known: KnownEndpoints {
             index: file.known.index,
-            lines,
+            entries,
         },
         file,
         settings,
@@ -152,23 +157,26 @@
 }
 
 /// The file with the values of the command line in it, as TOML with every default written out.
-pub fn show(source: &Source) -> Result<String, NodeError> {
-    let path = source.file.as_deref().ok_or(NodeError::FileMissing)?;
+pub fn show(source: &Source) -> Result<String, NodeConfigError> {
+    let path = source
+        .file
+        .as_deref()
+        .ok_or(NodeConfigError::FileNotSpecified)?;
     let file = deserialize(read_document(source, path)?, path, &mut Vec::new())?;
     // Through a table, which puts plain values before the tables inside it.
     let table = toml::Table::try_from(&file).map_err(|error| malformed(path, &error))?;
     toml::to_string_pretty(&table).map_err(|error| malformed(path, &error))
 }
 
-fn malformed(path: &Path, problem: &impl ToString) -> NodeError {
-    NodeError::Malformed {
+fn malformed(path: &Path, problem: &impl ToString) -> NodeConfigError {
+    NodeConfigError::Malformed {
         path: path.into(),
         problem: problem.to_string(),
     }
 }
 
-fn unreadable(path: &Path, source: std::io::Error) -> NodeError {
-    NodeError::Unreadable {
+fn unreadable(path: &Path, source: std::io::Error) -> NodeConfigError {
+    NodeConfigError::Unreadable {
         path: path.into(),
         source,
     }
@@ -179,7 +187,7 @@
     source: &Source,
     path: &Path,
     lists: &mut FileLists,
-) -> Result<Value, NodeError> {
+) -> Result<Value, NodeConfigError> {
     if source.is_strict() {
         let document = read_document(source, path)?;
         extract_lists(document, lists).map_err(|error| malformed(path, &error))
@@ -189,7 +197,7 @@
 }
 
 /// The document of a JSON file as it is read: its text is never in memory as a whole.
-fn stream_document(path: &Path, lists: &mut FileLists) -> Result<Value, NodeError> {
+fn stream_document(path: &Path, lists: &mut FileLists) -> Result<Value, NodeConfigError> {
     let text = TextReader::open(path).map_err(|error| unreadable(path, error))?;
     let reader = BufReader::with_capacity(READ_BUFFER_BYTES, text);
     let mut json = serde_json::Deserializer::from_reader(reader);
@@ -205,7 +213,7 @@
 }
 
 /// The document of a file with the values of the command line in it.
-fn read_document(source: &Source, path: &Path) -> Result<Value, NodeError> {
+fn read_document(source: &Source, path: &Path) -> Result<Value, NodeConfigError> {
     let mut text = String::new();
     let read = TextReader::open(path).and_then(|mut reader| reader.read_to_string(&mut text));
     read.map_err(|error| unreadable(path, error))?;
@@ -225,7 +233,7 @@
     document: Value,
     path: &Path,
     unknown: &mut Vec<String>,
-) -> Result<ConfigFile, NodeError> {
+) -> Result<ConfigFile, NodeConfigError> {
     let mut note_unknown = |key: serde_ignored::Path<'_>| unknown.push(key.to_string());
     let reader = serde_ignored::Deserializer::new(document, &mut note_unknown);
     serde_path_to_error::deserialize(reader).map_err(|error| {
@@ -272,10 +280,10 @@
     fn new(source: &Source, purpose: Purpose<'_>) -> FileLists {
         let options = ReadOptions {
             strict: source.is_strict(),
-            digested: !matches!(purpose, Purpose::Check),
+            compute_digest: !matches!(purpose, Purpose::Check),
         };
         let settings = match purpose {
-            Purpose::Reload(in_force) => LongLists::over(options, in_force),
+            Purpose::Reload(in_force) => LongLists::replacing(options, in_force),
             Purpose::Check | Purpose::Start => LongLists::new(options),
         };
         let wants_endpoints = matches!(purpose, Purpose::Start);
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -3,7 +3,7 @@
 //! puts them in force.
 
 use meadowproxy::fleet::config::{Edit, Entry, FileError, Key, Kind, Overrides, Value};
-use meadowproxy::settings::{ActiveSettings, Amendment, SettingsChange, SettingsError};
+use meadowproxy::settings::{ActiveSettings, EntryChange, SettingsChange, SettingsError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -194,18 +194,18 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn check(&self, edits: &[Edit]) -> Result<(), AmendError> {
-        amend(&self.in_force.borrow(), &self.file.borrow(), edits)?;
+    pub fn check(&self, edits: &[Edit]) -> Result<(), InvalidEntries> {
+        change_entries(&self.in_force.borrow(), &self.file.borrow(), edits)?;
         Ok(())
     }
 }
 
 /// Entries that do not fit the settings: all that is wrong, each by its key path.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}", join(.0))]
-pub struct AmendError(pub Vec<SettingsError>);
+#[error("{}", join_messages(.0))]
+pub struct InvalidEntries(pub Vec<SettingsError>);
 
-fn join(errors: &[SettingsError]) -> String {
+fn join_messages(errors: &[SettingsError]) -> String {
     let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
     texts.join("; ")
 }
@@ -214,35 +214,35 @@
 ///
 /// # Errors
 /// All that is wrong with them.
-pub fn amend(
+pub fn change_entries(
     base: &ActiveSettings,
     file: &ActiveSettings,
     edits: &[Edit],
-) -> Result<SettingsChange, AmendError> {
-    let amendments: Vec<Amendment> = edits
+) -> Result<SettingsChange, InvalidEntries> {
+    let changes: Vec<EntryChange> = edits
         .iter()
-        .filter_map(|edit| amendment(base, file, edit))
+        .filter_map(|edit| entry_change(base, file, edit))
         .collect();
-    base.amend(&amendments).map_err(AmendError)
+    base.change_entries(&changes).map_err(InvalidEntries)
 }
 
 /// The amendment of these settings that sets an entry. One that is to be removed and does not exist needs none.
-fn amendment(base: &ActiveSettings, file: &ActiveSettings, edit: &Edit) -> Option<Amendment> {
+fn entry_change(base: &ActiveSettings, file: &ActiveSettings, edit: &Edit) -> Option<EntryChange> {
     let name = &edit.key.name;
     match edit.key.kind {
         Kind::RequestClass => match json_value(&edit.value, || file.profile(name)) {
-            Some(route) => Some(Amendment::SetProfile(route)),
+            Some(route) => Some(EntryChange::SetProfile(route)),
             None => base
                 .names
                 .class(name)
-                .map(|_| Amendment::RemoveProfile(name.clone())),
+                .map(|_| EntryChange::RemoveProfile(name.clone())),
         },
         Kind::Tenant => match json_value(&edit.value, || file.customer(name)) {
-            Some(tenant) => Some(Amendment::SetCustomer(tenant)),
+            Some(tenant) => Some(EntryChange::SetCustomer(tenant)),
             None => base
                 .names
                 .tenant(name)
-                .map(|_| Amendment::RemoveCustomer(name.clone())),
+                .map(|_| EntryChange::RemoveCustomer(name.clone())),
         },
         Kind::File => None,
     }
@@ -261,7 +261,7 @@
 }
 
 /// A file's settings with the fleet's entries over them.
-pub struct AmendedFile {
+pub struct FileWithOverrides {
     /// The change from the file's settings, `None` where there is none.
     pub change: Option<SettingsChange>,
     /// Whether all entries fit the file.
@@ -270,29 +270,33 @@
 
 /// Sets all later entries in the settings of a file that contains the changes up to `file_version`. An entry that does not
 /// fit the file is logged and left out. Takes time by the number of entries.
-pub fn amend_file(file: &ActiveSettings, file_version: u64, overrides: &Overrides) -> AmendedFile {
+pub fn apply_to_file(
+    file: &ActiveSettings,
+    file_version: u64,
+    overrides: &Overrides,
+) -> FileWithOverrides {
     let edits = overrides.entries_over(file_version);
     if edits.is_empty() {
-        return AmendedFile {
+        return FileWithOverrides {
             change: None,
             all_fit: true,
         };
     }
-    if let Ok(change) = amend(file, file, &edits) {
-        return AmendedFile {
+    if let Ok(change) = change_entries(file, file, &edits) {
+        return FileWithOverrides {
             change: Some(change),
             all_fit: true,
         };
     }
     let fitting: Vec<Edit> = edits.into_iter().filter(|edit| fits(file, edit)).collect();
-    AmendedFile {
-        change: amend(file, file, &fitting).ok(),
+    FileWithOverrides {
+        change: change_entries(file, file, &fitting).ok(),
         all_fit: false,
     }
 }
 
 fn fits(file: &ActiveSettings, edit: &Edit) -> bool {
-    match amend(file, file, std::slice::from_ref(edit)) {
+    match change_entries(file, file, std::slice::from_ref(edit)) {
         Ok(_) => true,
         Err(error) => {
             warn!(event = "config_unfit", entry = %edit.key, "an entry does not fit the file: {error}");
--- a/src/net/config/node.rs
+++ b/src/net/config/node.rs
@@ -1,7 +1,7 @@
 //! The configuration of one proxy process.
 
-use super::error::NodeError;
-use super::file::{parse, Known, ParsedFile, Purpose};
+use super::error::NodeConfigError;
+use super::file::{parse, KnownEndpoints, ParsedFile, Purpose};
 use super::sections::{CoordinationSection, GossipSection, SnapshotSection};
 use super::source::Source;
 use crate::net::state::snapshot;
@@ -15,10 +15,10 @@
 const SNAPSHOT_FOLDER_VARIABLE: &str = "NODE_SNAPSHOT";
 
 /// Fewer descriptors than these are not enough for any proxy.
-const LEAST_DESCRIPTORS: usize = 64;
+const MIN_DESCRIPTORS: usize = 64;
 
 /// Everything that the program starts with, but for the settings.
-pub struct Node {
+pub struct NodeConfig {
     /// The proxy's name.
     pub name: String,
     /// Where clients connect.
@@ -32,7 +32,7 @@
     /// Descriptors that the process may hold.
     pub max_descriptors: usize,
     /// The endpoint list as this proxy last had it.
-    pub known: Known,
+    pub known: KnownEndpoints,
     /// Digest of the settings.
     pub settings_digest: [u8; 32],
     /// Digest of the settings that all proxies of a fleet share.
@@ -52,35 +52,35 @@
 /// A configuration that was read again, and what it makes of the settings in force.
 pub struct ReloadedConfig {
     /// The configuration.
-    pub node: Node,
+    pub node: NodeConfig,
     /// The change of the settings, or why there is none.
     pub change: Result<SettingsChange, SettingsError>,
 }
 
-impl Node {
+impl NodeConfig {
     /// Reads the file and the settings that it puts in force at the start.
-    pub fn read(source: &Source) -> Result<(Node, ActiveSettings), NodeError> {
-        let (node, settings) = Node::from_file(parse(source, Purpose::Start)?)?;
-        let in_force = ActiveSettings::first(&settings)?;
+    pub fn read(source: &Source) -> Result<(NodeConfig, ActiveSettings), NodeConfigError> {
+        let (node, settings) = NodeConfig::from_file(parse(source, Purpose::Start)?)?;
+        let in_force = ActiveSettings::initial(&settings)?;
         Ok((node, in_force))
     }
 
     /// Reads the file again. One that lacks a key that stood in it before is refused as incomplete.
-    pub fn read_again(
+    pub fn reload(
         source: &Source,
         keys: &BTreeSet<String>,
         in_force: &ActiveSettings,
-    ) -> Result<ReloadedConfig, NodeError> {
+    ) -> Result<ReloadedConfig, NodeConfigError> {
         refuse_pipe(source)?;
-        let (node, settings) = Node::from_file(parse(source, Purpose::Reload(in_force))?)?;
+        let (node, settings) = NodeConfig::from_file(parse(source, Purpose::Reload(in_force))?)?;
         if let Some(key) = keys.difference(&node.keys).next() {
-            return Err(NodeError::KeyMissing(key.clone()));
+            return Err(NodeConfigError::MissingKey(key.clone()));
         }
-        let change = in_force.change(&settings);
+        let change = in_force.change_to(&settings);
         Ok(ReloadedConfig { node, change })
     }
 
-    fn from_file(parsed: ParsedFile) -> Result<(Node, Settings), NodeError> {
+    fn from_file(parsed: ParsedFile) -> Result<(NodeConfig, Settings), NodeConfigError> {
         let ParsedFile {
             file,
             known,
@@ -89,7 +89,7 @@
             unknown,
         } = parsed;
         if !unknown.is_empty() {
-            return Err(NodeError::UnknownKeys(unknown));
+            return Err(NodeConfigError::UnknownKeys(unknown));
         }
         file.check_fleet()?;
         let admin_address = admin_address(file.control)?;
@@ -97,13 +97,13 @@
         if let Some(error) = settings.first_error() {
             return Err(error.into());
         }
-        let node = Node {
+        let node = NodeConfig {
             seed: file.parse_seed()?,
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
             admin_address,
-            max_descriptors: file.limits.sockets.max(LEAST_DESCRIPTORS),
+            max_descriptors: file.limits.sockets.max(MIN_DESCRIPTORS),
             known,
             settings_digest: settings.digest(&[]),
             shared_settings_digest: settings.digest(&snapshot::PER_PROXY_SETTINGS),
@@ -126,7 +126,7 @@
     let unknown = parsed.unknown.iter();
     let mut texts: Vec<String> = unknown.map(|key| format!("{key}: unknown key")).collect();
     let settings = parsed.settings.errors().into_iter();
-    let settings = settings.map(NodeError::from);
+    let settings = settings.map(NodeConfigError::from);
     let seed = parsed.file.parse_seed().err();
     let fleet = parsed.file.check_fleet().err();
     let errors = settings.chain(seed).chain(fleet);
@@ -135,12 +135,12 @@
 }
 
 /// A pipe would hold up the reload until somebody writes to it.
-fn refuse_pipe(source: &Source) -> Result<(), NodeError> {
+fn refuse_pipe(source: &Source) -> Result<(), NodeConfigError> {
     let Some(path) = &source.file else {
         return Ok(());
     };
     if path.exists() && !path.is_file() {
-        return Err(NodeError::Unreadable {
+        return Err(NodeConfigError::Unreadable {
             path: path.clone(),
             source: io::Error::other("not a file"),
         });
@@ -148,11 +148,13 @@
     Ok(())
 }
 
-fn admin_address(from_file: Option<SocketAddr>) -> Result<Option<SocketAddr>, NodeError> {
+fn admin_address(from_file: Option<SocketAddr>) -> Result<Option<SocketAddr>, NodeConfigError> {
     match std::env::var(ADMIN_ADDRESS_VARIABLE) {
         Ok(text) if !text.is_empty() => {
             let address = text.parse();
-            address.map(Some).map_err(|_| NodeError::AdminAddress(text))
+            address
+                .map(Some)
+                .map_err(|_| NodeConfigError::InvalidAdminAddress(text))
         }
         _ => Ok(from_file),
     }
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -6,8 +6,8 @@
 use crate::net::admin::listener::{AdminListenError, AdminListener};
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
 use crate::net::cluster::coordination::monotonic_now;
-use crate::net::config::fleet_overrides::{self, AmendError, FleetOverrides, PendingEntries};
-use crate::net::config::{Node, NodeError, ReloadedConfig, Source};
+use crate::net::config::fleet_overrides::{self, FleetOverrides, InvalidEntries, PendingEntries};
+use crate::net::config::{NodeConfig, NodeConfigError, ReloadedConfig, Source};
 use crate::net::descriptor_limits::DescriptorLimits;
 use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
@@ -34,7 +34,7 @@
     Background(#[from] BackgroundError),
     /// The file is wrong.
     #[error(transparent)]
-    Node(#[from] NodeError),
+    InvalidConfig(#[from] NodeConfigError),
     /// The file is older than the fleet's configuration in force, or newer than any known.
     #[error(transparent)]
     FleetVersion(#[from] FileError),
@@ -43,7 +43,7 @@
     Settings(#[from] SettingsError),
     /// The fleet's changes do not fit the settings in force.
     #[error(transparent)]
-    FleetChanges(#[from] AmendError),
+    FleetChanges(#[from] InvalidEntries),
     /// Discovery was added or removed.
     #[error("discovery: expected as before, it comes and goes only with a restart")]
     DiscoveryToggled,
@@ -130,12 +130,12 @@
         let fleet = self.fleet_overrides.view();
         let in_force = self.in_force_with_current_names();
         let read = move || {
-            let file = Node::read_again(&source, &keys, &in_force)?;
+            let file = NodeConfig::reload(&source, &keys, &in_force)?;
             let file_version = file.node.file_version;
             fleet.check_file(file_version)?;
             let from_file = file.change.as_ref().ok();
             let amended = from_file.map(|change| {
-                fleet_overrides::amend_file(&change.to, file_version, &fleet.overrides)
+                fleet_overrides::apply_to_file(&change.to, file_version, &fleet.overrides)
             });
             let all_fit = amended.as_ref().is_none_or(|amended| amended.all_fit);
             let fleet = FleetChanges {
@@ -170,7 +170,8 @@
         let file = self.fleet_overrides.file();
         let entry_count = edits.len();
         let amend = move || {
-            fleet_overrides::amend(&in_force, &file, &edits).map_err(ReloadError::FleetChanges)
+            fleet_overrides::change_entries(&in_force, &file, &edits)
+                .map_err(ReloadError::FleetChanges)
         };
         let amended = self.background.run(amend).await;
         match amended.map_err(ReloadError::from).and_then(|change| change) {
@@ -250,7 +251,7 @@
         Ok(summary)
     }
 
-    fn summary(&self, node: &Node, change: &SettingsChange) -> String {
+    fn summary(&self, node: &NodeConfig, change: &SettingsChange) -> String {
         let mut summary = change.summary.clone();
         if let Some(address) = node.discovery {
             summary += &format!(", discovery at {address}");
--- a/src/net/config/sections.rs
+++ b/src/net/config/sections.rs
@@ -78,7 +78,7 @@
     }
 
     /// What all voters and candidates agree on.
-    pub fn leases(&self) -> Result<lease::Rules, lease::RulesError> {
+    pub fn lease_rules(&self) -> Result<lease::Rules, lease::RulesError> {
         lease::Rules::new(
             self.voters.len(),
             Micros(self.lease_ms.saturating_mul(1000)),
@@ -88,32 +88,32 @@
 
     /// Checks the section, and that the configuration has the `peers` that it needs.
     pub fn check(&self, peers: Option<&GossipSection>) -> Result<(), CoordinationError> {
-        let peers = peers.ok_or(CoordinationError::PeersMissing)?;
-        if peers.max_age_s < CoordinationSection::LEAST_AGE_S {
-            let least_s = CoordinationSection::LEAST_AGE_S;
-            return Err(CoordinationError::MaxAge { least_s });
+        let peers = peers.ok_or(CoordinationError::MissingPeers)?;
+        if peers.max_age_s < CoordinationSection::MIN_MAX_AGE_S {
+            let min_s = CoordinationSection::MIN_MAX_AGE_S;
+            return Err(CoordinationError::MaxAgeTooShort { min_s });
         }
         let distinct: BTreeSet<&SocketAddr> = self.voters.iter().collect();
         if distinct.len() < self.voters.len() {
             return Err(CoordinationError::DuplicateVoter);
         }
-        if self.lease_ms < CoordinationSection::LEAST_LEASE_MS {
-            let least_ms = CoordinationSection::LEAST_LEASE_MS;
-            return Err(CoordinationError::LeaseTooShort { least_ms });
+        if self.lease_ms < CoordinationSection::MIN_LEASE_MS {
+            let min_ms = CoordinationSection::MIN_LEASE_MS;
+            return Err(CoordinationError::LeaseTooShort { min_ms });
         }
-        check_part("floor", Some(self.floor))?;
-        check_part("zone_floor", self.zone_floor)?;
-        self.leases()?;
+        check_fraction("floor", Some(self.floor))?;
+        check_fraction("zone_floor", self.zone_floor)?;
+        self.lease_rules()?;
         Ok(())
     }
 
     /// Below this a lease would end between two turns of the worker that renews it.
-    const LEAST_LEASE_MS: u64 = 500;
+    const MIN_LEASE_MS: u64 = 500;
     /// The leader's heartbeat comes once a second: with less, it would be too old before the next one.
-    const LEAST_AGE_S: f64 = 3.0;
+    const MIN_MAX_AGE_S: f64 = 3.0;
 }
 
-fn check_part(key: &'static str, part: Option<f64>) -> Result<(), CoordinationError> {
+fn check_fraction(key: &'static str, part: Option<f64>) -> Result<(), CoordinationError> {
     if part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
         return Err(CoordinationError::OutOfRange { key });
     }
--- a/src/net/config/source.rs
+++ b/src/net/config/source.rs
@@ -42,9 +42,9 @@
 
     /// Reads `PATH=VALUE`. The value is JSON if it can be read as that, else text.
     fn from_str(text: &str) -> Result<Override, OverrideError> {
-        let (path, value) = text.split_once('=').ok_or(OverrideError::ValueMissing)?;
+        let (path, value) = text.split_once('=').ok_or(OverrideError::MissingValue)?;
         if path.is_empty() || segments(path).any(str::is_empty) {
-            return Err(OverrideError::PathMissing);
+            return Err(OverrideError::EmptyPathSegment);
         }
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.into()));
         Ok(Override {
@@ -59,7 +59,7 @@
     pub fn apply(&self, document: &mut Value) -> Result<(), OverrideError> {
         let mut target = document;
         for segment in segments(&self.path) {
-            target = child(target, segment).ok_or_else(|| OverrideError::UnknownItem {
+            target = child(target, segment).ok_or_else(|| OverrideError::PathNotFound {
                 path: self.path.clone(),
                 segment: segment.into(),
             })?;
--- a/src/net/config/stored_formats.rs
+++ b/src/net/config/stored_formats.rs
@@ -6,7 +6,7 @@
 #[test]
 fn the_same_file_gives_the_same_hashes() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml").into();
-    let (node, _) = Node::read(&Source {
+    let (node, _) = NodeConfig::read(&Source {
         file: Some(file),
         overrides: Vec::new(),
     })
--- a/src/net/host/endpoints.rs
+++ b/src/net/host/endpoints.rs
@@ -56,7 +56,7 @@
                 id.0, endpoint.name, endpoint.address
             );
         }
-        let entry = self.names.entry(&endpoint.row, id);
+        let entry = self.names.backend_for(&endpoint.row, id);
         if let Some(record) = self.backends.get_mut(&id) {
             record.address = endpoint.address;
             if record.entry.as_ref() != Some(&entry) {
--- a/src/settings/active.rs
+++ b/src/settings/active.rs
@@ -65,7 +65,7 @@
 }
 
 impl ActiveSettings {
-    /// The class of that name as it stands in `profiles`, for [`Amendment::SetProfile`](super::Amendment::SetProfile); `None` if there is none.
+    /// The class of that name as it stands in `profiles`, for [`EntryChange::SetProfile`](super::EntryChange::SetProfile); `None` if there is none.
     pub fn profile(&self, name: &str) -> Option<Value> {
         let ClassId(number) = self.names.class(name)?;
         let class = self.config.classes.get(number)?;
@@ -73,7 +73,7 @@
         Some(NamedClass::write(name, class, *deadline))
     }
 
-    /// The tenant of that name as it stands in `customers`, for [`Amendment::SetCustomer`](super::Amendment::SetCustomer); `None` if there is none.
+    /// The tenant of that name as it stands in `customers`, for [`EntryChange::SetCustomer`](super::EntryChange::SetCustomer); `None` if there is none.
     pub fn customer(&self, name: &str) -> Option<Value> {
         let TenantId(number) = self.names.tenant(name)?;
         let tenant = self.config.tenants.get(number)?;
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -36,16 +36,16 @@
     }
 
     /// Settings from one value.
-    pub fn of(settings: &Value, options: ReadOptions) -> Settings {
-        Settings::from_value(settings, LongLists::new(options))
+    pub fn from_value(settings: &Value, options: ReadOptions) -> Settings {
+        Settings::with_lists(settings, LongLists::new(options))
     }
 
-    /// Settings that replace those in force, for [`ActiveSettings::change`] of the same `base`.
-    pub fn over(settings: &Value, options: ReadOptions, base: &ActiveSettings) -> Settings {
-        Settings::from_value(settings, LongLists::over(options, base))
+    /// Settings that replace those in force, for [`ActiveSettings::change_to`] of the same `base`.
+    pub fn replacing(settings: &Value, options: ReadOptions, base: &ActiveSettings) -> Settings {
+        Settings::with_lists(settings, LongLists::replacing(options, base))
     }
 
-    fn from_value(settings: &Value, mut lists: LongLists) -> Settings {
+    fn with_lists(settings: &Value, mut lists: LongLists) -> Settings {
         // ReadOptions from a value in memory does not fail.
         let rest = extract_lists(settings, &mut lists).unwrap_or_default();
         Settings { rest, lists }
@@ -109,7 +109,7 @@
     }
 
     /// Paths of values that nothing reads; known only if the settings were read strictly, see [`ReadOptions`].
-    pub fn unknown(&self) -> Vec<String> {
+    pub fn unknown_paths(&self) -> Vec<String> {
         let root = self.root();
         self.read(&root, &mut Names::default());
         self.read_network(&root);
@@ -235,7 +235,7 @@
 
 impl ActiveSettings {
     /// What is in force at the start, or the first error.
-    pub fn first(settings: &Settings) -> Result<ActiveSettings, SettingsError> {
+    pub fn initial(settings: &Settings) -> Result<ActiveSettings, SettingsError> {
         let (config, names) = settings.config()?;
         let network = settings.network()?;
         Ok(ActiveSettings {
--- a/src/settings/amendment.rs
+++ b/src/settings/entry_change.rs
@@ -12,7 +12,7 @@
 
 /// A change of one named entry of the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Amendment {
+pub enum EntryChange {
     /// Adds a request class, or replaces the one of its name: an entry with all its keys, as it stands in `profiles`.
     SetProfile(Value),
     /// Takes a request class out of use; open requests end as they came.
@@ -23,14 +23,14 @@
     RemoveCustomer(String),
 }
 
-impl Amendment {
+impl EntryChange {
     /// Where the entry stands in the settings.
     fn path(&self) -> String {
         match self {
-            Amendment::SetProfile(entry) => entry_path(PROFILES, name_of(entry)),
-            Amendment::RemoveProfile(name) => entry_path(PROFILES, name),
-            Amendment::SetCustomer(entry) => entry_path(CUSTOMERS, name_of(entry)),
-            Amendment::RemoveCustomer(name) => entry_path(CUSTOMERS, name),
+            EntryChange::SetProfile(entry) => entry_path(PROFILES, name_of(entry)),
+            EntryChange::RemoveProfile(name) => entry_path(PROFILES, name),
+            EntryChange::SetCustomer(entry) => entry_path(CUSTOMERS, name_of(entry)),
+            EntryChange::RemoveCustomer(name) => entry_path(CUSTOMERS, name),
         }
     }
 }
@@ -47,15 +47,18 @@
 impl ActiveSettings {
     /// The settings in force with these entries changed, all or none of them: else every error. Takes time by the
     /// entries, and by how often these were changed before.
-    pub fn amend(&self, amendments: &[Amendment]) -> Result<SettingsChange, Vec<SettingsError>> {
+    pub fn change_entries(
+        &self,
+        changes: &[EntryChange],
+    ) -> Result<SettingsChange, Vec<SettingsError>> {
         let diagnostics = Diagnostics::new(false);
         let mut draft = Draft::new(self, self.clone());
         let mut paths = BTreeSet::new();
-        for amendment in amendments {
-            let path = amendment.path();
+        for change in changes {
+            let path = change.path();
             let is_new = paths.insert(path.clone());
             let problem = if is_new {
-                apply(&mut draft, amendment, &path, &diagnostics)
+                apply(&mut draft, change, &path, &diagnostics)
             } else {
                 Some("the name stands twice".into())
             };
@@ -78,25 +81,25 @@
     }
 }
 
-/// Carries out one amendment; a problem with the entry as a whole is returned, one inside it noted.
+/// Carries out one change; a problem with the entry as a whole is returned, one inside it noted.
 fn apply(
     draft: &mut Draft,
-    amendment: &Amendment,
+    change: &EntryChange,
     path: &str,
     diagnostics: &Rc<Diagnostics>,
 ) -> Option<String> {
     let field = |entry| Field::at(path.into(), entry, diagnostics.clone());
-    match amendment {
-        Amendment::SetProfile(entry) => {
+    match change {
+        EntryChange::SetProfile(entry) => {
             let class = NamedClass::read(&field(entry), |_| true);
             problem(set_class(draft, &class))
         }
-        Amendment::SetCustomer(entry) => {
+        EntryChange::SetCustomer(entry) => {
             let tenant = NamedTenant::read(&field(entry));
             problem(set_tenant(draft, &tenant))
         }
-        Amendment::RemoveProfile(name) => missing(draft.remove_class(name)),
-        Amendment::RemoveCustomer(name) => missing(remove_tenant(draft, name)),
+        EntryChange::RemoveProfile(name) => missing(draft.remove_class(name)),
+        EntryChange::RemoveCustomer(name) => missing(remove_tenant(draft, name)),
     }
 }
 
--- a/src/settings/successor.rs
+++ b/src/settings/full_change.rs
@@ -9,7 +9,7 @@
 impl ActiveSettings {
     /// These settings in the place of `self`. A class or tenant keeps its number; a class whose rules differ gets a new
     /// one. Takes time by the size of all tables: not for the request loop.
-    pub fn change(&self, settings: &Settings) -> Result<SettingsChange, SettingsError> {
+    pub fn change_to(&self, settings: &Settings) -> Result<SettingsChange, SettingsError> {
         let mut names = Names {
             classes: ClassNames::default(),
             tenants: TenantNames::default(),
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -120,7 +120,7 @@
         if self.diagnostics.tracks_reads() {
             self.note_unread(&path, value);
         }
-        if options.digested {
+        if options.compute_digest {
             self.append_text(value);
         }
         self.item_count += 1;
@@ -152,10 +152,10 @@
 /// What is wanted of the settings beside their meaning.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadOptions {
-    /// Which values nothing reads, see [`Settings::unknown`](super::Settings::unknown).
+    /// Which values nothing reads, see [`Settings::unknown_paths`](super::Settings::unknown_paths).
     pub strict: bool,
     /// Their digest, see [`Settings::digest`](super::Settings::digest).
-    pub digested: bool,
+    pub compute_digest: bool,
 }
 
 /// The long lists of settings while they are read.
@@ -186,8 +186,8 @@
         }
     }
 
-    /// LongLists of settings that replace those in force, for [`ActiveSettings::change`] of the same `base`.
-    pub fn over(options: ReadOptions, base: &ActiveSettings) -> LongLists {
+    /// LongLists of settings that replace those in force, for [`ActiveSettings::change_to`] of the same `base`.
+    pub fn replacing(options: ReadOptions, base: &ActiveSettings) -> LongLists {
         LongLists {
             replacement: Some(Box::new(ListReplacement::new(base))),
             ..LongLists::new(options)
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -285,7 +285,7 @@
     }
 
     /// The row as this process numbers it.
-    pub fn entry(&mut self, row: &EndpointRow, id: BackendId) -> Backend {
+    pub fn backend_for(&mut self, row: &EndpointRow, id: BackendId) -> Backend {
         let zone = self.zones.get_or_insert(&row.zone);
         let kind = self.kinds.get_or_insert(&row.kind);
         Backend {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -10,7 +10,7 @@
 mod proxy;
 
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
-use crate::net::config::{Node, NodeError, Source};
+use crate::net::config::{NodeConfig, NodeConfigError, Source};
 use crate::net::state::hot_restart::{self, InheritError};
 use crate::net::state::snapshot_keeper::SnapshotKeeperError;
 use bind::{bind_client_listener, BindError};
@@ -38,7 +38,7 @@
     Background(#[from] BackgroundError),
     /// The configuration is wrong.
     #[error(transparent)]
-    Config(#[from] NodeError),
+    Config(#[from] NodeConfigError),
     /// Snapshots cannot be kept.
     #[error(transparent)]
     Snapshots(#[from] SnapshotKeeperError),
@@ -96,7 +96,7 @@
         .map_err(StartError::Signals)?;
     let background = BackgroundThread::start()?;
     let file = source.clone();
-    let (node, in_force) = runtime.block_on(background.run(move || Node::read(&file)))??;
+    let (node, in_force) = runtime.block_on(background.run(move || NodeConfig::read(&file)))??;
     let loaded = LoadedConfig {
         source,
         in_force,
@@ -107,7 +107,7 @@
 }
 
 async fn run(
-    mut node: Node,
+    mut node: NodeConfig,
     loaded: LoadedConfig,
     inherited: Option<std::net::TcpListener>,
     reload_signal: Signal,
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -7,7 +7,7 @@
 use crate::net::cluster::coordination::{config_snapshot::SnapshotFile, Coordinator};
 use crate::net::cluster::gossip::{GossipDriver, GossipOptions};
 use crate::net::config::fleet_overrides::FleetOverrides;
-use crate::net::config::Node;
+use crate::net::config::NodeConfig;
 use crate::net::host::Host;
 use meadowproxy::Config;
 use std::cell::Cell;
@@ -16,7 +16,7 @@
 
 /// What the fleet's parts are started with.
 pub struct FleetStart<'a> {
-    pub node: &'a Node,
+    pub node: &'a NodeConfig,
     pub config: &'a Config,
     pub host: &'a Rc<Host>,
     /// Digest of the settings that all proxies of the fleet have in common.
@@ -109,7 +109,7 @@
 }
 
 /// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
-fn config_snapshot_file(node: &Node) -> Option<SnapshotFile> {
+fn config_snapshot_file(node: &NodeConfig) -> Option<SnapshotFile> {
     let snapshots = node.snapshot.as_ref()?;
     let peers = node.peers.as_ref()?;
     Some(SnapshotFile {
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -11,7 +11,7 @@
 use crate::net::background_thread::BackgroundThread;
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::reload::ConfigReloader;
-use crate::net::config::Node;
+use crate::net::config::NodeConfig;
 use crate::net::descriptor_limits::{track_other_process, ConnectionLimits, DescriptorLimits};
 use crate::net::discovery::{self, PollSchedule};
 use crate::net::downstream::server::{self, RequestRules, Server};
@@ -62,7 +62,7 @@
 impl Proxy {
     /// Restores the endpoint list, learned state and disabled backends.
     pub fn prepare(
-        node: &mut Node,
+        node: &mut NodeConfig,
         loaded: &LoadedConfig,
         inherited: Option<&std::net::TcpListener>,
     ) -> Result<Proxy, StartError> {
@@ -110,7 +110,7 @@
     /// Starts every task but the service of clients.
     pub async fn start_services(
         &self,
-        mut node: Node,
+        mut node: NodeConfig,
         loaded: LoadedConfig,
         reload_signal: Signal,
         bound_address: SocketAddr,
@@ -162,7 +162,7 @@
     /// Follows discovery, if there is one; the sender moves it to another address.
     fn spawn_discovery(
         &self,
-        node: &Node,
+        node: &NodeConfig,
         in_force: &ActiveSettings,
     ) -> Option<watch::Sender<SocketAddr>> {
         let (moved, address) = watch::channel(node.discovery?);
@@ -175,7 +175,11 @@
     }
 
     /// Serves the operators' calls where the configuration has an address for them.
-    async fn start_admin(&self, node: &Node, fleet: &Fleet) -> Result<AdminListener, BindError> {
+    async fn start_admin(
+        &self,
+        node: &NodeConfig,
+        fleet: &Fleet,
+    ) -> Result<AdminListener, BindError> {
         let mut admin = AdminListener::closed(AdminContext {
             host: self.host.clone(),
             server: self.server.clone(),
@@ -249,7 +253,7 @@
     }
 }
 
-fn new_host(node: &Node, in_force: &ActiveSettings) -> Rc<Host> {
+fn new_host(node: &NodeConfig, in_force: &ActiveSettings) -> Rc<Host> {
     let limits = ConnectionLimits::for_single_process(node.max_descriptors);
     let pool = ConnectionPool::new(&in_force.network, limits.upstreams);
     let balancer = Balancer::from_validated(in_force.config.clone(), node.seed);
@@ -262,22 +266,22 @@
 }
 
 fn restore_endpoint_list(
-    node: &mut Node,
+    node: &mut NodeConfig,
     host: &Rc<Host>,
     background: &BackgroundThread,
 ) -> KnownListPosition {
     let known = std::mem::take(&mut node.known);
-    host.apply_endpoints(EndpointUpdate::Cached, &known.lines);
+    host.apply_endpoints(EndpointUpdate::Cached, &known.entries);
     let position = KnownListPosition {
         index: known.index,
-        length: known.lines.len(),
+        length: known.entries.len(),
     };
     background.discard(known); // it may be long
     position
 }
 
 fn new_snapshot_keeper(
-    node: &Node,
+    node: &NodeConfig,
     host: &Rc<Host>,
     identity: &ProxyIdentity,
 ) -> Result<Option<Rc<SnapshotKeeper>>, SnapshotKeeperError> {
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -4,7 +4,7 @@
 mod plain;
 
 use meadowproxy::settings::{
-    ActiveSettings, Amendment, EndpointRow, Names, ReadOptions, Settings, SettingsChange,
+    ActiveSettings, EndpointRow, EntryChange, Names, ReadOptions, Settings, SettingsChange,
     SettingsError,
 };
 use meadowproxy::{Backend, BackendId, ClassId, Config, TenantId};
@@ -16,7 +16,7 @@
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
 const READING: ReadOptions = ReadOptions {
     strict: true,
-    digested: true,
+    compute_digest: true,
 };
 const ZONES: [&str; 4] = ["p", "q", "r", "s"];
 
@@ -169,22 +169,25 @@
 }
 
 fn read(settings: &Value) -> Settings {
-    Settings::of(settings, READING)
+    Settings::from_value(settings, READING)
 }
 
 /// The change to these settings: the same whether their lists are read beside the tables in force or over them.
 fn change(tables: &ActiveSettings, settings: &Value) -> Result<SettingsChange, String> {
-    let (beside, over) = (read(settings), Settings::over(settings, READING, tables));
+    let (beside, over) = (
+        read(settings),
+        Settings::replacing(settings, READING, tables),
+    );
     assert_eq!(
         (beside.errors(), beside.first_error()),
         (over.errors(), over.first_error())
     );
     assert_eq!(
-        (beside.unknown(), beside.digest(&[])),
-        (over.unknown(), over.digest(&[]))
+        (beside.unknown_paths(), beside.digest(&[])),
+        (over.unknown_paths(), over.digest(&[]))
     );
-    let change = tables.change(&over);
-    assert_eq!(tables.change(&beside), change);
+    let change = tables.change_to(&over);
+    assert_eq!(tables.change_to(&beside), change);
     change.map_err(|error| error.to_string())
 }
 
@@ -193,7 +196,7 @@
 }
 
 fn meet(names: &mut Names, zone: &str, kind: &str) {
-    names.entry(
+    names.backend_for(
         &EndpointRow::new("b", zone, kind, Backend::default()),
         BackendId(0),
     );
@@ -289,7 +292,7 @@
     let run = runner(3000).run(&settings(), |settings| {
         let tables = read(&settings);
         assert_eq!(plain::errors(&settings), texts(&tables.errors()));
-        assert_eq!(plain::unknown(&settings), tables.unknown());
+        assert_eq!(plain::unknown(&settings), tables.unknown_paths());
         assert_eq!(
             blake3::hash(settings.to_string().as_bytes()).as_bytes(),
             &tables.digest(&[])
@@ -327,7 +330,7 @@
     };
     let steps = prop::collection::vec((settings(), met(), met()), 1..12);
     let run = runner(1500).run(&(sound(), steps), |(first, steps)| {
-        let mut tables = ActiveSettings::first(&read(&first)).unwrap();
+        let mut tables = ActiveSettings::initial(&read(&first)).unwrap();
         let (config, names) = plain::read(&first).unwrap();
         let (network, live) = (
             plain::network(&first).unwrap(),
@@ -367,19 +370,19 @@
 
 /// The change from one file to the next as amendments in the order of the file: every entry that stands there, or only
 /// those that differ, and what is gone.
-fn amendments(before: &Value, after: &Value, all: bool) -> Vec<Amendment> {
+fn amendments(before: &Value, after: &Value, all: bool) -> Vec<EntryChange> {
     let entries = |settings: &Value, list: &str| settings[list].as_array().unwrap().clone();
     let named = |list: &[Value], name: &Value| list.iter().find(|e| e["name"] == *name).cloned();
     let mut told = Vec::new();
-    type Make = (fn(Value) -> Amendment, fn(String) -> Amendment);
+    type Make = (fn(Value) -> EntryChange, fn(String) -> EntryChange);
     let lists: [(&str, Make); 2] = [
         (
             "profiles",
-            (Amendment::SetProfile, Amendment::RemoveProfile),
+            (EntryChange::SetProfile, EntryChange::RemoveProfile),
         ),
         (
             "customers",
-            (Amendment::SetCustomer, Amendment::RemoveCustomer),
+            (EntryChange::SetCustomer, EntryChange::RemoveCustomer),
         ),
     ];
     for (list, (set, remove)) in lists {
@@ -408,14 +411,16 @@
         |(first, steps)| {
             let mut file = first;
             file["customers"] = distinct(file["customers"].as_array().unwrap().clone()).into();
-            let mut tables = ActiveSettings::first(&read(&file)).unwrap();
+            let mut tables = ActiveSettings::initial(&read(&file)).unwrap();
             let mut by_difference = tables.clone();
             for (routes, customers) in steps {
                 let mut next = file.clone();
                 (next["profiles"], next["customers"]) =
                     (distinct(routes).into(), distinct(customers).into());
                 let whole = change(&tables, &next).unwrap();
-                let mut amended = tables.amend(&amendments(&file, &next, true)).unwrap();
+                let mut amended = tables
+                    .change_entries(&amendments(&file, &next, true))
+                    .unwrap();
                 // The log's line says first what is set; the file's numbers order what was dropped, and here the calls do.
                 let told = |change: &SettingsChange| {
                     change
@@ -428,7 +433,7 @@
                 amended.summary = whole.summary.clone();
                 assert_eq!(whole, amended);
                 by_difference = by_difference
-                    .amend(&amendments(&file, &next, false))
+                    .change_entries(&amendments(&file, &next, false))
                     .unwrap()
                     .to;
                 let rules = |tables: &ActiveSettings, name: &str| {
@@ -501,14 +506,14 @@
         let mut file = bare();
         file["profiles"] = (0..read_at_once).map(class).collect();
         file["customers"] = (0..read_at_once).map(tenant).collect();
-        let first = ActiveSettings::first(&read(&file)).unwrap();
+        let first = ActiveSettings::initial(&read(&file)).unwrap();
         let mut tables = first.clone();
         for n in read_at_once..read_at_once + 100 {
             let both = [
-                Amendment::SetCustomer(tenant(n)),
-                Amendment::SetProfile(class(n)),
+                EntryChange::SetCustomer(tenant(n)),
+                EntryChange::SetProfile(class(n)),
             ];
-            tables = tables.amend(&both).unwrap().to;
+            tables = tables.change_entries(&both).unwrap().to;
         }
         found(&tables, read_at_once + 100);
         found(&first, read_at_once);
@@ -521,7 +526,7 @@
     let route = |gain: f64| json!({"name":"a","aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
     let mut file = bare();
     file["profiles"] = json!([route(1.0)]);
-    let tables = ActiveSettings::first(&read(&file)).unwrap();
+    let tables = ActiveSettings::initial(&read(&file)).unwrap();
     for gain in [0.0, 1.0, 2.0] {
         file["profiles"] = json!([route(gain), route(gain)]);
         let told = change(&tables, &file).unwrap_err();
@@ -538,20 +543,20 @@
         json!([route("a", 1.0)]),
         json!([{"name":"t","quota_rps":1.0}]),
     );
-    let tables = ActiveSettings::first(&read(&first)).unwrap();
+    let tables = ActiveSettings::initial(&read(&first)).unwrap();
     let before = tables.clone();
     let mut late = route("c", 1.0);
     late["aim_us"] = json!(10);
     let bad = [
-        Amendment::SetCustomer(json!({"name":"u","quota_rps":2.0})),
-        Amendment::SetCustomer(json!({"name":"t","quota_rps":"many"})),
-        Amendment::SetCustomer(json!({"name":"v","quota_rps":-1.0})),
-        Amendment::SetCustomer(json!({"quota_rps":1.0})),
-        Amendment::SetProfile(route("b", 0.0)),
-        Amendment::SetProfile(late),
-        Amendment::RemoveCustomer("x".into()),
-        Amendment::RemoveProfile("a".into()),
-        Amendment::RemoveProfile("a".into()),
+        EntryChange::SetCustomer(json!({"name":"u","quota_rps":2.0})),
+        EntryChange::SetCustomer(json!({"name":"t","quota_rps":"many"})),
+        EntryChange::SetCustomer(json!({"name":"v","quota_rps":-1.0})),
+        EntryChange::SetCustomer(json!({"quota_rps":1.0})),
+        EntryChange::SetProfile(route("b", 0.0)),
+        EntryChange::SetProfile(late),
+        EntryChange::RemoveCustomer("x".into()),
+        EntryChange::RemoveProfile("a".into()),
+        EntryChange::RemoveProfile("a".into()),
     ];
     let errors = [
         "customers[t].quota_rps: expected a number, got \"many\"",
@@ -562,17 +567,17 @@
         "customers[x]: there is none of that name",
         "profiles[a]: the name stands twice",
     ];
-    assert_eq!(texts(&tables.amend(&bad).unwrap_err()), errors);
+    assert_eq!(texts(&tables.change_entries(&bad).unwrap_err()), errors);
     let none = tables
-        .amend(&[Amendment::RemoveProfile("a".into())])
+        .change_entries(&[EntryChange::RemoveProfile("a".into())])
         .unwrap_err();
     assert_eq!(texts(&none), ["profiles: expected at least one class"]);
     assert_eq!(tables, before);
     let swap = [
-        Amendment::RemoveProfile("a".into()),
-        Amendment::SetProfile(route("b", 1.0)),
+        EntryChange::RemoveProfile("a".into()),
+        EntryChange::SetProfile(route("b", 1.0)),
     ];
-    let change = tables.amend(&swap).unwrap();
+    let change = tables.change_entries(&swap).unwrap();
     assert_eq!(
         (change.summary.as_str(), change.retired),
         ("dropped a, new b", vec![ClassId(0)])
