--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,68 +1,79 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! [`Host`] drives one [`Balancer`] in a test: it carries out the actions on a clock of its own and panics when an
+//! action breaks a rule (attempt limit, safe repeats, deadlines, one final answer). Use it for tests of one proxy.
 #![allow(dead_code)]
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use meadowproxy::*;
 use std::collections::BTreeMap;
 
+/// An attempt at a request, and its outcome once it has ended.
 #[derive(Clone)]
-pub struct Try {
+pub struct Attempt {
     pub backend: BackendId,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub at: Time,
+    pub sent_at: Time,
     pub outcome: Option<Outcome>,
 }
 
-impl Try {
-    /// No outcome proves yet that it did not run.
+impl Attempt {
+    /// Whether the backend may have processed the request: no outcome proves the contrary.
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|o| !o.proves_unprocessed())
     }
 }
 
-pub struct Open {
+/// A request that has arrived, with its attempts and its final answer.
+pub struct OpenRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
-    pub streaming: bool,
+    pub attempts: Vec<Attempt>,
+    pub response_started: bool,
+    /// `served`, `rejected`, `failed` or `disconnected`; none while the client still waits.
     pub answer: Option<&'static str>,
 }
 
+/// Drives a balancer and records what it does.
 pub struct Host {
     pub cfg: Config,
     pub balancer: Balancer,
     pub now: Time,
-    pub list: BTreeMap<BackendId, Backend>,
-    pub requests: BTreeMap<RequestId, Open>,
+    /// The endpoints last announced to the balancer, including removed ones.
+    pub backends: BTreeMap<BackendId, Backend>,
+    pub requests: BTreeMap<RequestId, OpenRequest>,
     pub timers: Vec<(Time, TimerToken)>,
-    pub follows: u32,
+    pub discovery_polls: u32,
     pub timers_set: usize,
-    pub cancelled: Vec<(RequestId, usize)>,
-    pub logs: Vec<String>,
-    pub told: Vec<(BackendId, Verdict)>,
-    pub last: Vec<Action>,
-    pub repeat: bool,
-    next: u64,
+    /// Attempts that the balancer has cancelled and that end when time next advances.
+    pub cancellations: Vec<(RequestId, usize)>,
+    pub log_lines: Vec<String>,
+    pub verdicts: Vec<(BackendId, Verdict)>,
+    /// The actions returned for the most recent event.
+    pub last_actions: Vec<Action>,
+    /// Whether requests arrive marked as client retries.
+    pub client_retry: bool,
+    next_request: u64,
 }
 
-pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
+/// A ready backend with two cells per zone.
+pub fn backend(id: u32, zone: u32, hardware_class: u32) -> Backend {
     Backend {
         id: BackendId(id),
         address_hash: u64::from(id),
         zone: ZoneId(zone),
         cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        hardware_class: HardwareClassId(kind),
+        hardware_class: HardwareClassId(hardware_class),
         state: BackendState::Ready,
         started_at: None,
     }
 }
 
-pub fn class(effect: Idempotency) -> RequestClass {
+/// A request class with a latency objective of 400 ms.
+pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: Micros(400_000),
         objective_per_work: 0.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight: 0.0,
     }
@@ -70,29 +81,30 @@
 
 impl Host {
     pub fn new(cfg: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
+        let balancer = Balancer::new(cfg.clone(), seed).expect("a valid configuration");
         Host {
             cfg,
             balancer,
             now: Time(1_000_000_000),
-            list: BTreeMap::new(),
+            backends: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            follows: 0,
+            discovery_polls: 0,
             timers_set: 0,
-            cancelled: Vec::new(),
-            logs: Vec::new(),
-            told: Vec::new(),
-            last: Vec::new(),
-            repeat: false,
-            next: 0,
+            cancellations: Vec::new(),
+            log_lines: Vec::new(),
+            verdicts: Vec::new(),
+            last_actions: Vec::new(),
+            client_retry: false,
+            next_request: 0,
         }
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Passes the event to the balancer and carries out the actions that it returns.
+    pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         for action in actions {
             self.apply(action);
         }
@@ -104,46 +116,57 @@
                 let r = self
                     .requests
                     .get_mut(&request)
-                    .expect("dispatch of a known request");
-                assert!(r.answer.is_none(), "sent after the final answer");
-                let b = self.list.get(&backend).expect("a listed backend");
+                    .expect("a dispatch names an open request");
+                assert!(
+                    r.answer.is_none(),
+                    "request {request:?} was dispatched after its final answer"
+                );
+                let b = self
+                    .backends
+                    .get(&backend)
+                    .expect("a dispatch names an announced backend");
                 assert_eq!(
                     b.state,
                     BackendState::Ready,
-                    "sent to a backend that drains or is gone"
+                    "dispatched to a draining or removed backend"
                 );
                 assert!(
-                    r.tries.len() < self.cfg.max_attempts as usize,
-                    "too many attempts"
+                    r.attempts.len() < self.cfg.max_attempts as usize,
+                    "more attempts than max_attempts"
                 );
                 assert!(
-                    self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()),
-                    "two at once"
+                    self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()),
+                    "two attempts in flight at once without hedging"
                 );
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
+                for t in r.attempts.iter().filter(|t| t.may_have_run()) {
                     match self.cfg.classes[r.class].idempotency {
                         Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::NonIdempotent => {
+                            panic!("a non-idempotent request that may have run was sent again")
+                        }
                         Idempotency::Keyed { scope, window } => {
                             assert!(
-                                self.now <= t.at + window,
-                                "a key was repeated after its window"
+                                self.now <= t.sent_at + window,
+                                "an idempotency key was reused after its window"
                             );
-                            let same = match scope {
+                            let same_scope = match scope {
                                 KeyScope::All => true,
                                 KeyScope::Zone => t.zone == b.zone,
                                 KeyScope::Cell => t.cell == b.cell,
                             };
-                            assert!(same, "a key was repeated outside its scope");
+                            assert!(
+                                same_scope,
+                                "an idempotency key was reused outside its scope"
+                            );
                         }
                     }
                 }
-                let (zone, cell, at) = (b.zone, b.cell, self.now);
-                r.tries.push(Try {
+                let (zone, cell, sent_at) = (b.zone, b.cell, self.now);
+                r.attempts.push(Attempt {
                     backend,
                     zone,
                     cell,
-                    at,
+                    sent_at,
                     outcome: None,
                 });
             }
@@ -151,10 +174,13 @@
                 request,
                 retry_after,
             } => {
-                assert!(retry_after > Micros(0), "refused without advice");
+                assert!(
+                    retry_after > Micros(0),
+                    "rejected without a Retry-After delay"
+                );
                 let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
-                let free = matches!(
+                let may_have_run = r.attempts.iter().any(Attempt::may_have_run);
+                let safe_to_repeat = matches!(
                     self.cfg.classes[r.class].idempotency,
                     Idempotency::Idempotent
                         | Idempotency::Keyed {
@@ -162,21 +188,33 @@
                             ..
                         }
                 );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
+                assert!(
+                    safe_to_repeat || !may_have_run,
+                    "rejected a request that may have run"
+                );
+                assert!(
+                    r.answer.replace("rejected").is_none(),
+                    "request {request:?} was answered twice"
+                );
             }
             Action::Fail { request } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.replace("failed").is_none(), "answered twice");
+                assert!(
+                    r.answer.replace("failed").is_none(),
+                    "request {request:?} was answered twice"
+                );
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.cancellation, "cancel is not allowed");
+                assert!(
+                    self.cfg.cancellation,
+                    "attempt cancelled although cancellation is off"
+                );
                 let r = &self.requests[&request];
                 assert!(
-                    (attempt.0 as usize) < r.tries.len(),
-                    "cancelled what was never sent"
+                    (attempt.0 as usize) < r.attempts.len(),
+                    "cancelled an attempt that was never sent"
                 );
-                self.cancelled.push((request, attempt.0 as usize));
+                self.cancellations.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
                 self.timers_set += 1;
@@ -184,64 +222,78 @@
             }
             Action::PollDiscovery => {
                 assert_ne!(self.cfg.discovery, Discovery::Push);
-                self.follows += 1;
+                self.discovery_polls += 1;
             }
-            Action::PublishVerdict { backend, verdict } => self.told.push((backend, verdict)),
-            Action::Log(text) => self.logs.push(text),
+            Action::PublishVerdict { backend, verdict } => self.verdicts.push((backend, verdict)),
+            Action::Log(text) => self.log_lines.push(text),
         }
     }
 
-    pub fn members(&mut self, update: EndpointUpdate, backends: Vec<Backend>) {
+    /// Announces the backends to the balancer; a full or cached update removes those that it doesn't list.
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, backends: Vec<Backend>) {
         if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
-            self.list
+            self.backends
                 .values_mut()
                 .for_each(|b| b.state = BackendState::Removed);
         }
         for b in &backends {
-            self.list.insert(b.id, b.clone());
+            self.backends.insert(b.id, b.clone());
         }
-        self.event(Event::EndpointsUpdated { update, backends });
+        self.handle(Event::EndpointsUpdated { update, backends });
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
-        self.arrive_for(class, left, None)
+    /// A request of the class arrives with `left` µs to its deadline.
+    pub fn arrive(&mut self, class: usize, time_left_us: u64) -> RequestId {
+        self.arrive_for_tenant(class, time_left_us, None)
     }
 
-    pub fn arrive_for(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let deadline = self.now + Micros(left);
-        let open = Open {
+    pub fn arrive_for_tenant(
+        &mut self,
+        class: usize,
+        time_left_us: u64,
+        tenant: Option<TenantId>,
+    ) -> RequestId {
+        self.next_request += 1;
+        let id = RequestId(self.next_request);
+        let deadline = self.now + Micros(time_left_us);
+        let open = OpenRequest {
             class,
             deadline,
-            tries: Vec::new(),
-            streaming: false,
+            attempts: Vec::new(),
+            response_started: false,
             answer: None,
         };
         self.requests.insert(id, open);
-        self.event(Event::RequestArrived(RequestArrival {
+        self.handle(Event::RequestArrived(RequestArrival {
             request: id,
             class: ClassId(class),
             tenant,
-            time_left: Micros(left),
+            time_left: Micros(time_left_us),
             work_hint: None,
-            client_retry: self.repeat,
+            client_retry: self.client_retry,
         }));
         id
     }
 
-    /// So many requests at once.
-    pub fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.arrive(class, left)).collect()
+    /// `count` requests arrive at the same moment.
+    pub fn burst(&mut self, count: usize, class: usize, time_left_us: u64) -> Vec<RequestId> {
+        (0..count)
+            .map(|_| self.arrive(class, time_left_us))
+            .collect()
     }
 
-    /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
+    /// Reports events that name a request, an attempt and a timer that the balancer doesn't know.
+    pub fn report_unknown_ids(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptNumber,
+        token: TimerToken,
+    ) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
-        self.event(Event::TimerFired { token });
-        self.event(Event::ClientDisconnected { request });
-        self.event(Event::ResponseStarted { request, attempt });
-        self.event(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::TimerFired { token });
+        self.handle(Event::ClientDisconnected { request });
+        self.handle(Event::ResponseStarted { request, attempt });
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             outcome,
@@ -250,51 +302,53 @@
         }));
     }
 
-    /// Ends an attempt that is out.
-    pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
+    /// Ends an attempt with the outcome, if it is in flight; the first success answers the request.
+    pub fn end_attempt(&mut self, id: RequestId, index: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else {
+        let Some(t) = r.attempts.get_mut(index).filter(|t| t.outcome.is_none()) else {
             return;
         };
         t.outcome = Some(outcome);
-        let latency = now - t.at;
+        let latency = now - t.sent_at;
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some("served");
         }
-        let settled = r.answer.is_some();
-        let attempt = AttemptNumber(no as u32);
-        self.event(Event::AttemptEnded(AttemptEnd {
+        let answered = r.answer.is_some();
+        let attempt = AttemptNumber(index as u32);
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             outcome,
             latency,
-            answered: settled,
+            answered,
         }));
     }
 
-    pub fn start_stream(&mut self, id: RequestId, no: usize) {
+    /// The response to an attempt in flight starts streaming to the client.
+    pub fn start_response(&mut self, id: RequestId, index: usize) {
         let Some(r) = self
             .requests
             .get_mut(&id)
-            .filter(|r| r.answer.is_none() && !r.streaming)
+            .filter(|r| r.answer.is_none() && !r.response_started)
         else {
             return;
         };
-        if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
-            r.streaming = true;
-            self.event(Event::ResponseStarted {
+        if r.attempts.get(index).is_some_and(|t| t.outcome.is_none()) {
+            r.response_started = true;
+            self.handle(Event::ResponseStarted {
                 request: id,
-                attempt: AttemptNumber(no as u32),
+                attempt: AttemptNumber(index as u32),
             });
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
-    pub fn advance(&mut self, span: u64) {
-        let until = self.now + Micros(span);
+    /// Advances the clock by `span` µs in steps of the timer resolution: fires timers, ends cancelled and timed-out
+    /// attempts, and checks that each request is answered at most 16 ms after its deadline.
+    pub fn advance(&mut self, span_us: u64) {
+        let until = self.now + Micros(span_us);
         while self.now < until {
             self.now = (self.now + self.cfg.timer_resolution).min(until);
             let (due, rest) = std::mem::take(&mut self.timers)
@@ -303,50 +357,52 @@
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
             for (_, token) in due {
-                self.event(Event::TimerFired { token });
+                self.handle(Event::TimerFired { token });
             }
-            for (id, no) in std::mem::take(&mut self.cancelled) {
-                self.end(id, no, Outcome::Cancelled);
+            for (id, index) in std::mem::take(&mut self.cancellations) {
+                self.end_attempt(id, index, Outcome::Cancelled);
             }
-            for (id, no) in self.out() {
+            for (id, index) in self.attempts_in_flight() {
                 let r = &self.requests[&id];
-                if r.deadline <= self.now && !r.streaming {
-                    self.end(id, no, Outcome::TimedOut);
+                if r.deadline <= self.now && !r.response_started {
+                    self.end_attempt(id, index, Outcome::TimedOut);
                 }
             }
             for (id, r) in &self.requests {
-                let open = r.answer.is_none() && !r.streaming;
+                let waiting = r.answer.is_none() && !r.response_started;
                 assert!(
-                    !open || self.now < r.deadline + Micros(16_000),
-                    "no answer in time for {id:?}"
+                    !waiting || self.now < r.deadline + Micros(16_000),
+                    "{id:?} has no answer 16 ms after its deadline"
                 );
             }
         }
     }
 
-    pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
+    /// The backends of the request's attempts, in the order of sending.
+    pub fn backends_attempted(&self, id: RequestId) -> Vec<u32> {
         self.requests[&id]
-            .tries
+            .attempts
             .iter()
             .map(|t| t.backend.0)
             .collect()
     }
 
-    /// Serves everything that is out, each after `span`.
-    pub fn serve_all(&mut self, span: u64) {
-        self.advance(span);
-        for (id, no) in self.out() {
-            self.end(id, no, Outcome::Ok);
+    /// Advances the clock by `span` µs, then ends every attempt in flight with success.
+    pub fn serve_all(&mut self, span_us: u64) {
+        self.advance(span_us);
+        for (id, index) in self.attempts_in_flight() {
+            self.end_attempt(id, index, Outcome::Ok);
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
+    /// The request and index of each attempt that has not ended.
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries
+            r.attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, t)| t.outcome.is_none())
-                .map(|(no, _)| (*id, no))
+                .map(|(index, _)| (*id, index))
         });
         each.collect()
     }
--- a/tests/failures.rs
+++ b/tests/decisions.rs
@@ -17,7 +17,7 @@
 
 fn host(cfg: Config, list: Vec<Backend>) -> Host {
     let mut host = Host::new(cfg, 11);
-    host.members(EndpointUpdate::Full, list);
+    host.update_endpoints(EndpointUpdate::Full, list);
     host
 }
 
@@ -26,9 +26,13 @@
     let mut chosen = Vec::new();
     for _ in 0..count {
         let id = host.arrive(class, 900_000);
-        chosen.extend(host.sent_to(id));
-        host.advance(host.sent_to(id).first().map_or(5_000, |b| time(*b)));
-        host.end(id, 0, Outcome::Ok);
+        chosen.extend(host.backends_attempted(id));
+        host.advance(
+            host.backends_attempted(id)
+                .first()
+                .map_or(5_000, |b| time(*b)),
+        );
+        host.end_attempt(id, 0, Outcome::Ok);
     }
     chosen
 }
@@ -81,7 +85,7 @@
     host.advance(500_000);
     assert!(ids
         .iter()
-        .all(|id| host.requests[id].answer == Some("refused")));
+        .all(|id| host.requests[id].answer == Some("rejected")));
 }
 
 #[test]
@@ -91,7 +95,7 @@
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
     host.advance(20_000);
-    assert_eq!(host.requests[&id].answer, Some("refused"));
+    assert_eq!(host.requests[&id].answer, Some("rejected"));
 }
 
 #[test]
@@ -132,10 +136,10 @@
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let hung = host.sent_to(id)[0];
+    let hung = host.backends_attempted(id)[0];
     host.advance(100_000);
     assert_eq!(
-        host.sent_to(id).len(),
+        host.backends_attempted(id).len(),
         1,
         "age alone sent a copy: such copies crowd every backend"
     );
@@ -154,12 +158,12 @@
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-        host.members(EndpointUpdate::Full, fleet(6));
+        host.update_endpoints(EndpointUpdate::Full, fleet(6));
         host.advance(20_000);
-        host.end(two[0], 0, Outcome::Reset);
+        host.end_attempt(two[0], 0, Outcome::Reset);
         host.advance(20_000);
-        assert_eq!(host.sent_to(two[1]).len(), 2, "copies {copies}");
-        let called_back = host.requests[&two[1]].tries[0].outcome == Some(Outcome::Cancelled);
+        assert_eq!(host.backends_attempted(two[1]).len(), 2, "copies {copies}");
+        let called_back = host.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
         assert_eq!(
             called_back, !copies,
             "where no copy may run beside it the first is called back"
@@ -181,7 +185,7 @@
             fleet(6),
         );
         host.burst(40, 0, 900_000);
-        let tries = host.requests.values().flat_map(|r| &r.tries);
+        let tries = host.requests.values().flat_map(|r| &r.attempts);
         tries.for_each(|t| held[t.backend.0 as usize] += 1);
     }
     assert_eq!(held, [4; 6]);
@@ -203,14 +207,15 @@
     for _ in 0..30 {
         // Two at once each nine seconds, 0.22 a second of 0.5 due, on a fleet that holds about five each.
         let ids: Vec<RequestId> = (0..2)
-            .map(|_| host.arrive_for(0, 8_000_000, Some(TenantId(0))))
+            .map(|_| host.arrive_for_tenant(0, 8_000_000, Some(TenantId(0))))
             .collect();
         host.advance(7_000_000);
         refused += ids
             .iter()
-            .filter(|id| host.requests[id].answer == Some("refused"))
+            .filter(|id| host.requests[id].answer == Some("rejected"))
             .count();
-        ids.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
+        ids.iter()
+            .for_each(|id| host.end_attempt(*id, 0, Outcome::Ok));
         host.advance(2_000_000);
     }
     assert!(refused <= 3, "{refused} of 60 were refused");
@@ -264,18 +269,18 @@
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let full = host.sent_to(id)[0];
-    host.end(id, 0, Outcome::Overloaded);
-    let retried = host.sent_to(id).len();
-    host.end(id, retried - 1, Outcome::Ok);
+    let full = host.backends_attempted(id)[0];
+    host.end_attempt(id, 0, Outcome::Overloaded);
+    let retried = host.backends_attempted(id).len();
+    host.end_attempt(id, retried - 1, Outcome::Ok);
     assert!(
         !serve(&mut host, 20, 0, |_| 5_000).contains(&full),
         "used at once again"
     );
     assert!(
-        host.logs.iter().all(|l| !l.contains("ejected")),
+        host.log_lines.iter().all(|l| !l.contains("ejected")),
         "{:?}",
-        host.logs
+        host.log_lines
     );
     host.advance(500_000);
     assert!(
@@ -297,14 +302,14 @@
     let mut answer = |proxied: u64, tenant: usize| {
         // One attempt out for so long of every second: all hundred hold so many on twenty backends.
         for _ in 0..20 {
-            let id = host.arrive_for(0, 990_000, Some(TenantId(0)));
+            let id = host.arrive_for_tenant(0, 990_000, Some(TenantId(0)));
             host.advance(proxied);
-            host.end(id, 0, Outcome::Ok);
+            host.end_attempt(id, 0, Outcome::Ok);
             host.advance(1_000_000 - proxied);
         }
-        let id = host.arrive_for(0, 990_000, Some(TenantId(tenant)));
+        let id = host.arrive_for_tenant(0, 990_000, Some(TenantId(tenant)));
         let answer = host.requests[&id].answer;
-        host.end(id, 0, Outcome::Ok);
+        host.end_attempt(id, 0, Outcome::Ok);
         answer
     };
     assert_eq!(
@@ -315,7 +320,7 @@
     assert_eq!(answer(300_000, 1), None, "1.5 held on each backend");
     assert_eq!(
         answer(600_000, 1),
-        Some("refused"),
+        Some("rejected"),
         "3 held on each backend, beyond quota"
     );
     assert_eq!(
@@ -357,7 +362,7 @@
     (0..20).for_each(|_| second(&mut host, 600_000));
     assert_eq!(
         short(&mut host),
-        Some("refused"),
+        Some("rejected"),
         "three held on each backend"
     );
     second(&mut host, 600_000);
@@ -377,12 +382,12 @@
     let mut host = host(cfg, fleet(20));
     let tenant = Some(TenantId(0));
     let second = |host: &mut Host, repeats: usize| {
-        host.repeat = true;
+        host.client_retry = true;
         for _ in 0..repeats {
-            host.arrive_for(0, 990_000, tenant);
+            host.arrive_for_tenant(0, 990_000, tenant);
         }
-        host.repeat = false;
-        let id = host.arrive_for(0, 990_000, tenant);
+        host.client_retry = false;
+        let id = host.arrive_for_tenant(0, 990_000, tenant);
         host.serve_all(600_000); // held by all hundred: three on each backend
         host.advance(400_000);
         host.requests[&id].answer
@@ -402,17 +407,21 @@
         fleet(2),
     );
     host.burst(20, 0, 900_000);
-    let out = host.out();
+    let out = host.attempts_in_flight();
     assert!(
         (8..=10).contains(&out.len()),
         "{} out on two backends",
         out.len()
     );
-    let (id, no) = out[0];
+    let (id, index) = out[0];
     host.advance(20_000);
-    let before = host.out().len();
-    host.end(id, no, Outcome::Ok);
-    assert_eq!(host.out().len(), before, "the room made is used at once");
+    let before = host.attempts_in_flight().len();
+    host.end_attempt(id, index, Outcome::Ok);
+    assert_eq!(
+        host.attempts_in_flight().len(),
+        before,
+        "the room made is used at once"
+    );
 }
 
 #[test]
@@ -420,11 +429,11 @@
     let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::Error);
+    host.end_attempt(id, 0, Outcome::Error);
     assert_eq!(host.requests[&id].answer, Some("failed"));
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ConnectFailed);
-    assert_eq!(host.sent_to(id).len(), 2);
+    host.end_attempt(id, 0, Outcome::ConnectFailed);
+    assert_eq!(host.backends_attempted(id).len(), 2);
 }
 
 #[test]
@@ -439,13 +448,17 @@
     );
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::Error);
-    let sent = host.sent_to(id);
+    host.end_attempt(id, 0, Outcome::Error);
+    let sent = host.backends_attempted(id);
     assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "{sent:?}");
     let id = host.arrive(0, 900_000);
     host.advance(210_000);
-    host.end(id, 0, Outcome::Error);
-    assert_eq!(host.sent_to(id).len(), 1, "repeated after its window");
+    host.end_attempt(id, 0, Outcome::Error);
+    assert_eq!(
+        host.backends_attempted(id).len(),
+        1,
+        "repeated after its window"
+    );
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
@@ -454,12 +467,12 @@
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id)[0] == 3;
+        let bad = host.backends_attempted(id)[0] == 3;
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
-        let again = host.requests[&id].tries.len();
-        host.end(id, again - 1, Outcome::Ok);
-        if host.logs.iter().any(|l| l.contains("ejected")) {
+        host.end_attempt(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
+        let again = host.requests[&id].attempts.len();
+        host.end_attempt(id, again - 1, Outcome::Ok);
+        if host.log_lines.iter().any(|l| l.contains("ejected")) {
             return 3;
         }
     }
@@ -489,7 +502,7 @@
         serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
         "no free request tried it"
     );
-    assert!(host.logs.iter().any(|l| l.contains("readmitted")));
+    assert!(host.log_lines.iter().any(|l| l.contains("readmitted")));
 }
 
 #[test]
@@ -498,11 +511,11 @@
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id).first().is_some_and(|b| *b != 0);
+        let bad = host.backends_attempted(id).first().is_some_and(|b| *b != 0);
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
-        let no = host.requests[&id].tries.len().saturating_sub(1);
-        host.end(id, no, Outcome::Ok);
+        host.end_attempt(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
+        let index = host.requests[&id].attempts.len().saturating_sub(1);
+        host.end_attempt(id, index, Outcome::Ok);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
     assert!(
@@ -525,7 +538,7 @@
         started_at: Some(host.now),
         ..backend(9, 0, 0)
     };
-    host.members(EndpointUpdate::Incremental, vec![cold]);
+    host.update_endpoints(EndpointUpdate::Incremental, vec![cold]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
     let sent = chosen.iter().filter(|b| **b == 9).count();
     // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
@@ -552,22 +565,22 @@
             ..backend(i, 0, 0)
         })
         .collect();
-    host.members(EndpointUpdate::Full, list);
+    host.update_endpoints(EndpointUpdate::Full, list);
     let mut sent = 0;
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
         host.advance(20_000);
-        let out = host.out();
+        let out = host.attempts_in_flight();
         sent += out.len();
         out.into_iter()
-            .for_each(|(id, no)| host.end(id, no, Outcome::Ok));
+            .for_each(|(id, index)| host.end_attempt(id, index, Outcome::Ok));
     }
     // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third, by 0.8: 11 each.
     let tries = || {
         host.requests
             .values()
-            .flat_map(|r| &r.tries)
-            .filter(|t| Some(t.at) >= booted)
+            .flat_map(|r| &r.attempts)
+            .filter(|t| Some(t.sent_at) >= booted)
     };
     let most = (0..12)
         .map(|b| tries().filter(|t| t.backend == BackendId(b)).count())
@@ -591,11 +604,12 @@
     let fill = host.burst(8, 0, 900_000);
     host.advance(5_000);
     let first = host.arrive(0, 900_000);
-    host.repeat = true;
+    host.client_retry = true;
     let repeat = host.arrive(0, 900_000);
     host.advance(15_000);
-    fill.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
-    let at = |id: &RequestId| host.requests[id].tries.first().map(|t| t.at);
+    fill.iter()
+        .for_each(|id| host.end_attempt(*id, 0, Outcome::Ok));
+    let at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.sent_at);
     assert!(at(&first).is_some());
     assert!(
         at(&repeat).is_none_or(|t| t >= at(&first).unwrap()),
@@ -621,16 +635,16 @@
         fleet(2),
     );
     let flood: Vec<RequestId> = (0..30)
-        .map(|_| host.arrive_for(0, 900_000, Some(TenantId(0))))
+        .map(|_| host.arrive_for_tenant(0, 900_000, Some(TenantId(0))))
         .collect();
     let flooded = flood
         .iter()
-        .filter(|id| !host.sent_to(**id).is_empty())
+        .filter(|id| !host.backends_attempted(**id).is_empty())
         .count();
-    let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
+    let other = host.arrive_for_tenant(0, 900_000, Some(TenantId(1)));
     assert!(flooded <= 6, "{flooded} of the flood went out");
     assert_eq!(
-        host.sent_to(other).len(),
+        host.backends_attempted(other).len(),
         1,
         "the other tenant waits behind the flood"
     );
@@ -743,32 +757,32 @@
         ..Config::example()
     };
     let mut host = Host::new(cfg, 3);
-    host.members(EndpointUpdate::Cached, fleet(2));
-    assert_eq!(host.follows, 1);
-    host.members(EndpointUpdate::Incremental, fleet(3));
+    host.update_endpoints(EndpointUpdate::Cached, fleet(2));
+    assert_eq!(host.discovery_polls, 1);
+    host.update_endpoints(EndpointUpdate::Incremental, fleet(3));
     host.advance(8_000_000);
     assert_eq!(
-        host.follows, 1,
+        host.discovery_polls, 1,
         "a living subscription is not asked for again"
     );
-    host.event(Event::EndpointsUpdated {
+    host.handle(Event::EndpointsUpdated {
         update: EndpointUpdate::Failed,
         backends: Vec::new(),
     });
     host.advance(400_000);
-    assert_eq!(host.follows, 2);
+    assert_eq!(host.discovery_polls, 2);
     host.advance(6_000_000);
-    assert_eq!(host.follows, 3, "an unanswered call is repeated");
+    assert_eq!(host.discovery_polls, 3, "an unanswered call is repeated");
 }
 
 #[test]
 fn a_stream_once_begun_is_left_alone() {
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(2));
     let id = host.arrive(0, 300_000);
-    host.start_stream(id, 0);
+    host.start_response(id, 0);
     host.advance(2_000_000);
     assert_eq!(host.requests[&id].answer, None);
-    assert_eq!(host.sent_to(id).len(), 1);
+    assert_eq!(host.backends_attempted(id).len(), 1);
 }
 
 #[test]
@@ -776,7 +790,7 @@
     let run = |noise: bool| {
         let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(3));
         if noise {
-            host.nonsense(RequestId(77), AttemptNumber(3), TimerToken(u64::MAX));
+            host.report_unknown_ids(RequestId(77), AttemptNumber(3), TimerToken(u64::MAX));
         }
         serve(&mut host, 50, 0, |_| 10_000)
     };
@@ -802,17 +816,17 @@
         }
         due -= due.floor();
         host.advance(5_000);
-        let out = host.out();
+        let out = host.attempts_in_flight();
         held += if step >= 800 { out.len() } else { 0 };
         for b in 0..3 {
-            let on = |k: &&(RequestId, usize)| host.requests[&k.0].tries[k.1].backend.0 == b;
+            let on = |k: &&(RequestId, usize)| host.requests[&k.0].attempts[k.1].backend.0 == b;
             let mut line: Vec<_> = out.iter().filter(on).collect();
-            line.sort_by_key(|k| host.requests[&k.0].tries[k.1].at);
-            for &&(id, no) in line.iter().take(cores) {
-                let rest = left.entry((id, no)).or_insert(20u32);
+            line.sort_by_key(|k| host.requests[&k.0].attempts[k.1].sent_at);
+            for &&(id, index) in line.iter().take(cores) {
+                let rest = left.entry((id, index)).or_insert(20u32);
                 *rest -= 1;
                 if *rest == 0 {
-                    host.end(id, no, Outcome::Ok);
+                    host.end_attempt(id, index, Outcome::Ok);
                 }
             }
         }
@@ -892,19 +906,26 @@
     serve(&mut host, 40, 0, |_| 10_000);
     let ids = host.burst(3, 0, 900_000);
     host.advance(5_000);
-    host.end(ids[0], 0, Outcome::Ok);
+    host.end_attempt(ids[0], 0, Outcome::Ok);
     host.advance(5_000);
-    host.end(ids[1], 0, Outcome::Reset);
+    host.end_attempt(ids[1], 0, Outcome::Reset);
     let next = host.arrive(0, 900_000);
-    assert_eq!(host.sent_to(next).len(), 1, "the backend is still in use");
-    host.end(ids[2], 0, Outcome::Reset);
-    host.end(next, 0, Outcome::Reset);
+    assert_eq!(
+        host.backends_attempted(next).len(),
+        1,
+        "the backend is still in use"
+    );
+    host.end_attempt(ids[2], 0, Outcome::Reset);
+    host.end_attempt(next, 0, Outcome::Reset);
     for _ in 0..4 {
         let id = host.arrive(0, 900_000);
-        host.end(id, 0, Outcome::Reset);
+        host.end_attempt(id, 0, Outcome::Reset);
     }
     let last = host.arrive(0, 900_000);
-    assert!(host.sent_to(last).is_empty(), "breaks in a row do eject it");
+    assert!(
+        host.backends_attempted(last).is_empty(),
+        "breaks in a row do eject it"
+    );
 }
 
 #[test]
@@ -929,12 +950,16 @@
             } else {
                 Outcome::Reset
             };
-            host.end(id, 0, if breaks { how } else { Outcome::Ok });
-            host.end(id, 1, Outcome::Ok);
+            host.end_attempt(id, 0, if breaks { how } else { Outcome::Ok });
+            host.end_attempt(id, 1, Outcome::Ok);
         }
     }
-    let ejected = host.logs.iter().filter(|l| l.contains("ejected")).count();
-    assert_eq!(ejected, 0, "{:?}", host.logs);
+    let ejected = host
+        .log_lines
+        .iter()
+        .filter(|l| l.contains("ejected"))
+        .count();
+    assert_eq!(ejected, 0, "{:?}", host.log_lines);
 }
 
 /// A body that goes out as it comes has no deadline until it is whole, and no second backend.
@@ -947,7 +972,7 @@
         },
         8,
     );
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..3).map(|n| backend(n, 0, 0)).collect(),
     );
@@ -957,7 +982,7 @@
     }
     for outcome in [Outcome::Ok, Outcome::ConnectFailed, Outcome::Reset] {
         let id = host.arrive(0, 500_000);
-        host.event(Event::UploadStarted {
+        host.handle(Event::UploadStarted {
             request: id,
             attempt: AttemptNumber(0),
         });
@@ -966,15 +991,15 @@
         host.advance(5_000_000);
         assert_eq!(host.requests[&id].answer, None);
         let time_left = Micros(500_000);
-        host.event(Event::UploadFinished {
+        host.handle(Event::UploadFinished {
             request: id,
             attempt: AttemptNumber(0),
             time_left,
         });
         host.requests.get_mut(&id).unwrap().deadline = host.now + time_left;
         host.advance(100_000);
-        host.end(id, 0, outcome);
-        assert_eq!(host.sent_to(id).len(), 1, "{outcome:?}");
+        host.end_attempt(id, 0, outcome);
+        assert_eq!(host.backends_attempted(id).len(), 1, "{outcome:?}");
         assert!(host.requests[&id].answer.is_some(), "{outcome:?}");
     }
 }
@@ -989,18 +1014,19 @@
         },
         9,
     );
-    host.members(EndpointUpdate::Full, vec![backend(0, 0, 0)]);
+    host.update_endpoints(EndpointUpdate::Full, vec![backend(0, 0, 0)]);
     let ids = host.burst(20, 0, 500_000);
     let held = |host: &Host, ids: &[RequestId]| {
         ids.iter()
-            .filter(|id| host.sent_to(**id).is_empty())
+            .filter(|id| host.backends_attempted(**id).is_empty())
             .count()
     };
     let waiting = held(&host, &ids);
     assert!(waiting > 0);
     host.advance(20_000);
-    let out = host.out();
-    out.iter().for_each(|(id, no)| host.start_stream(*id, *no));
+    let out = host.attempts_in_flight();
+    out.iter()
+        .for_each(|(id, index)| host.start_response(*id, *index));
     assert!(held(&host, &ids) < waiting);
 }
 
@@ -1014,25 +1040,25 @@
     let mut host = host(cfg, fleet(1));
     serve(&mut host, 100, 0, |_| 10_000);
     let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-    host.members(EndpointUpdate::Full, fleet(6));
+    host.update_endpoints(EndpointUpdate::Full, fleet(6));
     host.advance(20_000);
-    host.end(two[0], 0, Outcome::Reset); // the backend is ejected, and the other one there gets a copy
+    host.end_attempt(two[0], 0, Outcome::Reset); // the backend is ejected, and the other one there gets a copy
     host.advance(20_000);
     let copied = two[1];
-    assert_eq!(host.sent_to(copied).len(), 2);
-    host.start_stream(copied, 0);
+    assert_eq!(host.backends_attempted(copied).len(), 2);
+    host.start_response(copied, 0);
     let (attempt, outcome, latency) = (AttemptNumber(1), Outcome::Cancelled, Micros(5_000));
-    host.event(Event::AttemptEnded(AttemptEnd {
+    host.handle(Event::AttemptEnded(AttemptEnd {
         request: copied,
         attempt,
         outcome,
         latency,
         answered: true,
     }));
-    assert!(!host.cancelled.contains(&(copied, 0)));
-    host.event(Event::ClientDisconnected { request: copied });
+    assert!(!host.cancellations.contains(&(copied, 0)));
+    host.handle(Event::ClientDisconnected { request: copied });
     assert!(
-        host.cancelled.contains(&(copied, 0)),
+        host.cancellations.contains(&(copied, 0)),
         "it ends with its client"
     );
 }
--- a/tests/withdraw.rs
+++ b/tests/disabled_backends.rs
@@ -17,7 +17,7 @@
         },
         seed,
     );
-    host.members(EndpointUpdate::Full, fleet());
+    host.update_endpoints(EndpointUpdate::Full, fleet());
     host
 }
 
@@ -29,7 +29,7 @@
         host.serve_all(20_000);
         sent += ids
             .iter()
-            .flat_map(|id| host.sent_to(*id))
+            .flat_map(|id| host.backends_attempted(*id))
             .filter(|b| *b == 0)
             .count();
     }
@@ -41,17 +41,17 @@
 fn nothing_undoes_a_ban_but_the_call_back() {
     let mut host = host(5);
     assert!(sent_to_first(&mut host, 20) > 0);
-    host.event(Event::BackendDisabled {
+    host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
-    host.event(Event::BackendDisabled {
+    host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
     assert_eq!(sent_to_first(&mut host, 20), 0);
-    host.members(EndpointUpdate::Full, fleet());
+    host.update_endpoints(EndpointUpdate::Full, fleet());
     assert_eq!(sent_to_first(&mut host, 20), 0, "a whole list");
     let booted = Some(host.now);
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Incremental,
         vec![Backend {
             started_at: booted,
@@ -59,15 +59,15 @@
         }],
     );
     assert_eq!(sent_to_first(&mut host, 20), 0, "a new start");
-    host.members(EndpointUpdate::Full, fleet().split_off(1));
-    host.members(EndpointUpdate::Full, fleet());
+    host.update_endpoints(EndpointUpdate::Full, fleet().split_off(1));
+    host.update_endpoints(EndpointUpdate::Full, fleet());
     assert_eq!(sent_to_first(&mut host, 20), 0, "gone and listed again");
-    host.members(EndpointUpdate::Full, fleet().drain(..1).collect());
+    host.update_endpoints(EndpointUpdate::Full, fleet().drain(..1).collect());
     let id = host.arrive(0, 500_000);
     host.advance(600_000);
-    assert!(host.sent_to(id).is_empty(), "the only one left");
-    host.members(EndpointUpdate::Full, fleet());
-    host.event(Event::BackendEnabled {
+    assert!(host.backends_attempted(id).is_empty(), "the only one left");
+    host.update_endpoints(EndpointUpdate::Full, fleet());
+    host.handle(Event::BackendEnabled {
         backend: BackendId(0),
         since: host.now,
     });
@@ -79,23 +79,29 @@
 #[test]
 fn a_request_that_waits_goes_elsewhere() {
     let mut host = host(6);
-    host.members(EndpointUpdate::Full, fleet().drain(..1).collect());
+    host.update_endpoints(EndpointUpdate::Full, fleet().drain(..1).collect());
     let ids = host.burst(40, 0, 500_000);
     let waiting: Vec<_> = ids
         .iter()
-        .filter(|id| host.sent_to(**id).is_empty())
+        .filter(|id| host.backends_attempted(**id).is_empty())
         .copied()
         .collect();
     assert!(!waiting.is_empty() && waiting.len() < ids.len());
-    host.event(Event::BackendDisabled {
+    host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
     host.serve_all(20_000);
-    assert!(waiting.iter().all(|id| host.sent_to(*id).is_empty()));
-    host.members(EndpointUpdate::Incremental, fleet().split_off(1));
+    assert!(waiting
+        .iter()
+        .all(|id| host.backends_attempted(*id).is_empty()));
+    host.update_endpoints(EndpointUpdate::Incremental, fleet().split_off(1));
     host.serve_all(20_000);
-    assert!(waiting.iter().any(|id| !host.sent_to(*id).is_empty()));
-    assert!(waiting.iter().all(|id| !host.sent_to(*id).contains(&0)));
+    assert!(waiting
+        .iter()
+        .any(|id| !host.backends_attempted(*id).is_empty()));
+    assert!(waiting
+        .iter()
+        .all(|id| !host.backends_attempted(*id).contains(&0)));
 }
 
 /// It may have restarted while it was out, and the list may not tell yet: it is not filled at once. An
@@ -107,11 +113,11 @@
     for _ in 0..20 {
         let ids = host.burst(4, 0, 500_000);
         host.advance(20_000);
-        for (id, no) in host.out() {
-            let first = host.requests[&id].tries[no].backend == BackendId(0);
-            host.end(
+        for (id, index) in host.attempts_in_flight() {
+            let first = host.requests[&id].attempts[index].backend == BackendId(0);
+            host.end_attempt(
                 id,
-                no,
+                index,
                 if first {
                     Outcome::ConnectFailed
                 } else {
@@ -122,11 +128,11 @@
         drop(ids);
     }
     assert!(sent_to_first(&mut host, 3) <= 1, "ejected");
-    host.event(Event::BackendDisabled {
+    host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
     host.advance(500_000);
-    host.event(Event::BackendEnabled {
+    host.handle(Event::BackendEnabled {
         backend: BackendId(0),
         since: host.now,
     });
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -106,20 +106,20 @@
             .map(|i| backend(i, i % 3, i % 2))
             .collect()
     };
-    host.members(EndpointUpdate::Cached, fleet(0b0111_1011));
+    host.update_endpoints(EndpointUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
             Step::Arrive(c, left, t) => {
-                host.arrive_for(c, left, t.map(TenantId));
+                host.arrive_for_tenant(c, left, t.map(TenantId));
             }
             Step::End(n, o) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.end(id, no, o);
+                if let Some((id, index)) = nth(&host.attempts_in_flight(), n) {
+                    host.end_attempt(id, index, o);
                 }
             }
             Step::Stream(n) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.start_stream(id, no);
+                if let Some((id, index)) = nth(&host.attempts_in_flight(), n) {
+                    host.start_response(id, index);
                 }
             }
             Step::Gone(n) => {
@@ -131,13 +131,13 @@
                     .collect();
                 if let Some(id) = nth(&open, n) {
                     host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientDisconnected { request: id });
+                    host.handle(Event::ClientDisconnected { request: id });
                 }
             }
             Step::Pass(span) => host.advance(span),
             Step::Member(b, state, restarted) => {
                 let booted = restarted.then_some(host.now);
-                host.members(
+                host.update_endpoints(
                     EndpointUpdate::Incremental,
                     vec![Backend {
                         state,
@@ -147,17 +147,17 @@
                 );
             }
             Step::Relist(_, EndpointUpdate::Failed) => {
-                host.members(EndpointUpdate::Failed, Vec::new());
+                host.update_endpoints(EndpointUpdate::Failed, Vec::new());
             }
-            Step::Relist(mask, update) => host.members(update, fleet(mask)),
+            Step::Relist(mask, update) => host.update_endpoints(update, fleet(mask)),
             Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
+                host.report_unknown_ids(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
             }
         }
-        trace.push(format!("{:?}", host.last));
+        trace.push(format!("{:?}", host.last_actions));
     }
     host.advance(3_000_000);
-    let answered = |r: &common::Open| r.answer.is_some() || r.streaming;
+    let answered = |r: &common::OpenRequest| r.answer.is_some() || r.response_started;
     assert!(
         host.requests.values().all(answered),
         "a request was left without an answer"
--- a/tests/recall.rs
+++ b/tests/learned_state.rs
@@ -13,7 +13,7 @@
         },
         5,
     );
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..4).map(|id| backend(id, 0, 0)).collect(),
     );
@@ -32,15 +32,15 @@
 /// How many attempts go out at once of a hundred requests.
 fn taken(host: &mut Host) -> usize {
     host.burst(100, 0, 300_000);
-    host.out().len()
+    host.attempts_in_flight().len()
 }
 
 fn recalled(memory: &LearnedState, beside: bool) -> Host {
     let mut host = fleet();
     if beside {
-        host.event(Event::ProcessCountChanged { processes: 2 });
+        host.handle(Event::ProcessCountChanged { processes: 2 });
     }
-    host.event(Event::StateRestored {
+    host.handle(Event::StateRestored {
         state: Box::new(memory.clone()),
         age: Micros(2_000_000),
     });
--- a/tests/words.rs
+++ b/tests/peer_verdicts.rs
@@ -16,7 +16,7 @@
         },
         3,
     );
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..4).map(|id| backend(id, 0, 0)).collect(),
     );
@@ -30,9 +30,9 @@
     for _ in 0..ms / 20 {
         host.burst(1, 0, 2_000_000);
         host.advance(10_000);
-        for (id, no) in host.out() {
-            got[host.requests[&id].tries[no].backend.0 as usize] += 1;
-            host.end(id, no, Outcome::Ok);
+        for (id, index) in host.attempts_in_flight() {
+            got[host.requests[&id].attempts[index].backend.0 as usize] += 1;
+            host.end_attempt(id, index, Outcome::Ok);
         }
         host.advance(10_000);
     }
@@ -42,7 +42,7 @@
 /// Another proxy's verdict on backend 0.
 fn hear(host: &mut Host, origin: u32, verdict: Verdict, age_ms: u64, turn: u32) {
     let (backend, origin, age) = (BackendId(0), Some(PeerId(origin)), Micros(age_ms * 1_000));
-    host.event(Event::VerdictReceived(PeerVerdict {
+    host.handle(Event::VerdictReceived(PeerVerdict {
         backend,
         origin,
         verdict,
@@ -87,9 +87,9 @@
         "an older verdict won over its own answer"
     );
     assert!(
-        host.told.is_empty(),
+        host.verdicts.is_empty(),
         "words of others are not told on: {:?}",
-        host.told
+        host.verdicts
     );
 }
 
@@ -108,7 +108,7 @@
         let tried = play(&mut host, until_ms - from_ms + 100)[0];
         assert!(tried > 0, "turn {turn}: not tried by {until_ms} ms");
         assert_eq!(
-            host.told,
+            host.verdicts,
             [(BackendId(0), Verdict::Readmitted)],
             "turn {turn}: good trials are told once"
         );
--- a/tests/retune.rs
+++ b/tests/reconfiguration.rs
@@ -45,7 +45,7 @@
             predecessor: ClassId(1),
         }],
     );
-    host.event(Event::ConfigChanged {
+    host.handle(Event::ConfigChanged {
         config,
         retired,
         reinstated: Vec::new(),
@@ -55,7 +55,7 @@
 
 fn host(seed: u64) -> Host {
     let mut host = Host::new(config(), seed);
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..6).map(|n| backend(n, 0, 0)).collect(),
     );
@@ -73,19 +73,19 @@
     let (free, bound) = (host.arrive(0, 400_000), host.arrive(1, 400_000));
     change(&mut host);
     let again = host.arrive(2, 400_000);
-    host.end(bound, 0, Outcome::Reset);
+    host.end_attempt(bound, 0, Outcome::Reset);
     assert_eq!(
         host.requests[&bound].answer,
         Some("failed"),
         "unsafe when it came"
     );
     for (id, most) in [(free, 3), (again, 2)] {
-        for no in 0..most {
-            host.end(id, no, Outcome::Error);
+        for index in 0..most {
+            host.end_attempt(id, index, Outcome::Error);
         }
         assert_eq!(
-            (host.sent_to(id).len(), host.requests[&id].answer),
-            (most, Some("refused"))
+            (host.backends_attempted(id).len(), host.requests[&id].answer),
+            (most, Some("rejected"))
         );
     }
 }
@@ -99,8 +99,8 @@
     host.serve_all(20_000);
     assert_eq!(host.requests[&last].answer, Some("served"));
     // Its usual time is known: held past that, it is refused while refusing is still harmless.
-    let fleet: Vec<_> = host.list.values().cloned().collect();
-    host.members(EndpointUpdate::Full, Vec::new());
+    let fleet: Vec<_> = host.backends.values().cloned().collect();
+    host.update_endpoints(EndpointUpdate::Full, Vec::new());
     let held = host.arrive(2, 400_000);
     host.advance(365_000);
     assert_eq!(
@@ -108,8 +108,8 @@
         "not a quarter of its aim before the end, as if unknown"
     );
     host.advance(35_000);
-    assert_eq!(host.requests[&held].answer, Some("refused"));
-    host.members(EndpointUpdate::Full, fleet);
+    assert_eq!(host.requests[&held].answer, Some("rejected"));
+    host.update_endpoints(EndpointUpdate::Full, fleet);
     let ids = host.burst(4, 2, 400_000);
     host.serve_all(20_000);
     assert!(ids
@@ -122,7 +122,7 @@
 #[test]
 fn sums_over_classes_follow_those_that_come_and_go() {
     let mut host = Host::new(config(), 6);
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..6).map(|n| backend(n, 0, 0)).collect(),
     );
@@ -148,7 +148,7 @@
         successors,
     };
     host.cfg = changed();
-    host.event(taken(
+    host.handle(taken(
         1,
         2,
         vec![ClassSuccessor {
@@ -156,9 +156,9 @@
             predecessor: ClassId(1),
         }],
     ));
-    host.event(taken(2, 1, Vec::new()));
-    host.event(taken(1, 2, Vec::new()));
-    host.event(taken(0, 1, Vec::new()));
+    host.handle(taken(2, 1, Vec::new()));
+    host.handle(taken(1, 2, Vec::new()));
+    host.handle(taken(0, 1, Vec::new()));
     let ids = host.burst(2, 1, 400_000);
     host.serve_all(20_000);
     assert!(ids
@@ -183,7 +183,7 @@
         }],
     );
     let config = Box::new(short);
-    host.event(Event::ConfigChanged {
+    host.handle(Event::ConfigChanged {
         config,
         retired,
         reinstated: vec![ClassId(8)],
--- a/tests/tables.rs
+++ b/tests/settings_reference.rs
@@ -1,7 +1,7 @@
 //! The tables of classes and tenants against the plain way of reading and comparing (`plain`), which walks all of them.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-mod plain;
+mod reference_settings;
 
 use meadowproxy::settings::{
     ActiveSettings, EndpointRow, EntryChange, Names, ReadOptions, Settings, SettingsChange,
@@ -205,8 +205,8 @@
 /// What the plain way has in force.
 struct Plain {
     config: Config,
-    names: plain::Names,
-    network: plain::Network,
+    names: reference_settings::Names,
+    network: reference_settings::Network,
     live: Vec<bool>,
 }
 
@@ -255,7 +255,7 @@
 
     /// Takes what the plain way makes of the settings, or its error; the other way's must be the same.
     fn take(&mut self, settings: &Value, change: &Result<SettingsChange, String>) {
-        let plain = plain::change(settings, &self.names, &self.config, &self.network);
+        let plain = reference_settings::change(settings, &self.names, &self.config, &self.network);
         let (plain, change) = match (plain, change) {
             (Ok(plain), Ok(change)) => (plain, change),
             (plain, change) => {
@@ -291,8 +291,14 @@
 fn settings_read_as_the_plain_way_reads_them() {
     let run = runner(3000).run(&settings(), |settings| {
         let tables = read(&settings);
-        assert_eq!(plain::errors(&settings), texts(&tables.errors()));
-        assert_eq!(plain::unknown(&settings), tables.unknown_paths());
+        assert_eq!(
+            reference_settings::errors(&settings),
+            texts(&tables.errors())
+        );
+        assert_eq!(
+            reference_settings::unknown(&settings),
+            tables.unknown_paths()
+        );
         assert_eq!(
             blake3::hash(settings.to_string().as_bytes()).as_bytes(),
             &tables.digest(&[])
@@ -303,11 +309,11 @@
             blake3::hash(shared.to_string().as_bytes()).as_bytes(),
             &tables.digest(&["my_zone"])
         );
-        let first = plain::read(&settings)
+        let first = reference_settings::read(&settings)
             .err()
-            .or(plain::network(&settings).err());
+            .or(reference_settings::network(&settings).err());
         assert_eq!(first, tables.first_error().map(|error| error.to_string()));
-        match (plain::read(&settings), tables.config()) {
+        match (reference_settings::read(&settings), tables.config()) {
             (Ok((plain, _)), Ok((config, _))) => assert_eq!(plain, config),
             (plain, config) => {
                 let error = config.err().map(|error| error.to_string());
@@ -331,9 +337,9 @@
     let steps = prop::collection::vec((settings(), met(), met()), 1..12);
     let run = runner(1500).run(&(sound(), steps), |(first, steps)| {
         let mut tables = ActiveSettings::initial(&read(&first)).unwrap();
-        let (config, names) = plain::read(&first).unwrap();
+        let (config, names) = reference_settings::read(&first).unwrap();
         let (network, live) = (
-            plain::network(&first).unwrap(),
+            reference_settings::network(&first).unwrap(),
             vec![true; config.classes.len()],
         );
         let mut plain = Plain {
--- a/tests/zones.rs
+++ b/tests/zone_failover.rs
@@ -17,7 +17,7 @@
         ..Config::example()
     };
     let mut host = Host::new(cfg, 7);
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         (0..12).map(|id| backend(id, id / 4, 0)).collect(),
     );
@@ -31,12 +31,12 @@
     for _ in 0..ms / 10 {
         host.burst(4, 0, 2_000_000);
         host.advance(10_000);
-        for (id, no) in host.out() {
-            let to = host.requests[&id].tries[no].backend.0;
+        for (id, index) in host.attempts_in_flight() {
+            let to = host.requests[&id].attempts[index].backend.0;
             zones[(to / 4) as usize] += 1;
-            host.end(
+            host.end_attempt(
                 id,
-                no,
+                index,
                 if bad.contains(&to) {
                     Outcome::ConnectFailed
                 } else {
@@ -49,7 +49,7 @@
 }
 
 fn said(host: &Host, what: &str) -> usize {
-    host.logs.iter().filter(|l| l.contains(what)).count()
+    host.log_lines.iter().filter(|l| l.contains(what)).count()
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert!(
         said(&host, "zone 1 taken out of use") == 1,
         "{:?}",
-        host.logs
+        host.log_lines
     );
     // What it gets while left are trials of its ejected backends only, one at a time.
     assert!(
@@ -85,12 +85,12 @@
     for _ in 0..20 {
         host.burst(12, 0, 2_000_000);
         host.advance(150_000); // fifteen times the usual answer's time
-        host.out()
+        host.attempts_in_flight()
             .into_iter()
-            .for_each(|(id, no)| host.end(id, no, Outcome::Ok));
+            .for_each(|(id, index)| host.end_attempt(id, index, Outcome::Ok));
         play(&mut host, &[], 300);
     }
-    assert_eq!(said(&host, "taken out of use"), 0, "{:?}", host.logs);
+    assert_eq!(said(&host, "taken out of use"), 0, "{:?}", host.log_lines);
 }
 
 #[test]
@@ -105,13 +105,13 @@
         while said(&host, "returning") == returned {
             play(&mut host, &[], 100);
             waited += 1;
-            assert!(waited < 200, "never returned: {:?}", host.logs);
+            assert!(waited < 200, "never returned: {:?}", host.log_lines);
         }
         // Just after its return the zone's share is that of a cold zone, well below the others'.
         let zones = play(&mut host, &[], 300);
         assert!(zones[1] * 2 < zones[0], "no ramp: {zones:?}");
         let line = host
-            .logs
+            .log_lines
             .iter()
             .rev()
             .find(|l| l.contains("returning"))
@@ -153,7 +153,7 @@
     let zones: Vec<u32> = (0..4)
         .flat_map(|z| std::iter::repeat_n(z, sizes[z as usize] as usize))
         .collect();
-    host.members(
+    host.update_endpoints(
         EndpointUpdate::Full,
         zones
             .iter()
@@ -165,9 +165,9 @@
     for _ in 0..300 {
         host.burst(2, 0, 2_000_000);
         host.advance(10_000);
-        for (id, no) in host.out() {
-            got[host.requests[&id].tries[no].zone.0 as usize] += 1.0;
-            host.end(id, no, Outcome::Ok);
+        for (id, index) in host.attempts_in_flight() {
+            got[host.requests[&id].attempts[index].zone.0 as usize] += 1.0;
+            host.end_attempt(id, index, Outcome::Ok);
         }
     }
     let all: f64 = got.iter().sum();
