--- a/src/net/cluster/coordination/config.rs
+++ b/src/net/cluster/coordination/config.rs
@@ -26,7 +26,7 @@
         step: impl FnOnce(&mut ConfigDriver, Time, &Context, &mut Outbox) -> T,
     ) -> T {
         let mut outgoing = DutyMessages::new();
-        let mut out = Outbox::new();
+        let mut outbox = Outbox::new();
         let (result, became_ready) = {
             let mut config = self.config.lock();
             let loop_view = self.fleet_view.lock().loop_view.clone();
@@ -43,14 +43,14 @@
                 lease: config.lease.held_token(),
                 leader: config.lease.holder(),
             };
-            let result = step(&mut config, now, &context, &mut out);
+            let result = step(&mut config, now, &context, &mut outbox);
             config.handle_events(&mut outgoing);
             log_version_change(&config.replica, previous_version, now);
             config.publish_newest_version();
             self.send_config_changes(&mut config);
             (result, was_new && !config.replica.is_new())
         };
-        let messages = out.into_iter();
+        let messages = outbox.into_iter();
         outgoing
             .extend(messages.map(|envelope| (envelope.to, DutyMessage::Config(envelope.message))));
         self.send(outgoing);
@@ -93,8 +93,8 @@
             lease_due
         };
         self.send(outgoing);
-        self.step_config(|config, now, context, out| {
-            config.replica.tick(now, context, out);
+        self.step_config(|config, now, context, outbox| {
+            config.replica.tick(now, context, outbox);
             config.time_out_calls(now);
         });
         lease_due
@@ -106,8 +106,8 @@
         from: SocketAddr,
         message: Message,
     ) -> Result<(), MessageError> {
-        self.step_config(|config, now, context, out| {
-            config.replica.handle(now, context, from, message, out)
+        self.step_config(|config, now, context, outbox| {
+            config.replica.handle(now, context, from, message, outbox)
         })
     }
 
@@ -117,8 +117,8 @@
         change: ConfigChange,
         response_sender: oneshot::Sender<CallResponse>,
     ) {
-        self.step_config(|config, now, context, out| {
-            config.submit(now, context, change, response_sender, out);
+        self.step_config(|config, now, context, outbox| {
+            config.submit(now, context, change, response_sender, outbox);
         });
     }
 
--- a/src/net/cluster/coordination/config_change/stored_formats.rs
+++ b/src/net/cluster/coordination/config_change/stored_formats.rs
@@ -96,6 +96,6 @@
         body: Bytes::new(),
     };
     let (shared, _effects) = SharedState::example();
-    let answer = admin_calls::handle_call(&shared, &call(&["config", "tenants", "x"]));
-    assert_eq!(answer, shared.config_entry("tenants", "x"));
+    let response = admin_calls::handle_call(&shared, &call(&["config", "tenants", "x"]));
+    assert_eq!(response, shared.config_entry("tenants", "x"));
 }
--- a/src/net/cluster/coordination/config_driver.rs
+++ b/src/net/cluster/coordination/config_driver.rs
@@ -137,7 +137,7 @@
         context: &Context,
         change: ConfigChange,
         response_sender: oneshot::Sender<CallResponse>,
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) {
         let id = random_id();
         self.pending_calls.insert(
@@ -152,7 +152,7 @@
             base: change.base,
             edits: change.edits,
         };
-        if let Err(error) = self.replica.submit(now, context, submission, out) {
+        if let Err(error) = self.replica.submit(now, context, submission, outbox) {
             self.complete_call(id, Err(error));
         }
     }
--- a/src/net/cluster/coordination/message/tests.rs
+++ b/src/net/cluster/coordination/message/tests.rs
@@ -171,41 +171,41 @@
     /// A message decodes to what was encoded. A truncated message or one with trailing bytes is rejected. Decoding a
     /// message with a changed byte, or random bytes, never panics, and never succeeds with another version.
     #[test]
-    fn only_complete_messages_are_decoded(m in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
-                                    junk in prop::collection::vec(any::<u8>(), 1..64)) {
-        let bytes = encode(&m);
-        prop_assert_eq!(&decode(&bytes).unwrap(), &m);
+    fn only_complete_messages_are_decoded(original in message(), at in any::<prop::sample::Index>(), flip in 1u8..,
+                                    random_bytes in prop::collection::vec(any::<u8>(), 1..64)) {
+        let bytes = encode(&original);
+        prop_assert_eq!(&decode(&bytes).unwrap(), &original);
         prop_assert!(decode(&bytes[..at.index(bytes.len())]).is_err());
-        prop_assert!(decode(&[&bytes[..], &junk].concat()).is_err());
+        prop_assert!(decode(&[&bytes[..], &random_bytes].concat()).is_err());
         let mut changed = bytes.clone();
         changed[at.index(bytes.len())] ^= flip;
         prop_assert!(changed[0] == VERSION || decode(&changed).is_err());
         let _ = decode(&changed);
-        let _ = decode(&junk);
+        let _ = decode(&random_bytes);
     }
 
     /// A token above which no other could follow is rejected, in whichever field it is.
     #[test]
-    fn tokens_with_too_high_numbers_are_rejected(m in message(), number in MAX_TOKEN_NUMBER..) {
-        let last = Ballot { number, incarnation: 0 };
-        let message = match m {
+    fn tokens_with_too_high_numbers_are_rejected(original in message(), number in MAX_TOKEN_NUMBER..) {
+        let too_high = Ballot { number, incarnation: 0 };
+        let message = match original {
             DutyMessage::Lease { duty, message: Message::Denied { ballot, round, .. } } => {
-                DutyMessage::Lease { duty, message: Message::Denied { ballot, round, highest: last } }
+                DutyMessage::Lease { duty, message: Message::Denied { ballot, round, highest: too_high } }
             }
-            DutyMessage::Lease { duty, .. } => DutyMessage::Lease { duty, message: Message::PreVote { ballot: last } },
+            DutyMessage::Lease { duty, .. } => DutyMessage::Lease { duty, message: Message::PreVote { ballot: too_high } },
             DutyMessage::Digest { mut tokens, digest, is_new, wants_reply } => {
-                tokens.push(TokenReport { duty: Duty::Calendar, token: last, heartbeat_age_ms: None });
+                tokens.push(TokenReport { duty: Duty::Calendar, token: too_high, heartbeat_age_ms: None });
                 DutyMessage::Digest { tokens, digest, is_new, wants_reply }
             }
             DutyMessage::Broadcast(header, mut announcement) => {
-                announcement.held.push(HeldDuty { duty: Duty::Config, token: last });
+                announcement.held.push(HeldDuty { duty: Duty::Config, token: too_high });
                 DutyMessage::Broadcast(header, announcement)
             }
             DutyMessage::Config(_) => {
-                let prepare = config::PaxosMessage::Prepare { token: last, round: 1 };
+                let prepare = config::PaxosMessage::Prepare { token: too_high, round: 1 };
                 DutyMessage::Config(config::Message::Paxos(prepare))
             }
-            _ => DutyMessage::Fenced { duty: Duty::Calendar, highest: last },
+            _ => DutyMessage::Fenced { duty: Duty::Calendar, highest: too_high },
         };
         prop_assert!(matches!(decode(&encode(&message)), Err(MessageError::TokenNumber(n)) if n == number));
     }
--- a/src/net/cluster/coordination/message_worker/tests.rs
+++ b/src/net/cluster/coordination/message_worker/tests.rs
@@ -21,15 +21,15 @@
     fn random_messages_keep_the_shared_state_consistent(messages in prop::collection::vec((9u16..14, message()), 1..40)) {
         let (shared, _effects) = SharedState::example();
         let spec = Spec::from_json(br#"{"ids":["a"],"begin":"2099-01-01T00:00:00Z","end":"2099-01-01T01:00:00Z","by":"x"}"#);
-        let stamp = Version { called_at: wall_now(), incarnation: 1 };
-        let put = shared.maintenance.lock().calendar.put("w", spec.unwrap(), stamp, wall_now());
+        let version = Version { called_at: wall_now(), incarnation: 1 };
+        let put = shared.maintenance.lock().calendar.put("w", spec.unwrap(), version, wall_now());
         prop_assert_eq!(put, Ok(CallOutcome::Changed));
         let window = |shared: &SharedState| shared.maintenance.lock().calendar.get("w").cloned();
         let (before, mut highest) = (window(&shared), None);
         for (port, message) in messages {
             let mut outgoing = DutyMessages::new();
             let _ = handle(&shared, SocketAddr::from(([127, 0, 0, 1], port)), message, &mut outgoing);
-            outgoing.iter().for_each(|(_, answer)| drop(message::decode(&message::encode(answer)).unwrap()));
+            outgoing.iter().for_each(|(_, reply)| drop(message::decode(&message::encode(reply)).unwrap()));
             shared.calendar_lease.lock().tick(&mut outgoing);
             shared.update_maintenance();
             let call = Call { method: Method::GET, path: vec!["duties".into()], body: Bytes::new() };
--- a/src/net/cluster/coordination/shared_state/example.rs
+++ b/src/net/cluster/coordination/shared_state/example.rs
@@ -18,7 +18,8 @@
 const INCARNATION: u64 = 7;
 
 impl SharedState {
-    /// Returns the shared state of a voter that has caught up, and the receiver of its effects.
+    /// Returns the shared state of a voter that has caught up with the configuration, but not with the calendar, and the
+    /// receiver of its effects.
     pub fn example() -> (SharedState, mpsc::Receiver<Effect>) {
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let own_address = address(9);
