--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -15,8 +15,8 @@
 }
 
 impl ConfigChange {
-    /// Returns the distinct numbers of the classes that are added, retired or reinstated. `classes_before` is the number
-    /// of classes before the change. All other classes keep their rules.
+    /// Returns the distinct numbers of the classes that are added, retired or reinstated. `classes_before` is the
+    /// number of classes before the change. All other classes keep their rules.
     fn affected_classes(&self, classes_before: usize) -> Vec<usize> {
         let classes = self.config.classes.len();
         let named = self.retired.iter().chain(&self.reinstated);
@@ -44,7 +44,8 @@
             );
         }
         self.change_classes(&change);
-        let slow_start_changed = change.config.slow_start != self.config.slow_start
+        let slow_start_changed = change.config.slow_start_duration
+            != self.config.slow_start_duration
             || change.config.overload_window != self.config.overload_window;
         if slow_start_changed {
             self.backends.mark_all_outdated();
