--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -110,7 +110,7 @@
         token: Token,
         transitions: &mut Vec<Transition>,
     ) {
-        const REASON: &str = "drained while no proxy held the lease";
+        const REASON: &str = "drained while nobody held the duty";
         for IsolatedWindow { id, occurrence } in self.in_effect_by_isolation(now) {
             let Some(window) = self.windows.get_mut(&id) else {
                 continue;
@@ -219,7 +219,7 @@
         for due in due {
             let window = due.window;
             let next = match remaining.take(&window.id, window.targeted_backends(listed)) {
-                Ok(()) => NextPhase::new(Phase::Draining, "lead began, the budget allows it"),
+                Ok(()) => NextPhase::new(Phase::Draining, "its lead begins and the budget allows"),
                 Err(exceeded) => NextPhase::new(Phase::Planned, exceeded.to_string()),
             };
             let progress = Progress::new(due.occurrence, token, next.phase, now, &next.reason);
@@ -334,14 +334,14 @@
     let progress = window.progress.as_ref();
     if window.cancelled.is_some() {
         let is_recorded = progress.is_some_and(|progress| progress.phase == Phase::Cancelled);
-        return (!is_recorded).then(|| NextPhase::new(Phase::Cancelled, "cancelled"));
+        return (!is_recorded).then(|| NextPhase::new(Phase::Cancelled, "called off"));
     }
     if now + window.lead() < window.actual_span(planned).end {
         return None;
     }
     let wait_reason = progress
         .filter(|progress| progress.phase == Phase::Planned && !progress.reason.is_empty())
-        .map_or("no proxy held the lease", |progress| &progress.reason);
+        .map_or("nobody held the duty", |progress| &progress.reason);
     let reason = format!("its time ran out: {wait_reason}");
     Some(NextPhase::new(Phase::Refused, reason))
 }
@@ -357,20 +357,21 @@
     let occurrence = current.planned.begin;
     let span = window.actual_span(current.planned);
     if window.cancelled.is_some() {
-        return Some(NextPhase::new(Phase::Restoring, "cancelled"));
+        return Some(NextPhase::new(Phase::Restoring, "called off"));
     }
     if window.planned_span(occurrence).is_none() {
-        return Some(NextPhase::new(Phase::Restoring, "content was replaced"));
+        return Some(NextPhase::new(Phase::Restoring, "its content was replaced"));
     }
     match current.phase {
-        Phase::Draining | Phase::Drained if now >= span.end => {
-            Some(NextPhase::new(Phase::Restoring, "ended before it was open"))
-        }
+        Phase::Draining | Phase::Drained if now >= span.end => Some(NextPhase::new(
+            Phase::Restoring,
+            "its end came before it was open",
+        )),
         Phase::Draining => after_draining(window, observations),
         Phase::Drained if window.is_started_early(occurrence) => {
-            Some(NextPhase::new(Phase::Open, "started early by an operator"))
+            Some(NextPhase::new(Phase::Open, "begun by hand"))
         }
-        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "begin reached")),
+        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "its begin")),
         Phase::Open if now >= span.end => after_open(window, span, observations),
         _ => None,
     }
@@ -391,13 +392,13 @@
         .values()
         .all(|report| now - report.age >= since + MAX_NOTIFICATION_DELAY);
     if open == 0 && all_notified && !reports.is_empty() {
-        let reason = format!("no open requests at {} proxies", reports.len());
+        let reason = format!("no request open at {} proxies", reports.len());
         return Some(NextPhase::new(Phase::Drained, reason));
     }
     if now < since + window.lead() {
         return None;
     }
-    let reason = format!("lead is over, open requests: {open}");
+    let reason = format!("the lead is over, {open} requests open");
     Some(NextPhase::new(Phase::Drained, reason))
 }
 
@@ -412,13 +413,13 @@
         .filter(|name| listed.get(*name).is_none_or(|backend| !backend.serving))
         .collect();
     let Some(first) = not_serving.first() else {
-        return Some(NextPhase::new(Phase::Restoring, "end reached"));
+        return Some(NextPhase::new(Phase::Restoring, "its end"));
     };
     if observations.now < span.end + window.overrun() {
         return None;
     }
     let count = not_serving.len();
-    let reason = format!("overrun is over, backends not serving: {count}, first {first}");
+    let reason = format!("restored with {count} not back, {first} first");
     Some(NextPhase::new(Phase::Overrun, reason))
 }
 
@@ -429,8 +430,8 @@
         return None;
     }
     Some(if window.cancelled.is_some() {
-        NextPhase::new(Phase::Cancelled, "cancelled")
+        NextPhase::new(Phase::Cancelled, "called off")
     } else {
-        NextPhase::new(Phase::Done, "slow start is over")
+        NextPhase::new(Phase::Done, "the slow start is over")
     })
 }
