--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! One small test for each behaviour and each failure found, through the public interface.
+//! One small test for each decision rule and each fault found, through the library's public interface: concurrency
+//! limits, retries, ejection, quotas, load shedding, slow start, locality, discovery polling and streaming.
 
 mod common;
 use common::{backend, class, Host};
@@ -21,24 +22,25 @@
     host
 }
 
-/// Requests one by one, each served after a time that may depend on its backend.
-fn serve(host: &mut Host, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
-    let mut chosen = Vec::new();
+/// Sends `count` requests one after another, each answered after a latency that may depend on its backend. Returns the
+/// backends attempted.
+fn serve(host: &mut Host, count: usize, class: usize, latency_us: impl Fn(u32) -> u64) -> Vec<u32> {
+    let mut attempted = Vec::new();
     for _ in 0..count {
         let id = host.arrive(class, 900_000);
-        chosen.extend(host.backends_attempted(id));
+        attempted.extend(host.backends_attempted(id));
         host.advance(
             host.backends_attempted(id)
                 .first()
-                .map_or(5_000, |b| time(*b)),
+                .map_or(5_000, |b| latency_us(*b)),
         );
         host.end_attempt(id, 0, Outcome::Ok);
     }
-    chosen
+    attempted
 }
 
 #[test]
-fn an_unsound_configuration_is_a_typed_error() {
+fn an_invalid_configuration_names_its_field() {
     let bad = |change: fn(&mut Config)| {
         let mut cfg = Config::example();
         change(&mut cfg);
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn an_empty_fleet_refuses_in_time() {
+fn requests_to_an_empty_fleet_are_rejected_before_their_deadline() {
     let mut host = host(
         config(vec![
             class(Idempotency::Idempotent),
@@ -89,8 +91,8 @@
 }
 
 #[test]
-fn a_short_request_after_idleness_is_answered_in_time() {
-    // Found by the invariants: the timer once ran ten ticks long while nothing was in hand.
+fn a_short_request_after_an_idle_period_is_answered_in_time() {
+    // Found by tests/invariants.rs: while no request was open, the timer was set ten timer resolutions ahead.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn at_light_load_the_faster_kind_takes_nearly_all() {
+fn at_light_load_the_faster_hardware_class_gets_nearly_all_requests() {
     let list = (0..6).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(
         Config {
@@ -108,15 +110,18 @@
         },
         list,
     );
-    let time = |b: u32| if b.is_multiple_of(2) { 20_000 } else { 80_000 };
-    serve(&mut host, 150, 0, time);
-    let chosen = serve(&mut host, 100, 0, time);
+    let latency_us = |b: u32| if b.is_multiple_of(2) { 20_000 } else { 80_000 };
+    serve(&mut host, 150, 0, latency_us);
+    let chosen = serve(&mut host, 100, 0, latency_us);
     let fast = chosen.iter().filter(|b| *b % 2 == 0).count();
-    assert!(fast >= 95, "{fast} of 100 went to the fast kind");
+    assert!(
+        fast >= 95,
+        "{fast} of 100 requests went to the faster hardware class"
+    );
 }
 
 #[test]
-fn inside_a_kind_the_draw_is_even() {
+fn backends_of_one_hardware_class_are_selected_evenly() {
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -127,12 +132,15 @@
     let chosen = serve(&mut host, 800, 0, |_| 20_000);
     for b in 0..4 {
         let part = chosen.iter().filter(|c| **c == b).count();
-        assert!((150..=250).contains(&part), "backend {b} got {part} of 800");
+        assert!(
+            (150..=250).contains(&part),
+            "backend {b} got {part} of 800 requests"
+        );
     }
 }
 
 #[test]
-fn a_silent_backend_gets_nothing_new() {
+fn a_silent_backend_gets_no_new_requests() {
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -141,40 +149,45 @@
     assert_eq!(
         host.backends_attempted(id).len(),
         1,
-        "age alone sent a copy: such copies crowd every backend"
+        "an attempt was hedged for its age alone, which overloads every backend"
     );
     let chosen = serve(&mut host, 30, 0, |_| 5_000);
     assert!(!chosen.contains(&hung));
 }
 
 #[test]
-fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
-    for copies in [true, false] {
+fn requests_in_flight_on_an_ejected_backend_are_sent_to_another() {
+    for hedging in [true, false] {
         let cfg = Config {
-            hedging: copies,
+            hedging,
             proxy_count: 1,
             ..config(vec![class(Idempotency::Idempotent)])
         };
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
-        let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
+        let requests = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
         host.update_endpoints(EndpointUpdate::Full, fleet(6));
         host.advance(20_000);
-        host.end_attempt(two[0], 0, Outcome::Reset);
+        host.end_attempt(requests[0], 0, Outcome::Reset);
         host.advance(20_000);
-        assert_eq!(host.backends_attempted(two[1]).len(), 2, "copies {copies}");
-        let called_back = host.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
         assert_eq!(
-            called_back, !copies,
-            "where no copy may run beside it the first is called back"
+            host.backends_attempted(requests[1]).len(),
+            2,
+            "hedging: {hedging}"
+        );
+        let first_cancelled =
+            host.requests[&requests[1]].attempts[0].outcome == Some(Outcome::Cancelled);
+        assert_eq!(
+            first_cancelled, !hedging,
+            "without hedging the first attempt is cancelled before the next one is sent"
         );
     }
 }
 
 #[test]
-fn the_rooms_of_few_proxies_on_a_backend_add_up_to_the_hold() {
-    // Incident i962b3c: when each rounded by its own coin, some backends were crowded and others idle.
-    let mut held = [0; 6];
+fn the_shares_of_few_proxies_add_up_to_the_concurrency_limit() {
+    // Observed: with each proxy rounding its share at random by itself, some backends were overloaded and others idle.
+    let mut in_flight = [0; 6];
     for position in 0..3 {
         let mut host = host(
             Config {
@@ -186,14 +199,15 @@
         );
         host.burst(40, 0, 900_000);
         let tries = host.requests.values().flat_map(|r| &r.attempts);
-        tries.for_each(|t| held[t.backend.0 as usize] += 1);
+        tries.for_each(|t| in_flight[t.backend.0 as usize] += 1);
     }
-    assert_eq!(held, [4; 6]);
+    assert_eq!(in_flight, [4; 6]);
 }
 
 #[test]
-fn a_thin_tenant_inside_its_quota_is_not_taken_for_a_flood() {
-    // Full size: a proxy's part of a quota is below one a second; two at once by chance were beyond it.
+fn a_low_rate_tenant_within_its_quota_is_not_rejected() {
+    // In a large fleet a proxy's share of a quota is below one request per second, so that two requests arriving
+    // together by chance exceeded it.
     let tenants = vec![Tenant { quota_per_s: 50.0 }].into();
     let mut host = host(
         Config {
@@ -203,14 +217,14 @@
         },
         fleet(20),
     );
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..30 {
-        // Two at once each nine seconds, 0.22 a second of 0.5 due, on a fleet that holds about five each.
+        // Two at once every nine seconds are 0.22 per second of a share of 0.5; each backend has about five in flight.
         let ids: Vec<RequestId> = (0..2)
             .map(|_| host.arrive_for_tenant(0, 8_000_000, Some(TenantId(0))))
             .collect();
         host.advance(7_000_000);
-        refused += ids
+        rejected += ids
             .iter()
             .filter(|id| host.requests[id].answer == Some("rejected"))
             .count();
@@ -218,26 +232,26 @@
             .for_each(|id| host.end_attempt(*id, 0, Outcome::Ok));
         host.advance(2_000_000);
     }
-    assert!(refused <= 3, "{refused} of 60 were refused");
+    assert!(rejected <= 3, "{rejected} of 60 requests were rejected");
 }
 
 #[test]
-fn an_idle_proxy_sets_hardly_a_timer() {
-    // Standing days, ibb5992, ifde279, i0dce2b: a timer every tick at each of a thousand proxies used up the CPU.
+fn an_idle_proxy_sets_few_timers() {
+    // Observed on idle days: one timer per timer resolution at each of a thousand proxies used up the CPU.
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(100));
     serve(&mut host, 20, 0, |_| 10_000);
     host.timers_set = 0;
     host.advance(10_000_000);
     assert!(
         host.timers_set <= 5,
-        "{} timers in ten idle seconds",
+        "{} timers set in ten idle seconds",
         host.timers_set
     );
 }
 
 #[test]
-fn the_slices_of_many_proxies_are_small_and_cover_every_backend_alike() {
-    // Full size: with a connection from every proxy to every backend two attempts in three found none free.
+fn subsets_of_many_proxies_are_small_and_cover_backends_evenly() {
+    // Observed in a large fleet: with every proxy using every backend, two attempts in three found no idle connection.
     let mut sent = [0; 30];
     for position in 0..300 {
         let mut host = host(
@@ -248,34 +262,35 @@
             },
             fleet(30),
         );
-        let mine = serve(&mut host, 20, 0, |_| 10_000);
-        let used: std::collections::BTreeSet<u32> = mine.iter().copied().collect();
+        let attempted = serve(&mut host, 20, 0, |_| 10_000);
+        let distinct: std::collections::BTreeSet<u32> = attempted.iter().copied().collect();
         assert!(
-            used.len() <= 3,
-            "proxy {position} uses {} backends, two and an edge would do",
-            used.len()
+            distinct.len() <= 3,
+            "proxy {position} uses {} backends, expected at most two and a shared one",
+            distinct.len()
         );
-        mine.iter().for_each(|b| sent[*b as usize] += 1);
+        attempted.iter().for_each(|b| sent[*b as usize] += 1);
     }
     assert!(
         sent.iter().all(|n| (140..=260).contains(n)),
-        "200 each expected: {sent:?}"
+        "expected about 200 attempts per backend: {sent:?}"
     );
 }
 
 #[test]
-fn a_full_backend_is_left_alone_for_a_moment_and_not_ejected() {
-    // Full size: busy backends were ejected by the hundred, and the rest took their load and filled up too.
+fn an_overloaded_backend_is_paused_and_not_ejected() {
+    // Observed in a large fleet: overloaded backends were ejected by the hundred, and the others, which took their
+    // load, became overloaded too.
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let full = host.backends_attempted(id)[0];
+    let overloaded = host.backends_attempted(id)[0];
     host.end_attempt(id, 0, Outcome::Overloaded);
     let retried = host.backends_attempted(id).len();
     host.end_attempt(id, retried - 1, Outcome::Ok);
     assert!(
-        !serve(&mut host, 20, 0, |_| 5_000).contains(&full),
-        "used at once again"
+        !serve(&mut host, 20, 0, |_| 5_000).contains(&overloaded),
+        "backend {overloaded} was used again at once"
     );
     assert!(
         host.log_lines.iter().all(|l| !l.contains("ejected")),
@@ -284,14 +299,15 @@
     );
     host.advance(500_000);
     assert!(
-        serve(&mut host, 60, 0, |_| 5_000).contains(&full),
-        "not used after the pause"
+        serve(&mut host, 60, 0, |_| 5_000).contains(&overloaded),
+        "backend {overloaded} was not used after its pause"
     );
 }
 
 #[test]
-fn many_proxies_refuse_low_worth_first_and_at_once_when_the_fleet_is_crowded() {
-    // Full size: without a room of its own a proxy sent all it had, and the machines tipped into the slow state.
+fn many_proxies_reject_over_quota_requests_at_once_when_the_fleet_is_loaded() {
+    // Observed in a large fleet: without a limit of its own each proxy sent everything, and backends tipped into the
+    // overloaded state in which they serve slowly.
     let mut cfg = Config {
         proxy_count: 100,
         tenants: vec![Tenant { quota_per_s: 1e6 }].into(),
@@ -299,13 +315,13 @@
     };
     cfg.tenants.push_back(Tenant { quota_per_s: 1e-3 });
     let mut host = host(cfg, fleet(20));
-    let mut answer = |proxied: u64, tenant: usize| {
-        // One attempt out for so long of every second: all hundred hold so many on twenty backends.
+    let mut answer = |in_flight_us: u64, tenant: usize| {
+        // One attempt in flight for part of every second: the load of 100 such proxies on 20 backends.
         for _ in 0..20 {
             let id = host.arrive_for_tenant(0, 990_000, Some(TenantId(0)));
-            host.advance(proxied);
+            host.advance(in_flight_us);
             host.end_attempt(id, 0, Outcome::Ok);
-            host.advance(1_000_000 - proxied);
+            host.advance(1_000_000 - in_flight_us);
         }
         let id = host.arrive_for_tenant(0, 990_000, Some(TenantId(tenant)));
         let answer = host.requests[&id].answer;
@@ -315,25 +331,25 @@
     assert_eq!(
         answer(300_000, 1),
         None,
-        "1.5 held on each backend: the quota's first token"
+        "1.5 in flight per backend: within the quota's first token"
     );
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend");
+    assert_eq!(answer(300_000, 1), None, "1.5 in flight per backend");
     assert_eq!(
         answer(600_000, 1),
         Some("rejected"),
-        "3 held on each backend, beyond quota"
+        "3 in flight per backend, over quota"
     );
     assert_eq!(
         answer(600_000, 0),
         None,
-        "3 held on each backend, within quota"
+        "3 in flight per backend, within quota"
     );
 }
 
-/// Found on join+mass: of 4100 attempts a second in a storm 2000 were called back after 80 ms, at the end of what clients
-/// that had come again had left of their time.
+/// Observed in a retry storm: of 4100 attempts per second 2000 were cancelled after 80 ms, when the time left to
+/// clients that had retried ran out.
 #[test]
-fn who_has_no_time_left_for_an_answer_takes_no_room_in_a_crowd() {
+fn requests_without_time_for_an_answer_are_rejected_under_load() {
     let mut host = host(
         Config {
             proxy_count: 100,
@@ -341,36 +357,36 @@
         },
         fleet(20),
     );
-    let second = |host: &mut Host, held: u64| {
+    let one_second = |host: &mut Host, in_flight_us: u64| {
         let id = host.arrive(0, 990_000);
-        host.serve_all(held);
-        host.advance(1_000_000 - held);
+        host.serve_all(in_flight_us);
+        host.advance(1_000_000 - in_flight_us);
         assert_eq!(host.requests[&id].answer, Some("served"));
     };
-    let short = |host: &mut Host| {
+    let short_request = |host: &mut Host| {
         let id = host.arrive(0, 150_000);
         let answer = host.requests[&id].answer;
         host.serve_all(100_000);
         answer
     };
-    (0..20).for_each(|_| second(&mut host, 250_000));
+    (0..20).for_each(|_| one_second(&mut host, 250_000));
     assert_eq!(
-        short(&mut host),
+        short_request(&mut host),
         None,
-        "little is held, so that it harms nobody to try"
+        "an attempt is allowed while few are in flight"
     );
-    (0..20).for_each(|_| second(&mut host, 600_000));
+    (0..20).for_each(|_| one_second(&mut host, 600_000));
     assert_eq!(
-        short(&mut host),
+        short_request(&mut host),
         Some("rejected"),
-        "three held on each backend"
+        "three in flight per backend"
     );
-    second(&mut host, 600_000);
+    one_second(&mut host, 600_000);
 }
 
-/// Found on join+mass: in a storm of repeats those took their tenants' quotas, and first tries were refused as beyond them.
+/// Observed in a retry storm: client retries used up their tenants' quotas, and first attempts were rejected for that.
 #[test]
-fn repeats_take_nothing_of_the_quota_that_first_tries_need() {
+fn client_retries_do_not_use_up_the_quota_of_first_attempts() {
     let cfg = Config {
         proxy_count: 100,
         tenants: vec![Tenant {
@@ -381,24 +397,24 @@
     };
     let mut host = host(cfg, fleet(20));
     let tenant = Some(TenantId(0));
-    let second = |host: &mut Host, repeats: usize| {
+    let one_second = |host: &mut Host, retries: usize| {
         host.client_retry = true;
-        for _ in 0..repeats {
+        for _ in 0..retries {
             host.arrive_for_tenant(0, 990_000, tenant);
         }
         host.client_retry = false;
         let id = host.arrive_for_tenant(0, 990_000, tenant);
-        host.serve_all(600_000); // held by all hundred: three on each backend
+        host.serve_all(600_000); // three in flight per backend over all 100 proxies
         host.advance(400_000);
         host.requests[&id].answer
     };
-    (0..10).for_each(|_| assert_eq!(second(&mut host, 0), Some("served")));
-    let answers: Vec<_> = (0..20).map(|_| second(&mut host, 30)).collect();
+    (0..10).for_each(|_| assert_eq!(one_second(&mut host, 0), Some("served")));
+    let answers: Vec<_> = (0..20).map(|_| one_second(&mut host, 30)).collect();
     assert!(answers.iter().all(|a| *a == Some("served")), "{answers:?}");
 }
 
 #[test]
-fn a_full_backend_is_drawn_again_and_the_rest_waits() {
+fn requests_beyond_the_concurrency_limit_wait_and_take_freed_slots() {
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -407,25 +423,25 @@
         fleet(2),
     );
     host.burst(20, 0, 900_000);
-    let out = host.attempts_in_flight();
+    let in_flight = host.attempts_in_flight();
     assert!(
-        (8..=10).contains(&out.len()),
-        "{} out on two backends",
-        out.len()
+        (8..=10).contains(&in_flight.len()),
+        "{} attempts in flight on two backends",
+        in_flight.len()
     );
-    let (id, index) = out[0];
+    let (id, index) = in_flight[0];
     host.advance(20_000);
     let before = host.attempts_in_flight().len();
     host.end_attempt(id, index, Outcome::Ok);
     assert_eq!(
         host.attempts_in_flight().len(),
         before,
-        "the room made is used at once"
+        "a freed slot was not used at once"
     );
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -437,7 +453,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_zone_and_window() {
+fn a_keyed_retry_stays_in_its_zone_and_window() {
     let keyed = class(Idempotency::Keyed {
         scope: KeyScope::Zone,
         window: Micros(200_000),
@@ -457,13 +473,13 @@
     assert_eq!(
         host.backends_attempted(id).len(),
         1,
-        "repeated after its window"
+        "retried after the key's window"
     );
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
-/// Serves on all but the erring backend until that is ejected; gives its number.
-fn eject_one(host: &mut Host) -> u32 {
+/// Lets backend 3 fail and the others succeed until backend 3 is ejected; returns its number.
+fn eject_failing_backend(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
@@ -476,11 +492,11 @@
             return 3;
         }
     }
-    panic!("never ejected");
+    panic!("backend 3 was not ejected after 200 requests");
 }
 
 #[test]
-fn an_erring_backend_is_ejected_and_tried_by_free_requests_only() {
+fn an_ejected_backend_is_probed_by_idempotent_requests_only() {
     let mut host = host(
         config(vec![
             class(Idempotency::Idempotent),
@@ -488,25 +504,25 @@
         ]),
         fleet(6),
     );
-    let bad = eject_one(&mut host);
+    let ejected = eject_failing_backend(&mut host);
     assert!(
-        !serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
-        "used during its term"
+        !serve(&mut host, 40, 0, |_| 5_000).contains(&ejected),
+        "backend {ejected} was used while ejected"
     );
     host.advance(2_000_000);
     assert!(
-        !serve(&mut host, 40, 1, |_| 5_000).contains(&bad),
-        "an unsafe request tried it"
+        !serve(&mut host, 40, 1, |_| 5_000).contains(&ejected),
+        "a non-idempotent request probed backend {ejected}"
     );
     assert!(
-        serve(&mut host, 40, 0, |_| 5_000).contains(&bad),
-        "no free request tried it"
+        serve(&mut host, 40, 0, |_| 5_000).contains(&ejected),
+        "no idempotent request probed backend {ejected}"
     );
     assert!(host.log_lines.iter().any(|l| l.contains("readmitted")));
 }
 
 #[test]
-fn when_most_backends_err_they_are_used_after_all() {
+fn when_most_backends_fail_they_stay_in_use() {
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
@@ -520,12 +536,12 @@
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
     assert!(
         chosen.iter().any(|b| *b != 0),
-        "all load went to the one backend left"
+        "all requests went to the one backend that succeeds"
     );
 }
 
 #[test]
-fn a_cold_backend_gets_less_than_its_budget() {
+fn a_cold_backend_stays_within_its_slow_start_budget() {
     let cfg = Config {
         proxy_count: 1,
         slow_start_min_readiness: 0.1,
@@ -539,17 +555,17 @@
         ..backend(9, 0, 0)
     };
     host.update_endpoints(EndpointUpdate::Incremental, vec![cold]);
-    let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
-    let sent = chosen.iter().filter(|b| **b == 9).count();
-    // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
+    let attempted = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one overload window
+    let sent = attempted.iter().filter(|b| **b == 9).count();
+    // A warm backend serves about 50 + 17 per second: a tenth of it, times 2.0, over two seconds is 27 at most.
     assert!(
         (1..=14).contains(&sent),
-        "{sent} of 100 went to the cold backend"
+        "{sent} of 100 requests went to the cold backend"
     );
 }
 
 #[test]
-fn a_burst_cannot_push_a_cold_backend_over() {
+fn a_burst_does_not_overload_cold_backends() {
     let cfg = Config {
         proxy_count: 3,
         slow_start_min_readiness: 0.1,
@@ -558,10 +574,10 @@
     };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
-    let booted = Some(host.now);
+    let restarted_at = Some(host.now);
     let list = (0..12)
         .map(|i| Backend {
-            started_at: booted,
+            started_at: restarted_at,
             ..backend(i, 0, 0)
         })
         .collect();
@@ -570,30 +586,33 @@
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
         host.advance(20_000);
-        let out = host.attempts_in_flight();
-        sent += out.len();
-        out.into_iter()
+        let in_flight = host.attempts_in_flight();
+        sent += in_flight.len();
+        in_flight
+            .into_iter()
             .for_each(|(id, index)| host.end_attempt(id, index, Outcome::Ok));
     }
-    // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third, by 0.8: 11 each.
-    let tries = || {
+    // Served in 20 ms, a backend takes at most 100 per second; a tenth of it, times 2.0, over two seconds, shared by
+    // three proxies, times 0.8 is 11 per backend.
+    let attempts = || {
         host.requests
             .values()
             .flat_map(|r| &r.attempts)
-            .filter(|t| Some(t.sent_at) >= booted)
+            .filter(|t| Some(t.sent_at) >= restarted_at)
     };
     let most = (0..12)
-        .map(|b| tries().filter(|t| t.backend == BackendId(b)).count())
+        .map(|b| attempts().filter(|t| t.backend == BackendId(b)).count())
         .max();
     assert!(
         sent >= 1 && most <= Some(11),
-        "{sent} sent, {most:?} to one cold backend"
+        "{sent} attempts, up to {most:?} to one cold backend"
     );
 }
 
 #[test]
-fn a_clients_repeat_waits_behind_first_tries() {
-    // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
+fn client_retries_wait_behind_first_attempts() {
+    // Observed: client retries counted as new requests and, served newest first, delayed all others past their
+    // deadlines.
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -605,20 +624,20 @@
     host.advance(5_000);
     let first = host.arrive(0, 900_000);
     host.client_retry = true;
-    let repeat = host.arrive(0, 900_000);
+    let retry = host.arrive(0, 900_000);
     host.advance(15_000);
     fill.iter()
         .for_each(|id| host.end_attempt(*id, 0, Outcome::Ok));
-    let at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.sent_at);
-    assert!(at(&first).is_some());
+    let first_sent_at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.sent_at);
+    assert!(first_sent_at(&first).is_some());
     assert!(
-        at(&repeat).is_none_or(|t| t >= at(&first).unwrap()),
-        "the repeat went first"
+        first_sent_at(&retry).is_none_or(|t| t >= first_sent_at(&first).unwrap()),
+        "the retry was dispatched before the first attempt"
     );
 }
 
 #[test]
-fn traffic_beyond_a_quota_leaves_room_for_the_others() {
+fn traffic_beyond_a_quota_leaves_capacity_for_other_tenants() {
     let tenants = vec![
         Tenant { quota_per_s: 1.0 },
         Tenant {
@@ -634,32 +653,35 @@
         },
         fleet(2),
     );
-    let flood: Vec<RequestId> = (0..30)
+    let over_quota: Vec<RequestId> = (0..30)
         .map(|_| host.arrive_for_tenant(0, 900_000, Some(TenantId(0))))
         .collect();
-    let flooded = flood
+    let dispatched = over_quota
         .iter()
         .filter(|id| !host.backends_attempted(**id).is_empty())
         .count();
     let other = host.arrive_for_tenant(0, 900_000, Some(TenantId(1)));
-    assert!(flooded <= 6, "{flooded} of the flood went out");
+    assert!(
+        dispatched <= 6,
+        "{dispatched} of 30 over-quota requests were dispatched"
+    );
     assert_eq!(
         host.backends_attempted(other).len(),
         1,
-        "the other tenant waits behind the flood"
+        "the other tenant waits behind the over-quota requests"
     );
 }
 
 #[test]
-fn in_overload_the_densest_worth_is_served() {
-    let rich = RequestClass {
+fn in_overload_the_class_of_higher_priority_weight_is_served_more() {
+    let heavy = RequestClass {
         priority_weight: 8.0,
         ..class(Idempotency::Idempotent)
     };
     let mut host = host(
         Config {
             proxy_count: 1,
-            ..config(vec![class(Idempotency::Idempotent), rich])
+            ..config(vec![class(Idempotency::Idempotent), heavy])
         },
         fleet(1),
     );
@@ -674,14 +696,14 @@
             .step_by(2)
             .filter(|i| host.requests[i].answer == Some("served"))
     };
-    let (poor, rich) = (served(0).count(), served(1).count());
+    let (light, heavy) = (served(0).count(), served(1).count());
     assert!(
-        rich > poor,
-        "{rich} rich and {poor} poor requests were served"
+        heavy > light,
+        "served {heavy} requests of weight 8 and {light} of weight 1"
     );
 }
 
-fn zones(cost: f64) -> usize {
+fn requests_kept_in_zone(cost: f64) -> usize {
     let cfg = Config {
         cross_zone_cost: cost,
         ..Config::example()
@@ -694,16 +716,20 @@
 }
 
 #[test]
-fn where_crossing_zones_costs_traffic_stays_near() {
-    assert!(zones(0.05) >= 270, "{} of 300 stayed", zones(0.05));
+fn with_a_cross_zone_cost_traffic_stays_in_its_zone() {
     assert!(
-        (70..=130).contains(&zones(0.0)),
-        "{} of 300 stayed without a cost",
-        zones(0.0)
+        requests_kept_in_zone(0.05) >= 270,
+        "{} of 300 requests stayed in their zone",
+        requests_kept_in_zone(0.05)
+    );
+    assert!(
+        (70..=130).contains(&requests_kept_in_zone(0.0)),
+        "{} of 300 requests stayed in their zone without a cost",
+        requests_kept_in_zone(0.0)
     );
 }
 
-/// Two proxies cannot stand in three zones: the backends of the one that has none get their part all the same.
+/// Two proxies cover two of three zones: the backends of the third zone get their share all the same.
 #[test]
 fn a_zone_without_a_proxy_is_used_like_the_others() {
     let mut sent = [0; 3];
@@ -723,13 +749,13 @@
     }
     assert!(
         sent.iter().all(|n| (150..=250).contains(n)),
-        "{sent:?} of 600"
+        "attempts per zone, of 600: {sent:?}"
     );
 }
 
 #[test]
-fn a_zone_short_of_backends_sends_its_surplus_out() {
-    // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
+fn a_zone_short_of_backends_sends_its_surplus_to_other_zones() {
+    // The proxy's zone has one of seven backends, and each of three zones brings a third of the traffic: 3/7 may stay.
     let cfg = Config {
         cross_zone_cost: 0.05,
         ..Config::example()
@@ -744,12 +770,12 @@
         .count();
     assert!(
         (120..=220).contains(&near),
-        "{near} of 400 stayed on the one near backend"
+        "{near} of 400 requests stayed on the one backend in the zone"
     );
 }
 
 #[test]
-fn discovery_is_followed_at_once_and_again_after_a_loss() {
+fn discovery_is_polled_at_once_and_again_after_a_failure() {
     let cfg = Config {
         discovery: Discovery::Poll {
             staleness_limit: Micros(10_000_000),
@@ -763,7 +789,7 @@
     host.advance(8_000_000);
     assert_eq!(
         host.discovery_polls, 1,
-        "a living subscription is not asked for again"
+        "discovery was polled again although updates arrive"
     );
     host.handle(Event::EndpointsUpdated {
         update: EndpointUpdate::Failed,
@@ -772,11 +798,14 @@
     host.advance(400_000);
     assert_eq!(host.discovery_polls, 2);
     host.advance(6_000_000);
-    assert_eq!(host.discovery_polls, 3, "an unanswered call is repeated");
+    assert_eq!(
+        host.discovery_polls, 3,
+        "an unanswered poll was not repeated"
+    );
 }
 
 #[test]
-fn a_stream_once_begun_is_left_alone() {
+fn a_streaming_response_is_neither_timed_out_nor_retried() {
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(2));
     let id = host.arrive(0, 300_000);
     host.start_response(id, 0);
@@ -786,7 +815,7 @@
 }
 
 #[test]
-fn events_of_unknown_things_change_nothing() {
+fn events_with_unknown_ids_change_nothing() {
     let run = |noise: bool| {
         let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(3));
         if noise {
@@ -797,9 +826,9 @@
     assert_eq!(run(false), run(true));
 }
 
-/// What one proxy has out on a backend in the last second of an overload, on average: three backends of so
-/// many cores serve in order of arrival, each request 100 ms of a core.
-fn held_on_each(cores: usize) -> f64 {
+/// The mean number of attempts in flight per backend in the last second of an overload by 1.5 times: three backends
+/// with `cores` cores each serve in order of arrival, and a request takes 100 ms of a core.
+fn mean_in_flight_per_backend(cores: usize) -> f64 {
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -807,59 +836,63 @@
         },
         fleet(3),
     );
-    let mut left = std::collections::BTreeMap::new();
-    let (mut due, mut held) = (0.0, 0);
+    let mut steps_left = std::collections::BTreeMap::new();
+    let (mut arrivals_due, mut in_flight_sum) = (0.0, 0);
     for step in 0..1_000 {
-        due += 1.5 * 3.0 * cores as f64 * 0.005 / 0.1;
-        for _ in 0..due as usize {
+        arrivals_due += 1.5 * 3.0 * cores as f64 * 0.005 / 0.1;
+        for _ in 0..arrivals_due as usize {
             host.arrive(0, 900_000);
         }
-        due -= due.floor();
+        arrivals_due -= arrivals_due.floor();
         host.advance(5_000);
-        let out = host.attempts_in_flight();
-        held += if step >= 800 { out.len() } else { 0 };
+        let in_flight = host.attempts_in_flight();
+        in_flight_sum += if step >= 800 { in_flight.len() } else { 0 };
         for b in 0..3 {
-            let on = |k: &&(RequestId, usize)| host.requests[&k.0].attempts[k.1].backend.0 == b;
-            let mut line: Vec<_> = out.iter().filter(on).collect();
-            line.sort_by_key(|k| host.requests[&k.0].attempts[k.1].sent_at);
-            for &&(id, index) in line.iter().take(cores) {
-                let rest = left.entry((id, index)).or_insert(20u32);
-                *rest -= 1;
-                if *rest == 0 {
+            let on_backend =
+                |k: &&(RequestId, usize)| host.requests[&k.0].attempts[k.1].backend.0 == b;
+            let mut queue: Vec<_> = in_flight.iter().filter(on_backend).collect();
+            queue.sort_by_key(|k| host.requests[&k.0].attempts[k.1].sent_at);
+            for &&(id, index) in queue.iter().take(cores) {
+                let steps = steps_left.entry((id, index)).or_insert(20u32);
+                *steps -= 1;
+                if *steps == 0 {
                     host.end_attempt(id, index, Outcome::Ok);
                 }
             }
         }
     }
-    held as f64 / 600.0
+    in_flight_sum as f64 / 600.0
 }
 
 #[test]
-fn all_cores_of_a_backend_are_put_to_use() {
-    // Found in service: a hold of four, right for one core, left half of every seven-core backend idle.
+fn the_concurrency_limit_follows_the_number_of_cores() {
+    // Observed: a concurrency limit of four, right for one core, left half of every seven-core backend idle.
     for cores in [7, 16] {
-        let held = held_on_each(cores);
+        let in_flight = mean_in_flight_per_backend(cores);
         let (least, most) = (cores as f64 * 0.9, cores as f64 * 2.0);
         assert!(
-            (least..=most).contains(&held),
-            "{held} held on each backend of {cores} cores"
+            (least..=most).contains(&in_flight),
+            "{in_flight} in flight per backend of {cores} cores"
         );
     }
-    let held = held_on_each(1);
-    assert!(held <= 6.0, "{held} held on each backend of one core");
+    let in_flight = mean_in_flight_per_backend(1);
+    assert!(
+        in_flight <= 6.0,
+        "{in_flight} in flight per backend of one core"
+    );
 }
 
-/// Of 20 rounds in which far more of a dense and of a thin class come than find room: how many were served.
-fn served_of_each(goal_whole: f64, goal_worst_class: f64) -> [usize; 2] {
-    let dense = RequestClass {
+/// How many requests of a class of weight 2 and of one of weight 1 are served in 20 rounds of overload.
+fn served_per_class(overall_weight: f64, worst_class_weight: f64) -> [usize; 2] {
+    let heavy = RequestClass {
         priority_weight: 2.0,
         ..class(Idempotency::Idempotent)
     };
-    let classes = vec![dense, class(Idempotency::Idempotent)];
+    let classes = vec![heavy, class(Idempotency::Idempotent)];
     let cfg = Config {
         proxy_count: 1,
-        overall_objective_weight: goal_whole,
-        worst_class_objective_weight: goal_worst_class,
+        overall_objective_weight: overall_weight,
+        worst_class_objective_weight: worst_class_weight,
         ..config(classes)
     };
     let mut host = host(cfg, fleet(1));
@@ -868,7 +901,7 @@
         ids.extend((0..100).map(|n| (n % 2, host.arrive(n % 2, 900_000))));
         host.serve_all(90_000);
         host.serve_all(90_000);
-        host.advance(400_000); // the rest is given up
+        host.advance(400_000); // the requests that still wait expire
     }
     let served = |c| {
         ids.iter()
@@ -879,23 +912,23 @@
 }
 
 #[test]
-fn the_class_served_worst_counts_as_much_as_the_goal_says() {
-    // Found in service: lookups got half of what submits got, though the worst class is 30% of the goal.
-    let [dense, thin] = served_of_each(1.0, 0.0);
+fn the_worst_class_counts_as_much_as_its_objective_weight() {
+    // Observed: one class got half of what another got, although the worst class is 30% of the objective.
+    let [heavy, light] = served_per_class(1.0, 0.0);
     assert!(
-        dense > thin * 3 / 2,
-        "{dense} dense and {thin} thin: only the whole counts"
+        heavy > light * 3 / 2,
+        "served {heavy} of weight 2 and {light} of weight 1, where only the overall objective counts"
     );
-    let [dense, thin] = served_of_each(0.5, 0.5);
+    let [heavy, light] = served_per_class(0.5, 0.5);
     assert!(
-        thin * 5 >= dense * 4,
-        "{dense} dense and {thin} thin: the worst class counts as well"
+        light * 5 >= heavy * 4,
+        "served {heavy} of weight 2 and {light} of weight 1, where the worst class counts as well"
     );
 }
 
 #[test]
-fn one_broken_answer_among_good_ones_ejects_nobody() {
-    // Found in service (day 3): each broken connection took a healthy backend out of use for a second.
+fn one_reset_among_successes_does_not_eject_a_backend() {
+    // Observed: each reset connection ejected a healthy backend for a second.
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -913,7 +946,7 @@
     assert_eq!(
         host.backends_attempted(next).len(),
         1,
-        "the backend is still in use"
+        "a single reset ejected the backend"
     );
     host.end_attempt(ids[2], 0, Outcome::Reset);
     host.end_attempt(next, 0, Outcome::Reset);
@@ -924,13 +957,13 @@
     let last = host.arrive(0, 900_000);
     assert!(
         host.backends_attempted(last).is_empty(),
-        "breaks in a row do eject it"
+        "consecutive resets did not eject the backend"
     );
 }
 
 #[test]
-fn where_every_backend_breaks_now_and_then_none_is_ejected_for_it() {
-    // Found in service (day 3): one attempt in twelve was reset, or could not connect, wherever it went.
+fn occasional_failures_on_every_backend_eject_none() {
+    // Observed: one attempt in twelve was reset or failed to connect on every backend.
     let mut host = host(
         Config {
             proxy_count: 1,
@@ -938,19 +971,19 @@
         },
         fleet(2),
     );
-    let mut line = Vec::new();
+    let mut queue = Vec::new();
     for number in 0..1_500u32 {
-        line.push(host.arrive(0, 900_000));
+        queue.push(host.arrive(0, 900_000));
         host.advance(5_000);
-        if line.len() > 5 {
-            let id = line.remove(0);
-            let breaks = (number.wrapping_mul(2_654_435_761) >> 16) < 0x1_0000 / 12;
-            let how = if number % 3 == 0 {
+        if queue.len() > 5 {
+            let id = queue.remove(0);
+            let fails = (number.wrapping_mul(2_654_435_761) >> 16) < 0x1_0000 / 12;
+            let failure = if number % 3 == 0 {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Reset
             };
-            host.end_attempt(id, 0, if breaks { how } else { Outcome::Ok });
+            host.end_attempt(id, 0, if fails { failure } else { Outcome::Ok });
             host.end_attempt(id, 1, Outcome::Ok);
         }
     }
@@ -962,9 +995,10 @@
     assert_eq!(ejected, 0, "{:?}", host.log_lines);
 }
 
-/// A body that goes out as it comes has no deadline until it is whole, and no second backend.
+/// A request whose body is streamed to its backend has no deadline until the body is complete, and isn't sent to a
+/// second backend.
 #[test]
-fn an_upload_is_bound_to_one_backend_and_timed_from_its_end() {
+fn an_upload_stays_on_one_backend_and_is_timed_from_its_end() {
     let mut host = Host::new(
         Config {
             proxy_count: 1,
@@ -986,7 +1020,7 @@
             request: id,
             attempt: AttemptNumber(0),
         });
-        // The harness, which knows no uploads, looks on its own clock only.
+        // The host doesn't know uploads and checks its own deadline, which is moved out of the way here.
         host.requests.get_mut(&id).unwrap().deadline = host.now + Micros(60_000_000);
         host.advance(5_000_000);
         assert_eq!(host.requests[&id].answer, None);
@@ -1004,9 +1038,9 @@
     }
 }
 
-/// With the first bytes of a long answer its backend has room for another request.
+/// From the first bytes of a long response its backend has a free slot for another request.
 #[test]
-fn an_answer_that_streams_takes_no_room_at_its_backend() {
+fn a_streaming_response_frees_its_concurrency_slot() {
     let mut host = Host::new(
         Config {
             proxy_count: 1,
@@ -1016,49 +1050,50 @@
     );
     host.update_endpoints(EndpointUpdate::Full, vec![backend(0, 0, 0)]);
     let ids = host.burst(20, 0, 500_000);
-    let held = |host: &Host, ids: &[RequestId]| {
+    let waiting_count = |host: &Host, ids: &[RequestId]| {
         ids.iter()
             .filter(|id| host.backends_attempted(**id).is_empty())
             .count()
     };
-    let waiting = held(&host, &ids);
+    let waiting = waiting_count(&host, &ids);
     assert!(waiting > 0);
     host.advance(20_000);
-    let out = host.attempts_in_flight();
-    out.iter()
+    let in_flight = host.attempts_in_flight();
+    in_flight
+        .iter()
         .for_each(|(id, index)| host.start_response(*id, *index));
-    assert!(held(&host, &ids) < waiting);
+    assert!(waiting_count(&host, &ids) < waiting);
 }
 
-/// Where a copy was out beside the attempt whose answer streams, its end does not end the answer.
+/// When one of two concurrent attempts streams its response, the end of the other doesn't end the response.
 #[test]
-fn a_copys_end_leaves_the_streaming_answer_alone() {
+fn the_end_of_a_hedged_attempt_leaves_the_streaming_response_open() {
     let cfg = Config {
         proxy_count: 1,
         ..config(vec![class(Idempotency::Idempotent)])
     };
     let mut host = host(cfg, fleet(1));
     serve(&mut host, 100, 0, |_| 10_000);
-    let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
+    let requests = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
     host.update_endpoints(EndpointUpdate::Full, fleet(6));
     host.advance(20_000);
-    host.end_attempt(two[0], 0, Outcome::Reset); // the backend is ejected, and the other one there gets a copy
+    host.end_attempt(requests[0], 0, Outcome::Reset); // the backend is ejected, and the other request on it is hedged
     host.advance(20_000);
-    let copied = two[1];
-    assert_eq!(host.backends_attempted(copied).len(), 2);
-    host.start_response(copied, 0);
+    let hedged = requests[1];
+    assert_eq!(host.backends_attempted(hedged).len(), 2);
+    host.start_response(hedged, 0);
     let (attempt, outcome, latency) = (AttemptNumber(1), Outcome::Cancelled, Micros(5_000));
     host.handle(Event::AttemptEnded(AttemptEnd {
-        request: copied,
+        request: hedged,
         attempt,
         outcome,
         latency,
         answered: true,
     }));
-    assert!(!host.cancellations.contains(&(copied, 0)));
-    host.handle(Event::ClientDisconnected { request: copied });
+    assert!(!host.cancellations.contains(&(hedged, 0)));
+    host.handle(Event::ClientDisconnected { request: hedged });
     assert!(
-        host.cancellations.contains(&(copied, 0)),
-        "it ends with its client"
+        host.cancellations.contains(&(hedged, 0)),
+        "the streaming attempt was not cancelled when its client disconnected"
     );
 }
--- a/tests/disabled_backends.rs
+++ b/tests/disabled_backends.rs
@@ -1,4 +1,5 @@
-//! Backends that operators take out by hand, and give back.
+//! Tests of backends that an operator disables and enables again: no attempt goes to a disabled backend, whatever
+//! discovery reports, and an enabled one starts slowly without its old ejection.
 
 mod common;
 
@@ -21,8 +22,8 @@
     host
 }
 
-/// How many of a stretch's attempts went to the first backend.
-fn sent_to_first(host: &mut Host, rounds: usize) -> usize {
+/// How many attempts go to backend 0 in `rounds` rounds of four requests.
+fn attempts_to_first(host: &mut Host, rounds: usize) -> usize {
     let mut sent = 0;
     for _ in 0..rounds {
         let ids = host.burst(4, 0, 500_000);
@@ -36,48 +37,66 @@
     sent
 }
 
-/// Whatever the list says of it meanwhile, and though nothing else may be left.
+/// Neither updates of the endpoint list nor a restart of the backend enable it, even if it is the only one left.
 #[test]
-fn nothing_undoes_a_ban_but_the_call_back() {
+fn a_disabled_backend_gets_no_attempt_until_it_is_enabled() {
     let mut host = host(5);
-    assert!(sent_to_first(&mut host, 20) > 0);
+    assert!(attempts_to_first(&mut host, 20) > 0);
     host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
     host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
-    assert_eq!(sent_to_first(&mut host, 20), 0);
+    assert_eq!(attempts_to_first(&mut host, 20), 0);
     host.update_endpoints(EndpointUpdate::Full, fleet());
-    assert_eq!(sent_to_first(&mut host, 20), 0, "a whole list");
-    let booted = Some(host.now);
+    assert_eq!(
+        attempts_to_first(&mut host, 20),
+        0,
+        "attempts went to the disabled backend after a full update"
+    );
+    let restarted_at = Some(host.now);
     host.update_endpoints(
         EndpointUpdate::Incremental,
         vec![Backend {
-            started_at: booted,
+            started_at: restarted_at,
             ..backend(0, 0, 0)
         }],
     );
-    assert_eq!(sent_to_first(&mut host, 20), 0, "a new start");
+    assert_eq!(
+        attempts_to_first(&mut host, 20),
+        0,
+        "attempts went to the disabled backend after its restart"
+    );
     host.update_endpoints(EndpointUpdate::Full, fleet().split_off(1));
     host.update_endpoints(EndpointUpdate::Full, fleet());
-    assert_eq!(sent_to_first(&mut host, 20), 0, "gone and listed again");
+    assert_eq!(
+        attempts_to_first(&mut host, 20),
+        0,
+        "attempts went to the disabled backend after it was removed and listed again"
+    );
     host.update_endpoints(EndpointUpdate::Full, fleet().drain(..1).collect());
     let id = host.arrive(0, 500_000);
     host.advance(600_000);
-    assert!(host.backends_attempted(id).is_empty(), "the only one left");
+    assert!(
+        host.backends_attempted(id).is_empty(),
+        "an attempt went to the disabled backend, the only one left"
+    );
     host.update_endpoints(EndpointUpdate::Full, fleet());
     host.handle(Event::BackendEnabled {
         backend: BackendId(0),
         since: host.now,
     });
     host.advance(1_000_000);
-    assert!(sent_to_first(&mut host, 50) > 0, "one call ends it");
+    assert!(
+        attempts_to_first(&mut host, 50) > 0,
+        "no attempt went to the backend after it was enabled"
+    );
 }
 
-/// What waits when the ban comes goes elsewhere; what was out there runs on.
+/// Requests that wait when the backend is disabled go to another one; attempts in flight on it continue.
 #[test]
-fn a_request_that_waits_goes_elsewhere() {
+fn waiting_requests_go_to_other_backends() {
     let mut host = host(6);
     host.update_endpoints(EndpointUpdate::Full, fleet().drain(..1).collect());
     let ids = host.burst(40, 0, 500_000);
@@ -104,12 +123,12 @@
         .all(|id| !host.backends_attempted(*id).contains(&0)));
 }
 
-/// It may have restarted while it was out, and the list may not tell yet: it is not filled at once. An
-/// ejection from before is forgotten.
+/// The backend may have restarted while it was disabled without discovery reporting it yet, so it goes through slow
+/// start. An earlier ejection no longer counts.
 #[test]
-fn one_that_comes_back_starts_slowly_and_with_a_clean_record() {
+fn an_enabled_backend_starts_slowly_and_without_its_ejection() {
     let mut host = host(7);
-    let usual = sent_to_first(&mut host, 100);
+    let normal = attempts_to_first(&mut host, 100);
     for _ in 0..20 {
         let ids = host.burst(4, 0, 500_000);
         host.advance(20_000);
@@ -127,7 +146,10 @@
         }
         drop(ids);
     }
-    assert!(sent_to_first(&mut host, 3) <= 1, "ejected");
+    assert!(
+        attempts_to_first(&mut host, 3) <= 1,
+        "backend 0 was not ejected"
+    );
     host.handle(Event::BackendDisabled {
         backend: BackendId(0),
     });
@@ -136,9 +158,15 @@
         backend: BackendId(0),
         since: host.now,
     });
-    let cold = sent_to_first(&mut host, 100);
-    assert!(cold > 0 && cold < usual * 2 / 3, "{cold} of {usual}");
+    let cold = attempts_to_first(&mut host, 100);
+    assert!(
+        cold > 0 && cold < normal * 2 / 3,
+        "{cold} attempts just after enabling, {normal} before"
+    );
     host.advance(20_000_000);
-    let warm = sent_to_first(&mut host, 100);
-    assert!(warm > usual * 2 / 3, "{warm} of {usual}");
+    let warm = attempts_to_first(&mut host, 100);
+    assert!(
+        warm > normal * 2 / 3,
+        "{warm} attempts after slow start, {normal} before"
+    );
 }
--- a/tests/learned_state.rs
+++ b/tests/learned_state.rs
@@ -1,11 +1,11 @@
-//! What the module takes back after a start, on one clock.
+//! Tests of restoring learned state after a start: concurrency limits are restored only by a proxy's sole process.
 
 mod common;
 
 use common::*;
 use meadowproxy::*;
 
-fn fleet() -> Host {
+fn new_host() -> Host {
     let mut host = Host::new(
         Config {
             proxy_count: 1,
@@ -20,8 +20,8 @@
     host
 }
 
-/// Bursts that fill every backend, answered after the same 20 ms however many there are: the hold grows.
-fn learn(host: &mut Host) {
+/// Sends bursts that fill every backend and are answered in 20 ms however large they are: the concurrency limit grows.
+fn raise_limit(host: &mut Host) {
     for _ in 0..100 {
         host.burst(80, 0, 300_000);
         host.serve_all(20_000);
@@ -29,49 +29,59 @@
     }
 }
 
-/// How many attempts go out at once of a hundred requests.
-fn taken(host: &mut Host) -> usize {
+/// How many of a hundred requests are dispatched at once.
+fn dispatched_at_once(host: &mut Host) -> usize {
     host.burst(100, 0, 300_000);
     host.attempts_in_flight().len()
 }
 
-fn recalled(memory: &LearnedState, beside: bool) -> Host {
-    let mut host = fleet();
-    if beside {
+fn restored_host(state: &LearnedState, beside_another: bool) -> Host {
+    let mut host = new_host();
+    if beside_another {
         host.handle(Event::ProcessCountChanged { processes: 2 });
     }
     host.handle(Event::StateRestored {
-        state: Box::new(memory.clone()),
+        state: Box::new(state.clone()),
         age: Micros(2_000_000),
     });
     host
 }
 
-/// After a crash a process holds at once what the one before it had learned to; beside a live one, which holds as
-/// much already, it begins as a new one does, and so it does after numbers that make no sense.
+/// After a crash a process starts with the concurrency limit that its predecessor learned. Beside a live process, which
+/// uses that limit already, and with invalid numbers it starts like a new one.
 #[test]
-fn a_hold_is_taken_back_alone_and_not_beside_the_process_that_holds_it() {
-    let mut first = fleet();
-    let cold = taken(&mut fleet());
-    learn(&mut first);
-    let memory = first.balancer.learned_state(first.now);
+fn a_learned_limit_is_restored_only_without_another_process() {
+    let mut first = new_host();
+    let cold = dispatched_at_once(&mut new_host());
+    raise_limit(&mut first);
+    let state = first.balancer.learned_state(first.now);
     assert!(
-        memory.hardware_classes[0].1.concurrency_limit > 8.0,
-        "nothing learned: {memory:?}"
+        state.hardware_classes[0].1.concurrency_limit > 8.0,
+        "the concurrency limit did not grow: {state:?}"
     );
-    let (alone, beside) = (
-        taken(&mut recalled(&memory, false)),
-        taken(&mut recalled(&memory, true)),
+    let (alone, beside_another) = (
+        dispatched_at_once(&mut restored_host(&state, false)),
+        dispatched_at_once(&mut restored_host(&state, true)),
     );
-    assert!(alone >= 2 * cold, "{alone} at once where {cold} are cold");
-    assert_eq!(beside, cold, "its hold counted twice");
-    for wrong in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
-        let mut bad = memory.clone();
+    assert!(
+        alone >= 2 * cold,
+        "{alone} dispatched at once with restored state, {cold} without"
+    );
+    assert_eq!(
+        beside_another, cold,
+        "two processes used the learned limit at once"
+    );
+    for invalid in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
+        let mut invalid_state = state.clone();
         (
-            bad.hardware_classes[0].1.concurrency_limit,
-            bad.hardware_classes[0].1.latency.value,
-            bad.overall_latency.value,
-        ) = (wrong, wrong, wrong);
-        assert_eq!(taken(&mut recalled(&bad, false)), cold, "{wrong}");
+            invalid_state.hardware_classes[0].1.concurrency_limit,
+            invalid_state.hardware_classes[0].1.latency.value,
+            invalid_state.overall_latency.value,
+        ) = (invalid, invalid, invalid);
+        assert_eq!(
+            dispatched_at_once(&mut restored_host(&invalid_state, false)),
+            cold,
+            "state with {invalid} was restored"
+        );
     }
 }
--- a/tests/reconfiguration.rs
+++ b/tests/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Settings that change while requests are open.
+//! Tests of configuration changes while requests are open: a request keeps the rules under which it arrived, learned
+//! estimates carry over to a class's successor, and invalid configurations are rejected.
 
 mod common;
 
@@ -19,7 +20,7 @@
     }
 }
 
-/// The second class becomes free to repeat, under a number of its own; attempts get fewer.
+/// The second class becomes idempotent, as class 2 in place of class 1, and the attempt limit falls from 3 to 2.
 fn changed() -> Config {
     let classes = vec![
         class(Idempotency::Idempotent),
@@ -36,7 +37,7 @@
 
 fn change(host: &mut Host) {
     host.cfg = changed();
-    host.cfg.max_attempts = 3; // the harness checks the most that any open request may have
+    host.cfg.max_attempts = 3; // the host checks the highest limit of any open request
     let config = Box::new(changed().validated().unwrap());
     let (retired, successors) = (
         vec![ClassId(1)],
@@ -68,48 +69,49 @@
 }
 
 #[test]
-fn a_request_ends_under_the_rules_that_it_came_with() {
+fn a_request_keeps_the_rules_under_which_it_arrived() {
     let mut host = host(3);
-    let (free, bound) = (host.arrive(0, 400_000), host.arrive(1, 400_000));
+    let (idempotent, non_idempotent) = (host.arrive(0, 400_000), host.arrive(1, 400_000));
     change(&mut host);
-    let again = host.arrive(2, 400_000);
-    host.end_attempt(bound, 0, Outcome::Reset);
+    let later = host.arrive(2, 400_000);
+    host.end_attempt(non_idempotent, 0, Outcome::Reset);
     assert_eq!(
-        host.requests[&bound].answer,
+        host.requests[&non_idempotent].answer,
         Some("failed"),
-        "unsafe when it came"
+        "a request of the non-idempotent class was retried after the change"
     );
-    for (id, most) in [(free, 3), (again, 2)] {
-        for index in 0..most {
+    for (id, max_attempts) in [(idempotent, 3), (later, 2)] {
+        for index in 0..max_attempts {
             host.end_attempt(id, index, Outcome::Error);
         }
         assert_eq!(
             (host.backends_attempted(id).len(), host.requests[&id].answer),
-            (most, Some("rejected"))
+            (max_attempts, Some("rejected"))
         );
     }
 }
 
-/// What was learned of a class goes on under its new number, and a class that was dropped still ends what it has.
+/// A successor class keeps the latency learned of its predecessor, and requests of a retired class still complete.
 #[test]
-fn estimates_go_on_and_what_was_dropped_weighs_no_more() {
+fn successors_keep_estimates_and_retired_classes_complete_their_requests() {
     let mut host = host(4);
     let last = host.arrive(1, 400_000);
     change(&mut host);
     host.serve_all(20_000);
     assert_eq!(host.requests[&last].answer, Some("served"));
-    // Its usual time is known: held past that, it is refused while refusing is still harmless.
-    let fleet: Vec<_> = host.backends.values().cloned().collect();
+    // The class's usual latency is known, so that the request waits until shortly before its deadline before it is
+    // rejected.
+    let backends: Vec<_> = host.backends.values().cloned().collect();
     host.update_endpoints(EndpointUpdate::Full, Vec::new());
-    let held = host.arrive(2, 400_000);
+    let waiting_request = host.arrive(2, 400_000);
     host.advance(365_000);
     assert_eq!(
-        host.requests[&held].answer, None,
-        "not a quarter of its aim before the end, as if unknown"
+        host.requests[&waiting_request].answer, None,
+        "rejected a quarter of its latency objective before the deadline, as without a known latency"
     );
     host.advance(35_000);
-    assert_eq!(host.requests[&held].answer, Some("rejected"));
-    host.update_endpoints(EndpointUpdate::Full, fleet);
+    assert_eq!(host.requests[&waiting_request].answer, Some("rejected"));
+    host.update_endpoints(EndpointUpdate::Full, backends);
     let ids = host.burst(4, 2, 400_000);
     host.serve_all(20_000);
     assert!(ids
@@ -117,10 +119,10 @@
         .all(|id| host.requests[id].answer == Some("served")));
 }
 
-/// Classes whose answers come late in their aim leave, come anew with what was learned of the old one, and come back:
-/// after each event the module holds its sums over all classes against the classes themselves (a debug assertion).
+/// Retires, replaces and reinstates classes whose responses come late within their objective. After each event a debug
+/// assertion of the balancer compares its sums over all classes with the classes themselves.
 #[test]
-fn sums_over_classes_follow_those_that_come_and_go() {
+fn sums_over_classes_follow_retired_and_reinstated_classes() {
     let mut host = Host::new(config(), 6);
     host.update_endpoints(
         EndpointUpdate::Full,
@@ -130,7 +132,7 @@
         host.burst(3, 1, 400_000);
         host.serve_all(300_000);
     }
-    let taken = |retired: usize, reinstated: usize, successors| Event::ConfigChanged {
+    let config_change = |retired: usize, reinstated: usize, successors| Event::ConfigChanged {
         config: Box::new(
             Config {
                 max_attempts: 3,
@@ -148,7 +150,7 @@
         successors,
     };
     host.cfg = changed();
-    host.handle(taken(
+    host.handle(config_change(
         1,
         2,
         vec![ClassSuccessor {
@@ -156,9 +158,9 @@
             predecessor: ClassId(1),
         }],
     ));
-    host.handle(taken(2, 1, Vec::new()));
-    host.handle(taken(1, 2, Vec::new()));
-    host.handle(taken(0, 1, Vec::new()));
+    host.handle(config_change(2, 1, Vec::new()));
+    host.handle(config_change(1, 2, Vec::new()));
+    host.handle(config_change(0, 1, Vec::new()));
     let ids = host.burst(2, 1, 400_000);
     host.serve_all(20_000);
     assert!(ids
@@ -167,9 +169,9 @@
 }
 
 #[test]
-fn settings_that_forget_a_number_are_not_taken() {
+fn configurations_that_omit_a_class_id_are_rejected() {
     let mut host = host(5);
-    let short = Config {
+    let without_second_class = Config {
         classes: vec![class(Idempotency::Idempotent)].into(),
         ..config()
     }
@@ -182,7 +184,7 @@
             predecessor: ClassId(7),
         }],
     );
-    let config = Box::new(short);
+    let config = Box::new(without_second_class);
     host.handle(Event::ConfigChanged {
         config,
         retired,
@@ -194,9 +196,9 @@
     assert_eq!(host.requests[&id].answer, Some("served"));
 }
 
-/// Unsound settings never come as far as the module: the type that it takes cannot be made of them.
+/// The balancer accepts only validated configurations, and an invalid one cannot become validated.
 #[test]
-fn unsound_settings_do_not_become_checked_ones() {
+fn invalid_configurations_do_not_validate() {
     let field = |config: Config| config.validated().err().map(|e| e.field);
     assert_eq!(
         field(Config {
@@ -214,12 +216,12 @@
     );
     let mut config = changed().validated().unwrap();
     let before = config.clone();
-    let bad = RequestClass {
+    let invalid = RequestClass {
         priority_weight: f64::INFINITY,
         ..class(Idempotency::Idempotent)
     };
     assert_eq!(
-        config.set_class(ClassId(1), bad).map_err(|e| e.field),
+        config.set_class(ClassId(1), invalid).map_err(|e| e.field),
         Err("worth")
     );
     assert_eq!(
@@ -228,27 +230,35 @@
             .map_err(|e| e.field),
         Err("classes")
     );
-    let first = (TenantId(0), Tenant { quota_per_s: 5.0 });
-    for (bad, field) in [((1, 0.0), "quota_per_s"), ((2, 1.0), "tenants")] {
-        let bad = (TenantId(bad.0), Tenant { quota_per_s: bad.1 });
+    let original = (TenantId(0), Tenant { quota_per_s: 5.0 });
+    for (invalid, field) in [((1, 0.0), "quota_per_s"), ((2, 1.0), "tenants")] {
+        let invalid = (
+            TenantId(invalid.0),
+            Tenant {
+                quota_per_s: invalid.1,
+            },
+        );
         assert_eq!(
             config
-                .set_tenants([first.clone(), bad])
+                .set_tenants([original.clone(), invalid])
                 .map_err(|e| e.field),
             Err(field)
         );
     }
-    assert_eq!(config, before, "what was refused left its mark");
+    assert_eq!(
+        config, before,
+        "a rejected change altered the configuration"
+    );
 }
 
-/// Amended one by one or made as a whole: the same configuration, to the last bit of the quotas' sum, also where they
-/// are many and no whole numbers; what shares its tables with it does not change.
+/// Changing entries one by one and building the configuration at once give equal configurations, to the last bit of the
+/// sum of 10,000 fractional quotas. A configuration that shares tables with the changed one stays as it was.
 #[test]
-fn an_amended_configuration_equals_one_made_whole() {
+fn changing_entries_equals_building_the_configuration_at_once() {
     let quota = |n: u64| Tenant {
         quota_per_s: 1.0 / (n.wrapping_mul(0x9e37_79b9) % 1000 + 1) as f64,
     };
-    let whole = |tenants: Vec<Tenant>| {
+    let validated_whole = |tenants: Vec<Tenant>| {
         Config {
             tenants: tenants.into(),
             ..config()
@@ -257,19 +267,19 @@
         .unwrap()
     };
     let mut tenants: Vec<Tenant> = (0..10_000).map(quota).collect();
-    let plain = |tenants: &[Tenant]| tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
-    let first = whole(tenants.clone());
+    let sequential_sum = |tenants: &[Tenant]| tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
+    let original = validated_whole(tenants.clone());
     assert_eq!(
-        whole(tenants[..4096].to_vec()).quota_sum_per_s(),
-        plain(&tenants[..4096]),
-        "in their order"
+        validated_whole(tenants[..4096].to_vec()).quota_sum_per_s(),
+        sequential_sum(&tenants[..4096]),
+        "up to 4096 quotas are summed in their order"
     );
-    assert!((first.quota_sum_per_s() / plain(&tenants) - 1.0).abs() < 1e-12);
-    let mut amended = first.clone();
+    assert!((original.quota_sum_per_s() / sequential_sum(&tenants) - 1.0).abs() < 1e-12);
+    let mut changed_by_entry = original.clone();
     for n in (0..10_040).step_by(40) {
         let (tenant, at) = (quota(n as u64 + 77), n.min(tenants.len()));
         assert_eq!(
-            amended.set_tenants([(TenantId(at), tenant.clone())]),
+            changed_by_entry.set_tenants([(TenantId(at), tenant.clone())]),
             Ok(())
         );
         match tenants.get_mut(at) {
@@ -278,22 +288,22 @@
         }
     }
     assert_eq!(
-        amended.set_class(ClassId(2), class(Idempotency::NonIdempotent)),
+        changed_by_entry.set_class(ClassId(2), class(Idempotency::NonIdempotent)),
         Ok(())
     );
     assert_eq!(
-        amended.set_class(ClassId(0), class(Idempotency::NonIdempotent)),
+        changed_by_entry.set_class(ClassId(0), class(Idempotency::NonIdempotent)),
         Ok(())
     );
     let classes = vec![class(Idempotency::NonIdempotent); 3].into();
     assert_eq!(
-        amended,
+        changed_by_entry,
         Config {
             classes,
-            ..(*whole(tenants)).clone()
+            ..(*validated_whole(tenants)).clone()
         }
         .validated()
         .unwrap()
     );
-    assert_eq!(first, whole((0..10_000).map(quota).collect()));
+    assert_eq!(original, validated_whole((0..10_000).map(quota).collect()));
 }
