--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,14 +1,13 @@
-//! Same seed, same events, same actions: long seeded streams of events against digests of all the actions that
-//! the module gave when the streams were recorded. A change that is to leave the decisions alone leaves these
-//! equal, to the microsecond of each advice and the last bit of what was learned.
+//! Golden tests of the decisions: plays long seeded streams of events to a balancer and compares digests of all its
+//! actions with recorded ones. They detect any unintended change of a decision, to the microsecond of each Retry-After
+//! delay and the last bit of the learned state.
 //!
-//! The digests stand in `tests/golden/digests.txt`, one line a stream, one number for each hundred events: the
-//! first that differs says in which hundred to look. A change of decisions that is meant records them anew with
-//! `cargo test --test golden -- --ignored --nocapture record`, and says in its commit why. They hold where `exp`
-//! rounds as it did then (x86-64 with a present-day C library).
+//! `tests/golden/digests.txt` holds one line per stream and one digest per hundred events, so that the first difference
+//! tells which hundred events to look at. After an intended change of decisions, record the digests again with
+//! `cargo test --test golden -- --ignored --nocapture record` and give the reason in the commit. They are valid where
+//! `exp` rounds as when they were recorded (x86-64 with a current C library).
 //!
-//! The digests are over the encoding in `tests/golden/encoding.rs`, so that names and log texts may change and values
-//! may not.
+//! The digests cover the encoding in `tests/golden/encoding.rs`, which contains values but no names or log texts.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 #[path = "golden/encoding.rs"]
@@ -20,123 +19,123 @@
 use world::{Stream, World};
 
 const RECORDED: &str = include_str!("golden/digests.txt");
-/// Events to a digest.
+/// Events per digest.
 const BLOCK: usize = 100;
 
-/// Few and many of everything, and each rule on and off somewhere.
+/// Streams with few and many of each entity, in which every rule is on in some and off in others.
 fn streams() -> Vec<Stream> {
-    let plain = Stream {
+    let base = Stream {
         name: "few",
         seed: 1,
         proxies: 3,
         backends: 8,
-        kinds: 2,
+        hardware_classes: 2,
         zones: 1,
         tenants: 3,
         classes: 6,
-        gap_us: 4_000,
-        churn_us: 100_000,
-        steps: 16_000,
-        near: false,
-        locality: false,
-        ask: false,
-        copies: true,
-        cancel: true,
-        cold: false,
-        moves: false,
+        mean_arrival_gap_us: 4_000,
+        mean_change_gap_us: 100_000,
+        event_count: 16_000,
+        cross_zone_cost: false,
+        zone_failover: false,
+        poll_discovery: false,
+        hedging: true,
+        cancellation: true,
+        starting_backends: false,
+        relocating_backends: false,
     };
     vec![
-        plain.clone(),
+        base.clone(),
         Stream {
             name: "zones",
             seed: 2,
             proxies: 27,
             backends: 60,
-            kinds: 3,
+            hardware_classes: 3,
             zones: 9,
-            near: true,
-            ..plain
+            cross_zone_cost: true,
+            ..base
         },
         Stream {
             name: "locality",
             seed: 3,
             proxies: 30,
             backends: 90,
-            kinds: 3,
+            hardware_classes: 3,
             zones: 6,
-            locality: true,
-            gap_us: 2_000,
-            churn_us: 50_000,
-            ..plain
+            zone_failover: true,
+            mean_arrival_gap_us: 2_000,
+            mean_change_gap_us: 50_000,
+            ..base
         },
         Stream {
             name: "crowd",
             seed: 4,
             proxies: 40,
             backends: 12,
-            gap_us: 60_000,
-            churn_us: 500_000,
-            ..plain
+            mean_arrival_gap_us: 60_000,
+            mean_change_gap_us: 500_000,
+            ..base
         },
         Stream {
             name: "flood",
             seed: 5,
             proxies: 5,
             backends: 10,
-            kinds: 3,
-            gap_us: 900,
-            ..plain
+            hardware_classes: 3,
+            mean_arrival_gap_us: 900,
+            ..base
         },
         Stream {
             name: "slices",
             seed: 6,
             proxies: 180,
             backends: 400,
-            kinds: 5,
+            hardware_classes: 5,
             zones: 7,
-            near: true,
-            ..plain
+            cross_zone_cost: true,
+            ..base
         },
         Stream {
             name: "cold",
             seed: 7,
             proxies: 12,
             backends: 100,
-            kinds: 4,
+            hardware_classes: 4,
             zones: 3,
-            cold: true,
-            churn_us: 40_000,
-            ..plain
+            starting_backends: true,
+            mean_change_gap_us: 40_000,
+            ..base
         },
         Stream {
             name: "moves",
             seed: 12,
             proxies: 30,
             backends: 40,
-            kinds: 4,
+            hardware_classes: 4,
             zones: 5,
-            near: true,
-            moves: true,
-            churn_us: 40_000,
-            ..plain
+            cross_zone_cost: true,
+            relocating_backends: true,
+            mean_change_gap_us: 40_000,
+            ..base
         },
         Stream {
             name: "careful",
             seed: 8,
             proxies: 9,
             backends: 30,
-            ask: true,
-            copies: false,
-            ..plain
+            poll_discovery: true,
+            hedging: false,
+            ..base
         },
         Stream {
             name: "no cancel",
             seed: 9,
             backends: 20,
             zones: 2,
-            ask: true,
-            cancel: false,
-            ..plain
+            poll_discovery: true,
+            cancellation: false,
+            ..base
         },
         Stream {
             name: "tables",
@@ -145,36 +144,36 @@
             tenants: 3_000,
             classes: 300,
             backends: 40,
-            ..plain
+            ..base
         },
         Stream {
             name: "large",
             seed: 11,
             proxies: 1_800,
             backends: 2_000,
-            kinds: 12,
+            hardware_classes: 12,
             zones: 27,
-            near: true,
-            locality: true,
-            cold: true,
-            churn_us: 30_000,
-            steps: 6_000,
-            ..plain
+            cross_zone_cost: true,
+            zone_failover: true,
+            starting_backends: true,
+            mean_change_gap_us: 30_000,
+            event_count: 6_000,
+            ..base
         },
     ]
 }
 
-/// The digest after each hundred events, and what the module did how often.
-fn play(stream: &Stream) -> (Vec<u32>, BTreeMap<String, usize>) {
+/// Plays the stream; returns the digest after each hundred events and how often each action and log event occurred.
+fn run_stream(stream: &Stream) -> (Vec<u32>, BTreeMap<String, usize>) {
     let mut world = World::new(stream);
     let mut digests = Vec::new();
-    for step in 1..=stream.steps {
+    for step in 1..=stream.event_count {
         world.step();
         if step % BLOCK == 0 {
             digests.push(world.digest());
         }
     }
-    (digests, world.did)
+    (digests, world.counts)
 }
 
 fn line(stream: &Stream, digests: &[u32]) -> String {
@@ -183,55 +182,61 @@
 }
 
 fn check(stream: &Stream) -> BTreeMap<String, usize> {
-    let (digests, did) = play(stream);
+    let (digests, counts) = run_stream(stream);
     let prefix = format!("{}: ", stream.name);
     let recorded = RECORDED
         .lines()
         .find_map(|l| l.strip_prefix(&prefix))
-        .expect("a recorded stream");
+        .expect("a line of digests.txt for each stream");
     let recorded: Vec<u32> = recorded
         .split(' ')
-        .map(|d| u32::from_str_radix(d, 16).expect("a digest"))
+        .map(|d| u32::from_str_radix(d, 16).expect("a digest of hexadecimal digits"))
         .collect();
     assert_eq!(
         digests.len(),
         recorded.len(),
-        "{}: other lengths",
+        "{}: number of digests differs from the recorded one",
         stream.name
     );
-    let differs = digests
+    let first_difference = digests
         .iter()
         .zip(&recorded)
-        .position(|(now, then)| now != then);
+        .position(|(digest, expected)| digest != expected);
     assert_eq!(
-        differs.map(|block| block * BLOCK),
+        first_difference.map(|block| block * BLOCK),
         None,
-        "{}: the hundred events from here differ",
+        "{}: the digest of the hundred events from this one differs",
         stream.name
     );
-    did
+    counts
 }
 
 #[test]
-fn the_decisions_are_those_recorded() {
+fn decisions_match_the_recorded_digests() {
     let mut all: BTreeMap<String, usize> = BTreeMap::new();
     for stream in streams() {
-        for (what, count) in check(&stream) {
-            *all.entry(what).or_default() += count;
+        for (name, count) in check(&stream) {
+            *all.entry(name).or_default() += count;
         }
     }
-    // Streams in which nothing happens would prove nothing.
-    let much = [
-        "Dispatch", "Refuse", "Fail", "Cancel", "SetTimer", "Tell", "Log",
+    // The digests are only meaningful if the streams cause each kind of action and event often enough.
+    let frequent = [
+        "Dispatch",
+        "Reject",
+        "Fail",
+        "Cancel",
+        "SetTimer",
+        "PublishVerdict",
+        "Log",
     ];
-    for what in much {
+    for name in frequent {
         assert!(
-            all.get(what).is_some_and(|n| *n >= 20),
-            "too little of {what}: {all:?}"
+            all.get(name).is_some_and(|n| *n >= 20),
+            "{name} occurred too rarely: {all:?}"
         );
     }
-    for what in [
-        "Follow",
+    for name in [
+        "PollDiscovery",
         "second attempts",
         "ejected",
         "on the verdicts",
@@ -241,31 +246,31 @@
         "configuration rejected",
     ] {
         assert!(
-            all.get(what).is_some_and(|n| *n >= 2),
-            "too little of {what}: {all:?}"
+            all.get(name).is_some_and(|n| *n >= 2),
+            "{name} occurred too rarely: {all:?}"
         );
     }
 }
 
-/// Another seed of the module's own gives other actions: the digests see them.
+/// A different seed of the balancer leads to different actions, which the digests must reflect.
 #[test]
-fn other_decisions_give_other_digests() {
+fn different_decisions_give_different_digests() {
     let stream = Stream {
-        steps: 500,
+        event_count: 500,
         ..streams().remove(0)
     };
     let mut other = World::with_seed(&stream, stream.seed + 1);
-    (0..stream.steps).for_each(|_| other.step());
-    assert_ne!(play(&stream).0.last(), Some(&other.digest()));
+    (0..stream.event_count).for_each(|_| other.step());
+    assert_ne!(run_stream(&stream).0.last(), Some(&other.digest()));
 }
 
-/// Prints the digests of the program as it is.
+/// Prints the digests of the current code in the format of `digests.txt`.
 #[test]
-#[ignore = "records"]
+#[ignore = "prints new digests and checks nothing"]
 fn record() {
     for stream in streams() {
-        let (digests, did) = play(&stream);
+        let (digests, counts) = run_stream(&stream);
         println!("{}", line(&stream, &digests));
-        eprintln!("{}: {did:?}", stream.name);
+        eprintln!("{}: {counts:?}", stream.name);
     }
 }
--- a/tests/golden/encoding.rs
+++ b/tests/golden/encoding.rs
@@ -1,9 +1,9 @@
-//! A written encoding of actions and of learned state as 64-bit words: independent of the names that the module gives
-//! to its types, fields and log texts, and complete in the values that they carry.
+//! Encodes actions and learned state as 64-bit words for the golden digests. The encoding contains every value and is
+//! independent of the names of types and fields and of log texts.
 
 use meadowproxy::*;
 
-/// One word for each kind of action, then the words of its values. Of a log line only that there is one.
+/// The words of an action: one for its kind, then its values. Of a log line only its occurrence is encoded.
 pub fn encode_action(action: &Action) -> Vec<u64> {
     match action {
         Action::Dispatch { request, backend } => vec![1, request.0, backend.0.into()],
@@ -19,11 +19,16 @@
             backend,
             verdict:
                 Verdict::Ejected {
-                    duration: term,
-                    consecutive_ejections: strikes,
+                    duration,
+                    consecutive_ejections,
                 },
         } => {
-            vec![7, backend.0.into(), term.0, (*strikes).into()]
+            vec![
+                7,
+                backend.0.into(),
+                duration.0,
+                (*consecutive_ejections).into(),
+            ]
         }
         Action::PublishVerdict {
             backend,
@@ -33,24 +38,24 @@
     }
 }
 
-/// Every list by its length, then its items; floating-point numbers by their bits.
-pub fn encode_memory(memory: &LearnedState) -> Vec<u64> {
-    let mut words = vec![memory.hardware_classes.len() as u64];
-    for (id, kind) in &memory.hardware_classes {
+/// The words of the learned state: each list as its length and its items, floating-point numbers as their bits.
+pub fn encode_learned_state(state: &LearnedState) -> Vec<u64> {
+    let mut words = vec![state.hardware_classes.len() as u64];
+    for (id, hardware_class) in &state.hardware_classes {
         words.push(id.0.into());
-        words.extend(encode_mean(&kind.latency));
-        words.extend(encode_mean(&kind.recent_latency));
-        words.push(kind.uncontended_latency_s.to_bits());
-        words.push(kind.concurrency_limit.to_bits());
+        words.extend(encode_mean(&hardware_class.latency));
+        words.extend(encode_mean(&hardware_class.recent_latency));
+        words.push(hardware_class.uncontended_latency_s.to_bits());
+        words.push(hardware_class.concurrency_limit.to_bits());
     }
-    words.push(memory.classes.len() as u64);
-    for (id, latency) in &memory.classes {
+    words.push(state.classes.len() as u64);
+    for (id, latency) in &state.classes {
         words.push(id.0 as u64);
         words.extend(encode_mean(latency));
     }
-    words.extend(encode_mean(&memory.overall_latency));
-    words.push(memory.backends.len() as u64);
-    for (id, backend) in &memory.backends {
+    words.extend(encode_mean(&state.overall_latency));
+    words.push(state.backends.len() as u64);
+    for (id, backend) in &state.backends {
         words.push(id.0.into());
         words.extend(encode_optional(backend.ejected_for));
         words.push(i64::from(backend.consecutive_ejections) as u64);
@@ -63,9 +68,9 @@
     [mean.value.to_bits(), mean.count.to_bits()]
 }
 
-fn encode_optional(span: Option<Micros>) -> [u64; 2] {
-    match span {
+fn encode_optional(duration: Option<Micros>) -> [u64; 2] {
+    match duration {
         None => [0, 0],
-        Some(span) => [1, span.0],
+        Some(duration) => [1, duration.0],
     }
 }
--- a/tests/golden/world.rs
+++ b/tests/golden/world.rs
@@ -1,103 +1,114 @@
-//! A small world of clients, backends, discovery, operators and peers around one balancer. All of it is drawn
-//! from one seed, in whole numbers, and answers to what the module does.
+//! Simulates the clients, backends, discovery, operators and peers around one balancer for the golden tests. All events
+//! are drawn from one seed with integer arithmetic and react to the balancer's actions.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-use crate::encoding::{encode_action, encode_memory};
+use crate::encoding::{encode_action, encode_learned_state};
 use meadowproxy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+/// Parameters of a stream of events.
 #[derive(Clone)]
 pub struct Stream {
     pub name: &'static str,
     pub seed: u64,
     pub proxies: u32,
     pub backends: u32,
-    pub kinds: u32,
+    pub hardware_classes: u32,
     pub zones: u32,
     pub tenants: usize,
     pub classes: usize,
-    /// Mean time between two first tries.
-    pub gap_us: u64,
-    /// Mean time between two changes around the proxy.
-    pub churn_us: u64,
-    pub steps: usize,
-    pub near: bool,
-    pub locality: bool,
-    pub ask: bool,
-    pub copies: bool,
-    pub cancel: bool,
-    /// Backends begin cold and start again often.
-    pub cold: bool,
-    /// Lines come with other zones, kinds and marks than before.
-    pub moves: bool,
+    /// Mean time between two new requests.
+    pub mean_arrival_gap_us: u64,
+    /// Mean time between two changes of backends, endpoints, configuration or peer verdicts.
+    pub mean_change_gap_us: u64,
+    pub event_count: usize,
+    /// Whether attempts across zones have a cost.
+    pub cross_zone_cost: bool,
+    pub zone_failover: bool,
+    /// Whether discovery is polled instead of pushing its updates.
+    pub poll_discovery: bool,
+    pub hedging: bool,
+    pub cancellation: bool,
+    /// Whether the initial backends have started within the last 6 s; those added later always have.
+    pub starting_backends: bool,
+    /// Whether endpoint updates change a backend's zone, hardware class and address hash.
+    pub relocating_backends: bool,
 }
 
-/// What a backend does with what it is sent.
+/// How a backend responds to attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Good,
-    Dead,
+enum Behavior {
+    Healthy,
+    Unreachable,
     Silent,
     Failing,
     Slow,
-    Full,
-    Breaking,
+    Overloaded,
+    Resetting,
 }
 
-/// What comes due.
+/// What is scheduled at a time; attempts are given by request and attempt number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrive,
-    Again(usize, Option<usize>),
+enum Scheduled {
+    Arrival,
+    ClientRetry(usize, Option<usize>),
     Timer(u64),
-    Begin(u64, u32),
-    Uploaded(u64, u32),
-    End(u64, u32),
-    Cancelled(u64, u32),
+    ResponseStart(u64, u32),
+    UploadEnd(u64, u32),
+    AttemptEnd(u64, u32),
+    CancelledAttempt(u64, u32),
     Deadline(u64),
-    Leave(u64),
-    Churn,
+    Disconnect(u64),
+    Change,
 }
 
-struct Try {
-    sent: u64,
+/// An attempt and how it will end.
+struct Attempt {
+    sent_us: u64,
     outcome: Outcome,
-    out: bool,
+    in_flight: bool,
 }
 
-struct Open {
+/// A request that has arrived.
+struct OpenRequest {
     class: usize,
     tenant: Option<usize>,
     deadline: u64,
-    settled: bool,
-    tries: Vec<Try>,
+    answered: bool,
+    attempts: Vec<Attempt>,
 }
 
+/// A balancer with its simulated environment.
 pub struct World {
     balancer: Balancer,
     cfg: Config,
-    live: Vec<bool>,
-    draw: Pcg32,
+    /// Which classes are in use, by class id.
+    class_in_use: Vec<bool>,
+    rng: Pcg32,
+    /// The time in µs.
     now: u64,
-    seq: u64,
-    queue: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    open: BTreeMap<u64, Open>,
-    list: BTreeMap<u32, (Backend, Mood)>,
+    sequence: u64,
+    /// What is due, by time in µs and order of scheduling.
+    queue: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
+    requests: BTreeMap<u64, OpenRequest>,
+    backends: BTreeMap<u32, (Backend, Behavior)>,
     next_request: u64,
     next_backend: u32,
     stream: Stream,
-    hash: u64,
-    pub did: BTreeMap<String, usize>,
+    actions_hash: u64,
+    /// How often each kind of action and some log events occurred.
+    pub counts: BTreeMap<String, usize>,
 }
 
-const BASE: [u64; 5] = [8_000, 20_000, 35_000, 60_000, 90_000];
+/// The service time in µs of each hardware class, before variation.
+const SERVICE_TIME_US: [u64; 5] = [8_000, 20_000, 35_000, 60_000, 90_000];
 
 fn classes(count: usize) -> Vec<RequestClass> {
     let window = Micros(300_000);
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         Idempotency::Keyed {
@@ -117,7 +128,7 @@
     let class = |n: usize| RequestClass {
         latency_objective: Micros(120_000 + 70_000 * (n as u64 % 7)),
         objective_per_work: 0.25 * (n % 3) as f64,
-        idempotency: effects[n % effects.len()],
+        idempotency: idempotencies[n % idempotencies.len()],
         priority_weight: 1.0 + (n % 4) as f64,
         late_weight: 0.1 * (n % 5) as f64,
     };
@@ -129,22 +140,22 @@
     cfg.proxy_count = s.proxies;
     cfg.proxy_index = s.proxies / 3;
     cfg.classes = classes(s.classes).into_iter().collect();
-    let share = 1e6 / s.gap_us as f64 * f64::from(s.proxies) / s.tenants as f64;
+    let share = 1e6 / s.mean_arrival_gap_us as f64 * f64::from(s.proxies) / s.tenants as f64;
     cfg.tenants = (0..s.tenants)
         .map(|n| Tenant {
             quota_per_s: share * (0.3 + 0.4 * (n % 4) as f64),
         })
         .collect();
     cfg.worst_class_objective_weight = 0.3;
-    cfg.hedging = s.copies;
-    cfg.cancellation = s.cancel;
-    cfg.cross_zone_cost = if s.near { 0.05 } else { 0.0 };
-    if s.ask {
+    cfg.hedging = s.hedging;
+    cfg.cancellation = s.cancellation;
+    cfg.cross_zone_cost = if s.cross_zone_cost { 0.05 } else { 0.0 };
+    if s.poll_discovery {
         cfg.discovery = Discovery::Poll {
             staleness_limit: Micros(2_000_000),
         };
     }
-    if s.locality {
+    if s.zone_failover {
         cfg.zone_failover = Some(ZoneFailover {
             unhealthy_threshold: 0.5,
             recovery_ramp: Micros(2_000_000),
@@ -160,211 +171,234 @@
         World::with_seed(stream, stream.seed)
     }
 
-    /// The same events as far as they do not answer to the module, which has that seed.
+    /// A world for the stream whose balancer has another seed: events differ only where they react to its actions.
     pub fn with_seed(stream: &Stream, seed: u64) -> World {
         let cfg = config(stream);
-        let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
+        let balancer = Balancer::new(cfg.clone(), seed).expect("a valid configuration");
         let mut world = World {
             balancer,
-            live: vec![true; stream.classes],
+            class_in_use: vec![true; stream.classes],
             cfg,
-            draw: Pcg32::seed_from_u64(stream.seed),
+            rng: Pcg32::seed_from_u64(stream.seed),
             now: 1_000_000_000,
-            seq: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
-            open: BTreeMap::new(),
-            list: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            backends: BTreeMap::new(),
             next_request: 0,
             next_backend: 0,
             stream: stream.clone(),
-            hash: 0xcbf2_9ce4_8422_2325,
-            did: BTreeMap::new(),
+            actions_hash: 0xcbf2_9ce4_8422_2325,
+            counts: BTreeMap::new(),
         };
         (0..stream.backends).for_each(|_| world.add_backend());
-        world.tell_whole(EndpointUpdate::Full);
-        world.plan(0, Due::Arrive);
-        world.plan(1_500_000, Due::Churn);
+        world.announce_full_list(EndpointUpdate::Full);
+        world.schedule(0, Scheduled::Arrival);
+        world.schedule(1_500_000, Scheduled::Change);
         world
     }
 
-    /// A number below `most`.
-    fn below(&mut self, most: u64) -> u64 {
-        (u64::from(self.draw.next_u32()) * most) >> 32
+    /// A random number below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
+        (u64::from(self.rng.next_u32()) * bound) >> 32
     }
 
+    /// True with probability 1 / n.
     fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
 
-    fn plan(&mut self, after: u64, due: Due) {
-        self.seq += 1;
-        self.queue.push(Reverse((self.now + after, self.seq, due)));
+    /// Schedules an event in `after` µs.
+    fn schedule(&mut self, after: u64, scheduled: Scheduled) {
+        self.sequence += 1;
+        self.queue
+            .push(Reverse((self.now + after, self.sequence, scheduled)));
     }
 
-    /// Of all actions so far, and of what was learned by now.
+    /// The digest of all actions so far and of the current learned state.
     pub fn digest(&mut self) -> u32 {
-        let memory = self.balancer.learned_state(Time(self.now));
-        self.fold(&encode_memory(&memory));
-        (self.hash >> 32) as u32 ^ self.hash as u32
+        let state = self.balancer.learned_state(Time(self.now));
+        self.hash_words(&encode_learned_state(&state));
+        (self.actions_hash >> 32) as u32 ^ self.actions_hash as u32
     }
 
-    fn fold(&mut self, words: &[u64]) {
+    fn hash_words(&mut self, words: &[u64]) {
         for byte in words.iter().flat_map(|word| word.to_le_bytes()) {
-            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+            self.actions_hash =
+                (self.actions_hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    fn count(&mut self, what: &str) {
-        *self.did.entry(what.into()).or_default() += 1;
+    /// Counts an occurrence of the action or event.
+    fn count(&mut self, name: &str) {
+        *self.counts.entry(name.into()).or_default() += 1;
     }
 
-    /// Until one event more has been told.
+    /// Advances until one more event has been passed to the balancer.
     pub fn step(&mut self) {
         loop {
-            let Reverse((at, _, due)) = self.queue.pop().expect("arrivals never end");
+            let Reverse((at, _, scheduled)) =
+                self.queue.pop().expect("an arrival is always scheduled");
             self.now = self.now.max(at);
-            if let Some(event) = self.due(due) {
-                return self.tell(event);
+            if let Some(event) = self.event_of(scheduled) {
+                return self.handle(event);
             }
         }
     }
 
-    fn due(&mut self, due: Due) -> Option<Event> {
-        match due {
-            Due::Arrive => {
+    /// The event that is due, unless it no longer applies.
+    fn event_of(&mut self, scheduled: Scheduled) -> Option<Event> {
+        match scheduled {
+            Scheduled::Arrival => {
                 let burst = self.one_in(40);
                 let gap = if burst {
                     1
                 } else {
-                    self.below(2 * self.stream.gap_us)
+                    self.below(2 * self.stream.mean_arrival_gap_us)
                 };
-                self.plan(gap, Due::Arrive);
-                // A few routes and customers bring most of the traffic.
+                self.schedule(gap, Scheduled::Arrival);
+                // A few classes and tenants send most of the traffic.
                 let class = self.skewed(self.cfg.classes.len());
-                let class = if self.live[class] { class } else { 0 };
+                let class = if self.class_in_use[class] { class } else { 0 };
                 let tenant = (!self.one_in(5)).then(|| self.skewed(self.cfg.tenants.len()));
                 Some(self.arrive(class, tenant, false))
             }
-            Due::Again(class, tenant) => Some(self.arrive(class, tenant, true)),
-            Due::Timer(token) => Some(Event::TimerFired {
+            Scheduled::ClientRetry(class, tenant) => Some(self.arrive(class, tenant, true)),
+            Scheduled::Timer(token) => Some(Event::TimerFired {
                 token: TimerToken(token),
             }),
-            Due::Begin(request, no) => {
-                let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
-                r.tries.get(no as usize).filter(|t| t.out)?;
-                r.settled = true;
+            Scheduled::ResponseStart(request, number) => {
+                let r = self.requests.get_mut(&request).filter(|r| !r.answered)?;
+                r.attempts.get(number as usize).filter(|t| t.in_flight)?;
+                r.answered = true;
                 Some(Event::ResponseStarted {
                     request: RequestId(request),
-                    attempt: AttemptNumber(no),
+                    attempt: AttemptNumber(number),
                 })
             }
-            Due::Uploaded(request, no) => {
-                let r = self.open.get_mut(&request)?;
-                let t = r.tries.get_mut(no as usize).filter(|t| t.out)?;
-                t.sent = self.now;
+            Scheduled::UploadEnd(request, number) => {
+                let r = self.requests.get_mut(&request)?;
+                let t = r
+                    .attempts
+                    .get_mut(number as usize)
+                    .filter(|t| t.in_flight)?;
+                t.sent_us = self.now;
                 let time_left = Micros(400_000);
                 r.deadline = self.now + time_left.0;
                 Some(Event::UploadFinished {
                     request: RequestId(request),
-                    attempt: AttemptNumber(no),
+                    attempt: AttemptNumber(number),
                     time_left,
                 })
             }
-            Due::End(request, no) => self.end(request, no, None),
-            Due::Cancelled(request, no) => self.end(request, no, Some(Outcome::Cancelled)),
-            Due::Deadline(request) => {
-                let r = self.open.get_mut(&request)?;
+            Scheduled::AttemptEnd(request, number) => self.end_attempt(request, number, None),
+            Scheduled::CancelledAttempt(request, number) => {
+                self.end_attempt(request, number, Some(Outcome::Cancelled))
+            }
+            Scheduled::Deadline(request) => {
+                let r = self.requests.get_mut(&request)?;
                 if self.now < r.deadline {
                     let left = r.deadline - self.now;
-                    self.plan(left, Due::Deadline(request));
+                    self.schedule(left, Scheduled::Deadline(request));
                     return None;
                 }
-                if let Some(no) = r
-                    .tries
+                if let Some(number) = r
+                    .attempts
                     .iter()
-                    .position(|t| t.out && t.outcome == Outcome::TimedOut)
+                    .position(|t| t.in_flight && t.outcome == Outcome::TimedOut)
                 {
-                    self.plan(0, Due::Deadline(request));
-                    return self.end(request, no as u32, None);
+                    self.schedule(0, Scheduled::Deadline(request));
+                    return self.end_attempt(request, number as u32, None);
                 }
-                (!std::mem::replace(&mut r.settled, true)).then_some(Event::ClientDisconnected {
+                (!std::mem::replace(&mut r.answered, true)).then_some(Event::ClientDisconnected {
                     request: RequestId(request),
                 })
             }
-            Due::Leave(request) => {
-                let r = self.open.get_mut(&request).filter(|r| !r.settled)?;
-                r.settled = true;
+            Scheduled::Disconnect(request) => {
+                let r = self.requests.get_mut(&request).filter(|r| !r.answered)?;
+                r.answered = true;
                 Some(Event::ClientDisconnected {
                     request: RequestId(request),
                 })
             }
-            Due::Churn => {
-                let gap = self.below(2 * self.stream.churn_us) + 1;
-                self.plan(gap, Due::Churn);
-                Some(self.churn())
+            Scheduled::Change => {
+                let gap = self.below(2 * self.stream.mean_change_gap_us) + 1;
+                self.schedule(gap, Scheduled::Change);
+                Some(self.change_environment())
             }
         }
     }
 
+    /// A random index below `count` that favours small ones.
     fn skewed(&mut self, count: usize) -> usize {
         let (a, b) = (self.below(count as u64), self.below(count as u64));
         a.min(b) as usize
     }
 
-    fn arrive(&mut self, class: usize, tenant: Option<usize>, repeat: bool) -> Event {
+    /// A new request, which also has a deadline and sometimes disconnects before it.
+    fn arrive(&mut self, class: usize, tenant: Option<usize>, client_retry: bool) -> Event {
         self.next_request += 1;
         let id = self.next_request;
-        let left = 30_000 + self.below(1_500_000);
-        self.open.insert(
+        let time_left_us = 30_000 + self.below(1_500_000);
+        self.requests.insert(
             id,
-            Open {
+            OpenRequest {
                 class,
                 tenant,
-                deadline: self.now + left,
-                settled: false,
-                tries: Vec::new(),
+                deadline: self.now + time_left_us,
+                answered: false,
+                attempts: Vec::new(),
             },
         );
-        self.plan(left, Due::Deadline(id));
+        self.schedule(time_left_us, Scheduled::Deadline(id));
         if self.one_in(50) {
-            let at = self.below(left);
-            self.plan(at, Due::Leave(id));
+            let at = self.below(time_left_us);
+            self.schedule(at, Scheduled::Disconnect(id));
         }
         let hint = self.below(200_000);
         Event::RequestArrived(RequestArrival {
             request: RequestId(id),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
-            time_left: Micros(left),
+            time_left: Micros(time_left_us),
             work_hint: (hint > 100_000).then_some(Micros(hint)),
-            client_retry: repeat,
+            client_retry,
         })
     }
 
-    fn end(&mut self, request: u64, no: u32, outcome: Option<Outcome>) -> Option<Event> {
+    /// The end of an attempt, if it is still in flight.
+    fn end_attempt(
+        &mut self,
+        request: u64,
+        number: u32,
+        outcome: Option<Outcome>,
+    ) -> Option<Event> {
         let now = self.now;
-        let r = self.open.get_mut(&request)?;
-        let t = r.tries.get_mut(no as usize).filter(|t| t.out)?;
-        t.out = false;
+        let r = self.requests.get_mut(&request)?;
+        let t = r
+            .attempts
+            .get_mut(number as usize)
+            .filter(|t| t.in_flight)?;
+        t.in_flight = false;
         let outcome = outcome.unwrap_or(t.outcome);
-        let latency = Micros(now - t.sent);
-        r.settled |= outcome == Outcome::Ok;
-        let (request, attempt, settled) = (RequestId(request), AttemptNumber(no), r.settled);
+        let latency = Micros(now - t.sent_us);
+        r.answered |= outcome == Outcome::Ok;
+        let (request, attempt, answered) = (RequestId(request), AttemptNumber(number), r.answered);
         Some(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             outcome,
             latency,
-            answered: settled,
+            answered,
         }))
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(Time(self.now), event, &mut actions);
         for action in actions {
-            self.fold(&[self.now]);
-            self.fold(&encode_action(&action));
+            self.hash_words(&[self.now]);
+            self.hash_words(&encode_action(&action));
             self.carry_out(action);
         }
     }
@@ -379,39 +413,39 @@
                 request,
                 retry_after,
             } => {
-                self.count("Refuse");
-                let Some(r) = self.open.get_mut(&request.0) else {
+                self.count("Reject");
+                let Some(r) = self.requests.get_mut(&request.0) else {
                     return;
                 };
-                r.settled = true;
-                let again = Due::Again(r.class, r.tenant);
+                r.answered = true;
+                let retry = Scheduled::ClientRetry(r.class, r.tenant);
                 if self.one_in(3) {
-                    self.plan(retry_after.0, again);
+                    self.schedule(retry_after.0, retry);
                 }
             }
             Action::Fail { request } => {
                 self.count("Fail");
-                self.open
+                self.requests
                     .get_mut(&request.0)
                     .into_iter()
-                    .for_each(|r| r.settled = true);
+                    .for_each(|r| r.answered = true);
             }
             Action::Cancel { request, attempt } => {
                 self.count("Cancel");
-                self.plan(0, Due::Cancelled(request.0, attempt.0));
+                self.schedule(0, Scheduled::CancelledAttempt(request.0, attempt.0));
             }
             Action::SetTimer { token, after } => {
                 self.count("SetTimer");
-                self.plan(after.0, Due::Timer(token.0));
+                self.schedule(after.0, Scheduled::Timer(token.0));
             }
             Action::PollDiscovery => {
-                self.count("Follow");
-                self.plan(30_000, Due::Churn); // discovery answers, or something else goes on
+                self.count("PollDiscovery");
+                self.schedule(30_000, Scheduled::Change); // an endpoint update or another change follows
             }
-            Action::PublishVerdict { .. } => self.count("Tell"),
+            Action::PublishVerdict { .. } => self.count("PublishVerdict"),
             Action::Log(text) => {
                 self.count("Log");
-                let words = [
+                let phrases = [
                     "ejected: ",
                     "on the verdicts",
                     "readmitted",
@@ -420,8 +454,8 @@
                     "configuration rejected",
                     "restored learned state",
                 ];
-                for word in words.into_iter().filter(|w| text.contains(w)) {
-                    self.count(match word {
+                for phrase in phrases.into_iter().filter(|w| text.contains(w)) {
+                    self.count(match phrase {
                         "taken out of use:" => "zone taken out of use",
                         "returning" => "zone returning",
                         "ejected: " => "ejected",
@@ -432,131 +466,145 @@
         }
     }
 
+    /// Sends an attempt and schedules how the backend responds to it.
     fn dispatch(&mut self, request: u64, backend: u32) {
-        let (kind, mood) = {
-            let (b, mood) = &self.list[&backend];
-            (b.hardware_class.0 as usize, *mood)
+        let (hardware_class, behavior) = {
+            let (b, behavior) = &self.backends[&backend];
+            (b.hardware_class.0 as usize, *behavior)
         };
         let (a, b, c) = (self.below(1_000), self.below(1_000), self.below(100));
-        let work = BASE[kind % BASE.len()] * (200 + a * b * 3 / 1_000) / 1_000;
-        let (outcome, after) = match mood {
-            Mood::Dead => (Outcome::ConnectFailed, 1_000),
-            Mood::Silent => (Outcome::TimedOut, u64::MAX),
-            Mood::Failing if c < 60 => (Outcome::Error, work / 2),
-            Mood::Breaking if c < 40 => (Outcome::Reset, work / 2),
-            Mood::Full if c < 50 => (Outcome::Overloaded, 500),
-            Mood::Slow => (Outcome::Ok, work * 20),
+        let work = SERVICE_TIME_US[hardware_class % SERVICE_TIME_US.len()]
+            * (200 + a * b * 3 / 1_000)
+            / 1_000;
+        let (outcome, after) = match behavior {
+            Behavior::Unreachable => (Outcome::ConnectFailed, 1_000),
+            Behavior::Silent => (Outcome::TimedOut, u64::MAX),
+            Behavior::Failing if c < 60 => (Outcome::Error, work / 2),
+            Behavior::Resetting if c < 40 => (Outcome::Reset, work / 2),
+            Behavior::Overloaded if c < 50 => (Outcome::Overloaded, 500),
+            Behavior::Slow => (Outcome::Ok, work * 20),
             _ if c == 0 => (Outcome::Error, work),
             _ if c == 1 => (Outcome::NotSent, 100),
             _ => (Outcome::Ok, work),
         };
         let now = self.now;
-        let Some(r) = self.open.get_mut(&request) else {
+        let Some(r) = self.requests.get_mut(&request) else {
             return;
         };
-        let no = r.tries.len() as u32;
-        if no > 0 {
-            *self.did.entry("second attempts".into()).or_default() += 1;
+        let number = r.attempts.len() as u32;
+        if number > 0 {
+            *self.counts.entry("second attempts".into()).or_default() += 1;
         }
-        let late = now.saturating_add(after) >= r.deadline;
-        let outcome = if late { Outcome::TimedOut } else { outcome };
-        r.tries.push(Try {
-            sent: now,
+        let past_deadline = now.saturating_add(after) >= r.deadline;
+        let outcome = if past_deadline {
+            Outcome::TimedOut
+        } else {
+            outcome
+        };
+        r.attempts.push(Attempt {
+            sent_us: now,
             outcome,
-            out: true,
+            in_flight: true,
         });
-        if late {
-            return; // it ends with the client's patience
+        if past_deadline {
+            return; // it ends at the client's deadline
         }
         match (outcome, c) {
             (Outcome::Ok, 90..) => {
-                self.plan(after / 2, Due::Begin(request, no));
-                self.plan(after * 2, Due::End(request, no));
+                self.schedule(after / 2, Scheduled::ResponseStart(request, number));
+                self.schedule(after * 2, Scheduled::AttemptEnd(request, number));
             }
             (Outcome::Ok, 85..) => {
-                self.plan(after, Due::Uploaded(request, no));
-                self.plan(after * 2, Due::End(request, no));
-                let (request, attempt) = (RequestId(request), AttemptNumber(no));
-                self.tell(Event::UploadStarted { request, attempt });
+                self.schedule(after, Scheduled::UploadEnd(request, number));
+                self.schedule(after * 2, Scheduled::AttemptEnd(request, number));
+                let (request, attempt) = (RequestId(request), AttemptNumber(number));
+                self.handle(Event::UploadStarted { request, attempt });
             }
-            _ => self.plan(after, Due::End(request, no)),
+            _ => self.schedule(after, Scheduled::AttemptEnd(request, number)),
         }
     }
 
+    /// Adds a healthy backend under the next id.
     fn add_backend(&mut self) {
         let id = self.next_backend;
         self.next_backend += 1;
         let zone = self.below(u64::from(self.stream.zones)) as u32;
-        let kind = self.below(u64::from(self.stream.kinds)) as u32;
-        let booted = if self.stream.cold || id >= self.stream.backends {
-            let ago = self.below(6_000_000);
-            Some(Time(self.now - ago))
+        let hardware_class = self.below(u64::from(self.stream.hardware_classes)) as u32;
+        let started_at = if self.stream.starting_backends || id >= self.stream.backends {
+            let ago_us = self.below(6_000_000);
+            Some(Time(self.now - ago_us))
         } else {
             None
         };
         let entry = Backend {
             id: BackendId(id),
-            address_hash: u64::from(self.draw.next_u32()) << 12 | u64::from(id),
+            address_hash: u64::from(self.rng.next_u32()) << 12 | u64::from(id),
             zone: ZoneId(zone),
             cell: CellId(u64::from(zone) * 3 + u64::from(id % 3)),
-            hardware_class: HardwareClassId(kind),
+            hardware_class: HardwareClassId(hardware_class),
             state: BackendState::Ready,
-            started_at: booted,
+            started_at,
         };
-        self.list.insert(id, (entry, Mood::Good));
+        self.backends.insert(id, (entry, Behavior::Healthy));
     }
 
-    /// The whole list but what is gone, and sometimes two lines less.
-    fn whole(&mut self) -> Vec<Backend> {
-        let mut lines: Vec<Backend> = self.list.values().map(|(b, _)| b.clone()).collect();
-        lines.retain(|b| b.state != BackendState::Removed);
+    /// All endpoints that are not removed, sometimes after removing two more.
+    fn full_list(&mut self) -> Vec<Backend> {
+        let mut listed: Vec<Backend> = self.backends.values().map(|(b, _)| b.clone()).collect();
+        listed.retain(|b| b.state != BackendState::Removed);
         if self.one_in(3) {
-            for _ in 0..2.min(lines.len()) {
-                let at = self.below(lines.len() as u64) as usize;
-                let id = lines.remove(at).id.0;
-                self.list
+            for _ in 0..2.min(listed.len()) {
+                let at = self.below(listed.len() as u64) as usize;
+                let id = listed.remove(at).id.0;
+                self.backends
                     .get_mut(&id)
                     .into_iter()
                     .for_each(|b| b.0.state = BackendState::Removed);
             }
         }
         if self.one_in(4) {
-            lines.reverse(); // a list need not be in order
+            listed.reverse(); // the order of a list has no meaning
         }
-        lines
+        listed
     }
 
-    fn tell_whole(&mut self, update: EndpointUpdate) {
-        let backends = self.whole();
-        self.tell(Event::EndpointsUpdated { update, backends });
+    fn announce_full_list(&mut self, update: EndpointUpdate) {
+        let backends = self.full_list();
+        self.handle(Event::EndpointsUpdated { update, backends });
     }
 
-    fn any(&mut self) -> u32 {
-        let at = self.below(self.list.len() as u64) as usize;
-        *self.list.keys().nth(at).expect("some backend")
+    fn any_backend(&mut self) -> u32 {
+        let at = self.below(self.backends.len() as u64) as usize;
+        *self.backends.keys().nth(at).expect("at least one backend")
     }
 
-    /// Something else than traffic.
-    fn churn(&mut self) -> Event {
-        let ill = self.list.values().filter(|b| b.1 != Mood::Good).count();
+    /// A change other than traffic: backend faults, endpoint updates, operators' calls, configurations, peer verdicts.
+    fn change_environment(&mut self) -> Event {
+        let unhealthy = self
+            .backends
+            .values()
+            .filter(|b| b.1 != Behavior::Healthy)
+            .count();
         match self.below(24) {
             0..=6 => {
-                if ill * 4 > self.list.len() || ill > 0 && self.one_in(4) {
-                    self.list.values_mut().for_each(|b| b.1 = Mood::Good);
+                if unhealthy * 4 > self.backends.len() || unhealthy > 0 && self.one_in(4) {
+                    self.backends
+                        .values_mut()
+                        .for_each(|b| b.1 = Behavior::Healthy);
                 } else {
-                    self.trouble();
+                    self.start_fault();
                 }
-                self.word()
+                self.peer_verdict()
             }
-            7..=11 => self.lines(),
+            7..=11 => self.change_endpoints(),
             12 => Event::EndpointsUpdated {
                 update: EndpointUpdate::Full,
-                backends: self.whole(),
+                backends: self.full_list(),
             },
             13 => match self.below(6) {
                 0 => Event::EndpointsUpdated {
                     update: EndpointUpdate::Cached,
-                    backends: self.whole(),
+                    backends: self.full_list(),
                 },
                 1 => Event::ProcessCountChanged {
                     processes: 1 + self.below(2) as u32,
@@ -567,82 +615,89 @@
                 },
             },
             14 => Event::BackendDisabled {
-                backend: BackendId(self.any()),
+                backend: BackendId(self.any_backend()),
             },
             15 | 16 => {
-                let (backend, ago) = (BackendId(self.any()), self.below(3_000_000));
+                let (backend, ago_us) = (BackendId(self.any_backend()), self.below(3_000_000));
                 Event::BackendEnabled {
                     backend,
-                    since: Time(self.now - ago),
+                    since: Time(self.now - ago_us),
                 }
             }
-            17 | 18 => self.retune(),
+            17 | 18 => self.change_config(),
             19 => {
-                let memory = Box::new(self.balancer.learned_state(Time(self.now)));
+                let state = Box::new(self.balancer.learned_state(Time(self.now)));
                 Event::StateRestored {
-                    state: memory,
+                    state,
                     age: Micros(self.below(20_000_000)),
                 }
             }
-            _ => self.word(),
+            _ => self.peer_verdict(),
         }
     }
 
-    fn trouble(&mut self) {
-        let moods = [
-            Mood::Dead,
-            Mood::Silent,
-            Mood::Failing,
-            Mood::Slow,
-            Mood::Full,
-            Mood::Breaking,
-            Mood::Dead,
+    /// Lets one backend, or sometimes its whole zone, start to fail.
+    fn start_fault(&mut self) {
+        let behaviors = [
+            Behavior::Unreachable,
+            Behavior::Silent,
+            Behavior::Failing,
+            Behavior::Slow,
+            Behavior::Overloaded,
+            Behavior::Resetting,
+            Behavior::Unreachable,
         ];
-        let mood = moods[self.below(moods.len() as u64) as usize];
-        let one = self.any();
-        let zone = self.list[&one].0.zone;
-        let whole = self.stream.zones > 1 && self.one_in(2);
-        for (id, (b, m)) in &mut self.list {
-            if *id == one || whole && b.zone == zone {
-                *m = mood;
+        let behavior = behaviors[self.below(behaviors.len() as u64) as usize];
+        let id_to_fail = self.any_backend();
+        let zone = self.backends[&id_to_fail].0.zone;
+        let whole_zone = self.stream.zones > 1 && self.one_in(2);
+        for (id, (b, current)) in &mut self.backends {
+            if *id == id_to_fail || whole_zone && b.zone == zone {
+                *current = behavior;
             }
         }
     }
 
-    /// Some lines of the list: starts, drains, ends and new ones.
-    fn lines(&mut self) -> Event {
+    /// An incremental update with restarted, draining, removed and new backends.
+    fn change_endpoints(&mut self) -> Event {
         let mut changed = Vec::new();
         for _ in 0..=self.below(4) {
-            let id = if self.list.len() < 2 * self.stream.backends as usize && self.one_in(5) {
+            let id = if self.backends.len() < 2 * self.stream.backends as usize && self.one_in(5) {
                 self.add_backend();
                 self.next_backend - 1
             } else {
-                self.any()
+                self.any_backend()
             };
-            let (what, ago) = (self.below(8), self.below(500_000));
+            let (change, ago_us) = (self.below(8), self.below(500_000));
             let now = self.now;
-            let place = (self.stream.moves && self.one_in(2)).then(|| {
+            let relocation = (self.stream.relocating_backends && self.one_in(2)).then(|| {
                 let zone = self.below(u64::from(self.stream.zones)) as u32;
                 (
                     zone,
-                    self.below(u64::from(self.stream.kinds)) as u32,
-                    self.draw.next_u32(),
+                    self.below(u64::from(self.stream.hardware_classes)) as u32,
+                    self.rng.next_u32(),
                 )
             });
-            let (b, mood) = self.list.get_mut(&id).expect("listed");
-            if let Some((zone, kind, mark)) = place {
-                // Whatever has another name is another backend: only those that start anew have another mark.
-                (b.zone, b.hardware_class) = (ZoneId(zone), HardwareClassId(kind));
-                if (2..=4).contains(&what) {
-                    b.address_hash = u64::from(mark) << 12 | u64::from(id);
+            let (b, behavior) = self
+                .backends
+                .get_mut(&id)
+                .expect("the backend is in the list");
+            if let Some((zone, hardware_class, address_hash)) = relocation {
+                // A different address hash means a different backend, so that it changes only when the backend starts.
+                (b.zone, b.hardware_class) = (ZoneId(zone), HardwareClassId(hardware_class));
+                if (2..=4).contains(&change) {
+                    b.address_hash = u64::from(address_hash) << 12 | u64::from(id);
                 }
             }
-            match what {
+            match change {
                 0 => b.state = BackendState::Draining,
                 1 => b.state = BackendState::Removed,
                 2..=4 => {
-                    (b.state, b.started_at, *mood) =
-                        (BackendState::Ready, Some(Time(now - ago)), Mood::Good);
+                    (b.state, b.started_at, *behavior) = (
+                        BackendState::Ready,
+                        Some(Time(now - ago_us)),
+                        Behavior::Healthy,
+                    );
                 }
                 _ => b.state = BackendState::Ready,
             }
@@ -654,22 +709,23 @@
         }
     }
 
-    fn word(&mut self) -> Event {
-        // Of a few the peers speak often: two of them have to agree.
+    /// A peer's verdict on a backend.
+    fn peer_verdict(&mut self) -> Event {
+        // Most verdicts are on three backends: an ejection needs the verdicts of two peers.
         let backend = BackendId(if self.one_in(3) {
-            self.any()
+            self.any_backend()
         } else {
             self.below(3) as u32
         });
         let origin = self.below(5) as u32;
-        let term = Micros(500_000 + self.below(2_000_000));
-        let strikes = 1 + self.below(3) as u8;
+        let duration = Micros(500_000 + self.below(2_000_000));
+        let consecutive_ejections = 1 + self.below(3) as u8;
         let verdict = if self.one_in(3) {
             Verdict::Readmitted
         } else {
             Verdict::Ejected {
-                duration: term,
-                consecutive_ejections: strikes,
+                duration,
+                consecutive_ejections,
             }
         };
         Event::VerdictReceived(PeerVerdict {
@@ -683,8 +739,8 @@
         })
     }
 
-    /// Other settings, and such as forget a number.
-    fn retune(&mut self) -> Event {
+    /// A changed configuration; sometimes an invalid change that drops a tenant.
+    fn change_config(&mut self) -> Event {
         let mut cfg = self.cfg.clone();
         let (mut retired, mut successors) = (Vec::new(), Vec::new());
         match self.below(7) {
@@ -701,16 +757,16 @@
             4 => {
                 let old = self.skewed(cfg.classes.len());
                 let class = cfg.classes[old].clone();
-                let aim = class
+                let latency_objective = class
                     .latency_objective
                     .mul_f64(0.75 + 0.25 * self.below(3) as f64);
                 cfg.classes.push_back(RequestClass {
-                    latency_objective: aim,
+                    latency_objective,
                     ..class
                 });
-                self.live.push(true);
+                self.class_in_use.push(true);
                 if old > 0 {
-                    self.live[old] = false;
+                    self.class_in_use[old] = false;
                     retired.push(ClassId(old));
                 }
                 successors.push(ClassSuccessor {
@@ -720,17 +776,18 @@
             }
             5 => {
                 cfg.tenants.pop_back();
-                return settings(cfg, retired, successors);
+                return config_changed(cfg, retired, successors);
             }
             _ => cfg.max_attempts = 2 + self.below(2) as u32,
         }
         self.cfg = cfg.clone();
-        settings(cfg, retired, successors)
+        config_changed(cfg, retired, successors)
     }
 }
 
-fn settings(cfg: Config, retired: Vec<ClassId>, successors: Vec<ClassSuccessor>) -> Event {
-    let config = Box::new(cfg.validated().expect("sound"));
+/// The event of a configuration change.
+fn config_changed(cfg: Config, retired: Vec<ClassId>, successors: Vec<ClassSuccessor>) -> Event {
+    let config = Box::new(cfg.validated().expect("a valid configuration"));
     Event::ConfigChanged {
         config,
         retired,
