--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -1,4 +1,4 @@
-//! Why there is no usable configuration.
+//! Errors in the configuration file, the command line's overrides and the environment variables.
 
 use meadowproxy::fleet::config::VERSION_LIMIT;
 use meadowproxy::fleet::lease;
@@ -6,103 +6,103 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the configuration cannot be used.
+/// Why a configuration is not usable. Its text is shown to operators.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigError {
-    /// No file is named.
+    /// Neither the environment nor the command line names a file.
     #[error(
-        "NODE_CONFIG is not set: expected the path of the configuration there, or --config FILE"
+        "NODE_CONFIG is not set: set it to the path of the configuration file, or use --config FILE"
     )]
     FileNotSpecified,
-    /// The file cannot be read.
+    /// Opening or reading the file failed.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// The file is neither JSON nor TOML, or lacks what every configuration has.
+    /// The file is no valid JSON or TOML, or doesn't match the schema.
     #[error("{}: {problem}", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong, with its place.
+        /// The error and its place in the file.
         problem: String,
     },
-    /// The environment variable for the admin address holds something else.
-    #[error("NODE_CONTROL={0}: expected an address and a port")]
+    /// The value of `NODE_CONTROL` is no socket address.
+    #[error("NODE_CONTROL={0}: expected an IP address and a port")]
     InvalidAdminAddress(String),
-    /// A value of the command line has no place in the file.
+    /// A `--set` override is not applicable to the file.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// Keys that nothing reads.
-    #[error("unknown: {}", .0.join(", "))]
+    /// The file or the overrides contain unknown keys.
+    #[error("unknown keys: {}", .0.join(", "))]
     UnknownKeys(Vec<String>),
-    /// The settings have an error.
+    /// A value in `settings` is invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The seed is no number.
+    /// The seed is neither a number nor a hexadecimal text.
     #[error("settings: seed: expected a number or up to 16 hex digits")]
     InvalidSeed,
-    /// A key that stood in the file before is missing.
-    #[error("settings: {0}: missing")]
+    /// The reloaded file lacks a key that the previous one had.
+    #[error("settings: {0}: missing, expected as in the previous file")]
     MissingKey(String),
-    /// The part on coordination has an error.
+    /// The section `duties` is invalid.
     #[error("duties: {0}")]
     Coordination(#[from] CoordinationError),
-    /// The version of the fleet's configuration is too large.
-    #[error("version: expected a version of the configuration, below {VERSION_LIMIT}")]
+    /// The stated version of the fleet's configuration is too large.
+    #[error("version: expected a configuration version below {VERSION_LIMIT}")]
     VersionTooLarge,
 }
 
-/// Why a value of the command line cannot be used.
+/// Why a `--set` override is not usable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// There is no `=`.
+    /// The override has no `=`.
     #[error("expected KEY=VALUE")]
     MissingValue,
     /// The path before the `=` is empty or has an empty segment.
-    #[error("expected a dotted path before the =")]
+    #[error("expected a dotted path without empty parts before the =")]
     EmptyPathSegment,
-    /// The path leads through something that is no table, or to an item that a list does not have.
-    #[error("--set {path}: there is no {segment}")]
+    /// A parent in the path is no table, or a list lacks the item.
+    #[error("--set {path}: there is no table or list item for {segment:?}")]
     PathNotFound {
         /// The whole path.
         path: String,
-        /// Where it leads no further.
+        /// The first segment that has no place in the file.
         segment: String,
     },
 }
 
-/// What is wrong with the `duties` of a configuration.
+/// Why the section `duties` is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CoordinationError {
-    /// Coordination needs gossip.
-    #[error("peers is missing: duties are kept between the proxies of a fleet")]
+    /// The section `peers`, which coordination requires, is missing.
+    #[error("peers is missing: duties require communication with the fleet's other proxies")]
     MissingPeers,
-    /// Gossip would be too old before the leader's next heartbeat.
-    #[error("peers.max_age_s: expected at least {min_s} with duties")]
+    /// Facts from the leader would expire before its next heartbeat.
+    #[error("peers.max_age_s: expected at least {min_s} s with duties")]
     MaxAgeTooShort {
-        /// The least value.
+        /// The minimum, in seconds.
         min_s: f64,
     },
-    /// A voter is named twice.
-    #[error("voters: an address stands twice")]
+    /// Two voters have the same address.
+    #[error("voters: duplicate address")]
     DuplicateVoter,
-    /// A lease would end before it is renewed.
-    #[error("lease_ms: expected at least {min_ms}")]
+    /// A lease would expire before it is renewed.
+    #[error("lease_ms: expected at least {min_ms} ms")]
     LeaseTooShort {
-        /// The least value.
+        /// The minimum, in milliseconds.
         min_ms: u64,
     },
-    /// A part that is not between 0 and 1.
-    #[error("{key}: expected from 0 to 1")]
+    /// A fraction is not between 0 and 1.
+    #[error("{key}: expected a fraction from 0 to 1")]
     OutOfRange {
-        /// The key.
+        /// Key of the fraction.
         key: &'static str,
     },
-    /// Leases do not work under these rules.
+    /// The number of voters, the lease's term or the clock drift is out of range.
     #[error("{0}")]
     Lease(#[from] lease::RulesError),
 }
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file: its schema, and how it is read.
+//! The schema of the configuration file, and functions that read a file ([`parse`]) and print it ([`show`]).
 
 use super::error::NodeConfigError;
 use super::sections::{CoordinationSection, GossipSection, SnapshotSection};
@@ -16,16 +16,17 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+/// Size of the buffer for streaming a JSON file, in bytes.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Keys that may come and go between two readings of a file; any other that stood in it belongs in the next.
+/// Keys that a reload may add or remove. A reload that removes any other key is rejected as incomplete.
 const OPTIONAL_KEYS: [&str; 2] = ["control", "version"];
 
-/// The file's schema.
+/// Schema of the configuration file.
 #[derive(Deserialize, Serialize)]
 pub(super) struct ConfigFile {
     pub name: String,
-    /// The file contains the changes of the fleet's configuration up to this version.
+    /// Version of the fleet's configuration up to which the file contains all changes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
     pub listen: SocketAddr,
@@ -47,11 +48,13 @@
     pub duties: Option<CoordinationSection>,
 }
 
+/// Resource limits of the process.
 #[derive(Deserialize, Serialize)]
 #[serde(default)]
 pub(super) struct Limits {
+    /// Number of file descriptors that the process may have open.
     pub sockets: usize,
-    /// For the platform that runs the proxy; nothing here depends on them.
+    /// Number of CPU cores, for the platform that runs the proxy. The proxy uses neither this nor `memory_mb`.
     #[serde(skip_serializing_if = "Option::is_none")]
     cores: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -69,7 +72,7 @@
 }
 
 impl ConfigFile {
-    /// Checks what concerns the fleet.
+    /// Checks the version and the section `duties`.
     pub fn check_fleet(&self) -> Result<(), NodeConfigError> {
         if self.version.is_some_and(|version| version >= VERSION_LIMIT) {
             return Err(NodeConfigError::VersionTooLarge);
@@ -80,7 +83,7 @@
         Ok(())
     }
 
-    /// The seed: a number, or up to 16 hex digits.
+    /// Returns the seed, which is a number or a text of up to 16 hex digits.
     pub fn parse_seed(&self) -> Result<u64, NodeConfigError> {
         let digits = self.seed.as_str();
         let from_hex = digits.and_then(|digits| u64::from_str_radix(digits, 16).ok());
@@ -90,37 +93,37 @@
     }
 }
 
-/// The endpoint list that the file brings along.
+/// The endpoint list in the file, used until discovery sends a newer one.
 #[derive(Default)]
 pub struct KnownEndpoints {
     pub index: u64,
     pub entries: EntryChunks,
 }
 
-/// What is wanted of a file.
+/// What a file is read for, which decides what is kept of it.
 #[derive(Clone, Copy)]
 pub(super) enum Purpose<'a> {
-    /// Its errors.
+    /// Finding errors only: without the endpoint list and digests.
     Check,
-    /// All of it.
+    /// Starting the process, which uses the whole file.
     Start,
-    /// All but the endpoint list, in the place of the settings in force.
+    /// Replacing the given settings in force: without the endpoint list.
     Reload(&'a ActiveSettings),
 }
 
-/// A file that has the schema's shape.
+/// A file that matches the schema; its values may still be out of range.
 pub(super) struct ParsedFile {
-    /// The file without settings and endpoint list.
+    /// The file, without its settings and endpoint list.
     pub file: ConfigFile,
     pub known: KnownEndpoints,
     pub settings: Settings,
-    /// The paths of the file's keys but those inside lists.
+    /// Paths of the file's keys, except [`OPTIONAL_KEYS`] and keys inside lists.
     pub keys: BTreeSet<String>,
-    /// The paths of keys that nothing reads, if those are errors.
+    /// Paths of unknown keys that count as errors.
     pub unknown: Vec<String>,
 }
 
-/// Reads the file of a source.
+/// Reads the file of a source and applies the overrides.
 pub(super) fn parse(source: &Source, purpose: Purpose<'_>) -> Result<ParsedFile, NodeConfigError> {
     let path = source
         .file
@@ -156,14 +159,14 @@
     })
 }
 
-/// The file with the values of the command line in it, as TOML with every default written out.
+/// Returns the file with the overrides applied, as TOML that includes all defaults.
 pub fn show(source: &Source) -> Result<String, NodeConfigError> {
     let path = source
         .file
         .as_deref()
         .ok_or(NodeConfigError::FileNotSpecified)?;
     let file = deserialize(read_document(source, path)?, path, &mut Vec::new())?;
-    // Through a table, which puts plain values before the tables inside it.
+    // Converting to a table first puts plain values before subtables, as TOML requires.
     let table = toml::Table::try_from(&file).map_err(|error| malformed(path, &error))?;
     toml::to_string_pretty(&table).map_err(|error| malformed(path, &error))
 }
@@ -182,7 +185,7 @@
     }
 }
 
-/// The file's document, with an empty list in the place of each long one.
+/// Reads the file as a JSON document. Its long lists go to `lists` and are empty in the result.
 fn read_without_lists(
     source: &Source,
     path: &Path,
@@ -196,7 +199,7 @@
     }
 }
 
-/// The document of a JSON file as it is read: its text is never in memory as a whole.
+/// Parses a JSON file while reading it, without loading the whole text into memory.
 fn stream_document(path: &Path, lists: &mut FileLists) -> Result<Value, NodeConfigError> {
     let text = TextReader::open(path).map_err(|error| unreadable(path, error))?;
     let reader = BufReader::with_capacity(READ_BUFFER_BYTES, text);
@@ -212,7 +215,7 @@
     })
 }
 
-/// The document of a file with the values of the command line in it.
+/// Reads a file, TOML or JSON, as a JSON document and applies the overrides.
 fn read_document(source: &Source, path: &Path) -> Result<Value, NodeConfigError> {
     let mut text = String::new();
     let read = TextReader::open(path).and_then(|mut reader| reader.read_to_string(&mut text));
@@ -228,7 +231,7 @@
     Ok(document)
 }
 
-/// The document in the schema's shape; the paths of keys that the schema does not know are added to `unknown`.
+/// Converts a document to the schema, and adds the paths of keys that are not in the schema to `unknown`.
 fn deserialize(
     document: Value,
     path: &Path,
@@ -246,7 +249,7 @@
     })
 }
 
-/// Adds the paths of all keys, but those inside lists and those that may come and go.
+/// Adds the paths of all keys in `value`, except [`OPTIONAL_KEYS`] and keys inside lists.
 fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     for (name, inner) in value.as_object().into_iter().flatten() {
         let inner_path = if path.is_empty() {
@@ -261,10 +264,10 @@
     }
 }
 
-/// The file's long lists while it is read.
+/// Receives the items of the file's long lists while it is read.
 struct FileLists {
     settings: LongLists,
-    /// `known.endpoints`, if it is wanted.
+    /// The entries of `known.endpoints`, `None` if they are not needed.
     endpoints: Option<ParsedEntries>,
 }
 
@@ -286,10 +289,10 @@
             Purpose::Reload(in_force) => LongLists::replacing(options, in_force),
             Purpose::Check | Purpose::Start => LongLists::new(options),
         };
-        let wants_endpoints = matches!(purpose, Purpose::Start);
+        let keep_endpoints = matches!(purpose, Purpose::Start);
         FileLists {
             settings,
-            endpoints: wants_endpoints.then(ParsedEntries::default),
+            endpoints: keep_endpoints.then(ParsedEntries::default),
         }
     }
 }
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -1,6 +1,6 @@
-//! What the fleet's replicated configuration changes in this proxy's settings: the entries that operators set since the
-//! file, over what the file says. The request loop owns it; the duties' workers send it the entries, and [`super::reload`]
-//! puts them in force.
+//! [`FleetOverrides`]: the entries of the fleet's replicated configuration that override this proxy's file, because
+//! operators changed them after the file was written. The request loop owns them, the coordination workers send it new
+//! entries, and [`super::reload`] applies these to the settings in force.
 
 use meadowproxy::fleet::config::{Edit, Entry, FileError, Key, Kind, Overrides, Value};
 use meadowproxy::settings::{ActiveSettings, EntryChange, SettingsChange, SettingsError};
@@ -12,49 +12,49 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-/// The newest version of the configuration that this proxy knows of, 0 until it is known: set by the duties' workers.
+/// The newest version of the fleet's configuration known to this proxy, 0 if none is. The coordination workers set it.
 pub type NewestVersion = Arc<AtomicU64>;
 
-/// The fleet's entries, and which of them wait to be put in force.
+/// The fleet's entries, and those among them that are not in force yet.
 pub struct FleetOverrides {
     overrides: RefCell<Overrides>,
     pending: RefCell<BTreeMap<Key, Value>>,
-    /// The version with all entries here.
+    /// The version that results from all entries received.
     received_version: Cell<u64>,
     /// The version in force.
     version_in_force: Cell<u64>,
     /// The file's settings.
     file: RefCell<ActiveSettings>,
-    /// The settings in force: the file's with entries over them.
+    /// The settings in force: those of the file, changed by the entries.
     in_force: RefCell<ActiveSettings>,
     newest: NewestVersion,
     changed: Notify,
 }
 
-/// What a file is read with: the entries at one instant.
+/// A copy of the entries at one instant, for reading a file on another thread.
 pub struct OverridesView {
     pub overrides: Overrides,
-    /// The version that has them all.
+    /// The version that results from these entries.
     pub version: u64,
     newest: Option<u64>,
 }
 
 impl OverridesView {
-    /// Checks whether a file that contains the changes up to this version can be used.
+    /// Checks whether a file that contains the changes up to `file_version` is usable.
     pub fn check_file(&self, file_version: u64) -> Result<(), FileError> {
         self.overrides.check_file(file_version, self.newest)
     }
 }
 
-/// The entries that wait to be put in force.
+/// The entries that are not in force yet.
 pub struct PendingEntries {
-    /// The version that they make.
+    /// The version that is in force once they are applied.
     pub version: u64,
     pub edits: Vec<Edit>,
 }
 
 impl FleetOverrides {
-    /// No entries, over the settings of a file that contains the changes up to `file_version`.
+    /// Creates overrides without entries for a file that contains the changes up to `file_version`.
     pub fn new(file: ActiveSettings, file_version: u64) -> FleetOverrides {
         FleetOverrides {
             overrides: RefCell::new(Overrides::new(file_version)),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Where the duties' workers set the newest version.
+    /// Returns the counter in which the coordination workers set the newest version.
     pub fn newest(&self) -> NewestVersion {
         self.newest.clone()
     }
@@ -77,7 +77,7 @@
         Some(self.newest.load(Ordering::Relaxed)).filter(|newest| *newest > 0)
     }
 
-    /// Takes entries that changed together, and the configuration's new version.
+    /// Adds entries that changed together, and sets the configuration's new version.
     pub fn apply(&self, version: u64, entries: Vec<Entry>) {
         let over_file = self.overrides.borrow_mut().apply(version, entries);
         self.add_pending(over_file);
@@ -86,7 +86,8 @@
         self.changed.notify_one();
     }
 
-    /// Compares the file in force with the fleet's newest version, as soon as that is known.
+    /// Compares the version of the file in force with the fleet's newest, if that is known. If the file claims a newer
+    /// one, all entries override it.
     pub fn confirm_file(&self) {
         let Some(newest) = self.known_newest() else {
             return;
@@ -95,7 +96,7 @@
         if let Err(ahead) = confirmed {
             warn!(
                 event = "config_file_ahead",
-                "the file counts as one that contains no change: {ahead}"
+                "the file is treated as one without any of the fleet's changes: {ahead}"
             );
             self.add_pending(ahead.edits);
             self.changed.notify_one();
@@ -107,12 +108,12 @@
         self.pending.borrow_mut().extend(values);
     }
 
-    /// Waits until entries are to be put in force.
+    /// Waits until there are entries to apply.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// What the next file is read with. Shares all entries.
+    /// Returns the current entries for reading the next file. They are shared, not copied.
     pub fn view(&self) -> OverridesView {
         OverridesView {
             overrides: self.overrides.borrow().clone(),
@@ -121,10 +122,10 @@
         }
     }
 
-    /// The entries to be put in force; they wait until [`FleetOverrides::set_in_force`].
+    /// Returns the entries to apply. They stay pending until [`FleetOverrides::set_in_force`].
     ///
     /// # Errors
-    /// The file in force lacks changes that are only in files by now.
+    /// The file in force lacks changes that were compacted, and so are only in newer files.
     pub fn pending(&self) -> Result<PendingEntries, FileError> {
         let overrides = self.overrides.borrow();
         if let Some(compacted) = overrides.required_file_version() {
@@ -144,7 +145,7 @@
         })
     }
 
-    /// A file that was checked is in force, with none of the entries yet.
+    /// Records that a checked file is in force, without any of the entries so far.
     pub fn set_file(&self, file: ActiveSettings, file_version: u64) {
         let mut overrides = self.overrides.borrow_mut();
         overrides.set_file(file_version, self.known_newest());
@@ -154,7 +155,8 @@
         *self.file.borrow_mut() = file;
     }
 
-    /// Settings with all entries of that version are in force; `None`: some entries of it do not fit.
+    /// Records the settings in force. `version` is the fleet's version whose entries they all include, `None` if some
+    /// entries were left out.
     pub fn set_in_force(&self, version: Option<u64>, in_force: ActiveSettings) {
         if let Some(version) = version {
             self.version_in_force.set(version);
@@ -165,42 +167,42 @@
         *self.in_force.borrow_mut() = in_force;
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> u64 {
         self.version_in_force.get()
     }
 
-    /// The version up to which the file in force contains all changes, as it says.
+    /// Returns the version up to which the file in force states that it contains all changes.
     pub fn file_version(&self) -> u64 {
         self.overrides.borrow().file_version()
     }
 
-    /// The settings of the file in force.
+    /// Returns the settings of the file in force, without the fleet's changes.
     pub fn file(&self) -> ActiveSettings {
         self.file.borrow().clone()
     }
 
-    /// Whether the fleet changed that entry, as far as this proxy knows.
+    /// Returns whether the fleet changed this entry, as far as this proxy knows.
     pub fn is_changed(&self, key: &Key) -> bool {
         self.overrides.borrow().is_changed(key)
     }
 
-    /// Whether that entry is later than the file in force.
+    /// Returns whether the fleet's value of this entry is newer than the file in force.
     pub fn overrides_file(&self, key: &Key) -> bool {
         self.overrides.borrow().overrides_file(key)
     }
 
-    /// Checks a change against the settings in force.
+    /// Checks whether the edits are applicable to the settings in force.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Every error in the edits.
     pub fn check(&self, edits: &[Edit]) -> Result<(), InvalidEntries> {
         change_entries(&self.in_force.borrow(), &self.file.borrow(), edits)?;
         Ok(())
     }
 }
 
-/// Entries that do not fit the settings: all that is wrong, each by its key path.
+/// Every error in entries that are not applicable to the settings, each with the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join_messages(.0))]
 pub struct InvalidEntries(pub Vec<SettingsError>);
@@ -210,10 +212,11 @@
     texts.join("; ")
 }
 
-/// Sets the entries in these settings, all or none; `file` has the file's values. Takes time by the number of entries.
+/// Applies all edits to the settings `base`, or none. `file` provides the values of entries that are reset to the
+/// file's. The time depends on the number of edits, not on the size of the settings.
 ///
 /// # Errors
-/// All that is wrong with them.
+/// Every error in the edits.
 pub fn change_entries(
     base: &ActiveSettings,
     file: &ActiveSettings,
@@ -226,19 +229,19 @@
     base.change_entries(&changes).map_err(InvalidEntries)
 }
 
-/// The amendment of these settings that sets an entry. One that is to be removed and does not exist needs none.
+/// Converts an edit to a change of the settings `base`; `None` if it removes an entry that doesn't exist.
 fn entry_change(base: &ActiveSettings, file: &ActiveSettings, edit: &Edit) -> Option<EntryChange> {
     let name = &edit.key.name;
     match edit.key.kind {
         Kind::RequestClass => match json_value(&edit.value, || file.profile(name)) {
-            Some(route) => Some(EntryChange::SetProfile(route)),
+            Some(profile) => Some(EntryChange::SetProfile(profile)),
             None => base
                 .names
                 .class(name)
                 .map(|_| EntryChange::RemoveProfile(name.clone())),
         },
         Kind::Tenant => match json_value(&edit.value, || file.customer(name)) {
-            Some(tenant) => Some(EntryChange::SetCustomer(tenant)),
+            Some(customer) => Some(EntryChange::SetCustomer(customer)),
             None => base
                 .names
                 .tenant(name)
@@ -248,7 +251,7 @@
     }
 }
 
-/// The JSON that an entry is set to, none where it is removed.
+/// Returns the JSON that an entry is set to, `None` if the entry is removed.
 fn json_value(
     value: &Value,
     in_file: impl FnOnce() -> Option<serde_json::Value>,
@@ -260,16 +263,17 @@
     }
 }
 
-/// A file's settings with the fleet's entries over them.
+/// The result of applying the fleet's entries to a file's settings.
 pub struct FileWithOverrides {
-    /// The change from the file's settings, `None` where there is none.
+    /// The change of the file's settings, `None` if no entry changes them.
     pub change: Option<SettingsChange>,
-    /// Whether all entries fit the file.
-    pub all_fit: bool,
+    /// Whether all entries were applicable to the file.
+    pub all_applied: bool,
 }
 
-/// Sets all later entries in the settings of a file that contains the changes up to `file_version`. An entry that does not
-/// fit the file is logged and left out. Takes time by the number of entries.
+/// Applies the entries that are newer than `file_version` to the settings of a file that contains the changes up to
+/// that version. An entry that is not applicable to the file is logged and skipped. The time depends on the number of
+/// entries.
 pub fn apply_to_file(
     file: &ActiveSettings,
     file_version: u64,
@@ -279,27 +283,30 @@
     if edits.is_empty() {
         return FileWithOverrides {
             change: None,
-            all_fit: true,
+            all_applied: true,
         };
     }
     if let Ok(change) = change_entries(file, file, &edits) {
         return FileWithOverrides {
             change: Some(change),
-            all_fit: true,
+            all_applied: true,
         };
     }
-    let fitting: Vec<Edit> = edits.into_iter().filter(|edit| fits(file, edit)).collect();
+    let applicable: Vec<Edit> = edits
+        .into_iter()
+        .filter(|edit| is_applicable(file, edit))
+        .collect();
     FileWithOverrides {
-        change: change_entries(file, file, &fitting).ok(),
-        all_fit: false,
+        change: change_entries(file, file, &applicable).ok(),
+        all_applied: false,
     }
 }
 
-fn fits(file: &ActiveSettings, edit: &Edit) -> bool {
+fn is_applicable(file: &ActiveSettings, edit: &Edit) -> bool {
     match change_entries(file, file, std::slice::from_ref(edit)) {
         Ok(_) => true,
         Err(error) => {
-            warn!(event = "config_unfit", entry = %edit.key, "an entry does not fit the file: {error}");
+            warn!(event = "config_unfit", entry = %edit.key, "skipped an entry that does not fit the file: {error}");
             false
         }
     }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,7 +1,10 @@
-//! What this process is told: as JSON by the platform or as TOML by operators, at its start and at each reload.
+//! The configuration of this process, read at its start and at each reload: a JSON file from the platform, or a TOML
+//! file from operators.
 //!
-//! A [`Source`] names the file, [`NodeConfig::read`] reads it, [`check`] lists its errors and [`show`] prints what is in
-//! force. [`reload`] puts a file that was read again in force, [`fleet_overrides`] the entries that operators set since.
+//! A [`Source`] names the file and the overrides of the command line. [`NodeConfig::read`] reads it for the start,
+//! [`check`] lists its errors, and [`show`] returns it as TOML with all defaults. [`reload`] applies a changed file to
+//! the running proxy. [`fleet_overrides`] holds the entries that operators changed for the whole fleet since the file
+//! was written.
 
 mod error;
 mod file;
--- a/src/net/config/node.rs
+++ b/src/net/config/node.rs
@@ -1,4 +1,4 @@
-//! The configuration of one proxy process.
+//! [`NodeConfig`]: the configuration of one proxy process, built from the configuration file.
 
 use super::error::NodeConfigError;
 use super::file::{parse, KnownEndpoints, ParsedFile, Purpose};
@@ -10,68 +10,70 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Environment variables that take precedence over the file, as two processes of a proxy may read one file.
+/// Environment variable that overrides `control`, as two processes of a proxy may read the same file.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_CONTROL";
+/// Environment variable that overrides `snapshot.dir`, for the same reason.
 const SNAPSHOT_FOLDER_VARIABLE: &str = "NODE_SNAPSHOT";
 
-/// Fewer descriptors than these are not enough for any proxy.
+/// The minimum number of file descriptors: no proxy can run with fewer. A smaller limit in the file is raised to it.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Everything that the program starts with, but for the settings.
+/// The configuration of a proxy process, except its [`Settings`].
 pub struct NodeConfig {
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery is; without it the endpoint list at hand stands.
+    /// Address of discovery. Without it, the endpoint list in `known` remains in use.
     pub discovery: Option<SocketAddr>,
-    /// Where operators' calls are answered; without it nowhere.
+    /// Address of the admin interface; disabled if `None`.
     pub admin_address: Option<SocketAddr>,
-    /// Seed for random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// The endpoint list as this proxy last had it.
+    /// Endpoint list to start with, as far as the file contains one.
     pub known: KnownEndpoints,
     /// Digest of the settings.
     pub settings_digest: [u8; 32],
-    /// Digest of the settings that all proxies of a fleet share.
+    /// Digest of the settings that must be equal at all proxies of a fleet.
     pub shared_settings_digest: [u8; 32],
-    /// The file contains the changes of the fleet's configuration up to this version, 0 for none.
+    /// Version of the fleet's configuration up to which the file contains all changes, 0 for none.
     pub file_version: u64,
-    /// The paths of the file's keys but those inside lists.
+    /// Paths of the file's keys that a reload must not remove.
     pub keys: BTreeSet<String>,
-    /// How learned state is kept; without it none is.
+    /// Snapshots of learned state; disabled if `None`.
     pub snapshot: Option<SnapshotSection>,
-    /// How state is shared with other proxies; without it none is.
+    /// Gossip with the fleet's other proxies; disabled if `None`.
     pub peers: Option<GossipSection>,
-    /// What the fleet's proxies decide together; without it nothing.
+    /// Coordination with the fleet's other proxies; disabled if `None`.
     pub duties: Option<CoordinationSection>,
 }
 
-/// A configuration that was read again, and what it makes of the settings in force.
+/// A configuration that was read for a reload, and its change of the settings in force.
 pub struct ReloadedConfig {
-    /// The configuration.
+    /// The new configuration.
     pub node: NodeConfig,
-    /// The change of the settings, or why there is none.
+    /// The change of the settings, or why the new settings can't replace those in force.
     pub change: Result<SettingsChange, SettingsError>,
 }
 
 impl NodeConfig {
-    /// Reads the file and the settings that it puts in force at the start.
+    /// Reads the file at the start of the process, and returns the configuration and the initial settings.
     pub fn read(source: &Source) -> Result<(NodeConfig, ActiveSettings), NodeConfigError> {
         let (node, settings) = NodeConfig::from_file(parse(source, Purpose::Start)?)?;
         let in_force = ActiveSettings::initial(&settings)?;
         Ok((node, in_force))
     }
 
-    /// Reads the file again. One that lacks a key that stood in it before is refused as incomplete.
+    /// Reads the file again, to replace the settings `in_force`. `keys` are the paths that the previous file had: a
+    /// file that lacks one of them is rejected as incomplete.
     pub fn reload(
         source: &Source,
         keys: &BTreeSet<String>,
         in_force: &ActiveSettings,
     ) -> Result<ReloadedConfig, NodeConfigError> {
-        refuse_pipe(source)?;
+        reject_special_file(source)?;
         let (node, settings) = NodeConfig::from_file(parse(source, Purpose::Reload(in_force))?)?;
         if let Some(key) = keys.difference(&node.keys).next() {
             return Err(NodeConfigError::MissingKey(key.clone()));
@@ -117,7 +119,7 @@
     }
 }
 
-/// Every error of a configuration, one text each; none if it can be run.
+/// Returns the text of each error in a configuration; none if a proxy can start with it.
 pub fn check(source: &Source) -> Vec<String> {
     let parsed = match parse(source, Purpose::Check) {
         Ok(parsed) => parsed,
@@ -134,15 +136,16 @@
     texts
 }
 
-/// A pipe would hold up the reload until somebody writes to it.
-fn refuse_pipe(source: &Source) -> Result<(), NodeConfigError> {
+/// Returns an error for anything but a regular file. Opening a pipe would block the reload until a process writes to
+/// it.
+fn reject_special_file(source: &Source) -> Result<(), NodeConfigError> {
     let Some(path) = &source.file else {
         return Ok(());
     };
     if path.exists() && !path.is_file() {
         return Err(NodeConfigError::Unreadable {
             path: path.clone(),
-            source: io::Error::other("not a file"),
+            source: io::Error::other("not a regular file"),
         });
     }
     Ok(())
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -1,7 +1,7 @@
-//! Reloading the configuration while the proxy serves.
+//! Reloads the configuration while the proxy serves requests ([`ConfigReloader`]).
 //!
-//! On SIGHUP the file is read, checked and compared on the background thread, and put in force on the event loop in one
-//! step. Changes to the fleet's configuration are put in force the same way.
+//! On SIGHUP the background thread reads, checks and compares the file, and the event loop then applies it in one step.
+//! Changes of the fleet's configuration are applied in the same way.
 
 use crate::net::admin::listener::{AdminListenError, AdminListener};
 use crate::net::background_thread::{BackgroundError, BackgroundThread};
@@ -26,72 +26,74 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// Why a configuration is not taken; everything stays as it was.
+/// Why a configuration is not applied. The previous one then remains in force.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// It was not read to its end.
+    /// Reading the file or changing the settings on the background thread failed.
     #[error(transparent)]
     Background(#[from] BackgroundError),
-    /// The file is wrong.
+    /// The file is unreadable or invalid.
     #[error(transparent)]
     InvalidConfig(#[from] NodeConfigError),
-    /// The file is older than the fleet's configuration in force, or newer than any known.
+    /// The file's version is older than the fleet's compacted changes, or newer than any known version.
     #[error(transparent)]
     FleetVersion(#[from] FileError),
-    /// The file's settings do not fit those in force.
+    /// The file's settings can't replace those in force.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The fleet's changes do not fit the settings in force.
+    /// The fleet's changes are not applicable to the settings in force.
     #[error(transparent)]
     FleetChanges(#[from] InvalidEntries),
-    /// Discovery was added or removed.
-    #[error("discovery: expected as before, it comes and goes only with a restart")]
+    /// The file adds or removes the address of discovery.
+    #[error("discovery: cannot be added or removed without a restart")]
     DiscoveryToggled,
-    /// The operators' new address cannot be listened at.
+    /// The admin interface cannot listen on its new address.
     #[error(transparent)]
     Admin(#[from] AdminListenError),
 }
 
-/// The fleet's changes on top of a file that was read.
+/// The fleet's changes on top of a new file.
 struct FleetChanges {
     change: Option<SettingsChange>,
-    /// The fleet's version, where the change contains all of it.
+    /// Version of the fleet's configuration, `None` if entries of it were left out.
     version: Option<u64>,
 }
 
-/// A file that was read and checked.
+/// A file that was read and checked, with the fleet's changes on top of it.
 struct ReadConfig {
     file: ReloadedConfig,
     fleet: FleetChanges,
 }
 
-/// Everything that a new configuration may change, and what it is checked against.
+/// Applies configuration changes to the running proxy. It holds everything that a new configuration may change, and
+/// what the new configuration is compared with.
 pub struct ConfigReloader {
     pub host: Rc<Host>,
     pub server: Rc<Server>,
-    /// Moves discovery to another address; `None` without discovery.
+    /// Sends a new address to the discovery client; `None` without discovery.
     pub discovery: Option<watch::Sender<SocketAddr>>,
     pub source: Source,
     pub background: BackgroundThread,
-    /// Its zones and kinds are those of the last reading: the host's names include later ones.
+    /// The settings in force. Their zones and kinds are those of the last change; the host's names include later ones.
     pub in_force: ActiveSettings,
     /// The fleet's changes on top of the file.
     pub fleet_overrides: Rc<FleetOverrides>,
-    /// Digest of the settings that all proxies of the fleet have in common: state learned under them can be shared.
+    /// Digest of the settings that must be equal at all proxies of the fleet for them to share learned state.
     pub shared_settings: Rc<Cell<[u8; 32]>>,
     pub keeper: Option<Rc<SnapshotKeeper>>,
     pub identity: ProxyIdentity,
     pub admin: AdminListener,
-    /// The descriptors that the process may hold.
+    /// Limits that follow from the number of file descriptors that the process may have open.
     pub descriptors: Rc<DescriptorLimits>,
-    /// All keys of the file but those inside lists.
+    /// Paths of the file's keys, which the next file must have, too.
     pub keys: Arc<BTreeSet<String>>,
+    /// Address that clients connect to, which only a restart changes.
     pub listen: SocketAddr,
 }
 
 impl ConfigReloader {
-    /// Reads the configuration again on each SIGHUP, and puts the fleet's changes in force as they come. Signals that
-    /// arrive during a reading are followed by one more reading: the last file counts, and never two are read at once.
+    /// Reloads the file on each SIGHUP, and applies the fleet's changes when they arrive. Signals that arrive during a
+    /// reload cause a single further one, so that the last file counts and no two files are read at the same time.
     pub async fn run(mut self, mut reload_signal: Signal) {
         loop {
             let fleet_overrides = self.fleet_overrides.clone();
@@ -105,25 +107,26 @@
         }
     }
 
-    /// Reads the file and puts it in force as a whole, or not at all.
+    /// Reads the file, and applies all of it or nothing.
     async fn reload(&mut self) {
         let started = Instant::now();
         let read = self.read().await;
         let read_ms = started.elapsed().as_millis();
-        let step = Instant::now();
-        let taken = read.and_then(|config| self.put_in_force(config));
-        let step_us = step.elapsed().as_micros(); // nothing else ran for so long
-        match taken {
+        let step_started = Instant::now();
+        let result = read.and_then(|config| self.put_in_force(config));
+        let step_us = step_started.elapsed().as_micros(); // the event loop ran nothing else during this time
+        match result {
             Ok(summary) => info!(
                 event = "configuration_taken",
                 read_ms, step_us, "configuration taken: {summary}"
             ),
-            Err(error) => warn!("configuration not taken, all stays as it was: {error}"),
+            Err(error) => warn!("configuration not taken, previous one in force: {error}"),
         }
     }
 
-    /// Reads, checks and compares the file while requests go on. Only [`ConfigReloader::put_in_force`] changes what it
-    /// is compared with, apart from zones and kinds that endpoint lists add meanwhile, which that step accounts for.
+    /// Reads, checks and compares the file on the background thread while requests are served. Meanwhile the settings
+    /// in force don't change, except that endpoint lists may add zones and kinds, which
+    /// [`ConfigReloader::apply_settings`] handles.
     async fn read(&self) -> Result<ReadConfig, ReloadError> {
         let source = self.source.clone();
         let keys = self.keys.clone();
@@ -134,13 +137,13 @@
             let file_version = file.node.file_version;
             fleet.check_file(file_version)?;
             let from_file = file.change.as_ref().ok();
-            let amended = from_file.map(|change| {
+            let with_overrides = from_file.map(|change| {
                 fleet_overrides::apply_to_file(&change.to, file_version, &fleet.overrides)
             });
-            let all_fit = amended.as_ref().is_none_or(|amended| amended.all_fit);
+            let all_applied = with_overrides.as_ref().is_none_or(|file| file.all_applied);
             let fleet = FleetChanges {
-                change: amended.and_then(|amended| amended.change),
-                version: all_fit.then_some(fleet.version),
+                change: with_overrides.and_then(|file| file.change),
+                version: all_applied.then_some(fleet.version),
             };
             Ok(ReadConfig { file, fleet })
         };
@@ -154,14 +157,14 @@
         }
     }
 
-    /// Puts the entries that the fleet changed in force, all in one step: none of them where one does not fit.
+    /// Applies the entries that the fleet changed in one step, or none of them if one is not applicable.
     async fn apply_fleet_changes(&mut self) {
         let PendingEntries { version, edits } = match self.fleet_overrides.pending() {
             Ok(pending) => pending,
             Err(error) => {
                 warn!(
                     event = "config_file_old",
-                    "not in force until a newer file is read, all stays as it was: {error}"
+                    "the fleet's changes are not applied until a newer file is read: {error}"
                 );
                 return;
             }
@@ -169,16 +172,16 @@
         let in_force = self.in_force_with_current_names();
         let file = self.fleet_overrides.file();
         let entry_count = edits.len();
-        let amend = move || {
+        let change_entries = move || {
             fleet_overrides::change_entries(&in_force, &file, &edits)
                 .map_err(ReloadError::FleetChanges)
         };
-        let amended = self.background.run(amend).await;
-        match amended.map_err(ReloadError::from).and_then(|change| change) {
+        let changed = self.background.run(change_entries).await;
+        match changed.map_err(ReloadError::from).and_then(|change| change) {
             Ok(change) => self.put_fleet_changes_in_force(change, version, entry_count),
             Err(error) => warn!(
                 event = "config_refused",
-                version, "not in force, all stays as it was: {error}"
+                version, "the fleet's changes are not applied: {error}"
             ),
         }
     }
@@ -189,22 +192,22 @@
         version: u64,
         entry_count: usize,
     ) {
-        let step = Instant::now();
+        let step_started = Instant::now();
         self.apply_settings(change);
         self.fleet_overrides
             .set_in_force(Some(version), self.in_force.clone());
-        let step_us = step.elapsed().as_micros();
+        let step_us = step_started.elapsed().as_micros();
         info!(
             event = "config_in_force",
             version,
             entries = entry_count,
             step_us,
             mono_us = monotonic_now().0,
-            "another version of the configuration"
+            "the fleet's changes are applied"
         );
     }
 
-    /// Replaces the settings in force, in one step.
+    /// Replaces the settings in force in one step.
     fn apply_settings(&mut self, mut change: SettingsChange) {
         change.renumber_zones_and_kinds(&self.host.names());
         let before = std::mem::replace(&mut self.in_force, change.to.clone());
@@ -213,18 +216,18 @@
         let rules = RequestRules::new(&self.in_force.config, network);
         self.server.apply_rules(rules);
         self.host.apply_settings(change);
-        self.background.discard(before); // nobody else refers to what is only there
+        self.background.discard(before); // may hold the last reference to large tables
     }
 
-    /// Puts a file in force: in one step in which nothing else runs, and whose parts take no time by the size of the
-    /// tables. Returns a summary of what changed, for the log.
+    /// Applies a file in one step, during which the event loop runs nothing else; its duration doesn't grow with the
+    /// size of the tables. Returns a summary of the changes for the log.
     fn put_in_force(&mut self, config: ReadConfig) -> Result<String, ReloadError> {
         let ReloadedConfig { node, change } = config.file;
         if node.discovery.is_some() != self.discovery.is_some() {
             return Err(ReloadError::DiscoveryToggled);
         }
         let change = change?;
-        // The last step that can fail; from here on nothing does.
+        // The last operation that can fail: those below must all be applied.
         self.admin.move_to(node.admin_address)?;
         let summary = self.summary(&node, &change);
         if *self.keys != node.keys {
@@ -244,8 +247,8 @@
         if let Some(keeper) = &self.keeper {
             keeper.change_scope(self.identity.clone(), node.settings_digest);
         }
-        if let (Some(moved), Some(address)) = (&self.discovery, node.discovery) {
-            moved.send_if_modified(|current| std::mem::replace(current, address) != address);
+        if let (Some(sender), Some(address)) = (&self.discovery, node.discovery) {
+            sender.send_if_modified(|current| std::mem::replace(current, address) != address);
         }
         self.background.discard(node);
         Ok(summary)
@@ -257,7 +260,7 @@
             summary += &format!(", discovery at {address}");
         }
         if node.listen != self.listen {
-            summary += &format!(", clients still at {}", self.listen);
+            summary += &format!(", still listening on {}", self.listen);
         }
         summary
     }
--- a/src/net/config/sections.rs
+++ b/src/net/config/sections.rs
@@ -1,4 +1,5 @@
-//! Optional sections of the configuration file, under the names that the file has for them.
+//! The optional sections `snapshot`, `peers` and `duties` of the configuration file. Their fields have the names that
+//! the file uses.
 
 use super::error::CoordinationError;
 use meadowproxy::fleet::lease;
@@ -8,34 +9,34 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// `snapshot` in the configuration.
+/// The section `snapshot`: snapshots of learned state.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotSection {
-    /// The folder of the file; made where it is missing.
+    /// Folder of the snapshot file, created if it is missing.
     pub dir: PathBuf,
-    /// Milliseconds between two writes.
+    /// Interval between two snapshots, in milliseconds.
     #[serde(default = "SnapshotSection::every_ms")]
     pub every_ms: u64,
-    /// Seconds after which a snapshot is refused.
+    /// Age above which a snapshot is rejected, in seconds.
     #[serde(default = "SnapshotSection::max_age_s")]
     pub max_age_s: f64,
 }
 
-/// `peers` in the configuration: state shared with the fleet's other proxies.
+/// The section `peers`: gossip of shared state with the fleet's other proxies.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GossipSection {
-    /// Where this proxy takes datagrams (UDP).
+    /// Local UDP address for the other proxies' datagrams.
     pub listen: SocketAddr,
-    /// Where the others reach it; without it the address that it listens at.
+    /// Address at which the other proxies reach this one; `listen` if `None`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// The fleet's name: datagrams of others are refused.
+    /// Name of the fleet. Datagrams from other fleets are rejected.
     pub cluster: String,
-    /// Members to join through, this one or not.
+    /// Addresses of members through which to join the fleet; this proxy's own may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// Seconds after which a shared fact is neither used nor passed on.
+    /// Age above which a shared fact is neither used nor forwarded, in seconds.
     #[serde(default = "GossipSection::max_age_s")]
     pub max_age_s: f64,
 }
@@ -46,22 +47,22 @@
     }
 }
 
-/// `duties` in the configuration: leases between proxies and the calendar of windows.
+/// The section `duties`: leases between proxies and the calendar of maintenance windows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinationSection {
-    /// The advertised addresses of the members that vote: 1, 3, 5 or 7.
+    /// Advertised addresses of the 1, 3, 5 or 7 members that vote.
     pub voters: Vec<SocketAddr>,
-    /// Milliseconds that a holding lasts unless it is renewed.
+    /// Term of a lease unless it is renewed, in milliseconds.
     #[serde(default = "CoordinationSection::lease_ms")]
     pub lease_ms: u64,
-    /// Clock rates differ from true time by this part at most.
+    /// Maximum deviation of a clock's rate from true time, as a fraction of 1.
     #[serde(default = "CoordinationSection::drift")]
     pub drift: f64,
-    /// The share of each kind's capacity below which no window drains.
+    /// Fraction of each kind's capacity that windows must leave undrained.
     #[serde(default = "CoordinationSection::floor")]
     pub floor: f64,
-    /// The same of each zone; without it `floor`.
+    /// Fraction of each zone's capacity that windows must leave undrained; `floor` if `None`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone_floor: Option<f64>,
 }
@@ -77,7 +78,7 @@
         0.5
     }
 
-    /// What all voters and candidates agree on.
+    /// Returns the rules of the leases, which must be equal at all voters and candidates.
     pub fn lease_rules(&self) -> Result<lease::Rules, lease::RulesError> {
         lease::Rules::new(
             self.voters.len(),
@@ -86,7 +87,7 @@
         )
     }
 
-    /// Checks the section, and that the configuration has the `peers` that it needs.
+    /// Checks the section, and that the section `peers` exists and fits it.
     pub fn check(&self, peers: Option<&GossipSection>) -> Result<(), CoordinationError> {
         let peers = peers.ok_or(CoordinationError::MissingPeers)?;
         if peers.max_age_s < CoordinationSection::MIN_MAX_AGE_S {
@@ -107,14 +108,15 @@
         Ok(())
     }
 
-    /// Below this a lease would end between two turns of the worker that renews it.
+    /// Minimum of `lease_ms`: a shorter lease would expire between two runs of the worker that renews it.
     const MIN_LEASE_MS: u64 = 500;
-    /// The leader's heartbeat comes once a second: with less, it would be too old before the next one.
+    /// Minimum of `peers.max_age_s`: the leader sends a heartbeat every second, and with a lower limit the last one
+    /// could expire before the next arrives.
     const MIN_MAX_AGE_S: f64 = 3.0;
 }
 
-fn check_fraction(key: &'static str, part: Option<f64>) -> Result<(), CoordinationError> {
-    if part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
+fn check_fraction(key: &'static str, fraction: Option<f64>) -> Result<(), CoordinationError> {
+    if fraction.is_some_and(|fraction| !(0.0..=1.0).contains(&fraction)) {
         return Err(CoordinationError::OutOfRange { key });
     }
     Ok(())
--- a/src/net/config/source.rs
+++ b/src/net/config/source.rs
@@ -1,38 +1,38 @@
-//! Where the configuration comes from: a file, and values that are put into it from the command line.
+//! [`Source`]: the configuration file and the overrides of its values from the command line.
 
 use super::error::OverrideError;
 use serde_json::{Map, Value};
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-/// A configuration file and the values put into it after reading.
+/// The path of a configuration file, and overrides that are applied to its content.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    /// The file.
+    /// Path of the file, `None` if neither the command line nor the environment names one.
     pub file: Option<PathBuf>,
-    /// Values that replace those of the file, in this order.
+    /// Overrides, in the order in which they are applied.
     pub overrides: Vec<Override>,
 }
 
 impl Source {
-    /// Whether keys that nothing reads are errors: in what operators write themselves. The platform's file holds more
-    /// than a proxy needs.
+    /// Returns whether unknown keys are looked for, in what operators write themselves: TOML files and overrides. The
+    /// platform's JSON file contains keys that the proxy doesn't use.
     pub fn is_strict(&self) -> bool {
         let is_toml = self.file.as_deref().is_some_and(is_toml);
         is_toml || !self.overrides.is_empty()
     }
 }
 
-/// Whether the file is TOML, by its name; else it is JSON.
+/// Returns whether the file is TOML according to its extension; any other file is JSON.
 pub fn is_toml(path: &Path) -> bool {
     path.extension()
         .is_some_and(|extension| extension == "toml")
 }
 
-/// A value for one path, such as `settings.profiles[0].aim_us=400000`.
+/// An override of the value at one path, such as `settings.profiles[0].aim_us=400000`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// The dotted path.
+    /// Dotted path of the value.
     pub path: String,
     value: Value,
 }
@@ -40,7 +40,7 @@
 impl FromStr for Override {
     type Err = OverrideError;
 
-    /// Reads `PATH=VALUE`. The value is JSON if it can be read as that, else text.
+    /// Parses `PATH=VALUE`. A value that is not valid JSON is used as text.
     fn from_str(text: &str) -> Result<Override, OverrideError> {
         let (path, value) = text.split_once('=').ok_or(OverrideError::MissingValue)?;
         if path.is_empty() || segments(path).any(str::is_empty) {
@@ -55,7 +55,7 @@
 }
 
 impl Override {
-    /// Puts the value in its place. Tables on the way are made; items of lists are not.
+    /// Sets the value in `document`. Creates missing tables along the path, but no list items.
     pub fn apply(&self, document: &mut Value) -> Result<(), OverrideError> {
         let mut target = document;
         for segment in segments(&self.path) {
@@ -69,11 +69,13 @@
     }
 }
 
+/// Splits a path into keys and list items, the latter written `INDEX]`.
 fn segments(path: &str) -> impl Iterator<Item = &str> {
     path.split(['.', '['])
 }
 
-/// The value under a key, which is made if it is missing, or the item of a list, written `INDEX]`.
+/// Returns the value under a key, created if it is missing, or the list item `INDEX]`. Returns `None` if `parent` is no
+/// table or list, or lacks the item.
 fn child<'a>(parent: &'a mut Value, segment: &str) -> Option<&'a mut Value> {
     let index = segment.strip_suffix(']');
     let index = index.and_then(|digits| digits.parse::<usize>().ok());
--- a/src/net/config/stored_formats.rs
+++ b/src/net/config/stored_formats.rs
@@ -1,10 +1,11 @@
-//! What of the configuration is stored with what was learned: hashes, which a file has to bring back as they were.
+//! Guards the digests of the configuration, which snapshots of learned state contain: if a release computed another
+//! digest of the same file, it would reject the snapshots of the one before.
 
 use super::*;
 use crate::fixtures::assert_lines;
 
 #[test]
-fn the_same_file_gives_the_same_hashes() {
+fn a_file_has_the_same_digests_in_all_releases() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml").into();
     let (node, _) = NodeConfig::read(&Source {
         file: Some(file),
@@ -12,7 +13,7 @@
     })
     .unwrap();
     let keys: Vec<String> = node.keys.iter().cloned().collect();
-    let forms = [
+    let lines = [
         ("settings", hex::encode(node.settings_digest)),
         (
             "settings that a fleet shares",
@@ -20,5 +21,5 @@
         ),
         ("keys", keys.join(" ")),
     ];
-    assert_lines("settings.txt", &forms);
+    assert_lines("settings.txt", &lines);
 }
--- a/src/settings/active.rs
+++ b/src/settings/active.rs
@@ -1,4 +1,4 @@
-//! Settings in force, and changes of them.
+//! The settings in force ([`ActiveSettings`]), and changes that replace them ([`SettingsChange`]).
 
 use super::entries::{NamedClass, NamedTenant};
 use super::names::Names;
@@ -7,48 +7,48 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What only a proxy on real sockets needs of the settings.
+/// Settings that only a proxy with real sockets needs; the simulator's adapter ignores them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSettings {
-    /// A connection that is not up after this time counts as failed.
+    /// A connection that is not established after this time counts as failed.
     pub connect_timeout: Micros,
-    /// Backends close connections that were idle for so long.
+    /// The time after which backends close an idle connection.
     pub conn_idle: Micros,
-    /// The longest `Retry-After` that a client follows.
+    /// The longest `Retry-After` that a client obeys.
     pub max_retry_after: Micros,
-    /// How long a client waits at most, by class.
+    /// The longest time that a client waits for its response, indexed by class number.
     pub deadlines: Vector<Micros>,
 }
 
-/// Complete settings. A clone shares all tables and costs nothing by their size.
+/// Complete, valid settings. A clone shares all tables, so that its cost doesn't depend on their size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveSettings {
-    /// The configuration of the decisions.
+    /// The load balancer's configuration.
     pub config: ValidatedConfig,
-    /// Names for all its numbers.
+    /// The names of the classes, tenants, zones and kinds that `config` refers to by number.
     pub names: Names,
-    /// The sockets' part.
+    /// The settings of the sockets.
     pub network: NetworkSettings,
 }
 
-/// Settings that replace others while requests are open.
+/// A change that replaces the settings in force while requests are open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsChange {
-    /// What is in force from then on.
+    /// The settings that come into force.
     pub to: ActiveSettings,
-    /// Classes that are no longer in use.
+    /// Class numbers that go out of use.
     pub retired: Vec<ClassId>,
-    /// Retired classes that are in use again.
+    /// Retired class numbers that come into use again.
     pub reinstated: Vec<ClassId>,
-    /// New classes whose name had other rules before.
+    /// New class numbers of names whose rules changed, each with its predecessor.
     pub successors: Vec<ClassSuccessor>,
-    /// What became of the classes, for the log.
+    /// Summary of the changed classes for the log.
     pub summary: String,
-    /// The zones and kinds that had numbers when these settings were read.
-    pub(super) numbered: ZoneAndKindCounts,
+    /// How many zones and kinds had numbers when these settings were read.
+    pub(super) numbered_at_read: ZoneAndKindCounts,
 }
 
-/// How many zones and kinds have numbers.
+/// The number of zones and kinds that have numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ZoneAndKindCounts {
     zones: usize,
@@ -65,7 +65,8 @@
 }
 
 impl ActiveSettings {
-    /// The class of that name as it stands in `profiles`, for [`EntryChange::SetProfile`](super::EntryChange::SetProfile); `None` if there is none.
+    /// Returns the class named `name` as an entry of `profiles`, for
+    /// [`EntryChange::SetProfile`](super::EntryChange::SetProfile); `None` if no such class is in use.
     pub fn profile(&self, name: &str) -> Option<Value> {
         let ClassId(number) = self.names.class(name)?;
         let class = self.config.classes.get(number)?;
@@ -73,7 +74,8 @@
         Some(NamedClass::write(name, class, *deadline))
     }
 
-    /// The tenant of that name as it stands in `customers`, for [`EntryChange::SetCustomer`](super::EntryChange::SetCustomer); `None` if there is none.
+    /// Returns the tenant named `name` as an entry of `customers`, for
+    /// [`EntryChange::SetCustomer`](super::EntryChange::SetCustomer); `None` if no such tenant is in use.
     pub fn customer(&self, name: &str) -> Option<Value> {
         let TenantId(number) = self.names.tenant(name)?;
         let tenant = self.config.tenants.get(number)?;
@@ -82,14 +84,15 @@
 }
 
 impl SettingsChange {
-    /// Renumbers the zones and kinds that these settings named first, if endpoint lists have named others since they
-    /// were read: `now` are the names in force. Costs nothing if none have.
-    pub fn renumber_zones_and_kinds(&mut self, now: &Names) {
-        if ZoneAndKindCounts::of(now) == self.numbered {
+    /// Renumbers the zones and kinds that these settings introduce, if endpoint lists introduced others after the
+    /// settings were read. `current` holds the names in force. Returns at once if its zones and kinds are as many as
+    /// then.
+    pub fn renumber_zones_and_kinds(&mut self, current: &Names) {
+        if ZoneAndKindCounts::of(current) == self.numbered_at_read {
             return;
         }
-        let mut zones = now.zones.clone();
-        let mut kinds = now.kinds.clone();
+        let mut zones = current.zones.clone();
+        let mut kinds = current.kinds.clone();
         let names = self.to.names.zones.iter();
         let renumbered: Vec<ZoneId> = names
             .map(|name| ZoneId(zones.get_or_insert(name)))
@@ -107,6 +110,6 @@
         self.to.config.set_location(zone, regions);
         self.to.names.zones = zones;
         self.to.names.kinds = kinds;
-        self.numbered = ZoneAndKindCounts::of(&self.to.names);
+        self.numbered_at_read = ZoneAndKindCounts::of(&self.to.names);
     }
 }
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,5 +1,5 @@
-//! Settings as they were read, and the configuration that follows from them: here the names of the settings are mapped
-//! to the terms of the code.
+//! [`Settings`]: a settings document that was read, and the configuration built from it. This module maps the keys of
+//! the document to the fields of [`Config`].
 
 use super::active::{ActiveSettings, NetworkSettings};
 use super::entries::{CUSTOMERS, PROFILES};
@@ -16,13 +16,13 @@
 
 const ZONES: &str = "zones";
 
-/// Settings whose long lists have been read, and the values of all else.
+/// A settings document: its long lists, already converted, and the JSON of all other keys.
 pub struct Settings {
     rest: Value,
     lists: LongLists,
 }
 
-/// A configuration and the entries of the long lists that it was made of.
+/// A configuration and the entries of the long lists from which it was built.
 pub(super) struct ParsedSettings {
     pub config: Config,
     pub classes: ListedClasses,
@@ -30,23 +30,24 @@
 }
 
 impl Settings {
-    /// `rest`: the settings with an empty list in the place of each that `lists` took.
+    /// Joins the parts of a document: `rest` is the document in which each list that `lists` received is empty, as
+    /// [`extract_lists`] returns it.
     pub fn new(rest: Value, lists: LongLists) -> Settings {
         Settings { rest, lists }
     }
 
-    /// Settings from one value.
+    /// Reads settings from a JSON value.
     pub fn from_value(settings: &Value, options: ReadOptions) -> Settings {
         Settings::with_lists(settings, LongLists::new(options))
     }
 
-    /// Settings that replace those in force, for [`ActiveSettings::change_to`] of the same `base`.
+    /// Reads settings that replace those in force, for [`ActiveSettings::change_to`] of the same `base`.
     pub fn replacing(settings: &Value, options: ReadOptions, base: &ActiveSettings) -> Settings {
         Settings::with_lists(settings, LongLists::replacing(options, base))
     }
 
     fn with_lists(settings: &Value, mut lists: LongLists) -> Settings {
-        // ReadOptions from a value in memory does not fail.
+        // Reading from a value in memory can't fail.
         let rest = extract_lists(settings, &mut lists).unwrap_or_default();
         Settings { rest, lists }
     }
@@ -56,7 +57,7 @@
         Field::root(&self.rest, diagnostics)
     }
 
-    /// The configuration of the decisions and the names that go with it, or the first error.
+    /// Builds the load balancer's configuration and its names, or returns the first error.
     pub fn config(&self) -> Result<(Config, Names), SettingsError> {
         let mut names = Names::default();
         let parsed = self.parse(&mut names)?;
@@ -66,26 +67,27 @@
         Ok((parsed.config, names))
     }
 
-    /// The sockets' part, or the first error.
+    /// Builds the settings of the sockets, or returns the first error.
     pub fn network(&self) -> Result<NetworkSettings, SettingsError> {
         let root = self.root();
         let network = self.read_network(&root);
         root.diagnostics.check(network)
     }
 
-    /// The configuration, or the first error. `names`: the zones and kinds that have numbers already.
+    /// Builds the configuration, or returns the first error. `names` holds the zones and kinds that have numbers
+    /// already; new ones are added to it.
     pub(super) fn parse(&self, names: &mut Names) -> Result<ParsedSettings, SettingsError> {
         let root = self.root();
         let parsed = self.read(&root, names);
         root.diagnostics.check(parsed)
     }
 
-    /// The lists in the place of those in force, if they were read over some.
+    /// The lists as a change of those in force, if the settings were read as a replacement.
     pub(super) fn replacement(&self) -> Option<&ListReplacement> {
         self.lists.replacement.as_deref()
     }
 
-    /// The first error of [`Settings::config`] and then of [`Settings::network`].
+    /// Returns the first error of [`Settings::config`], or else of [`Settings::network`].
     pub fn first_error(&self) -> Option<SettingsError> {
         let root = self.root();
         self.read(&root, &mut Names::default());
@@ -93,22 +95,22 @@
         root.diagnostics.check(()).err()
     }
 
-    /// All errors: values that cannot be read, then values that are out of their range.
+    /// Returns all errors: first values of the wrong type or form, then values out of range.
     pub fn errors(&self) -> Vec<SettingsError> {
         let root = self.root();
         let parsed = self.read(&root, &mut Names::default());
         self.read_network(&root);
-        let follows_from_another = |error: &ConfigError| {
+        let is_consequence = |error: &ConfigError| {
             error.field == "classes" && root.diagnostics.has_error_within(PROFILES)
         };
         let mut errors = root.diagnostics.errors();
         let out_of_range = parsed.config.errors().into_iter();
-        let out_of_range = out_of_range.filter(|error| !follows_from_another(error));
+        let out_of_range = out_of_range.filter(|error| !is_consequence(error));
         errors.extend(out_of_range.map(SettingsError::from));
         errors
     }
 
-    /// Paths of values that nothing reads; known only if the settings were read strictly, see [`ReadOptions`].
+    /// Returns the paths of values that have no meaning as settings. Requires [`ReadOptions::strict`].
     pub fn unknown_paths(&self) -> Vec<String> {
         let root = self.root();
         self.read(&root, &mut Names::default());
@@ -126,7 +128,7 @@
         unknown
     }
 
-    /// The notes of the long list that stands under this key, if one does.
+    /// Returns the notes of the long list under this key, `None` if the key or its value is no long list.
     fn notes_of_list(&self, key: &str, value: &Value) -> Option<&ListNotes> {
         if !value.is_array() {
             return None;
@@ -138,8 +140,8 @@
         }
     }
 
-    /// BLAKE3 of the settings as JSON with ordered keys, so that equal settings have equal digests; the keys `without`
-    /// are left out. Known only if the settings were read to be digested, see [`ReadOptions`].
+    /// Returns the BLAKE3 hash of the settings without the keys `without`. They are hashed as JSON with sorted keys, so
+    /// that equal settings have equal digests. Requires [`ReadOptions::compute_digest`].
     pub fn digest(&self, without: &[&str]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         let Some(entries) = self.rest.as_object() else {
@@ -221,9 +223,9 @@
         }
     }
 
-    /// The entries of a long list, or none if the settings have no list of its name.
+    /// Returns the entries of a long list, none if the settings have no list under its key.
     fn read_list<T: Clone + Default>(&self, root: &Field, notes: &ListNotes, entries: &T) -> T {
-        // Notes an error if the key is missing or no list.
+        // Called for its error if the key is missing or its value is no list.
         root.get(notes.name).list();
         if !self.rest[notes.name].is_array() {
             return T::default();
@@ -234,7 +236,7 @@
 }
 
 impl ActiveSettings {
-    /// What is in force at the start, or the first error.
+    /// Builds the settings in force at the start of the process, or returns the first error.
     pub fn initial(settings: &Settings) -> Result<ActiveSettings, SettingsError> {
         let (config, names) = settings.config()?;
         let network = settings.network()?;
@@ -246,7 +248,7 @@
     }
 }
 
-/// The proxy's own zone. Numbers the zones and kinds in the order in which the settings name them.
+/// Reads the proxy's own zone. Numbers the zones and kinds in the order in which the settings list them.
 fn read_own_zone(root: &Field, names: &mut Names) -> ZoneId {
     let zones = root.get(ZONES).list();
     for zone in &zones {
@@ -259,13 +261,13 @@
     let name = own_zone.value.and_then(Value::as_str);
     let zones_unreadable = root.diagnostics.has_error_within(ZONES);
     let number = if zones.is_empty() && !zones_unreadable {
-        // Without zones the proxy has one of its own, whatever its name.
+        // With an empty list of zones, `my_zone` is the only one and may have any name.
         Some(names.zones.get_or_insert(name.unwrap_or_default()))
     } else {
         name.and_then(|name| names.zones.get(name))
     };
     if number.is_some() || !zones_unreadable {
-        own_zone.or_stand_in(number, "one of zones", 0);
+        own_zone.or_default(number, "one of zones", 0);
     }
     ZoneId(number.unwrap_or(0))
 }
@@ -278,11 +280,11 @@
         "subscribe" => Discovery::Poll {
             staleness_limit: staleness_limit.micros(),
         },
-        _ => discovery.or_stand_in(None, "automatic or subscribe", Discovery::Push),
+        _ => discovery.or_default(None, "automatic or subscribe", Discovery::Push),
     }
 }
 
-/// `locality`, if it is there: then both keys are expected.
+/// Reads `locality`, which is optional; if it is present, both of its keys are required.
 fn read_zone_failover(locality: &Field) -> Option<ZoneFailover> {
     locality.value?;
     Some(ZoneFailover {
@@ -291,20 +293,20 @@
     })
 }
 
-/// `locality.regions`: names of regions by names of zones. A zone that no list has named yet gets its number here.
+/// Reads `locality.regions`, a table of region names by zone name. A zone that is new here gets its number here.
 fn read_regions(regions: &Field, names: &mut Names) -> BTreeMap<ZoneId, RegionId> {
     let Some(value) = regions.value else {
         return BTreeMap::new();
     };
     let empty = serde_json::Map::new();
     let table = value.as_object();
-    let table = regions.or_stand_in(table, "a table of zones and their regions", &empty);
+    let table = regions.or_default(table, "a table of zones and their regions", &empty);
     let mut region_names = NameTable::default();
     let mut by_zone = BTreeMap::new();
     for zone in table.keys() {
         let region = region_names.get_or_insert(regions.get(zone).text());
         let zone = names.zones.get_or_insert(zone);
-        // Region 0 is that of all zones that are not named here.
+        // Region 0 holds all zones that the table doesn't list.
         by_zone.insert(ZoneId(zone), RegionId(1 + region));
     }
     by_zone
--- a/src/settings/draft.rs
+++ b/src/settings/draft.rs
@@ -1,4 +1,4 @@
-//! A change of settings in the making: entry by entry, with every class and tenant keeping its number.
+//! Builds a [`SettingsChange`] entry by entry. A class whose rules stay and every tenant keep their numbers.
 
 use super::active::{ActiveSettings, SettingsChange, ZoneAndKindCounts};
 use super::entries::{NamedClass, NamedTenant};
@@ -7,27 +7,27 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Classes that are named in the summary of a change, which is one line however many there are.
-const NAMED_IN_SUMMARY: usize = 50;
+/// The most changed classes that a summary names: it is one log line, however many classes changed.
+const MAX_CLASSES_IN_SUMMARY: usize = 50;
 
-/// A change that is not complete yet.
+/// A change of settings to which entries are still added.
 #[derive(Clone)]
 pub(super) struct Draft {
-    /// Class numbers given before this change.
+    /// The number of class numbers assigned before this change.
     class_count: usize,
-    /// Tenant numbers given so far, this change included.
+    /// The number of tenant numbers assigned so far, those of this change included.
     pub tenant_count: usize,
     pub to: ActiveSettings,
     retired: BTreeSet<ClassId>,
     reinstated: BTreeSet<ClassId>,
     successors: Vec<ClassSuccessor>,
-    /// Tenants that are new or have other quotas.
+    /// Tenants that are new or whose quota changed.
     pub tenants: BTreeMap<TenantId, Tenant>,
     summary: Vec<String>,
 }
 
 impl Draft {
-    /// A change from the settings `base` to `to`, of which no entry is changed yet.
+    /// Creates a draft from the settings `base` to `to`, with no entry changed yet.
     pub fn new(base: &ActiveSettings, to: ActiveSettings) -> Draft {
         Draft {
             class_count: base.config.classes.len(),
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Puts a class in force under its name: a number that the name had with the same rules, or a new one.
+    /// Adds or replaces a class. It gets a number that its name had before with the same rules, or a new one.
     pub fn set_class(&mut self, new: &NamedClass) -> Result<(), ConfigError> {
         let name = new.name.as_str();
         let before = self.to.names.classes.get(name);
-        let number = match self.same_class(new) {
+        let number = match self.number_with_same_rules(new) {
             Some(number) => {
                 self.to.names.classes.set_in_use(name, Some(number));
                 number
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// The lowest number that the name has had with these rules.
-    fn same_class(&self, new: &NamedClass) -> Option<usize> {
+    /// Returns the lowest number that the name has had with the same rules and deadline.
+    fn number_with_same_rules(&self, new: &NamedClass) -> Option<usize> {
         let classes = &self.to.config.classes;
         let deadlines = &self.to.network.deadlines;
         let is_same = |n: &usize| classes[*n] == new.class && deadlines[*n] == new.deadline;
@@ -82,7 +82,8 @@
         Ok(number)
     }
 
-    /// Requests that are still open under an older number obey the stricter of its rules and the new ones.
+    /// Gives each older number of the name the stricter of its own idempotency and the new one: requests may still
+    /// be open under that number.
     fn restrict_older_classes(
         &mut self,
         new: &NamedClass,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Takes the class of that name out of use; false if there is none.
+    /// Takes the class of this name out of use; returns false if there is none.
     pub fn remove_class(&mut self, name: &str) -> bool {
         let Some(number) = self.to.names.classes.get(name) else {
             return false;
@@ -125,7 +126,7 @@
         true
     }
 
-    /// Puts a tenant in force under its name, and returns its number.
+    /// Adds or replaces a tenant, and returns its number.
     pub fn set_tenant(&mut self, new: &NamedTenant) -> usize {
         let names = &mut self.to.names.tenants;
         let Some(number) = names.get_any(&new.name) else {
@@ -148,7 +149,7 @@
         number
     }
 
-    /// The change as it comes into force.
+    /// Completes the change; `base` are the settings that it replaces.
     pub fn finish(mut self, base: &ActiveSettings) -> Result<SettingsChange, ConfigError> {
         let summary = self.summarize();
         self.to.config.set_tenants(self.tenants)?;
@@ -158,15 +159,15 @@
             reinstated: self.reinstated.into_iter().collect(),
             successors: self.successors,
             summary,
-            numbered: ZoneAndKindCounts::of(&base.names),
+            numbered_at_read: ZoneAndKindCounts::of(&base.names),
         })
     }
 
     fn summarize(&self) -> String {
         if self.summary.is_empty() {
-            return "classes as before".into();
+            return "classes unchanged".into();
         }
-        let named = self.summary.len().min(NAMED_IN_SUMMARY);
+        let named = self.summary.len().min(MAX_CLASSES_IN_SUMMARY);
         let mut summary = self.summary[..named].join(", ");
         let more = self.summary.len() - named;
         if more > 0 {
@@ -176,10 +177,10 @@
     }
 }
 
-/// What may be done with a request that came under one rule while another is in force.
-fn stricter(came_under: Idempotency, in_force: Idempotency) -> Idempotency {
-    match (came_under, in_force) {
-        (came_under, Idempotency::Idempotent) => came_under,
+/// Returns the idempotency that is safe for a request received under one rule while another is in force.
+fn stricter(at_receipt: Idempotency, in_force: Idempotency) -> Idempotency {
+    match (at_receipt, in_force) {
+        (at_receipt, Idempotency::Idempotent) => at_receipt,
         (
             Idempotency::Keyed { scope, window },
             Idempotency::Keyed {
@@ -190,18 +191,18 @@
             scope: narrower(scope, scope_in_force),
             window: window.min(window_in_force),
         },
-        // A request that came without a key has none by which a repeat would be discarded.
+        // A request received under a rule without keys has no key by which the backend could discard a repeat.
         _ => Idempotency::NonIdempotent,
     }
 }
 
 fn narrower(one: KeyScope, other: KeyScope) -> KeyScope {
-    let reach = |scope: KeyScope| match scope {
+    let rank = |scope: KeyScope| match scope {
         KeyScope::Cell => 0,
         KeyScope::Zone => 1,
         KeyScope::All => 2,
     };
-    if reach(one) <= reach(other) {
+    if rank(one) <= rank(other) {
         one
     } else {
         other
--- a/src/settings/entries.rs
+++ b/src/settings/entries.rs
@@ -1,25 +1,25 @@
-//! Entries of the long lists `profiles` and `customers`: from settings to classes and tenants, and back.
+//! Converts entries of the long lists `profiles` and `customers` to request classes and tenants, and back.
 
 use super::field::Field;
 use crate::interface::{Idempotency, KeyScope, Micros, RequestClass, Tenant};
 use compact_str::CompactString;
 use serde_json::{json, Value};
 
-/// The settings' list of request classes.
+/// The key of the list of request classes.
 pub(super) const PROFILES: &str = "profiles";
-/// The settings' list of tenants.
+/// The key of the list of tenants.
 pub(super) const CUSTOMERS: &str = "customers";
 
-/// A request class under its name.
+/// A request class, its name and its deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct NamedClass {
     pub name: CompactString,
     pub class: RequestClass,
-    /// How long a client waits at most.
+    /// The longest time that a client waits for its response.
     pub deadline: Micros,
 }
 
-/// A tenant under its name.
+/// A tenant and its name.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct NamedTenant {
     pub name: CompactString,
@@ -27,11 +27,11 @@
 }
 
 impl NamedClass {
-    /// Reads an entry of `profiles`. `is_new` tells whether the name stands there for the first time.
+    /// Reads an entry of `profiles`. `is_new` tells whether no earlier entry of the list has the name.
     pub fn read(entry: &Field, is_new: impl FnOnce(&str) -> bool) -> NamedClass {
         let name = entry.get("name");
         if !is_new(name.text()) {
-            name.reject("the name stands twice");
+            name.reject("duplicate name");
         }
         let idempotency = read_idempotency(entry);
         let deadline = read_deadline(entry);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The entry as it stands in `profiles`.
+    /// Returns the class as an entry of `profiles`.
     pub fn write(name: &str, class: &RequestClass, deadline: Micros) -> Value {
         let mut entry = json!({
             "name": name,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The entry as it stands in `customers`.
+    /// Returns the tenant as an entry of `customers`.
     pub fn write(name: &str, tenant: &Tenant) -> Value {
         json!({ "name": name, "quota_rps": tenant.quota_per_s })
     }
@@ -95,7 +95,7 @@
             window: window.micros(),
         },
         "single_shot" => Idempotency::NonIdempotent,
-        _ => effect.or_stand_in(
+        _ => effect.or_default(
             None,
             "free, guarded or single_shot",
             Idempotency::Idempotent,
@@ -108,11 +108,11 @@
         "all" => KeyScope::All,
         "zone" => KeyScope::Zone,
         "cell" => KeyScope::Cell,
-        _ => scope.or_stand_in(None, "all, zone or cell", KeyScope::All),
+        _ => scope.or_default(None, "all, zone or cell", KeyScope::All),
     }
 }
 
-/// A key that may be left out.
+/// Reads `aim_stretch`, which is optional.
 fn read_objective_per_work(entry: &Field) -> f64 {
     let stretch = entry.get("aim_stretch");
     if stretch.value.is_some() {
@@ -127,7 +127,7 @@
     let deadline = entry.get("deadline_us");
     let both = objective.integer().zip(deadline.integer());
     if deadline.micros().0 == 0 {
-        deadline.or_stand_in(None, "a time above 0", ());
+        deadline.or_default(None, "a time above 0", ());
     } else if both.is_some_and(|(objective_us, deadline_us)| objective_us > deadline_us) {
         objective.reject("expected no more than deadline_us");
     }
--- a/src/settings/entry_change.rs
+++ b/src/settings/entry_change.rs
@@ -1,4 +1,4 @@
-//! Single entries of the settings in force, changed without the rest being read again.
+//! Changes single classes and tenants of the settings in force without reading the other settings again.
 
 use super::active::{ActiveSettings, SettingsChange};
 use super::draft::Draft;
@@ -10,21 +10,21 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A change of one named entry of the settings.
+/// A change of one named entry of `profiles` or `customers`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryChange {
-    /// Adds a request class, or replaces the one of its name: an entry with all its keys, as it stands in `profiles`.
+    /// Adds a request class, or replaces the class of the same name. The value is a complete entry of `profiles`.
     SetProfile(Value),
-    /// Takes a request class out of use; open requests end as they came.
+    /// Takes the class of this name out of use. Its open requests keep its rules until they end.
     RemoveProfile(String),
-    /// Adds a tenant, or replaces the one of its name: an entry as it stands in `customers`.
+    /// Adds a tenant, or replaces the tenant of the same name. The value is a complete entry of `customers`.
     SetCustomer(Value),
-    /// Takes a tenant out of use.
+    /// Takes the tenant of this name out of use.
     RemoveCustomer(String),
 }
 
 impl EntryChange {
-    /// Where the entry stands in the settings.
+    /// The path of the entry in error messages, such as `profiles[NAME]`.
     fn path(&self) -> String {
         match self {
             EntryChange::SetProfile(entry) => entry_path(PROFILES, name_of(entry)),
@@ -45,8 +45,8 @@
 }
 
 impl ActiveSettings {
-    /// The settings in force with these entries changed, all or none of them: else every error. Takes time by the
-    /// entries, and by how often these were changed before.
+    /// Changes all the entries, or returns every error and changes none. The time depends on the number of entries
+    /// and on how often each of them was changed before, not on the size of the tables.
     pub fn change_entries(
         &self,
         changes: &[EntryChange],
@@ -60,7 +60,7 @@
             let problem = if is_new {
                 apply(&mut draft, change, &path, &diagnostics)
             } else {
-                Some("the name stands twice".into())
+                Some("duplicate name".into())
             };
             if let Some(problem) = problem {
                 Field::at(path, &Value::Null, diagnostics.clone()).reject(problem);
@@ -81,7 +81,8 @@
     }
 }
 
-/// Carries out one change; a problem with the entry as a whole is returned, one inside it noted.
+/// Applies one change to the draft. Returns a problem with the entry as a whole; a problem with one of its keys is
+/// added to `diagnostics`.
 fn apply(
     draft: &mut Draft,
     change: &EntryChange,
@@ -98,8 +99,8 @@
             let tenant = NamedTenant::read(&field(entry));
             problem(set_tenant(draft, &tenant))
         }
-        EntryChange::RemoveProfile(name) => missing(draft.remove_class(name)),
-        EntryChange::RemoveCustomer(name) => missing(remove_tenant(draft, name)),
+        EntryChange::RemoveProfile(name) => missing_entry(draft.remove_class(name)),
+        EntryChange::RemoveCustomer(name) => missing_entry(remove_tenant(draft, name)),
     }
 }
 
@@ -125,7 +126,7 @@
     result.err().map(|error| error.to_string())
 }
 
-fn missing(existed: bool) -> Option<String> {
-    let text = "there is none of that name";
+fn missing_entry(existed: bool) -> Option<String> {
+    let text = "no entry of this name exists";
     (!existed).then(|| text.into())
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with settings.
+//! Errors in settings.
 
 use crate::interface::ConfigError;
 
-/// One value of the settings that cannot be used, with its path.
+/// An error in one value of the settings, with the value's path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The key is not there.
+    /// A required key is missing.
     #[error("{path}: missing, expected {expected}")]
     Missing {
         /// The key's path.
         path: String,
-        /// The values that it takes.
+        /// The type or values that the key accepts.
         expected: &'static str,
     },
-    /// The value has another form than it should have.
+    /// The value has the wrong type or is none of the allowed ones.
     #[error("{path}: expected {expected}, got {found}")]
     Unexpected {
         /// The key's path.
         path: String,
-        /// The values that it takes.
+        /// The type or values that the key accepts.
         expected: &'static str,
         /// The value as JSON.
         found: String,
     },
-    /// The value has the right form but cannot stand there.
+    /// The value has the right type but conflicts with another value or is not allowed.
     #[error("{path}: {problem}")]
     Invalid {
         /// The key's path.
         path: String,
-        /// Why not.
+        /// Why the value is not allowed.
         problem: String,
     },
-    /// The configuration that follows from the settings is out of its range.
+    /// A field of the configuration built from the settings is out of range.
     #[error(transparent)]
     OutOfRange(#[from] ConfigError),
 }
--- a/src/settings/field.rs
+++ b/src/settings/field.rs
@@ -1,4 +1,5 @@
-//! Reads settings value by value: each value with the path that led to it, and every error on the way noted.
+//! Reads single values of a settings document ([`Field`]), and collects every error with the path of its value
+//! ([`Diagnostics`]).
 
 use super::error::SettingsError;
 use crate::interface::Micros;
@@ -7,15 +8,15 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// What reading came upon: errors, and which paths were read.
+/// The errors found while a document is read, and the paths that were read.
 #[derive(Default)]
 pub(super) struct Diagnostics {
-    /// Paths that were read; `None` where reads are not tracked.
+    /// The paths that were read; `None` if reads are not tracked.
     read_paths: Option<RefCell<BTreeSet<String>>>,
     errors: RefCell<Errors>,
 }
 
-/// Errors in the order of reading: one for a path.
+/// Errors in the order of reading, at most one per path.
 #[derive(Default)]
 struct Errors {
     in_order: Vec<SettingsError>,
@@ -23,7 +24,8 @@
 }
 
 impl Diagnostics {
-    /// `track_reads`: whether the paths that are read are remembered, see [`Diagnostics::retain_unread`].
+    /// Creates empty diagnostics. `track_reads` tells whether to record the paths that are read, for
+    /// [`Diagnostics::retain_unread`].
     pub fn new(track_reads: bool) -> Rc<Diagnostics> {
         Rc::new(Diagnostics {
             read_paths: track_reads.then(RefCell::default),
@@ -35,7 +37,7 @@
         self.read_paths.is_some()
     }
 
-    /// Whether the value at `path`, or one inside it, has an error.
+    /// Returns whether the value at `path`, or one inside it, has an error.
     pub fn has_error_within(&self, path: &str) -> bool {
         let paths = &self.errors.borrow().paths;
         let has_inner = |separator: char| {
@@ -46,7 +48,7 @@
         paths.contains(path) || has_inner('.') || has_inner('[')
     }
 
-    /// `value`, or the first error.
+    /// Returns `value` if there are no errors, else the first error.
     pub fn check<T>(&self, value: T) -> Result<T, SettingsError> {
         match self.errors.borrow().in_order.first() {
             Some(error) => Err(error.clone()),
@@ -54,12 +56,12 @@
         }
     }
 
-    /// All errors.
+    /// Returns all errors.
     pub fn errors(&self) -> Vec<SettingsError> {
         self.errors.borrow().in_order.clone()
     }
 
-    /// Adds the errors of another reader.
+    /// Adds the errors of `others`.
     pub fn append(&self, others: &Diagnostics) {
         let others = others.errors.borrow();
         let mut errors = self.errors.borrow_mut();
@@ -67,7 +69,7 @@
         errors.paths.extend(others.paths.iter().cloned());
     }
 
-    /// Of these paths those that nothing read and that have no error.
+    /// Returns those of `paths` that were not read and have no error.
     pub fn retain_unread(&self, mut paths: Vec<String>) -> Vec<String> {
         let read_paths = self.read_paths.as_ref().map(RefCell::borrow);
         let was_read = |path: &String| read_paths.as_ref().is_some_and(|all| all.contains(path));
@@ -75,7 +77,7 @@
         paths
     }
 
-    /// Forgets which paths were read.
+    /// Clears the record of the paths that were read.
     pub fn clear_read_paths(&self) {
         if let Some(read_paths) = &self.read_paths {
             read_paths.borrow_mut().clear();
@@ -98,8 +100,8 @@
 
 /// A value inside the settings, with its path.
 ///
-/// A value that cannot be used is noted in the diagnostics, and a valid stand-in takes its place, so that one pass finds
-/// every error.
+/// If a value is missing or invalid, a reading method adds an error to the diagnostics and returns a valid default, so
+/// that one pass finds every error.
 pub(super) struct Field<'a> {
     path: String,
     pub value: Option<&'a Value>,
@@ -107,12 +109,12 @@
 }
 
 impl<'a> Field<'a> {
-    /// The settings as a whole.
+    /// Returns the field of the whole document.
     pub fn root(settings: &'a Value, diagnostics: Rc<Diagnostics>) -> Field<'a> {
         Field::at(String::new(), settings, diagnostics)
     }
 
-    /// A value under a path of the caller's.
+    /// Returns a field with a path that the caller chooses.
     pub fn at(path: String, value: &'a Value, diagnostics: Rc<Diagnostics>) -> Field<'a> {
         Field {
             path,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// The value of a key inside this one.
+    /// Returns the field of a key inside this one.
     pub fn get(&self, key: &str) -> Field<'a> {
         let path = join(&self.path, key);
         self.diagnostics.note_read(&path);
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Notes that the value cannot stand here.
+    /// Adds the error that the value is not allowed here.
     pub fn reject(&self, problem: impl Into<String>) {
         let error = SettingsError::Invalid {
             path: self.path.clone(),
@@ -141,12 +143,12 @@
         self.diagnostics.note_error(&self.path, error);
     }
 
-    /// The value as `read`, or `stand_in` and an error where that is `None`.
-    pub fn or_stand_in<T>(&self, read: Option<T>, expected: &'static str, stand_in: T) -> T {
+    /// Returns the value in `read`. If that is `None`, adds an error and returns `default`.
+    pub fn or_default<T>(&self, read: Option<T>, expected: &'static str, default: T) -> T {
         let Some(read) = read else {
             self.diagnostics
                 .note_error(&self.path, self.unexpected(expected));
-            return stand_in;
+            return default;
         };
         read
     }
@@ -164,35 +166,35 @@
     }
 
     pub fn text(&self) -> &'a str {
-        self.or_stand_in(self.value.and_then(Value::as_str), "text", "")
+        self.or_default(self.value.and_then(Value::as_str), "text", "")
     }
 
     pub fn flag(&self) -> bool {
-        self.or_stand_in(self.value.and_then(Value::as_bool), "true or false", false)
+        self.or_default(self.value.and_then(Value::as_bool), "true or false", false)
     }
 
     pub fn number(&self) -> f64 {
-        self.or_stand_in(self.value.and_then(Value::as_f64), "a number", 1.0)
+        self.or_default(self.value.and_then(Value::as_f64), "a number", 1.0)
     }
 
-    /// The value as a whole number, if it is one; nothing is noted.
+    /// Returns the value if it is a whole number; adds no error otherwise.
     pub fn integer(&self) -> Option<u64> {
         self.value.and_then(Value::as_u64)
     }
 
     pub fn micros(&self) -> Micros {
-        Micros(self.or_stand_in(self.integer(), "whole microseconds", 1))
+        Micros(self.or_default(self.integer(), "whole microseconds", 1))
     }
 
-    pub fn count(&self, stand_in: u32) -> u32 {
+    pub fn count(&self, default: u32) -> u32 {
         let count = self.integer().and_then(|number| u32::try_from(number).ok());
-        self.or_stand_in(count, "a whole number", stand_in)
+        self.or_default(count, "a whole number", default)
     }
 
-    /// The items of a list.
+    /// Returns the items of an array, none if the value is no array.
     pub fn list(&self) -> Vec<Field<'a>> {
         let items = self.value.and_then(Value::as_array).map(Vec::as_slice);
-        let items = self.or_stand_in(items, "an array", &[]);
+        let items = self.or_default(items, "an array", &[]);
         let item = |(index, value)| {
             let path = format!("{}[{index}]", self.path);
             Field::at(path, value, self.diagnostics.clone())
@@ -201,7 +203,7 @@
     }
 }
 
-/// Adds the paths of all values inside `value` that hold no further ones; a list of plain values counts as one.
+/// Adds the paths of all leaves of `value`, which has the path `path`. An array without objects counts as one leaf.
 pub(super) fn collect_leaf_paths(path: &str, value: &Value, paths: &mut Vec<String>) {
     match value {
         Value::Object(entries) if !entries.is_empty() => {
@@ -218,7 +220,7 @@
     }
 }
 
-/// The path of a key inside the value at `path`.
+/// Returns the path of `key` inside the value at `path`.
 pub(super) fn join(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.into()
--- a/src/settings/full_change.rs
+++ b/src/settings/full_change.rs
@@ -1,4 +1,4 @@
-//! Settings that replace those in force as a whole.
+//! Replaces all settings in force by a document that was read.
 
 use super::active::{ActiveSettings, SettingsChange};
 use super::document::{ParsedSettings, Settings};
@@ -7,8 +7,9 @@
 use super::replacement::ListReplacement;
 
 impl ActiveSettings {
-    /// These settings in the place of `self`. A class or tenant keeps its number; a class whose rules differ gets a new
-    /// one. Takes time by the size of all tables: not for the request loop.
+    /// Returns the change that replaces `self` by `settings`. Classes and tenants keep their numbers, except that a
+    /// class whose rules changed gets a new one. The time grows with the size of all tables: don't call it on the
+    /// request loop.
     pub fn change_to(&self, settings: &Settings) -> Result<SettingsChange, SettingsError> {
         let mut names = Names {
             classes: ClassNames::default(),
@@ -29,7 +30,7 @@
         if rest.config.discovery != self.config.discovery {
             return Err(SettingsError::Invalid {
                 path: "discovery".into(),
-                problem: "expected as before, it changes only with a restart".into(),
+                problem: "cannot change without a restart".into(),
             });
         }
         let draft = replacement.into_draft(rest)?;
--- a/src/settings/list_stream.rs
+++ b/src/settings/list_stream.rs
@@ -1,22 +1,23 @@
-//! Reads a document whose long lists are handed out item by item, so that no more than one of their items is held as a
-//! generic value at a time.
+//! Streams the long lists of a document to a [`ListSink`] item by item ([`extract_lists`]), so that only one item at a
+//! time is in memory as a generic JSON value.
 
 use super::field::join;
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::fmt;
 
-/// Takes the items of long lists.
+/// Receives the items of long lists.
 pub trait ListSink {
-    /// The dotted paths of the lists.
+    /// Returns the dotted paths of the lists to extract.
     fn list_paths(&self) -> &[&'static str];
-    /// A list begins. If the document has it twice, the last one counts.
+    /// Called before the first item of a list. If the document has the list twice, a second call follows, and the
+    /// items before it are to be discarded.
     fn begin(&mut self, list: &'static str);
-    /// The next item of the list that began last.
+    /// Called for each item of the list that began last.
     fn item(&mut self, list: &'static str, item: Value);
 }
 
-/// The document, with an empty list in the place of each that went to `sink`.
+/// Reads a document, and returns it with each list that went to `sink` empty.
 pub fn extract_lists<'de, D: Deserializer<'de>>(
     document: D,
     sink: &mut dyn ListSink,
@@ -28,20 +29,20 @@
     root.deserialize(document)
 }
 
-/// Deserializes the value at a path.
+/// Deserializes the value at a path, and sends the items of long lists inside it to the sink.
 struct ListExtractor<'a> {
     path: String,
     sink: &'a mut dyn ListSink,
 }
 
 impl ListExtractor<'_> {
-    /// The list that stands at this path, if one does.
+    /// Returns the path of the long list at this path, `None` if the value here is none.
     fn list(&self) -> Option<&'static str> {
         let mut lists = self.sink.list_paths().iter();
         lists.find(|list| **list == self.path).copied()
     }
 
-    /// Whether the value at this path is a list or holds one.
+    /// Returns whether the value at this path is a long list or contains one.
     fn leads_to_list(&self) -> bool {
         let path = self.path.as_str();
         let is_inside = |list: &str| {
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -1,4 +1,5 @@
-//! The long lists of the settings, read item by item: each item's value is dropped once it is read.
+//! Reads the long lists of the settings, `profiles` and `customers`, item by item ([`LongLists`]). The JSON value of
+//! each item is dropped once it is converted, which bounds the memory that a large document takes.
 
 use super::active::ActiveSettings;
 use super::entries::{NamedClass, NamedTenant, CUSTOMERS, PROFILES};
@@ -12,13 +13,13 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// Bytes of a chunk of list text. The allocator takes chunks of this size from the system, and gives them back, one by
-/// one; smaller ones would stay with it.
+/// Capacity of a chunk of list text, in bytes. The allocator maps blocks of this size one by one and returns them to
+/// the system when they are freed; it would keep smaller blocks.
 const TEXT_CHUNK_BYTES: usize = 1 << 20;
-/// Bytes that are free in a chunk before another item is written to it.
+/// Free space that a chunk must have for another item to be appended, in bytes.
 const TEXT_CHUNK_RESERVE_BYTES: usize = 16 * 1024;
 
-/// The request classes of the settings, in the form in which they come into force.
+/// The request classes in `profiles`. The vectors are indexed by the number of the class's name.
 #[derive(Clone, Default)]
 pub(super) struct ListedClasses {
     pub names: NameTable,
@@ -27,21 +28,21 @@
 }
 
 impl ListedClasses {
-    /// Adds a class; the caller has numbered its name.
+    /// Adds a class. The caller must have added its name to `names`.
     fn push(&mut self, class: NamedClass) {
         self.classes.push_back(class.class);
         self.deadlines.push_back(class.deadline);
     }
 
-    /// Keeps the first class and any that is out of its range: enough to validate settings by.
-    fn push_sample(&mut self, class: NamedClass) {
+    /// Adds the class if it is the first or out of range: these are enough to validate the settings.
+    fn push_for_validation(&mut self, class: NamedClass) {
         if self.classes.is_empty() || class.class.validate().is_err() {
             self.names.get_or_insert(&class.name);
             self.push(class);
         }
     }
 
-    /// The classes under their names; each name stands once.
+    /// Iterates over the classes with their names, each of which occurs once.
     pub fn iter(&self) -> impl Iterator<Item = NamedClass> + '_ {
         let all = self.names.iter().zip(&self.classes).zip(&self.deadlines);
         all.map(|((name, class), deadline)| NamedClass {
@@ -52,11 +53,11 @@
     }
 }
 
-/// The tenants of the settings.
+/// The tenants in `customers`, in the order of the list.
 #[derive(Clone, Default)]
 pub(super) struct ListedTenants {
     pub names: NameTable,
-    /// The number of each tenant's name: a name may stand twice.
+    /// The number of each tenant's name. Several tenants may have the same name.
     pub name_numbers: Vector<u32>,
     pub tenants: Vector<Tenant>,
 }
@@ -68,14 +69,14 @@
         self.tenants.push_back(tenant.tenant);
     }
 
-    /// Keeps a tenant that is out of its range.
-    fn push_sample(&mut self, tenant: NamedTenant) {
+    /// Adds the tenant if it is out of range, so that validation of the settings finds it.
+    fn push_for_validation(&mut self, tenant: NamedTenant) {
         if tenant.tenant.validate().is_err() {
             self.push(tenant);
         }
     }
 
-    /// The tenants under their names.
+    /// Iterates over the tenants with their names.
     pub fn iter(&self) -> impl Iterator<Item = NamedTenant> + '_ {
         let all = self.name_numbers.iter().zip(&self.tenants);
         all.map(|(name, tenant)| NamedTenant {
@@ -85,15 +86,15 @@
     }
 }
 
-/// What is noted of a list while its items are read.
+/// What is recorded about a list while its items are read.
 pub(super) struct ListNotes {
     /// The list's key.
     pub name: &'static str,
     item_count: usize,
     pub diagnostics: Rc<Diagnostics>,
-    /// Paths inside the list that nothing reads.
+    /// Paths of values inside the list that have no meaning as settings.
     pub unread_paths: Vec<String>,
-    /// The list's items as JSON with commas between them, for the digest of the settings.
+    /// The list's items as comma-separated JSON, for the digest of the settings.
     pub text_chunks: Vec<String>,
 }
 
@@ -149,32 +150,32 @@
     }
 }
 
-/// What is wanted of the settings beside their meaning.
+/// What to record while settings are read, besides the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadOptions {
-    /// Which values nothing reads, see [`Settings::unknown_paths`](super::Settings::unknown_paths).
+    /// Record the paths of unknown values, for [`Settings::unknown_paths`](super::Settings::unknown_paths).
     pub strict: bool,
-    /// Their digest, see [`Settings::digest`](super::Settings::digest).
+    /// Record the text of the long lists, for [`Settings::digest`](super::Settings::digest).
     pub compute_digest: bool,
 }
 
-/// The long lists of settings while they are read.
+/// Converts the items of the long lists while a settings document is read.
 pub struct LongLists {
     pub(super) options: ReadOptions,
     pub(super) class_notes: ListNotes,
     pub(super) classes: ListedClasses,
     pub(super) tenant_notes: ListNotes,
     pub(super) tenants: ListedTenants,
-    /// Takes the entries if settings are in force already: then the tables above keep only what is out of its range,
-    /// and one class.
+    /// Receives the entries if the document replaces settings in force. The tables above then hold only the first
+    /// class and the entries that are out of range.
     pub(super) replacement: Option<Box<ListReplacement>>,
 }
 
 impl LongLists {
-    /// The lists' paths inside the settings.
+    /// The paths of the lists inside the settings.
     pub const PATHS: [&'static str; 2] = [PROFILES, CUSTOMERS];
 
-    /// LongLists of which no item has come yet.
+    /// Creates the reader of a document that replaces nothing.
     pub fn new(options: ReadOptions) -> LongLists {
         LongLists {
             options,
@@ -186,7 +187,8 @@
         }
     }
 
-    /// LongLists of settings that replace those in force, for [`ActiveSettings::change_to`] of the same `base`.
+    /// Creates the reader of a document that replaces settings in force, for [`ActiveSettings::change_to`] of the same
+    /// `base`.
     pub fn replacing(options: ReadOptions, base: &ActiveSettings) -> LongLists {
         LongLists {
             replacement: Some(Box::new(ListReplacement::new(base))),
@@ -194,7 +196,7 @@
         }
     }
 
-    /// One of [`LongLists::PATHS`] begins. If the settings have it twice, the last one counts.
+    /// Begins one of [`LongLists::PATHS`]. If the document has the list twice, this discards the items of the first.
     pub fn begin(&mut self, list: &str) {
         if list == PROFILES {
             self.class_notes = ListNotes::new(PROFILES, self.options);
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The next item of a list.
+    /// Reads the next item of a list.
     pub fn item(&mut self, list: &str, value: &Value) {
         if list == PROFILES {
             self.read_class(value);
@@ -227,7 +229,7 @@
                 NamedClass::read(entry, |name| !replacement.has_class(name))
             });
             replacement.set_class(&class);
-            self.classes.push_sample(class);
+            self.classes.push_for_validation(class);
             return;
         }
         let names = &mut self.classes.names;
@@ -242,7 +244,7 @@
         match &mut self.replacement {
             Some(replacement) => {
                 replacement.set_tenant(&tenant);
-                self.tenants.push_sample(tenant);
+                self.tenants.push_for_validation(tenant);
             }
             None => self.tenants.push(tenant),
         }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,12 @@
-//! From settings, as the platform and operators write them, to the configuration of the decisions and back.
+//! Converts settings, as the platform and operators write them, to the load balancer's [`Config`], and single entries
+//! back. The proxy and the simulator's adapter both use this module.
 //!
-//! [`Settings`] are what was read, [`ActiveSettings`] what follows from them, and a [`SettingsChange`] takes settings in force to
-//! others while requests are open: as a whole ([`ActiveSettings::change_to`]) or entry by entry ([`ActiveSettings::change_entries`]). The proxy
-//! and the simulator's adapter share all of it. One module uses another only downwards in this order:
-//! `successor`, `amendment`; `document`; `lists`; `replacement`; `draft`; `active`; `entries`, `names`;
+//! [`Settings`] holds a settings document that was read, [`ActiveSettings`] the configuration built from it. A
+//! [`SettingsChange`] replaces the active settings while requests are open: all of them
+//! ([`ActiveSettings::change_to`]) or single entries ([`ActiveSettings::change_entries`]).
+//!
+//! A submodule depends only on those listed after it:
+//! `full_change`, `entry_change`; `document`; `lists`; `replacement`; `draft`; `active`; `entries`, `names`;
 //! `list_stream`; `field`, `name_table`; `error`.
 
 mod active;
@@ -31,7 +34,8 @@
 use crate::interface::Config;
 use serde_json::Value;
 
-/// Reads settings, or returns their first error. Keys that nothing reads are skipped, see [`Settings::unknown_paths`].
+/// Reads a settings document, or returns its first error. Unknown keys are ignored, see
+/// [`Settings::unknown_paths`].
 pub fn read(settings: &Value) -> Result<(Config, Names), SettingsError> {
     Settings::from_value(settings, ReadOptions::default()).config()
 }
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -1,19 +1,18 @@
-//! Names numbered from 0 in the order in which they came: compact, found in constant time, and persistent like all
-//! tables of the settings.
+//! [`NameTable`] numbers names from 0 in the order of their insertion. It is compact, finds a name in constant time,
+//! and is persistent: clones share their data, as with all tables of the settings.
 
 use compact_str::CompactString;
 use imbl::Vector;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// Names in a bucket on average.
-const NAMES_PER_BUCKET: usize = 8;
+/// The most names per bucket on average; one more adds a bucket.
+const MAX_MEAN_BUCKET_NAMES: usize = 8;
 
-/// Names and their numbers; no name ever loses its number.
+/// A map between names and numbers. Names are never removed, and a name's number never changes.
 ///
-/// Each name is stored once. Names are found by linear hashing, in which buckets split one at a time: adding a name
-/// moves the names of one bucket at most, however many there are. A persistent hash map would take four times the
-/// memory.
+/// Each name is stored once and found by linear hashing, which splits one bucket at a time: an insertion moves the
+/// names of at most one bucket, however large the table is. A persistent hash map would take four times the memory.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NameTable {
     names: Vector<CompactString>,
@@ -24,22 +23,22 @@
 
 #[derive(Clone, Copy, Debug)]
 struct BucketEntry {
-    /// Bits of the name's hash by which most other names of the bucket are summary apart without reading them.
+    /// Bits of the name's hash that tell most other names of the bucket apart without comparing the names.
     fingerprint: u32,
     number: u32,
 }
 
-/// The hash of a name, in the parts that are used.
+/// The parts of a name's hash that the table uses.
 #[derive(Clone, Copy)]
 struct NameHash {
-    /// Chooses the bucket.
+    /// The bits that select the bucket.
     bucket_bits: usize,
     fingerprint: u32,
 }
 
 impl NameHash {
     fn of(name: &str) -> NameHash {
-        // Fixed keys: only operators add names, so that nobody else can fill a bucket.
+        // DefaultHasher's fixed keys are safe here: only operators add names, so that no attacker can fill one bucket.
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         let hash = hasher.finish();
@@ -49,7 +48,8 @@
         }
     }
 
-    /// The bucket of the name among `bucket_count`: by as many bits as give a bucket that exists.
+    /// Returns the name's bucket in a table of `bucket_count` buckets. It uses one bit less where the bucket that all
+    /// bits select doesn't exist yet.
     fn bucket(self, bucket_count: usize) -> usize {
         let rounded_up = bucket_count.next_power_of_two();
         let bucket = self.bucket_bits & (rounded_up - 1);
@@ -62,7 +62,7 @@
 }
 
 impl PartialEq for NameTable {
-    /// The same names with the same numbers.
+    /// Returns whether both tables have the same names with the same numbers.
     fn eq(&self, other: &NameTable) -> bool {
         self.names == other.names
     }
@@ -73,7 +73,7 @@
         self.names.len()
     }
 
-    /// The names in the order of their numbers.
+    /// Iterates over the names in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(CompactString::as_str)
     }
@@ -82,7 +82,7 @@
         self.names.get(number as usize).map(CompactString::as_str)
     }
 
-    /// The number of a name, if it has one.
+    /// Returns the number of a name, `None` if the table doesn't have it.
     pub fn get(&self, name: &str) -> Option<u32> {
         let hash = NameHash::of(name);
         let bucket = hash.bucket(self.buckets.len().max(1));
@@ -93,7 +93,7 @@
         found.map(|entry| entry.number)
     }
 
-    /// The number of a name, the next one if it has none yet.
+    /// Returns the number of a name; a new name gets the next number.
     pub fn get_or_insert(&mut self, name: &str) -> u32 {
         self.get(name).unwrap_or_else(|| self.insert(name))
     }
@@ -102,7 +102,7 @@
         let hash = NameHash::of(name);
         let number = self.names.len() as u32;
         self.names.push_back(name.into());
-        if self.names.len() > self.buckets.len() * NAMES_PER_BUCKET {
+        if self.names.len() > self.buckets.len() * MAX_MEAN_BUCKET_NAMES {
             self.add_bucket();
         }
         let bucket = hash.bucket(self.buckets.len());
@@ -116,7 +116,7 @@
         number
     }
 
-    /// Adds a bucket, which takes its names from the one that had them so far.
+    /// Adds a bucket by splitting the existing one that holds the new bucket's names.
     fn add_bucket(&mut self) {
         let new = self.buckets.len();
         self.buckets.push_back(Arc::new([]));
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,14 +1,15 @@
-//! Numbers by name and names by number, for all that the settings and the endpoint list name.
+//! [`Names`] maps the names in the settings and the endpoint list to the numbers that the load balancer uses, and back.
+//! [`EndpointRow`] is an endpoint before its names are numbered.
 //!
-//! Every table is persistent: a clone shares all of it, and a change copies only the path to the entry that it changes.
+//! Every table is persistent: a clone shares all its data, and a change copies only the path to the changed entry.
 
 use super::name_table::NameTable;
 use crate::interface::{Backend, BackendId, ClassId, HardwareClassId, TenantId, ZoneId};
 use compact_str::CompactString;
 use imbl::Vector;
 
-/// The names that go with a [`Config`](crate::Config). Zones and kinds that an endpoint list names first are numbered
-/// then.
+/// The names of the zones, kinds, classes and tenants in a [`Config`](crate::Config). Zones and kinds that first occur
+/// in an endpoint list get their numbers when the list is read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     pub(super) zones: NameTable,
@@ -19,34 +20,36 @@
 
 /// Request classes by name.
 ///
-/// A class whose rules change goes on under a new number, and the old number stays for requests that are still open
-/// under it: a name may have had many numbers, of which one at most is in use.
+/// A class whose rules change gets a new number, and the old number remains valid for requests that are still open
+/// under it. A name may thus have many numbers, of which at most one is in use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ClassNames {
     names: NameTable,
-    /// By the number of the name.
+    /// The class numbers of each name, indexed by the number of the name.
     by_name: Vector<NumbersOfName>,
-    /// By the number of the class.
+    /// The name of each class, indexed by the number of the class.
     by_class: Vector<ClassNumber>,
     names_in_use: usize,
 }
 
+/// The class numbers of a name.
 #[derive(Clone, Debug, PartialEq)]
 struct NumbersOfName {
     newest: u32,
     in_use: Option<u32>,
 }
 
+/// The name that a class number belongs to.
 #[derive(Clone, Debug, PartialEq)]
 struct ClassNumber {
     /// The number of the class's name.
     name: u32,
-    /// The number that the name had before this one.
+    /// The class number that the name got before this one.
     previous: Option<u32>,
 }
 
 impl ClassNames {
-    /// Gives each name's class the number of the name.
+    /// Creates the table of the first settings, in which a class has the number of its name.
     pub fn from_names(names: NameTable) -> ClassNames {
         let numbers = 0..names.len() as u32;
         let by_name = numbers.clone().map(|number| NumbersOfName {
@@ -65,12 +68,12 @@
         }
     }
 
-    /// How many class numbers were given.
+    /// Returns the number of class numbers assigned so far, in use or not.
     pub fn class_count(&self) -> usize {
         self.by_class.len()
     }
 
-    /// How many names are in use.
+    /// Returns the number of names that have a class in use.
     pub fn names_in_use(&self) -> usize {
         self.names_in_use
     }
@@ -79,18 +82,18 @@
         self.by_name.get(self.names.get(name)? as usize)
     }
 
-    /// The number of the name itself, whatever classes it has had.
+    /// Returns the number of the name itself, as opposed to that of its class.
     pub fn name_number(&self, name: &str) -> Option<u32> {
         self.names.get(name)
     }
 
-    /// The class in use under that name.
+    /// Returns the class in use under this name.
     pub fn get(&self, name: &str) -> Option<usize> {
         let in_use = self.numbers_of(name)?.in_use?;
         Some(in_use as usize)
     }
 
-    /// The name of a class in use.
+    /// Returns the name of a class, `None` if the class is not in use.
     pub fn name(&self, class: usize) -> Option<&str> {
         let name = self.by_class.get(class)?.name;
         let in_use = self.by_name.get(name as usize)?.in_use;
@@ -98,14 +101,14 @@
         self.names.name(name).filter(|_| is_in_use)
     }
 
-    /// Every class that the name has had, the newest first.
+    /// Iterates over all classes that the name has had, newest first.
     pub fn history(&self, name: &str) -> impl Iterator<Item = usize> + '_ {
         let newest = self.numbers_of(name).map(|numbers| numbers.newest);
         let previous = |class: &u32| self.by_class.get(*class as usize)?.previous;
         std::iter::successors(newest, previous).map(|class| class as usize)
     }
 
-    /// Gives the name the next class number, and puts that in use.
+    /// Assigns the next class number to the name, puts it in use and returns it.
     pub fn add(&mut self, name: &str) -> usize {
         let class = self.by_class.len() as u32;
         let name = self.names.get_or_insert(name);
@@ -129,7 +132,7 @@
         class as usize
     }
 
-    /// Puts another class of that name in use, or none.
+    /// Puts another class of the name in use, or none. Does nothing if the name is unknown.
     pub fn set_in_use(&mut self, name: &str, class: Option<usize>) {
         let numbers = self.numbers_of(name).cloned();
         let Some((name, numbers)) = self.names.get(name).zip(numbers) else {
@@ -146,15 +149,16 @@
     }
 }
 
-/// Tenants by name. A tenant that the settings dropped keeps its number.
+/// Tenants by name. A tenant that is removed from the settings keeps its number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct TenantNames {
     names: NameTable,
-    /// By the number of the name. The first settings may have a name twice, of which only the first tenant is found, so
-    /// that the numbers of names and of tenants differ.
+    /// The tenant of each name, indexed by the number of the name. The first settings may list a name twice; then only
+    /// the first of its tenants is found by name, and the numbers of names and tenants differ.
     by_name: Vector<TenantOfName>,
 }
 
+/// The tenant that a name refers to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct TenantOfName {
     tenant: u32,
@@ -162,7 +166,8 @@
 }
 
 impl TenantNames {
-    /// Each name with the first tenant of that name; `name_of_tenant` has the number of each tenant's name.
+    /// Creates the table of the first settings, in which a name refers to the first tenant of that name.
+    /// `name_of_tenant` holds the number of each tenant's name, indexed by tenant.
     pub fn from_names(names: NameTable, name_of_tenant: &Vector<u32>) -> TenantNames {
         let mut by_name = Vector::new();
         for (tenant, name) in name_of_tenant.iter().enumerate() {
@@ -181,25 +186,25 @@
         self.by_name.get(self.names.get(name)? as usize).copied()
     }
 
-    /// The tenant in use under that name.
+    /// Returns the tenant in use under this name.
     pub fn get(&self, name: &str) -> Option<usize> {
         let entry = self.entry(name).filter(|entry| entry.in_use)?;
         Some(entry.tenant as usize)
     }
 
-    /// The tenant of that name, in use or not.
+    /// Returns the tenant of this name, in use or not.
     pub fn get_any(&self, name: &str) -> Option<usize> {
         self.entry(name).map(|entry| entry.tenant as usize)
     }
 
-    /// Tenants in use, with their names.
+    /// Iterates over the tenants in use, with their names.
     pub fn in_use(&self) -> impl Iterator<Item = (usize, &str)> {
         let all = self.by_name.iter().zip(self.names.iter());
         let in_use = all.filter(|(entry, _)| entry.in_use);
         in_use.map(|(entry, name)| (entry.tenant as usize, name))
     }
 
-    /// Puts a tenant in use under a new name; a name that has one already keeps it.
+    /// Adds a tenant in use under a new name. Does nothing if the name has a tenant already.
     pub fn add(&mut self, name: &str, tenant: usize) {
         let is_new = self.names.get_or_insert(name) as usize == self.by_name.len();
         if is_new {
@@ -210,7 +215,7 @@
         }
     }
 
-    /// Puts the tenant of that name in use, or out of it.
+    /// Puts the tenant of this name in use or out of use. Does nothing if the name is unknown.
     pub fn set_in_use(&mut self, name: &str, in_use: bool) {
         let Some((name, entry)) = self.names.get(name).zip(self.entry(name)) else {
             return;
@@ -222,7 +227,8 @@
     }
 }
 
-/// An entry of an endpoint list under the names of its zone and kind; each process has its own numbers for these.
+/// An entry of an endpoint list, with the names of its zone and kind. Each process numbers these names by itself, see
+/// [`Names::backend_for`].
 #[derive(Clone, Debug)]
 pub struct EndpointRow {
     zone: CompactString,
@@ -231,7 +237,8 @@
 }
 
 impl EndpointRow {
-    /// `address` is what every proxy calls the backend: the order that all proxies share is a hash of it.
+    /// Creates a row. `address` must be the same at every proxy: its hash determines the order of the backends that all
+    /// proxies share.
     pub fn new(address: &str, zone: &str, kind: &str, backend: Backend) -> EndpointRow {
         EndpointRow {
             zone: zone.into(),
@@ -244,7 +251,7 @@
     }
 }
 
-/// The upper bits of the address's FNV-1a hash.
+/// Returns the upper 44 bits of the address's 64-bit FNV-1a hash.
 fn hash_address(address: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -254,37 +261,37 @@
 }
 
 impl Names {
-    /// The class in use under that name.
+    /// Returns the class in use under this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).map(ClassId)
     }
 
-    /// The tenant in use under that name.
+    /// Returns the tenant in use under this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).map(TenantId)
     }
 
-    /// The kind of that name, if a list or the settings named it.
+    /// Returns the kind of this name, if the settings or an endpoint list have it.
     pub fn kind(&self, name: &str) -> Option<HardwareClassId> {
         self.kinds.get(name).map(HardwareClassId)
     }
 
-    /// The name of a kind.
+    /// Returns the name of a kind.
     pub fn kind_name(&self, kind: HardwareClassId) -> Option<&str> {
         self.kinds.name(kind.0)
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.name(zone.0)
     }
 
-    /// The name of a class in use.
+    /// Returns the name of a class, `None` if the class is not in use.
     pub fn class_name(&self, class: ClassId) -> Option<&str> {
         self.classes.name(class.0)
     }
 
-    /// The row as this process numbers it.
+    /// Returns the row as a backend with this process's numbers. New zones and kinds get their numbers here.
     pub fn backend_for(&mut self, row: &EndpointRow, id: BackendId) -> Backend {
         let zone = self.zones.get_or_insert(&row.zone);
         let kind = self.kinds.get_or_insert(&row.kind);
--- a/src/settings/replacement.rs
+++ b/src/settings/replacement.rs
@@ -1,5 +1,5 @@
-//! The long lists of settings that replace those in force, put in their place entry by entry as they are read: what is
-//! equal stays shared, and no second copy of it is ever made.
+//! Compares the long lists of a new document with those in force entry by entry while they are read
+//! ([`ListReplacement`]). Equal entries stay shared with the tables in force and are never copied.
 
 use super::active::{ActiveSettings, NetworkSettings};
 use super::draft::Draft;
@@ -9,22 +9,22 @@
 use compact_str::CompactString;
 use std::collections::BTreeSet;
 
-/// The lists read so far.
+/// Collects the entries of the new lists, and yields a [`Draft`] with the differences.
 #[derive(Clone)]
 pub(super) struct ListReplacement {
     base: ActiveSettings,
     classes: Draft,
-    /// By the number of a class's name: whether the new settings have it.
+    /// Whether the new lists have a class, indexed by the number of its name.
     listed_class_names: Flags,
-    /// Names of classes that are out of their range: they got no number.
+    /// The names of classes that are out of range. Such classes get no number.
     invalid_class_names: BTreeSet<CompactString>,
     tenants: Draft,
-    /// By the number of a tenant: whether the new settings have it.
+    /// Whether the new lists have a tenant, indexed by its number.
     listed_tenants: Flags,
     error: Option<ConfigError>,
 }
 
-/// One flag a number, all unset at first.
+/// One flag per number, initially unset.
 #[derive(Clone, Default)]
 struct Flags(Vec<bool>);
 
@@ -54,27 +54,27 @@
         }
     }
 
-    /// A list of classes begins: one that came before does not count.
+    /// Begins the list of classes, and discards an earlier one.
     pub fn begin_classes(&mut self) {
         self.classes = Draft::new(&self.base, self.base.clone());
         self.listed_class_names = Flags::default();
         self.invalid_class_names.clear();
     }
 
-    /// A list of tenants begins: one that came before does not count.
+    /// Begins the list of tenants, and discards an earlier one.
     pub fn begin_tenants(&mut self) {
         self.tenants = Draft::new(&self.base, self.base.clone());
         self.listed_tenants = Flags::default();
     }
 
-    /// Whether a class of that name came already.
+    /// Returns whether the list has had a class of this name.
     pub fn has_class(&self, name: &str) -> bool {
         let number = self.classes.to.names.classes.name_number(name);
         let is_listed = number.is_some_and(|n| self.listed_class_names.is_set(n as usize));
         is_listed || self.invalid_class_names.contains(name)
     }
 
-    /// Takes a class. One that is out of its range is left out, as settings that hold it do not come into force.
+    /// Adds a class. A class that is out of range is left out, since settings with one don't come into force.
     pub fn set_class(&mut self, class: &NamedClass) {
         if class.class.validate().is_err() {
             self.invalid_class_names.insert(class.name.clone());
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes a tenant. One that is out of its range is left out, as settings that hold it do not come into force.
+    /// Adds a tenant. A tenant that is out of range is left out, since settings with one don't come into force.
     pub fn set_tenant(&mut self, tenant: &NamedTenant) {
         if tenant.tenant.validate().is_ok() {
             let number = self.tenants.set_tenant(tenant);
@@ -97,7 +97,8 @@
         }
     }
 
-    /// The change in one draft, under settings whose other values are those of `rest`. What did not come is dropped.
+    /// Joins both lists in one draft, with all other settings from `rest`. Classes and tenants that were not added go
+    /// out of use.
     pub fn into_draft(mut self, rest: ActiveSettings) -> Result<Draft, ConfigError> {
         self.drop_unlisted_classes();
         self.drop_unlisted_tenants();
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -105,7 +105,7 @@
         "settings: zones: expected an array, got \"here\"",
         "settings: profiles[0].deadline_us: expected a time above 0, got 0",
         "settings: profiles[0].aim_us: expected whole microseconds, got \"soon\"",
-        "settings: profiles[1].name: the name stands twice",
+        "settings: profiles[1].name: duplicate name",
         "settings: profiles[1].key_scope: missing, expected text",
         "settings: profiles[1].window_us: missing, expected whole microseconds",
         "settings: limits.dial_timeout_us: missing, expected whole microseconds",
@@ -158,7 +158,7 @@
         (
             peers,
             voters.replace(":3", ":2"),
-            "duties: voters: an address stands twice",
+            "duties: voters: duplicate address",
         ),
         (peers, r#""voters":["here"]"#.into(), "duties.voters[0]: "),
         (
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -334,7 +334,7 @@
 fn class(class: &Key, names: &mut Names) -> RequestClass {
     let name = class.get("name");
     if Named::find(&names.classes, name.text()).is_some() {
-        name.wrong("the name stands twice".into());
+        name.wrong("duplicate name".into());
     }
     names.classes.push(Named::new(name.text()));
     let (scope, window) = (class.get("key_scope"), class.get("window_us"));
@@ -504,7 +504,7 @@
     let fresh_network = network(settings)?;
     fresh.clone().validated().map_err(|e| e.to_string())?;
     if fresh.discovery != config.discovery {
-        return Err("discovery: expected as before, it changes only with a restart".into());
+        return Err("discovery: cannot change without a restart".into());
     }
     let (mut classes, mut deadlines) = (
         config.classes.iter().cloned().collect::<Vec<_>>(),
@@ -580,7 +580,7 @@
     }
     let live = named.iter().map(|n| n.live).collect();
     let told = if told.is_empty() {
-        "classes as before".into()
+        "classes unchanged".into()
     } else {
         told.join(", ")
     };
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -82,7 +82,7 @@
         .parse()
         .unwrap();
     let line = next("configuration not taken").expect("it ended before it answered the signal");
-    assert!(line.contains("not a file"), "{line}");
+    assert!(line.contains("not a regular file"), "{line}");
     assert_eq!(
         Client::connect(address)
             .ask("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n")
@@ -123,8 +123,8 @@
         ("", &denied),
         ("over 67108864 bytes", &long),
         ("", &huge),
-        ("not a file", &dir),
-        ("not a file", &pipe),
+        ("not a regular file", &dir),
+        ("not a regular file", &pipe),
         ("cannot read", &bytes),
         ("", &deep),
         ("", &short),
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -530,7 +530,7 @@
     for gain in [0.0, 1.0, 2.0] {
         file["profiles"] = json!([route(gain), route(gain)]);
         let told = change(&tables, &file).unwrap_err();
-        assert!(told.contains("the name stands twice"), "{told}");
+        assert!(told.contains("duplicate name"), "{told}");
     }
 }
 
@@ -564,8 +564,8 @@
         "customers[].name: missing, expected text",
         "profiles[b]: worth: expected a finite number above 0",
         "profiles[c].aim_us: expected no more than deadline_us",
-        "customers[x]: there is none of that name",
-        "profiles[a]: the name stands twice",
+        "customers[x]: no entry of this name exists",
+        "profiles[a]: duplicate name",
     ];
     assert_eq!(texts(&tables.change_entries(&bad).unwrap_err()), errors);
     let none = tables
