--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -10,8 +10,8 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining backend
-/// that it reports after this time can only become fewer.
+/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining
+/// backend that it reports after this time can only become fewer.
 pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
 /// A new lease holder claims windows that start to drain within this time. The clocks of two proxies differ by less.
 pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
@@ -23,8 +23,8 @@
 pub struct OpenRequestReport {
     /// The time since the report.
     pub age: Micros,
-    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose number
-    /// was not reported with 1.
+    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose
+    /// number was not reported with 1.
     pub open: BTreeMap<String, u32>,
 }
 
@@ -72,9 +72,9 @@
 }
 
 impl Calendar {
-    /// Performs all transitions that are due, and returns them. To be called a few times per second by the current lease
-    /// holder only, with a clock that is not set back in between. If any window has a higher token, nothing happens. All
-    /// changed windows, also those without a transition, are returned by the next
+    /// Performs all transitions that are due, and returns them. To be called a few times per second by the current
+    /// lease holder only, with a clock that is not set back in between. If any window has a higher token, nothing
+    /// happens. All changed windows, also those without a transition, are returned by the next
     /// [`take_changed`](Calendar::take_changed).
     pub fn advance(
         &mut self,
@@ -101,16 +101,16 @@
         transitions
     }
 
-    /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They last
-    /// until their end, however little time is left and whatever the budget allows now, because they are in effect already
-    /// at this proxy and at every other isolated one.
+    /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They
+    /// last until their end, however little time is left and whatever the budget allows now, because they are in effect
+    /// already at this proxy and at every other isolated one.
     fn adopt_isolated_decisions(
         &mut self,
         now: WallTime,
         token: Token,
         transitions: &mut Vec<Transition>,
     ) {
-        const REASON: &str = "drained while no proxy held the lease";
+        const REASON: &str = "drained while nobody held the duty";
         for IsolatedWindow { id, occurrence } in self.in_effect_by_isolation(now) {
             let Some(window) = self.windows.get_mut(&id) else {
                 continue;
@@ -219,7 +219,7 @@
         for due in due {
             let window = due.window;
             let next = match remaining.take(&window.id, window.targeted_backends(listed)) {
-                Ok(()) => NextPhase::new(Phase::Draining, "lead began, the budget allows it"),
+                Ok(()) => NextPhase::new(Phase::Draining, "its lead begins and the budget allows"),
                 Err(exceeded) => NextPhase::new(Phase::Planned, exceeded.to_string()),
             };
             let progress = Progress::new(due.occurrence, token, next.phase, now, &next.reason);
@@ -253,8 +253,8 @@
         due
     }
 
-    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A decision
-    /// of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
+    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A
+    /// decision of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
     fn claim_windows(&mut self, now: WallTime, token: Token) {
         for (id, window) in &mut self.windows {
             let Some(current) = window.current_occurrence(now) else {
@@ -286,8 +286,8 @@
     (current.phase != Phase::Planned || is_due) && !is_claimed
 }
 
-/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in slow
-/// start. The list of backends may be too old to show the latter.
+/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in
+/// slow start. The list of backends may be too old to show the latter.
 fn occupies_backends(window: &Window, now: WallTime, slow_start: Micros) -> bool {
     window
         .progress
@@ -328,25 +328,26 @@
     }
 }
 
-/// A planned window ends without taking effect when it is cancelled or too little time is left. Its start depends on the
-/// budget and is decided in `start_due_windows`.
+/// A planned window ends without taking effect when it is cancelled or too little time is left. Its start depends on
+/// the budget and is decided in `start_due_windows`.
 fn after_planned(window: &Window, planned: Span, now: WallTime) -> Option<NextPhase> {
     let progress = window.progress.as_ref();
     if window.cancelled.is_some() {
         let is_recorded = progress.is_some_and(|progress| progress.phase == Phase::Cancelled);
-        return (!is_recorded).then(|| NextPhase::new(Phase::Cancelled, "cancelled"));
+        return (!is_recorded).then(|| NextPhase::new(Phase::Cancelled, "called off"));
     }
     if now + window.lead() < window.actual_span(planned).end {
         return None;
     }
     let wait_reason = progress
         .filter(|progress| progress.phase == Phase::Planned && !progress.reason.is_empty())
-        .map_or("no proxy held the lease", |progress| &progress.reason);
+        .map_or("nobody held the duty", |progress| &progress.reason);
     let reason = format!("its time ran out: {wait_reason}");
     Some(NextPhase::new(Phase::Refused, reason))
 }
 
-/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and closes.
+/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and
+/// closes.
 fn after_in_effect(
     window: &Window,
     current: CurrentOccurrence,
@@ -356,20 +357,21 @@
     let occurrence = current.planned.begin;
     let span = window.actual_span(current.planned);
     if window.cancelled.is_some() {
-        return Some(NextPhase::new(Phase::Restoring, "cancelled"));
+        return Some(NextPhase::new(Phase::Restoring, "called off"));
     }
     if window.planned_span(occurrence).is_none() {
-        return Some(NextPhase::new(Phase::Restoring, "content was replaced"));
+        return Some(NextPhase::new(Phase::Restoring, "its content was replaced"));
     }
     match current.phase {
-        Phase::Draining | Phase::Drained if now >= span.end => {
-            Some(NextPhase::new(Phase::Restoring, "ended before it was open"))
-        }
+        Phase::Draining | Phase::Drained if now >= span.end => Some(NextPhase::new(
+            Phase::Restoring,
+            "its end came before it was open",
+        )),
         Phase::Draining => after_draining(window, observations),
         Phase::Drained if window.is_started_early(occurrence) => {
-            Some(NextPhase::new(Phase::Open, "started early by an operator"))
+            Some(NextPhase::new(Phase::Open, "begun by hand"))
         }
-        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "begin reached")),
+        Phase::Drained if now >= span.begin => Some(NextPhase::new(Phase::Open, "its begin")),
         Phase::Open if now >= span.end => after_open(window, span, observations),
         _ => None,
     }
@@ -390,18 +392,19 @@
         .values()
         .all(|report| now - report.age >= since + MAX_NOTIFICATION_DELAY);
     if open == 0 && all_notified && !reports.is_empty() {
-        let reason = format!("no open requests at {} proxies", reports.len());
+        let reason = format!("no request open at {} proxies", reports.len());
         return Some(NextPhase::new(Phase::Drained, reason));
     }
     if now < since + window.lead() {
         return None;
     }
-    let reason = format!("lead is over, open requests: {open}");
+    let reason = format!("the lead is over, {open} requests open");
     Some(NextPhase::new(Phase::Drained, reason))
 }
 
-/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not required: no
-/// requests are sent to them during the window, so a backend that was ejected before could not become ready.
+/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not
+/// required: no requests are sent to them during the window, so a backend that was ejected before could not become
+/// ready.
 fn after_open(window: &Window, span: Span, observations: &Observations) -> Option<NextPhase> {
     let listed = observations.listed;
     let not_serving: BTreeSet<&str> = window
@@ -410,13 +413,13 @@
         .filter(|name| listed.get(*name).is_none_or(|backend| !backend.serving))
         .collect();
     let Some(first) = not_serving.first() else {
-        return Some(NextPhase::new(Phase::Restoring, "end reached"));
+        return Some(NextPhase::new(Phase::Restoring, "its end"));
     };
     if observations.now < span.end + window.overrun() {
         return None;
     }
     let count = not_serving.len();
-    let reason = format!("overrun is over, backends not serving: {count}, first {first}");
+    let reason = format!("restored with {count} not back, {first} first");
     Some(NextPhase::new(Phase::Overrun, reason))
 }
 
@@ -427,8 +430,8 @@
         return None;
     }
     Some(if window.cancelled.is_some() {
-        NextPhase::new(Phase::Cancelled, "cancelled")
+        NextPhase::new(Phase::Cancelled, "called off")
     } else {
-        NextPhase::new(Phase::Done, "slow start is over")
+        NextPhase::new(Phase::Done, "the slow start is over")
     })
 }
