--- a/src/bin/meadowproxy-adapter/roster.rs
+++ b/src/bin/meadowproxy-adapter/endpoint_lists.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-const LARGEST_ROSTER_NUMBER: u64 = 15;
-const ROSTER_NUMBER: &str = "a roster number from 0 to 15";
+const LARGEST_LIST_NUMBER: u64 = 15;
+const LIST_NUMBER: &str = "a list number from 0 to 15";
 
 /// Values of an entry, in the order of the wire.
 const ZONE: usize = 0;
@@ -21,7 +21,7 @@
 
 /// One backend of a list.
 #[derive(Clone, Debug)]
-pub struct RosterEntry {
+pub struct EndpointListEntry {
     /// Its address.
     pub address: String,
     /// Its entry, under the names of its zone and kind.
@@ -30,33 +30,33 @@
 
 /// The lists by their numbers. A new list takes over its number from the one before.
 #[derive(Default)]
-pub struct Rosters {
-    by_number: HashMap<u64, Vec<RosterEntry>>,
+pub struct EndpointLists {
+    by_number: HashMap<u64, Vec<EndpointListEntry>>,
 }
 
-impl Rosters {
+impl EndpointLists {
     /// Takes a list.
     pub fn insert(&mut self, message: &Message) -> Result<(), MessageError> {
-        let number = message.integer(0, ROSTER_NUMBER)?;
-        if number > LARGEST_ROSTER_NUMBER {
-            return Err(message.unexpected(0, ROSTER_NUMBER));
+        let number = message.integer(0, LIST_NUMBER)?;
+        if number > LARGEST_LIST_NUMBER {
+            return Err(message.unexpected(0, LIST_NUMBER));
         }
         let entries = message.json(1).as_array();
         let entries = entries.ok_or_else(|| message.unexpected(1, "an array of entries"))?;
-        let entries: Result<Vec<RosterEntry>, MessageError> =
+        let entries: Result<Vec<EndpointListEntry>, MessageError> =
             entries.iter().map(parse_entry).collect();
         self.by_number.insert(number, entries?);
         Ok(())
     }
 
     /// The list of that number, if there is one.
-    pub fn get(&self, number: u64) -> Option<&[RosterEntry]> {
+    pub fn get(&self, number: u64) -> Option<&[EndpointListEntry]> {
         self.by_number.get(&number).map(Vec::as_slice)
     }
 }
 
-fn parse_entry(entry: &Value) -> Result<RosterEntry, MessageError> {
-    let error = |expected| MessageError::RosterEntry {
+fn parse_entry(entry: &Value) -> Result<EndpointListEntry, MessageError> {
+    let error = |expected| MessageError::EndpointListEntry {
         entry: entry.to_string(),
         expected,
     };
@@ -98,7 +98,7 @@
         text(KIND, "a kind")?,
         backend,
     );
-    Ok(RosterEntry {
+    Ok(EndpointListEntry {
         address: address.into(),
         row,
     })
--- a/src/bin/meadowproxy-adapter/error.rs
+++ b/src/bin/meadowproxy-adapter/error.rs
@@ -76,7 +76,7 @@
     },
     /// An entry of an endpoint list is not what it should be.
     #[error("list entry {entry}: expected {expected}")]
-    RosterEntry {
+    EndpointListEntry {
         /// The entry as JSON.
         entry: String,
         /// What was expected of it.
--- a/src/bin/meadowproxy-adapter/event.rs
+++ b/src/bin/meadowproxy-adapter/event.rs
@@ -1,9 +1,9 @@
 //! From messages of the simulator to events of the decisions.
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
 use crate::instance::Instance;
 use crate::message::{Message, MessageKind};
-use crate::roster::Rosters;
 use meadowproxy::{
     AttemptEnd, ClassId, EndpointUpdate, Event, Micros, RequestArrival, TenantId, TimerToken,
 };
@@ -14,7 +14,7 @@
 const ATTEMPT: usize = 2;
 
 /// Values of [`MessageKind::EndpointsUpdated`].
-const ROSTER_NUMBER: usize = 1;
+const LIST_NUMBER: usize = 1;
 const LIST_KIND: usize = 3;
 
 /// Values of [`MessageKind::RequestArrived`].
@@ -41,10 +41,10 @@
 pub fn translate(
     message: &Message,
     instance: &mut Instance,
-    rosters: &Rosters,
+    endpoint_lists: &EndpointLists,
 ) -> Result<Option<Event>, MessageError> {
     let event = match message.kind {
-        MessageKind::EndpointsUpdated => endpoints_updated(message, instance, rosters)?,
+        MessageKind::EndpointsUpdated => endpoints_updated(message, instance, endpoint_lists)?,
         MessageKind::RequestArrived => Event::RequestArrived(request_arrival(message, instance)?),
         MessageKind::ResponseStarted => Event::ResponseStarted {
             request: message.request(REQUEST)?,
@@ -65,7 +65,7 @@
 fn endpoints_updated(
     message: &Message,
     instance: &mut Instance,
-    rosters: &Rosters,
+    endpoint_lists: &EndpointLists,
 ) -> Result<Event, MessageError> {
     let update = match message.text(LIST_KIND, "a list kind")? {
         "incr" => EndpointUpdate::Incremental,
@@ -76,12 +76,12 @@
     };
     let mut backends = Vec::new();
     if update != EndpointUpdate::Failed {
-        let number = message.integer(ROSTER_NUMBER, "a roster number")?;
-        let entries = rosters
+        let number = message.integer(LIST_NUMBER, "a list number")?;
+        let entries = endpoint_lists
             .get(number)
-            .ok_or_else(|| message.unexpected(ROSTER_NUMBER, "a known roster number"))?;
+            .ok_or_else(|| message.unexpected(LIST_NUMBER, "a known list number"))?;
         for entry in entries {
-            let id = instance.backend(&entry.address);
+            let id = instance.backend_id(&entry.address);
             backends.push(instance.names.entry(&entry.row, id));
         }
     }
--- a/src/bin/meadowproxy-adapter/instance.rs
+++ b/src/bin/meadowproxy-adapter/instance.rs
@@ -29,7 +29,7 @@
     }
 
     /// The number of the backend at `address`, a new one if it has none yet.
-    pub fn backend(&mut self, address: &str) -> BackendId {
+    pub fn backend_id(&mut self, address: &str) -> BackendId {
         if let Some(id) = self.backends.get(address) {
             return *id;
         }
@@ -40,7 +40,7 @@
     }
 
     /// The address of a backend that has a number.
-    pub fn address(&self, backend: BackendId) -> &str {
+    pub fn backend_address(&self, backend: BackendId) -> &str {
         &self.addresses[backend.0 as usize]
     }
 }
--- a/src/bin/meadowproxy-adapter/main.rs
+++ b/src/bin/meadowproxy-adapter/main.rs
@@ -5,12 +5,13 @@
 //! it, and [`reply`] writes the actions that come back.
 #![forbid(unsafe_code)]
 
+mod endpoint_lists;
 mod error;
 mod event;
 mod instance;
 mod message;
 mod reply;
-mod roster;
+
 mod simulation;
 
 use error::AdapterError;
--- a/src/bin/meadowproxy-adapter/message.rs
+++ b/src/bin/meadowproxy-adapter/message.rs
@@ -20,8 +20,8 @@
     BatchEnded,
     /// `SNAPSHOT_ROWS`: an endpoint list under a number.
     ///
-    /// Values: roster number, entries.
-    Roster,
+    /// Values: list number, entries.
+    EndpointList,
     /// `CREATE`: a proxy starts.
     ///
     /// Values: instance, seed, settings.
@@ -32,7 +32,7 @@
     InstanceKilled,
     /// `VIEW`: an endpoint list, or its loss, for one proxy.
     ///
-    /// Values: instance, roster number, (not read), list kind.
+    /// Values: instance, list number, (not read), list kind.
     EndpointsUpdated,
     /// `JOB_IN`: a client's request.
     ///
@@ -68,7 +68,7 @@
     const ALL: [MessageKind; 13] = [
         MessageKind::BatchStarted,
         MessageKind::BatchEnded,
-        MessageKind::Roster,
+        MessageKind::EndpointList,
         MessageKind::InstanceCreated,
         MessageKind::InstanceKilled,
         MessageKind::EndpointsUpdated,
@@ -86,7 +86,7 @@
         match self {
             MessageKind::BatchStarted => "TICK",
             MessageKind::BatchEnded => "END",
-            MessageKind::Roster => "SNAPSHOT_ROWS",
+            MessageKind::EndpointList => "SNAPSHOT_ROWS",
             MessageKind::InstanceCreated => "CREATE",
             MessageKind::InstanceKilled => "KILLED",
             MessageKind::EndpointsUpdated => "VIEW",
@@ -105,7 +105,9 @@
         match self {
             MessageKind::BatchEnded => 0,
             MessageKind::BatchStarted | MessageKind::InstanceKilled => 1,
-            MessageKind::Roster | MessageKind::ClientDisconnected | MessageKind::TimerFired => 2,
+            MessageKind::EndpointList
+            | MessageKind::ClientDisconnected
+            | MessageKind::TimerFired => 2,
             MessageKind::InstanceCreated | MessageKind::PeerMessage => 3,
             MessageKind::EndpointsUpdated => 4,
             MessageKind::ResponseStarted | MessageKind::HealthCheckResult => 5,
--- a/src/bin/meadowproxy-adapter/reply.rs
+++ b/src/bin/meadowproxy-adapter/reply.rs
@@ -20,12 +20,12 @@
 }
 
 /// Completes a reply.
-pub fn write_end(reply: &mut Vec<u8>) {
+pub fn write_reply_end(reply: &mut Vec<u8>) {
     reply.extend_from_slice(REPLY_COMPLETE);
 }
 
 /// Reports that the settings of the instance `name` were refused.
-pub fn write_broken(name: &str, error: &SettingsError, reply: &mut Vec<u8>) {
+pub fn write_settings_error(name: &str, error: &SettingsError, reply: &mut Vec<u8>) {
     write_json(
         &json!(["BROKEN", name, format!("settings: {error}")]),
         reply,
@@ -36,7 +36,7 @@
 pub fn write_action(name: &str, instance: &Instance, action: &Action, reply: &mut Vec<u8>) {
     let written = match action {
         Action::Dispatch { request, backend } => {
-            let (id, address) = (WireId(*request), instance.address(*backend));
+            let (id, address) = (WireId(*request), instance.backend_address(*backend));
             writeln!(reply, r#"["HAND_OFF","{name}","{id}","{address}",0]"#)
         }
         Action::Reject {
--- a/src/bin/meadowproxy-adapter/simulation.rs
+++ b/src/bin/meadowproxy-adapter/simulation.rs
@@ -1,11 +1,11 @@
 //! All simulated proxies of this process, and what they share: the clock and the endpoint lists.
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
 use crate::event;
 use crate::instance::Instance;
 use crate::message::{Message, MessageKind};
 use crate::reply;
-use crate::roster::Rosters;
 use meadowproxy::{Action, Time};
 use std::collections::HashMap;
 
@@ -25,7 +25,7 @@
 pub struct Simulation {
     /// `None`: the instance's settings were refused, and messages for it are ignored.
     instances: HashMap<String, Option<Instance>>,
-    rosters: Rosters,
+    endpoint_lists: EndpointLists,
     /// The clock of the present batch.
     now: Option<Time>,
     /// Reused for each event.
@@ -51,10 +51,10 @@
         match message.kind {
             MessageKind::BatchEnded => {
                 self.now = None;
-                reply::write_end(reply);
+                reply::write_reply_end(reply);
                 return Ok(Progress::ReplyComplete);
             }
-            MessageKind::Roster => self.rosters.insert(&message)?,
+            MessageKind::EndpointList => self.endpoint_lists.insert(&message)?,
             MessageKind::InstanceCreated => self.create(&message, reply)?,
             MessageKind::InstanceKilled => self.kill(&message)?,
             _ => self.handle_instance_message(now, &message, reply)?,
@@ -73,7 +73,7 @@
             Ok(instance) => Some(instance),
             Err(error) => {
                 eprintln!("meadowproxy-adapter: settings of {name}: {error}");
-                reply::write_broken(name, &error, reply);
+                reply::write_settings_error(name, &error, reply);
                 None
             }
         };
@@ -103,7 +103,7 @@
         let Some(instance) = instance else {
             return Ok(());
         };
-        let Some(event) = event::translate(message, instance, &self.rosters)? else {
+        let Some(event) = event::translate(message, instance, &self.endpoint_lists)? else {
             return Ok(());
         };
         instance.balancer.handle(now, event, &mut self.actions);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -18,32 +18,32 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run the proxy.
-    Run(Run),
+    Run(RunArgs),
     /// Read a configuration and print every error in it; exit 2 if there is one.
-    Check(Read),
+    Check(FileArgs),
     /// Print the configuration in force as TOML, with every default written out.
-    ShowConfig(Read),
+    ShowConfig(FileArgs),
 }
 
 #[derive(Debug, Default, Args)]
-pub struct Run {
+pub struct RunArgs {
     /// The configuration: TOML where the name ends in .toml, else JSON.
     #[arg(long, env = "NODE_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(flatten)]
-    sets: Sets,
+    sets: OverrideArgs,
 }
 
 #[derive(Debug, Args)]
-pub struct Read {
+pub struct FileArgs {
     /// The configuration: TOML where the name ends in .toml, else JSON.
     file: PathBuf,
     #[command(flatten)]
-    sets: Sets,
+    sets: OverrideArgs,
 }
 
 #[derive(Debug, Default, Args)]
-struct Sets {
+struct OverrideArgs {
     /// Put a value at a dotted path of the configuration, as in settings.locality.leave_share=0.5; may be repeated.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     set: Vec<Override>,
@@ -57,19 +57,19 @@
     Json,
 }
 
-impl Run {
+impl RunArgs {
     /// Without any command: as the platform starts the program.
-    pub fn from_environment() -> Run {
+    pub fn from_environment() -> RunArgs {
         let config = std::env::var_os("NODE_CONFIG")
             .filter(|path| !path.is_empty())
             .map(PathBuf::from);
-        Run {
+        RunArgs {
             config,
-            sets: Sets::default(),
+            sets: OverrideArgs::default(),
         }
     }
 
-    pub fn source(self) -> Source {
+    pub fn into_source(self) -> Source {
         Source {
             file: self.config,
             overrides: self.sets.set,
@@ -77,8 +77,8 @@
     }
 }
 
-impl Read {
-    pub fn source(self) -> Source {
+impl FileArgs {
+    pub fn into_source(self) -> Source {
         Source {
             file: Some(self.file),
             overrides: self.sets.set,
--- a/src/log.rs
+++ b/src/log.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// The level is none; nothing is logged then.
-pub fn start(format: LogFormat) -> Result<(), InvalidLevel> {
+pub fn init(format: LogFormat) -> Result<(), InvalidLevel> {
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 mod startup;
 
 use clap::Parser;
-use cli::{Cli, Command, LogFormat, Run};
+use cli::{Cli, Command, LogFormat, RunArgs};
 use net::config::{self, Source};
 use std::process::ExitCode;
 
@@ -21,23 +21,23 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(error) = log::start(cli.log_format) {
+    if let Err(error) = log::init(cli.log_format) {
         eprintln!("meadowproxy: {error}");
         return ExitCode::from(ENVIRONMENT_ERROR_EXIT_CODE);
     }
     let command = cli
         .command
-        .unwrap_or_else(|| Command::Run(Run::from_environment()));
+        .unwrap_or_else(|| Command::Run(RunArgs::from_environment()));
     match command {
-        Command::Check(file) => check(&file.source()),
-        Command::ShowConfig(file) => match config::show(&file.source()) {
+        Command::Check(file) => check(&file.into_source()),
+        Command::ShowConfig(file) => match config::show(&file.into_source()) {
             Ok(text) => {
                 print!("{text}");
                 ExitCode::SUCCESS
             }
             Err(error) => fail(cli.log_format, &error),
         },
-        Command::Run(run) => match startup::serve(run.source()) {
+        Command::Run(run) => match startup::serve(run.into_source()) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => fail(cli.log_format, &error),
         },
--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -84,7 +84,7 @@
             logged: RefCell::default(),
         };
         this.reconcile_with_snapshot();
-        this.follow_folder_once();
+        this.apply_folder_changes();
         Rc::new(this)
     }
 
@@ -133,9 +133,9 @@
     }
 
     /// Waits until a crash would lose nothing that was done so far, or the disk takes too long.
-    pub async fn flushed(&self) {
+    pub async fn wait_until_flushed(&self) {
         if let Some(keeper) = &self.keeper {
-            keeper.flushed().await;
+            keeper.wait_until_flushed().await;
         }
     }
 
@@ -193,14 +193,14 @@
     }
 
     /// Carries out what the other process records in the folder, for as long as the program runs.
-    pub async fn follow_folder(self: Rc<Self>) {
+    pub async fn watch_folder(self: Rc<Self>) {
         while self.folder.is_some() {
             tokio::time::sleep(FOLDER_CHECK_INTERVAL).await;
-            self.follow_folder_once();
+            self.apply_folder_changes();
         }
     }
 
-    fn follow_folder_once(&self) {
+    fn apply_folder_changes(&self) {
         let now = match self.read_folder() {
             Ok(contents) => contents.disabled,
             Err(error) => {
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -27,13 +27,13 @@
 use std::rc::Rc;
 
 /// The status and body that a call on the fleet will be answered with.
-pub type AdminReply = Pin<Box<dyn Future<Output = (StatusCode, String)>>>;
+pub type AdminResponseFuture = Pin<Box<dyn Future<Output = (StatusCode, String)>>>;
 
 /// Answers the calls on maintenance windows, leases and the fleet's configuration.
 pub trait FleetAdmin {
     /// `path` is the decoded segments of a call that [`routes`] knows; `body` is at most 64 KiB of anything. The future
     /// is dropped when the caller leaves or it takes over a second.
-    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply;
+    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminResponseFuture;
 }
 
 /// What calls read and change.
@@ -43,7 +43,7 @@
     pub server: Rc<Server>,
     pub disabled_backends: Rc<DisabledBackends>,
     /// Gossip with the fleet's other proxies, where state is shared.
-    pub peers: Option<Rc<GossipDriver>>,
+    pub gossip: Option<Rc<GossipDriver>>,
     /// `None`: there are no maintenance windows, leases or configuration of a fleet.
     pub fleet: Option<Rc<dyn FleetAdmin>>,
     /// The metrics of this process.
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -216,7 +216,7 @@
             path => {
                 let id = backend_id(request.uri().query())?;
                 let answer = self.change_backend(path, &id)?;
-                self.0.disabled_backends.flushed().await; // what is acknowledged survives a crash
+                self.0.disabled_backends.wait_until_flushed().await; // what is acknowledged survives a crash
                 Ok(answer)
             }
         }
@@ -238,7 +238,7 @@
     }
 
     fn peers(&self) -> Result<CallAnswer, CallError> {
-        let peers = self.0.peers.as_ref().ok_or(CallError::NoPeers)?;
+        let peers = self.0.gossip.as_ref().ok_or(CallError::NoPeers)?;
         Ok(CallAnswer::ok(peers.status()))
     }
 
--- a/src/net/admin/server/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::assert_lines;
 use crate::net::admin::disabled_backends::DisabledBackends;
 use crate::net::admin::prometheus::PrometheusRecorder;
-use crate::net::admin::AdminReply;
+use crate::net::admin::AdminResponseFuture;
 use crate::net::downstream::server::{RequestRules, Server};
 use crate::net::host::Host;
 use meadowproxy::settings::NetworkSettings;
@@ -16,7 +16,7 @@
 struct Echo;
 
 impl FleetAdmin for Echo {
-    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
+    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminResponseFuture {
         let is_late = path.get(1) == Some(&"late");
         let echo = format!("{method} {} {}", path.join("|"), body.len());
         Box::pin(async move {
@@ -50,7 +50,7 @@
         host,
         server,
         disabled_backends,
-        peers: None,
+        gossip: None,
         fleet,
         metrics,
     });
--- a/src/net/cluster/coordination/config_snapshot.rs
+++ b/src/net/cluster/coordination/config_snapshot.rs
@@ -9,7 +9,7 @@
 //! first.
 
 use super::shared_state::SharedState;
-use crate::net::state::snapshot::replace;
+use crate::net::state::snapshot::replace_file;
 use meadowproxy::fleet::config::{Digest, Entry, PositionRange, Table, TableError};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
@@ -324,7 +324,7 @@
         let bytes = encode(&body)?;
         let pause = Duration::from_secs_f64(bytes.len() as f64 / MAX_BYTES_PER_S);
         self.pause = SAVE_INTERVAL.max(pause);
-        replace(&self.file.dir, &self.name, &bytes)?;
+        replace_file(&self.file.dir, &self.name, &bytes)?;
         Ok(())
     }
 
--- a/src/net/cluster/coordination/config_snapshot/tests.rs
+++ b/src/net/cluster/coordination/config_snapshot/tests.rs
@@ -106,7 +106,7 @@
             .map_or_else(|error| error.cause(), |_| "loaded")
     };
     assert_eq!(cause(), "missing");
-    replace(&dir, "x", &encode(&body(&table(5), "fleet")).unwrap()).unwrap();
+    replace_file(&dir, "x", &encode(&body(&table(5), "fleet")).unwrap()).unwrap();
     assert_eq!(cause(), "loaded");
     let old = SystemTime::now() - MAX_AGE - Duration::from_secs(10);
     File::options()
--- a/src/net/cluster/coordination/mod.rs
+++ b/src/net/cluster/coordination/mod.rs
@@ -47,7 +47,7 @@
 
 pub use clocks::monotonic_now;
 
-use crate::net::admin::{AdminReply, FleetAdmin};
+use crate::net::admin::{AdminResponseFuture, FleetAdmin};
 use crate::net::cluster::gossip::{CoordinationDatagram, GossipDriver};
 use crate::net::config::fleet_overrides::FleetOverrides;
 use crate::net::config::CoordinationSection;
@@ -239,7 +239,7 @@
 }
 
 impl FleetAdmin for Coordinator {
-    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminReply {
+    fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminResponseFuture {
         let (response_sender, response) = oneshot::channel();
         let path = path.iter().map(std::string::ToString::to_string).collect();
         let call = Call {
--- a/src/net/cluster/gossip/snapshot_exchange.rs
+++ b/src/net/cluster/gossip/snapshot_exchange.rs
@@ -34,7 +34,7 @@
     pub fn encode(&self) -> Option<Vec<u8>> {
         let mut saved = self.host.learned_state();
         saved.disabled.clear();
-        if saved.overall.count == 0.0 {
+        if saved.overall_latency.count == 0.0 {
             return None;
         }
         let header = Header::now(self.scope());
@@ -44,14 +44,14 @@
     /// Restores another proxy's snapshot if it is valid for this proxy, and logs the result.
     pub fn restore(&self, bytes: &[u8]) {
         let checked = snapshot::decode(bytes)
-            .and_then(|snapshot| snapshot.checked(&self.scope(), self.max_age));
+            .and_then(|snapshot| snapshot.verify(&self.scope(), self.max_age));
         match checked {
             Ok(VerifiedSnapshot { snapshot, age }) => {
                 info!(
                     event = "peer_snapshot_taken",
                     age_s = age.as_secs_f64(),
                     bytes = bytes.len(),
-                    kinds = snapshot.saved.kinds.len(),
+                    kinds = snapshot.saved.hardware_classes.len(),
                     "restored a peer's snapshot: warm start"
                 );
                 self.host.restore_learned_state(snapshot.saved, age);
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -126,7 +126,7 @@
     limits: Rc<DescriptorLimits>,
 ) {
     loop {
-        let others = presence.others();
+        let others = presence.other_processes();
         let own = ConnectionCounts {
             clients: server.client_count(),
             upstreams: host.pool.open_connections(),
--- a/src/net/host/learned_state.rs
+++ b/src/net/host/learned_state.rs
@@ -19,7 +19,7 @@
             .values()
             .filter(|record| record.reasons.contains(DisableReason::Operator));
         SavedState {
-            kinds: learned
+            hardware_classes: learned
                 .hardware_classes
                 .iter()
                 .filter_map(|(kind, state)| Some((s.names.kind_name(*kind)?.into(), *state)))
@@ -29,7 +29,7 @@
                 .iter()
                 .filter_map(|(class, state)| Some((s.names.class_name(*class)?.into(), *state)))
                 .collect(),
-            overall: learned.overall_latency,
+            overall_latency: learned.overall_latency,
             backends: learned
                 .backends
                 .iter()
@@ -58,7 +58,7 @@
         let s = self.state.borrow();
         LearnedState {
             hardware_classes: saved
-                .kinds
+                .hardware_classes
                 .iter()
                 .filter_map(|(name, state)| Some((s.names.kind(name)?, *state)))
                 .collect(),
@@ -67,7 +67,7 @@
                 .iter()
                 .filter_map(|(name, state)| Some((s.names.class(name)?, *state)))
                 .collect(),
-            overall_latency: saved.overall,
+            overall_latency: saved.overall_latency,
             backends: saved
                 .backends
                 .iter()
--- a/src/net/state/hot_restart.rs
+++ b/src/net/state/hot_restart.rs
@@ -94,7 +94,7 @@
     /// One started before this one.
     pub older: bool,
     /// One started after this one.
-    pub younger: bool,
+    pub newer: bool,
     /// The sum of their open connections.
     pub connections: ConnectionCounts,
 }
@@ -102,12 +102,12 @@
 impl OtherProcesses {
     /// Whether there is any.
     pub fn any(&self) -> bool {
-        self.older || self.younger
+        self.older || self.newer
     }
 
     fn add(&mut self, is_older: bool, connections: ConnectionCounts) {
         self.older |= is_older;
-        self.younger |= !is_older;
+        self.newer |= !is_older;
         self.connections.clients += connections.clients;
         self.connections.upstreams += connections.upstreams;
     }
@@ -186,7 +186,7 @@
     }
 
     /// Looks for other processes now. Removes the files of processes that have ended.
-    pub fn others(&self) -> OtherProcesses {
+    pub fn other_processes(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
         let entries = std::fs::read_dir(&self.dir).into_iter().flatten().flatten();
         for file_name in entries.filter_map(|entry| entry.file_name().into_string().ok()) {
--- a/src/net/state/hot_restart/stored_formats.rs
+++ b/src/net/state/hot_restart/stored_formats.rs
@@ -62,10 +62,10 @@
         upstreams: 7,
     };
     assert_eq!(
-        this.others(),
+        this.other_processes(),
         OtherProcesses {
             older: true,
-            younger: false,
+            newer: false,
             connections
         }
     );
--- a/src/net/state/hot_restart/tests.rs
+++ b/src/net/state/hot_restart/tests.rs
@@ -12,12 +12,12 @@
     std::thread::sleep(std::time::Duration::from_millis(2));
     let young = Presence::new(&dir).unwrap();
     assert_eq!(
-        old.others(),
+        old.other_processes(),
         OtherProcesses::default(),
         "not before it takes clients"
     );
     assert_eq!(
-        young.others(),
+        young.other_processes(),
         OtherProcesses {
             older: true,
             ..OtherProcesses::default()
@@ -25,9 +25,9 @@
     );
     young.publish().unwrap();
     assert_eq!(
-        old.others(),
+        old.other_processes(),
         OtherProcesses {
-            younger: true,
+            newer: true,
             ..OtherProcesses::default()
         }
     );
@@ -36,15 +36,15 @@
         upstreams: 7,
     };
     young.write_counts(held);
-    assert_eq!(old.others().connections, held);
+    assert_eq!(old.other_processes().connections, held);
     std::fs::write(
         dir.join(format!("{FILE_NAME_PREFIX}00000000000000000001-9")),
         "",
     )
     .unwrap();
-    assert!(!old.others().older, "nobody holds its lock");
+    assert!(!old.other_processes().older, "nobody holds its lock");
     drop(old);
-    assert_eq!(young.others(), OtherProcesses::default());
+    assert_eq!(young.other_processes(), OtherProcesses::default());
     drop(young);
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -15,7 +15,7 @@
 /// It stems from the program's former name, and stays so that old files can be read.
 const MAGIC: [u8; 4] = *b"SHTS";
 /// Raised whenever the body's shape changes; older and newer files are rejected.
-pub const FORMAT: u16 = 4;
+pub const FORMAT_VERSION: u16 = 4;
 const PREFIX_BYTES: usize = 14;
 /// Larger snapshots are neither written nor read: a proxy's memory limit is some hundred MB.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
@@ -90,7 +90,7 @@
     }
 
     /// The name of a folder for processes that are this proxy, also while discovery moves.
-    pub fn folder(&self) -> String {
+    pub fn folder_name(&self) -> String {
         short(&hash(&serde_json::json!([self.name, self.listen])))
     }
 }
@@ -109,11 +109,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedState {
     /// By kind name.
-    pub kinds: Vec<(String, LearnedHardwareClass)>,
+    pub hardware_classes: Vec<(String, LearnedHardwareClass)>,
     /// Latency of served requests in seconds, by class name.
     pub classes: Vec<(String, SampledMean)>,
     /// The same over all classes.
-    pub overall: SampledMean,
+    pub overall_latency: SampledMean,
     /// By backend name.
     pub backends: Vec<(String, LearnedBackend)>,
     /// Names of the backends that operators disabled.
@@ -150,7 +150,7 @@
     #[error("magic {0:02x?}, not a snapshot")]
     Magic([u8; 4]),
     /// The file has another format version.
-    #[error("format {0}, this program reads {FORMAT}")]
+    #[error("format {0}, this program reads {FORMAT_VERSION}")]
     Format(u16),
     /// The body is longer than the prefix says.
     #[error("body of {found_bytes} bytes where the prefix says {stated_bytes}")]
@@ -214,7 +214,7 @@
     }
     let mut bytes = Vec::with_capacity(PREFIX_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&FORMAT.to_le_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     bytes.extend_from_slice(&body);
@@ -238,7 +238,7 @@
         return Err(SnapshotError::Magic(magic));
     }
     let format = u16::from_le_bytes([prefix[4], prefix[5]]);
-    if format != FORMAT {
+    if format != FORMAT_VERSION {
         return Err(SnapshotError::Format(format));
     }
     let stated_bytes = read_u32(6) as usize;
@@ -261,7 +261,7 @@
 
 impl Snapshot {
     /// Verifies that the snapshot is valid in this scope and at most `max_age` old.
-    pub fn checked(
+    pub fn verify(
         self,
         scope: &SnapshotScope,
         max_age: Micros,
@@ -331,7 +331,7 @@
 
 /// Removes temporary files of the owner's writers that were killed while writing. Errors are ignored: such a file is
 /// never read.
-pub fn remove_leftovers(dir: &Path, owner: &ProxyIdentity) {
+pub fn remove_temporary_files(dir: &Path, owner: &ProxyIdentity) {
     let own = name(owner) + ".";
     let files = fs::read_dir(dir).into_iter().flatten().flatten();
     let leftovers = files.filter(|e| {
@@ -346,11 +346,11 @@
 
 /// Replaces the owner's file in `dir` atomically: a crash at any point leaves the old file or the new one.
 pub fn write(dir: &Path, owner: &ProxyIdentity, bytes: &[u8]) -> io::Result<()> {
-    replace(dir, &name(owner), bytes)
+    replace_file(dir, &name(owner), bytes)
 }
 
 /// Replaces a file of that name atomically.
-pub fn replace(dir: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+pub fn replace_file(dir: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     let temporary = dir.join(format!("{name}.{}.part", std::process::id()));
     let mut file = File::create(&temporary)?;
--- a/src/net/state/snapshot/stored_formats.rs
+++ b/src/net/state/snapshot/stored_formats.rs
@@ -40,12 +40,12 @@
         enabled_ago: Some(Micros(40)),
     };
     SavedState {
-        kinds: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
+        hardware_classes: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
         classes: vec![
             ("read".into(), sampled(0.03125, 100.0)),
             ("write".into(), sampled(0.5, 0.1)),
         ],
-        overall: sampled(0.046875, 1234.5),
+        overall_latency: sampled(0.046875, 1234.5),
         backends: vec![("s-1".into(), ejected), ("s-2".into(), returned)],
         disabled: vec!["s-3".into(), "s-4".into()],
     }
@@ -87,8 +87,8 @@
     let forms = [
         ("file", name(&owner())),
         ("file without discovery", name(&alone)),
-        ("folder", owner().folder()),
-        ("folder without discovery", alone.folder()),
+        ("folder", owner().folder_name()),
+        ("folder without discovery", alone.folder_name()),
     ];
     assert_lines("snapshot-names.txt", &forms);
 }
--- a/src/net/state/snapshot/tests.rs
+++ b/src/net/state/snapshot/tests.rs
@@ -29,11 +29,11 @@
         sampled(),
     )
         .prop_map(|s| SavedState {
-            kinds: s.0,
+            hardware_classes: s.0,
             classes: s.1,
             backends: s.2,
             disabled: s.3,
-            overall: s.4,
+            overall_latency: s.4,
         });
     let header = (
         ".{0,8}",
--- a/src/net/state/snapshot_keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -68,8 +68,8 @@
         let owner = self.owner.borrow();
         let max_age = Micros::from_secs_f64(self.config.max_age_s);
         let checked = snapshot::read(dir, &owner)
-            .and_then(|snapshot| snapshot.checked(&self.scope.get(), max_age));
-        snapshot::remove_leftovers(dir, &owner);
+            .and_then(|snapshot| snapshot.verify(&self.scope.get(), max_age));
+        snapshot::remove_temporary_files(dir, &owner);
         let file = snapshot::path(dir, &owner);
         match checked {
             Ok(VerifiedSnapshot { snapshot, age }) => {
@@ -77,7 +77,7 @@
                     event = "snapshot_taken",
                     age_s = age.as_secs_f64(),
                     program = %snapshot.header.program,
-                    kinds = snapshot.saved.kinds.len(),
+                    kinds = snapshot.saved.hardware_classes.len(),
                     backends = snapshot.saved.backends.len(),
                     "snapshot taken: warm start"
                 );
@@ -110,8 +110,8 @@
     }
 
     /// Waits until everything submitted so far is on disk or has failed, for [`MAX_FLUSH_WAIT`] at most.
-    pub async fn flushed(&self) {
-        let flushed = tokio::time::timeout(MAX_FLUSH_WAIT, self.writer.flushed()).await;
+    pub async fn wait_until_flushed(&self) {
+        let flushed = tokio::time::timeout(MAX_FLUSH_WAIT, self.writer.wait_until_flushed()).await;
         if flushed.is_err() {
             let dir = self.config.dir.display();
             warn!(event = "snapshot_late", %dir, "the snapshot is not on disk after {MAX_FLUSH_WAIT:?}");
--- a/src/net/state/snapshot_writer.rs
+++ b/src/net/state/snapshot_writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes snapshots: a busy disk can take a second to sync one, and no request may wait for that.
 //!
-//! [`SnapshotWriter::submit`] hands a snapshot over and returns at once; [`SnapshotWriter::flushed`] waits until
+//! [`SnapshotWriter::submit`] hands a snapshot over and returns at once; [`SnapshotWriter::wait_until_flushed`] waits until
 //! everything submitted so far is on disk or has failed.
 
 use super::snapshot::{self, ProxyIdentity, Snapshot, SnapshotError};
@@ -100,7 +100,7 @@
     }
 
     /// Waits until everything submitted so far is on disk or has failed.
-    pub async fn flushed(&self) {
+    pub async fn wait_until_flushed(&self) {
         let submitted = self.last_submitted.get();
         let mut finished = self.last_finished.clone();
         // An error means that the thread has panicked: nothing more will be written.
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -47,10 +47,10 @@
     Bind(#[from] BindError),
     /// State cannot be shared with the fleet's proxies.
     #[error("peers: {0}")]
-    Peers(#[source] io::Error),
+    Gossip(#[source] io::Error),
     /// Leases and maintenance windows cannot be coordinated with the fleet's proxies.
     #[error("duties: {0}")]
-    Duties(#[source] io::Error),
+    Coordination(#[source] io::Error),
 }
 
 /// Where the configuration came from, what of it is in force, and the thread that reads it again.
@@ -131,7 +131,7 @@
         stop_signals.received().await;
         fleet.release_leases();
     };
-    let successor_accepts = || proxy.handover.has_younger_process();
+    let successor_accepts = || proxy.handover.has_newer_process();
     proxy
         .server
         .clone()
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// What the fleet's parts are started with.
-pub struct FleetStart<'a> {
+pub struct FleetOptions<'a> {
     pub node: &'a Node,
     pub config: &'a Config,
     pub host: &'a Rc<Host>,
@@ -29,83 +29,86 @@
 /// This proxy's part in its fleet.
 pub struct Fleet {
     /// Gossip with the other proxies.
-    pub peers: Option<Rc<GossipDriver>>,
+    pub gossip: Option<Rc<GossipDriver>>,
     /// Leases, maintenance windows and the fleet's configuration.
-    duties: Option<Rc<Coordinator>>,
+    coordinator: Option<Rc<Coordinator>>,
 }
 
 impl Fleet {
     /// Starts what the configuration names.
-    pub async fn start(start: FleetStart<'_>) -> Result<Fleet, StartError> {
-        let peers = start_peers(&start).await?;
-        let duties = match &peers {
-            Some(peers) => start_duties(&start, peers)?,
+    pub async fn start(options: FleetOptions<'_>) -> Result<Fleet, StartError> {
+        let gossip = start_gossip(&options).await?;
+        let coordinator = match &gossip {
+            Some(gossip) => start_coordinator(&options, gossip)?,
             None => None,
         };
-        Ok(Fleet { peers, duties })
+        Ok(Fleet {
+            gossip,
+            coordinator,
+        })
     }
 
     /// Answers the operators' calls on windows, leases and the fleet's configuration.
     pub fn admin(&self) -> Option<Rc<dyn FleetAdmin>> {
-        self.duties
+        self.coordinator
             .clone()
-            .map(|duties| duties as Rc<dyn FleetAdmin>)
+            .map(|coordinator| coordinator as Rc<dyn FleetAdmin>)
     }
 
     /// Waits until calendar and configuration have caught up, or the wait timed out.
-    pub async fn caught_up(&self) {
-        if let Some(duties) = &self.duties {
-            duties.wait_until_ready().await;
+    pub async fn wait_until_ready(&self) {
+        if let Some(coordinator) = &self.coordinator {
+            coordinator.wait_until_ready().await;
         }
     }
 
     /// Gives up the leases that this proxy holds.
     pub fn release_leases(&self) {
-        if let Some(duties) = &self.duties {
-            duties.release_leases();
+        if let Some(coordinator) = &self.coordinator {
+            coordinator.release_leases();
         }
     }
 
     /// Tells the other proxies that this one leaves.
     pub fn leave(&self) {
-        if let Some(peers) = &self.peers {
-            peers.leave();
+        if let Some(gossip) = &self.gossip {
+            gossip.leave();
         }
     }
 }
 
-async fn start_peers(start: &FleetStart<'_>) -> Result<Option<Rc<GossipDriver>>, StartError> {
-    let Some(sharing) = start.node.peers.clone() else {
+async fn start_gossip(options: &FleetOptions<'_>) -> Result<Option<Rc<GossipDriver>>, StartError> {
+    let Some(section) = options.node.peers.clone() else {
         return Ok(None);
     };
-    let socket = bind_with_retry("peers: ", sharing.listen, UdpSocket::bind).await?;
-    let options = GossipOptions {
-        section: sharing,
-        settings_hash: start.shared_settings.clone(),
-        fleet_size: start.config.proxy_count,
-        seed: start.node.seed,
-        wants_snapshot: start.is_cold_start,
+    let socket = bind_with_retry("peers: ", section.listen, UdpSocket::bind).await?;
+    let gossip_options = GossipOptions {
+        section,
+        settings_hash: options.shared_settings.clone(),
+        fleet_size: options.config.proxy_count,
+        seed: options.node.seed,
+        wants_snapshot: options.is_cold_start,
     };
-    let peers = GossipDriver::start(start.host.clone(), socket, options);
-    peers.map(Some).map_err(StartError::Peers)
+    let gossip = GossipDriver::start(options.host.clone(), socket, gossip_options);
+    gossip.map(Some).map_err(StartError::Gossip)
 }
 
-fn start_duties(
-    start: &FleetStart<'_>,
-    peers: &Rc<GossipDriver>,
+fn start_coordinator(
+    options: &FleetOptions<'_>,
+    gossip: &Rc<GossipDriver>,
 ) -> Result<Option<Rc<Coordinator>>, StartError> {
-    let Some(voting) = &start.node.duties else {
+    let Some(section) = &options.node.duties else {
         return Ok(None);
     };
-    let duties = Coordinator::start(
-        start.host.clone(),
-        peers,
-        voting,
-        start.config.slow_start_duration,
-        start.fleet_overrides.clone(),
-        config_snapshot_file(start.node),
+    let coordinator = Coordinator::start(
+        options.host.clone(),
+        gossip,
+        section,
+        options.config.slow_start_duration,
+        options.fleet_overrides.clone(),
+        config_snapshot_file(options.node),
     );
-    duties.map(Some).map_err(StartError::Duties)
+    coordinator.map(Some).map_err(StartError::Coordination)
 }
 
 /// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
--- a/src/startup/handover.rs
+++ b/src/startup/handover.rs
@@ -30,14 +30,14 @@
     pub fn has_older_process(&self) -> bool {
         self.presence
             .as_ref()
-            .is_some_and(|presence| presence.others().older)
+            .is_some_and(|presence| presence.other_processes().older)
     }
 
     /// Whether a process that started later accepts clients.
-    pub fn has_younger_process(&self) -> bool {
+    pub fn has_newer_process(&self) -> bool {
         self.presence
             .as_ref()
-            .is_some_and(|presence| presence.others().younger)
+            .is_some_and(|presence| presence.other_processes().newer)
     }
 
     /// Shows other processes that this one accepts clients.
@@ -65,7 +65,7 @@
     let temporary = std::env::var_os("TMPDIR").ok_or_else(|| io::Error::other("not set"))?;
     let folder = Path::new(&temporary)
         .join(SHARED_FOLDER)
-        .join(identity.folder());
+        .join(identity.folder_name());
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
 }
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -1,7 +1,7 @@
 //! The parts of the proxy, and the steps by which they are put together and taken down.
 
 use super::bind::{bind_with_retry, BindError};
-use super::fleet::{Fleet, FleetStart};
+use super::fleet::{Fleet, FleetOptions};
 use super::handover::Handover;
 use super::{LoadedConfig, StartError};
 use crate::net::admin::disabled_backends::DisabledBackends;
@@ -43,8 +43,8 @@
     host: Rc<Host>,
     pub server: Rc<Server>,
     /// The descriptors that the process may hold.
-    descriptors: Rc<DescriptorLimits>,
-    known_list: KnownListPosition,
+    descriptor_limits: Rc<DescriptorLimits>,
+    restored_list: RestoredList,
     identity: ProxyIdentity,
     pub handover: Handover,
     keeper: Option<Rc<SnapshotKeeper>>,
@@ -53,7 +53,7 @@
 }
 
 /// What is left of the known endpoint list once its entries are in place.
-struct KnownListPosition {
+struct RestoredList {
     /// Discovery's version of the list.
     index: u64,
     length: usize,
@@ -71,7 +71,7 @@
         let rules = RequestRules::new(&loaded.in_force.config, &loaded.in_force.network);
         let server = Server::new(host.clone(), rules, limits.clients);
         // The list from before the restart is in place before anything is served, and before learned state is restored.
-        let known_list = restore_endpoint_list(node, &host, &loaded.background);
+        let restored_list = restore_endpoint_list(node, &host, &loaded.background);
         let inherited_address = inherited.and_then(|socket| socket.local_addr().ok());
         let identity = ProxyIdentity {
             name: node.name.clone(),
@@ -79,8 +79,8 @@
             discovery: node.discovery,
         };
         // A second process is possible only where operators or the platform take part.
-        let may_have_pair = inherited.is_some() || node.admin_address.is_some();
-        let handover = Handover::new(may_have_pair.then_some(&identity));
+        let may_have_other_process = inherited.is_some() || node.admin_address.is_some();
+        let handover = Handover::new(may_have_other_process.then_some(&identity));
         if handover.has_older_process() {
             // Before learned state is restored: part of it is still in use by the other process.
             host.set_process_count(2);
@@ -93,12 +93,12 @@
         }
         let disabled_backends =
             DisabledBackends::new(host.clone(), handover.folder.clone(), keeper.clone());
-        tokio::task::spawn_local(disabled_backends.clone().follow_folder());
+        tokio::task::spawn_local(disabled_backends.clone().watch_folder());
         Ok(Proxy {
             host,
             server,
-            descriptors: Rc::new(DescriptorLimits::new(node.max_descriptors)),
-            known_list,
+            descriptor_limits: Rc::new(DescriptorLimits::new(node.max_descriptors)),
+            restored_list,
             identity,
             handover,
             keeper,
@@ -123,7 +123,7 @@
             node.file_version,
         ));
         let shared_settings = Rc::new(Cell::new(node.shared_settings_digest));
-        let fleet = Fleet::start(FleetStart {
+        let fleet = Fleet::start(FleetOptions {
             node: &node,
             config: &loaded.in_force.config,
             host: &self.host,
@@ -133,12 +133,12 @@
         })
         .await?;
         let admin = self.start_admin(&node, &fleet).await?;
-        let length = self.known_list.length;
+        let length = self.restored_list.length;
         info!(
             "{} listens on {bound_address}, {length} backends known",
             node.name
         );
-        self.spawn_reports();
+        self.spawn_log_reports();
         let reloader = ConfigReloader {
             host: self.host.clone(),
             server: self.server.clone(),
@@ -151,7 +151,7 @@
             keeper: self.keeper.clone(),
             identity: self.identity.clone(),
             admin,
-            descriptors: self.descriptors.clone(),
+            descriptors: self.descriptor_limits.clone(),
             keys: Arc::new(std::mem::take(&mut node.keys)),
             listen: node.listen,
         };
@@ -168,7 +168,7 @@
         let (moved, address) = watch::channel(node.discovery?);
         let config = &in_force.config;
         let schedule = PollSchedule::new(config.discovery, config.proxy_count, node.seed);
-        let index = self.known_list.index;
+        let index = self.restored_list.index;
         let watch = discovery::watch(self.host.clone(), address, index, schedule);
         tokio::task::spawn_local(watch);
         Some(moved)
@@ -180,7 +180,7 @@
             host: self.host.clone(),
             server: self.server.clone(),
             disabled_backends: self.disabled_backends.clone(),
-            peers: fleet.peers.clone(),
+            gossip: fleet.gossip.clone(),
             fleet: fleet.admin(),
             metrics: PrometheusRecorder::install(),
         });
@@ -192,7 +192,7 @@
     }
 
     /// Logs what the proxy does, at intervals.
-    fn spawn_reports(&self) {
+    fn spawn_log_reports(&self) {
         let host = self.host.clone();
         if tracing::enabled!(tracing::Level::DEBUG) {
             tokio::task::spawn_local(async move {
@@ -220,7 +220,7 @@
             let answered = self.host.wait_for_discovery();
             let _ = tokio::time::timeout(FIRST_ENDPOINT_LIST_TIMEOUT, answered).await;
         }
-        fleet.caught_up().await;
+        fleet.wait_until_ready().await;
     }
 
     /// Shares file descriptors with another process of this proxy, whenever there is one.
@@ -232,7 +232,7 @@
             presence,
             self.host.clone(),
             self.server.clone(),
-            self.descriptors.clone(),
+            self.descriptor_limits.clone(),
         ));
     }
 
@@ -243,7 +243,7 @@
         }
         fleet.leave();
         if let Some(keeper) = &self.keeper {
-            keeper.flushed().await;
+            keeper.wait_until_flushed().await;
         }
         info!("stopped");
     }
@@ -265,10 +265,10 @@
     node: &mut Node,
     host: &Rc<Host>,
     background: &BackgroundThread,
-) -> KnownListPosition {
+) -> RestoredList {
     let known = std::mem::take(&mut node.known);
     host.apply_endpoints(EndpointUpdate::Cached, &known.lines);
-    let position = KnownListPosition {
+    let position = RestoredList {
         index: known.index,
         length: known.lines.len(),
     };
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -105,10 +105,7 @@
         ("[]".into(), "name"),
         ("[\"HELLO\",1]".into(), "unknown message HELLO"),
         ("[\"VIEW\",\"proxy-3\",0]".into(), "4 values"),
-        (
-            "[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(),
-            "roster number",
-        ),
+        ("[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(), "list number"),
         ("[\"VIEW\",\"proxy-3\",0,1,\"odd\"]".into(), "incr, total"),
         (
             "[\"VIEW\",\"proxy-9\",0,1,\"incr\"]".into(),
