--- a/src/bin/meadowproxy-adapter/endpoint_lists.rs
+++ b/src/bin/meadowproxy-adapter/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! The endpoint lists that the simulator gives out under numbers, for all instances of the process.
+//! The endpoint lists that the simulator sends with a number, shared by all instances of the process.
 
 use crate::error::MessageError;
 use crate::message::Message;
@@ -10,7 +10,7 @@
 const LARGEST_LIST_NUMBER: u64 = 15;
 const LIST_NUMBER: &str = "a list number from 0 to 15";
 
-/// Values of an entry, in the order of the wire.
+/// Indexes of an entry's values; the value at index 5 is not read.
 const ZONE: usize = 0;
 const CELL: usize = 1;
 const KIND: usize = 2;
@@ -22,20 +22,20 @@
 /// One backend of a list.
 #[derive(Clone, Debug)]
 pub struct EndpointListEntry {
-    /// Its address.
+    /// The backend's address.
     pub address: String,
-    /// Its entry, under the names of its zone and kind.
+    /// The backend's properties, with its zone and hardware class by name.
     pub row: EndpointRow,
 }
 
-/// The lists by their numbers. A new list takes over its number from the one before.
+/// The endpoint lists by number. A list replaces the previous one with the same number.
 #[derive(Default)]
 pub struct EndpointLists {
     by_number: HashMap<u64, Vec<EndpointListEntry>>,
 }
 
 impl EndpointLists {
-    /// Takes a list.
+    /// Stores the list of a [`MessageKind::EndpointList`](crate::message::MessageKind::EndpointList) message.
     pub fn insert(&mut self, message: &Message) -> Result<(), MessageError> {
         let number = message.integer(0, LIST_NUMBER)?;
         if number > LARGEST_LIST_NUMBER {
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// The list of that number, if there is one.
+    /// Returns the list with this number, if there is one.
     pub fn get(&self, number: u64) -> Option<&[EndpointListEntry]> {
         self.by_number.get(&number).map(Vec::as_slice)
     }
@@ -67,7 +67,9 @@
     let text = |index: usize, expected| values[index].as_str().ok_or_else(|| error(expected));
     let address = text(ADDRESS, "an address")?;
     if !is_plain(address) {
-        return Err(error("a plain address"));
+        return Err(error(
+            "an address of printable ASCII without quotes and backslashes",
+        ));
     }
     let state = match text(STATE, "IN, LAME or OUT")? {
         "IN" => BackendState::Ready,
@@ -104,7 +106,7 @@
     })
 }
 
-/// Whether the address can be written into a reply as it is: without anything that JSON escapes.
+/// Returns whether the address can be written into a JSON string without escapes.
 fn is_plain(address: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
     !address.is_empty() && address.bytes().all(plain)
--- a/src/bin/meadowproxy-adapter/event.rs
+++ b/src/bin/meadowproxy-adapter/event.rs
@@ -1,4 +1,4 @@
-//! From messages of the simulator to events of the decisions.
+//! Translates the simulator's messages into events for the balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
@@ -9,35 +9,36 @@
 };
 use serde_json::Value;
 
-/// Values of every message about a request, in the order of the wire.
+/// Indexes of the values that all messages about an attempt share; those about a request share the first.
 const REQUEST: usize = 1;
 const ATTEMPT: usize = 2;
 
-/// Values of [`MessageKind::EndpointsUpdated`].
+/// Indexes of the values of [`MessageKind::EndpointsUpdated`].
 const LIST_NUMBER: usize = 1;
 const LIST_KIND: usize = 3;
 
-/// Values of [`MessageKind::RequestArrived`].
+/// Indexes of the values of [`MessageKind::RequestArrived`].
 const WORK_HINT_US: usize = 2;
 const TIME_LEFT_US: usize = 3;
 const TENANT: usize = 5;
 const FLAGS: usize = 6;
 const CLASS: usize = 7;
 
-/// Values of [`MessageKind::AttemptEnded`].
+/// Indexes of the values of [`MessageKind::AttemptEnded`].
 const BACKEND: usize = 3;
 const OUTCOME: usize = 4;
 const LATENCY_US: usize = 5;
 const ANSWERED: usize = 6;
 
-/// Value of [`MessageKind::TimerFired`].
+/// Index of a value of [`MessageKind::TimerFired`].
 const TIMER_TOKEN: usize = 1;
 
 /// Bits of a request's flags.
 const HAS_WORK_HINT: u64 = 1;
 const IS_CLIENT_RETRY: u64 = 2;
 
-/// The event that a message for one instance reports; `None` for what this program never asks for.
+/// Translates a message for one instance into an event. Returns `None` for messages that are of no use to the balancer:
+/// those of other proxies and the results of health checks, neither of which this program requests.
 pub fn translate(
     message: &Message,
     instance: &mut Instance,
@@ -88,6 +89,7 @@
     Ok(Event::EndpointsUpdated { update, backends })
 }
 
+/// Reads a request's arrival. The work hint counts only if its flag is set.
 fn request_arrival(message: &Message, instance: &Instance) -> Result<RequestArrival, MessageError> {
     let flags = message.json(FLAGS).as_u64().unwrap_or(0);
     let has_work_hint = flags & HAS_WORK_HINT != 0;
@@ -102,6 +104,7 @@
     })
 }
 
+/// Reads the request's tenant. Any JSON value but a string means a request without a tenant.
 fn tenant(message: &Message, instance: &Instance) -> Result<Option<TenantId>, MessageError> {
     let Value::String(name) = message.json(TENANT) else {
         return Ok(None);
--- a/src/bin/meadowproxy-adapter/main.rs
+++ b/src/bin/meadowproxy-adapter/main.rs
@@ -1,8 +1,9 @@
-//! Runs the proxy's decisions on the simulator's wire: lines of JSON on standard input and output, one
-//! [`meadowproxy::Balancer`] for each simulated proxy. Translation only; every decision is the library's.
+//! The simulator adapter: runs one [`meadowproxy::Balancer`] for each simulated proxy and exchanges lines of JSON with
+//! the simulator on standard input and output. It only translates; the library makes every decision.
 //!
-//! A line becomes a [`message::Message`], [`simulation::Simulation`] finds the instance it is for, [`event`] translates
-//! it, and [`reply`] writes the actions that come back.
+//! Each line is parsed into a [`message::Message`]. [`simulation::Simulation`] finds the instance that the message is
+//! for, [`event`] translates it into an event, and [`reply`] writes the resulting actions. Endpoint lists, which the
+//! instances share, are stored in [`endpoint_lists`].
 #![forbid(unsafe_code)]
 
 mod endpoint_lists;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Takes lines until the input ends, and writes a reply whenever one is complete.
+/// Reads lines until the input ends, and writes a reply at the end of each batch.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut simulation = Simulation::default();
     let mut line = String::new();
--- a/src/bin/meadowproxy-adapter/message.rs
+++ b/src/bin/meadowproxy-adapter/message.rs
@@ -1,4 +1,4 @@
-//! One line of the simulator's wire: a message's kind and its values.
+//! Parsing of the simulator's messages. A message is one line with a JSON array: the message's name and its values.
 
 use crate::error::MessageError;
 use meadowproxy::{AttemptNumber, Micros, Outcome, RequestId};
@@ -7,18 +7,18 @@
 const REQUEST_ID_HEX_DIGITS: usize = 16;
 const OUTCOME_CODE: &str = "an outcome code from 0 to 7";
 
-/// The messages that the simulator sends, by their names on the wire.
+/// The kinds of messages that the simulator sends, with their names on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// `TICK`: a batch begins, with the clock.
+    /// `TICK`: a batch starts.
     ///
-    /// Values: clock in µs.
+    /// Values: the simulation's clock in µs.
     BatchStarted,
-    /// `END`: the batch is complete and a reply is due.
+    /// `END`: the batch is complete, and the simulator expects the reply.
     ///
     /// Values: none.
     BatchEnded,
-    /// `SNAPSHOT_ROWS`: an endpoint list under a number.
+    /// `SNAPSHOT_ROWS`: an endpoint list, to which later messages refer by its number.
     ///
     /// Values: list number, entries.
     EndpointList,
@@ -30,15 +30,15 @@
     ///
     /// Values: instance.
     InstanceKilled,
-    /// `VIEW`: an endpoint list, or its loss, for one proxy.
+    /// `VIEW`: a proxy received an endpoint list from discovery, or failed to.
     ///
-    /// Values: instance, list number, (not read), list kind.
+    /// Values: instance, list number, (not read), kind of update.
     EndpointsUpdated,
-    /// `JOB_IN`: a client's request.
+    /// `JOB_IN`: a client's request arrived.
     ///
     /// Values: instance, request, work hint in µs, time left in µs, (not read), tenant, flags, class.
     RequestArrived,
-    /// `ESTABLISHED`: a response begins to stream.
+    /// `ESTABLISHED`: the response to an attempt started.
     ///
     /// Values: instance, request, attempt, (not read) twice.
     ResponseStarted,
@@ -50,15 +50,15 @@
     ///
     /// Values: instance, request.
     ClientDisconnected,
-    /// `TIMEOUT_FIRED`: a timer fell due.
+    /// `TIMEOUT_FIRED`: a timer that the proxy set expired.
     ///
     /// Values: instance, token.
     TimerFired,
-    /// `MEMO`: another proxy's message; this program sends none.
+    /// `MEMO`: a message from another proxy; this program sends none.
     ///
     /// Values: instance, (not read) twice.
     PeerMessage,
-    /// `STATUS_BACK`: the result of a health check; this program asks for none.
+    /// `STATUS_BACK`: the result of a health check; this program requests none.
     ///
     /// Values: instance, (not read) four times.
     HealthCheckResult,
@@ -81,7 +81,7 @@
         MessageKind::HealthCheckResult,
     ];
 
-    /// The name on the wire.
+    /// Returns the name on the wire.
     pub fn wire_name(self) -> &'static str {
         match self {
             MessageKind::BatchStarted => "TICK",
@@ -100,7 +100,7 @@
         }
     }
 
-    /// How many values follow the name.
+    /// Returns the number of values after the name.
     fn value_count(self) -> usize {
         match self {
             MessageKind::BatchEnded => 0,
@@ -121,16 +121,16 @@
     }
 }
 
-/// A message with as many values as its kind has. The values are checked as they are read.
+/// A message with the number of values that its kind requires. Each value is validated when it is read.
 #[derive(Debug)]
 pub struct Message {
-    /// Which message it is.
+    /// The message's kind.
     pub kind: MessageKind,
     values: Vec<Value>,
 }
 
 impl Message {
-    /// Reads a line.
+    /// Parses a line, and checks the message's name and its number of values.
     pub fn parse(line: &str) -> Result<Message, MessageError> {
         let Value::Array(mut values) = serde_json::from_str(line)? else {
             return Err(MessageError::NoArray);
@@ -150,12 +150,12 @@
         Ok(Message { kind, values })
     }
 
-    /// The value at `index` as JSON.
+    /// Returns the value at `index` as JSON. Here and below, indexes start at 0 with the value after the name.
     pub fn json(&self, index: usize) -> &Value {
         &self.values[index]
     }
 
-    /// The error that the value at `index` is not what was `expected`.
+    /// Creates the error for an invalid value at `index`; `expected` describes a valid one.
     pub fn unexpected(&self, index: usize, expected: &'static str) -> MessageError {
         MessageError::Value {
             message: self.kind.wire_name(),
@@ -165,36 +165,36 @@
         }
     }
 
-    /// A text.
+    /// Returns the string at `index`.
     pub fn text(&self, index: usize, expected: &'static str) -> Result<&str, MessageError> {
         let text = self.values[index].as_str();
         text.ok_or_else(|| self.unexpected(index, expected))
     }
 
-    /// A whole number.
+    /// Returns the non-negative integer at `index`.
     pub fn integer(&self, index: usize, expected: &'static str) -> Result<u64, MessageError> {
         let number = self.values[index].as_u64();
         number.ok_or_else(|| self.unexpected(index, expected))
     }
 
-    /// A truth value.
+    /// Returns the boolean at `index`.
     pub fn flag(&self, index: usize) -> Result<bool, MessageError> {
         let flag = self.values[index].as_bool();
         flag.ok_or_else(|| self.unexpected(index, "true or false"))
     }
 
-    /// A span in microseconds.
+    /// Returns the duration in microseconds at `index`.
     pub fn micros(&self, index: usize, expected: &'static str) -> Result<Micros, MessageError> {
         self.integer(index, expected).map(Micros)
     }
 
-    /// The number of an attempt.
+    /// Returns the attempt number at `index`.
     pub fn attempt(&self, index: usize) -> Result<AttemptNumber, MessageError> {
-        let number = self.integer(index, "an attempt")?;
+        let number = self.integer(index, "an attempt number")?;
         Ok(AttemptNumber(number as u32))
     }
 
-    /// A request id: 16 lower-case hex digits.
+    /// Returns the request id at `index`, which is written as 16 lower-case hex digits.
     pub fn request(&self, index: usize) -> Result<RequestId, MessageError> {
         let text = self.text(index, "a request id of 16 hex digits")?;
         let is_digit = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
@@ -206,7 +206,7 @@
             .map_err(|_| self.unexpected(index, "a request id of 16 lower-case hex digits"))
     }
 
-    /// The outcome of an attempt, by its code.
+    /// Returns the outcome of an attempt, from its code at `index`.
     pub fn outcome(&self, index: usize) -> Result<Outcome, MessageError> {
         Ok(match self.integer(index, OUTCOME_CODE)? {
             0 => Outcome::Error,
--- a/src/bin/meadowproxy-adapter/reply.rs
+++ b/src/bin/meadowproxy-adapter/reply.rs
@@ -1,4 +1,4 @@
-//! From actions of the decisions to lines of a reply.
+//! Writes the balancer's actions as the lines of a reply to the simulator.
 
 use crate::instance::Instance;
 use meadowproxy::settings::SettingsError;
@@ -7,10 +7,10 @@
 use std::fmt::{self, Display};
 use std::io::Write;
 
-/// The line that completes a reply.
+/// The last line of each reply.
 const REPLY_COMPLETE: &[u8] = b"[\"YIELD\"]\n";
 
-/// A request id as the wire has it.
+/// A request id in its form on the wire: 16 lower-case hex digits.
 struct WireId(RequestId);
 
 impl Display for WireId {
@@ -19,12 +19,12 @@
     }
 }
 
-/// Completes a reply.
+/// Writes the last line of a reply.
 pub fn write_reply_end(reply: &mut Vec<u8>) {
     reply.extend_from_slice(REPLY_COMPLETE);
 }
 
-/// Reports that the settings of the instance `name` were refused.
+/// Reports that the settings of the instance `name` are invalid.
 pub fn write_settings_error(name: &str, error: &SettingsError, reply: &mut Vec<u8>) {
     write_json(
         &json!(["BROKEN", name, format!("settings: {error}")]),
@@ -32,7 +32,8 @@
     );
 }
 
-/// Writes one action of the instance `name`. Names and addresses were checked to hold nothing that JSON escapes.
+/// Writes one action of the instance `name`. Names and addresses were validated to contain no characters that JSON
+/// escapes, so they are written as they are.
 pub fn write_action(name: &str, instance: &Instance, action: &Action, reply: &mut Vec<u8>) {
     let written = match action {
         Action::Dispatch { request, backend } => {
@@ -59,7 +60,7 @@
             writeln!(reply, r#"["AFTER","{name}",{token},{after_us}]"#)
         }
         Action::PollDiscovery => writeln!(reply, r#"["FOLLOW","{name}",true]"#),
-        // The simulator's proxies share no state.
+        // The simulated proxies share no state with each other.
         Action::PublishVerdict { .. } => Ok(()),
         Action::Log(text) => {
             write_json(&json!(["WRITE_LOG", name, text]), reply);
--- a/src/bin/meadowproxy-adapter/simulation.rs
+++ b/src/bin/meadowproxy-adapter/simulation.rs
@@ -1,4 +1,4 @@
-//! All simulated proxies of this process, and what they share: the clock and the endpoint lists.
+//! The simulated proxies of this process, and the state that they share: the clock and the endpoint lists.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
@@ -11,29 +11,29 @@
 
 const INSTANCE_NAME_PREFIX: &str = "proxy-";
 
-/// Whether a reply is due.
+/// The state of the present batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on.
+    /// The batch continues with the next line.
     BatchContinues,
-    /// The batch ended: its reply is complete.
+    /// The batch ended, and its reply is complete.
     ReplyComplete,
 }
 
-/// The simulated proxies.
+/// The simulated proxies, their shared endpoint lists and the clock.
 #[derive(Default)]
 pub struct Simulation {
-    /// `None`: the instance's settings were refused, and messages for it are ignored.
+    /// The instances by name; `None` for one with invalid settings, whose messages are ignored.
     instances: HashMap<String, Option<Instance>>,
     endpoint_lists: EndpointLists,
-    /// The clock of the present batch.
+    /// The clock of the present batch; `None` between batches.
     now: Option<Time>,
-    /// Reused for each event.
+    /// A buffer that is reused for each event.
     actions: Vec<Action>,
 }
 
 impl Simulation {
-    /// Takes one line, and adds to `reply` what follows from it.
+    /// Handles one line, and appends the resulting lines to `reply`.
     pub fn handle_line(
         &mut self,
         line: &str,
@@ -63,16 +63,16 @@
     }
 
     fn create(&mut self, message: &Message, reply: &mut Vec<u8>) -> Result<(), MessageError> {
-        let name = message.text(0, "an instance")?;
+        let name = message.text(0, "an instance name")?;
         let number = name.strip_prefix(INSTANCE_NAME_PREFIX);
         if number.is_none_or(|number| number.parse::<u64>().is_err()) {
-            return Err(message.unexpected(0, "an instance such as proxy-3"));
+            return Err(message.unexpected(0, "an instance name such as proxy-3"));
         }
         let seed = message.integer(1, "a seed")?;
         let instance = match Instance::new(message.json(2), seed) {
             Ok(instance) => Some(instance),
             Err(error) => {
-                eprintln!("meadowproxy-adapter: settings of {name}: {error}");
+                eprintln!("meadowproxy-adapter: invalid settings of {name}: {error}");
                 reply::write_settings_error(name, &error, reply);
                 None
             }
@@ -82,7 +82,7 @@
     }
 
     fn kill(&mut self, message: &Message) -> Result<(), MessageError> {
-        let name = message.text(0, "an instance")?;
+        let name = message.text(0, "an instance name")?;
         let removed = self.instances.remove(name);
         removed
             .map(drop)
@@ -95,7 +95,7 @@
         message: &Message,
         reply: &mut Vec<u8>,
     ) -> Result<(), MessageError> {
-        let name = message.text(0, "an instance")?;
+        let name = message.text(0, "an instance name")?;
         let instance = self
             .instances
             .get_mut(name)
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,16 +1,18 @@
-//! The command line: what to do, where the configuration is, and how to log.
+//! The command line: the command, the configuration file with its overrides, and the log format. The help texts are the
+//! doc comments of [`Cli`] and the types below it.
 
 use crate::net::config::{Override, Source};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
-/// A proxy for fleets of HTTP servers. Without a command it runs, with the configuration that NODE_CONFIG names.
+/// A load-balancing proxy for fleets of HTTP servers. Without a command, the proxy runs with the configuration file
+/// that NODE_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "meadowproxy", version)]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// Form of the log on standard error.
+    /// Format of the log on standard error.
     #[arg(long, global = true, env = "NODE_LOG_FORMAT", value_enum, default_value_t = LogFormat::Text)]
     pub log_format: LogFormat,
 }
@@ -19,15 +21,15 @@
 pub enum Command {
     /// Run the proxy.
     Run(RunArgs),
-    /// Read a configuration and print every error in it; exit 2 if there is one.
+    /// Check a configuration and print every error in it; the exit status is 2 if there is one.
     Check(FileArgs),
-    /// Print the configuration in force as TOML, with every default written out.
+    /// Print the resulting configuration as TOML, with all overrides and defaults.
     ShowConfig(FileArgs),
 }
 
 #[derive(Debug, Default, Args)]
 pub struct RunArgs {
-    /// The configuration: TOML where the name ends in .toml, else JSON.
+    /// Configuration file: TOML if its name ends in .toml, otherwise JSON.
     #[arg(long, env = "NODE_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(flatten)]
@@ -36,7 +38,7 @@
 
 #[derive(Debug, Args)]
 pub struct FileArgs {
-    /// The configuration: TOML where the name ends in .toml, else JSON.
+    /// Configuration file: TOML if its name ends in .toml, otherwise JSON.
     file: PathBuf,
     #[command(flatten)]
     sets: OverrideArgs,
@@ -44,21 +46,23 @@
 
 #[derive(Debug, Default, Args)]
 struct OverrideArgs {
-    /// Put a value at a dotted path of the configuration, as in settings.locality.leave_share=0.5; may be repeated.
+    /// Override the value at a dotted path of the configuration, for example settings.locality.leave_share=0.5. The
+    /// value is JSON, or else text. May be repeated.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     set: Vec<Override>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl RunArgs {
-    /// Without any command: as the platform starts the program.
+    /// Returns the arguments of a start without a command, which is how the platform starts the program. An empty
+    /// NODE_CONFIG counts as not set.
     pub fn from_environment() -> RunArgs {
         let config = std::env::var_os("NODE_CONFIG")
             .filter(|path| !path.is_empty())
@@ -69,6 +73,7 @@
         }
     }
 
+    /// Returns the configuration file, if one is named, with the overrides.
     pub fn into_source(self) -> Source {
         Source {
             file: self.config,
@@ -78,6 +83,7 @@
 }
 
 impl FileArgs {
+    /// Returns the configuration file with the overrides.
     pub fn into_source(self) -> Source {
         Source {
             file: Some(self.file),
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,26 +1,26 @@
-//! The log on standard error: its level and its format.
+//! Sets up the log on standard error, with its level and its format.
 
 use crate::cli::LogFormat;
 use thiserror::Error;
 use tracing::Level;
 
-/// The variable that names the level.
+/// The environment variable that names the log level.
 const LEVEL_VARIABLE: &str = "NODE_LOG";
 
-/// The level in the environment is none.
+/// The value of `NODE_LOG` that names no log level.
 #[derive(Debug, Error)]
 #[error("{LEVEL_VARIABLE}: expected error, warn, info, debug or trace, got {0}")]
 pub struct InvalidLevel(String);
 
-/// Starts the log, at the level that the environment names, else at `info`.
+/// Initializes the log with the level that `NODE_LOG` names, or `info` if it is not set.
 ///
 /// # Errors
-/// The level is none; nothing is logged then.
+/// Returns an error if `NODE_LOG` names no log level. The log is not initialized then.
 pub fn init(format: LogFormat) -> Result<(), InvalidLevel> {
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        .with_max_level(level()?);
+        .with_max_level(level_from_environment()?);
     match format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
@@ -28,7 +28,8 @@
     Ok(())
 }
 
-fn level() -> Result<Level, InvalidLevel> {
+/// Returns the log level from the environment. An empty variable counts as not set.
+fn level_from_environment() -> Result<Level, InvalidLevel> {
     let Some(name) = std::env::var_os(LEVEL_VARIABLE).filter(|name| !name.is_empty()) else {
         return Ok(Level::INFO);
     };
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The proxy's program: its command line and its log.
+//! The proxy binary: it parses the command line, initializes the log, and runs the proxy or checks or prints a
+//! configuration.
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -14,9 +15,9 @@
 use net::config::{self, Source};
 use std::process::ExitCode;
 
-/// Exit status of `check` for a configuration with errors.
+/// Exit status of `check` if the configuration has errors.
 const CONFIG_ERRORS_EXIT_CODE: u8 = 2;
-/// Exit status for a variable of the environment that makes no sense.
+/// Exit status if an environment variable has an invalid value.
 const ENVIRONMENT_ERROR_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -35,17 +36,17 @@
                 print!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(error) => fail(cli.log_format, &error),
+            Err(error) => report_failure(cli.log_format, &error),
         },
         Command::Run(run) => match startup::serve(run.into_source()) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => fail(cli.log_format, &error),
+            Err(error) => report_failure(cli.log_format, &error),
         },
     }
 }
 
-/// Reports why the program ends.
-fn fail(format: LogFormat, error: &dyn std::error::Error) -> ExitCode {
+/// Reports the error that ends the program, in the log's format, and returns the exit status.
+fn report_failure(format: LogFormat, error: &dyn std::error::Error) -> ExitCode {
     match format {
         LogFormat::Text => eprintln!("meadowproxy: {error}"),
         LogFormat::Json => tracing::error!(event = "start_failed", "{error}"),
@@ -53,7 +54,7 @@
     ExitCode::FAILURE
 }
 
-/// Prints every error of a configuration.
+/// Prints every error in a configuration, or `ok` if there is none, and returns the exit status.
 fn check(source: &Source) -> ExitCode {
     let errors = config::check(source);
     if errors.is_empty() {
--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,8 +1,8 @@
-//! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other process of a
-//! hot restart.
+//! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other
+//! process of a hot restart.
 //!
-//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each other's.
-//! `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
+//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each
+//! other's. `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
 
 use crate::net::host::{DisableReason, Host};
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
@@ -69,8 +69,8 @@
 }
 
 impl DisabledBackends {
-    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins; where
-    /// there is none, the backend's file is created, so that the other process learns of its end too.
+    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins;
+    /// where there is none, the backend's file is created, so that the other process learns of its end too.
     pub fn new(
         host: Rc<Host>,
         folder: Option<PathBuf>,
--- a/src/net/admin/prometheus.rs
+++ b/src/net/admin/prometheus.rs
@@ -1,7 +1,7 @@
 //! The process's recorder behind the `metrics` facade, and its metrics in Prometheus' text form.
 //!
-//! The exporter's crate would do both, but calibrates the processor's clock as it starts, for up to 0.2 s of a core, for
-//! histograms, which the proxy has none of.
+//! The exporter's crate would do both, but calibrates the processor's clock as it starts, for up to 0.2 s of a core,
+//! for histograms, which the proxy has none of.
 
 use metrics::{Counter, Gauge, Histogram, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use std::collections::BTreeMap;
--- a/src/net/descriptor_limits.rs
+++ b/src/net/descriptor_limits.rs
@@ -149,10 +149,10 @@
 
 fn process_count_changed(host: &Rc<Host>, is_shared: bool) {
     if is_shared {
-        info!("hot restart: connection limits are shared with another process of this proxy");
+        info!("hot restart: sharing connection limits with another process of this proxy");
         host.set_process_count(2);
     } else {
-        info!("hot restart finished: this is the only process of this proxy");
+        info!("hot restart is over: this is the only process of this proxy");
         host.set_process_count(1);
     }
 }
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -2,7 +2,8 @@
 //!
 //! The file is a prefix of [`PREFIX_BYTES`] bytes, then a body in postcard: the prefix is the magic `SHTS`, the format
 //! version (u16, little endian), the body's length in bytes (u32) and its CRC-32 (u32). The body is a [`Snapshot`]: a
-//! [`Header`] and a [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and the folder synced.
+//! [`Header`] and a [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and
+//! the folder synced.
 
 use meadowproxy::{LearnedBackend, LearnedHardwareClass, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
@@ -73,8 +74,8 @@
     }
 }
 
-/// Which proxy of which deployment this is. Fleets on one machine may share a temporary folder and use equal names; only
-/// one of them has the address, and discovery determines its backends.
+/// Which proxy of which deployment this is. Fleets on one machine may share a temporary folder and use equal names;
+/// only one of them has the address, and discovery determines its backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyIdentity {
     pub name: String,
@@ -104,8 +105,8 @@
     hex::encode(&hash[..SHORT_HASH_BYTES])
 }
 
-/// What survives a restart: the balancer's learned state by names, and the backends that operators disabled. The endpoint
-/// list is not part of it: the platform provides it at each start as `known`.
+/// What survives a restart: the balancer's learned state by names, and the backends that operators disabled. The
+/// endpoint list is not part of it: the platform provides it at each start as `known`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedState {
     /// By kind name.
--- a/src/net/state/snapshot_writer.rs
+++ b/src/net/state/snapshot_writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes snapshots: a busy disk can take a second to sync one, and no request may wait for that.
 //!
-//! [`SnapshotWriter::submit`] hands a snapshot over and returns at once; [`SnapshotWriter::wait_until_flushed`] waits until
-//! everything submitted so far is on disk or has failed.
+//! [`SnapshotWriter::submit`] hands a snapshot over and returns at once; [`SnapshotWriter::wait_until_flushed`] waits
+//! until everything submitted so far is on disk or has failed.
 
 use super::snapshot::{self, ProxyIdentity, Snapshot, SnapshotError};
 use std::cell::Cell;
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,8 +1,9 @@
-//! The life of the proxy's process: start-up step by step, service, and graceful shutdown.
+//! The process's start-up sequence, its service of clients and its graceful shutdown.
 //!
-//! [`serve`] reads the configuration, restores what an earlier process left, binds the sockets, starts the background
-//! tasks, and serves clients until a signal stops it. The order of the steps matters: disabled backends and learned state
-//! are in place before the first request, and a process becomes visible to the other one only once it can serve.
+//! [`serve`] reads the configuration, restores the state that an earlier process saved, binds the sockets, starts the
+//! background tasks, and serves clients until a signal stops it. The order of the steps matters: disabled backends and
+//! learned state are restored before the first request, and during a hot restart the process becomes visible to the
+//! older one only once it can serve.
 
 mod bind;
 mod fleet;
@@ -21,46 +22,48 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tracing::info;
 
-/// Why the proxy does not start.
+/// Reasons for which the proxy does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The inherited socket cannot be used.
     #[error(transparent)]
     Inherit(#[from] InheritError),
-    /// There is no event loop.
-    #[error("no event loop: {0}")]
+    /// The event loop cannot be created.
+    #[error("cannot create the event loop: {0}")]
     EventLoop(#[source] io::Error),
-    /// Signals cannot be received.
-    #[error("no signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The configuration cannot be read in the background.
+    /// The background thread, which reads the configuration, cannot be started or has ended.
     #[error(transparent)]
     Background(#[from] BackgroundError),
-    /// The configuration is wrong.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] NodeConfigError),
-    /// Snapshots cannot be kept.
+    /// The thread that writes snapshots cannot be started.
     #[error(transparent)]
     Snapshots(#[from] SnapshotKeeperError),
     /// An address cannot be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// State cannot be shared with the fleet's proxies.
-    #[error("peers: {0}")]
+    /// Gossip with the fleet's other proxies cannot be started. The message names its section of the configuration.
+    #[error("peers: cannot start gossip: {0}")]
     Gossip(#[source] io::Error),
-    /// Leases and maintenance windows cannot be coordinated with the fleet's proxies.
-    #[error("duties: {0}")]
+    /// Coordination of leases, maintenance windows and the fleet's configuration cannot be started. The message names
+    /// its section of the configuration.
+    #[error("duties: cannot start coordination: {0}")]
     Coordination(#[source] io::Error),
 }
 
-/// Where the configuration came from, what of it is in force, and the thread that reads it again.
+/// The configuration's source, the settings in force, and the thread that reads the source again at a reload.
 struct LoadedConfig {
     source: Source,
     in_force: ActiveSettings,
     background: BackgroundThread,
 }
 
-/// Signals that stop the program. A second one changes nothing: accepted requests are answered first.
+/// The signals that stop the program, SIGTERM and SIGINT. A second signal has no effect: accepted requests are still
+/// answered.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -74,6 +77,7 @@
         })
     }
 
+    /// Waits for either signal.
     async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -83,14 +87,14 @@
     }
 }
 
-/// Runs the proxy until it is stopped.
+/// Runs the proxy until SIGTERM or SIGINT stops it.
 pub fn serve(source: Source) -> Result<(), StartError> {
     let inherited = hot_restart::inherited_listener()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::EventLoop)?;
-    // A SIGHUP without a handler would end the program, so the handler is in place before anything takes time.
+    // SIGHUP without a handler terminates the process, so the handler is installed before any step that takes time.
     let reload_signal = runtime
         .block_on(async { signal(SignalKind::hangup()) })
         .map_err(StartError::Signals)?;
--- a/src/startup/bind.rs
+++ b/src/startup/bind.rs
@@ -1,4 +1,7 @@
-//! Binding addresses at the start, with retries while another process is about to give one up.
+//! Binding of listening addresses at the start.
+//!
+//! During a restart the previous process may still be about to close its sockets, so [`bind_with_retry`] retries an
+//! address that is in use.
 
 use crate::net::downstream::server;
 use std::io;
@@ -8,27 +11,27 @@
 use tokio::net::TcpListener;
 use tracing::warn;
 
-/// How long a start retries an address that is in use: two seconds less than a restart may take.
+/// How long an address that is in use is retried: two seconds less than a restart may take.
 const RETRY_LIMIT: Duration = Duration::from_secs(8);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an address is not bound.
+/// Reasons for which there is no listening socket.
 #[derive(Debug, Error)]
 pub enum BindError {
-    /// The listening socket that was inherited cannot be used.
-    #[error("the passed socket: {0}")]
+    /// The inherited listening socket cannot be registered with the event loop.
+    #[error("inherited listening socket: {0}")]
     Inherited(#[source] io::Error),
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     #[error("{purpose}cannot listen on {address}: {source}")]
     Listen {
-        /// The key of the address in the configuration, as a prefix of the message.
+        /// Prefix of the message: the address's key in the configuration, a colon and a space; empty for clients.
         purpose: &'static str,
         address: SocketAddr,
         source: io::Error,
     },
 }
 
-/// The clients' listener: the inherited one, or one that is bound to the configured address.
+/// Returns the listener for clients: the inherited socket, or a new one bound to the configured address.
 pub async fn bind_client_listener(
     inherited: Option<std::net::TcpListener>,
     address: SocketAddr,
@@ -39,7 +42,7 @@
     }
 }
 
-/// Binds an address, and retries for up to [`RETRY_LIMIT`] while another process has it.
+/// Binds an address, and retries for up to [`RETRY_LIMIT`] while another process uses it.
 pub async fn bind_with_retry<T>(
     purpose: &'static str,
     address: SocketAddr,
--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -1,5 +1,7 @@
-//! What this proxy shares with the other proxies of its fleet, as far as the configuration has it: gossip, and the leases
-//! and maintenance windows that build on it.
+//! Starts and stops the services that connect this proxy to its fleet: gossip, and coordination, which uses gossip for
+//! leases, maintenance windows and the fleet's configuration.
+//!
+//! Both are optional. Each runs only if the configuration has its section.
 
 use super::bind::bind_with_retry;
 use super::StartError;
@@ -14,28 +16,28 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 
-/// What the fleet's parts are started with.
+/// The parameters of [`Fleet::start`].
 pub struct FleetOptions<'a> {
     pub node: &'a NodeConfig,
     pub config: &'a Config,
     pub host: &'a Rc<Host>,
-    /// Digest of the settings that all proxies of the fleet have in common.
+    /// Digest of the settings that are the same on all proxies of the fleet. A reload changes it.
     pub shared_settings: &'a Rc<Cell<[u8; 32]>>,
     pub fleet_overrides: &'a Rc<FleetOverrides>,
-    /// No snapshot was restored: learned state is requested from the other proxies.
+    /// Whether no snapshot was restored; learned state is then requested from the other proxies.
     pub is_cold_start: bool,
 }
 
-/// This proxy's part in its fleet.
+/// The running services that connect this proxy to its fleet.
 pub struct Fleet {
-    /// Gossip with the other proxies.
+    /// Gossip with the other proxies; `None` without the section `peers`.
     pub gossip: Option<Rc<GossipDriver>>,
-    /// Leases, maintenance windows and the fleet's configuration.
+    /// Leases, maintenance windows and the fleet's configuration; `None` without the section `duties`.
     coordinator: Option<Rc<Coordinator>>,
 }
 
 impl Fleet {
-    /// Starts what the configuration names.
+    /// Starts the services that the configuration has sections for.
     pub async fn start(options: FleetOptions<'_>) -> Result<Fleet, StartError> {
         let gossip = start_gossip(&options).await?;
         let coordinator = match &gossip {
@@ -48,28 +50,28 @@
         })
     }
 
-    /// Answers the operators' calls on windows, leases and the fleet's configuration.
+    /// Returns the handler of the admin API's calls on windows, leases and the fleet's configuration.
     pub fn admin(&self) -> Option<Rc<dyn FleetAdmin>> {
         self.coordinator
             .clone()
             .map(|coordinator| coordinator as Rc<dyn FleetAdmin>)
     }
 
-    /// Waits until calendar and configuration have caught up, or the wait timed out.
+    /// Waits until the maintenance calendar and the configuration are up to date with the fleet, or a timeout expires.
     pub async fn wait_until_ready(&self) {
         if let Some(coordinator) = &self.coordinator {
             coordinator.wait_until_ready().await;
         }
     }
 
-    /// Gives up the leases that this proxy holds.
+    /// Releases the leases that this proxy holds.
     pub fn release_leases(&self) {
         if let Some(coordinator) = &self.coordinator {
             coordinator.release_leases();
         }
     }
 
-    /// Tells the other proxies that this one leaves.
+    /// Announces to the other proxies that this one leaves the fleet.
     pub fn leave(&self) {
         if let Some(gossip) = &self.gossip {
             gossip.leave();
@@ -111,7 +113,8 @@
     coordinator.map(Some).map_err(StartError::Coordination)
 }
 
-/// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
+/// Returns where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots. `None` if no
+/// snapshots are configured.
 fn config_snapshot_file(node: &NodeConfig) -> Option<SnapshotFile> {
     let snapshots = node.snapshot.as_ref()?;
     let peers = node.peers.as_ref()?;
--- a/src/startup/handover.rs
+++ b/src/startup/handover.rs
@@ -1,4 +1,4 @@
-//! The folder that the two processes of a hot restart share, and this process's presence in it.
+//! The folder that the two processes of a hot restart share, and this process's presence file in it.
 
 use crate::net::state::hot_restart::Presence;
 use crate::net::state::snapshot::ProxyIdentity;
@@ -7,40 +7,42 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Folder under `$TMPDIR` that the processes of a proxy share. It keeps the program's former name, as an old and a new
-/// version use it together during a handover.
+/// The folder under `$TMPDIR` with one subfolder for each proxy. It keeps the program's former name because an old and
+/// a new version use it together during a hot restart.
 const SHARED_FOLDER: &str = "shaletide";
 
-/// What this process shares with another one of the same proxy; nothing where it has no pair.
+/// The shared folder and the presence file of this process. Each is `None` if there can be no other process of the
+/// same proxy, or if it cannot be created.
 pub struct Handover {
-    /// Disabled backends and presence files are here.
+    /// Folder of the files for disabled backends and of the presence files.
     pub folder: Option<PathBuf>,
     pub presence: Option<Rc<Presence>>,
 }
 
 impl Handover {
-    /// Opens the folder of that proxy; `None` for a process that can have no pair.
+    /// Creates the folder of the proxy `identity` and a presence file in it, which stays hidden until
+    /// [`Handover::publish`]. Without an identity, or if an error occurs, the process runs without them.
     pub fn new(identity: Option<&ProxyIdentity>) -> Handover {
         let folder = identity.and_then(open_folder);
         let presence = folder.as_deref().and_then(create_presence);
         Handover { folder, presence }
     }
 
-    /// Whether a process that started earlier accepts clients.
+    /// Returns whether an older process of this proxy accepts clients.
     pub fn has_older_process(&self) -> bool {
         self.presence
             .as_ref()
             .is_some_and(|presence| presence.other_processes().older)
     }
 
-    /// Whether a process that started later accepts clients.
+    /// Returns whether a newer process of this proxy accepts clients.
     pub fn has_newer_process(&self) -> bool {
         self.presence
             .as_ref()
             .is_some_and(|presence| presence.other_processes().newer)
     }
 
-    /// Shows other processes that this one accepts clients.
+    /// Makes this process visible to other processes of this proxy, as one that accepts clients.
     pub fn publish(&self) {
         let Some(presence) = &self.presence else {
             return;
@@ -55,7 +57,7 @@
     match create_folder(identity) {
         Ok(folder) => Some(folder),
         Err(error) => {
-            warn!("TMPDIR: disabled backends are kept in this process only, and no other process is seen: {error}");
+            warn!("TMPDIR: no shared folder: disabled backends are recorded in this process only, and other processes of this proxy are not detected: {error}");
             None
         }
     }
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -1,4 +1,7 @@
-//! The parts of the proxy, and the steps by which they are put together and taken down.
+//! The proxy's components, and the steps that assemble them, start their tasks and shut them down.
+//!
+//! [`super::serve`] calls these steps in order: [`Proxy::prepare`], [`Proxy::start_services`],
+//! [`Proxy::wait_until_ready`], [`Proxy::spawn_descriptor_sharing`] and, once clients are served, [`Proxy::shut_down`].
 
 use super::bind::{bind_with_retry, BindError};
 use super::fleet::{Fleet, FleetOptions};
@@ -31,18 +34,19 @@
 use tokio::sync::watch;
 use tracing::info;
 
-/// Interval of the log line on traffic.
+/// Interval of the log line about traffic.
 const TRAFFIC_REPORT_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval of the debug line on concurrency limits: several within the second or two that they take to converge.
+/// Interval of the debug lines about concurrency limits. Limits converge within one to two seconds, so several lines
+/// show how they do.
 const CONCURRENCY_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a process that takes over from another waits for its first endpoint list.
+/// How long a process that starts beside an older one waits for discovery's first endpoint list.
 const FIRST_ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The parts of the proxy that are in place before it has a socket.
+/// The components that exist before the proxy listens.
 pub struct Proxy {
     host: Rc<Host>,
     pub server: Rc<Server>,
-    /// The descriptors that the process may hold.
+    /// The connection limits that follow from the process's number of file descriptors.
     descriptor_limits: Rc<DescriptorLimits>,
     restored_list: RestoredList,
     identity: ProxyIdentity,
@@ -52,15 +56,17 @@
     disabled_backends: Rc<DisabledBackends>,
 }
 
-/// What is left of the known endpoint list once its entries are in place.
+/// The version and length of the endpoint list that was restored at the start.
 struct RestoredList {
     /// Discovery's version of the list.
     index: u64,
+    /// The number of its entries.
     length: usize,
 }
 
 impl Proxy {
-    /// Restores the endpoint list, learned state and disabled backends.
+    /// Creates the components and restores the endpoint list, learned state and disabled backends. `inherited` is the
+    /// listening socket that an older process passed on.
     pub fn prepare(
         node: &mut NodeConfig,
         loaded: &LoadedConfig,
@@ -70,7 +76,8 @@
         let limits = ConnectionLimits::for_single_process(node.max_descriptors);
         let rules = RequestRules::new(&loaded.in_force.config, &loaded.in_force.network);
         let server = Server::new(host.clone(), rules, limits.clients);
-        // The list from before the restart is in place before anything is served, and before learned state is restored.
+        // The endpoint list from before the restart is applied before any request is served, and before the learned
+        // state, which is assigned to the listed backends by name.
         let restored_list = restore_endpoint_list(node, &host, &loaded.background);
         let inherited_address = inherited.and_then(|socket| socket.local_addr().ok());
         let identity = ProxyIdentity {
@@ -78,11 +85,13 @@
             listen: inherited_address.unwrap_or(node.listen),
             discovery: node.discovery,
         };
-        // A second process is possible only where operators or the platform take part.
+        // Another process of this proxy is possible only if the platform passes on the socket or operators have the
+        // admin API.
         let may_have_other_process = inherited.is_some() || node.admin_address.is_some();
         let handover = Handover::new(may_have_other_process.then_some(&identity));
         if handover.has_older_process() {
-            // Before learned state is restored: part of it is still in use by the other process.
+            // Set before learned state is restored: a restored concurrency limit would count twice while the other
+            // process still uses it, so the balancer leaves it out.
             host.set_process_count(2);
         }
         let keeper = new_snapshot_keeper(node, &host, &identity)?;
@@ -107,7 +116,7 @@
         })
     }
 
-    /// Starts every task but the service of clients.
+    /// Starts every background task, the fleet's services and the admin API. Clients are not accepted yet.
     pub async fn start_services(
         &self,
         mut node: NodeConfig,
@@ -159,7 +168,7 @@
         Ok(fleet)
     }
 
-    /// Follows discovery, if there is one; the sender moves it to another address.
+    /// Starts to poll discovery, if the configuration has its address. The returned sender changes that address.
     fn spawn_discovery(
         &self,
         node: &NodeConfig,
@@ -174,7 +183,7 @@
         Some(moved)
     }
 
-    /// Serves the operators' calls where the configuration has an address for them.
+    /// Creates the admin API's listener, and serves calls if the configuration has an address for them.
     async fn start_admin(
         &self,
         node: &NodeConfig,
@@ -195,7 +204,7 @@
         Ok(admin)
     }
 
-    /// Logs what the proxy does, at intervals.
+    /// Starts the periodic log lines about traffic and, at debug level, about concurrency limits.
     fn spawn_log_reports(&self) {
         let host = self.host.clone();
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -216,10 +225,11 @@
         });
     }
 
-    /// Waits before clients are accepted: for the fleet always; for discovery beside an older process.
+    /// Waits until clients may be accepted: always for the fleet's services, and for discovery's endpoint list only if
+    /// an older process runs.
     pub async fn wait_until_ready(&self, has_discovery: bool, fleet: &Fleet) {
         if has_discovery && self.handover.has_older_process() {
-            // The older process still serves, and the known list may be out of date.
+            // The restored list may be out of date, and the older process serves clients in the meantime.
             info!("hot restart: waiting for discovery's endpoint list beside an older process");
             let answered = self.host.wait_for_discovery();
             let _ = tokio::time::timeout(FIRST_ENDPOINT_LIST_TIMEOUT, answered).await;
@@ -227,7 +237,7 @@
         fleet.wait_until_ready().await;
     }
 
-    /// Shares file descriptors with another process of this proxy, whenever there is one.
+    /// Starts the task that shares file descriptors with another process of this proxy whenever one runs.
     pub fn spawn_descriptor_sharing(&self) {
         let Some(presence) = self.handover.presence.clone() else {
             return;
@@ -240,7 +250,7 @@
         ));
     }
 
-    /// Writes the last snapshot and leaves the fleet.
+    /// Writes a last snapshot, leaves the fleet and waits until the snapshot is on disk.
     pub async fn shut_down(&self, fleet: &Fleet) {
         if let Some(keeper) = &self.keeper {
             keeper.write();
@@ -265,6 +275,7 @@
     )
 }
 
+/// Applies the endpoint list that the configuration contains as `known`, and moves it out of `node`.
 fn restore_endpoint_list(
     node: &mut NodeConfig,
     host: &Rc<Host>,
@@ -276,7 +287,7 @@
         index: known.index,
         length: known.entries.len(),
     };
-    background.discard(known); // it may be long
+    background.discard(known); // freeing a long list here would block the event loop
     list
 }
 
