--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,8 +1,8 @@
-//! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other process of a
-//! hot restart.
+//! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other
+//! process of a hot restart.
 //!
-//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each other's.
-//! `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
+//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each
+//! other's. `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
 
 use crate::net::host::{DisableReason, Host};
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
@@ -69,8 +69,8 @@
 }
 
 impl DisabledBackends {
-    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins; where
-    /// there is none, the backend's file is created, so that the other process learns of its end too.
+    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins;
+    /// where there is none, the backend's file is created, so that the other process learns of its end too.
     pub fn new(
         host: Rc<Host>,
         folder: Option<PathBuf>,
@@ -84,7 +84,7 @@
             logged: RefCell::default(),
         };
         this.reconcile_with_snapshot();
-        this.follow_folder_once();
+        this.apply_folder_changes();
         Rc::new(this)
     }
 
@@ -133,9 +133,9 @@
     }
 
     /// Waits until a crash would lose nothing that was done so far, or the disk takes too long.
-    pub async fn flushed(&self) {
+    pub async fn wait_until_flushed(&self) {
         if let Some(keeper) = &self.keeper {
-            keeper.flushed().await;
+            keeper.wait_until_flushed().await;
         }
     }
 
@@ -193,14 +193,14 @@
     }
 
     /// Carries out what the other process records in the folder, for as long as the program runs.
-    pub async fn follow_folder(self: Rc<Self>) {
+    pub async fn watch_folder(self: Rc<Self>) {
         while self.folder.is_some() {
             tokio::time::sleep(FOLDER_CHECK_INTERVAL).await;
-            self.follow_folder_once();
+            self.apply_folder_changes();
         }
     }
 
-    fn follow_folder_once(&self) {
+    fn apply_folder_changes(&self) {
         let now = match self.read_folder() {
             Ok(contents) => contents.disabled,
             Err(error) => {
