--- a/tests/config_files.rs
+++ b/tests/config_files.rs
@@ -1,6 +1,6 @@
-//! The platform's files and the fleet's configuration, under a model checker: proxies with files of any versions, rolled out
-//! and back in any order, while changes are committed, spread, fetched and compacted into the files. The machines are the
-//! real ones.
+//! Checks with a model checker which entries of the replicated configuration override a proxy's own file. Files of any
+//! version are rolled out and back in any order, while changes are committed, applied one by one, fetched in one step
+//! and compacted into the files. [`Overrides`] and [`Table`] are the production code.
 
 use meadowproxy::fleet::config::{
     Change, Edit, Entry, Key, Kind, Overrides, PositionRange, Table, Value,
@@ -8,79 +8,93 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
-/// Proxies meet by the chain alone: one stands for each.
+/// Proxies affect each other only through the chain of changes, so a single one covers a fleet of any size.
 const PROXIES: usize = 1;
+/// The maximum number of changes.
 const CHANGES: usize = 4;
 
-const STATE: &str = "what is in force is one state of the chain, each change of it complete";
-const NEWEST: &str = "it is that of the table or of the file, whichever is later";
-const BACK: &str = "it never goes back while a proxy lives";
-const DROPPED: &str = "an entry may be dropped that an older file lacks";
-const LACKING: &str = "a proxy may be started with a file that is too old";
-const REJECTED: &str = "a file may be rejected";
+const FROM_CHAIN: &str =
+    "the configuration in force is one that the chain has had, with each change complete";
+const IS_NEWEST: &str = "the configuration in force is the newer one of the table's and the file's";
+const NEVER_REVERTS: &str =
+    "the configuration in force never returns to an earlier one while a proxy runs";
+const ENTRY_DROPPED: &str = "an entry may be dropped that an older file lacks";
+const FILE_TOO_OLD: &str = "a proxy may be started with a file that is too old";
+const FILE_REJECTED: &str = "a file may be rejected";
 
-/// What is wrong around the machines under test, on purpose.
+/// A fault that is built into the model, so that the checker has to find its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A file's version hides a change numbered above it.
-    HidesAbove,
-    /// The table wins by key, whatever the file contains.
-    NoVersion,
-    /// Files are not checked against what is only in files.
-    NoCheck,
-    /// Entries go over a file that is too old for them.
-    OverAny,
+    /// A file claims to contain one more change than it does.
+    ClaimsTooMuch,
+    /// Files state no version, so all entries of the table override them.
+    NoFileVersion,
+    /// A file is accepted even if it lacks changes that are only in files.
+    NoFileCheck,
+    /// Entries override even a file that lacks changes compacted before them.
+    OverridesOldFile,
 }
 
+/// The model: one chain of changes, and proxies with files of any version.
 #[derive(Clone)]
-struct Files {
+struct OverrideModel {
     fault: Fault,
 }
 
-/// The names' values: the number of the change that set them.
-type State = BTreeMap<String, u64>;
+/// A configuration: each tenant's value is the version of the change that set it.
+type Configuration = BTreeMap<String, u64>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
     table_version: u64,
     overrides: Overrides,
+    /// The version up to which the file in force contains all changes.
     file: u64,
-    /// It knows which version is the newest.
+    /// Whether this proxy knows the newest version of the chain.
     knows_newest: bool,
-    in_force: State,
+    in_force: Configuration,
+    /// Edits that are not in force, as the file is too old for them.
     waiting: Vec<Edit>,
-    /// The latest state that it ever had in force since then.
-    reached: u64,
-    went_back: bool,
+    /// The version of the configuration in force, once the proxy knows the newest version.
+    version_in_force: u64,
+    /// Whether that version ever decreased.
+    has_reverted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     chain: Vec<Change>,
     proxies: Vec<Proxy>,
-    dropped: bool,
-    lacking: bool,
-    rejected: bool,
+    /// Whether a compaction ever dropped entries that a proxy's file lacked.
+    entry_dropped: bool,
+    /// Whether a proxy's file ever lacked compacted changes.
+    file_too_old: bool,
+    /// Whether a file was ever rejected.
+    file_rejected: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Act {
-    /// A change of two names, of the first alone, or of what the files contain.
-    Both,
-    One,
+enum Step {
+    /// A change sets both tenants.
+    ChangeBoth,
+    /// A change sets the first tenant.
+    ChangeFirst,
+    /// A change compacts the entries up to this version into the files.
     Compact(u64),
-    /// A proxy's table gets the next change, or the newest state in one step.
-    Spread(usize),
-    Fetch(usize),
-    /// It learns the newest version.
+    /// A proxy's table applies the next change.
+    ApplyNext(usize),
+    /// A proxy's table is replaced by the newest one in one step.
+    FetchTable(usize),
+    /// A proxy learns the newest version.
     LearnNewest(usize),
-    /// It reads a file that contains the changes up to that one.
-    Read(usize, u64),
-    /// It starts anew with such a file.
-    Start(usize, u64),
+    /// A proxy reads a file that contains the changes up to this version.
+    ReadFile(usize, u64),
+    /// A proxy restarts with a file that contains the changes up to this version.
+    Restart(usize, u64),
 }
 
+/// An edit that sets a tenant to the version of its change.
 fn set(name: &str, version: u64) -> Edit {
     Edit {
         key: Key {
@@ -91,7 +105,8 @@
     }
 }
 
-fn put(state: &mut State, edit: &Edit) {
+/// Applies an edit to a configuration.
+fn apply_edit(state: &mut Configuration, edit: &Edit) {
     if let Value::Set(bytes) = &edit.value {
         state.insert(edit.key.name.clone(), u64::from(bytes[0]));
     }
@@ -102,25 +117,26 @@
         self.chain.len() as u64
     }
 
-    /// What all files and tables together say at a version.
-    fn state(&self, version: u64) -> State {
-        let mut state = State::from([("a".into(), 0), ("b".into(), 0)]);
+    /// The configuration that results from the initial files and all changes up to `version`.
+    fn configuration(&self, version: u64) -> Configuration {
+        let mut state = Configuration::from([("a".into(), 0), ("b".into(), 0)]);
         let edits = self.chain[..version as usize]
             .iter()
             .flat_map(|change| &change.edits);
         edits
             .filter(|edit| edit.key.kind == Kind::Tenant)
-            .for_each(|edit| put(&mut state, edit));
+            .for_each(|edit| apply_edit(&mut state, edit));
         state
     }
 
-    /// The latest version that has this state, none where it is none.
-    fn version_of(&self, state: &State) -> Option<u64> {
+    /// The latest version of the chain with this configuration, if there is any.
+    fn version_of(&self, state: &Configuration) -> Option<u64> {
         (0..=self.newest())
             .rev()
-            .find(|version| self.state(*version) == *state)
+            .find(|version| self.configuration(*version) == *state)
     }
 
+    /// The table of a replica that applied all changes up to `version`.
     fn table(&self, version: u64) -> Table {
         let mut table = Table::default();
         self.chain[..version as usize]
@@ -129,6 +145,7 @@
         table
     }
 
+    /// Adds a change to the chain.
     fn commit(&mut self, edits: Vec<Edit>) {
         let previous = self.newest();
         self.chain.push(Change {
@@ -140,19 +157,20 @@
     }
 }
 
-impl Files {
-    /// The version that the machine gets for a file.
-    fn claimed(&self, version: u64) -> u64 {
+impl OverrideModel {
+    /// The version that a file claims to contain all changes up to.
+    fn claimed_version(&self, version: u64) -> u64 {
         match self.fault {
-            Fault::HidesAbove => version + 1,
-            Fault::NoVersion => 0,
+            Fault::ClaimsTooMuch => version + 1,
+            Fault::NoFileVersion => 0,
             _ => version,
         }
     }
 
-    fn start(&self, world: &World, version: u64) -> Proxy {
-        let overrides = Overrides::new(self.claimed(version));
-        let (in_force, waiting) = (world.state(version), Vec::new());
+    /// A proxy that starts with an empty table and the file of `version`.
+    fn start_proxy(&self, world: &World, version: u64) -> Proxy {
+        let overrides = Overrides::new(self.claimed_version(version));
+        let (in_force, waiting) = (world.configuration(version), Vec::new());
         Proxy {
             table_version: 0,
             overrides,
@@ -160,96 +178,102 @@
             knows_newest: false,
             in_force,
             waiting,
-            reached: 0,
-            went_back: false,
+            version_in_force: 0,
+            has_reverted: false,
         }
     }
 
-    /// A table came to another version, as the event says.
+    /// A proxy's table changes to `version`, with these entries changed.
     fn apply(&self, world: &mut World, p: usize, version: u64, entries: Vec<Entry>) {
         let proxy = &mut world.proxies[p];
         proxy.table_version = version;
         let over = proxy.overrides.apply(version, entries);
         proxy.waiting.extend(over);
-        world.lacking |= proxy.overrides.required_file_version().is_some();
-        if proxy.overrides.required_file_version().is_none() || self.fault == Fault::OverAny {
+        world.file_too_old |= proxy.overrides.required_file_version().is_some();
+        if proxy.overrides.required_file_version().is_none()
+            || self.fault == Fault::OverridesOldFile
+        {
             for edit in std::mem::take(&mut proxy.waiting) {
-                put(&mut proxy.in_force, &edit);
+                apply_edit(&mut proxy.in_force, &edit);
             }
         }
     }
 
-    fn read(&self, world: &mut World, p: usize, version: u64) {
-        let (newest, state) = (world.newest(), world.state(version));
+    /// A proxy reads the file of `version`, and puts it in force unless it rejects it.
+    fn read_file(&self, world: &mut World, p: usize, version: u64) {
+        let (newest, state) = (world.newest(), world.configuration(version));
         let proxy = &mut world.proxies[p];
         let known = proxy.knows_newest.then_some(newest);
-        let claimed = self.claimed(version);
-        if proxy.overrides.check_file(claimed, known).is_err() && self.fault != Fault::NoCheck {
-            world.rejected = true;
+        let claimed = self.claimed_version(version);
+        if proxy.overrides.check_file(claimed, known).is_err() && self.fault != Fault::NoFileCheck {
+            world.file_rejected = true;
             return;
         }
         proxy.overrides.set_file(claimed, known);
         proxy.waiting.clear();
         (proxy.file, proxy.in_force) = (version, state);
         for edit in proxy.overrides.entries_over(claimed) {
-            put(&mut proxy.in_force, &edit);
+            apply_edit(&mut proxy.in_force, &edit);
         }
     }
 }
 
-impl Model for Files {
+impl Model for OverrideModel {
     type State = World;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let (chain, proxies) = Default::default();
         let mut world = World {
             chain,
             proxies,
-            dropped: false,
-            lacking: false,
-            rejected: false,
+            entry_dropped: false,
+            file_too_old: false,
+            file_rejected: false,
         };
-        world.proxies = (0..PROXIES).map(|_| self.start(&world, 0)).collect();
+        world.proxies = (0..PROXIES).map(|_| self.start_proxy(&world, 0)).collect();
         vec![world]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         let newest = world.newest();
         if world.chain.len() < CHANGES {
-            actions.extend([Act::Both, Act::One]);
-            actions.extend((1..=newest).map(Act::Compact));
+            actions.extend([Step::ChangeBoth, Step::ChangeFirst]);
+            actions.extend((1..=newest).map(Step::Compact));
         }
         for p in 0..PROXIES {
             if world.proxies[p].table_version < newest {
-                actions.extend([Act::Spread(p), Act::Fetch(p)]);
+                actions.extend([Step::ApplyNext(p), Step::FetchTable(p)]);
             }
-            actions.push(Act::LearnNewest(p));
+            actions.push(Step::LearnNewest(p));
             for version in 0..=newest {
-                actions.extend([Act::Read(p, version), Act::Start(p, version)]);
+                actions.extend([Step::ReadFile(p, version), Step::Restart(p, version)]);
             }
         }
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
+    fn next_state(&self, before: &World, step: Step) -> Option<World> {
         let mut world = before.clone();
         let (version, mut fresh) = (world.newest() + 1, false);
-        match act {
-            Act::Both => world.commit(vec![set("a", version), set("b", version)]),
-            Act::One => world.commit(vec![set("a", version)]),
-            Act::Compact(upto) => {
+        match step {
+            Step::ChangeBoth => world.commit(vec![set("a", version), set("b", version)]),
+            Step::ChangeFirst => world.commit(vec![set("a", version)]),
+            Step::Compact(compacted_version) => {
                 let so_far = world.table(world.newest()).compacted_version();
-                if upto <= so_far {
+                if compacted_version <= so_far {
                     return None;
                 }
-                world.commit(vec![Edit::compact_up_to(upto)]);
-                world.dropped |= world.proxies.iter().any(|proxy| proxy.file < upto);
+                world.commit(vec![Edit::compact_up_to(compacted_version)]);
+                world.entry_dropped |= world
+                    .proxies
+                    .iter()
+                    .any(|proxy| proxy.file < compacted_version);
             }
-            Act::Spread(p) => {
+            Step::ApplyNext(p) => {
                 let change = world.chain[world.proxies[p].table_version as usize].clone();
                 self.apply(&mut world, p, change.version, change.entries());
             }
-            Act::Fetch(p) => {
+            Step::FetchTable(p) => {
                 let (mine, theirs) = (
                     world.table(world.proxies[p].table_version),
                     world.table(world.newest()),
@@ -261,7 +285,7 @@
                 let newest = world.newest();
                 self.apply(&mut world, p, newest, entries);
             }
-            Act::LearnNewest(p) => {
+            Step::LearnNewest(p) => {
                 let newest = world.newest();
                 let proxy = &mut world.proxies[p];
                 proxy.knows_newest = true;
@@ -269,10 +293,10 @@
                     proxy.overrides.confirm_file(newest).ok()?;
                 }
             }
-            Act::Read(p, version) => self.read(&mut world, p, version),
-            Act::Start(p, version) => {
+            Step::ReadFile(p, version) => self.read_file(&mut world, p, version),
+            Step::Restart(p, version) => {
                 fresh = true;
-                world.proxies[p] = self.start(&world, version);
+                world.proxies[p] = self.start_proxy(&world, version);
             }
         }
         for p in 0..PROXIES {
@@ -281,43 +305,47 @@
                 .unwrap_or_default();
             let proxy = &mut world.proxies[p];
             let counts = proxy.knows_newest && !fresh;
-            proxy.went_back |= counts && now < proxy.reached;
-            proxy.reached = if counts { now } else { 0 };
+            proxy.has_reverted |= counts && now < proxy.version_in_force;
+            proxy.version_in_force = if counts { now } else { 0 };
         }
         (world != *before).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(STATE, |_, world: &World| {
+            Property::always(FROM_CHAIN, |_, world: &World| {
                 world
                     .proxies
                     .iter()
                     .all(|proxy| world.version_of(&proxy.in_force).is_some())
             }),
-            Property::always(NEWEST, |_, world: &World| {
-                let of = |proxy: &Proxy| match proxy.overrides.required_file_version() {
-                    None => world.state(proxy.table_version.max(proxy.file)) == proxy.in_force,
+            Property::always(IS_NEWEST, |_, world: &World| {
+                let is_newest = |proxy: &Proxy| match proxy.overrides.required_file_version() {
+                    None => {
+                        world.configuration(proxy.table_version.max(proxy.file)) == proxy.in_force
+                    }
                     Some(_) => true,
                 };
-                world.proxies.iter().all(of)
+                world.proxies.iter().all(is_newest)
             }),
-            Property::always(BACK, |_, world: &World| {
-                !world.proxies.iter().any(|proxy| proxy.went_back)
+            Property::always(NEVER_REVERTS, |_, world: &World| {
+                !world.proxies.iter().any(|proxy| proxy.has_reverted)
             }),
-            Property::sometimes(DROPPED, |_, world: &World| world.dropped),
-            Property::sometimes(LACKING, |_, world: &World| world.lacking),
-            Property::sometimes(REJECTED, |_, world: &World| world.rejected),
+            Property::sometimes(ENTRY_DROPPED, |_, world: &World| world.entry_dropped),
+            Property::sometimes(FILE_TOO_OLD, |_, world: &World| world.file_too_old),
+            Property::sometimes(FILE_REJECTED, |_, world: &World| world.file_rejected),
         ]
     }
 }
 
+/// Searches the model breadth-first. Returns the number of states, and for each violated or reached property the steps
+/// to it.
 fn search(
     fault: Fault,
     threads: usize,
     until: HasDiscoveries,
-) -> (usize, BTreeMap<&'static str, Vec<Act>>) {
-    let checker = Files { fault }
+) -> (usize, BTreeMap<&'static str, Vec<Step>>) {
+    let checker = OverrideModel { fault }
         .checker()
         .threads(threads)
         .finish_when(until)
@@ -332,33 +360,33 @@
 }
 
 #[test]
-fn whatever_files_the_proxies_have_a_state_of_the_chain_is_in_force() {
+fn with_any_files_a_configuration_of_the_chain_is_in_force() {
     let (states, found) = search(Fault::None, 2, HasDiscoveries::All);
     println!("{states} states");
     assert_eq!(
         found.keys().copied().collect::<Vec<_>>(),
-        [REJECTED, LACKING, DROPPED],
+        [FILE_REJECTED, FILE_TOO_OLD, ENTRY_DROPPED],
         "{found:?}"
     );
 }
 
-/// Each part of the rule is needed: without it the search finds a way to what must not be.
+/// Each part of the rules is needed: without it, the search finds a sequence of steps that violates a property.
 #[test]
 fn each_fault_is_found() {
     let faults = [
-        (Fault::HidesAbove, NEWEST),
-        (Fault::NoVersion, STATE),
-        (Fault::NoCheck, STATE),
-        (Fault::OverAny, STATE),
+        (Fault::ClaimsTooMuch, IS_NEWEST),
+        (Fault::NoFileVersion, FROM_CHAIN),
+        (Fault::NoFileCheck, FROM_CHAIN),
+        (Fault::OverridesOldFile, FROM_CHAIN),
     ];
     for (fault, property) in faults {
         let (states, found) = search(fault, 1, HasDiscoveries::AllOf([property].into()));
-        let way = found
-            .get(property)
-            .unwrap_or_else(|| panic!("{fault:?} was not found in {states} states"));
+        let steps = found.get(property).unwrap_or_else(|| {
+            panic!("{property:?} holds in all {states} states despite {fault:?}")
+        });
         println!(
-            "{fault:?}: fails after {} steps, {states} states: {way:?}",
-            way.len()
+            "{fault:?}: {property:?} fails after {} steps, {states} states: {steps:?}",
+            steps.len()
         );
     }
 }
