--- a/src/bin/meadowproxy-adapter/roster.rs
+++ b/src/bin/meadowproxy-adapter/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! The endpoint lists that the simulator gives out under numbers, for all instances of the process.
+//! The endpoint lists that the simulator sends with a number, shared by all instances of the process.
 
 use crate::error::MessageError;
 use crate::message::Message;
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-const LARGEST_ROSTER_NUMBER: u64 = 15;
-const ROSTER_NUMBER: &str = "a roster number from 0 to 15";
+const LARGEST_LIST_NUMBER: u64 = 15;
+const LIST_NUMBER: &str = "a list number from 0 to 15";
 
-/// Values of an entry, in the order of the wire.
+/// Indexes of an entry's values; the value at index 5 is not read.
 const ZONE: usize = 0;
 const CELL: usize = 1;
 const KIND: usize = 2;
@@ -21,42 +21,42 @@
 
 /// One backend of a list.
 #[derive(Clone, Debug)]
-pub struct RosterEntry {
-    /// Its address.
+pub struct EndpointListEntry {
+    /// The backend's address.
     pub address: String,
-    /// Its entry, under the names of its zone and kind.
+    /// The backend's properties, with its zone and hardware class by name.
     pub row: EndpointRow,
 }
 
-/// The lists by their numbers. A new list takes over its number from the one before.
+/// The endpoint lists by number. A list replaces the previous one with the same number.
 #[derive(Default)]
-pub struct Rosters {
-    by_number: HashMap<u64, Vec<RosterEntry>>,
+pub struct EndpointLists {
+    by_number: HashMap<u64, Vec<EndpointListEntry>>,
 }
 
-impl Rosters {
-    /// Takes a list.
+impl EndpointLists {
+    /// Stores the list of a [`MessageKind::EndpointList`](crate::message::MessageKind::EndpointList) message.
     pub fn insert(&mut self, message: &Message) -> Result<(), MessageError> {
-        let number = message.integer(0, ROSTER_NUMBER)?;
-        if number > LARGEST_ROSTER_NUMBER {
-            return Err(message.unexpected(0, ROSTER_NUMBER));
+        let number = message.integer(0, LIST_NUMBER)?;
+        if number > LARGEST_LIST_NUMBER {
+            return Err(message.unexpected(0, LIST_NUMBER));
         }
         let entries = message.json(1).as_array();
         let entries = entries.ok_or_else(|| message.unexpected(1, "an array of entries"))?;
-        let entries: Result<Vec<RosterEntry>, MessageError> =
+        let entries: Result<Vec<EndpointListEntry>, MessageError> =
             entries.iter().map(parse_entry).collect();
         self.by_number.insert(number, entries?);
         Ok(())
     }
 
-    /// The list of that number, if there is one.
-    pub fn get(&self, number: u64) -> Option<&[RosterEntry]> {
+    /// Returns the list with this number, if there is one.
+    pub fn get(&self, number: u64) -> Option<&[EndpointListEntry]> {
         self.by_number.get(&number).map(Vec::as_slice)
     }
 }
 
-fn parse_entry(entry: &Value) -> Result<RosterEntry, MessageError> {
-    let error = |expected| MessageError::RosterEntry {
+fn parse_entry(entry: &Value) -> Result<EndpointListEntry, MessageError> {
+    let error = |expected| MessageError::EndpointListEntry {
         entry: entry.to_string(),
         expected,
     };
@@ -67,7 +67,9 @@
     let text = |index: usize, expected| values[index].as_str().ok_or_else(|| error(expected));
     let address = text(ADDRESS, "an address")?;
     if !is_plain(address) {
-        return Err(error("a plain address"));
+        return Err(error(
+            "an address of printable ASCII without quotes and backslashes",
+        ));
     }
     let state = match text(STATE, "IN, LAME or OUT")? {
         "IN" => BackendState::Ready,
@@ -98,13 +100,13 @@
         text(KIND, "a kind")?,
         backend,
     );
-    Ok(RosterEntry {
+    Ok(EndpointListEntry {
         address: address.into(),
         row,
     })
 }
 
-/// Whether the address can be written into a reply as it is: without anything that JSON escapes.
+/// Returns whether the address can be written into a JSON string without escapes.
 fn is_plain(address: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
     !address.is_empty() && address.bytes().all(plain)
