--- a/src/net/state/hot_restart.rs
+++ b/src/net/state/hot_restart.rs
@@ -1,8 +1,8 @@
-//! Hot restart: the listening socket that a process inherits, and the other process of the same proxy while there are
-//! two of them.
+//! Hot restart: a new process of the same proxy takes over the listening socket while the old one still serves its
+//! connections.
 //!
-//! [`inherited_listener`] takes the socket that the platform passes on. A [`Presence`] file in a folder that both
-//! processes share shows each of them whether there is another one, and how many connections it has.
+//! [`inherited_listener`] takes the socket that the platform passes on. Each process creates a [`Presence`] file in a
+//! folder that they share, by which the other one detects it and reads how many connections it has.
 
 use rustix::fs::{flock, FlockOperation};
 use std::fs::File;
@@ -14,33 +14,33 @@
 use thiserror::Error;
 
 const SOCKET_VARIABLE: &str = "NODE_SOCKET_FD";
-/// Lower descriptors are standard input, output and error.
+/// The lowest valid descriptor. Lower ones are standard input, output and error.
 const FIRST_PASSED_DESCRIPTOR: u16 = 3;
 const FILE_NAME_PREFIX: &str = "process-";
-/// Length of a presence file: two numbers of eight digits and a space between them.
+/// Length of a presence file: two numbers, padded to eight characters each, with a space between them.
 const PRESENCE_BYTES: usize = 17;
 
-/// What is wrong with the descriptor that was passed on.
+/// Reasons for which the value of `NODE_SOCKET_FD` cannot be used.
 #[derive(Debug, Error)]
 pub enum DescriptorError {
-    /// The variable does not hold a number.
-    #[error("expected a descriptor's number")]
+    /// The value is not a number.
+    #[error("expected the number of a file descriptor")]
     NotANumber,
-    /// The number is one of the standard streams.
-    #[error("expected a descriptor from 3 on")]
+    /// The number is that of a standard stream.
+    #[error("expected a file descriptor of at least {FIRST_PASSED_DESCRIPTOR}")]
     StandardStream,
-    /// No socket has that descriptor.
+    /// The descriptor is not a socket.
     #[error("expected a socket")]
     NotASocket,
     /// The socket does not listen.
     #[error("expected a listening TCP socket")]
     NotListening,
-    /// The descriptor cannot be used.
-    #[error("{0}")]
+    /// A system call on the descriptor failed.
+    #[error("cannot use the file descriptor: {0}")]
     Unusable(#[source] io::Error),
 }
 
-/// `NODE_SOCKET_FD` names no usable socket.
+/// `NODE_SOCKET_FD` does not name a usable socket.
 #[derive(Debug, Error)]
 #[error("{SOCKET_VARIABLE}={value}: {reason}")]
 pub struct InheritError {
@@ -49,8 +49,8 @@
     reason: DescriptorError,
 }
 
-/// Takes the listening socket that `NODE_SOCKET_FD` names; `None` where the variable is not set. Call it once, before
-/// any other thread runs: it changes environment variables.
+/// Takes ownership of the listening socket that `NODE_SOCKET_FD` names. Returns `None` if the variable is not set. Call
+/// it only once and before any other thread runs, because it changes environment variables.
 pub fn inherited_listener() -> Result<Option<TcpListener>, InheritError> {
     let Ok(value) = std::env::var(SOCKET_VARIABLE) else {
         return Ok(None);
@@ -69,7 +69,7 @@
     if number < FIRST_PASSED_DESCRIPTOR {
         return Err(DescriptorError::StandardStream);
     }
-    // The crate takes descriptors by the variables of systemd's protocol.
+    // The crate `listenfd` reads the environment variables of systemd's socket activation.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
@@ -88,19 +88,19 @@
     Ok(listener)
 }
 
-/// Which other processes of this proxy accept clients.
+/// The other processes of this proxy that accept clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
-    /// One started before this one.
+    /// Whether one of them started before this process.
     pub older: bool,
-    /// One started after this one.
+    /// Whether one of them started after this process.
     pub newer: bool,
     /// The sum of their open connections.
     pub connections: ConnectionCounts,
 }
 
 impl OtherProcesses {
-    /// Whether there is any.
+    /// Returns whether there is any other process.
     pub fn any(&self) -> bool {
         self.older || self.newer
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Open connections of a process.
+/// The numbers of open connections of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
     /// From clients.
@@ -123,12 +123,12 @@
 }
 
 impl ConnectionCounts {
-    /// The text of a presence file: always equally long, so that no reader sees half of it.
+    /// Returns the content of a presence file. Its length is constant, so that each write replaces the whole content.
     fn to_text(self) -> String {
         format!("{:8} {:8}", self.clients, self.upstreams)
     }
 
-    /// Reads a presence file; what cannot be read counts as no connections.
+    /// Reads a presence file. A number that cannot be read counts as 0.
     fn read(file: &File) -> ConnectionCounts {
         let mut bytes = [0; PRESENCE_BYTES];
         let read = file.read_exact_at(&mut bytes, 0);
@@ -144,8 +144,8 @@
     }
 }
 
-/// Shows this process to the other one by a file that stays locked for as long as the process runs: the kernel drops a
-/// lock however a process ends.
+/// The presence file of this process, which stays locked as long as the process runs. The kernel releases the lock
+/// however the process ends, so a file without a lock belongs to a process that has ended.
 pub struct Presence {
     dir: PathBuf,
     file_name: String,
@@ -153,14 +153,15 @@
 }
 
 impl Presence {
-    /// Creates and locks the file under a hidden name, which other processes ignore until [`Presence::publish`].
+    /// Creates and locks the file in `dir`. Its name is hidden, so that other processes ignore it until
+    /// [`Presence::publish`].
     pub fn new(dir: &Path) -> io::Result<Presence> {
         std::fs::create_dir_all(dir)?;
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let process = std::process::id();
-        // Names sort by the time of their process's start.
+        // File names sort by the start time of their processes.
         let file_name = format!("{FILE_NAME_PREFIX}{:020}-{process}", now.as_micros());
         let lock = File::create_new(dir.join(format!(".{file_name}")))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
@@ -171,7 +172,7 @@
         })
     }
 
-    /// Makes this process visible to the others.
+    /// Makes this process visible to other processes: renames the file to its name without the leading dot.
     pub fn publish(&self) -> io::Result<()> {
         std::fs::rename(
             self.dir.join(format!(".{}", self.file_name)),
@@ -179,13 +180,13 @@
         )
     }
 
-    /// Writes how many connections this process has.
+    /// Writes this process's numbers of connections into the file.
     pub fn write_counts(&self, connections: ConnectionCounts) {
-        // After a failed write the other process counts none, as if it were the only one.
+        // Errors are ignored: until a write succeeds, the other process counts no connections of this one.
         let _ = self.lock.write_all_at(connections.to_text().as_bytes(), 0);
     }
 
-    /// Looks for other processes now. Removes the files of processes that have ended.
+    /// Reads the presence files of other processes, and removes those of processes that have ended.
     pub fn other_processes(&self) -> OtherProcesses {
         let mut others = OtherProcesses::default();
         let entries = std::fs::read_dir(&self.dir).into_iter().flatten().flatten();
--- a/src/net/state/hot_restart/stored_formats.rs
+++ b/src/net/state/hot_restart/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The file by which one process of a proxy sees the other.
+//! The stored format of presence files: their names and content, which processes of different versions exchange.
 
 use super::*;
 use crate::fixtures::assert_lines;
@@ -7,7 +7,8 @@
     std::env::temp_dir().join(format!("fixtures-{name}-{}", std::process::id()))
 }
 
-/// The one file of a folder: its name with digits in place of time and process, and its content.
+/// Returns the name and the content of the only file in a folder. In the name, TIME with its number of digits stands
+/// for the start time, and PROCESS for the process id.
 fn only_file(dir: &Path) -> (String, String) {
     let entries: Vec<_> = std::fs::read_dir(dir)
         .unwrap()
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn presence_keeps_its_names_and_content() {
+fn presence_files_keep_their_names_and_content() {
     let dir = folder("presence");
     let presence = Presence::new(&dir).unwrap();
     let (hidden, _) = only_file(&dir);
@@ -45,7 +46,7 @@
     ];
     let stored = assert_lines("presence.txt", &forms);
 
-    // Read as an older process wrote it.
+    // A file as an older process wrote it is read, with the content of the fixture.
     let dir = folder("presence-read");
     let this = Presence::new(&dir).unwrap();
     this.publish().unwrap();
--- a/src/net/state/hot_restart/tests.rs
+++ b/src/net/state/hot_restart/tests.rs
@@ -1,10 +1,10 @@
-//! Two processes in one folder.
+//! Presence files of two processes in one folder.
 
 use super::*;
 
-/// Age decides who is whose successor; one that has not published or is gone counts for nothing.
+/// Each process sees the other as older or newer by its start time, but only while the other is published and runs.
 #[test]
-fn processes_see_each_other_while_they_live() {
+fn processes_detect_each_other_while_both_run() {
     let dir = std::env::temp_dir().join(format!("meadowproxy-presence-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let old = Presence::new(&dir).unwrap();
@@ -14,7 +14,7 @@
     assert_eq!(
         old.other_processes(),
         OtherProcesses::default(),
-        "not before it takes clients"
+        "an unpublished process was detected"
     );
     assert_eq!(
         young.other_processes(),
@@ -42,7 +42,10 @@
         "",
     )
     .unwrap();
-    assert!(!old.other_processes().older, "nobody holds its lock");
+    assert!(
+        !old.other_processes().older,
+        "a file without a lock was taken for a running process"
+    );
     drop(old);
     assert_eq!(young.other_processes(), OtherProcesses::default());
     drop(young);
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -1,9 +1,12 @@
-//! Checked snapshots of what this proxy learned, so that a start after a crash or a power cut is warm.
+//! The file format of snapshots of the proxy's learned state, with which the proxy starts warm after a restart, a crash
+//! or a power failure.
 //!
-//! The file is a prefix of [`PREFIX_BYTES`] bytes, then a body in postcard: the prefix is the magic `SHTS`, the format
-//! version (u16, little endian), the body's length in bytes (u32) and its CRC-32 (u32). The body is a [`Snapshot`]: a
-//! [`Header`] and a [`SavedState`]. A file is replaced atomically: written to a temporary file, synced, renamed, and
-//! the folder synced.
+//! A file consists of a prefix of [`PREFIX_BYTES`] bytes and a body in postcard encoding. The prefix is the magic
+//! `SHTS`, the format version (u16), the body's length in bytes (u32) and its CRC-32 (u32), all little endian. The body
+//! is a [`Snapshot`]: a [`Header`] and a [`SavedState`]. Snapshots that the proxies of a fleet send each other have the
+//! same encoding.
+//!
+//! Files are replaced atomically: [`write`] writes a temporary file, syncs it, renames it and syncs the folder.
 
 use meadowproxy::{LearnedBackend, LearnedHardwareClass, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
@@ -13,31 +16,32 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// It stems from the program's former name, and stays so that old files can be read.
+/// The first bytes of each file. They derive from the program's former name, and stay so that old files can be read.
 const MAGIC: [u8; 4] = *b"SHTS";
-/// Raised whenever the body's shape changes; older and newer files are rejected.
+/// The format version. It is incremented whenever the body's structure changes; files of all other versions are
+/// rejected.
 pub const FORMAT_VERSION: u16 = 4;
 const PREFIX_BYTES: usize = 14;
-/// Larger snapshots are neither written nor read: a proxy's memory limit is some hundred MB.
+/// Larger snapshots are neither written nor read, as a proxy's memory limit is only a few hundred MB.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 const FILE_NAME_PREFIX: &str = "snapshot";
-/// A snapshot from further in the future is rejected.
+/// How far the clock may have been set back since a snapshot was written; one from further in the future is rejected.
 const MAX_CLOCK_SETBACK: Micros = Micros(1_000_000);
-/// Bytes of a hash that make the name of a file or folder unique.
+/// The number of a hash's bytes in the name of a file or folder.
 const SHORT_HASH_BYTES: usize = 16;
 
-/// Who wrote the body, when, and under which settings.
+/// The metadata of a snapshot: by which program it was written, when, and for which proxy and settings it is valid.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// The program's version, for the log.
     pub program: String,
-    /// Wall time of writing, microseconds since 1970.
+    /// Wall-clock time of writing, in microseconds since 1970.
     pub written_us: u64,
     pub scope: SnapshotScope,
 }
 
 impl Header {
-    /// Of a body that this program writes now.
+    /// Creates the header of a snapshot that this program writes now.
     pub fn now(scope: SnapshotScope) -> Header {
         Header {
             program: env!("CARGO_PKG_VERSION").into(),
@@ -47,17 +51,17 @@
     }
 }
 
-/// Which proxy and which settings a snapshot is valid for.
+/// The proxy and the settings for which a snapshot is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotScope {
-    /// Whose it is, by [`ProxyIdentity::hash`]; `None` for what goes to the fleet's other proxies.
+    /// The [`ProxyIdentity::hash`] of the proxy; `None` if the snapshot is sent to the fleet's other proxies.
     pub owner: Option<[u8; 32]>,
     /// BLAKE3 of the settings in force.
     pub settings: [u8; 32],
 }
 
 impl SnapshotScope {
-    /// For a file: valid only for the proxy that wrote it, under the very same settings.
+    /// Creates the scope of a file, which is valid only for the proxy that wrote it and under exactly these settings.
     pub fn for_proxy(owner: &ProxyIdentity, settings: [u8; 32]) -> SnapshotScope {
         SnapshotScope {
             owner: Some(owner.hash()),
@@ -65,7 +69,8 @@
         }
     }
 
-    /// For another proxy of the fleet, where `settings` are those that the fleet shares.
+    /// Creates the scope of a snapshot for other proxies of the fleet. `settings` is the digest of the settings that
+    /// the fleet shares.
     pub fn for_fleet(settings: [u8; 32]) -> SnapshotScope {
         SnapshotScope {
             owner: None,
@@ -74,25 +79,27 @@
     }
 }
 
-/// Which proxy of which deployment this is. Fleets on one machine may share a temporary folder and use equal names;
-/// only one of them has the address, and discovery determines its backends.
+/// Identifies a proxy of a deployment. The name alone does not: fleets on one machine may share a temporary folder and
+/// use the same names. Only one proxy can listen on an address, and discovery determines its backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyIdentity {
     pub name: String,
-    /// Where its clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: Option<SocketAddr>,
 }
 
 impl ProxyIdentity {
-    /// Whose a snapshot is.
+    /// Returns the hash that identifies the owner of a snapshot.
     pub fn hash(&self) -> [u8; 32] {
         hash(&serde_json::json!([self.name, self.listen, self.discovery]))
     }
 
-    /// The name of a folder for processes that are this proxy, also while discovery moves.
+    /// Returns the name of the folder that the processes of this proxy share. It does not depend on discovery's
+    /// address, which can differ between two processes while discovery moves.
     pub fn folder_name(&self) -> String {
-        short(&hash(&serde_json::json!([self.name, self.listen])))
+        short_hex(&hash(&serde_json::json!([self.name, self.listen])))
     }
 }
 
@@ -100,90 +107,90 @@
     *blake3::hash(value.to_string().as_bytes()).as_bytes()
 }
 
-/// Enough of a hash for the name of a file.
-fn short(hash: &[u8; 32]) -> String {
+/// Returns the first bytes of a hash in hex, for the name of a file or folder.
+fn short_hex(hash: &[u8; 32]) -> String {
     hex::encode(&hash[..SHORT_HASH_BYTES])
 }
 
-/// What survives a restart: the balancer's learned state by names, and the backends that operators disabled. The
-/// endpoint list is not part of it: the platform provides it at each start as `known`.
+/// The state that survives a restart: the balancer's learned state, with names instead of ids, and the backends that
+/// operators disabled. The endpoint list is not part of it, as the platform provides it at each start as `known`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedState {
-    /// By kind name.
+    /// The learned state of hardware classes, by name.
     pub hardware_classes: Vec<(String, LearnedHardwareClass)>,
-    /// Latency of served requests in seconds, by class name.
+    /// Mean latency of served requests in seconds, by request class name.
     pub classes: Vec<(String, SampledMean)>,
-    /// The same over all classes.
+    /// Mean latency of served requests of all classes in seconds.
     pub overall_latency: SampledMean,
-    /// By backend name.
+    /// The learned state of backends, by name.
     pub backends: Vec<(String, LearnedBackend)>,
     /// Names of the backends that operators disabled.
     pub disabled: Vec<String>,
 }
 
-/// A snapshot: its header and what it restores.
+/// A snapshot: its header and the saved state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub header: Header,
     pub saved: SavedState,
 }
 
-/// A snapshot that may be restored.
+/// A snapshot that was verified to be valid for this proxy.
 pub struct VerifiedSnapshot {
     pub snapshot: Snapshot,
     /// Time since it was written.
     pub age: Micros,
 }
 
-/// Why a snapshot is not used. Each is logged once, and the proxy starts cold.
+/// Reasons for which a snapshot is not written or not used. An unused one is logged, and the proxy starts cold.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// There is no file yet.
-    #[error("no snapshot yet")]
+    /// The file does not exist.
+    #[error("the file does not exist")]
     Missing,
     /// The file cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[source] io::Error),
-    /// The file ends before its prefix or its body does.
-    #[error("cut short at {length_bytes} bytes")]
+    /// The snapshot ends within its prefix or its body.
+    #[error("truncated: ends after {length_bytes} bytes")]
     Truncated { length_bytes: usize },
-    /// The file does not begin with [`MAGIC`].
-    #[error("magic {0:02x?}, not a snapshot")]
+    /// The snapshot does not start with [`MAGIC`].
+    #[error("not a snapshot: starts with {0:02x?}, expected {MAGIC:02x?}")]
     Magic([u8; 4]),
-    /// The file has another format version.
-    #[error("format {0}, this program reads {FORMAT_VERSION}")]
+    /// The snapshot has another format version than [`FORMAT_VERSION`].
+    #[error("format version {0}, this program reads version {FORMAT_VERSION}")]
     Format(u16),
-    /// The body is longer than the prefix says.
-    #[error("body of {found_bytes} bytes where the prefix says {stated_bytes}")]
+    /// The body is longer than the prefix states.
+    #[error("the body has {found_bytes} bytes, but the prefix states {stated_bytes}")]
     Length {
         stated_bytes: usize,
         found_bytes: usize,
     },
-    /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
-    #[error("{0} bytes, over the {MAX_SNAPSHOT_BYTES} allowed")]
+    /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`]. Of a file, at most one byte more than that was read.
+    #[error("{0} bytes, more than the {MAX_SNAPSHOT_BYTES} allowed")]
     TooLarge(usize),
     /// The body does not match its checksum.
-    #[error("CRC {computed:08x} where {stored:08x} was stored")]
+    #[error("the body's CRC-32 is {computed:08x}, but the prefix states {stored:08x}")]
     Checksum { stored: u32, computed: u32 },
     /// The body cannot be encoded or decoded.
-    #[error("body does not decode: {0}")]
+    #[error("invalid body: {0}")]
     Body(#[source] postcard::Error),
-    /// Another proxy wrote it.
+    /// The snapshot was written by another proxy.
     #[error("written by another proxy")]
     OtherProxy,
-    /// It was written under other settings.
+    /// The snapshot was written under other settings.
     #[error("written under other settings")]
     OtherSettings,
-    /// It is older than the configuration allows.
-    #[error("{:.1} s old, over {:.1} s", .age.as_secs_f64(), .max_age.as_secs_f64())]
+    /// The snapshot is older than the configuration allows.
+    #[error("{:.1} s old, more than the {:.1} s allowed", .age.as_secs_f64(), .max_age.as_secs_f64())]
     Stale { age: Micros, max_age: Micros },
-    /// Its time of writing lies in the future by so much.
+    /// The snapshot was written further in the future than [`MAX_CLOCK_SETBACK`]. The value is how far.
     #[error("written {:.1} s in the future", .0.as_secs_f64())]
     InFuture(Micros),
 }
 
 impl SnapshotError {
-    /// A stable name for the log's `cause` field.
+    /// Returns the stable name of the error for the log's field `cause`.
     pub fn cause(&self) -> &'static str {
         match self {
             SnapshotError::Missing => "missing",
@@ -203,11 +210,12 @@
     }
 }
 
-/// The keys of the settings that differ between the proxies of one fleet, which share what they learned under all the
-/// others.
+/// The keys of the settings that may differ between the proxies of a fleet. Proxies share learned state if all other
+/// settings are equal.
 pub const PER_PROXY_SETTINGS: [&str; 2] = ["position", "my_zone"];
 
-/// The file's bytes. Fails only where prefix and body are over [`MAX_SNAPSHOT_BYTES`], or encoding fails.
+/// Encodes a snapshot. Returns an error if it is larger than [`MAX_SNAPSHOT_BYTES`] with its prefix, or if postcard
+/// cannot encode it.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, SnapshotError> {
     let body = postcard::to_stdvec(snapshot).map_err(SnapshotError::Body)?;
     if PREFIX_BYTES + body.len() > MAX_SNAPSHOT_BYTES {
@@ -222,7 +230,7 @@
     Ok(bytes)
 }
 
-/// A snapshot from the file's bytes; any other bytes give the reason why not, never a panic.
+/// Decodes a snapshot. Returns an error for any invalid bytes and never panics.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let length_bytes = bytes.len();
     if length_bytes > MAX_SNAPSHOT_BYTES {
@@ -261,7 +269,7 @@
 }
 
 impl Snapshot {
-    /// Verifies that the snapshot is valid in this scope and at most `max_age` old.
+    /// Verifies that the snapshot is valid for this scope and at most `max_age` old.
     pub fn verify(
         self,
         scope: &SnapshotScope,
@@ -275,7 +283,8 @@
     }
 }
 
-/// A snapshot's age at wall time `now_us`, if it is valid in this scope and at most `max_age` old.
+/// Returns a snapshot's age at the wall-clock time `now_us`, or an error unless the snapshot is valid for this scope
+/// and at most `max_age` old.
 fn check(
     header: &Header,
     scope: &SnapshotScope,
@@ -288,7 +297,7 @@
     if header.scope.settings != scope.settings {
         return Err(SnapshotError::OtherSettings);
     }
-    // A clock may be set back a little after a power cut.
+    // The clock may have been set back slightly after a power failure.
     let ahead = Micros(header.written_us.saturating_sub(now_us));
     if ahead > MAX_CLOCK_SETBACK {
         return Err(SnapshotError::InFuture(ahead));
@@ -300,22 +309,23 @@
     Ok(age)
 }
 
-/// The owner's file in `dir`.
-pub fn path(dir: &Path, owner: &ProxyIdentity) -> PathBuf {
-    dir.join(name(owner))
+/// Returns the path of the owner's file in `dir`.
+pub fn file_path(dir: &Path, owner: &ProxyIdentity) -> PathBuf {
+    dir.join(file_name(owner))
 }
 
-/// Each proxy has a file name of its own, as several may share a folder.
-fn name(owner: &ProxyIdentity) -> String {
-    format!("{FILE_NAME_PREFIX}-{}", short(&owner.hash()))
+/// Returns the name of the owner's file. It is unique to the proxy, as several proxies may share a folder.
+fn file_name(owner: &ProxyIdentity) -> String {
+    format!("{FILE_NAME_PREFIX}-{}", short_hex(&owner.hash()))
 }
 
-/// Reads and decodes the owner's file in `dir`, and never more of it than a snapshot may be long.
+/// Reads and decodes the owner's file in `dir`. Reads at most one byte more than [`MAX_SNAPSHOT_BYTES`], so that a
+/// large file does not fill the memory.
 pub fn read(dir: &Path, owner: &ProxyIdentity) -> Result<Snapshot, SnapshotError> {
-    let path = path(dir, owner);
+    let path = file_path(dir, owner);
     let read_file = || {
         if !fs::metadata(&path)?.is_file() {
-            return Err(io::Error::other("not a file")); // a pipe there would hold up the start
+            return Err(io::Error::other("not a regular file")); // opening a pipe would block the start
         }
         let mut bytes = Vec::new();
         File::open(&path)?
@@ -330,10 +340,10 @@
     }
 }
 
-/// Removes temporary files of the owner's writers that were killed while writing. Errors are ignored: such a file is
-/// never read.
+/// Removes the temporary files of the owner's processes that were killed while writing. Errors are ignored, as
+/// temporary files are never read.
 pub fn remove_temporary_files(dir: &Path, owner: &ProxyIdentity) {
-    let own = name(owner) + ".";
+    let own = file_name(owner) + ".";
     let files = fs::read_dir(dir).into_iter().flatten().flatten();
     let leftovers = files.filter(|e| {
         let name = e.file_name();
@@ -345,12 +355,12 @@
     }
 }
 
-/// Replaces the owner's file in `dir` atomically: a crash at any point leaves the old file or the new one.
+/// Replaces the owner's file in `dir` atomically: after a crash at any point, either the old or the new file is there.
 pub fn write(dir: &Path, owner: &ProxyIdentity, bytes: &[u8]) -> io::Result<()> {
-    replace_file(dir, &name(owner), bytes)
+    replace_file(dir, &file_name(owner), bytes)
 }
 
-/// Replaces a file of that name atomically.
+/// Replaces the file `name` in `dir` atomically, and creates the folder if it does not exist.
 pub fn replace_file(dir: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     fs::create_dir_all(dir)?;
     let temporary = dir.join(format!("{name}.{}.part", std::process::id()));
@@ -358,11 +368,11 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     fs::rename(&temporary, dir.join(name))?;
-    // The rename is durable only once the folder is.
+    // The rename survives a power failure only once the folder is synced.
     File::open(dir)?.sync_all()
 }
 
-/// Wall time in microseconds since 1970; a clock before that reads as 0.
+/// Returns the wall-clock time in microseconds since 1970, or 0 if the clock is set to an earlier time.
 pub fn wall_us() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| d.as_micros() as u64)
--- a/src/net/state/snapshot/stored_formats.rs
+++ b/src/net/state/snapshot/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The snapshot's file, byte for byte, and the names of files and folders.
+//! The stored format of snapshots, byte for byte, and the names of their files and of the folders that processes share.
 
 use super::*;
 use crate::fixtures::{assert_bytes, assert_lines};
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_file_of_learned_state_keeps_its_bytes() {
+fn snapshots_keep_their_bytes() {
     let own = Snapshot {
         header: header(Some(owner().hash())),
         saved: saved(),
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn files_and_folders_keep_their_names() {
+fn snapshot_files_and_shared_folders_keep_their_names() {
     let alone = ProxyIdentity {
         discovery: None,
         ..owner()
     };
     let forms = [
-        ("file", name(&owner())),
-        ("file without discovery", name(&alone)),
+        ("file", file_name(&owner())),
+        ("file without discovery", file_name(&alone)),
         ("folder", owner().folder_name()),
         ("folder without discovery", alone.folder_name()),
     ];
--- a/src/net/state/snapshot/tests.rs
+++ b/src/net/state/snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! What is written reads back, and nothing else does.
+//! Snapshots decode to what was encoded, and changed bytes are rejected.
 
 use super::*;
 use proptest::prelude::*;
@@ -52,20 +52,20 @@
     (header, saved).prop_map(|(header, saved)| Snapshot { header, saved })
 }
 
-/// Bits compare, as NaN is not equal to itself.
-fn same(a: &Snapshot, b: &Snapshot) -> bool {
+/// Compares the debug output, as NaN is not equal to itself.
+fn has_equal_debug_output(a: &Snapshot, b: &Snapshot) -> bool {
     format!("{a:?}") == format!("{b:?}")
 }
 
 proptest! {
     #[test]
-    fn what_is_encoded_decodes_the_same(s in snapshot()) {
-        let back = decode(&encode(&s).unwrap()).unwrap();
-        prop_assert!(same(&s, &back));
+    fn encoded_snapshots_decode_to_equal_ones(s in snapshot()) {
+        let decoded = decode(&encode(&s).unwrap()).unwrap();
+        prop_assert!(has_equal_debug_output(&s, &decoded));
     }
 
-    /// Any change of any byte, a cut anywhere, or bytes added, are refused or decode to some snapshot: never
-    /// a panic. Inside the body the checksum catches every change of one byte.
+    /// A changed byte and appended bytes are rejected: the prefix is validated, and the checksum detects every change
+    /// of one byte in the body. Truncated and random bytes cause no panic.
     #[test]
     fn mutated_bytes_never_panic(s in snapshot(), at in any::<prop::sample::Index>(), flip in 1u8..,
                                  cut in any::<prop::sample::Index>(), junk in proptest::collection::vec(any::<u8>(), 0..64)) {
@@ -73,7 +73,7 @@
         let mut changed = bytes.clone();
         let i = at.index(changed.len());
         changed[i] ^= flip;
-        prop_assert!(decode(&changed).is_err(), "a change at byte {} was taken", i);
+        prop_assert!(decode(&changed).is_err(), "a change of byte {} was accepted", i);
         let _ = decode(&bytes[..cut.index(bytes.len())]);
         let _ = decode(&junk);
         prop_assert!(decode(&[bytes.clone(), junk.clone()].concat()).is_err() || junk.is_empty());
--- a/src/net/state/snapshot_keeper.rs
+++ b/src/net/state/snapshot_keeper.rs
@@ -1,6 +1,6 @@
-//! Keeps what the balancer learned in a snapshot file: restores it at the start and writes it while the proxy runs.
+//! Saves the proxy's learned state in a snapshot file while the proxy runs, and restores it at the start.
 //!
-//! Make one [`SnapshotKeeper`] at the start, call [`SnapshotKeeper::restore`] before requests are served, and spawn
+//! Create one [`SnapshotKeeper`] at the start, call [`SnapshotKeeper::restore`] before requests are served, and spawn
 //! [`SnapshotKeeper::write_periodically`].
 
 use crate::net::config::SnapshotSection;
@@ -17,26 +17,26 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// How long the end of the program, or an operators' call that must survive a crash, waits for the disk.
+/// How long the shutdown, or a call of the admin API whose effect must survive a crash, waits for the disk.
 const MAX_FLUSH_WAIT: Duration = Duration::from_secs(1);
-/// The shortest interval between two periodic writes.
+/// The minimum interval between two periodic writes, in milliseconds.
 const MIN_WRITE_INTERVAL_MS: u64 = 100;
 
-/// Why no snapshots can be kept.
+/// Reasons for which a [`SnapshotKeeper`] cannot be created.
 #[derive(Debug, Error)]
 pub enum SnapshotKeeperError {
     /// The writer's thread cannot be started.
-    #[error("no thread to write snapshots on: {0}")]
+    #[error("cannot start the thread that writes snapshots: {0}")]
     StartThread(#[source] io::Error),
 }
 
-/// The snapshots of one proxy.
+/// Writes and restores the snapshots of one proxy.
 pub struct SnapshotKeeper {
     config: SnapshotSection,
     host: Rc<Host>,
-    /// Whose the file is; a reload can change it.
+    /// The proxy that owns the file; a reload can change its identity.
     owner: RefCell<ProxyIdentity>,
-    /// What a snapshot written now is valid for; a reload can change it.
+    /// The scope of new snapshots; a reload can change it.
     scope: Cell<SnapshotScope>,
     writer: SnapshotWriter,
 }
@@ -61,8 +61,8 @@
         }))
     }
 
-    /// Restores the snapshot in the folder if it is valid, and logs what was restored or why not. Returns whether the
-    /// start is warm.
+    /// Restores the snapshot in the folder if it is valid, and logs either what was restored or the reason why nothing
+    /// was. Returns whether a snapshot was restored.
     pub fn restore(&self) -> bool {
         let dir = &self.config.dir;
         let owner = self.owner.borrow();
@@ -70,7 +70,7 @@
         let checked = snapshot::read(dir, &owner)
             .and_then(|snapshot| snapshot.verify(&self.scope.get(), max_age));
         snapshot::remove_temporary_files(dir, &owner);
-        let file = snapshot::path(dir, &owner);
+        let file = snapshot::file_path(dir, &owner);
         match checked {
             Ok(VerifiedSnapshot { snapshot, age }) => {
                 info!(
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Has a snapshot of the present state written.
+    /// Submits a snapshot of the current state to the writer's thread. Returns at once.
     pub fn write(&self) {
         let snapshot = Snapshot {
             header: Header::now(self.scope.get()),
@@ -109,7 +109,7 @@
         self.writer.submit(self.owner.borrow().clone(), snapshot);
     }
 
-    /// Waits until everything submitted so far is on disk or has failed, for [`MAX_FLUSH_WAIT`] at most.
+    /// Waits until the snapshots submitted so far are on disk or have failed, for at most [`MAX_FLUSH_WAIT`].
     pub async fn wait_until_flushed(&self) {
         let flushed = tokio::time::timeout(MAX_FLUSH_WAIT, self.writer.wait_until_flushed()).await;
         if flushed.is_err() {
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Takes over an owner and a digest of settings that a reload changed, and writes a snapshot under them.
+    /// Changes the owner and the digest of the settings after a reload, and writes a snapshot for them.
     pub fn change_scope(&self, owner: ProxyIdentity, settings: [u8; 32]) {
         self.scope.set(SnapshotScope::for_proxy(&owner, settings));
         *self.owner.borrow_mut() = owner;
         self.write();
     }
 
-    /// Writes a snapshot at each interval, for as long as the program runs.
+    /// Writes a snapshot at each interval of the configuration, until the process ends.
     pub async fn write_periodically(self: Rc<Self>) {
         let interval = Duration::from_millis(self.config.every_ms.max(MIN_WRITE_INTERVAL_MS));
         loop {
--- a/src/net/state/snapshot_writer.rs
+++ b/src/net/state/snapshot_writer.rs
@@ -1,7 +1,8 @@
-//! The thread that writes snapshots: a busy disk can take a second to sync one, and no request may wait for that.
+//! The thread that writes snapshots to disk. A busy disk can take a second to sync a file, and no request may wait for
+//! that.
 //!
-//! [`SnapshotWriter::submit`] hands a snapshot over and returns at once; [`SnapshotWriter::wait_until_flushed`] waits
-//! until everything submitted so far is on disk or has failed.
+//! [`SnapshotWriter::submit`] passes a snapshot to the thread and returns at once.
+//! [`SnapshotWriter::wait_until_flushed`] waits until the snapshots submitted so far are on disk or have failed.
 
 use super::snapshot::{self, ProxyIdentity, Snapshot, SnapshotError};
 use std::cell::Cell;
@@ -13,17 +14,18 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-/// Why a snapshot was not written.
+/// Reasons for which a snapshot was not written.
 #[derive(Debug, Error)]
 enum WriteError {
     /// The snapshot cannot be encoded.
-    #[error("{0}")]
+    #[error("cannot encode it: {0}")]
     Encode(#[source] SnapshotError),
     /// The file cannot be replaced.
-    #[error("{0}")]
+    #[error("cannot replace the file: {0}")]
     Write(#[source] io::Error),
 }
 
+/// A snapshot to write to its owner's file.
 struct Job {
     /// Jobs are numbered from 1 in the order of submission.
     number: u64,
@@ -31,14 +33,15 @@
     snapshot: Snapshot,
 }
 
-/// The next snapshot to write. One at most: a newer snapshot replaces one that still waits.
+/// The job that waits for the thread. There is at most one, as a newer snapshot replaces one that still waits.
 #[derive(Default)]
 struct Pending {
     job: Option<Job>,
-    closed: bool,
+    /// Whether the writer was dropped and submits no more jobs.
+    is_closed: bool,
 }
 
-/// A queue of one job between the event loop and the thread.
+/// A queue for at most one job, from the event loop to the thread.
 #[derive(Default)]
 struct JobSlot {
     pending: Mutex<Pending>,
@@ -46,15 +49,16 @@
 }
 
 impl JobSlot {
+    /// Changes the pending job and wakes the thread.
     fn change(&self, change: impl FnOnce(&mut Pending)) {
         change(&mut self.pending.lock().unwrap_or_else(PoisonError::into_inner));
         self.changed.notify_one();
     }
 
-    /// Waits for the next job; `None` once the writer was dropped and nothing is left to write.
+    /// Waits for the next job. Returns `None` once the writer was dropped and no job is left.
     fn next(&self) -> Option<Job> {
         let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
-        let must_wait = |pending: &mut Pending| pending.job.is_none() && !pending.closed;
+        let must_wait = |pending: &mut Pending| pending.job.is_none() && !pending.is_closed;
         let mut pending = self
             .changed
             .wait_while(pending, must_wait)
@@ -63,15 +67,17 @@
     }
 }
 
-/// Submits snapshots to the thread. The last one submitted is written even if this is dropped before.
+/// Submits snapshots to the thread. If the writer is dropped, the thread still writes the last submitted one.
 pub struct SnapshotWriter {
     jobs: Arc<JobSlot>,
+    /// The number of the last submitted job.
     last_submitted: Cell<u64>,
+    /// The number of the last job that was written or failed.
     last_finished: watch::Receiver<u64>,
 }
 
 impl SnapshotWriter {
-    /// Starts the thread for files in `dir`; the file that may be there now is that of `owner`.
+    /// Starts the thread for files in `dir`. `owner` is the proxy whose file an earlier process may have left there.
     pub fn start(dir: PathBuf, owner: ProxyIdentity) -> io::Result<SnapshotWriter> {
         let jobs = Arc::<JobSlot>::default();
         let (finished, last_finished) = watch::channel(0);
@@ -86,7 +92,7 @@
         })
     }
 
-    /// Has the snapshot written in place of one that still waits. Returns at once.
+    /// Submits a snapshot, which replaces one that the thread has not started to write. Returns at once.
     pub fn submit(&self, owner: ProxyIdentity, snapshot: Snapshot) {
         let number = self.last_submitted.get() + 1;
         self.last_submitted.set(number);
@@ -99,24 +105,25 @@
         });
     }
 
-    /// Waits until everything submitted so far is on disk or has failed.
+    /// Waits until the snapshots submitted so far are on disk or have failed.
     pub async fn wait_until_flushed(&self) {
         let submitted = self.last_submitted.get();
         let mut finished = self.last_finished.clone();
-        // An error means that the thread has panicked: nothing more will be written.
+        // An error means that the thread has panicked, so nothing more will be written.
         let _ = finished.wait_for(|number| *number >= submitted).await;
     }
 }
 
 impl Drop for SnapshotWriter {
     fn drop(&mut self) {
-        self.jobs.change(|pending| pending.closed = true);
+        self.jobs.change(|pending| pending.is_closed = true);
     }
 }
 
-/// Writes one snapshot after another. Of consecutive failures only the first is logged. When a reload changed the
-/// file's owner the old file is removed: should discovery move back, it would be restored with disabled backends that
-/// are out of date.
+/// Writes the submitted snapshots until the writer is dropped. Of consecutive failures only the first is logged.
+///
+/// The file of the previous owner is removed after a reload has changed the owner. Otherwise, if discovery's address
+/// changed back, that file would be restored with a list of disabled backends that is out of date.
 fn write_jobs(
     jobs: &JobSlot,
     dir: &Path,
@@ -126,13 +133,13 @@
     let mut last_failed = false;
     while let Some(job) = jobs.next() {
         if job.owner != owner {
-            let _ = fs::remove_file(snapshot::path(dir, &owner)); // if it stays, it expires by its age
+            let _ = fs::remove_file(snapshot::file_path(dir, &owner)); // otherwise it expires by its age
             owner = job.owner;
         }
         let written = write_snapshot(dir, &owner, &job.snapshot);
         if let Err(error) = &written {
             if !last_failed {
-                warn!(event = "snapshot_not_written", dir = %dir.display(), "snapshot not written: {error}");
+                warn!(event = "snapshot_not_written", dir = %dir.display(), "cannot write the snapshot: {error}");
             }
         }
         last_failed = written.is_err();
