--- a/tests/many_proxies.rs
+++ b/tests/many_proxies.rs
@@ -254,8 +254,8 @@
     );
 }
 
-/// Observed in large fleets: nine rejections in ten were client retries, rejected from two requests in flight per backend
-/// on, which is a load of two thirds with one core and of a quarter with eight.
+/// Observed in large fleets: nine rejections in ten were client retries, rejected from two requests in flight per
+/// backend on, which is a load of two thirds with one core and of a quarter with eight.
 #[test]
 fn client_retries_are_admitted_while_latency_is_well_within_the_objective() {
     let rejected = |response: fn(u32) -> (u64, Outcome)| {
--- a/tests/reference_settings/mod.rs
+++ b/tests/reference_settings/mod.rs
@@ -1,5 +1,5 @@
-//! Reading and comparing settings the plain way, each name against each: as the program did it before its tables were
-//! found by name, kept as what they are held against.
+//! A reference implementation of reading and changing settings, which searches all names linearly, as the program did
+//! before its tables were indexed by name. Tests compare the program's results with it.
 #![allow(dead_code)]
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
@@ -9,35 +9,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Names in the order of their numbers. Places and kinds met first in a list are numbered then.
+/// Names in the order of their ids. Zones and kinds that first occur in an endpoint list get the next id.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     zones: Vec<String>,
     kinds: Vec<String>,
-    classes: Vec<Named>,
-    tenants: Vec<Named>,
+    classes: Vec<EntryName>,
+    tenants: Vec<EntryName>,
 }
 
-/// The name of a class or tenant. One that the settings dropped keeps its number, for what is still open under it.
+/// The name of a class or tenant. One that the settings no longer contain keeps its id for its open requests.
 #[derive(Clone, Debug)]
-struct Named {
+struct EntryName {
     name: String,
-    live: bool,
+    in_use: bool,
 }
 
-impl Named {
-    fn new(name: &str) -> Named {
-        Named {
+impl EntryName {
+    fn new(name: &str) -> EntryName {
+        EntryName {
             name: name.into(),
-            live: true,
+            in_use: true,
         }
     }
-    fn find(table: &[Named], name: &str) -> Option<usize> {
-        table.iter().position(|n| n.live && n.name == name)
+    fn find(table: &[EntryName], name: &str) -> Option<usize> {
+        table.iter().position(|n| n.in_use && n.name == name)
     }
 }
 
-fn number(names: &mut Vec<String>, name: &str) -> u32 {
+/// The id of the name, which is added if it is new.
+fn id_of(names: &mut Vec<String>, name: &str) -> u32 {
     let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.into());
         names.len() - 1
@@ -46,17 +47,17 @@
 }
 
 impl Names {
-    /// The class of that name.
+    /// The id of the class in use of that name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        Named::find(&self.classes, name).map(ClassId)
+        EntryName::find(&self.classes, name).map(ClassId)
     }
 
-    /// The tenant of that name.
+    /// The id of the tenant in use of that name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
-        Named::find(&self.tenants, name).map(TenantId)
+        EntryName::find(&self.tenants, name).map(TenantId)
     }
 
-    /// The kind of that name, if a list or the settings named it.
+    /// The id of the kind of that name, if an endpoint list or the settings contained it.
     pub fn kind(&self, name: &str) -> Option<HardwareClassId> {
         self.kinds
             .iter()
@@ -78,17 +79,17 @@
     pub fn class_name(&self, class: ClassId) -> Option<&str> {
         self.classes
             .get(class.0)
-            .filter(|n| n.live)
+            .filter(|n| n.in_use)
             .map(|n| n.name.as_str())
     }
 
-    /// The zone and the kind of a list's row get their numbers.
-    pub fn meet(&mut self, zone: &str, kind: &str) {
-        number(&mut self.zones, zone);
-        number(&mut self.kinds, kind);
+    /// Adds the zone and kind of an endpoint list's row, unless they have ids already.
+    pub fn add_zone_and_kind(&mut self, zone: &str, kind: &str) {
+        id_of(&mut self.zones, zone);
+        id_of(&mut self.kinds, kind);
     }
 
-    /// The number of a zone.
+    /// The id of the zone of that name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.zones
             .iter()
@@ -97,141 +98,143 @@
     }
 }
 
-/// What reading came upon.
+/// The keys read so far and the errors found.
 #[derive(Default)]
-struct Notes {
-    /// Paths that were asked for.
-    seen: RefCell<BTreeSet<String>>,
-    /// What was wrong, in the order of reading: one text for a path.
-    wrong: RefCell<Vec<(String, String)>>,
+struct ReadState {
+    /// The paths that were read.
+    read_paths: RefCell<BTreeSet<String>>,
+    /// The errors in the order of reading, at most one for each path, as path and message.
+    errors: RefCell<Vec<(String, String)>>,
 }
 
-impl Notes {
-    /// Whether the value there, or one inside it, could not be read.
-    fn misread(&self, path: &str) -> bool {
+impl ReadState {
+    /// Whether the value at the path, or one inside it, has an error.
+    fn has_error(&self, path: &str) -> bool {
         let inside = |rest: &str| rest.is_empty() || rest.starts_with(['.', '[']);
-        self.wrong
+        self.errors
             .borrow()
             .iter()
             .any(|(p, _)| p.strip_prefix(path).is_some_and(inside))
     }
-    /// What was read, or the first that was wrong.
-    fn sound<T>(&self, read: T) -> Result<T, String> {
-        self.wrong
+    /// The value that was read, or the first error.
+    fn result<T>(&self, read: T) -> Result<T, String> {
+        self.errors
             .borrow()
             .first()
             .map_or(Ok(read), |(_, text)| Err(text.clone()))
     }
 }
 
-/// A value inside the settings, with the path that led to it. One that is wrong is noted, and a stand-in that breaks
-/// no rule takes its place, so that reading goes on to what else is wrong.
-struct Key<'a> {
+/// Reads a value inside the settings at a path. An error is recorded and a valid default returned in its place, so that
+/// reading continues and finds further errors.
+struct Reader<'a> {
     path: String,
     value: Option<&'a Value>,
-    notes: Rc<Notes>,
+    state: Rc<ReadState>,
 }
 
-impl<'a> Key<'a> {
-    fn root(settings: &'a Value) -> Key<'a> {
-        Key {
+impl<'a> Reader<'a> {
+    fn root(settings: &'a Value) -> Reader<'a> {
+        Reader {
             path: String::new(),
             value: Some(settings),
-            notes: Rc::default(),
+            state: Rc::default(),
         }
     }
-    fn get(&self, name: &str) -> Key<'a> {
+    fn get(&self, name: &str) -> Reader<'a> {
         let path = if self.path.is_empty() {
             name.into()
         } else {
             format!("{}.{name}", self.path)
         };
-        self.notes.seen.borrow_mut().insert(path.clone());
-        Key {
+        self.state.read_paths.borrow_mut().insert(path.clone());
+        Reader {
             path,
             value: self.value.and_then(|v| v.get(name)),
-            notes: self.notes.clone(),
+            state: self.state.clone(),
         }
     }
-    fn wrong(&self, text: String) {
-        let mut wrong = self.notes.wrong.borrow_mut();
-        if wrong.iter().all(|(path, _)| *path != self.path) {
-            wrong.push((self.path.clone(), format!("{}: {text}", self.path)));
+    /// Records an error, unless the path has one already.
+    fn add_error(&self, text: String) {
+        let mut errors = self.state.errors.borrow_mut();
+        if errors.iter().all(|(path, _)| *path != self.path) {
+            errors.push((self.path.clone(), format!("{}: {text}", self.path)));
         }
     }
-    fn want<T>(&self, got: Option<T>, what: &str, stand_in: T) -> T {
-        got.unwrap_or_else(|| {
-            self.wrong(match self.value {
+    /// Returns the value, or records that `what` was expected and returns `fallback`.
+    fn expected<T>(&self, value: Option<T>, what: &str, fallback: T) -> T {
+        value.unwrap_or_else(|| {
+            self.add_error(match self.value {
                 Some(v) => format!("expected {what}, got {v}"),
                 None => format!("missing, expected {what}"),
             });
-            stand_in
+            fallback
         })
     }
     fn text(&self) -> &'a str {
-        self.want(self.value.and_then(Value::as_str), "text", "")
+        self.expected(self.value.and_then(Value::as_str), "text", "")
     }
-    fn flag(&self) -> bool {
-        self.want(self.value.and_then(Value::as_bool), "true or false", false)
+    fn boolean(&self) -> bool {
+        self.expected(self.value.and_then(Value::as_bool), "true or false", false)
     }
-    fn real(&self) -> f64 {
-        self.want(self.value.and_then(Value::as_f64), "a number", 1.0)
+    fn number_value(&self) -> f64 {
+        self.expected(self.value.and_then(Value::as_f64), "a number", 1.0)
     }
-    fn whole(&self) -> Option<u64> {
+    fn integer(&self) -> Option<u64> {
         self.value.and_then(Value::as_u64)
     }
     fn micros(&self) -> Micros {
-        Micros(self.want(self.whole(), "whole microseconds", 1))
+        Micros(self.expected(self.integer(), "whole microseconds", 1))
     }
-    fn count(&self, stand_in: u32) -> u32 {
-        self.want(
-            self.whole().and_then(|n| u32::try_from(n).ok()),
+    fn count(&self, fallback: u32) -> u32 {
+        self.expected(
+            self.integer().and_then(|n| u32::try_from(n).ok()),
             "a whole number",
-            stand_in,
+            fallback,
         )
     }
-    fn list(&self) -> Vec<Key<'a>> {
-        let items = self.want(
+    fn list(&self) -> Vec<Reader<'a>> {
+        let items = self.expected(
             self.value.and_then(Value::as_array).map(Vec::as_slice),
             "an array",
             &[],
         );
-        let item = |(i, v)| Key {
+        let item = |(i, v)| Reader {
             path: format!("{}[{i}]", self.path),
             value: Some(v),
-            notes: self.notes.clone(),
+            state: self.state.clone(),
         };
         items.iter().enumerate().map(item).collect()
     }
 }
 
-/// Reads the settings, or says what is wrong first; unknown keys are skipped (see [`unknown`]).
+/// Reads the settings or returns the first error. Unknown keys are ignored; see [`unknown`].
 pub fn read(settings: &Value) -> Result<(Config, Names), String> {
-    let root = Key::root(settings);
+    let root = Reader::root(settings);
     let read = read_with(&root, Names::default());
-    root.notes.sound(read)
+    root.state.result(read)
 }
 
-/// All that is wrong with the settings, one text each: values that cannot be read, then such as break a bound.
+/// All errors of the settings: first values that cannot be read, then those that are out of bounds.
 pub fn errors(settings: &Value) -> Vec<String> {
-    let root = Key::root(settings);
+    let root = Reader::root(settings);
     let (config, _) = read_with(&root, Names::default());
     network_of(&root);
-    let follows = |e: &ConfigError| e.field == "classes" && root.notes.misread("profiles");
+    let implied = |e: &ConfigError| e.field == "classes" && root.state.has_error("profiles");
     let bounds = config
         .errors()
         .into_iter()
-        .filter(|e| !follows(e))
+        .filter(|e| !implied(e))
         .map(|e| e.to_string());
-    let wrong = root.notes.wrong.borrow();
-    wrong
+    let errors = root.state.errors.borrow();
+    errors
         .iter()
         .map(|(_, text)| text.clone())
         .chain(bounds)
         .collect()
 }
 
-/// Paths of values that nothing reads.
+/// The paths of values that are not read.
 pub fn unknown(settings: &Value) -> Vec<String> {
     fn leaves(path: &str, value: &Value, all: &mut Vec<String>) {
         match value {
@@ -252,34 +255,34 @@
             _ => all.push(path.into()),
         }
     }
-    let root = Key::root(settings);
+    let root = Reader::root(settings);
     read_with(&root, Names::default());
     network_of(&root);
     let mut all = Vec::new();
     leaves("", settings, &mut all);
-    let seen = root.notes.seen.borrow();
-    all.retain(|path| !seen.contains(path) && !root.notes.misread(path));
+    let read_paths = root.state.read_paths.borrow();
+    all.retain(|path| !read_paths.contains(path) && !root.state.has_error(path));
     all
 }
 
-/// `names`: the places and kinds that have numbers already.
-fn read_with(root: &Key, mut names: Names) -> (Config, Names) {
+/// Reads the configuration; `names` holds the zones and kinds that have ids already.
+fn read_with(root: &Reader, mut names: Names) -> (Config, Names) {
     let zones = root.get("zones").list();
     for zone in &zones {
-        number(&mut names.zones, zone.text());
+        id_of(&mut names.zones, zone.text());
     }
     for kind in root.get("kinds").list() {
-        number(&mut names.kinds, kind.text());
+        id_of(&mut names.kinds, kind.text());
     }
     let my_zone = root.get("my_zone");
     let zone = my_zone.value.and_then(Value::as_str);
-    let zone = match zones.is_empty() && !root.notes.misread("zones") {
-        // Without zones it has one to itself, whatever its name.
-        true => Some(number(&mut names.zones, zone.unwrap_or_default()) as usize),
+    let zone = match zones.is_empty() && !root.state.has_error("zones") {
+        // If the settings list no zones, `my_zone` may have any name.
+        true => Some(id_of(&mut names.zones, zone.unwrap_or_default()) as usize),
         false => zone.and_then(|name| names.zones.iter().position(|z| z == name)),
     };
-    if zone.is_some() || !root.notes.misread("zones") {
-        my_zone.want(zone, "one of zones", 0);
+    if zone.is_some() || !root.state.has_error("zones") {
+        my_zone.expected(zone, "one of zones", 0);
     }
     let classes = root
         .get("profiles")
@@ -289,12 +292,14 @@
         .collect();
     let mut tenants = Vec::new();
     for tenant in root.get("customers").list() {
-        names.tenants.push(Named::new(tenant.get("name").text()));
+        names
+            .tenants
+            .push(EntryName::new(tenant.get("name").text()));
         tenants.push(Tenant {
-            quota_per_s: tenant.get("quota_rps").real(),
+            quota_per_s: tenant.get("quota_rps").number_value(),
         });
     }
-    let (limits, rules, goal) = (root.get("limits"), root.get("rules"), root.get("blend"));
+    let (limits, rules, blend) = (root.get("limits"), root.get("rules"), root.get("blend"));
     let must_ask = rules.get("must_ask_in_us");
     let discovery = match root.get("discovery").text() {
         "automatic" => Discovery::Push,
@@ -303,7 +308,7 @@
         },
         _ => root
             .get("discovery")
-            .want(None, "automatic or subscribe", Discovery::Push),
+            .expected(None, "automatic or subscribe", Discovery::Push),
     };
     let config = Config {
         proxy_count: root.get("group_size").count(u32::MAX),
@@ -311,18 +316,18 @@
         zone: ZoneId(zone.unwrap_or(0) as u32),
         classes,
         tenants: tenants.into(),
-        over_quota_weight: root.get("over_share_worth").real(),
-        overall_objective_weight: goal.get("whole").real(),
-        worst_class_objective_weight: goal.get("worst_class").real(),
-        cross_zone_cost: root.get("costs").get("cross_zone").real(),
+        over_quota_weight: root.get("over_share_worth").number_value(),
+        overall_objective_weight: blend.get("whole").number_value(),
+        worst_class_objective_weight: blend.get("worst_class").number_value(),
+        cross_zone_cost: root.get("costs").get("cross_zone").number_value(),
         discovery,
         max_attempts: limits.get("max_attempts").count(1),
-        cancellation: limits.get("cancel").flag(),
-        hedging: limits.get("parallel_tries").flag(),
+        cancellation: limits.get("cancel").boolean(),
+        hedging: limits.get("parallel_tries").boolean(),
         timer_resolution: root.get("granularity_us").micros(),
-        slow_start_min_readiness: rules.get("cold_from").real(),
+        slow_start_min_readiness: rules.get("cold_from").number_value(),
         slow_start_duration: rules.get("ramp_time_us").micros(),
-        overload_multiple: rules.get("fall_multiple").real(),
+        overload_multiple: rules.get("fall_multiple").number_value(),
         overload_window: rules.get("tip_after_us").micros(),
         zone_failover: locality(&root.get("locality")),
         regions: regions(&root.get("locality").get("regions"), &mut names),
@@ -330,22 +335,22 @@
     (config, names)
 }
 
-/// One of `profiles`; its name gets the next number.
-fn class(class: &Key, names: &mut Names) -> RequestClass {
+/// Reads an entry of `profiles` and gives its name the next class id.
+fn class(class: &Reader, names: &mut Names) -> RequestClass {
     let name = class.get("name");
-    if Named::find(&names.classes, name.text()).is_some() {
-        name.wrong("duplicate name".into());
+    if EntryName::find(&names.classes, name.text()).is_some() {
+        name.add_error("duplicate name".into());
     }
-    names.classes.push(Named::new(name.text()));
+    names.classes.push(EntryName::new(name.text()));
     let (scope, window) = (class.get("key_scope"), class.get("window_us"));
-    let effect = match class.get("effect").text() {
+    let idempotency = match class.get("effect").text() {
         "free" => Idempotency::Idempotent,
         "guarded" => {
             let scope = match scope.text() {
                 "all" => KeyScope::All,
                 "zone" => KeyScope::Zone,
                 "cell" => KeyScope::Cell,
-                _ => scope.want(None, "all, zone or cell", KeyScope::All),
+                _ => scope.expected(None, "all, zone or cell", KeyScope::All),
             };
             Idempotency::Keyed {
                 scope,
@@ -353,7 +358,7 @@
             }
         }
         "single_shot" => Idempotency::NonIdempotent,
-        _ => class.get("effect").want(
+        _ => class.get("effect").expected(
             None,
             "free, guarded or single_shot",
             Idempotency::Idempotent,
@@ -362,78 +367,79 @@
     let stretch = class.get("aim_stretch");
     let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
     if deadline.micros().0 == 0 {
-        deadline.want(None, "a time above 0", ());
+        deadline.expected(None, "a time above 0", ());
     } else if aim
-        .whole()
-        .zip(deadline.whole())
+        .integer()
+        .zip(deadline.integer())
         .is_some_and(|(aim, deadline)| aim > deadline)
     {
-        aim.wrong("expected no more than deadline_us".into());
+        aim.add_error("expected no more than deadline_us".into());
     }
     RequestClass {
         latency_objective: aim.micros(),
         objective_per_work: if stretch.value.is_some() {
-            stretch.real()
+            stretch.number_value()
         } else {
             0.0
         },
-        idempotency: effect,
-        priority_weight: class.get("gain").real(),
-        late_weight: class.get("late_worth").real(),
+        idempotency,
+        priority_weight: class.get("gain").number_value(),
+        late_weight: class.get("late_worth").number_value(),
     }
 }
 
-/// `locality`, where it stands: both keys, or an error that names the missing one.
-fn locality(key: &Key) -> Option<ZoneFailover> {
+/// Reads `locality`, if present; both of its keys are required.
+fn locality(key: &Reader) -> Option<ZoneFailover> {
     key.value?;
     Some(ZoneFailover {
-        unhealthy_threshold: key.get("leave_share").real(),
+        unhealthy_threshold: key.get("leave_share").number_value(),
         recovery_ramp: key.get("ramp_us").micros(),
     })
 }
 
-/// `locality.regions`: zone names to region names. A zone that no list has named yet gets its number here.
-fn regions(key: &Key, names: &mut Names) -> BTreeMap<ZoneId, RegionId> {
+/// Reads `locality.regions`, a table of zone names to region names. A new zone gets the next id.
+fn regions(key: &Reader, names: &mut Names) -> BTreeMap<ZoneId, RegionId> {
     let Some(value) = key.value else {
         return BTreeMap::new();
     };
     let none = serde_json::Map::new();
-    let table = key.want(
+    let table = key.expected(
         value.as_object(),
         "a table of zones and their regions",
         &none,
     );
     let mut known = Vec::new();
     let entry = |zone: &String| {
-        let region = RegionId(1 + number(&mut known, key.get(zone).text()));
-        (ZoneId(number(&mut names.zones, zone)), region)
+        let region = RegionId(1 + id_of(&mut known, key.get(zone).text()));
+        (ZoneId(id_of(&mut names.zones, zone)), region)
     };
     table.keys().map(entry).collect()
 }
 
-/// What only a proxy on real sockets needs of the settings.
+/// The settings that only the network side of a proxy uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    /// A connection that is not up by then counts as failed.
+    /// The time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// Backends close connections that were idle for so long.
+    /// The idle time after which backends close connections.
     pub conn_idle: Micros,
-    /// The longest advice that a client follows.
+    /// The longest Retry-After delay that clients observe.
     pub max_retry_after: Micros,
-    /// How long a client waits at most, by class.
+    /// The longest time that a client waits, by class id.
     pub deadlines: Vec<Micros>,
 }
 
-/// Reads the part of the settings that concerns sockets.
+/// Reads the network settings or returns the first error.
 pub fn network(settings: &Value) -> Result<Network, String> {
-    let root = Key::root(settings);
+    let root = Reader::root(settings);
     let read = network_of(&root);
-    root.notes.sound(read)
+    root.state.result(read)
 }
 
-fn network_of(root: &Key) -> Network {
+/// Reads the network settings and records errors.
+fn network_of(root: &Reader) -> Network {
     let limits = root.get("limits");
-    let deadline = |class: &Key| class.get("deadline_us").micros();
+    let deadline = |class: &Reader| class.get("deadline_us").micros();
     Network {
         connect_timeout: limits.get("dial_timeout_us").micros(),
         conn_idle: limits.get("conn_idle_us").micros(),
@@ -442,167 +448,174 @@
     }
 }
 
-/// Settings that take the place of others while requests are open.
+/// A change from settings in force to new ones while requests are open.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The module's part, for [`Event::ConfigChanged`].
+    /// The balancer's configuration, for [`Event::ConfigChanged`].
     pub config: Config,
-    /// Which numbers of classes are in use.
-    pub live: Vec<bool>,
-    /// New numbers of classes that were there under other rules, each with the old number.
+    /// Whether each class id is in use.
+    pub in_use: Vec<bool>,
+    /// The new ids of classes whose rules changed, each with its previous id.
     pub successors: Vec<ClassSuccessor>,
-    /// Names for all numbers.
+    /// The names of all ids.
     pub names: Names,
-    /// The sockets' part.
+    /// The network settings.
     pub network: Network,
-    /// What became of the classes, in words.
-    pub told: String,
+    /// A summary of the changes to classes for the log.
+    pub summary: String,
 }
 
-/// What may be done with a request that came under one effect while another is in force.
-fn stricter(came: Idempotency, now: Idempotency) -> Idempotency {
-    let reach = |scope| match scope {
+/// The stricter of the idempotency under which a request arrived and the one now in force.
+fn stricter(arrived: Idempotency, now: Idempotency) -> Idempotency {
+    let rank = |scope| match scope {
         KeyScope::Cell => 0,
         KeyScope::Zone => 1,
         KeyScope::All => 2,
     };
-    match (came, now) {
-        (came, Idempotency::Idempotent) => came,
+    match (arrived, now) {
+        (arrived, Idempotency::Idempotent) => arrived,
         (
             Idempotency::Keyed {
-                scope: a,
-                window: long,
+                scope: first_scope,
+                window: first_window,
             },
             Idempotency::Keyed {
-                scope: b,
-                window: short,
+                scope: second_scope,
+                window: second_window,
             },
         ) => Idempotency::Keyed {
-            scope: if reach(a) <= reach(b) { a } else { b },
-            window: long.min(short),
+            scope: if rank(first_scope) <= rank(second_scope) {
+                first_scope
+            } else {
+                second_scope
+            },
+            window: first_window.min(second_window),
         },
-        // One that came as free has no key by which a repeat would be dropped.
+        // A request that arrived as idempotent has no idempotency key by which a backend could detect a repeat.
         _ => Idempotency::NonIdempotent,
     }
 }
 
-/// Reads settings that follow others. A class or tenant keeps its number; a class whose rules differ gets a new one.
+/// Reads settings that replace others. Classes and tenants keep their ids, except that a class whose rules changed gets
+/// a new one.
 pub fn change(
     settings: &Value,
     names: &Names,
     config: &Config,
-    before: &Network,
+    old_network: &Network,
 ) -> Result<Change, String> {
-    let places = Names {
+    let known_names = Names {
         classes: Vec::new(),
         tenants: Vec::new(),
         ..names.clone()
     };
-    let root = Key::root(settings);
-    let read = read_with(&root, places);
-    let (fresh, fresh_names) = root.notes.sound(read)?;
-    let fresh_network = network(settings)?;
-    fresh.clone().validated().map_err(|e| e.to_string())?;
-    if fresh.discovery != config.discovery {
+    let root = Reader::root(settings);
+    let read = read_with(&root, known_names);
+    let (new_config, new_names) = root.state.result(read)?;
+    let new_network = network(settings)?;
+    new_config.clone().validated().map_err(|e| e.to_string())?;
+    if new_config.discovery != config.discovery {
         return Err("discovery: cannot change without a restart".into());
     }
     let (mut classes, mut deadlines) = (
         config.classes.iter().cloned().collect::<Vec<_>>(),
-        before.deadlines.clone(),
+        old_network.deadlines.clone(),
     );
-    let mut named = names.classes.clone();
-    named.iter_mut().for_each(|n| n.live = false);
-    let (mut successors, mut told) = (Vec::new(), Vec::new());
-    for ((class, new), deadline) in fresh
+    let mut class_names = names.classes.clone();
+    class_names.iter_mut().for_each(|n| n.in_use = false);
+    let (mut successors, mut summary) = (Vec::new(), Vec::new());
+    for ((class, new_entry), deadline) in new_config
         .classes
         .iter()
-        .zip(&fresh_names.classes)
-        .zip(&fresh_network.deadlines)
+        .zip(&new_names.classes)
+        .zip(&new_network.deadlines)
     {
-        let same = |k: &usize| {
-            named[*k].name == new.name && classes[*k] == *class && deadlines[*k] == *deadline
+        let unchanged = |k: &usize| {
+            class_names[*k].name == new_entry.name
+                && classes[*k] == *class
+                && deadlines[*k] == *deadline
         };
-        let old = Named::find(&names.classes, &new.name);
-        let number = (0..classes.len()).find(same).unwrap_or_else(|| {
+        let old = EntryName::find(&names.classes, &new_entry.name);
+        let id = (0..classes.len()).find(unchanged).unwrap_or_else(|| {
             classes.push(class.clone());
             deadlines.push(*deadline);
-            named.push(new.clone());
+            class_names.push(new_entry.clone());
             successors.extend(old.map(|old| ClassSuccessor {
                 class: ClassId(classes.len() - 1),
                 predecessor: ClassId(old),
             }));
             classes.len() - 1
         });
-        named[number].live = true;
-        if old != Some(number) {
-            told.push(format!(
+        class_names[id].in_use = true;
+        if old != Some(id) {
+            summary.push(format!(
                 "{} {}",
                 if old.is_some() { "changed" } else { "new" },
-                new.name
+                new_entry.name
             ));
         }
     }
-    // What is still open under an old number obeys the stricter of its rules and those that hold now.
-    for (number, class) in classes
+    // Requests open under a previous id obey the stricter of its rules and those now in force.
+    for (id, class) in classes
         .iter_mut()
         .enumerate()
-        .filter(|(n, _)| !named[*n].live)
+        .filter(|(n, _)| !class_names[*n].in_use)
     {
-        let now = fresh_names
+        let now = new_names
             .classes
             .iter()
-            .position(|new| new.name == named[number].name);
+            .position(|new_entry| new_entry.name == class_names[id].name);
         class.idempotency = now.map_or(class.idempotency, |at| {
-            stricter(class.idempotency, fresh.classes[at].idempotency)
+            stricter(class.idempotency, new_config.classes[at].idempotency)
         });
     }
-    let dropped = |n: &&Named| n.live && Named::find(&named, &n.name).is_none();
-    told.extend(
+    let dropped = |n: &&EntryName| n.in_use && EntryName::find(&class_names, &n.name).is_none();
+    summary.extend(
         names
             .classes
             .iter()
             .filter(dropped)
             .map(|n| format!("dropped {}", n.name)),
     );
-    let (mut tenants, mut customers) = (
+    let (mut tenants, mut tenant_names) = (
         config.tenants.iter().cloned().collect::<Vec<_>>(),
         names.tenants.clone(),
     );
-    customers.iter_mut().for_each(|n| n.live = false);
-    for (tenant, new) in fresh.tenants.iter().zip(&fresh_names.tenants) {
-        match customers.iter().position(|n| n.name == new.name) {
-            Some(at) => (customers[at].live, tenants[at]) = (true, tenant.clone()),
+    tenant_names.iter_mut().for_each(|n| n.in_use = false);
+    for (tenant, new_entry) in new_config.tenants.iter().zip(&new_names.tenants) {
+        match tenant_names.iter().position(|n| n.name == new_entry.name) {
+            Some(at) => (tenant_names[at].in_use, tenants[at]) = (true, tenant.clone()),
             None => {
-                customers.push(new.clone());
+                tenant_names.push(new_entry.clone());
                 tenants.push(tenant.clone());
             }
         }
     }
-    let live = named.iter().map(|n| n.live).collect();
-    let told = if told.is_empty() {
+    let in_use = class_names.iter().map(|n| n.in_use).collect();
+    let summary = if summary.is_empty() {
         "classes unchanged".into()
     } else {
-        told.join(", ")
+        summary.join(", ")
     };
     let names = Names {
-        classes: named,
-        tenants: customers,
-        ..fresh_names
+        classes: class_names,
+        tenants: tenant_names,
+        ..new_names
     };
     let config = Config {
         classes: classes.into(),
         tenants: tenants.into(),
-        ..fresh
+        ..new_config
     };
     Ok(Change {
         config,
-        live,
+        in_use,
         successors,
         names,
         network: Network {
             deadlines,
-            ..fresh_network
+            ..new_network
         },
-        told,
+        summary,
     })
 }
--- a/tests/settings_reference.rs
+++ b/tests/settings_reference.rs
@@ -1,4 +1,5 @@
-//! The tables of classes and tenants against the plain way of reading and comparing (`plain`), which walks all of them.
+//! Compares the settings' indexed tables of classes and tenants with a reference implementation (`reference_settings`)
+//! that searches linearly: reading, replacing and changing settings give the same results and errors.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod reference_settings;
@@ -13,14 +14,14 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
-const READING: ReadOptions = ReadOptions {
+const ENTRY_NAMES: [&str; 6] = ["a", "b", "c", "d", "e", ""];
+const READ_OPTIONS: ReadOptions = ReadOptions {
     strict: true,
     compute_digest: true,
 };
 const ZONES: [&str; 4] = ["p", "q", "r", "s"];
 
-fn route() -> impl Strategy<Value = Value> {
+fn profile() -> impl Strategy<Value = Value> {
     let effects = [
         "free",
         "single_shot",
@@ -29,29 +30,29 @@
         "guarded all 200",
     ];
     let (name, effect) = (
-        prop::sample::select(&NAMES[..5]),
+        prop::sample::select(&ENTRY_NAMES[..5]),
         prop::sample::select(effects.to_vec()),
     );
     (name, effect, 1..3u64, 3..5u64, 0..2u32).prop_map(|(name, effect, aim, deadline, late)| {
         let words: Vec<&str> = effect.split(' ').collect();
         let (aim, deadline, late) = (aim * 100_000, deadline * 100_000, f64::from(late) / 2.0);
-        let mut route = json!({"name": name, "aim_us": aim, "deadline_us": deadline, "effect": words[0],
+        let mut profile = json!({"name": name, "aim_us": aim, "deadline_us": deadline, "effect": words[0],
             "gain": 1.5, "late_worth": late});
         if let [_, scope, window] = words[..] {
-            route["key_scope"] = scope.into();
-            route["window_us"] = window.parse::<u64>().unwrap().into();
+            profile["key_scope"] = scope.into();
+            profile["window_us"] = window.parse::<u64>().unwrap().into();
         }
-        route
+        profile
     })
 }
 
 fn customer() -> impl Strategy<Value = Value> {
     let quota = prop::sample::select(vec![0.1, 0.7, 3.0, 1.0 / 3.0]);
-    (prop::sample::select(&NAMES[..5]), quota)
+    (prop::sample::select(&ENTRY_NAMES[..5]), quota)
         .prop_map(|(name, quota)| json!({"name": name, "quota_rps": quota}))
 }
 
-/// The first entry of each name, in the order that they came.
+/// The first entry of each name, in their order.
 fn distinct(entries: Vec<Value>) -> Vec<Value> {
     let mut names = BTreeSet::new();
     entries
@@ -60,20 +61,20 @@
         .collect()
 }
 
-/// Sound settings; tenants may stand twice, which is no error.
-fn sound() -> impl Strategy<Value = Value> {
-    let (routes, customers) = (
-        prop::collection::vec(route(), 1..9).prop_map(distinct),
+/// Valid settings. Tenants may occur twice, which is not an error.
+fn valid_settings() -> impl Strategy<Value = Value> {
+    let (profiles, customers) = (
+        prop::collection::vec(profile(), 1..9).prop_map(distinct),
         prop::collection::vec(customer(), 0..7),
     );
     let zones = prop::sample::subsequence(ZONES.to_vec(), 0..4);
     let regions = prop::option::of(prop::sample::subsequence(ZONES.to_vec(), 0..4));
-    (routes, customers, zones, regions, 1..4u32).prop_map(|(routes, customers, zones, regions, most)| {
+    (profiles, customers, zones, regions, 1..4u32).prop_map(|(profiles, customers, zones, regions, most)| {
         let mut settings = json!({"blend":{"whole":0.6,"worst_class":0.2},"costs":{"cross_zone":0.0},
             "customers":customers,"discovery":"automatic","position":0,"group_size":3,"granularity_us":5000,
             "kinds":["big"],"my_zone":zones.last().unwrap_or(&"alone"),"zones":zones,
             "limits":{"cancel":true,"max_attempts":most,"parallel_tries":true,"dial_timeout_us":300000,
-            "conn_idle_us":60000000,"max_retry_after_us":2000000},"over_share_worth":0.1,"profiles":routes,
+            "conn_idle_us":60000000,"max_retry_after_us":2000000},"over_share_worth":0.1,"profiles":profiles,
             "rules":{"cold_from":0.3,"fall_multiple":2.5,"ramp_time_us":9000000,"tip_after_us":2000000}});
         if let Some(regions) = regions {
             let table: serde_json::Map<_, _> = regions
@@ -87,15 +88,15 @@
     })
 }
 
-/// What is done to a value somewhere inside.
+/// A change to a value somewhere in the settings.
 #[derive(Clone, Debug)]
-enum Flaw {
-    Put(Value),
+enum Mutation {
+    Replace(Value),
     Remove,
     Add,
 }
 
-fn flaw() -> impl Strategy<Value = (prop::sample::Index, Flaw)> {
+fn mutation() -> impl Strategy<Value = (prop::sample::Index, Mutation)> {
     let values = vec![
         json!(null),
         json!("a"),
@@ -106,14 +107,14 @@
         json!({}),
         json!([{"x": 1}]),
     ];
-    let put = prop::sample::select(values).prop_map(Flaw::Put);
+    let replace = prop::sample::select(values).prop_map(Mutation::Replace);
     (
         any::<prop::sample::Index>(),
-        prop_oneof![4 => put, 2 => Just(Flaw::Remove), 1 => Just(Flaw::Add)],
+        prop_oneof![4 => replace, 2 => Just(Mutation::Remove), 1 => Just(Mutation::Add)],
     )
 }
 
-/// JSON pointers of all values inside.
+/// Collects the JSON pointers of all values.
 fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
         Value::Object(keys) => keys
@@ -128,8 +129,8 @@
     all.push(at);
 }
 
-fn flawed(mut settings: Value, flaws: Vec<(prop::sample::Index, Flaw)>) -> Value {
-    for (at, flaw) in flaws {
+fn mutated(mut settings: Value, mutations: Vec<(prop::sample::Index, Mutation)>) -> Value {
+    for (at, mutation) in mutations {
         let mut all = Vec::new();
         pointers(&settings, String::new(), &mut all);
         all.retain(|path| !path.is_empty());
@@ -137,14 +138,14 @@
             continue;
         };
         let (parent, key) = path.rsplit_once('/').unwrap();
-        match (flaw, settings.pointer_mut(parent).unwrap()) {
-            (Flaw::Put(value), parent) => match parent {
+        match (mutation, settings.pointer_mut(parent).unwrap()) {
+            (Mutation::Replace(value), parent) => match parent {
                 Value::Array(items) => items[key.parse::<usize>().unwrap()] = value,
                 parent => parent[key] = value,
             },
-            (Flaw::Remove, Value::Object(keys)) => drop(keys.remove(key)),
-            (Flaw::Remove, Value::Array(items)) => drop(items.remove(key.parse().unwrap())),
-            (Flaw::Add, Value::Object(keys)) => {
+            (Mutation::Remove, Value::Object(keys)) => drop(keys.remove(key)),
+            (Mutation::Remove, Value::Array(items)) => drop(items.remove(key.parse().unwrap())),
+            (Mutation::Add, Value::Object(keys)) => {
                 drop(keys.insert("extra".into(), json!({"deep": [1, 2]})));
             }
             _ => {}
@@ -153,10 +154,11 @@
     settings
 }
 
-/// Sound ones mostly, with up to three flaws else.
+/// Mostly valid settings; a quarter have up to three mutations.
 fn settings() -> impl Strategy<Value = Value> {
-    let flaws = prop_oneof![3 => Just(Vec::new()), 1 => prop::collection::vec(flaw(), 1..4)];
-    (sound(), flaws).prop_map(|(settings, flaws)| flawed(settings, flaws))
+    let mutations =
+        prop_oneof![3 => Just(Vec::new()), 1 => prop::collection::vec(mutation(), 1..4)];
+    (valid_settings(), mutations).prop_map(|(settings, mutations)| mutated(settings, mutations))
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -169,25 +171,25 @@
 }
 
 fn read(settings: &Value) -> Settings {
-    Settings::from_value(settings, READING)
+    Settings::from_value(settings, READ_OPTIONS)
 }
 
-/// The change to these settings: the same whether their lists are read beside the tables in force or over them.
-fn change(tables: &ActiveSettings, settings: &Value) -> Result<SettingsChange, String> {
-    let (beside, over) = (
+/// The change to the settings, which must be the same whether or not they are read as a replacement of those in force.
+fn change(active: &ActiveSettings, settings: &Value) -> Result<SettingsChange, String> {
+    let (separate, replacing) = (
         read(settings),
-        Settings::replacing(settings, READING, tables),
+        Settings::replacing(settings, READ_OPTIONS, active),
     );
     assert_eq!(
-        (beside.errors(), beside.first_error()),
-        (over.errors(), over.first_error())
+        (separate.errors(), separate.first_error()),
+        (replacing.errors(), replacing.first_error())
     );
     assert_eq!(
-        (beside.unknown_paths(), beside.digest(&[])),
-        (over.unknown_paths(), over.digest(&[]))
+        (separate.unknown_paths(), separate.digest(&[])),
+        (replacing.unknown_paths(), replacing.digest(&[]))
     );
-    let change = tables.change_to(&over);
-    assert_eq!(tables.change_to(&beside), change);
+    let change = active.change_to(&replacing);
+    assert_eq!(active.change_to(&separate), change);
     change.map_err(|error| error.to_string())
 }
 
@@ -195,46 +197,46 @@
     errors.iter().map(ToString::to_string).collect()
 }
 
-fn meet(names: &mut Names, zone: &str, kind: &str) {
+fn add_zone_and_kind(names: &mut Names, zone: &str, kind: &str) {
     names.backend_for(
         &EndpointRow::new("b", zone, kind, Backend::default()),
         BackendId(0),
     );
 }
 
-/// What the plain way has in force.
-struct Plain {
+/// The settings in force according to the reference implementation.
+struct ReferenceState {
     config: Config,
     names: reference_settings::Names,
     network: reference_settings::Network,
     live: Vec<bool>,
 }
 
-impl Plain {
-    fn same(&self, tables: &ActiveSettings) {
-        assert_eq!(self.config, *tables.config);
+impl ReferenceState {
+    fn assert_equals(&self, active: &ActiveSettings) {
+        assert_eq!(self.config, *active.config);
         let sum: f64 = self.config.tenants.iter().map(|t| t.quota_per_s).sum();
-        assert_eq!(tables.config.quota_sum_per_s(), sum);
+        assert_eq!(active.config.quota_sum_per_s(), sum);
         let network = (
             self.network.connect_timeout,
             self.network.conn_idle,
             self.network.max_retry_after,
         );
-        let now = &tables.network;
+        let now = &active.network;
         assert_eq!(
             network,
             (now.connect_timeout, now.conn_idle, now.max_retry_after)
         );
         assert!(self.network.deadlines.iter().eq(now.deadlines.iter()));
-        for name in NAMES {
+        for name in ENTRY_NAMES {
             assert_eq!(
                 self.names.class(name),
-                tables.names.class(name),
+                active.names.class(name),
                 "class {name}"
             );
             assert_eq!(
                 self.names.tenant(name),
-                tables.names.tenant(name),
+                active.names.tenant(name),
                 "tenant {name}"
             );
         }
@@ -242,82 +244,83 @@
             let number = ClassId(number);
             assert_eq!(
                 self.names.class_name(number),
-                tables.names.class_name(number)
+                active.names.class_name(number)
             );
         }
         for number in (0..9).map(meadowproxy::ZoneId) {
-            assert_eq!(self.names.zone_name(number), tables.names.zone_name(number));
+            assert_eq!(self.names.zone_name(number), active.names.zone_name(number));
         }
         for number in (0..9).map(meadowproxy::HardwareClassId) {
-            assert_eq!(self.names.kind_name(number), tables.names.kind_name(number));
+            assert_eq!(self.names.kind_name(number), active.names.kind_name(number));
         }
     }
 
-    /// Takes what the plain way makes of the settings, or its error; the other way's must be the same.
-    fn take(&mut self, settings: &Value, change: &Result<SettingsChange, String>) {
-        let plain = reference_settings::change(settings, &self.names, &self.config, &self.network);
-        let (plain, change) = match (plain, change) {
-            (Ok(plain), Ok(change)) => (plain, change),
-            (plain, change) => {
-                let (plain, change) = (plain.err(), change.as_ref().err());
-                assert_eq!(plain.as_ref(), change);
+    /// Changes to the settings with the reference implementation; the result or error must equal `change`.
+    fn apply(&mut self, settings: &Value, change: &Result<SettingsChange, String>) {
+        let reference =
+            reference_settings::change(settings, &self.names, &self.config, &self.network);
+        let (reference, change) = match (reference, change) {
+            (Ok(reference), Ok(change)) => (reference, change),
+            (reference, change) => {
+                let (reference, change) = (reference.err(), change.as_ref().err());
+                assert_eq!(reference.as_ref(), change);
                 return;
             }
         };
         assert_eq!(
-            (&plain.successors, &plain.told),
+            (&reference.successors, &reference.summary),
             (&change.successors, &change.summary)
         );
         let mut live = self.live.clone();
-        live.resize(plain.live.len(), true);
+        live.resize(reference.in_use.len(), true);
         change
             .retired
             .iter()
-            .for_each(|id| assert!(std::mem::replace(&mut live[id.0], false), "{id:?} was out"));
+            .for_each(|id| assert!(std::mem::replace(&mut live[id.0], false), "{id:?} unused"));
         change
             .reinstated
             .iter()
-            .for_each(|id| assert!(!std::mem::replace(&mut live[id.0], true), "{id:?} was in"));
-        assert_eq!(live, plain.live);
+            .for_each(|id| assert!(!std::mem::replace(&mut live[id.0], true), "{id:?} in use"));
+        assert_eq!(live, reference.in_use);
         (self.config, self.names, self.network, self.live) =
-            (plain.config, plain.names, plain.network, live);
-        self.same(&change.to);
+            (reference.config, reference.names, reference.network, live);
+        self.assert_equals(&change.to);
     }
 }
 
-/// Any settings, sound or not: the same configuration or the same first error, the same errors in the same order, the
-/// same keys that nothing reads, and the digest of the JSON.
+/// Valid and invalid settings give the same configuration or first error, the same errors in the same order, the same
+/// unknown keys, and the digest of the JSON.
 #[test]
-fn settings_read_as_the_plain_way_reads_them() {
+fn settings_are_read_as_by_the_reference() {
     let run = runner(3000).run(&settings(), |settings| {
-        let tables = read(&settings);
+        let active = read(&settings);
         assert_eq!(
             reference_settings::errors(&settings),
-            texts(&tables.errors())
+            texts(&active.errors())
         );
         assert_eq!(
             reference_settings::unknown(&settings),
-            tables.unknown_paths()
+            active.unknown_paths()
         );
         assert_eq!(
             blake3::hash(settings.to_string().as_bytes()).as_bytes(),
-            &tables.digest(&[])
+            &active.digest(&[])
         );
         let mut shared = settings.clone();
         shared.as_object_mut().unwrap().remove("my_zone");
         assert_eq!(
             blake3::hash(shared.to_string().as_bytes()).as_bytes(),
-            &tables.digest(&["my_zone"])
+            &active.digest(&["my_zone"])
         );
         let first = reference_settings::read(&settings)
             .err()
             .or(reference_settings::network(&settings).err());
-        assert_eq!(first, tables.first_error().map(|error| error.to_string()));
-        match (reference_settings::read(&settings), tables.config()) {
-            (Ok((plain, _)), Ok((config, _))) => assert_eq!(plain, config),
-            (plain, config) => {
+        assert_eq!(first, active.first_error().map(|error| error.to_string()));
+        match (reference_settings::read(&settings), active.config()) {
+            (Ok((reference, _)), Ok((config, _))) => assert_eq!(reference, config),
+            (reference, config) => {
                 let error = config.err().map(|error| error.to_string());
-                assert_eq!(plain.err(), error);
+                assert_eq!(reference.err(), error);
             }
         }
         Ok(())
@@ -325,48 +328,48 @@
     run.unwrap();
 }
 
-/// Settings that follow each other in any order, with zones and kinds that lists name between and during the readings.
+/// Settings replace each other in any order, while endpoint lists introduce zones and kinds between and during reads.
 #[test]
-fn settings_follow_each_other_as_the_plain_way_has_them() {
-    let met = || {
+fn settings_are_replaced_as_by_the_reference() {
+    let listed = || {
         (
             prop::option::of(prop::sample::select(ZONES.to_vec())),
             prop::sample::select(vec!["big", "small"]),
         )
     };
-    let steps = prop::collection::vec((settings(), met(), met()), 1..12);
-    let run = runner(1500).run(&(sound(), steps), |(first, steps)| {
-        let mut tables = ActiveSettings::initial(&read(&first)).unwrap();
+    let steps = prop::collection::vec((settings(), listed(), listed()), 1..12);
+    let run = runner(1500).run(&(valid_settings(), steps), |(first, steps)| {
+        let mut active = ActiveSettings::initial(&read(&first)).unwrap();
         let (config, names) = reference_settings::read(&first).unwrap();
         let (network, live) = (
             reference_settings::network(&first).unwrap(),
             vec![true; config.classes.len()],
         );
-        let mut plain = Plain {
+        let mut reference = ReferenceState {
             config,
             names,
             network,
             live,
         };
-        plain.same(&tables);
+        reference.assert_equals(&active);
         for (settings, before, during) in steps {
-            let mut see = |(zone, kind): (Option<&str>, &str), names: &mut Names| {
+            let mut announce = |(zone, kind): (Option<&str>, &str), names: &mut Names| {
                 if let Some(zone) = zone {
-                    plain.names.meet(zone, kind);
-                    meet(names, zone, kind);
+                    reference.names.add_zone_and_kind(zone, kind);
+                    add_zone_and_kind(names, zone, kind);
                 }
             };
-            see(before, &mut tables.names);
-            let mut now = tables.names.clone();
-            let mut change = change(&tables, &settings);
-            see(during, &mut now);
+            announce(before, &mut active.names);
+            let mut now = active.names.clone();
+            let mut change = change(&active, &settings);
+            announce(during, &mut now);
             if let Ok(change) = &mut change {
                 change.renumber_zones_and_kinds(&now);
             }
-            plain.take(&settings, &change);
-            tables.names = now;
+            reference.apply(&settings, &change);
+            active.names = now;
             if let Ok(change) = change {
-                tables = change.to;
+                active = change.to;
             }
         }
         Ok(())
@@ -374,12 +377,12 @@
     run.unwrap();
 }
 
-/// The change from one file to the next as amendments in the order of the file: every entry that stands there, or only
-/// those that differ, and what is gone.
-fn amendments(before: &Value, after: &Value, all: bool) -> Vec<EntryChange> {
+/// The change from one file to the next as entry changes in the order of the file: sets all entries, or only those that
+/// differ, and removes those that are gone.
+fn entry_changes(before: &Value, after: &Value, all: bool) -> Vec<EntryChange> {
     let entries = |settings: &Value, list: &str| settings[list].as_array().unwrap().clone();
     let named = |list: &[Value], name: &Value| list.iter().find(|e| e["name"] == *name).cloned();
-    let mut told = Vec::new();
+    let mut changes = Vec::new();
     type Make = (fn(Value) -> EntryChange, fn(String) -> EntryChange);
     let lists: [(&str, Make); 2] = [
         (
@@ -393,63 +396,64 @@
     ];
     for (list, (set, remove)) in lists {
         let (was, is) = (entries(before, list), entries(after, list));
-        let differs = |e: &&Value| all || named(&was, &e["name"]).as_ref() != Some(*e);
-        told.extend(is.iter().filter(differs).cloned().map(set));
+        let is_changed = |e: &&Value| all || named(&was, &e["name"]).as_ref() != Some(*e);
+        changes.extend(is.iter().filter(is_changed).cloned().map(set));
         let gone = was.iter().filter(|e| named(&is, &e["name"]).is_none());
-        told.extend(gone.map(|e| remove(e["name"].as_str().unwrap().into())));
+        changes.extend(gone.map(|e| remove(e["name"].as_str().unwrap().into())));
     }
-    told
+    changes
 }
 
-/// A file changed as a whole and the same change entry by entry: equal tables, and the module is told the same. Named
-/// alone, what differs comes to the same rules under every name. Not always to the same number: a whole file brings a
-/// class back to an older number whose rules were made as strict as its own meanwhile, and who does not name it does not.
+/// Replacing the file and changing all its entries give equal tables and equal changes for the balancer. Changing only
+/// the entries that differ gives the same rules under every name, but not always the same class ids: the whole file can
+/// return a class to an older id whose rules have become equally strict, which an unnamed entry can't.
 #[test]
-fn amendments_come_to_what_the_whole_file_does() {
+fn entry_changes_equal_replacing_the_file() {
     let lists = || {
         (
-            prop::collection::vec(route(), 1..9),
+            prop::collection::vec(profile(), 1..9),
             prop::collection::vec(customer(), 0..7),
         )
     };
     let run = runner(1500).run(
-        &(sound(), prop::collection::vec(lists(), 1..10)),
+        &(valid_settings(), prop::collection::vec(lists(), 1..10)),
         |(first, steps)| {
             let mut file = first;
             file["customers"] = distinct(file["customers"].as_array().unwrap().clone()).into();
-            let mut tables = ActiveSettings::initial(&read(&file)).unwrap();
-            let mut by_difference = tables.clone();
-            for (routes, customers) in steps {
+            let mut active = ActiveSettings::initial(&read(&file)).unwrap();
+            let mut by_difference = active.clone();
+            for (profiles, customers) in steps {
                 let mut next = file.clone();
                 (next["profiles"], next["customers"]) =
-                    (distinct(routes).into(), distinct(customers).into());
-                let whole = change(&tables, &next).unwrap();
-                let mut amended = tables
-                    .change_entries(&amendments(&file, &next, true))
+                    (distinct(profiles).into(), distinct(customers).into());
+                let whole = change(&active, &next).unwrap();
+                let mut changed_by_entry = active
+                    .change_entries(&entry_changes(&file, &next, true))
                     .unwrap();
-                // The log's line says first what is set; the file's numbers order what was dropped, and here the calls do.
-                let told = |change: &SettingsChange| {
+                // The order in the summary differs: it lists set entries first, and then dropped ones in the order of
+                // their ids or, for entry changes, of the calls.
+                let summary_items = |change: &SettingsChange| {
                     change
                         .summary
                         .split(", ")
                         .map(String::from)
                         .collect::<BTreeSet<_>>()
                 };
-                assert_eq!(told(&whole), told(&amended));
-                amended.summary = whole.summary.clone();
-                assert_eq!(whole, amended);
+                assert_eq!(summary_items(&whole), summary_items(&changed_by_entry));
+                changed_by_entry.summary = whole.summary.clone();
+                assert_eq!(whole, changed_by_entry);
                 by_difference = by_difference
-                    .change_entries(&amendments(&file, &next, false))
+                    .change_entries(&entry_changes(&file, &next, false))
                     .unwrap()
                     .to;
-                let rules = |tables: &ActiveSettings, name: &str| {
-                    let number = tables.names.class(name)?.0;
+                let rules = |active: &ActiveSettings, name: &str| {
+                    let number = active.names.class(name)?.0;
                     Some((
-                        tables.config.classes[number].clone(),
-                        tables.network.deadlines[number],
+                        active.config.classes[number].clone(),
+                        active.network.deadlines[number],
                     ))
                 };
-                for name in NAMES {
+                for name in ENTRY_NAMES {
                     assert_eq!(
                         rules(&whole.to, name),
                         rules(&by_difference, name),
@@ -466,7 +470,7 @@
                     whole.to.config.quota_sum_per_s(),
                     by_difference.config.quota_sum_per_s()
                 );
-                (tables, file) = (whole.to, next);
+                (active, file) = (whole.to, next);
             }
             Ok(())
         },
@@ -474,8 +478,8 @@
     run.unwrap();
 }
 
-/// Settings with no class and no tenant.
-fn bare() -> Value {
+/// Settings without classes and tenants.
+fn settings_without_entries() -> Value {
     json!({"blend":{"whole":0.6,"worst_class":0.2},"costs":{"cross_zone":0.0},"customers":[],
         "discovery":"automatic","position":0,"group_size":1,"granularity_us":5000,"kinds":[],"zones":[],
         "limits":{"cancel":true,"max_attempts":1,"parallel_tries":true,"dial_timeout_us":1,"conn_idle_us":1,
@@ -483,82 +487,82 @@
         "rules":{"cold_from":0.3,"fall_multiple":2.5,"ramp_time_us":1,"tip_after_us":1}})
 }
 
-/// Each of many names is found under its own number, and none that is not there: read at once, added one by one, and in
-/// tables from before that share most with those.
+/// Each of many names keeps its id and missing names are not found: after reading all at once, after adding them one by
+/// one, and in earlier tables that share most of their data with the later ones.
 #[test]
-fn each_of_many_names_keeps_its_number() {
+fn each_of_many_names_keeps_its_id() {
     let class = |n: usize| json!({"name":format!("c{n}"),"aim_us":1,"deadline_us":9,"effect":"free","gain":1.0,"late_worth":0.0});
     let tenant = |n: usize| json!({"name":format!("t{n}"),"quota_rps":1.0 + n as f64});
-    let found = |tables: &ActiveSettings, many: usize| {
+    let assert_found = |active: &ActiveSettings, count: usize| {
         assert_eq!(
-            (tables.config.classes.len(), tables.config.tenants.len()),
-            (many, many)
+            (active.config.classes.len(), active.config.tenants.len()),
+            (count, count)
         );
-        for n in 0..many {
+        for n in 0..count {
             let (class, tenant) = (
-                tables.names.class(&format!("c{n}")),
-                tables.names.tenant(&format!("t{n}")),
+                active.names.class(&format!("c{n}")),
+                active.names.tenant(&format!("t{n}")),
             );
             assert_eq!((class, tenant), (Some(ClassId(n)), Some(TenantId(n))));
-            assert_eq!(tables.names.class_name(ClassId(n)), Some(&*format!("c{n}")));
-            assert_eq!(tables.config.tenants[n].quota_per_s, 1.0 + n as f64);
+            assert_eq!(active.names.class_name(ClassId(n)), Some(&*format!("c{n}")));
+            assert_eq!(active.config.tenants[n].quota_per_s, 1.0 + n as f64);
         }
-        for n in many..many + 200 {
-            assert_eq!(tables.names.class(&format!("c{n}")), None);
-            assert_eq!(tables.names.tenant(&format!("t{n}")), None);
+        for n in count..count + 200 {
+            assert_eq!(active.names.class(&format!("c{n}")), None);
+            assert_eq!(active.names.tenant(&format!("t{n}")), None);
         }
     };
     for read_at_once in [1, 8, 9, 63, 1000, 3000] {
-        let mut file = bare();
+        let mut file = settings_without_entries();
         file["profiles"] = (0..read_at_once).map(class).collect();
         file["customers"] = (0..read_at_once).map(tenant).collect();
         let first = ActiveSettings::initial(&read(&file)).unwrap();
-        let mut tables = first.clone();
+        let mut active = first.clone();
         for n in read_at_once..read_at_once + 100 {
             let both = [
                 EntryChange::SetCustomer(tenant(n)),
                 EntryChange::SetProfile(class(n)),
             ];
-            tables = tables.change_entries(&both).unwrap().to;
+            active = active.change_entries(&both).unwrap().to;
         }
-        found(&tables, read_at_once + 100);
-        found(&first, read_at_once);
+        assert_found(&active, read_at_once + 100);
+        assert_found(&first, read_at_once);
     }
 }
 
-/// A name that stands twice is told so whether its route breaks a bound or not, read beside the tables in force or over them.
+/// A duplicate name is reported whether or not its class is within bounds.
 #[test]
-fn a_name_that_stands_twice_is_told_also_of_unsound_routes() {
-    let route = |gain: f64| json!({"name":"a","aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
-    let mut file = bare();
-    file["profiles"] = json!([route(1.0)]);
-    let tables = ActiveSettings::initial(&read(&file)).unwrap();
+fn duplicate_names_are_reported_also_for_classes_out_of_bounds() {
+    let profile = |gain: f64| json!({"name":"a","aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
+    let mut file = settings_without_entries();
+    file["profiles"] = json!([profile(1.0)]);
+    let active = ActiveSettings::initial(&read(&file)).unwrap();
     for gain in [0.0, 1.0, 2.0] {
-        file["profiles"] = json!([route(gain), route(gain)]);
-        let told = change(&tables, &file).unwrap_err();
-        assert!(told.contains("duplicate name"), "{told}");
+        file["profiles"] = json!([profile(gain), profile(gain)]);
+        let error = change(&active, &file).unwrap_err();
+        assert!(error.contains("duplicate name"), "{error}");
     }
 }
 
-/// Each error under its key, all of them at once, and nothing is kept of the good ones beside them.
+/// All errors are reported at once, each under its key, and none of the valid changes beside them is applied.
 #[test]
-fn amendments_are_taken_whole_or_told_by_key() {
-    let route = |name: &str, gain: f64| json!({"name":name,"aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
-    let mut first = bare();
+fn entry_changes_apply_all_or_report_each_error_by_key() {
+    let profile = |name: &str, gain: f64| json!({"name":name,"aim_us":1,"deadline_us":9,"effect":"free","gain":gain,"late_worth":0.0});
+    let mut first = settings_without_entries();
     (first["profiles"], first["customers"]) = (
-        json!([route("a", 1.0)]),
+        json!([profile("a", 1.0)]),
         json!([{"name":"t","quota_rps":1.0}]),
     );
-    let tables = ActiveSettings::initial(&read(&first)).unwrap();
-    let before = tables.clone();
-    let mut late = route("c", 1.0);
+    let active = ActiveSettings::initial(&read(&first)).unwrap();
+    let before = active.clone();
+    let mut late = profile("c", 1.0);
     late["aim_us"] = json!(10);
-    let bad = [
+    let invalid_changes = [
         EntryChange::SetCustomer(json!({"name":"u","quota_rps":2.0})),
         EntryChange::SetCustomer(json!({"name":"t","quota_rps":"many"})),
         EntryChange::SetCustomer(json!({"name":"v","quota_rps":-1.0})),
         EntryChange::SetCustomer(json!({"quota_rps":1.0})),
-        EntryChange::SetProfile(route("b", 0.0)),
+        EntryChange::SetProfile(profile("b", 0.0)),
         EntryChange::SetProfile(late),
         EntryChange::RemoveCustomer("x".into()),
         EntryChange::RemoveProfile("a".into()),
@@ -573,17 +577,20 @@
         "customers[x]: no entry of this name exists",
         "profiles[a]: duplicate name",
     ];
-    assert_eq!(texts(&tables.change_entries(&bad).unwrap_err()), errors);
-    let none = tables
+    assert_eq!(
+        texts(&active.change_entries(&invalid_changes).unwrap_err()),
+        errors
+    );
+    let none = active
         .change_entries(&[EntryChange::RemoveProfile("a".into())])
         .unwrap_err();
     assert_eq!(texts(&none), ["profiles: expected at least one class"]);
-    assert_eq!(tables, before);
+    assert_eq!(active, before);
     let swap = [
         EntryChange::RemoveProfile("a".into()),
-        EntryChange::SetProfile(route("b", 1.0)),
+        EntryChange::SetProfile(profile("b", 1.0)),
     ];
-    let change = tables.change_entries(&swap).unwrap();
+    let change = active.change_entries(&swap).unwrap();
     assert_eq!(
         (change.summary.as_str(), change.retired),
         ("dropped a, new b", vec![ClassId(0)])
