--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -96,6 +96,7 @@
 /// The endpoint list in the file, used until discovery sends a newer one.
 #[derive(Default)]
 pub struct KnownEndpoints {
+    /// Discovery's index of the list, after which the proxy asks for changes.
     pub index: u64,
     pub entries: EntryChunks,
 }
--- a/src/net/config/fleet_overrides.rs
+++ b/src/net/config/fleet_overrides.rs
@@ -18,6 +18,7 @@
 /// The fleet's entries, and those among them that are not in force yet.
 pub struct FleetOverrides {
     overrides: RefCell<Overrides>,
+    /// The values that are not in force yet, by key.
     pending: RefCell<BTreeMap<Key, Value>>,
     /// The version that results from all entries received.
     received_version: Cell<u64>,
@@ -31,7 +32,7 @@
     changed: Notify,
 }
 
-/// A copy of the entries at one instant, for reading a file on another thread.
+/// The entries at one instant, for reading a file on another thread.
 pub struct OverridesView {
     pub overrides: Overrides,
     /// The version that results from these entries.
@@ -264,7 +265,7 @@
 }
 
 /// The result of applying the fleet's entries to a file's settings.
-pub struct FileWithOverrides {
+pub struct AppliedOverrides {
     /// The change of the file's settings, `None` if no entry changes them.
     pub change: Option<SettingsChange>,
     /// Whether all entries were applicable to the file.
@@ -278,16 +279,16 @@
     file: &ActiveSettings,
     file_version: u64,
     overrides: &Overrides,
-) -> FileWithOverrides {
+) -> AppliedOverrides {
     let edits = overrides.entries_over(file_version);
     if edits.is_empty() {
-        return FileWithOverrides {
+        return AppliedOverrides {
             change: None,
             all_applied: true,
         };
     }
     if let Ok(change) = change_entries(file, file, &edits) {
-        return FileWithOverrides {
+        return AppliedOverrides {
             change: Some(change),
             all_applied: true,
         };
@@ -296,7 +297,7 @@
         .into_iter()
         .filter(|edit| is_applicable(file, edit))
         .collect();
-    FileWithOverrides {
+    AppliedOverrides {
         change: change_entries(file, file, &applicable).ok(),
         all_applied: false,
     }
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -137,12 +137,14 @@
             let file_version = file.node.file_version;
             fleet.check_file(file_version)?;
             let from_file = file.change.as_ref().ok();
-            let with_overrides = from_file.map(|change| {
+            let applied = from_file.map(|change| {
                 fleet_overrides::apply_to_file(&change.to, file_version, &fleet.overrides)
             });
-            let all_applied = with_overrides.as_ref().is_none_or(|file| file.all_applied);
+            let all_applied = applied
+                .as_ref()
+                .is_none_or(|overrides| overrides.all_applied);
             let fleet = FleetChanges {
-                change: with_overrides.and_then(|file| file.change),
+                change: applied.and_then(|overrides| overrides.change),
                 version: all_applied.then_some(fleet.version),
             };
             Ok(ReadConfig { file, fleet })
--- a/src/net/config/sections.rs
+++ b/src/net/config/sections.rs
@@ -56,7 +56,7 @@
     /// Term of a lease unless it is renewed, in milliseconds.
     #[serde(default = "CoordinationSection::lease_ms")]
     pub lease_ms: u64,
-    /// Maximum deviation of a clock's rate from true time, as a fraction of 1.
+    /// Maximum deviation of a clock's rate from true time, as a fraction of that rate.
     #[serde(default = "CoordinationSection::drift")]
     pub drift: f64,
     /// Fraction of each kind's capacity that windows must leave undrained.
--- a/src/settings/active.rs
+++ b/src/settings/active.rs
@@ -85,8 +85,8 @@
 
 impl SettingsChange {
     /// Renumbers the zones and kinds that these settings introduce, if endpoint lists introduced others after the
-    /// settings were read. `current` holds the names in force. Returns at once if its zones and kinds are as many as
-    /// then.
+    /// settings were read. `current` holds the names in force. Returns immediately if the numbers of zones and
+    /// kinds are the same as then.
     pub fn renumber_zones_and_kinds(&mut self, current: &Names) {
         if ZoneAndKindCounts::of(current) == self.numbered_at_read {
             return;
--- a/src/settings/draft.rs
+++ b/src/settings/draft.rs
@@ -17,12 +17,14 @@
     class_count: usize,
     /// The number of tenant numbers assigned so far, those of this change included.
     pub tenant_count: usize,
+    /// The settings with the changes so far, except those of tenants' quotas, which [`Draft::finish`] applies.
     pub to: ActiveSettings,
     retired: BTreeSet<ClassId>,
     reinstated: BTreeSet<ClassId>,
     successors: Vec<ClassSuccessor>,
     /// Tenants that are new or whose quota changed.
     pub tenants: BTreeMap<TenantId, Tenant>,
+    /// One text for each changed class, such as `changed NAME`.
     summary: Vec<String>,
 }
 
--- a/src/settings/entry_change.rs
+++ b/src/settings/entry_change.rs
@@ -93,14 +93,14 @@
     match change {
         EntryChange::SetProfile(entry) => {
             let class = NamedClass::read(&field(entry), |_| true);
-            problem(set_class(draft, &class))
+            error_text(set_class(draft, &class))
         }
         EntryChange::SetCustomer(entry) => {
             let tenant = NamedTenant::read(&field(entry));
-            problem(set_tenant(draft, &tenant))
+            error_text(set_tenant(draft, &tenant))
         }
-        EntryChange::RemoveProfile(name) => missing_entry(draft.remove_class(name)),
-        EntryChange::RemoveCustomer(name) => missing_entry(remove_tenant(draft, name)),
+        EntryChange::RemoveProfile(name) => error_if_missing(draft.remove_class(name)),
+        EntryChange::RemoveCustomer(name) => error_if_missing(remove_tenant(draft, name)),
     }
 }
 
@@ -115,6 +115,7 @@
     Ok(())
 }
 
+/// Takes the tenant of this name out of use; returns false if there is none.
 fn remove_tenant(draft: &mut Draft, name: &str) -> bool {
     let names = &mut draft.to.names.tenants;
     let exists = names.get(name).is_some();
@@ -122,11 +123,11 @@
     exists
 }
 
-fn problem(result: Result<(), ConfigError>) -> Option<String> {
+fn error_text(result: Result<(), ConfigError>) -> Option<String> {
     result.err().map(|error| error.to_string())
 }
 
-fn missing_entry(existed: bool) -> Option<String> {
+fn error_if_missing(existed: bool) -> Option<String> {
     let text = "no entry of this name exists";
     (!existed).then(|| text.into())
 }
--- a/src/settings/lists.rs
+++ b/src/settings/lists.rs
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Begins one of [`LongLists::PATHS`]. If the document has the list twice, this discards the items of the first.
+    /// Begins one of [`LongLists::PATHS`]. If the document has the list twice, this discards the items of the earlier
+    /// one.
     pub fn begin(&mut self, list: &str) {
         if list == PROFILES {
             self.class_notes = ListNotes::new(PROFILES, self.options);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Converts settings, as the platform and operators write them, to the load balancer's [`Config`], and single entries
-//! back. The proxy and the simulator's adapter both use this module.
+//! Converts settings, as the platform and operators write them, to the load balancer's [`Config`], and single classes
+//! and tenants back to JSON. The proxy and the simulator's adapter both use this module.
 //!
 //! [`Settings`] holds a settings document that was read, [`ActiveSettings`] the configuration built from it. A
 //! [`SettingsChange`] replaces the active settings while requests are open: all of them
