--- a/src/net/state/snapshot/stored_formats.rs
+++ b/src/net/state/snapshot/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The snapshot's file, byte for byte, and the names of files and folders.
+//! The stored format of snapshots, byte for byte, and the names of their files and of the folders that processes share.
 
 use super::*;
 use crate::fixtures::{assert_bytes, assert_lines};
@@ -40,19 +40,19 @@
         enabled_ago: Some(Micros(40)),
     };
     SavedState {
-        kinds: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
+        hardware_classes: vec![("small".into(), kind(0.0)), ("größer".into(), kind(1.0))],
         classes: vec![
             ("read".into(), sampled(0.03125, 100.0)),
             ("write".into(), sampled(0.5, 0.1)),
         ],
-        overall: sampled(0.046875, 1234.5),
+        overall_latency: sampled(0.046875, 1234.5),
         backends: vec![("s-1".into(), ejected), ("s-2".into(), returned)],
         disabled: vec!["s-3".into(), "s-4".into()],
     }
 }
 
 #[test]
-fn the_file_of_learned_state_keeps_its_bytes() {
+fn snapshots_keep_their_bytes() {
     let own = Snapshot {
         header: header(Some(owner().hash())),
         saved: saved(),
@@ -79,16 +79,16 @@
 }
 
 #[test]
-fn files_and_folders_keep_their_names() {
+fn snapshot_files_and_shared_folders_keep_their_names() {
     let alone = ProxyIdentity {
         discovery: None,
         ..owner()
     };
     let forms = [
-        ("file", name(&owner())),
-        ("file without discovery", name(&alone)),
-        ("folder", owner().folder()),
-        ("folder without discovery", alone.folder()),
+        ("file", file_name(&owner())),
+        ("file without discovery", file_name(&alone)),
+        ("folder", owner().folder_name()),
+        ("folder without discovery", alone.folder_name()),
     ];
     assert_lines("snapshot-names.txt", &forms);
 }
