--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -1,8 +1,9 @@
 //! Backends that operators disabled, recorded in a folder under `$TMPDIR` for the next process and for the other
 //! process of a hot restart.
 //!
-//! A disabled backend is one empty file: files appear and go atomically, and two processes never overwrite each
-//! other's. `out-HEX` says that the backend is disabled, `back-HEX` when it was last enabled; `HEX` is its id.
+//! Each disabled backend has an empty file of its own, as files are created and removed atomically and two processes
+//! never overwrite each other's changes. The file `out-HEX` means that the backend is disabled. The modification time
+//! of `back-HEX` is when it was last enabled. `HEX` is the backend's id.
 
 use crate::net::host::{DisableReason, Host};
 use crate::net::state::snapshot_keeper::SnapshotKeeper;
@@ -16,7 +17,8 @@
 use std::time::{Duration, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// Well within the time in which a change made at the other process has to reach this one.
+/// The interval of reading the folder: far shorter than the time within which a change by the other process has to take
+/// effect in this one.
 const FOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const DISABLED_PREFIX: &str = "out-";
 const ENABLED_PREFIX: &str = "back-";
@@ -24,35 +26,39 @@
 /// Disables and enables backends for operators.
 pub struct DisabledBackends {
     host: Rc<Host>,
+    /// The folder that the processes of this proxy share; `None` if there is none.
     folder: Option<PathBuf>,
-    /// Writes a snapshot with each change, so that an acknowledged call survives a crash.
+    /// Writes a snapshot after each change, so that an acknowledged call survives a crash.
     keeper: Option<Rc<SnapshotKeeper>>,
-    /// Ids whose files were in the folder at the last check, or were created since.
+    /// Ids of disabled backends whose files were in the folder when it was last read, or were created since.
     on_disk: RefCell<BTreeSet<String>>,
-    /// Warnings that were logged, each once.
+    /// The warnings that were logged; each is logged once.
     logged: RefCell<BTreeSet<String>>,
 }
 
 /// A backend that operators enabled again.
 struct EnabledBackend {
     id: String,
-    /// The time of its file.
+    /// When it was enabled: the modification time of its file.
     since: Time,
 }
 
-/// What is in the folder.
+/// The files in the folder.
 #[derive(Default)]
 struct FolderContents {
     disabled: BTreeSet<String>,
     enabled: Vec<EnabledBackend>,
 }
 
-/// What the name of a file in the folder says.
+/// The meaning of a file name in the folder.
 enum FileName {
+    /// The backend with this id is disabled.
     Disabled(String),
+    /// The backend with this id was enabled.
     Enabled(String),
+    /// The file has a known prefix, but no valid id.
     Malformed,
-    /// It belongs to another part of the program.
+    /// The file belongs to another part of the program.
     Other,
 }
 
@@ -69,8 +75,9 @@
 }
 
 impl DisabledBackends {
-    /// Disables what the folder names. For a backend that a snapshot disabled, the folder's record of its end wins;
-    /// where there is none, the backend's file is created, so that the other process learns of its end too.
+    /// Disables the backends that the folder names, in addition to those that a snapshot disabled. If the folder
+    /// records that one of the latter was enabled since, it is enabled. Otherwise its file is created, so that the
+    /// other process notices when it is enabled.
     pub fn new(
         host: Rc<Host>,
         folder: Option<PathBuf>,
@@ -88,8 +95,10 @@
         Rc::new(this)
     }
 
+    /// Enables the backends that the snapshot disabled but the folder records as enabled, and creates the files of
+    /// those that the folder does not mention.
     fn reconcile_with_snapshot(&self) {
-        let found = self.read_folder().unwrap_or_default(); // the check that follows logs the error
+        let found = self.read_folder().unwrap_or_default(); // `apply_folder_changes` logs the error
         for backend in &found.enabled {
             if !found.disabled.contains(&backend.id) {
                 self.enable_in_host(&backend.id, backend.since);
@@ -102,7 +111,8 @@
         }
     }
 
-    /// Enables the backend here. One that this process had not disabled still counts as started at `since`.
+    /// Enables the backend in this process. A backend that this process had not disabled still counts as started at
+    /// `since`.
     fn enable_in_host(&self, id: &str, since: Time) {
         let reason = DisableReason::Operator;
         if !self.host.enable_backend(id, reason, since) {
@@ -110,6 +120,7 @@
         }
     }
 
+    /// Records in the folder that the backend is disabled. If this fails, only this process disables it.
     fn create_disabled_file(&self, id: &str) {
         let Some(folder) = &self.folder else {
             return;
@@ -132,14 +143,14 @@
         }
     }
 
-    /// Waits until a crash would lose nothing that was done so far, or the disk takes too long.
+    /// Waits until all changes so far are on disk and survive a crash, or until a timeout.
     pub async fn wait_until_flushed(&self) {
         if let Some(keeper) = &self.keeper {
             keeper.wait_until_flushed().await;
         }
     }
 
-    /// Sends the backend nothing more; false for an unknown id.
+    /// Disables the backend, which receives no more requests. Returns false if no backend with this id is known.
     pub fn disable(&self, id: &str) -> bool {
         if !self.host.disable_backend(id, DisableReason::Operator) {
             return false;
@@ -150,7 +161,8 @@
         true
     }
 
-    /// Uses the backend again; false for an unknown id. A repeated call changes nothing: it is no fresh start.
+    /// Enables the backend again. Returns false if no backend with this id is known. A repeated call changes nothing,
+    /// so that the backend's slow start does not start over.
     pub fn enable(&self, id: &str) -> bool {
         if !self.host.is_known_backend(id) {
             return false;
@@ -168,19 +180,20 @@
             }
         }
         self.on_disk.borrow_mut().remove(id);
-        // The file may be the other process's, and not followed here yet.
+        // The other process may have created the file, and this process may not have read it yet.
         self.enable_in_host(id, self.host.clock.now());
         info!(backend = id, "control: {id} is enabled");
         self.write_snapshot();
         true
     }
 
+    /// Returns the path of the file that disables the backend.
     fn disabled_file(&self, id: &str) -> Option<PathBuf> {
         let folder = self.folder.as_ref()?;
         Some(folder.join(file_name(DISABLED_PREFIX, id)))
     }
 
-    /// Records on disk that the backend is enabled.
+    /// Records in the folder that the backend is enabled.
     fn replace_disabled_file(&self, id: &str) -> io::Result<()> {
         let Some(folder) = &self.folder else {
             return Ok(());
@@ -192,7 +205,7 @@
         }
     }
 
-    /// Carries out what the other process records in the folder, for as long as the program runs.
+    /// Applies the changes that the other process records in the folder, until this process ends.
     pub async fn watch_folder(self: Rc<Self>) {
         while self.folder.is_some() {
             tokio::time::sleep(FOLDER_CHECK_INTERVAL).await;
@@ -200,12 +213,13 @@
         }
     }
 
+    /// Reads the folder, and disables and enables the backends whose files appeared or disappeared since the last time.
     fn apply_folder_changes(&self) {
         let now = match self.read_folder() {
             Ok(contents) => contents.disabled,
             Err(error) => {
                 self.warn_once(format!(
-                    "TMPDIR: backends stay disabled as before, and changes of another process are not seen: {error}"
+                    "TMPDIR: cannot read the shared folder, so changes by another process are not applied: {error}"
                 ));
                 return;
             }
@@ -229,7 +243,8 @@
         }
     }
 
-    /// Reads the whole folder or fails: a file that a broken reading left out would be taken for a removed one.
+    /// Reads the folder. Any error fails the whole read, as a file that it left out would count as removed, and its
+    /// backend would be enabled.
     fn read_folder(&self) -> io::Result<FolderContents> {
         let mut contents = FolderContents::default();
         let Some(folder) = &self.folder else {
@@ -263,7 +278,7 @@
     }
 }
 
-/// When the file was last written; the beginning of time where that is not known.
+/// Returns the modification time of a file, or the Unix epoch if it is not known.
 fn modified_at(entry: &DirEntry) -> Time {
     let modified = entry.metadata().and_then(|metadata| metadata.modified());
     let since_epoch = modified
@@ -272,11 +287,12 @@
     Time(since_epoch.map_or(0, |at| at.as_micros() as u64))
 }
 
-/// Ids may hold any character; in hex they are plain names of files.
+/// Returns the name of a backend's file. The id is in hex, as it may contain characters that file names cannot.
 fn file_name(prefix: &str, id: &str) -> PathBuf {
     Path::new(&format!("{prefix}{}", hex::encode(id))).into()
 }
 
+/// Decodes a backend's id from hex. Returns `None` if the id is empty or not valid hex or UTF-8.
 fn decode_id(text: &str) -> Option<String> {
     let bytes = hex::decode(text).ok().filter(|bytes| !bytes.is_empty())?;
     String::from_utf8(bytes).ok()
--- a/src/net/admin/disabled_backends/stored_formats.rs
+++ b/src/net/admin/disabled_backends/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The files by which the processes of a proxy tell each other of bans.
+//! The stored format of disabled backends: the files by which the processes of a proxy share them.
 
 use super::*;
 use crate::fixtures::assert_lines;
@@ -29,7 +29,7 @@
     dir
 }
 
-/// Names and contents, by name.
+/// Returns the names and contents of the files in a folder, sorted by name.
 fn files(dir: &Path) -> Vec<String> {
     let of = |entry: io::Result<std::fs::DirEntry>| {
         let path = entry.unwrap().path();
@@ -41,10 +41,10 @@
     files
 }
 
-/// They are written so, and another process takes them so.
+/// The files are written with the names of the fixture, and a process that reads these names applies them.
 #[test]
-fn bans_keep_the_names_of_their_files() {
-    let dir = folder("bans");
+fn disabled_backends_keep_their_file_names() {
+    let dir = folder("disabled");
     let writer = DisabledBackends::new(host(), Some(dir.clone()), None);
     assert!(writer.disable("s-1") && writer.disable("größer/2") && writer.disable("s 3"));
     let out = files(&dir).join(" ");
@@ -56,24 +56,24 @@
         &[("three out", out), ("one of them back", back)],
     );
 
-    let dir = folder("bans-read");
+    let dir = folder("disabled-read");
     for file in stored[1].split(' ') {
         let (name, content) = file.split_once('=').unwrap();
         std::fs::write(dir.join(name), content).unwrap();
     }
     let reader = DisabledBackends::new(host(), Some(dir.clone()), None);
-    let mut banned = reader.host.learned_state().disabled;
-    banned.sort();
-    assert_eq!(banned, ["größer/2", "s-1"]);
-    let came_back = reader
+    let mut disabled = reader.host.learned_state().disabled;
+    disabled.sort();
+    assert_eq!(disabled, ["größer/2", "s-1"]);
+    let enabled = reader
         .host
         .learned_state()
         .backends
         .into_iter()
         .find(|(name, _)| name == "s 3");
     assert!(
-        came_back.is_some_and(|(_, memory)| memory.enabled_ago.is_some()),
-        "it is in slow start"
+        enabled.is_some_and(|(_, learned)| learned.enabled_ago.is_some()),
+        "the enabled backend is not in slow start"
     );
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/src/net/admin/listener.rs
+++ b/src/net/admin/listener.rs
@@ -1,4 +1,4 @@
-//! The address of the operators' calls, which a reload may open, move or close.
+//! The listening address of the admin API, which a reload may open, change or close.
 
 use super::server::AdminServer;
 use super::AdminContext;
@@ -10,7 +10,7 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// The new address cannot be listened at; the old one stays in service.
+/// The new address cannot be bound; the server continues on the old one.
 #[derive(Debug, Error)]
 #[error("control: cannot listen on {address}: {source}")]
 pub struct AdminListenError {
@@ -24,14 +24,14 @@
     task: AbortHandle,
 }
 
-/// Owns the server of the operators' calls, if there is one.
+/// Owns the admin API's server, if one runs.
 pub struct AdminListener {
     running: Option<Running>,
     context: AdminContext,
 }
 
 impl AdminListener {
-    /// One that does not listen yet.
+    /// Creates a listener that does not listen yet.
     pub fn closed(context: AdminContext) -> AdminListener {
         AdminListener {
             running: None,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Serves calls on a listener that is bound to `address`, in place of the one before.
+    /// Starts a server on `listener`, which is bound to `address`, and stops the previous server.
     pub fn serve(&mut self, address: SocketAddr, listener: TcpListener) {
         info!("control on {}", listener.local_addr().unwrap_or(address));
         self.close();
@@ -48,7 +48,7 @@
         self.running = Some(Running { address, task });
     }
 
-    /// Listens at another address from now on, or at none. On an error nothing changes.
+    /// Changes the listening address, or stops listening if it is `None`. If an error occurs, nothing changes.
     pub fn move_to(&mut self, address: Option<SocketAddr>) -> Result<(), AdminListenError> {
         if address == self.running.as_ref().map(|running| running.address) {
             return Ok(());
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,13 +1,14 @@
-//! The operators' HTTP calls, on an address of their own.
+//! The admin API: the operators' HTTP calls, on an address of its own.
 //!
-//! - [`server`]: takes calls and answers them.
-//! - [`listener`]: the server's address, which a reload may change.
-//! - [`routes`]: which calls there are, and how their targets are decoded.
+//! - [`server`]: accepts connections and handles calls.
+//! - [`listener`]: the address of the server, which a reload may change.
+//! - [`routes`]: the paths and methods of the calls, and the decoding of their targets.
 //! - [`disabled_backends`]: backends that operators disable and enable.
-//! - [`prometheus`]: the metrics in Prometheus' text form.
+//! - [`prometheus`]: the metrics in Prometheus' text format.
 //!
-//! What this process knows is answered at once, a change to a backend once it is on disk. Calls on maintenance windows,
-//! leases and the fleet's configuration go to a [`FleetAdmin`] and are answered later.
+//! Calls about this process are answered at once, and calls that disable or enable a backend once the change is on
+//! disk. Calls about maintenance windows, leases and the fleet's configuration are passed to a [`FleetAdmin`], which
+//! answers them asynchronously.
 
 pub mod disabled_backends;
 pub mod listener;
@@ -26,25 +27,26 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// The status and body that a call on the fleet will be answered with.
+/// The future status and body of the response to a call about the fleet.
 pub type AdminResponseFuture = Pin<Box<dyn Future<Output = (StatusCode, String)>>>;
 
-/// Answers the calls on maintenance windows, leases and the fleet's configuration.
+/// Handles the calls about maintenance windows, leases and the fleet's configuration.
 pub trait FleetAdmin {
-    /// `path` is the decoded segments of a call that [`routes`] knows; `body` is at most 64 KiB of anything. The future
-    /// is dropped when the caller leaves or it takes over a second.
+    /// Handles a call. `path` contains the decoded segments of a path that [`routes`] allows; `body` has at most 64 KiB
+    /// and is not validated. The future is dropped if the caller disconnects or one second has passed.
     fn call(&self, method: &Method, path: &[&str], body: Bytes) -> AdminResponseFuture;
 }
 
-/// What calls read and change.
+/// The components that calls read and change.
 #[derive(Clone)]
 pub struct AdminContext {
     pub host: Rc<Host>,
     pub server: Rc<Server>,
     pub disabled_backends: Rc<DisabledBackends>,
-    /// Gossip with the fleet's other proxies, where state is shared.
+    /// Gossip with the fleet's other proxies; `None` if it is not configured.
     pub gossip: Option<Rc<GossipDriver>>,
-    /// `None`: there are no maintenance windows, leases or configuration of a fleet.
+    /// The handler of calls about the fleet; `None` if maintenance windows, leases and the fleet's configuration are
+    /// not configured.
     pub fleet: Option<Rc<dyn FleetAdmin>>,
     /// The metrics of this process.
     pub metrics: PrometheusRecorder,
--- a/src/net/admin/prometheus.rs
+++ b/src/net/admin/prometheus.rs
@@ -1,7 +1,7 @@
-//! The process's recorder behind the `metrics` facade, and its metrics in Prometheus' text form.
+//! The process's recorder for the `metrics` facade, which renders the metrics in Prometheus' text format.
 //!
-//! The exporter's crate would do both, but calibrates the processor's clock as it starts, for up to 0.2 s of a core,
-//! for histograms, which the proxy has none of.
+//! The crate `metrics-exporter-prometheus` would do both. When it starts, however, it calibrates the processor's clock
+//! for its histograms, which takes up to 0.2 s of one core, and the proxy has no histograms.
 
 use metrics::{Counter, Gauge, Histogram, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use std::collections::BTreeMap;
@@ -9,9 +9,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// The type and current value of a metric.
 enum Metric {
     Counter(Arc<AtomicU64>),
-    /// The bits of a float.
+    /// The bits of an `f64`.
     Gauge(Arc<AtomicU64>),
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// A metric's name, and its labels as they are written.
+/// A metric's name, and its labels in the text format.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MetricId {
     name: String,
@@ -39,10 +40,10 @@
 }
 
 impl MetricId {
-    fn of(key: &Key) -> MetricId {
+    fn from_key(key: &Key) -> MetricId {
         let labels: Vec<String> = key
             .labels()
-            .map(|label| format!("{}=\"{}\"", label.key(), escape(label.value())))
+            .map(|label| format!("{}=\"{}\"", label.key(), escape_label_value(label.value())))
             .collect();
         MetricId {
             name: key.name().into(),
@@ -54,8 +55,8 @@
     }
 }
 
-/// Escapes a label's value.
-fn escape(value: &str) -> String {
+/// Escapes a label's value for the text format.
+fn escape_label_value(value: &str) -> String {
     value
         .replace('\\', r"\\")
         .replace('"', "\\\"")
@@ -64,19 +65,19 @@
 
 type MetricTable = BTreeMap<MetricId, Metric>;
 
-/// Counters and gauges by their names and labels; clones share them.
+/// Records counters and gauges by name and labels; clones share them. Histograms are not recorded.
 #[derive(Clone, Default)]
 pub struct PrometheusRecorder(Arc<Mutex<MetricTable>>);
 
 impl PrometheusRecorder {
-    /// Makes a recorder that is the process's from now on, if there is none yet.
+    /// Creates a recorder and installs it as the process's global one, unless there already is one.
     pub fn install() -> PrometheusRecorder {
         let recorder = PrometheusRecorder::default();
         let _ = metrics::set_global_recorder(recorder.clone());
         recorder
     }
 
-    /// All metrics, one a line, after the type of each name.
+    /// Renders all metrics in the text format: for each name a line with its type, then one line per metric.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let mut last_name = "";
@@ -102,7 +103,11 @@
 
     fn register_counter(&self, key: &Key, _: &Metadata<'_>) -> Counter {
         let new = || Metric::Counter(Arc::default());
-        match self.table().entry(MetricId::of(key)).or_insert_with(new) {
+        match self
+            .table()
+            .entry(MetricId::from_key(key))
+            .or_insert_with(new)
+        {
             Metric::Counter(n) => Counter::from_arc(n.clone()),
             Metric::Gauge(_) => Counter::noop(),
         }
@@ -110,7 +115,11 @@
 
     fn register_gauge(&self, key: &Key, _: &Metadata<'_>) -> Gauge {
         let new = || Metric::Gauge(Arc::default());
-        match self.table().entry(MetricId::of(key)).or_insert_with(new) {
+        match self
+            .table()
+            .entry(MetricId::from_key(key))
+            .or_insert_with(new)
+        {
             Metric::Gauge(n) => Gauge::from_arc(n.clone()),
             Metric::Counter(_) => Gauge::noop(),
         }
--- a/src/net/admin/routes.rs
+++ b/src/net/admin/routes.rs
@@ -1,26 +1,26 @@
-//! The operators' calls: which paths and methods there are, and how the parts of a target are decoded.
+//! The paths and methods of the admin API's calls, and the decoding of request targets.
 
 use hyper::Method;
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// First segments of the calls that a [`FleetAdmin`](super::FleetAdmin) answers.
-const FLEET_CALLS: [&str; 3] = ["/windows", "/duties", "/config"];
+/// Prefixes of the paths whose calls a [`FleetAdmin`](super::FleetAdmin) handles.
+const FLEET_CALL_PREFIXES: [&str; 3] = ["/windows", "/duties", "/config"];
 
-/// Why the query of a call names no backend.
+/// Reasons for which the query of a call does not name a backend. The key of the query is `who`.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum QueryError {
     #[error("who is missing")]
     Missing,
-    #[error("who stands twice")]
+    #[error("who is given more than once")]
     Repeated,
     #[error("who is empty")]
     Empty,
-    #[error("who is badly encoded")]
+    #[error("who is not valid percent-encoded UTF-8")]
     Encoding,
 }
 
-/// The methods that a path takes; none where there is no such call.
+/// Returns the methods that are allowed on a path, or none if the path does not exist.
 pub fn allowed_methods(path: &str) -> &'static [Method] {
     let segments: Vec<&str> = path.split('/').skip(1).collect();
     match segments[..] {
@@ -38,17 +38,19 @@
     }
 }
 
-/// Whether a call is about the fleet rather than this process.
+/// Returns whether a call is about the fleet rather than this process.
 pub fn is_fleet_call(path: &str) -> bool {
-    FLEET_CALLS.iter().any(|call| path.starts_with(call))
+    FLEET_CALL_PREFIXES
+        .iter()
+        .any(|prefix| path.starts_with(prefix))
 }
 
-/// The decoded segments of a path; `None` where one is badly encoded.
+/// Returns the decoded segments of a path, or `None` if one is not valid percent-encoded UTF-8.
 pub fn decode_path(path: &str) -> Option<Vec<String>> {
     path.split('/').skip(1).map(percent_decode).collect()
 }
 
-/// The backend's id: the one `who` of a query, decoded.
+/// Returns the decoded id of a backend from the query, which must contain the key `who` exactly once.
 pub fn backend_id(query: Option<&str>) -> Result<String, QueryError> {
     let pairs = query
         .unwrap_or_default()
@@ -65,7 +67,8 @@
     percent_decode(&id.replace('+', " ")).ok_or(QueryError::Encoding)
 }
 
-/// Percent-decoding that refuses incomplete escapes: the crate would leave a `%zz` as it stands.
+/// Decodes a percent-encoded text. Returns `None` for invalid escapes such as `%zz`, which the crate
+/// `percent_encoding` leaves unchanged, and for invalid UTF-8.
 fn percent_decode(text: &str) -> Option<String> {
     let starts_with_hex = |rest: &str| {
         let digits = rest.bytes().take(2).filter(u8::is_ascii_hexdigit);
--- a/src/net/admin/routes/tests.rs
+++ b/src/net/admin/routes/tests.rs
@@ -1,13 +1,13 @@
-//! Targets of calls.
+//! Decoding of request targets.
 
 use super::*;
 
 #[test]
-fn an_id_is_taken_only_from_a_sound_query() {
+fn backend_ids_are_read_only_from_valid_queries() {
     for (query, id) in [("who=a-1", "a-1"), ("x=1&who=a%2F%c3%a9+b&y", "a/é b")] {
         assert_eq!(backend_id(Some(query)).as_deref(), Ok(id), "{query}");
     }
-    for bad in [
+    for invalid in [
         "",
         "who",
         "who=",
@@ -18,7 +18,7 @@
         "who=%zz",
         "who=%ff",
     ] {
-        assert!(backend_id(Some(bad)).is_err(), "{bad}");
+        assert!(backend_id(Some(invalid)).is_err(), "{invalid}");
     }
     assert!(backend_id(None).is_err());
 }
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -1,4 +1,4 @@
-//! Takes the operators' calls, one to a connection, and answers them.
+//! The admin API's HTTP server. Each connection carries one call.
 
 use super::routes::{allowed_methods, backend_id, decode_path, is_fleet_call, QueryError};
 use super::{AdminContext, FleetAdmin};
@@ -20,20 +20,21 @@
 use tokio::task::AbortHandle;
 use tracing::warn;
 
-/// Calls at once: more than staff and scripts need, and well within the reserved descriptors.
+/// The maximum number of concurrent connections: more than operators and their scripts need, and well below the number
+/// of reserved descriptors.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection is cut after this time.
+/// The time after which a connection is closed.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// A call on the fleet takes at most this time: less than [`CONNECTION_TIMEOUT`], so that its caller gets an answer.
+/// The time limit for a call about the fleet: less than [`CONNECTION_TIMEOUT`], so that its caller gets a response.
 const FLEET_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Prometheus takes no metrics without it.
+/// The content type of metrics, which Prometheus requires.
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
-/// At most one line in this time about a listener that fails.
+/// The minimum interval between two log lines about connections that cannot be accepted.
 const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a call is not carried out.
+/// Reasons for which a call is rejected. The message is the response's body.
 #[derive(Debug, Error)]
 enum CallError {
     #[error("no such call")]
@@ -50,13 +51,13 @@
     UnknownBackend,
     #[error(transparent)]
     Query(#[from] QueryError),
-    #[error("the path is badly encoded")]
+    #[error("the path is not valid percent-encoded UTF-8")]
     PathEncoding,
-    #[error("a body is at most 64 KiB")]
+    #[error("the body is larger than 64 KiB")]
     BodyTooLarge,
-    #[error("the body is broken")]
-    BrokenBody,
-    #[error("no answer in time, ask again")]
+    #[error("the body is malformed or incomplete")]
+    MalformedBody,
+    #[error("no response from the fleet within {FLEET_CALL_TIMEOUT:?}, try again")]
     FleetTimeout,
 }
 
@@ -69,7 +70,7 @@
             | CallError::UnknownBackend => StatusCode::NOT_FOUND,
             CallError::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
             CallError::NotServing | CallError::FleetTimeout => StatusCode::SERVICE_UNAVAILABLE,
-            CallError::Query(_) | CallError::PathEncoding | CallError::BrokenBody => {
+            CallError::Query(_) | CallError::PathEncoding | CallError::MalformedBody => {
                 StatusCode::BAD_REQUEST
             }
             CallError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -77,16 +78,16 @@
     }
 }
 
-/// The answer to a call.
-struct CallAnswer {
+/// The response to a call.
+struct CallResponse {
     status: StatusCode,
     body: String,
     content_type: Option<HeaderValue>,
 }
 
-impl CallAnswer {
-    fn ok(body: impl Into<String>) -> CallAnswer {
-        CallAnswer {
+impl CallResponse {
+    fn ok(body: impl Into<String>) -> CallResponse {
+        CallResponse {
             status: StatusCode::OK,
             body: body.into(),
             content_type: None,
@@ -94,9 +95,9 @@
     }
 }
 
-impl From<CallError> for CallAnswer {
-    fn from(error: CallError) -> CallAnswer {
-        CallAnswer {
+impl From<CallError> for CallResponse {
+    fn from(error: CallError) -> CallResponse {
+        CallResponse {
             status: error.status(),
             body: format!("{error}\n"),
             content_type: None,
@@ -104,13 +105,14 @@
     }
 }
 
-/// The oldest calls make way for new ones above [`MAX_CONNECTIONS`].
+/// The tasks of the open connections, oldest first.
 #[derive(Default)]
 struct OpenConnections(VecDeque<AbortHandle>);
 
 impl OpenConnections {
+    /// Closes the oldest connection if there are [`MAX_CONNECTIONS`].
     fn make_room(&mut self) {
-        self.0.retain(|call| !call.is_finished());
+        self.0.retain(|connection| !connection.is_finished());
         if self.0.len() >= MAX_CONNECTIONS {
             if let Some(oldest) = self.0.pop_front() {
                 oldest.abort();
@@ -119,16 +121,16 @@
     }
 }
 
-/// Answers the operators' calls.
+/// The server of the admin API.
 pub struct AdminServer(AdminContext);
 
 impl AdminServer {
-    /// A server over these parts of the proxy.
+    /// Creates a server whose calls read and change these components.
     pub fn new(context: AdminContext) -> Rc<AdminServer> {
         Rc::new(AdminServer(context))
     }
 
-    /// Answers calls for as long as the program runs.
+    /// Accepts connections and handles calls until the task is aborted.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut open = OpenConnections::default();
         let mut logged_at = None::<Instant>;
@@ -145,13 +147,14 @@
                 }
             };
             open.make_room();
-            let call = tokio::task::spawn_local(self.clone().serve(tcp));
-            open.0.push_back(call.abort_handle());
-            // A call that has arrived is read before later ones can push it out.
+            let connection = tokio::task::spawn_local(self.clone().serve(tcp));
+            open.0.push_back(connection.abort_handle());
+            // Lets the connection's task read its call before later connections can displace it.
             tokio::task::yield_now().await;
         }
     }
 
+    /// Serves the single call of a connection.
     async fn serve(self: Rc<Self>, tcp: TcpStream) {
         let service = service_fn(|request| {
             let server = self.clone();
@@ -163,18 +166,19 @@
         let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
     }
 
+    /// Handles a call and creates its HTTP response.
     async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let methods = allowed_methods(request.uri().path());
-        let answer = self
-            .answer(request, methods)
+        let reply = self
+            .handle_call(request, methods)
             .await
-            .unwrap_or_else(CallAnswer::from);
-        let mut response = Response::new(Full::new(Bytes::from(answer.body)));
-        *response.status_mut() = answer.status;
-        if let Some(content_type) = answer.content_type {
+            .unwrap_or_else(CallResponse::from);
+        let mut response = Response::new(Full::new(Bytes::from(reply.body)));
+        *response.status_mut() = reply.status;
+        if let Some(content_type) = reply.content_type {
             response.headers_mut().insert(CONTENT_TYPE, content_type);
         }
-        if answer.status == StatusCode::METHOD_NOT_ALLOWED {
+        if reply.status == StatusCode::METHOD_NOT_ALLOWED {
             let names: Vec<&str> = methods.iter().map(Method::as_str).collect();
             if let Ok(names) = HeaderValue::from_str(&names.join(", ")) {
                 response.headers_mut().insert(ALLOW, names);
@@ -183,11 +187,12 @@
         response
     }
 
-    async fn answer(
+    /// Handles a call on a path with these allowed methods.
+    async fn handle_call(
         &self,
         request: Request<Incoming>,
         methods: &[Method],
-    ) -> Result<CallAnswer, CallError> {
+    ) -> Result<CallResponse, CallError> {
         if methods.is_empty() {
             return Err(CallError::UnknownCall);
         }
@@ -199,66 +204,68 @@
             return Err(CallError::WrongMethod);
         }
         match fleet {
-            Some(fleet) => answer_fleet_call(&**fleet, request).await,
-            None => self.answer_process_call(&request).await,
+            Some(fleet) => handle_fleet_call(&**fleet, request).await,
+            None => self.handle_process_call(&request).await,
         }
     }
 
-    /// Answers a call on this process.
-    async fn answer_process_call(
+    /// Handles a call about this process.
+    async fn handle_process_call(
         &self,
         request: &Request<Incoming>,
-    ) -> Result<CallAnswer, CallError> {
+    ) -> Result<CallResponse, CallError> {
         match request.uri().path() {
             "/status" => self.status(),
             "/metrics" => Ok(self.metrics()),
             "/peers" => self.peers(),
             path => {
                 let id = backend_id(request.uri().query())?;
-                let answer = self.change_backend(path, &id)?;
-                self.0.disabled_backends.wait_until_flushed().await; // what is acknowledged survives a crash
-                Ok(answer)
+                let response = self.change_backend(path, &id)?;
+                self.0.disabled_backends.wait_until_flushed().await; // so that the change survives a crash
+                Ok(response)
             }
         }
     }
 
-    fn status(&self) -> Result<CallAnswer, CallError> {
+    fn status(&self) -> Result<CallResponse, CallError> {
         match self.0.server.is_accepting() {
-            true => Ok(CallAnswer::ok("serving\n")),
+            true => Ok(CallResponse::ok("serving\n")),
             false => Err(CallError::NotServing),
         }
     }
 
-    fn metrics(&self) -> CallAnswer {
+    fn metrics(&self) -> CallResponse {
         self.0.host.update_metrics(self.0.server.client_count());
-        CallAnswer {
+        CallResponse {
             content_type: Some(HeaderValue::from_static(METRICS_CONTENT_TYPE)),
-            ..CallAnswer::ok(self.0.metrics.render())
+            ..CallResponse::ok(self.0.metrics.render())
         }
     }
 
-    fn peers(&self) -> Result<CallAnswer, CallError> {
+    fn peers(&self) -> Result<CallResponse, CallError> {
         let peers = self.0.gossip.as_ref().ok_or(CallError::NoPeers)?;
-        Ok(CallAnswer::ok(peers.status()))
+        Ok(CallResponse::ok(peers.status()))
     }
 
-    fn change_backend(&self, path: &str, id: &str) -> Result<CallAnswer, CallError> {
+    /// Disables or enables a backend.
+    fn change_backend(&self, path: &str, id: &str) -> Result<CallResponse, CallError> {
         let backends = &self.0.disabled_backends;
         let (is_known, body) = match path {
             "/maintenance/enter" => (backends.disable(id), "out\n"),
             _ => (backends.enable(id), "back\n"),
         };
         match is_known {
-            true => Ok(CallAnswer::ok(body)),
+            true => Ok(CallResponse::ok(body)),
             false => Err(CallError::UnknownBackend),
         }
     }
 }
 
-async fn answer_fleet_call(
+/// Reads the body of a call about the fleet, and passes the call to its handler.
+async fn handle_fleet_call(
     fleet: &dyn FleetAdmin,
     request: Request<Incoming>,
-) -> Result<CallAnswer, CallError> {
+) -> Result<CallResponse, CallError> {
     let (head, body) = request.into_parts();
     let path = decode_path(head.uri.path()).ok_or(CallError::PathEncoding)?;
     let path: Vec<&str> = path.iter().map(String::as_str).collect();
@@ -266,21 +273,21 @@
     let (status, body) = tokio::time::timeout(FLEET_CALL_TIMEOUT, reply)
         .await
         .map_err(|_| CallError::FleetTimeout)?;
-    Ok(CallAnswer {
+    Ok(CallResponse {
         status,
         body,
         content_type: None,
     })
 }
 
-/// The complete body of a call.
+/// Reads the complete body of a call.
 async fn collect_body(body: Incoming) -> Result<Bytes, CallError> {
     let collected = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
     collected
         .map(Collected::to_bytes)
         .map_err(|error| match error.is::<LengthLimitError>() {
             true => CallError::BodyTooLarge,
-            false => CallError::BrokenBody,
+            false => CallError::MalformedBody,
         })
 }
 
--- a/src/net/admin/server/tests.rs
+++ b/src/net/admin/server/tests.rs
@@ -1,4 +1,4 @@
-//! Answers to operators' calls.
+//! Responses to the calls of the admin API.
 
 use super::*;
 use crate::fixtures::assert_lines;
@@ -12,7 +12,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Answers with the call itself; never for the window `late`.
+/// A handler whose response describes the call. Calls for the window `late` get no response.
 struct Echo;
 
 impl FleetAdmin for Echo {
@@ -29,8 +29,8 @@
     }
 }
 
-/// The complete answers of a server, each to the bytes of one call.
-async fn answers(fleet: Option<Rc<dyn FleetAdmin>>, calls: &[Vec<u8>]) -> Vec<String> {
+/// Starts a server, and returns its complete response to each call.
+async fn responses(fleet: Option<Rc<dyn FleetAdmin>>, calls: &[Vec<u8>]) -> Vec<String> {
     let second = Micros(1_000_000);
     let network = NetworkSettings {
         connect_timeout: second,
@@ -60,18 +60,18 @@
     let calls = calls.to_vec();
     let (sender, received) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
-        let ask = |call: &Vec<u8>| {
+        let send = |call: &Vec<u8>| {
             let mut tcp = TcpStream::connect(at).unwrap();
             tcp.write_all(call).unwrap();
-            let mut answer = String::new();
-            tcp.read_to_string(&mut answer).unwrap();
-            answer
+            let mut response = String::new();
+            tcp.read_to_string(&mut response).unwrap();
+            response
         };
-        let _ = sender.send(calls.iter().map(ask).collect());
+        let _ = sender.send(calls.iter().map(send).collect());
     });
-    let answers = received.await.expect("an answer to each");
+    let responses = received.await.expect("a call got no response");
     running.abort();
-    answers
+    responses
 }
 
 fn call(line: &str, headers: &str, body: &[u8]) -> Vec<u8> {
@@ -96,11 +96,11 @@
     call(line, "Transfer-Encoding: chunked\r\n", &body)
 }
 
-/// A call, and the status and text that answer it.
+/// A call, and the expected status and body of its response.
 type Case = (Vec<u8>, &'static str, &'static str);
 
-fn carried_out_fleet_calls() -> Vec<Case> {
-    let most = vec![b'x'; MAX_BUFFERED_BODY_BYTES];
+fn accepted_fleet_calls() -> Vec<Case> {
+    let largest = vec![b'x'; MAX_BUFFERED_BODY_BYTES];
     vec![
         (
             with_body("PUT /windows/a%2Fb%20c+d", b"{}"),
@@ -125,7 +125,7 @@
         (call("GET /windows?x=1", "", b""), "202", "GET windows 0"),
         (call("GET /duties", "", b""), "202", "GET duties 0"),
         (
-            with_body("PUT /windows/w", &most),
+            with_body("PUT /windows/w", &largest),
             "202",
             "PUT windows|w 65536",
         ),
@@ -133,17 +133,17 @@
 }
 
 fn rejected_fleet_calls() -> Vec<Case> {
-    let over = vec![b'x'; MAX_BUFFERED_BODY_BYTES + 1];
+    let too_large = vec![b'x'; MAX_BUFFERED_BODY_BYTES + 1];
     vec![
         (
-            with_body("PUT /windows/w", &over),
+            with_body("PUT /windows/w", &too_large),
             "413",
-            "a body is at most 64 KiB\n",
+            "the body is larger than 64 KiB\n",
         ),
         (
-            chunked("PUT /windows/w", &over),
+            chunked("PUT /windows/w", &too_large),
             "413",
-            "a body is at most 64 KiB\n",
+            "the body is larger than 64 KiB\n",
         ),
         (
             call(
@@ -152,17 +152,17 @@
                 b"zz\r\n",
             ),
             "400",
-            "the body is broken\n",
+            "the body is malformed or incomplete\n",
         ),
         (
             call("PUT /windows/%zz", "", b""),
             "400",
-            "the path is badly encoded\n",
+            "the path is not valid percent-encoded UTF-8\n",
         ),
         (
             call("PUT /windows/%ff", "", b""),
             "400",
-            "the path is badly encoded\n",
+            "the path is not valid percent-encoded UTF-8\n",
         ),
         (call("POST /windows/w", "", b""), "405", "wrong method\n"),
         (
@@ -179,30 +179,35 @@
         (
             call("PUT /windows/late", "", b""),
             "503",
-            "no answer in time, ask again\n",
+            "no response from the fleet within 1s, try again\n",
         ),
     ]
 }
 
-/// Complete bodies and decoded paths are passed on; every malformed call is rejected with its reason.
+/// Valid calls are passed to the handler with their complete bodies and decoded paths. Each invalid call is rejected
+/// with a reason.
 #[tokio::test]
-async fn calls_on_the_fleet_are_passed_on_or_rejected() {
-    let cases = [carried_out_fleet_calls(), rejected_fleet_calls()].concat();
+async fn fleet_calls_are_passed_on_or_rejected() {
+    let cases = [accepted_fleet_calls(), rejected_fleet_calls()].concat();
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let calls: Vec<Vec<u8>> = cases.iter().map(|c| c.0.clone()).collect();
-            let got = answers(Some(Rc::new(Echo)), &calls).await;
-            for ((call, status, text), answer) in cases.iter().zip(&got) {
+            let got = responses(Some(Rc::new(Echo)), &calls).await;
+            for ((call, status, text), response) in cases.iter().zip(&got) {
                 let line = String::from_utf8_lossy(&call[..call.len().min(60)]).into_owned();
-                assert_eq!(answer.split(' ').nth(1), Some(*status), "{line}: {answer}");
-                assert_eq!(answer.split("\r\n\r\n").nth(1), Some(*text), "{line}");
+                assert_eq!(
+                    response.split(' ').nth(1),
+                    Some(*status),
+                    "{line}: {response}"
+                );
+                assert_eq!(response.split("\r\n\r\n").nth(1), Some(*text), "{line}");
             }
             assert!(got[12].contains("allow: PUT, DELETE\r\n"), "{}", got[12]);
-            for answer in answers(None, &calls[..3]).await {
+            for response in responses(None, &calls[..3]).await {
                 assert!(
-                    answer.starts_with("HTTP/1.1 404")
-                        && answer.ends_with("\r\n\r\nno duties in the configuration\n")
+                    response.starts_with("HTTP/1.1 404")
+                        && response.ends_with("\r\n\r\nno duties in the configuration\n")
                 );
             }
         })
@@ -210,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn calls_that_this_process_answers_keep_their_answers() {
+async fn responses_about_this_process_keep_their_form() {
     let lines = [
         "GET /status",
         "GET /peers",
@@ -224,9 +229,9 @@
     ];
     let calls = lines.map(|line| call(line, "", b""));
     let scope = tokio::task::LocalSet::new();
-    let got = scope.run_until(answers(None, &calls)).await;
-    let shown = |answer: &String| {
-        let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+    let got = scope.run_until(responses(None, &calls)).await;
+    let shown = |response: &String| {
+        let (head, body) = response.split_once("\r\n\r\n").unwrap();
         let kept = |line: &&str| !line.starts_with("date: ");
         let head: Vec<&str> = head.split("\r\n").filter(kept).collect();
         format!("{} | {body}", head.join(" | "))
