--- a/src/log.rs
+++ b/src/log.rs
@@ -7,7 +7,7 @@
 /// The environment variable that names the log level.
 const LEVEL_VARIABLE: &str = "NODE_LOG";
 
-/// The value of `NODE_LOG` that names no log level.
+/// The variable `NODE_LOG` names no log level. The error contains the variable's value.
 #[derive(Debug, Error)]
 #[error("{LEVEL_VARIABLE}: expected error, warn, info, debug or trace, got {0}")]
 pub struct InvalidLevel(String);
--- a/src/net/admin/disabled_backends.rs
+++ b/src/net/admin/disabled_backends.rs
@@ -219,7 +219,7 @@
             Ok(contents) => contents.disabled,
             Err(error) => {
                 self.warn_once(format!(
-                    "TMPDIR: cannot read the shared folder, so changes by another process are not applied: {error}"
+                    "TMPDIR: cannot read the folder: disabled backends stay disabled, and changes by another process are not applied: {error}"
                 ));
                 return;
             }
--- a/src/net/state/hot_restart.rs
+++ b/src/net/state/hot_restart.rs
@@ -123,7 +123,8 @@
 }
 
 impl ConnectionCounts {
-    /// Returns the content of a presence file. Its length is constant, so that each write replaces the whole content.
+    /// Returns the content of a presence file. Its length is constant, so that each write replaces the whole content
+    /// and no reader sees a part of it.
     fn to_text(self) -> String {
         format!("{:8} {:8}", self.clients, self.upstreams)
     }
@@ -182,7 +183,7 @@
 
     /// Writes this process's numbers of connections into the file.
     pub fn write_counts(&self, connections: ConnectionCounts) {
-        // Errors are ignored: until a write succeeds, the other process counts no connections of this one.
+        // Errors are ignored: the other process then reads the previous counts, or none, as if it were the only one.
         let _ = self.lock.write_all_at(connections.to_text().as_bytes(), 0);
     }
 
--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -22,7 +22,8 @@
 /// rejected.
 pub const FORMAT_VERSION: u16 = 4;
 const PREFIX_BYTES: usize = 14;
-/// Larger snapshots are neither written nor read, as a proxy's memory limit is only a few hundred MB.
+/// The maximum size of a snapshot with its prefix. Larger ones are neither written nor read, as a proxy's memory limit
+/// is only a few hundred MB.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 const FILE_NAME_PREFIX: &str = "snapshot";
 /// How far the clock may have been set back since a snapshot was written; one from further in the future is rejected.
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -34,7 +34,7 @@
     /// A signal handler cannot be installed.
     #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The background thread, which reads the configuration, cannot be started or has ended.
+    /// The background thread cannot be started, or it panicked while it read the configuration.
     #[error(transparent)]
     Background(#[from] BackgroundError),
     /// The configuration cannot be read or is invalid.
--- a/src/startup/handover.rs
+++ b/src/startup/handover.rs
@@ -57,14 +57,15 @@
     match create_folder(identity) {
         Ok(folder) => Some(folder),
         Err(error) => {
-            warn!("TMPDIR: no shared folder: disabled backends are recorded in this process only, and other processes of this proxy are not detected: {error}");
+            warn!("TMPDIR: no folder to share with other processes of this proxy, so they are not detected and disabled backends are recorded in this process only: {error}");
             None
         }
     }
 }
 
 fn create_folder(identity: &ProxyIdentity) -> io::Result<PathBuf> {
-    let temporary = std::env::var_os("TMPDIR").ok_or_else(|| io::Error::other("not set"))?;
+    let temporary =
+        std::env::var_os("TMPDIR").ok_or_else(|| io::Error::other("the variable is not set"))?;
     let folder = Path::new(&temporary)
         .join(SHARED_FOLDER)
         .join(identity.folder_name());
--- a/src/startup/proxy.rs
+++ b/src/startup/proxy.rs
@@ -66,7 +66,7 @@
 
 impl Proxy {
     /// Creates the components and restores the endpoint list, learned state and disabled backends. `inherited` is the
-    /// listening socket that an older process passed on.
+    /// listening socket that the platform passed on.
     pub fn prepare(
         node: &mut NodeConfig,
         loaded: &LoadedConfig,
