--- a/src/startup/fleet.rs
+++ b/src/startup/fleet.rs
@@ -1,5 +1,7 @@
-//! What this proxy shares with the other proxies of its fleet, as far as the configuration has it: gossip, and the leases
-//! and maintenance windows that build on it.
+//! Starts and stops the services that connect this proxy to its fleet: gossip, and coordination, which uses gossip for
+//! leases, maintenance windows and the fleet's configuration.
+//!
+//! Both are optional. Each runs only if the configuration has its section.
 
 use super::bind::bind_with_retry;
 use super::StartError;
@@ -14,101 +16,105 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 
-/// What the fleet's parts are started with.
-pub struct FleetStart<'a> {
+/// The parameters of [`Fleet::start`].
+pub struct FleetOptions<'a> {
     pub node: &'a NodeConfig,
     pub config: &'a Config,
     pub host: &'a Rc<Host>,
-    /// Digest of the settings that all proxies of the fleet have in common.
+    /// Digest of the settings that are the same on all proxies of the fleet. A reload changes it.
     pub shared_settings: &'a Rc<Cell<[u8; 32]>>,
     pub fleet_overrides: &'a Rc<FleetOverrides>,
-    /// No snapshot was restored: learned state is requested from the other proxies.
+    /// Whether no snapshot was restored; learned state is then requested from the other proxies.
     pub is_cold_start: bool,
 }
 
-/// This proxy's part in its fleet.
+/// The running services that connect this proxy to its fleet.
 pub struct Fleet {
-    /// Gossip with the other proxies.
-    pub peers: Option<Rc<GossipDriver>>,
-    /// Leases, maintenance windows and the fleet's configuration.
-    duties: Option<Rc<Coordinator>>,
+    /// Gossip with the other proxies; `None` without the section `peers`.
+    pub gossip: Option<Rc<GossipDriver>>,
+    /// Leases, maintenance windows and the fleet's configuration; `None` without the section `duties`.
+    coordinator: Option<Rc<Coordinator>>,
 }
 
 impl Fleet {
-    /// Starts what the configuration names.
-    pub async fn start(start: FleetStart<'_>) -> Result<Fleet, StartError> {
-        let peers = start_peers(&start).await?;
-        let duties = match &peers {
-            Some(peers) => start_duties(&start, peers)?,
+    /// Starts the services that the configuration has sections for.
+    pub async fn start(options: FleetOptions<'_>) -> Result<Fleet, StartError> {
+        let gossip = start_gossip(&options).await?;
+        let coordinator = match &gossip {
+            Some(gossip) => start_coordinator(&options, gossip)?,
             None => None,
         };
-        Ok(Fleet { peers, duties })
+        Ok(Fleet {
+            gossip,
+            coordinator,
+        })
     }
 
-    /// Answers the operators' calls on windows, leases and the fleet's configuration.
+    /// Returns the handler of the admin API's calls on windows, leases and the fleet's configuration.
     pub fn admin(&self) -> Option<Rc<dyn FleetAdmin>> {
-        self.duties
+        self.coordinator
             .clone()
-            .map(|duties| duties as Rc<dyn FleetAdmin>)
+            .map(|coordinator| coordinator as Rc<dyn FleetAdmin>)
     }
 
-    /// Waits until calendar and configuration have caught up, or the wait timed out.
-    pub async fn caught_up(&self) {
-        if let Some(duties) = &self.duties {
-            duties.wait_until_ready().await;
+    /// Waits until the maintenance calendar and the configuration are up to date with the fleet, or a timeout expires.
+    pub async fn wait_until_ready(&self) {
+        if let Some(coordinator) = &self.coordinator {
+            coordinator.wait_until_ready().await;
         }
     }
 
-    /// Gives up the leases that this proxy holds.
+    /// Releases the leases that this proxy holds.
     pub fn release_leases(&self) {
-        if let Some(duties) = &self.duties {
-            duties.release_leases();
+        if let Some(coordinator) = &self.coordinator {
+            coordinator.release_leases();
         }
     }
 
-    /// Tells the other proxies that this one leaves.
+    /// Announces to the other proxies that this one leaves the fleet.
     pub fn leave(&self) {
-        if let Some(peers) = &self.peers {
-            peers.leave();
+        if let Some(gossip) = &self.gossip {
+            gossip.leave();
         }
     }
 }
 
-async fn start_peers(start: &FleetStart<'_>) -> Result<Option<Rc<GossipDriver>>, StartError> {
-    let Some(sharing) = start.node.peers.clone() else {
+async fn start_gossip(options: &FleetOptions<'_>) -> Result<Option<Rc<GossipDriver>>, StartError> {
+    let Some(section) = options.node.peers.clone() else {
         return Ok(None);
     };
-    let socket = bind_with_retry("peers: ", sharing.listen, UdpSocket::bind).await?;
-    let options = GossipOptions {
-        section: sharing,
-        settings_hash: start.shared_settings.clone(),
-        fleet_size: start.config.proxy_count,
-        seed: start.node.seed,
-        wants_snapshot: start.is_cold_start,
+    let socket = bind_with_retry("peers: ", section.listen, UdpSocket::bind).await?;
+    let gossip_options = GossipOptions {
+        section,
+        settings_hash: options.shared_settings.clone(),
+        fleet_size: options.config.proxy_count,
+        seed: options.node.seed,
+        wants_snapshot: options.is_cold_start,
     };
-    let peers = GossipDriver::start(start.host.clone(), socket, options);
-    peers.map(Some).map_err(StartError::Peers)
+    let gossip = GossipDriver::start(options.host.clone(), socket, gossip_options);
+    gossip.map(Some).map_err(StartError::Gossip)
 }
 
-fn start_duties(
-    start: &FleetStart<'_>,
-    peers: &Rc<GossipDriver>,
+fn start_coordinator(
+    options: &FleetOptions<'_>,
+    gossip: &Rc<GossipDriver>,
 ) -> Result<Option<Rc<Coordinator>>, StartError> {
-    let Some(voting) = &start.node.duties else {
+    let Some(section) = &options.node.duties else {
         return Ok(None);
     };
-    let duties = Coordinator::start(
-        start.host.clone(),
-        peers,
-        voting,
-        start.config.slow_start_duration,
-        start.fleet_overrides.clone(),
-        config_snapshot_file(start.node),
+    let coordinator = Coordinator::start(
+        options.host.clone(),
+        gossip,
+        section,
+        options.config.slow_start_duration,
+        options.fleet_overrides.clone(),
+        config_snapshot_file(options.node),
     );
-    duties.map(Some).map_err(StartError::Duties)
+    coordinator.map(Some).map_err(StartError::Coordination)
 }
 
-/// Where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots.
+/// Returns where this proxy stores its copy of the fleet's configuration: in the folder of its snapshots. `None` if no
+/// snapshots are configured.
 fn config_snapshot_file(node: &NodeConfig) -> Option<SnapshotFile> {
     let snapshots = node.snapshot.as_ref()?;
     let peers = node.peers.as_ref()?;
