--- a/benches/common/generated.rs
+++ b/benches/common/generated.rs
@@ -1,6 +1,6 @@
 //! Configurations of any size, and the requests that meet all of one, as the benches that need a large one make them.
 
-use crate::rig::{read, SETTINGS};
+use crate::rig::{read_request, SETTINGS};
 
 /// How much of each stands in the file.
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +46,7 @@
 /// The n-th request: routes and tenants in turns, with strides that meet all of them.
 pub fn request(size: Size, n: usize) -> String {
     let route = (n * 7919) % size.routes;
-    let text = read(2.0).replace("/read/", &format!("/route-{route:05}/"));
+    let text = read_request(2.0).replace("/read/", &format!("/route-{route:05}/"));
     match size.tenants {
         0 => text,
         tenants => {
--- a/benches/peers.rs
+++ b/benches/peers.rs
@@ -6,7 +6,10 @@
 #[path = "../tests/rig/mod.rs"]
 mod rig;
 
-use rig::{entry, folder, ok, read, BackendServer, Client, Proxy, Refusing, PATIENCE, SETTINGS};
+use rig::{
+    create_temp_dir, entry, ok, read_request, BackendServer, Client, Proxy, RefusingPort, SETTINGS,
+    TEST_TIMEOUT,
+};
 use std::time::{Duration, Instant};
 
 const QUIET: Duration = Duration::from_secs(10);
@@ -14,7 +17,7 @@
 
 /// One proxy's counts: sent datagrams and bytes, facts told and heard, members, memory in kB.
 fn counts(proxy: &Proxy) -> [f64; 6] {
-    let body = proxy.call("GET /peers").body;
+    let body = proxy.control_request("GET /peers").body;
     let status: serde_json::Value = serde_json::from_slice(&body).expect("JSON at the door");
     let of = |name: &str| status[name].as_f64().expect("a count");
     let resident =
@@ -55,11 +58,11 @@
 
 fn main() {
     let live: Vec<BackendServer> = (0..6).map(|_| BackendServer::start(|_| ok("x"))).collect();
-    let dead: Vec<Refusing> = (0..3).map(|_| Refusing::new()).collect();
+    let dead: Vec<RefusingPort> = (0..3).map(|_| RefusingPort::new()).collect();
     let at = live
         .iter()
         .map(|b| b.address)
-        .chain(dead.iter().map(Refusing::address));
+        .chain(dead.iter().map(RefusingPort::address));
     let known: Vec<String> = at
         .enumerate()
         .map(|(n, at)| entry(&format!("b{n}"), at, "SERVING"))
@@ -84,15 +87,15 @@
             let peers = format!(
                 r#","peers":{{"listen":"127.0.0.1:0","cluster":"bench","seeds":[{seed}]}}"#
             );
-            let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
-            Proxy::seeded(n as u64 + 1, &known, &settings, &peers, &[tmp])
+            let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
+            Proxy::with_seed(n as u64 + 1, &known, &settings, &peers, &[tmp])
         };
         let mut proxies = Vec::new();
         for n in 0..size {
             let proxy = start(n, &seed);
             if n == 0 {
                 let line = proxy
-                    .said
+                    .startup_log
                     .lines()
                     .find(|l| l.contains("peers_start"))
                     .expect("it shares state");
@@ -106,7 +109,7 @@
             proxies.push(proxy);
         }
         while proxies.iter().any(|p| counts(p)[4] < (size - 1) as f64)
-            && begun.elapsed() < 6 * PATIENCE
+            && begun.elapsed() < 6 * TEST_TIMEOUT
         {
             std::thread::sleep(Duration::from_millis(200));
         }
@@ -122,7 +125,7 @@
                     std::thread::spawn(move || {
                         let mut client = Client::connect(at);
                         while Instant::now() < end {
-                            client.ask(&read(3.0));
+                            client.request(&read_request(3.0));
                             std::thread::sleep(Duration::from_millis(250));
                         }
                     })
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/rig/mod.rs"]
 mod rig;
 
-use rig::{entry, folder, ok, read, BackendServer, Client, Proxy, SETTINGS};
+use rig::{create_temp_dir, entry, ok, read_request, BackendServer, Client, Proxy, SETTINGS};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -36,8 +36,8 @@
             while busy.load(Ordering::SeqCst) {
                 std::thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += EVERY;
-                client.send(&read(0.2));
-                let Some(answer) = client.answer() else {
+                client.send(&read_request(0.2));
+                let Some(answer) = client.response() else {
                     return;
                 };
                 asked.fetch_add(1, Ordering::SeqCst);
@@ -59,7 +59,7 @@
             .ok()
     };
     proxy
-        .lines("event=\"holds\"")
+        .log_lines("event=\"holds\"")
         .into_iter()
         .filter_map(of)
         .collect()
@@ -67,7 +67,7 @@
 
 /// One process under load for a while, then killed outright: requests, refused, and the holds it told.
 fn life(known: &[String], dir: Option<&Path>, seed: u64, span: Duration) -> (u32, u32, Vec<f64>) {
-    let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
+    let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
     // One deployment over all lives, as a snapshot is kept for one; of two keys the last counts.
     let discovery = r#","discovery":"127.0.0.1:9""#;
     let kept = dir.map(|d| {
@@ -77,7 +77,7 @@
         )
     });
     let variables = [tmp, ("NODE_LOG", "debug".to_string())];
-    let proxy = Proxy::seeded(seed, known, SETTINGS, &kept.unwrap_or_default(), &variables);
+    let proxy = Proxy::with_seed(seed, known, SETTINGS, &kept.unwrap_or_default(), &variables);
     let (asked, refused, busy) = (
         Arc::default(),
         Arc::default(),
@@ -116,7 +116,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for round in 1..=ROUNDS {
-        let dir = folder().join("kept");
+        let dir = create_temp_dir().join("kept");
         let (.., learned) = life(&known, Some(&dir), round, 2 * SPAN);
         let end = learned.last().copied().unwrap_or(0.0);
         for (name, dir) in [("cold", None), ("warm", Some(dir.as_path()))] {
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -542,7 +542,7 @@
             std::thread::spawn(move || {
                 let mut client = Client::connect(at);
                 while Instant::now() < end {
-                    client.ask(&rig::read(3.0));
+                    client.request(&rig::read_request(3.0));
                     std::thread::sleep(pause);
                 }
             });
@@ -568,7 +568,7 @@
                         return;
                     }
                     client.send(request);
-                    if client.answer().is_none() {
+                    if client.response().is_none() {
                         client = Client::connect(at);
                     }
                 }
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -76,7 +76,8 @@
         });
         let (number, line, body) = self.fleet.next_change(base);
         let from = mono_us();
-        let mut caller = Client::connect(self.fleet.real[at].proxy.control.ok_or("no door")?);
+        let mut caller =
+            Client::connect(self.fleet.real[at].proxy.control_address.ok_or("no door")?);
         caller.send(&call(&line, &body));
         let begun = || self.fleet.real[at].json("/config")["proposed"].is_u64();
         let begun = wait(Duration::from_secs(2), begun);
@@ -104,7 +105,7 @@
         let holder = self.fleet.real[at].number;
         match fate {
             Fate::Killed => self.fleet.real[at].kill(),
-            Fate::Stopped => self.fleet.real[at].proxy.hold(),
+            Fate::Stopped => self.fleet.real[at].proxy.suspend(),
             Fate::CutOff => {}
         }
         // What is on its way stays there.
@@ -118,7 +119,7 @@
                 let recipe = &self.fleet.recipe;
                 self.fleet.real[at].restart(recipe);
             }
-            Fate::Stopped => self.fleet.real[at].proxy.go_on(),
+            Fate::Stopped => self.fleet.real[at].proxy.resume(),
             Fate::CutOff => {}
         }
         other
--- a/benches/scale/quiet.rs
+++ b/benches/scale/quiet.rs
@@ -29,7 +29,7 @@
         std::thread::spawn(move || {
             let mut waiting: Vec<Waiting> = Vec::new();
             while !end.load(Relaxed) {
-                while let Some((target, answer)) = server.waiting() {
+                while let Some((target, answer)) = server.pending_call() {
                     match parameter(&target, "after") {
                         None => drop(answer.send((200, list(INDEX, true, &known)))),
                         Some(after) => {
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -5,8 +5,8 @@
 use super::quiet::Quiet;
 use super::relay::{Relay, Shared};
 use super::rig::{
-    entry, folder, holdings, BackendServer, Client, DiscoveryServer, Message, Proxy, Refusing,
-    SETTINGS,
+    create_temp_dir, entry, holdings, BackendServer, Client, DiscoveryServer, Message, Proxy,
+    RefusingPort, SETTINGS,
 };
 use super::{rig, worker};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
     settings: String,
     pub full: bool,
     /// Behind them.
-    _backends: (Vec<BackendServer>, Vec<Refusing>),
+    _backends: (Vec<BackendServer>, Vec<RefusingPort>),
 }
 
 /// Of so many real ones, which vote: five at most, an odd number, even over the others.
@@ -74,8 +74,8 @@
         backends: u32,
         dead: u32,
     ) -> Recipe {
-        let dead: Vec<Refusing> = (0..if full { 0 } else { dead })
-            .map(|_| Refusing::new())
+        let dead: Vec<RefusingPort> = (0..if full { 0 } else { dead })
+            .map(|_| RefusingPort::new())
             .collect();
         let count = if full {
             SERVERS
@@ -92,7 +92,7 @@
         };
         let at = dead
             .iter()
-            .map(Refusing::address)
+            .map(RefusingPort::address)
             .chain(live.iter().map(|b| b.address).cycle());
         let known: Vec<String> = at
             .take(total)
@@ -131,9 +131,18 @@
             own.ip(),
             self.seeds
         );
-        let tmp = ("TMPDIR", folder().to_str().expect("a name").to_string());
+        let tmp = (
+            "TMPDIR",
+            create_temp_dir().to_str().expect("a name").to_string(),
+        );
         let seed = self.plan.seed + u64::from(position) + 1;
-        let mut proxy = noted(Proxy::seeded(seed, &self.known, &settings, &more, &[tmp]));
+        let mut proxy = noted(Proxy::with_seed(
+            seed,
+            &self.known,
+            &settings,
+            &more,
+            &[tmp],
+        ));
         let server = std::mem::replace(&mut proxy.discovery, DiscoveryServer::start());
         (proxy, Quiet::start(server, self.known.clone()))
     }
@@ -143,15 +152,18 @@
         if self.full {
             generated::request(FULL, n)
         } else {
-            rig::read(2.0)
+            rig::read_request(2.0)
         }
     }
 }
 
 /// Resident kB of the program with the smallest file and nobody to talk to.
 pub fn smallest_kb() -> u64 {
-    let tmp = ("TMPDIR", folder().to_str().expect("a name").to_string());
-    let proxy = noted(Proxy::operated(&[], SETTINGS, &[tmp]));
+    let tmp = (
+        "TMPDIR",
+        create_temp_dir().to_str().expect("a name").to_string(),
+    );
+    let proxy = noted(Proxy::with_control(&[], SETTINGS, &[tmp]));
     std::thread::sleep(LOADED);
     let kb = worker::resident_of(&proxy.child.id().to_string());
     forget(&proxy);
@@ -162,7 +174,7 @@
     LIVE.lock()
         .expect("no panic under it")
         .remove(&proxy.child.id());
-    let _ = std::fs::remove_file(&proxy.config); // may be gone
+    let _ = std::fs::remove_file(&proxy.config_path); // may be gone
 }
 
 pub struct RealProxy {
@@ -216,7 +228,7 @@
     fn place(&self) {
         let line = self
             .proxy
-            .said
+            .startup_log
             .lines()
             .find(|l| l.contains("peers_start"))
             .expect("it shares state");
@@ -242,7 +254,7 @@
     }
 
     fn life(&self) -> holdings::Incarnation {
-        let log = self.proxy.lines("event=").join("\n");
+        let log = self.proxy.log_lines("event=").join("\n");
         holdings::Incarnation {
             proxy: self.number as usize,
             log,
@@ -258,17 +270,17 @@
 
     /// One call at its door, which may fail as the process may be gone or stand still.
     pub fn call(&self, line: &str, body: &str) -> Option<Message> {
-        let door = self.proxy.control?;
+        let door = self.proxy.control_address?;
         let mut client = Client(std::io::BufReader::new(
             std::net::TcpStream::connect(door).ok()?,
         ));
         client
             .0
             .get_ref()
-            .set_read_timeout(Some(rig::PATIENCE))
+            .set_read_timeout(Some(rig::TEST_TIMEOUT))
             .ok()?;
         client.send(&call(line, body));
-        client.answer()
+        client.response()
     }
 
     pub fn json(&self, path: &str) -> serde_json::Value {
@@ -285,7 +297,7 @@
 
     /// When each version came into force, as its log says, in its order; a version that was passed over came with the next.
     pub fn came(&self) -> Vec<(u64, u64)> {
-        let lines = self.proxy.lines("event=\"config_in_force\"");
+        let lines = self.proxy.log_lines("event=\"config_in_force\"");
         let of = |line: &String| {
             Some((
                 holdings::number(line, "version")?,
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -119,11 +119,11 @@
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
             let begun = Instant::now();
             next = begun + every;
-            let answer = client.ask(&request(size, took.len()));
+            let answer = client.request(&request(size, took.len()));
             assert!(
                 [200, 503, 504].contains(&answer.status()),
                 "{}",
-                answer.first
+                answer.start_line
             ); // late after a long standstill
             took.push(begun.elapsed().as_secs_f64() * 1e3);
         }
@@ -141,22 +141,29 @@
 /// Milliseconds that the slowest request took around a reload of this file, until the file was taken, and of the step in
 /// which nothing else ran, as the program tells it.
 fn reload(proxy: &Proxy, size: Size, text: &str) -> Reloaded {
-    let before = proxy.logged("configuration taken");
-    std::fs::write(&proxy.config, text).unwrap();
+    let before = proxy.log_count("configuration taken");
+    std::fs::write(&proxy.config_path, text).unwrap();
     let busy = Arc::new(AtomicBool::new(true));
     let watch = asked(proxy, size, WATCH, &busy);
     std::thread::sleep(AROUND);
     let begun = Instant::now();
     proxy.signal("-HUP");
-    while proxy.logged("configuration taken") == before {
-        assert!(begun.elapsed() < MOST, "{:?}", proxy.lines("configuration"));
+    while proxy.log_count("configuration taken") == before {
+        assert!(
+            begun.elapsed() < MOST,
+            "{:?}",
+            proxy.log_lines("configuration")
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
     let took = begun.elapsed().as_secs_f64() * 1e3;
     std::thread::sleep(AROUND);
     busy.store(false, SeqCst);
     let slowest = watch.join().unwrap().into_iter().fold(0.0, f64::max);
-    let line = proxy.lines("configuration taken").pop().unwrap_or_default();
+    let line = proxy
+        .log_lines("configuration taken")
+        .pop()
+        .unwrap_or_default();
     let step = line
         .split("step_us=")
         .nth(1)
@@ -255,7 +262,8 @@
         })
         .collect();
     let begun = Instant::now();
-    let started = std::panic::catch_unwind(|| Proxy::with(&known, 1024, &settings(size, 1.0)));
+    let started =
+        std::panic::catch_unwind(|| Proxy::with_settings(&known, 1024, &settings(size, 1.0)));
     let Ok(proxy) = started else {
         println!("| {name} | refused | | | | | | | | | |");
         return;
@@ -274,7 +282,7 @@
     took.sort_by(f64::total_cmp);
     let loaded = resident(&proxy);
     let still = quiet(&proxy, size);
-    let same = std::fs::read_to_string(&proxy.config).unwrap();
+    let same = std::fs::read_to_string(&proxy.config_path).unwrap();
     let with_same = reload(&proxy, size, &same);
     let other = match size.tenants {
         0 => same.replacen(r#""gain":1.0"#, r#""gain":2.0"#, 1),
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,33 +8,33 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-fn one(backend: &Scripted) -> Proxy {
+fn one(backend: &ScriptedBackend) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
 /// A proxy with debug lines.
-fn talking(backend: &Scripted) -> Proxy {
+fn talking(backend: &ScriptedBackend) -> Proxy {
     let level = [
         ("NODE_LOG", "debug".to_string()),
-        ("TMPDIR", folder().display().to_string()),
+        ("TMPDIR", create_temp_dir().display().to_string()),
     ];
-    Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &level)
+    Proxy::with_control(&[entry("b0", backend.address, "SERVING")], SETTINGS, &level)
 }
 
 /// More came than one answer: the first is the client's, and the connection is not used again.
 #[test]
 fn what_comes_behind_an_answer_is_never_the_next_ones() {
-    let second = answer("another");
+    let second = ok_response("another");
     for more in [&second[..], "HTTP/1.1 2", "x", "\r\n"] {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let proxy = one(&backend);
         let mut client = proxy.client();
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         let mut wire = backend.accept();
-        wire.request();
-        wire.send(answer("first") + more);
+        wire.next_request();
+        wire.send(ok_response("first") + more);
         assert_eq!(
-            client.answer().expect("an answer").body,
+            client.response().expect("an answer").body,
             b"first",
             "{more:?}"
         );
@@ -43,32 +43,37 @@
 }
 
 /// The next request is served on a connection of its own, and the one before carries nothing more.
-fn the_next_goes_elsewhere(backend: &Scripted, client: &mut Client, before: Wire, case: &str) {
-    client.send(&pay(3.0));
+fn the_next_goes_elsewhere(
+    backend: &ScriptedBackend,
+    client: &mut Client,
+    before: BackendConnection,
+    case: &str,
+) {
+    client.send(&pay_request(3.0));
     let mut next = backend.accept();
-    next.request();
-    next.answer("second");
+    next.next_request();
+    next.send_response("second");
     assert_eq!(
-        client.answer().expect("an answer").body,
+        client.response().expect("an answer").body,
         b"second",
         "{case:?}"
     );
-    assert_eq!(before.rest(), b"", "{case:?}");
+    assert_eq!(before.read_until_closed(), b"", "{case:?}");
 }
 
 /// The same where it comes once the connection rests.
 #[test]
 fn what_comes_between_two_requests_is_never_the_next_ones() {
-    let second = answer("another");
+    let second = ok_response("another");
     for more in [&second[..], "HTTP/1.1 2", "x"] {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let proxy = one(&backend);
         let mut client = proxy.client();
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         let mut wire = backend.accept();
-        wire.request();
-        wire.answer("first");
-        assert_eq!(client.answer().expect("an answer").body, b"first");
+        wire.next_request();
+        wire.send_response("first");
+        assert_eq!(client.response().expect("an answer").body, b"first");
         wire.send(more);
         the_next_goes_elsewhere(&backend, &mut client, wire, more);
     }
@@ -78,17 +83,17 @@
 /// it is used again, however fast requests follow each other.
 #[test]
 fn a_connection_rests_between_an_answer_and_the_next_request() {
-    let backend = Scripted::start();
+    let backend = ScriptedBackend::start();
     let proxy = one(&backend);
     let mut client = proxy.client();
-    client.send(&pay(3.0));
+    client.send(&pay_request(3.0));
     let mut wire = backend.accept();
     for _ in 0..10 {
-        wire.request();
+        wire.next_request();
         let answered = Instant::now();
-        wire.answer("x");
-        assert_eq!(client.answer().expect("an answer").body, b"x");
-        client.send(&pay(3.0));
+        wire.send_response("x");
+        assert_eq!(client.response().expect("an answer").body, b"x");
+        client.send(&pay_request(3.0));
         wire.0.get_ref().peek(&mut [0]).expect("the next request");
         assert!(
             answered.elapsed() >= Duration::from_millis(3),
@@ -96,33 +101,36 @@
             answered.elapsed()
         );
     }
-    wire.request();
-    wire.answer("x");
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    wire.next_request();
+    wire.send_response("x");
+    assert_eq!(client.response().expect("an answer").status(), 200);
 }
 
 /// An answer that comes while its request still goes out cannot be made for it, and the request never runs.
 #[test]
 fn an_answer_before_the_requests_last_byte_is_not_its_own() {
     const LENGTH: usize = 1_000_000;
-    let backend = Scripted::start();
+    let backend = ScriptedBackend::start();
     let proxy = one(&backend);
     let mut client = proxy.client();
     client.send(
-        &pay(3.0)
+        &pay_request(3.0)
             .replace("Length: 4", &format!("Length: {LENGTH}"))
             .replace("cash", ""),
     );
     client.send(&"y".repeat(LENGTH / 2));
     let mut wire = backend.accept();
-    wire.bytes(LENGTH / 2);
-    wire.answer("stale");
+    wire.read_bytes(LENGTH / 2);
+    wire.send_response("stale");
     assert_eq!(
-        client.answer().expect("an answer").status(),
+        client.response().expect("an answer").status(),
         503,
         "it never ran"
     );
-    assert!(wire.rest().len() < LENGTH / 2, "the rest did not go out");
+    assert!(
+        wire.read_until_closed().len() < LENGTH / 2,
+        "the rest did not go out"
+    );
 }
 
 /// A body without a length that is cut off by a reset is not whole, however much of it came and whatever the client
@@ -138,13 +146,13 @@
         (true, &small, false),
         (false, &large, false),
     ] {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let proxy = one(&backend);
         let mut client = proxy.client();
-        let ask = pay(3.0).replace("Host: s", "Host: s\r\nConnection: close");
+        let ask = pay_request(3.0).replace("Host: s", "Host: s\r\nConnection: close");
         client.send(&ask.replace("HTTP/1.1", if old { "HTTP/1.0" } else { "HTTP/1.1" }));
         let mut wire = backend.accept();
-        wire.request();
+        wire.next_request();
         let (text, long) = (body.clone(), body.len() > 65_536);
         let (sent, all_sent) = std::sync::mpsc::channel();
         let (go, wait) = std::sync::mpsc::channel::<()>();
@@ -163,7 +171,7 @@
             client.0.read_exact(&mut got).unwrap();
         }
         all_sent
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the backend's buffers hold it");
         go.send(()).unwrap();
         sending.join().unwrap();
@@ -189,12 +197,14 @@
 #[test]
 fn a_slow_answer_without_a_length_that_is_reset_shows_as_broken() {
     for old in [false, true] {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let proxy = one(&backend);
         let mut client = proxy.client();
-        client.send(&read(3.0).replace("HTTP/1.1", if old { "HTTP/1.0" } else { "HTTP/1.1" }));
+        client.send(
+            &read_request(3.0).replace("HTTP/1.1", if old { "HTTP/1.0" } else { "HTTP/1.1" }),
+        );
         let mut wire = backend.accept();
-        wire.request();
+        wire.next_request();
         wire.send("HTTP/1.1 200 OK\r\n\r\nsome");
         let mut got = vec![0; 12];
         client.0.read_exact(&mut got).unwrap(); // it streams
@@ -211,28 +221,28 @@
 
 /// A client's request that reached the backend on a new connection. The one backend may just be out of use for what it
 /// did last: a client that is refused comes again.
-fn reached(proxy: &Proxy, backend: &Scripted) -> (Client, Wire) {
-    let end = Instant::now() + PATIENCE;
+fn reached(proxy: &Proxy, backend: &ScriptedBackend) -> (Client, BackendConnection) {
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
         let mut client = proxy.client();
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         let tcp = client.0.get_ref();
         tcp.set_read_timeout(Some(Duration::from_millis(2)))
             .unwrap();
         let wire = loop {
             assert!(Instant::now() < end, "nothing reaches the backend");
-            match backend.accepted() {
+            match backend.try_accept() {
                 Some(wire) => break Some(wire),
                 None if tcp.peek(&mut [0]).is_ok() => break None,
                 None => {}
             }
         };
-        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+        tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         match wire {
             Some(wire) => return (client, wire),
             None => {
                 assert_eq!(
-                    client.answer().expect("an answer").status(),
+                    client.response().expect("an answer").status(),
                     503,
                     "only a refusal is harmless"
                 );
@@ -270,50 +280,58 @@
         ("half a head", "HTTP/1.1 200 OK\r\nContent-Le", true),
         ("switching", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false),
     ];
-    let backend = Scripted::start();
+    let backend = ScriptedBackend::start();
     let proxy = talking(&backend);
     for (what, bytes, ends) in cases {
-        let lines = proxy.logged("attempt_broken");
+        let lines = proxy.log_count("attempt_broken");
         let (mut client, mut wire) = reached(&proxy, &backend);
-        wire.request();
+        wire.next_request();
         wire.send(bytes);
         if ends {
             wire.close();
         } else {
             // It stays open on this side: the answer alone decides.
-            assert_eq!(client.answer().unwrap_or_default().status(), 502, "{what}");
-            assert!(wire.rest().is_empty(), "{what}: used again");
+            assert_eq!(
+                client.response().unwrap_or_default().status(),
+                502,
+                "{what}"
+            );
+            assert!(wire.read_until_closed().is_empty(), "{what}: used again");
         }
         if ends {
-            assert_eq!(client.answer().unwrap_or_default().status(), 502, "{what}");
+            assert_eq!(
+                client.response().unwrap_or_default().status(),
+                502,
+                "{what}"
+            );
         }
         let (mut next, mut wire) = reached(&proxy, &backend);
-        wire.request();
+        wire.next_request();
         // Not kept, so that the next round's request comes on a connection of its own.
         wire.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood");
-        assert_eq!(next.answer().expect("an answer").body, b"good", "{what}");
-        let end = Instant::now() + PATIENCE;
-        while proxy.logged("attempt_broken") == lines {
+        assert_eq!(next.response().expect("an answer").body, b"good", "{what}");
+        let end = Instant::now() + TEST_TIMEOUT;
+        while proxy.log_count("attempt_broken") == lines {
             assert!(Instant::now() < end, "{what}: no line");
             std::thread::sleep(Duration::from_millis(2));
         }
-        assert_eq!(proxy.logged("attempt_broken"), lines + 1, "{what}");
+        assert_eq!(proxy.log_count("attempt_broken"), lines + 1, "{what}");
     }
 }
 
 /// Words before the answer change nothing.
 #[test]
 fn interim_answers_are_no_answers() {
-    let backend = Scripted::start();
+    let backend = ScriptedBackend::start();
     let proxy = one(&backend);
     let mut client = proxy.client();
-    client.send(&pay(3.0));
+    client.send(&pay_request(3.0));
     let mut wire = backend.accept();
-    wire.request();
+    wire.next_request();
     wire.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
     wire.send("HTTP/1.1 102 Processing\r\n\r\n");
-    wire.answer("own");
-    let answer = client.answer().expect("an answer");
+    wire.send_response("own");
+    let answer = client.response().expect("an answer");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"own"[..]));
 }
 
@@ -327,22 +345,22 @@
         "HTTP/1.1 200 OK\r\nX: ",
     ];
     for head in heads {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let proxy = one(&backend);
         let mut client = proxy.client();
-        client.send(&pay(0.6));
+        client.send(&pay_request(0.6));
         let mut wire = backend.accept();
-        wire.request();
+        wire.next_request();
         wire.send(head);
         let trickle = if head.contains("102") { head } else { "t" };
         let trickling = std::thread::spawn(move || {
-            let end = Instant::now() + PATIENCE;
+            let end = Instant::now() + TEST_TIMEOUT;
             while wire.0.get_mut().write_all(trickle.as_bytes()).is_ok() {
                 assert!(Instant::now() < end, "the proxy keeps it");
                 std::thread::sleep(Duration::from_millis(5));
             }
         });
-        let status = client.answer().expect("an answer").status();
+        let status = client.response().expect("an answer").status();
         assert!(status == 502 || status == 504, "{head:?}: {status}");
         trickling.join().unwrap();
     }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -38,7 +38,7 @@
 }
 
 fn written(text: &str) -> String {
-    let path = folder().join("proxy.toml");
+    let path = create_temp_dir().join("proxy.toml");
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().into()
 }
@@ -233,7 +233,7 @@
     ];
     let mut command = program(&[&["run", "--config", &path][..], &set].concat());
     let mut child = command
-        .env("TMPDIR", folder())
+        .env("TMPDIR", create_temp_dir())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
@@ -262,14 +262,19 @@
         .unwrap();
     let begun = Instant::now();
     while Client::connect(address)
-        .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+        .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
         .status()
         != 200
     {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < TEST_TIMEOUT);
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(Client::connect(address).ask(&read(1.0)).status(), 200);
+    assert_eq!(
+        Client::connect(address)
+            .request(&read_request(1.0))
+            .status(),
+        200
+    );
     std::fs::write(&path, sound.replace("[settings.blend]", "[settings.blend")).unwrap();
     let hangup = Command::new("kill")
         .args(["-HUP", &child.id().to_string()])
@@ -282,7 +287,12 @@
         line["message"].as_str().unwrap().contains("settings.blend"),
         "{line}"
     );
-    assert_eq!(Client::connect(address).ask(&read(1.0)).status(), 200);
+    assert_eq!(
+        Client::connect(address)
+            .request(&read_request(1.0))
+            .status(),
+        200
+    );
     let _ = child.kill();
     let _ = child.wait();
 }
@@ -354,14 +364,14 @@
 /// bytes that are none, or the half of one at the end, are refused.
 #[test]
 fn a_long_file_is_text_to_its_end() {
-    let config = told(
+    let config = config_json(
         "127.0.0.1:0",
         "127.0.0.1:9".parse().unwrap(),
         1024,
         &[],
         SETTINGS,
     );
-    let path = folder().join("config.json");
+    let path = create_temp_dir().join("config.json");
     let check = |bytes: &[u8]| {
         std::fs::write(&path, bytes).unwrap();
         output(&["check", path.to_str().unwrap()])
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -39,9 +39,13 @@
 impl Leave {
     /// Asks on a connection of its own.
     fn ask(self, proxy: &Proxy, request: &str) -> Client {
-        let more = if self.bytes { read(3.0) } else { String::new() };
+        let more = if self.bytes {
+            read_request(3.0)
+        } else {
+            String::new()
+        };
         let mut client = proxy.client();
-        client.send(&(request.to_string() + &more).replace("/k1", LEAVER));
+        client.send(&(request.to_string() + &more).replace("/k1", PATH));
         client
     }
 
@@ -66,12 +70,12 @@
 }
 
 /// What the requests of those that leave are about.
-const LEAVER: &str = "/leaver";
+const PATH: &str = "/leaver";
 
 /// Requests of theirs that reached a backend whole.
 fn sent_on(backend: &BackendServer) -> usize {
-    let theirs = |seen: &Seen| matches!(seen, Seen::Request(m) if m.first.contains(LEAVER));
-    backend.seen.try_iter().filter(theirs).count()
+    let count = |seen: &Event| matches!(seen, Event::Request(m) if m.start_line.contains(PATH));
+    backend.events.try_iter().filter(count).count()
 }
 
 const ESTABLISHED: &str = "01";
@@ -91,7 +95,7 @@
 }
 
 fn until(done: impl Fn() -> bool, otherwise: &str) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "{otherwise}");
         std::thread::sleep(Duration::from_millis(2));
@@ -102,14 +106,14 @@
 fn in_hand(proxy: &Proxy) {
     assert_eq!(
         proxy
-            .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
 }
 
 fn figure(proxy: &Proxy, name: &str) -> u32 {
-    let text = String::from_utf8(proxy.call("GET /metrics").body).unwrap();
+    let text = String::from_utf8(proxy.control_request("GET /metrics").body).unwrap();
     let value = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.trim().parse::<f64>().ok());
@@ -118,11 +122,11 @@
 
 /// Stands for whatever reached the backend before it.
 fn served(proxy: &Proxy) {
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
 }
 
 fn upload(length: usize) -> String {
-    pay(3.0)
+    pay_request(3.0)
         .replace("Length: 4", &format!("Length: {length}"))
         .replace("cash", &"x".repeat(length))
 }
@@ -134,11 +138,11 @@
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::start(&[]);
         let (_, answer) = proxy.discovery.call();
-        let left = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
+        let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
         // Of a body this long a part stays in the kernel for as long as no backend takes it.
         let bodies = WAYS.map(|way| (way, way.ask(&proxy, &upload(100_000))));
         in_hand(&proxy);
-        proxy.hold();
+        proxy.suspend();
         let news = list(5, true, &[entry("b0", backend.address, "SERVING")]);
         if list_first {
             answer.send((200, news.clone())).unwrap();
@@ -149,7 +153,7 @@
         if !list_first {
             answer.send((200, news)).unwrap();
         }
-        proxy.go_on();
+        proxy.resume();
         served(&proxy);
         assert_eq!(sent_on(&backend), 0, "list first: {list_first}");
     }
@@ -161,26 +165,26 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
+    let proxy = Proxy::with_control(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|c| c.send(&read(3.0)));
+    clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
     let out = || figure(&proxy, "meadowproxy_attempts_total");
     until(
-        || figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.count(),
+        || figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.request_count(),
         "never all out",
     );
-    assert!(backend.count() < 20, "none waits");
-    let late = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
+    assert!(backend.request_count() < 20, "none waits");
+    let late = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
     in_hand(&proxy);
-    proxy.hold();
+    proxy.suspend();
     late.into_iter().for_each(|(way, client)| way.go(client));
     gate.open();
-    proxy.go_on();
+    proxy.resume();
     clients
         .iter_mut()
-        .for_each(|c| drop(c.answer().expect("an answer")));
+        .for_each(|c| drop(c.response().expect("an answer")));
     until(
-        || proxy.ask(&read(3.0)).status() == 200,
+        || proxy.request(&read_request(3.0)).status() == 200,
         "nothing more is served",
     );
     assert_eq!(sent_on(&backend), 0);
@@ -221,7 +225,7 @@
     }
 
     fn accept(&self) -> TcpStream {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         self.listener.set_nonblocking(true).unwrap();
         let tcp = loop {
             match self.listener.accept() {
@@ -242,20 +246,20 @@
     let late = Late::new();
     let slow = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
     let known = [entry("b0", late.listener.local_addr().unwrap(), "SERVING")];
-    let proxy = Proxy::with(&known, 1024, &slow);
-    let left = WAYS.map(|way| (way, way.ask(&proxy, &read(9.0))));
+    let proxy = Proxy::with_settings(&known, 1024, &slow);
+    let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(9.0))));
     until(
         || sockets(SYN_SENT, None, late.listener.local_addr().unwrap()) == 4,
         "not all were dispatched",
     );
-    proxy.hold();
+    proxy.suspend();
     late.open();
     let came: Vec<_> = (0..4).map(|_| late.accept()).collect(); // up, as the proxy will find
     left.into_iter().for_each(|(way, client)| way.go(client));
-    proxy.go_on();
+    proxy.resume();
     // The next one's attempt comes after whatever was sent for those.
     let mut stays = proxy.client();
-    stays.send(&read(9.0));
+    stays.send(&read_request(9.0));
     let (tell, heard) = mpsc::channel();
     for tcp in came {
         answer_each(tcp, tell.clone());
@@ -267,7 +271,7 @@
             .flatten()
             .for_each(|tcp| answer_each(tcp, tell.clone()));
     });
-    assert_eq!(stays.answer().expect("an answer").status(), 200);
+    assert_eq!(stays.response().expect("an answer").status(), 200);
     assert_eq!(heard.try_iter().count(), 1);
 }
 
@@ -292,7 +296,7 @@
             BackendServer::start(move |_| match failing.swap(false, SeqCst) {
                 true => {
                     gate.wait();
-                    Reply::AnswerAndClose(500, "x".into())
+                    Reply::ResponseAndClose(500, "x".into())
                 }
                 false => ok("x"),
             })
@@ -303,30 +307,30 @@
             entry("b1", b.address, "SERVING"),
         ]);
         (0..25).for_each(|_| served(&proxy)); // each saves up for a further attempt
-        let (theirs, failed) = (Cell::new(0), Cell::new(0));
+        let (count, failed) = (Cell::new(0), Cell::new(0));
         let heard = || {
-            for seen in a.seen.try_iter().chain(b.seen.try_iter()) {
+            for seen in a.events.try_iter().chain(b.events.try_iter()) {
                 match seen {
-                    Seen::Request(m) if m.first.contains(LEAVER) => theirs.set(theirs.get() + 1),
-                    Seen::Closed => failed.set(failed.get() + 1),
+                    Event::Request(m) if m.start_line.contains(PATH) => count.set(count.get() + 1),
+                    Event::Closed => failed.set(failed.get() + 1),
                     _ => {}
                 }
             }
         };
         let sent = || {
             heard();
-            theirs.get()
+            count.get()
         };
         failing.store(true, SeqCst);
-        let client = way.ask(&proxy, &read(3.0));
+        let client = way.ask(&proxy, &read_request(3.0));
         until(|| sent() == 1, "it was never sent");
         until(|| !failing.load(SeqCst), "it was answered"); // one fails, and all others serve
-        proxy.hold();
+        proxy.suspend();
         way.go(client);
         let before = failed.get();
         gate.open();
         until(|| sent() == 1 && failed.get() > before, "no failure");
-        proxy.go_on();
+        proxy.resume();
         served(&proxy);
         assert_eq!(sent(), 1, "{way:?}");
     }
@@ -337,12 +341,12 @@
 fn a_request_of_one_who_has_left_already_is_not_sent_on() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    proxy.hold();
+    proxy.suspend();
     WAYS.iter()
-        .for_each(|way| way.go(way.ask(&proxy, &read(3.0))));
+        .for_each(|way| way.go(way.ask(&proxy, &read_request(3.0))));
     WAYS.iter()
         .for_each(|way| way.go(way.ask(&proxy, &upload(100_000))));
-    proxy.go_on();
+    proxy.resume();
     served(&proxy);
     assert_eq!(sent_on(&backend), 0);
 }
@@ -360,12 +364,12 @@
         }
     });
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let left = WAYS.map(|way| (way, way.ask(&proxy, &read(3.0))));
-    until(|| backend.count() == 4, "not all were sent");
-    proxy.hold();
+    let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
+    until(|| backend.request_count() == 4, "not all were sent");
+    proxy.suspend();
     left.into_iter().for_each(|(way, client)| way.go(client));
     gate.open();
-    proxy.go_on();
+    proxy.resume();
     served(&proxy);
     assert_eq!(sent_on(&backend), 4, "the first of each");
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -72,8 +72,8 @@
 
 fn connect(at: SocketAddr, n: usize) -> Option<TcpStream> {
     let mut tcp = TcpStream::connect(at).ok()?;
-    let head = read(3.0);
-    let body = pay(3.0).replace("Content-Length: 4", "Content-Length: 400");
+    let head = read_request(3.0);
+    let body = pay_request(3.0).replace("Content-Length: 4", "Content-Length: 400");
     let said = match n % 4 {
         0 => "",
         1 => &head[..head.len() / 2],
@@ -106,7 +106,7 @@
 /// Descriptors that are neither a client's nor an upstream's.
 fn beyond(proxy: &Proxy) -> usize {
     let all = descriptors(proxy.child.id());
-    let text = String::from_utf8(proxy.call("GET /metrics").body).unwrap();
+    let text = String::from_utf8(proxy.control_request("GET /metrics").body).unwrap();
     let figure = |name: &str| -> usize {
         let line = text.lines().find(|l| l.split(' ').next() == Some(name));
         line.and_then(|l| l.split(' ').nth(1)?.parse().ok())
@@ -163,16 +163,16 @@
 /// As many requests at once as the clients' bound allows: each leaves a warm connection to a backend.
 fn warm(proxy: &Proxy, old: &[BackendServer], gate: &Gate) {
     let mut clients: Vec<Client> = (0..UPSTREAMS).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|c| c.send(&read(3.0)));
+    clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
     let end = Instant::now() + Duration::from_secs(2);
-    let arrived = || old.iter().map(BackendServer::count).sum::<u32>() as usize;
+    let arrived = || old.iter().map(BackendServer::request_count).sum::<u32>() as usize;
     while arrived() < UPSTREAMS && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(5));
     }
     gate.open();
     assert!(clients
         .iter_mut()
-        .all(|c| c.answer().is_some_and(|a| a.status() == 200)));
+        .all(|c| c.response().is_some_and(|a| a.status() == 200)));
 }
 
 /// Under a crowd that fills it a small process goes through an outage of discovery. `back` ends the outage and gives the
@@ -187,7 +187,7 @@
     let old: Vec<BackendServer> = (0..UPSTREAMS / 2).map(|_| gated(&first)).collect();
     let new = gated(&gate);
     let known = entries(&old);
-    let dir = folder();
+    let dir = create_temp_dir();
     let more = [
         ("TMPDIR", dir.to_str().unwrap().to_string()),
         (
@@ -196,7 +196,7 @@
         ),
         ("NODE_CONTROL", "127.0.0.1:0".to_string()),
     ];
-    let proxy = Proxy::placed("127.0.0.1:0", at, &known, SOCKETS, &settings, &more);
+    let proxy = Proxy::with_addresses("127.0.0.1:0", at, &known, SOCKETS, &settings, &more);
     let (pid, begun) = (proxy.child.id(), Instant::now());
     let most = Most::of(pid);
     warm(&proxy, &old, &first);
@@ -207,13 +207,13 @@
     while begun.elapsed() < OUTAGE {
         for held in &mut staff {
             if !held.as_mut().is_some_and(open) {
-                *held = TcpStream::connect(proxy.control.unwrap()).ok();
+                *held = TcpStream::connect(proxy.control_address.unwrap()).ok();
                 held.iter()
                     .for_each(|tcp| tcp.set_nonblocking(true).unwrap());
             }
         }
         assert_eq!(
-            proxy.ask(&read(3.0)).status(),
+            proxy.request(&read_request(3.0)).status(),
             200,
             "a client among the crowd"
         );
@@ -234,27 +234,27 @@
     };
     drop(answer);
     let mut busy: Vec<Client> = Vec::new();
-    while new.count() == 0 {
+    while new.request_count() == 0 {
         assert!(
             returned.elapsed() < TOLD,
             "the list was not taken in time after {target}"
         );
         let mut client = proxy.client();
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         busy.push(client);
         std::thread::sleep(Duration::from_millis(20));
     }
     let took = returned.elapsed();
-    let before = old[0].count();
+    let before = old[0].request_count();
     for _ in 0..30 {
         let mut client = proxy.client();
-        client.send(&read(3.0));
+        client.send(&read_request(3.0));
         busy.push(client);
     }
     gate.open();
     let answers: Vec<u16> = busy
         .iter_mut()
-        .map(|c| c.answer().map_or(0, |a| a.status()))
+        .map(|c| c.response().map_or(0, |a| a.status()))
         .collect();
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
     let most = most.seen.load(Ordering::SeqCst);
@@ -263,7 +263,11 @@
         "{mode}: {asked} asked, {back} came, {full} open at the return, {rest} of them reserved, {most} at most, list after {took:?}"
     );
     assert!(back > 2 * CROWD, "the crowd did not fill it: {back}");
-    assert_eq!(old[0].count(), before, "nothing new for one that drains");
+    assert_eq!(
+        old[0].request_count(),
+        before,
+        "nothing new for one that drains"
+    );
     assert!(
         new.connections.load(Ordering::SeqCst) > 0,
         "attempts open connections"
@@ -273,7 +277,7 @@
         "{full}, at most {most}"
     );
     for words in ["Too many open files", "panicked", "accept:"] {
-        assert_eq!(proxy.logged(words), 0, "{words}");
+        assert_eq!(proxy.log_count(words), 0, "{words}");
     }
 }
 
@@ -282,7 +286,7 @@
     for mode in ["automatic", "subscribe"] {
         let discovery = DiscoveryServer::start();
         an_outage_under_a_crowd(mode, discovery.address, move || {
-            while discovery.waiting().is_some() {} // never answered
+            while discovery.pending_call().is_some() {} // never answered
             discovery
         });
     }
@@ -291,9 +295,9 @@
 #[test]
 fn a_crowd_does_not_keep_a_discovery_that_was_down_from_being_heard() {
     for mode in ["automatic", "subscribe"] {
-        let down = Refusing::new();
+        let down = RefusingPort::new();
         let at = down.address();
-        an_outage_under_a_crowd(mode, at, move || DiscoveryServer::on(down.listen()));
+        an_outage_under_a_crowd(mode, at, move || DiscoveryServer::start_on(down.listen()));
     }
 }
 
@@ -307,17 +311,17 @@
     const LEFT: Duration = Duration::from_secs(1);
     let backend = BackendServer::start(|_| ok("x"));
     let known = [entry("b0", backend.address, "SERVING")];
-    let proxy = Proxy::launched(&known, SOCKETS, SETTINGS, SOCKETS);
+    let proxy = Proxy::with_descriptor_limit(&known, SOCKETS, SETTINGS, SOCKETS);
     let most = Most::of(proxy.child.id());
     let mut dice = Pcg32::seed_from_u64(28);
     let connect = || TcpStream::connect(proxy.address).unwrap();
     let mut silent: Vec<TcpStream> = (0..SOCKETS).map(|_| connect()).collect();
     assert_eq!(
-        proxy.ask(&read(3.0)).status(),
+        proxy.request(&read_request(3.0)).status(),
         200,
         "behind a crowd that was taken in"
     );
-    proxy.hold();
+    proxy.suspend();
     let mut asking = Vec::new();
     while silent.len() < SILENT || asking.len() < ASKING {
         let (quiet, loud) = (SILENT - silent.len(), ASKING - asking.len());
@@ -325,14 +329,14 @@
             silent.push(connect());
         } else {
             let mut client = proxy.client();
-            client.send(&read(LEFT.as_secs_f64()));
+            client.send(&read_request(LEFT.as_secs_f64()));
             asking.push(client);
         }
     }
     let from = Instant::now();
-    proxy.go_on();
+    proxy.resume();
     for client in &mut asking {
-        let status = client.answer().map(|answer| answer.status());
+        let status = client.response().map(|answer| answer.status());
         assert_eq!(
             (status, from.elapsed() < LEFT),
             (Some(200), true),
@@ -341,43 +345,43 @@
         );
     }
     eprintln!("all answered after {:?}", from.elapsed());
-    assert_eq!(backend.count() as usize, 1 + ASKING);
+    assert_eq!(backend.request_count() as usize, 1 + ASKING);
     assert!(most.seen.load(Ordering::SeqCst) <= SOCKETS as usize);
-    assert_eq!(proxy.logged("accept:"), 0);
+    assert_eq!(proxy.log_count("accept:"), 0);
 }
 
 /// Fewer descriptors than the process is told of, all taken by clients that are still sending: neither listener fills the
 /// log or the processor, and operators are heard once there is room.
 #[test]
 fn listeners_that_are_out_of_descriptors_neither_spin_nor_flood_the_log() {
-    let proxy = Proxy::scarce(64);
+    let proxy = Proxy::with_control_and_descriptor_limit(64);
     let begun = Instant::now();
-    let stopped = pay(3.0).replace("Content-Length: 4", "Content-Length: 400");
+    let stopped = pay_request(3.0).replace("Content-Length: 4", "Content-Length: 400");
     let mut clients: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&stopped));
     let until = |words: &str| {
-        while proxy.logged(words) == 0 {
-            assert!(begun.elapsed() < PATIENCE, "never: {words}");
+        while proxy.log_count(words) == 0 {
+            assert!(begun.elapsed() < TEST_TIMEOUT, "never: {words}");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
     until("server: accept: Too many open files");
-    let mut staff = Client::connect(proxy.control.unwrap());
+    let mut staff = Client::connect(proxy.control_address.unwrap());
     staff.send("GET /status HTTP/1.1\r\nHost: d\r\n\r\n");
     until("control: accept: Too many open files");
     let used = ticks(proxy.child.id());
     std::thread::sleep(Duration::from_millis(500));
     let used = ticks(proxy.child.id()) - used;
     assert!(
-        staff.answer().is_some_and(|a| a.status() == 200),
+        staff.response().is_some_and(|a| a.status() == 200),
         "never heard"
     );
     let most = 2 + begun.elapsed().as_secs() as usize;
     for words in ["control: accept", "server: accept"] {
         assert!(
-            proxy.logged(words) <= most,
+            proxy.log_count(words) <= most,
             "{} lines: {words}",
-            proxy.logged(words)
+            proxy.log_count(words)
         );
     }
     assert!(used < 25, "{used} hundredths of a second of 50");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -16,7 +16,7 @@
             BackendServer::start(|_| ok("old")),
             BackendServer::start(|_| ok("new")),
         );
-        let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+        let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
         case(&proxy, &old, &new);
     }
 }
@@ -49,15 +49,15 @@
         target.contains("after=9&") && !target.contains("wait_ms=0 "),
         "{target}"
     );
-    let before = old.count();
+    let before = old.request_count();
     (0..8).for_each(|_| {
         assert_eq!(
-            proxy.ask(&pay(3.0)).body,
+            proxy.request(&pay_request(3.0)).body,
             b"new",
             "nothing new for one that drains"
         );
     });
-    assert_eq!(old.count(), before);
+    assert_eq!(old.request_count(), before);
 }
 
 #[test]
@@ -88,12 +88,12 @@
         answer.send((200, list(5, true, &[]))).unwrap();
         let (_, _watch) = proxy.discovery.call();
         let moved = DiscoveryServer::start();
-        let text = std::fs::read_to_string(&proxy.config).unwrap();
+        let text = std::fs::read_to_string(&proxy.config_path).unwrap();
         let text = text.replace(
             &proxy.discovery.address.to_string(),
             &moved.address.to_string(),
         );
-        std::fs::write(&proxy.config, text).unwrap();
+        std::fs::write(&proxy.config_path, text).unwrap();
         proxy.signal("-HUP");
         let (_, _silent) = moved.call();
         mended(proxy, &moved, Instant::now(), old, new);
@@ -135,7 +135,7 @@
         ];
         late.send((200, list(9, false, &change))).unwrap();
         let taken = (0..200).any(|_| {
-            proxy.logged("answered a call late") > 0 || {
+            proxy.log_count("answered a call late") > 0 || {
                 std::thread::sleep(Duration::from_millis(50));
                 false
             }
@@ -143,7 +143,7 @@
         assert!(taken, "the late answer was dropped");
         (0..8).for_each(|_| {
             assert_eq!(
-                proxy.ask(&pay(3.0)).body,
+                proxy.request(&pay_request(3.0)).body,
                 b"new",
                 "nothing new for one that drains"
             );
@@ -165,7 +165,7 @@
         BackendServer::start(|_| ok("old")),
         BackendServer::start(|_| ok("new")),
     );
-    let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     proxy.discovery.call().1.send((503, String::new())).unwrap();
     let (_, _hangs) = proxy.discovery.call();
     let stands = Instant::now();
@@ -187,5 +187,5 @@
         target.contains("after=9&") && !target.contains("wait_ms=0 "),
         "{target}"
     );
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
+    assert_eq!(proxy.request(&pay_request(3.0)).body, b"new");
 }
--- a/tests/discovery_order.rs
+++ b/tests/discovery_order.rs
@@ -23,7 +23,7 @@
             BackendServer::start(|_| ok("old")),
             BackendServer::start(|_| ok("new")),
         );
-        let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+        let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
         case(Case {
             proxy: &proxy,
             old: &old,
@@ -65,8 +65,8 @@
 
     /// Waits until so many late answers were taken.
     fn late(&self, count: usize) {
-        let end = Instant::now() + PATIENCE;
-        while self.proxy.logged("answered a call late") < count {
+        let end = Instant::now() + TEST_TIMEOUT;
+        while self.proxy.log_count("answered a call late") < count {
             assert!(Instant::now() < end, "the late answer was dropped");
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -74,15 +74,15 @@
 
     /// What was sent to the proxy before these requests has been read when they are answered.
     fn only_new(&self) {
-        let before = self.old.count();
+        let before = self.old.request_count();
         (0..8).for_each(|_| {
             assert_eq!(
-                self.proxy.ask(&pay(3.0)).body,
+                self.proxy.request(&pay_request(3.0)).body,
                 b"new",
                 "nothing new for one that drains"
             );
         });
-        assert_eq!(self.old.count(), before);
+        assert_eq!(self.old.request_count(), before);
     }
 
     /// SIGHUP to another address.
@@ -92,9 +92,9 @@
 
     fn moved_from(&self, before: &DiscoveryServer) -> DiscoveryServer {
         let moved = DiscoveryServer::start();
-        let text = std::fs::read_to_string(&self.proxy.config).unwrap();
+        let text = std::fs::read_to_string(&self.proxy.config_path).unwrap();
         let text = text.replace(&before.address.to_string(), &moved.address.to_string());
-        std::fs::write(&self.proxy.config, text).unwrap();
+        std::fs::write(&self.proxy.config_path, text).unwrap();
         self.proxy.signal("-HUP");
         moved
     }
@@ -256,7 +256,7 @@
         BackendServer::start(|_| ok("old")),
         BackendServer::start(|_| ok("new")),
     );
-    let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     let case = Case {
         proxy: &proxy,
         old: &old,
@@ -280,12 +280,18 @@
         "known {took:?} after the signal"
     );
     // One of three hundred proxies takes the others to hold as much as it does, and refuses while the machine is busy.
-    let before = old.count();
-    assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
-    (0..8).map(|_| proxy.ask(&pay(3.0))).for_each(|got| {
-        assert!(got.body == b"new" || got.status() == 503, "{got:?}");
-    });
-    assert_eq!(old.count(), before, "nothing new for one that drains");
+    let before = old.request_count();
+    assert_eq!(proxy.request(&pay_request(3.0)).body, b"new");
+    (0..8)
+        .map(|_| proxy.request(&pay_request(3.0)))
+        .for_each(|got| {
+            assert!(got.body == b"new" || got.status() == 503, "{got:?}");
+        });
+    assert_eq!(
+        old.request_count(),
+        before,
+        "nothing new for one that drains"
+    );
     drop(last);
 }
 
@@ -296,7 +302,7 @@
         .replace("\"automatic\"", "\"subscribe\"")
         .replace("9000000,\"ramp", "2000000,\"ramp");
     let old = BackendServer::start(|_| ok("old"));
-    let proxy = Proxy::with(&[entry("b0", old.address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     let (_, _silent) = proxy.discovery.call(); // repeated 1 s later, given up 1.8 s later
     let (_, answer) = proxy.discovery.call();
     std::thread::sleep(Duration::from_millis(300)); // the module's next word, if one is due, comes meanwhile
@@ -353,7 +359,7 @@
             pauses >= Duration::from_millis(250),
             "{pauses:?} for five calls"
         );
-        assert_eq!(case.proxy.logged("discovery failed: changes"), 1);
+        assert_eq!(case.proxy.log_count("discovery failed: changes"), 1);
         whole.send((200, list(3, true, &case.after()))).unwrap();
         let _hold = goes_on(&case.proxy.discovery, 3);
         case.only_new();
@@ -373,8 +379,8 @@
             .send((200, list(9, true, &lame)))
             .unwrap();
         let next = goes_on(&case.proxy.discovery, 5);
-        assert_eq!(case.proxy.logged("discovery failed: no entry"), 1);
-        (0..4).for_each(|_| assert_eq!(case.proxy.ask(&pay(3.0)).body, b"old"));
+        assert_eq!(case.proxy.log_count("discovery failed: no entry"), 1);
+        (0..4).for_each(|_| assert_eq!(case.proxy.request(&pay_request(3.0)).body, b"old"));
         next.send((200, list(10, true, &case.after()))).unwrap();
         let _hold = goes_on(&case.proxy.discovery, 10);
         case.only_new();
@@ -387,7 +393,7 @@
     in_each_mode(|case| {
         case.begin(5);
         let watch = goes_on(&case.proxy.discovery, 5);
-        assert_eq!(case.proxy.ask(&pay(3.0)).body, b"old");
+        assert_eq!(case.proxy.request(&pay_request(3.0)).body, b"old");
         watch
             .send((
                 200,
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -39,7 +39,8 @@
     assert_eq!(equal(&fleet, &ALL, 0), now);
     // The metrics have the same version.
     fleet.wait("the metrics", |fleet| {
-        let text = String::from_utf8(fleet.proxies[3].call("GET /metrics").body).unwrap();
+        let text =
+            String::from_utf8(fleet.proxies[3].control_request("GET /metrics").body).unwrap();
         text.contains(&format!("meadowproxy_config_version {now}\n"))
             .then_some(())
     });
@@ -179,9 +180,9 @@
     let mut fleet = fleet(5, &backend);
     fleet.until(&ALL, 4);
     let status_of = |fleet: &Fleet, n: usize, route: &str| {
-        let request = read(3.0).replace("/read/", &format!("/{route}/"));
+        let request = read_request(3.0).replace("/read/", &format!("/{route}/"));
         Client::connect(fleet.proxies[n].address)
-            .ask(&request)
+            .request(&request)
             .status()
     };
     let changed = |fleet: &Fleet| {
@@ -211,7 +212,7 @@
     equal(&fleet, &ALL, version);
     changed(&fleet);
     for n in ALL {
-        let loaded = || fleet.proxies[n].lines("configuration taken").len();
+        let loaded = || fleet.proxies[n].log_lines("configuration taken").len();
         let before = loaded();
         fleet.proxies[n].signal("-HUP");
         fleet.wait("the file to be loaded", |_| {
@@ -253,7 +254,7 @@
         Some(1),
         "it goes on with what it has"
     );
-    let response = Client::connect(fleet.proxies[3].address).ask(&read(3.0));
+    let response = Client::connect(fleet.proxies[3].address).request(&read_request(3.0));
     assert_eq!(response.status(), 200);
     fleet.faults.heal();
     let healed = Instant::now();
@@ -339,7 +340,11 @@
     let length = body.len();
     let call =
         format!("PUT /config/tenants/{name} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
-    let mut caller = Client::connect(fleet.proxies[leader].control.expect("a control address"));
+    let mut caller = Client::connect(
+        fleet.proxies[leader]
+            .control_address
+            .expect("a control address"),
+    );
     caller.0.get_mut().write_all(call.as_bytes()).unwrap();
     fleet.wait("the change to be proposed", |f| {
         status(f, leader)["proposed"].as_u64()
@@ -369,7 +374,7 @@
         Failure::Paused => fleet.proxies[leader].signal("-STOP"),
         Failure::Partitioned => {
             fleet.faults.split(&[&[leader], others]);
-            let (code, answer) = said(&caller.answer().expect("an answer"));
+            let (code, answer) = said(&caller.response().expect("an answer"));
             assert_eq!(code, 503, "{answer}");
         }
     }
--- a/tests/fleet_files.rs
+++ b/tests/fleet_files.rs
@@ -14,7 +14,7 @@
 
 /// The file of a proxy as it would be without a version, for the last of these to be put in.
 fn plain(fleet: &Fleet, n: usize) -> String {
-    std::fs::read_to_string(&fleet.proxies[n].config).unwrap()
+    std::fs::read_to_string(&fleet.proxies[n].config_path).unwrap()
 }
 
 /// That file with a version, and with the route or without it.
@@ -33,11 +33,11 @@
 /// Writes a proxy's file and has it read; whether it was taken, and the line on it.
 fn reload(fleet: &Fleet, n: usize, text: &str) -> (bool, String) {
     let lines = || {
-        let of = |words| fleet.proxies[n].lines(words);
+        let of = |words| fleet.proxies[n].log_lines(words);
         (of("configuration taken"), of("configuration not taken"))
     };
     let before = lines();
-    std::fs::write(&fleet.proxies[n].config, text).unwrap();
+    std::fs::write(&fleet.proxies[n].config_path, text).unwrap();
     fleet.proxies[n].signal("-HUP");
     fleet.wait("the file to be read", |_| {
         let (taken, not) = lines();
@@ -52,9 +52,9 @@
 /// Whether a proxy serves the route.
 fn lists(fleet: &Fleet, n: usize) -> bool {
     fleet.proxies[n].wait_until_serving();
-    let request = read(3.0).replace("/read/", "/list/");
+    let request = read_request(3.0).replace("/read/", "/list/");
     Client::connect(fleet.proxies[n].address)
-        .ask(&request)
+        .request(&request)
         .status()
         == 200
 }
@@ -195,13 +195,15 @@
     fleet.kill(&[4]);
     fleet.restart(4);
     equal(&fleet, &[0, 1, 2, 3], put_surely(&fleet, 1, "later", 6));
-    fleet.wait("the line", |f| f.proxies[4].lines("config_file_old").pop());
+    fleet.wait("the line", |f| {
+        f.proxies[4].log_lines("config_file_old").pop()
+    });
     let newest = version(&fleet, 0);
     fleet.wait("its copy", |f| (version(f, 4) == newest).then_some(()));
     assert!(!lists(&fleet, 4));
     assert_eq!(status(&fleet, 4)["in_force"], 0);
     let now = version(&fleet, 4);
-    let start = std::fs::read_to_string(&fleet.proxies[4].config).unwrap();
+    let start = std::fs::read_to_string(&fleet.proxies[4].config_path).unwrap();
     assert!(reload(&fleet, 4, &file(&start, upto, true)).0);
     equal(&fleet, &ALL, now);
     assert!(lists(&fleet, 4));
@@ -213,7 +215,7 @@
 #[test]
 fn a_proxy_that_starts_again_begins_with_its_own_copy() {
     let backend = BackendServer::start(|_| ok("x"));
-    let dir = folder();
+    let dir = create_temp_dir();
     let mut fleet = fleet_with(
         24,
         &backend,
@@ -242,7 +244,7 @@
         (whole.count() == ALL.len()).then_some(())
     });
     let lines = |fleet: &Fleet, n: usize, event: &str| {
-        let text = fleet.proxies[n].said.clone();
+        let text = fleet.proxies[n].startup_log.clone();
         text.lines()
             .filter(|line| line.contains(event))
             .map(String::from)
@@ -307,9 +309,9 @@
     let mut fleet = fleet(23, &backend);
     fleet.until(&ALL, 4);
     let ask = |fleet: &Fleet, n: usize, route: &str| {
-        let request = read(3.0).replace("/read/", &format!("/{route}/"));
+        let request = read_request(3.0).replace("/read/", &format!("/{route}/"));
         Client::connect(fleet.proxies[n].address)
-            .ask(&request)
+            .request(&request)
             .status()
             == 200
     };
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -26,8 +26,8 @@
         r#"{SELF}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
-    let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
-    Proxy::configured(known, settings, &kept, &[tmp])
+    let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
+    Proxy::with_extra_config(known, settings, &kept, &[tmp])
 }
 
 fn backends() -> (BackendServer, BackendServer, Vec<String>) {
@@ -43,7 +43,7 @@
 }
 
 fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -52,11 +52,11 @@
 
 /// Whether it sends anything to the first backend, which is banned for one of the proxies.
 fn uses(proxy: &Proxy, banned: &BackendServer) -> bool {
-    let before = banned.count();
+    let before = banned.request_count();
     for _ in 0..30 {
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
-    banned.count() > before
+    banned.request_count() > before
 }
 
 /// A ban by hand at one proxy is in its snapshot, and a proxy of another name, at another address or of another
@@ -64,10 +64,15 @@
 #[test]
 fn a_snapshot_is_for_the_proxy_that_wrote_it() {
     let (a, _b, known) = backends();
-    let dir = folder().join("kept");
+    let dir = create_temp_dir().join("kept");
     let settings = settings();
     let first = keeping(&dir, &known, &settings, "");
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     written(&dir);
     drop(first); // SIGKILL
     let others = [
@@ -78,15 +83,19 @@
     for (n, who) in others.into_iter().enumerate() {
         let other = keeping(&dir, &known, &settings, who);
         assert!(
-            other.said.contains("no snapshot: cold start"),
+            other.startup_log.contains("no snapshot: cold start"),
             "{who}: {}",
-            other.said
+            other.startup_log
         );
         assert!(uses(&other, &a), "{who}: it holds another one's ban");
         until("it keeps no file of its own", || files(&dir).len() == n + 2);
     }
     let own = keeping(&dir, &known, &settings, "");
-    assert!(own.said.contains("snapshot taken"), "{}", own.said);
+    assert!(
+        own.startup_log.contains("snapshot taken"),
+        "{}",
+        own.startup_log
+    );
     assert!(!uses(&own, &a), "its own ban was lost");
 }
 
@@ -94,15 +103,20 @@
 #[test]
 fn a_snapshot_from_other_settings_or_another_proxy_is_refused_by_name() {
     let (a, _b, known) = backends();
-    let dir = folder().join("kept");
+    let dir = create_temp_dir().join("kept");
     let settings = settings();
     let first = keeping(&dir, &known, &settings, "");
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     written(&dir);
     drop(first); // SIGKILL
     let own = files(&dir).remove(0);
     let bytes = std::fs::read(&own).unwrap();
-    let other = folder().join("kept");
+    let other = create_temp_dir().join("kept");
     let second = keeping(&other, &known, &settings, r#","name":"n1""#);
     written(&other);
     drop(second); // SIGKILL
@@ -133,10 +147,10 @@
         std::fs::write(&own, bytes).unwrap();
         let proxy = keeping(&dir, &known, &settings, "");
         let line = proxy
-            .said
+            .startup_log
             .lines()
             .find(|l| l.contains("snapshot refused, cold start"));
-        let line = line.unwrap_or_else(|| panic!("{cause}: not refused: {}", proxy.said));
+        let line = line.unwrap_or_else(|| panic!("{cause}: not refused: {}", proxy.startup_log));
         assert!(
             line.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {line}"
@@ -149,7 +163,7 @@
 #[test]
 fn what_is_no_snapshot_file_does_not_hold_up_the_start() {
     let (_a, _b, known) = backends();
-    let dir = folder().join("kept");
+    let dir = create_temp_dir().join("kept");
     let first = keeping(&dir, &known, &settings(), "");
     written(&dir);
     drop(first); // SIGKILL
@@ -173,11 +187,15 @@
         put(&own);
         let proxy = keeping(&dir, &known, &settings(), "");
         assert!(
-            proxy.said.contains(&format!("cause=\"{cause}\"")),
+            proxy.startup_log.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {}",
-            proxy.said
+            proxy.startup_log
+        );
+        assert_eq!(
+            proxy.request(&read_request(3.0)).status(),
+            200,
+            "{cause}: serves cold"
         );
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{cause}: serves cold");
     }
 }
 
@@ -186,27 +204,40 @@
 #[test]
 fn a_snapshot_follows_its_proxy_to_a_new_discovery() {
     let (a, _b, known) = backends();
-    let dir = folder().join("kept");
+    let dir = create_temp_dir().join("kept");
     let first = keeping(&dir, &known, &settings(), "");
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     written(&dir);
-    let text = std::fs::read_to_string(&first.config).unwrap();
+    let text = std::fs::read_to_string(&first.config_path).unwrap();
     std::fs::write(
-        &first.config,
+        &first.config_path,
         text.replace("127.0.0.1:9\"", "127.0.0.1:10\""),
     )
     .unwrap();
     first.signal("-HUP");
     until("the new address was not taken", || {
-        first.logged("discovery at 127.0.0.1:10") > 0
+        first.log_count("discovery at 127.0.0.1:10") > 0
     });
     drop(first); // SIGKILL
     let old = keeping(&dir, &known, &settings(), "");
-    assert!(old.said.contains("no snapshot: cold start"), "{}", old.said);
+    assert!(
+        old.startup_log.contains("no snapshot: cold start"),
+        "{}",
+        old.startup_log
+    );
     assert!(uses(&old, &a));
     drop(old);
     let new = keeping(&dir, &known, &settings(), r#","discovery":"127.0.0.1:10""#);
-    assert!(new.said.contains("snapshot taken"), "{}", new.said);
+    assert!(
+        new.startup_log.contains("snapshot taken"),
+        "{}",
+        new.startup_log
+    );
     assert!(!uses(&new, &a), "the ban did not come along");
 }
 
@@ -215,9 +246,9 @@
 #[test]
 fn bans_and_processes_in_one_tmpdir_are_told_apart() {
     let (a, _b, known) = backends();
-    let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
+    let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
     let start = |who: &str| {
-        let proxy = Proxy::configured(
+        let proxy = Proxy::with_extra_config(
             &known,
             &settings(),
             &format!("{SELF}{who}"),
@@ -227,21 +258,26 @@
         proxy
     };
     let first = start("");
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     for who in [r#","name":"n1""#, r#","listen":"127.0.0.2:0""#] {
         let mut other = start(who);
         assert!(uses(&other, &a), "{who}: it holds another one's ban");
         other.terminate();
         assert!(other.child.wait().unwrap().success());
-        until("its log ends", || other.logged("stopped") > 0);
+        until("its log ends", || other.log_count("stopped") > 0);
         assert_eq!(
-            other.logged("another process"),
+            other.log_count("another process"),
             0,
             "{who}: it left its clients to a stranger"
         );
     }
     assert_eq!(
-        first.logged("another process"),
+        first.log_count("another process"),
         0,
         "it shared its descriptors with a stranger"
     );
--- a/tests/locality.rs
+++ b/tests/locality.rs
@@ -30,7 +30,7 @@
         BackendServer::start(|_| ok("east")),
         BackendServer::start(|_| ok("east")),
     );
-    let (dead, w1) = (Refusing::new(), BackendServer::start(|_| ok("west")));
+    let (dead, w1) = (RefusingPort::new(), BackendServer::start(|_| ok("west")));
     let known = [
         entry("e0", e0.address, "SERVING"),
         entry("e1", e1.address, "SERVING"),
@@ -38,14 +38,14 @@
         west("w1", w1.address),
     ];
     let proxies = [
-        Proxy::with(&known, 1024, &settings(0)),
-        Proxy::with(&known, 1024, &settings(1)),
+        Proxy::with_settings(&known, 1024, &settings(0)),
+        Proxy::with_settings(&known, 1024, &settings(1)),
     ];
     for proxy in &proxies {
         for _ in 0..60 {
             // A retry is paid for by earlier requests: the first failed connects may be refused, never failed.
             assert!(
-                [200, 503].contains(&proxy.ask(&read(3.0)).status()),
+                [200, 503].contains(&proxy.request(&read_request(3.0)).status()),
                 "an answer while the zone is found out"
             );
         }
@@ -54,11 +54,11 @@
     std::thread::sleep(Duration::from_millis(200));
     proxies
         .iter()
-        .for_each(|proxy| assert!([200, 503].contains(&proxy.ask(&read(3.0)).status())));
-    let before = w1.count();
+        .for_each(|p| assert!([200, 503].contains(&p.request(&read_request(3.0)).status())));
+    let before = w1.request_count();
     for proxy in &proxies {
         for _ in 0..60 {
-            let answer = proxy.ask(&read(3.0));
+            let answer = proxy.request(&read_request(3.0));
             assert_eq!(
                 (answer.status(), &answer.body[..]),
                 (200, &b"east"[..]),
@@ -67,7 +67,7 @@
         }
     }
     assert_eq!(
-        w1.count(),
+        w1.request_count(),
         before,
         "the half that lives in a left zone still got requests"
     );
@@ -91,7 +91,7 @@
             BackendServer::start(move |request| {
                 let silent = n / 2 == 1 && cut.load(Ordering::SeqCst) && request % 4 != 0;
                 if silent {
-                    Reply::Silence
+                    Reply::NoResponse
                 } else {
                     ok("x")
                 }
@@ -114,12 +114,12 @@
                     &format!(r#""position":{n},"group_size":3,"#),
                 )
                 .replace(r#""my_zone":"east","zones":["east"],"#, &own);
-            Proxy::seeded(
+            Proxy::with_seed(
                 n as u64 + 1,
                 &known,
                 &settings,
                 "",
-                &[("TMPDIR", folder().to_str().unwrap().into())],
+                &[("TMPDIR", create_temp_dir().to_str().unwrap().into())],
             )
         };
         Fleet {
@@ -131,13 +131,17 @@
 
     /// Six clients at every proxy for so long, one request every 20 ms each: how many each zone got, and the statuses.
     fn load(&self, span: Duration) -> ([u32; 3], Vec<u16>) {
-        let before: Vec<u32> = self.backends.iter().map(BackendServer::count).collect();
+        let before: Vec<u32> = self
+            .backends
+            .iter()
+            .map(BackendServer::request_count)
+            .collect();
         let end = Instant::now() + span;
         let ask = |at| {
             std::thread::spawn(move || {
                 let (mut client, mut statuses) = (Client::connect(at), Vec::new());
                 while Instant::now() < end {
-                    statuses.push(client.ask(&read(0.6)).status());
+                    statuses.push(client.request(&read_request(0.6)).status());
                     std::thread::sleep(Duration::from_millis(20));
                 }
                 statuses
@@ -151,15 +155,15 @@
             .iter()
             .zip(before)
             .enumerate()
-            .for_each(|(n, (b, was))| zones[n / 2] += b.count() - was);
+            .for_each(|(n, (b, was))| zones[n / 2] += b.request_count() - was);
         (zones, statuses)
     }
 
     /// Loads on until the proxy of west, the one that sends there, has said these words as often as those.
     fn until(&self, words: &str, those: &str) -> Duration {
         let (begun, west) = (Instant::now(), &self.proxies[1]);
-        while west.logged(words) == 0 || west.logged(words) < west.logged(those) {
-            assert!(begun.elapsed() < PATIENCE, "it never said {words:?}");
+        while west.log_count(words) == 0 || west.log_count(words) < west.log_count(those) {
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it never said {words:?}");
             let (_, statuses) = self.load(Duration::from_millis(250));
             assert!(
                 statuses.iter().all(|s| [200, 503].contains(s)),
@@ -182,11 +186,11 @@
         let counts = || {
             f.backends
                 .iter()
-                .map(BackendServer::count)
+                .map(BackendServer::request_count)
                 .collect::<Vec<_>>()
         };
         let before = counts();
-        (0..60).for_each(|_| assert_eq!(f.proxies[0].ask(&read(3.0)).status(), 200));
+        (0..60).for_each(|_| assert_eq!(f.proxies[0].request(&read_request(3.0)).status(), 200));
         let after = counts();
         after[..2].iter().sum::<u32>() - before[..2].iter().sum::<u32>()
     };
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -48,7 +48,7 @@
     let tenants: Vec<String> = (0..count).map(tenant).collect();
     let one = r#"[{"name":"north","quota_rps":500.0}]"#;
     assert!(SETTINGS.contains(one));
-    Proxy::with(
+    Proxy::with_settings(
         &[],
         1024,
         &SETTINGS.replace(one, &format!("[{}]", tenants.join(","))),
@@ -57,11 +57,15 @@
 
 /// Reads the file again; until it is taken.
 fn reload(proxy: &Proxy) {
-    let before = proxy.logged("configuration taken");
+    let before = proxy.log_count("configuration taken");
     proxy.signal("-HUP");
     let begun = Instant::now();
-    while proxy.logged("configuration taken") == before {
-        assert!(begun.elapsed() < MOST, "{:?}", proxy.lines("configuration"));
+    while proxy.log_count("configuration taken") == before {
+        assert!(
+            begun.elapsed() < MOST,
+            "{:?}",
+            proxy.log_lines("configuration")
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -94,7 +94,7 @@
         let (world, changed) = &*self.world;
         let few = |w: &mut World| w.calls < count;
         let (_world, late) = changed
-            .wait_timeout_while(world.lock().unwrap(), PATIENCE, few)
+            .wait_timeout_while(world.lock().unwrap(), TEST_TIMEOUT, few)
             .unwrap();
         assert!(!late.timed_out(), "not {count} calls");
     }
@@ -131,7 +131,7 @@
         while let Some(call) = Message::read(&mut reader) {
             self.change(|w| w.calls += 1);
             let number = |name: &str| {
-                call.first
+                call.start_line
                     .split(name)
                     .nth(1)?
                     .split(['&', ' '])
@@ -255,7 +255,7 @@
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{at}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}}}"#
         );
-        let mut child = launch(Some(&config)).spawn().unwrap();
+        let mut child = proxy_command(Some(&config)).spawn().unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
@@ -336,7 +336,7 @@
     let (address, until) = (proxy.address, over.clone());
     let client = std::thread::spawn(move || {
         while !*until.lock().unwrap() {
-            let _ = Client::connect(address).ask(&read(1.0));
+            let _ = Client::connect(address).request(&read_request(1.0));
             std::thread::sleep(Duration::from_millis(60));
         }
     });
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -13,7 +13,7 @@
         let mut client = Client::connect(address);
         let statuses = (0..seconds * 4).map(|_| {
             std::thread::sleep(Duration::from_millis(250));
-            client.ask(&read(3.0)).status()
+            client.request(&read_request(3.0)).status()
         });
         statuses.filter(|status| *status != 200).count()
     };
@@ -30,7 +30,7 @@
 }
 
 fn tmp() -> (&'static str, String) {
-    ("TMPDIR", folder().to_str().unwrap().into())
+    ("TMPDIR", create_temp_dir().to_str().unwrap().into())
 }
 
 /// A backend refuses connections. With gossip the failed connects to it over the whole fleet fall to a fifth or less, with a
@@ -39,7 +39,7 @@
 fn gossip_reduces_the_failed_connects_to_a_dead_backend_to_a_fifth() {
     const SIZE: usize = 12;
     let live: Vec<BackendServer> = (0..7).map(|_| BackendServer::start(|_| ok("x"))).collect();
-    let dead = Refusing::new();
+    let dead = RefusingPort::new();
     let mut endpoints: Vec<String> = live
         .iter()
         .enumerate()
@@ -52,7 +52,7 @@
         .map(|n| {
             let group = format!(r#""position":{n},"group_size":{SIZE},"#);
             let settings = SETTINGS.replace(r#""position":0,"group_size":1,"#, &group);
-            Proxy::seeded(
+            Proxy::with_seed(
                 n as u64 + 1,
                 &endpoints,
                 &settings,
@@ -74,7 +74,7 @@
         .map(|side| side.join().unwrap());
     let connects = |side: &[Proxy]| {
         side.iter()
-            .map(|p| p.logged("at 7: ConnectFailed"))
+            .map(|p| p.log_count("at 7: ConnectFailed"))
             .sum::<usize>()
     };
     let with = connects(&fleet.proxies);
@@ -92,7 +92,7 @@
         fleet
             .proxies
             .iter()
-            .any(|p| p.logged("on the verdicts of") > 0),
+            .any(|p| p.log_count("on the verdicts of") > 0),
         "no proxy acted on a peer's verdict"
     );
 }
@@ -105,7 +105,7 @@
     let endpoints = [entry("b0", backend.address, "SERVING")];
     let fleet = Fleet::new(3, 3, &endpoints, &[]);
     fleet.until(&[0, 1, 2], 2);
-    let target = fleet.faults.started(0, &fleet.proxies[0].said);
+    let target = fleet.faults.started(0, &fleet.proxies[0].startup_log);
     let valid = fleet.faults.last.lock().unwrap()[&0].clone();
     let mut invalid = vec![
         Vec::new(),
@@ -135,7 +135,7 @@
         if all && status.refused("replayed") + status.refused("stale") >= 10 {
             break status;
         }
-        assert!(begin.elapsed() < PATIENCE, "{}", status.0);
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{}", status.0);
         std::thread::sleep(Duration::from_millis(20));
     };
     assert_eq!(
@@ -145,10 +145,10 @@
         status.0
     );
     assert!(
-        fleet.proxies[0].logged("datagram_refused") > 0,
+        fleet.proxies[0].log_count("datagram_refused") > 0,
         "logged with its cause"
     );
-    assert_eq!(fleet.proxies[0].ask(&read(3.0)).status(), 200);
+    assert_eq!(fleet.proxies[0].request(&read_request(3.0)).status(), 200);
 }
 
 /// Datagrams between two halves are 7 s late, past the maximum age of 5 s: each declares the other down, and no verdict of
@@ -156,7 +156,7 @@
 #[test]
 fn no_verdict_is_used_past_its_maximum_age_and_a_partition_heals() {
     let backend = BackendServer::start(|_| ok("x"));
-    let dead = Refusing::new();
+    let dead = RefusingPort::new();
     let endpoints = [
         entry("b0", backend.address, "SERVING"),
         entry("dead", dead.address(), "SERVING"),
@@ -220,23 +220,23 @@
     eprintln!("two of six declared down after {detected:.1?}");
     assert_eq!(
         fleet.proxies[0]
-            .call("PUT /maintenance/enter?who=b0")
+            .control_request("PUT /maintenance/enter?who=b0")
             .status(),
         200
     );
     fleet.restart(4);
     let begin = Instant::now();
-    while fleet.proxies[4].logged("peer_snapshot_taken") == 0 {
-        assert!(begin.elapsed() < PATIENCE, "no snapshot was restored");
+    while fleet.proxies[4].log_count("peer_snapshot_taken") == 0 {
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no snapshot was restored");
         std::thread::sleep(Duration::from_millis(20));
     }
     fleet.until(&[0, 1, 2, 3, 4], 4);
-    let before = backend.count();
+    let before = backend.request_count();
     for _ in 0..30 {
-        assert_eq!(fleet.proxies[4].ask(&read(3.0)).status(), 200);
+        assert_eq!(fleet.proxies[4].request(&read_request(3.0)).status(), 200);
     }
     assert!(
-        backend.count() > before,
+        backend.request_count() > before,
         "a backend disabled at another proxy is disabled here"
     );
 }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -28,7 +28,7 @@
 /// A proxy that has the one backend, and its open watch.
 fn watching(address: SocketAddr, settings: &str) -> (Proxy, Reply) {
     let known = [entry("b0", address, "SERVING")];
-    let proxy = Proxy::with(&known, 1024, settings);
+    let proxy = Proxy::with_settings(&known, 1024, settings);
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(5, true, &known))).unwrap();
     let (_, watch) = proxy.discovery.call();
@@ -41,10 +41,10 @@
     let patient = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
     let patient = patient.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
     for what in ["moved", "DRAINING", "DELETED"] {
-        let (late, elsewhere) = (Late::start(), Scripted::start());
+        let (late, elsewhere) = (FullBacklog::start(), ScriptedBackend::start());
         let (proxy, watch) = watching(late.address(), &patient);
         let mut client = proxy.client();
-        client.send(&pay(9.0));
+        client.send(&pay_request(9.0));
         std::thread::sleep(Duration::from_millis(100)); // its dial is under way, or begins to the new address
         let (address, status) = if what == "moved" {
             (elsewhere.address, "SERVING")
@@ -52,15 +52,15 @@
             (late.address(), what)
         };
         let _watch = told(&proxy, watch, 6, address, status);
-        let late = late.open();
+        let late = late.start_accepting();
         let wire = late.accept();
         assert_eq!(
-            client.answer().expect("an answer").status(),
+            client.response().expect("an answer").status(),
             503,
             "{what}: it never ran"
         );
         drop(proxy); // an unused connection may be kept till then
-        assert_eq!(wire.rest(), b"", "{what}");
+        assert_eq!(wire.read_until_closed(), b"", "{what}");
     }
 }
 
@@ -76,7 +76,7 @@
         .lines()
         .any(tried)
     {
-        assert!(begun.elapsed() < PATIENCE, "nobody connects to {to}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "nobody connects to {to}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -87,24 +87,24 @@
 fn a_request_whose_backend_drains_before_its_first_byte_is_served_by_another() {
     let patient = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
     let patient = patient.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
-    let (late, other) = (Late::start(), Scripted::start());
+    let (late, other) = (FullBacklog::start(), ScriptedBackend::start());
     let (proxy, watch) = watching(late.address(), &patient);
     let mut client = proxy.client();
-    client.send(&pay(9.0));
+    client.send(&pay_request(9.0));
     dialled(late.address());
     let moved = [
         entry("b0", late.address(), "DRAINING"),
         entry("b1", other.address, "SERVING"),
     ];
     let _watch = told_of(&proxy, watch, 6, &moved);
-    let late = late.open();
+    let late = late.start_accepting();
     let unused = late.accept();
     let mut wire = other.accept();
-    wire.request();
-    wire.answer("own");
-    assert_eq!(client.answer().expect("an answer").body, b"own");
+    wire.next_request();
+    wire.send_response("own");
+    assert_eq!(client.response().expect("an answer").body, b"own");
     drop(proxy); // an unused connection may be kept till then
-    assert_eq!(unused.rest(), b"", "nothing went out on it");
+    assert_eq!(unused.read_until_closed(), b"", "nothing went out on it");
 }
 
 /// An answer that comes after its backend began to drain, was shut and opened again, or moved: the client has it, and
@@ -112,51 +112,55 @@
 #[test]
 fn a_connection_is_kept_only_for_the_backend_as_it_is_now() {
     for reopened in [false, true] {
-        let backend = Scripted::start();
+        let backend = ScriptedBackend::start();
         let (proxy, watch) = watching(backend.address, SETTINGS);
         let mut client = proxy.client();
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         let mut wire = backend.accept();
-        wire.request();
+        wire.next_request();
         let mut watch = told(&proxy, watch, 6, backend.address, "DRAINING");
         if reopened {
             watch = told(&proxy, watch, 7, backend.address, "SERVING");
         }
-        wire.answer("own");
-        assert_eq!(client.answer().expect("an answer").body, b"own");
+        wire.send_response("own");
+        assert_eq!(client.response().expect("an answer").body, b"own");
         if !reopened {
-            assert_eq!(wire.rest(), b"", "not kept");
+            assert_eq!(wire.read_until_closed(), b"", "not kept");
             told(&proxy, watch, 8, backend.address, "SERVING");
             wire = backend_after(&mut client, &backend);
         } else {
-            client.send(&pay(3.0));
+            client.send(&pay_request(3.0));
         }
-        wire.request();
-        wire.answer("next");
+        wire.next_request();
+        wire.send_response("next");
         assert_eq!(
-            client.answer().expect("an answer").body,
+            client.response().expect("an answer").body,
             b"next",
             "reopened {reopened}"
         );
     }
-    let (old, new) = (Scripted::start(), Scripted::start());
+    let (old, new) = (ScriptedBackend::start(), ScriptedBackend::start());
     let (proxy, watch) = watching(old.address, SETTINGS);
     let mut client = proxy.client();
-    client.send(&pay(3.0));
+    client.send(&pay_request(3.0));
     let mut wire = old.accept();
-    wire.request();
+    wire.next_request();
     let _watch = told(&proxy, watch, 6, new.address, "SERVING");
-    wire.answer("own");
-    assert_eq!(client.answer().expect("an answer").body, b"own");
+    wire.send_response("own");
+    assert_eq!(client.response().expect("an answer").body, b"own");
     let mut next = backend_after(&mut client, &new);
-    next.request();
-    next.answer("next");
-    assert_eq!(client.answer().expect("an answer").body, b"next");
-    assert_eq!(wire.rest(), b"", "of no use at the old address");
+    next.next_request();
+    next.send_response("next");
+    assert_eq!(client.response().expect("an answer").body, b"next");
+    assert_eq!(
+        wire.read_until_closed(),
+        b"",
+        "of no use at the old address"
+    );
 }
 
-fn backend_after(client: &mut Client, backend: &Scripted) -> Wire {
-    client.send(&pay(3.0));
+fn backend_after(client: &mut Client, backend: &ScriptedBackend) -> BackendConnection {
+    client.send(&pay_request(3.0));
     backend.accept()
 }
 
@@ -166,12 +170,12 @@
 fn a_slow_client_does_not_stretch_the_idle_limit() {
     const HUGE: usize = 24 << 20;
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
-    let backend = Scripted::start();
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+    let backend = ScriptedBackend::start();
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
     let mut client = proxy.client();
-    client.send(&read(3.0));
+    client.send(&read_request(3.0));
     let mut wire = backend.accept();
-    wire.request();
+    wire.next_request();
     let sending = std::thread::spawn(move || {
         wire.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {HUGE}\r\n\r\n"));
         wire.send(vec![b'z'; HUGE]);
@@ -191,10 +195,10 @@
     }
     let wire = sending.join().unwrap();
     let mut next = backend_after(&mut client, &backend);
-    next.request();
-    next.answer("next");
-    assert_eq!(client.answer().expect("an answer").body, b"next");
-    assert_eq!(wire.rest(), b"");
+    next.next_request();
+    next.send_response("next");
+    assert_eq!(client.response().expect("an answer").body, b"next");
+    assert_eq!(wire.read_until_closed(), b"");
 }
 
 /// A backend that ends, or says half a line, in the very moment in which a request goes out on a warm connection: the
@@ -208,7 +212,10 @@
         (false, "HTTP/1.1 2", false),
         (false, "", true),
     ] {
-        let (backend, other) = (Scripted::start(), BackendServer::start(|_| ok("elsewhere")));
+        let (backend, other) = (
+            ScriptedBackend::start(),
+            BackendServer::start(|_| ok("elsewhere")),
+        );
         let known = [
             entry("b0", backend.address, "SERVING"),
             entry("b1", other.address, "SERVING"),
@@ -218,26 +225,26 @@
         let case = format!("crossing {crossing}, {half:?}, reset {reset}");
         // Until the draw has come upon the scripted one: its first request makes the connection warm.
         let mut wire = loop {
-            client.send(&read(3.0));
-            if let Some(wire) = until(|| backend.accepted(), &client) {
+            client.send(&read_request(3.0));
+            if let Some(wire) = until(|| backend.try_accept(), &client) {
                 break wire;
             }
-            assert_eq!(client.answer().expect("an answer").body, b"elsewhere");
+            assert_eq!(client.response().expect("an answer").body, b"elsewhere");
         };
-        wire.request();
-        wire.answer("warm");
-        assert_eq!(client.answer().expect("an answer").body, b"warm");
+        wire.next_request();
+        wire.send_response("warm");
+        assert_eq!(client.response().expect("an answer").body, b"warm");
         if crossing {
             loop {
-                client.send(&pay(3.0));
-                if until(|| wire.stirs().then_some(()), &client).is_some() {
-                    wire.request();
+                client.send(&pay_request(3.0));
+                if until(|| wire.has_data().then_some(()), &client).is_some() {
+                    wire.next_request();
                     break;
                 }
-                assert_eq!(client.answer().expect("an answer").body, b"elsewhere");
+                assert_eq!(client.response().expect("an answer").body, b"elsewhere");
             }
         }
-        let before = other.count();
+        let before = other.request_count();
         wire.send(half);
         if reset {
             wire.reset();
@@ -245,21 +252,29 @@
             wire.close();
         }
         if crossing {
-            assert_eq!(client.answer().expect("an answer").status(), 502, "{case}");
+            assert_eq!(
+                client.response().expect("an answer").status(),
+                502,
+                "{case}"
+            );
             // Its answer is the last that is done for it: a repeat would have come before.
-            assert_eq!(other.count(), before, "{case}: sent again");
+            assert_eq!(other.request_count(), before, "{case}: sent again");
         } else {
             // None of these fails, wherever it goes.
             for _ in 0..8 {
-                client.send(&pay(3.0));
-                if let Some(mut next) = until(|| backend.accepted(), &client) {
-                    next.request();
-                    next.answer("next");
-                    assert_eq!(client.answer().expect("an answer").body, b"next", "{case}");
+                client.send(&pay_request(3.0));
+                if let Some(mut next) = until(|| backend.try_accept(), &client) {
+                    next.next_request();
+                    next.send_response("next");
+                    assert_eq!(
+                        client.response().expect("an answer").body,
+                        b"next",
+                        "{case}"
+                    );
                     break;
                 }
                 assert_eq!(
-                    client.answer().expect("an answer").body,
+                    client.response().expect("an answer").body,
                     b"elsewhere",
                     "{case}"
                 );
@@ -273,7 +288,7 @@
     let tcp = client.0.get_ref();
     tcp.set_read_timeout(Some(Duration::from_millis(2)))
         .unwrap();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     let came = loop {
         assert!(Instant::now() < end, "neither came");
         if let Some(came) = that() {
@@ -283,6 +298,6 @@
             break None;
         }
     };
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     came
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -23,17 +23,17 @@
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
     let backend =
-        BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
+        BackendServer::start(|_| Reply::Response(200, "Content-Type: text/x", "the body".into()));
     let proxy = one(&backend);
-    let answer = proxy.ask(
+    let answer = proxy.request(
         "POST /vote/k%201?q=%2F HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 00aa\r\nIdempotency-Key: 77\r\n\
          X-Time-Left: 2.5\r\nConnection: x-private\r\nX-Private: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
          3\r\nabc\r\n0\r\n\r\n",
     );
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"the body"[..]));
     assert_eq!(answer.header("content-type"), Some("text/x"));
-    let got = backend.request();
-    assert_eq!(got.first, "POST /vote/k%201?q=%2F HTTP/1.1");
+    let got = backend.next_request();
+    assert_eq!(got.start_line, "POST /vote/k%201?q=%2F HTTP/1.1");
     assert_eq!(
         (
             got.header("x-correlation-id"),
@@ -47,14 +47,14 @@
     );
     let left: f64 = got.header("x-time-left").unwrap().parse().unwrap();
     assert!(left > 0.0 && left < 2.5, "{left}");
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// The module saves up its further attempts from the requests that come: so many pay for several.
 fn warm_up(proxy: &Proxy) {
     let mut client = proxy.client();
     for _ in 0..25 {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
 }
 
@@ -71,18 +71,18 @@
 fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
     type Make = fn() -> Reply;
     let cases: [(&str, Make, f64); 6] = [
-        ("500", || Reply::Answer(500, "", "oops".into()), 3.0),
-        ("reset", || Reply::Reset, 3.0),
-        ("silence", || Reply::Silence, 0.3),
-        ("unlisted", || Reply::Answer(404, "", String::new()), 3.0),
+        ("500", || Reply::Response(500, "", "oops".into()), 3.0),
+        ("reset", || Reply::CloseWithoutResponse, 3.0),
+        ("silence", || Reply::NoResponse, 0.3),
+        ("unlisted", || Reply::Response(404, "", String::new()), 3.0),
         (
             "503 without a word on it",
-            || Reply::Answer(503, "", String::new()),
+            || Reply::Response(503, "", String::new()),
             3.0,
         ),
         (
             "the word on another status",
-            || Reply::Answer(500, "X-Unprocessed: 1", String::new()),
+            || Reply::Response(500, "X-Unprocessed: 1", String::new()),
             3.0,
         ),
     ];
@@ -90,12 +90,12 @@
         let ((a, first), (b, second)) = (turning(reply), turning(reply));
         let proxy = two(&a, &b);
         warm_up(&proxy);
-        let before = a.count() + b.count();
+        let before = a.request_count() + b.request_count();
         first.store(true, SeqCst);
         second.store(true, SeqCst);
-        let status = proxy.ask(&pay(left)).status();
+        let status = proxy.request(&pay_request(left)).status();
         assert!(status == 502 || status == 504, "{what}: {status}");
-        assert_eq!(a.count() + b.count(), before + 1, "{what}");
+        assert_eq!(a.request_count() + b.request_count(), before + 1, "{what}");
     }
 }
 
@@ -103,20 +103,20 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
     for status in [503, 504] {
-        let away = move || Reply::Answer(status, "X-Unprocessed: 1", String::new());
+        let away = move || Reply::Response(status, "X-Unprocessed: 1", String::new());
         let ((away, switch), good) = (turning(away), BackendServer::start(|_| ok("paid")));
         let proxy = two(&away, &good);
         warm_up(&proxy);
         switch.store(true, SeqCst);
-        let (away_before, good_before) = (away.count(), good.count());
+        let (away_before, good_before) = (away.request_count(), good.request_count());
         let mut sent = 0;
-        while away.count() == away_before {
+        while away.request_count() == away_before {
             assert!(sent < 100, "the draw never met it");
-            assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+            assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
             sent += 1;
         }
         assert_eq!(
-            good.count() - good_before,
+            good.request_count() - good_before,
             sent,
             "every one was served once"
         );
@@ -126,7 +126,7 @@
 /// A refused connection never ran either. Nobody sees it, so the draw gets many chances to meet it.
 #[test]
 fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
-    let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
+    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
     let proxy = one(&good);
     warm_up(&proxy);
     let (_, answer) = proxy.discovery.call();
@@ -136,20 +136,20 @@
     ];
     answer.send((200, list(9, true, &both))).unwrap();
     let _hold = proxy.discovery.call(); // by now the list is taken in
-    let before = good.count();
+    let before = good.request_count();
     for _ in 0..30 {
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+        assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
     }
-    assert_eq!(good.count() - before, 30);
+    assert_eq!(good.request_count() - before, 30);
 }
 
 /// A request that is given up is answered then, not at its deadline, and the client is told when to come back.
 #[test]
 fn a_refusal_comes_at_once_and_with_advice() {
-    let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
+    let away = BackendServer::start(|_| Reply::Response(503, "X-Unprocessed: 1", String::new()));
     let proxy = one(&away);
-    for request in [pay(3.0), read(3.0)] {
-        let answer = proxy.ask(&request);
+    for request in [pay_request(3.0), read_request(3.0)] {
+        let answer = proxy.request(&request);
         assert_eq!(answer.status(), 503);
         let advice: f64 = answer
             .header("retry-after")
@@ -162,18 +162,18 @@
 
 #[test]
 fn silence_is_answered_before_the_client_gives_up() {
-    let backend = BackendServer::start(|_| Reply::Silence);
+    let backend = BackendServer::start(|_| Reply::NoResponse);
     let proxy = one(&backend);
     let begun = std::time::Instant::now();
-    let status = proxy.ask(&pay(0.6)).status();
+    let status = proxy.request(&pay_request(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
     assert!(
         begun.elapsed() < Duration::from_secs(3),
         "the client's time counts, not the class's"
     );
-    backend.closed(); // the attempt was given up with it
+    backend.wait_for_close(); // the attempt was given up with it
     assert_eq!(
-        proxy.ask(&read(0.3)).status(),
+        proxy.request(&read_request(0.3)).status(),
         503,
         "a safe one is harmless to repeat"
     );
@@ -181,14 +181,14 @@
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_along() {
-    let backend = BackendServer::start(|_| Reply::Silence);
+    let backend = BackendServer::start(|_| Reply::NoResponse);
     let proxy = one(&backend);
     let mut client = proxy.client();
-    client.send(&read(3.0));
-    backend.request();
+    client.send(&read_request(3.0));
+    backend.next_request();
     drop(client);
-    backend.closed();
-    assert_eq!(backend.count(), 1);
+    backend.wait_for_close();
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -197,7 +197,7 @@
     let proxy = one(&backend);
     let mut client = proxy.client();
     for _ in 0..10 {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     assert_eq!(backend.connections.load(SeqCst), 1);
 }
@@ -205,12 +205,12 @@
 /// A backend may end a kept connection at any time: a request written to it then would count as a reset.
 #[test]
 fn a_connection_that_the_backend_closed_is_not_used_again() {
-    let backend = BackendServer::start(|_| Reply::AnswerAndClose(200, "x".into()));
+    let backend = BackendServer::start(|_| Reply::ResponseAndClose(200, "x".into()));
     let proxy = one(&backend);
     for round in 1..=5 {
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
-        assert_eq!(backend.count(), round);
-        backend.closed();
+        assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
+        assert_eq!(backend.request_count(), round);
+        backend.wait_for_close();
     }
 }
 
@@ -218,10 +218,10 @@
 fn a_connection_is_retired_before_the_backends_idle_limit() {
     let backend = BackendServer::start(|_| ok("x"));
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
-    backend.closed();
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
+    backend.wait_for_close();
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     assert_eq!(backend.connections.load(SeqCst), 2);
 }
 
@@ -232,7 +232,7 @@
         BackendServer::start(|_| ok("new")),
     );
     let proxy = one(&old);
-    assert_eq!(proxy.ask(&read(3.0)).body, b"old");
+    assert_eq!(proxy.request(&read_request(3.0)).body, b"old");
     let (target, answer) = proxy.discovery.call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     let bad = r#"{"name":7},{"name":"x","address":"nowhere","status":"SERVING"}"#.to_string();
@@ -257,7 +257,7 @@
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
         assert_eq!(
-            proxy.ask(&pay(3.0)).body,
+            proxy.request(&pay_request(3.0)).body,
             b"new",
             "nothing new for one that drains"
         );
@@ -285,11 +285,11 @@
     let (target, _hold) = proxy.discovery.call();
     assert!(target.contains("after=3&"), "{target}");
     assert_eq!(
-        proxy.ask(&pay(3.0)).body,
+        proxy.request(&pay_request(3.0)).body,
         b"old",
         "what is absent from the whole list is gone"
     );
-    assert_eq!(old.count(), 2);
+    assert_eq!(old.request_count(), 2);
 }
 
 #[test]
@@ -324,11 +324,11 @@
         // The proxy may answer and close before it has read all of it.
         let _ = client.0.get_mut().write_all(request.as_bytes());
         let answer = client
-            .answer()
+            .response()
             .unwrap_or_else(|| panic!("no answer to {request:.80}"));
         assert_eq!(answer.status(), status, "{request:.80}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     for left in [
         "",
         "X-Time-Left: soon\r\n",
@@ -338,9 +338,9 @@
     ] {
         let request =
             format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
-        assert_eq!(proxy.ask(&request).status(), 200, "{left}");
+        assert_eq!(proxy.request(&request).status(), 200, "{left}");
         let told: f64 = backend
-            .request()
+            .next_request()
             .header("x-time-left")
             .unwrap()
             .parse()
@@ -358,7 +358,7 @@
         (Some("{}"), "name"),
         (Some(sound), "settings"),
     ] {
-        let out = launch(config).output().unwrap();
+        let out = proxy_command(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{config:?}");
         assert!(
@@ -372,20 +372,23 @@
 #[test]
 fn at_the_bound_idle_connections_make_way() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
         .map(|_| {
             let mut client = proxy.client();
-            assert_eq!(client.ask(&read(3.0)).status(), 200);
+            assert_eq!(client.request(&read_request(3.0)).status(), 200);
             client
         })
         .collect();
     for _ in 0..100 {
         let mut client = proxy.client();
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
         idle.push(client);
     }
-    assert!(idle[0].ended(), "the one that was idle longest went first");
+    assert!(
+        idle[0].is_closed(),
+        "the one that was idle longest went first"
+    );
 }
 
 /// A machine that was cut off leaves its connections open: none that was idle meanwhile is trusted again.
@@ -395,22 +398,22 @@
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| match n {
         0 | 1 => Reply::Gate(wait.clone()),
-        2 => Reply::Silence,
+        2 => Reply::NoResponse,
         _ => ok("x"),
     });
     let proxy = one(&backend);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     for client in [&mut first, &mut second] {
-        client.send(&read(3.0));
-        backend.request();
+        client.send(&read_request(3.0));
+        backend.next_request();
     }
     gate.open();
     for client in [&mut first, &mut second] {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.response().expect("an answer").status(), 200);
     }
     assert_eq!(backend.connections.load(SeqCst), 2, "both are idle now");
-    assert_eq!(proxy.ask(&read(0.3)).status(), 503);
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+    assert_eq!(proxy.request(&read_request(0.3)).status(), 503);
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
     assert_eq!(
         backend.connections.load(SeqCst),
         3,
@@ -422,7 +425,7 @@
 #[test]
 fn running_out_of_descriptors_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::launched(
+    let proxy = Proxy::with_descriptor_limit(
         &[entry("b0", backend.address, "SERVING")],
         1024,
         SETTINGS,
@@ -431,17 +434,17 @@
     let mut idle = Vec::new();
     for _ in 0..60 {
         let mut client = proxy.client();
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
         idle.push(client);
     }
-    assert!(idle[0].ended());
+    assert!(idle[0].is_closed());
 }
 
 /// Where every connection holds half of a head, none is idle: after a while they make way all the same.
 #[test]
 fn heads_that_never_end_do_not_shut_others_out() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = proxy.client();
@@ -449,15 +452,15 @@
             client
         })
         .collect();
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
-    assert!(slow[0].ended());
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
+    assert!(slow[0].is_closed());
 }
 
 /// Those that stopped half way make way one by one as room is needed, and not all at the end of their wait.
 #[test]
 fn a_head_that_stopped_makes_way_before_its_time_is_over() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let (half, rest) = (
         "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr",
         "elation-Id: 1\r\n\r\n",
@@ -470,10 +473,13 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(1_200));
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     slow[31].send(rest);
-    assert_eq!(slow[31].answer().expect("it was left alone").status(), 200);
-    assert!(slow[0].ended());
+    assert_eq!(
+        slow[31].response().expect("it was left alone").status(),
+        200
+    );
+    assert!(slow[0].is_closed());
 }
 
 /// A connection that has just come is not the one to make way, though all others are in use.
@@ -488,25 +494,28 @@
             ok("x")
         }
     });
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 72, SETTINGS);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 72, SETTINGS);
     let mut busy: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     for client in &mut busy {
-        client.send(&read(3.0));
-        backend.request();
+        client.send(&read_request(3.0));
+        backend.next_request();
     }
     let mut just_come = proxy.client();
     assert_eq!(
         proxy
-            .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
     just_come.send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
-    assert_eq!(just_come.answer().expect("it was left alone").status(), 200);
+    assert_eq!(
+        just_come.response().expect("it was left alone").status(),
+        200
+    );
     gate.open();
     assert!(busy
         .iter_mut()
-        .all(|client| client.answer().is_some_and(|a| a.status() == 200)));
+        .all(|client| client.response().is_some_and(|a| a.status() == 200)));
 }
 
 /// On SIGTERM what is under way is answered, and so is what comes while clients do not know of it yet.
@@ -526,56 +535,56 @@
     for client in [&mut kept, &mut idle] {
         assert_eq!(
             client
-                .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+                .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
                 .status(),
             200
         );
     }
-    busy.send(&pay(3.0));
-    backend.request();
+    busy.send(&pay_request(3.0));
+    backend.next_request();
     proxy.terminate();
     // Until the signal has arrived there is nothing to see of it: the first answer that says so shows it.
     loop {
-        let answer = proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
+        let answer = proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
         assert_eq!(answer.status(), 200, "connections are still accepted");
         if answer.header("connection") == Some("close") {
             break;
         }
     }
     for client in [&mut kept, &mut proxy.client()] {
-        let answer = client.ask(&pay(2.0));
+        let answer = client.request(&pay_request(2.0));
         assert_eq!(
             (answer.status(), answer.header("connection")),
             (200, Some("close"))
         );
     }
-    assert!(idle.ended(), "an idle connection is closed");
+    assert!(idle.is_closed(), "an idle connection is closed");
     gate.open();
     assert_eq!(
-        busy.answer().expect("the answer that was owed").body,
+        busy.response().expect("the answer that was owed").body,
         b"gated"
     );
-    assert!(busy.ended());
+    assert!(busy.is_closed());
     assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
 fn keyed_requests_are_repeated_under_the_same_key() {
     let ((bad, switch), good) = (
-        turning(|| Reply::Reset),
+        turning(|| Reply::CloseWithoutResponse),
         BackendServer::start(|_| ok("counted")),
     );
     let proxy = two(&bad, &good);
     warm_up(&proxy);
-    while bad.seen.try_recv().is_ok() || good.seen.try_recv().is_ok() {}
+    while bad.events.try_recv().is_ok() || good.events.try_recv().is_ok() {}
     switch.store(true, SeqCst);
-    let before = bad.count();
+    let before = bad.request_count();
     for sent in 0.. {
         assert!(sent < 100, "the draw never met it");
-        assert_eq!(proxy.ask(&vote(3.0)).status(), 200);
-        let served = good.request();
-        if bad.count() > before {
-            let reset = bad.request();
+        assert_eq!(proxy.request(&vote_request(3.0)).status(), 200);
+        let served = good.next_request();
+        if bad.request_count() > before {
+            let reset = bad.next_request();
             assert_eq!(
                 reset.header("idempotency-key"),
                 served.header("idempotency-key")
@@ -603,15 +612,15 @@
         .unwrap();
     let (_, _unanswered) = proxy.discovery.call(); // the watch waits there when the signal comes
     let moved = DiscoveryServer::start();
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
-    std::fs::write(&proxy.config, "{").unwrap();
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
+    std::fs::write(&proxy.config_path, "{").unwrap();
     proxy.signal("-HUP"); // a file that cannot be read changes nothing
-    assert_eq!(proxy.ask(&read(3.0)).body, b"old");
+    assert_eq!(proxy.request(&read_request(3.0)).body, b"old");
     let text = text.replace(
         &proxy.discovery.address.to_string(),
         &moved.address.to_string(),
     );
-    std::fs::write(&proxy.config, text).unwrap();
+    std::fs::write(&proxy.config_path, text).unwrap();
     proxy.signal("-HUP");
     let (call, answer) = moved.call();
     assert_eq!(call, "GET /api/targets HTTP/1.1");
@@ -623,7 +632,7 @@
         call.starts_with("GET /api/targets?after=3&wait_ms="),
         "{call}"
     );
-    assert_eq!(proxy.ask(&read(3.0)).body, b"new");
+    assert_eq!(proxy.request(&read_request(3.0)).body, b"new");
 }
 
 /// Anyone may connect. Who sends nothing, or never ends what it began, is let go; who waits between requests
@@ -632,15 +641,15 @@
 fn peers_that_never_finish_a_request_are_not_waited_for() {
     let backend = BackendServer::start(|_| ok("x"));
     let patient = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":90000000");
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &patient);
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &patient);
     let (mut kept, mut mute, mut half) = (proxy.client(), proxy.client(), proxy.client());
-    assert_eq!(kept.ask(&read(3.0)).status(), 200);
+    assert_eq!(kept.request(&read_request(3.0)).status(), 200);
     half.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
     let mut bodiless = proxy.client();
-    let head = pay(80.0);
+    let head = pay_request(80.0);
     bodiless.send(head.strip_suffix("cash").unwrap());
-    assert_eq!(bodiless.answer().expect("an error").status(), 408);
-    assert!(mute.let_go() && half.let_go());
-    assert_eq!(kept.ask(&read(3.0)).status(), 200);
-    assert_eq!(backend.count(), 2, "nothing of theirs went on");
+    assert_eq!(bodiless.response().expect("an error").status(), 408);
+    assert!(mute.closed_in_time() && half.closed_in_time());
+    assert_eq!(kept.request(&read_request(3.0)).status(), 200);
+    assert_eq!(backend.request_count(), 2, "nothing of theirs went on");
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -17,22 +17,22 @@
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100{extra}}}"#,
         dir.display()
     );
-    Proxy::configured(known, settings, &kept, &[tmp()])
+    Proxy::with_extra_config(known, settings, &kept, &[tmp()])
 }
 
 /// One discovery over all starts, as a snapshot is kept for one deployment; of two keys the last counts.
 const DEPLOYMENT: &str = r#","discovery":"127.0.0.1:9""#;
 
 fn tmp() -> (&'static str, String) {
-    ("TMPDIR", folder().to_str().unwrap().into())
+    ("TMPDIR", create_temp_dir().to_str().unwrap().into())
 }
 
 fn status(proxy: &Proxy) -> u16 {
-    proxy.ask(&read(3.0)).status()
+    proxy.request(&read_request(3.0)).status()
 }
 
 fn snapshots() -> PathBuf {
-    folder().join("kept")
+    create_temp_dir().join("kept")
 }
 
 /// A ban by hand outlives a crash and a `TMPDIR` that starts empty: the snapshot brings it back, in a folder
@@ -50,22 +50,31 @@
     let dir = snapshots();
     let first = start(&known, SETTINGS, &dir, "");
     assert!(
-        first.said.contains("no snapshot: cold start"),
+        first.startup_log.contains("no snapshot: cold start"),
         "{}",
-        first.said
+        first.startup_log
+    );
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
     );
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
     written(&dir);
     drop(first); // SIGKILL
     let named = ("NODE_SNAPSHOT", dir.to_str().unwrap().into());
-    let second = Proxy::configured(&known, SETTINGS, DEPLOYMENT, &[tmp(), named]);
-    assert!(second.said.contains("snapshot taken"), "{}", second.said);
-    let before = a.count();
+    let second = Proxy::with_extra_config(&known, SETTINGS, DEPLOYMENT, &[tmp(), named]);
+    assert!(
+        second.startup_log.contains("snapshot taken"),
+        "{}",
+        second.startup_log
+    );
+    let before = a.request_count();
     for _ in 0..30 {
         assert_eq!(status(&second), 200);
     }
     assert_eq!(
-        a.count(),
+        a.request_count(),
         before,
         "the banned backend got requests after the crash"
     );
@@ -107,10 +116,10 @@
         std::fs::write(dir.join(name), bytes).unwrap();
         let proxy = start(&known, settings, &dir, extra);
         let line = proxy
-            .said
+            .startup_log
             .lines()
             .find(|l| l.contains("snapshot refused, cold start"));
-        let line = line.unwrap_or_else(|| panic!("{cause}: no refusal in {}", proxy.said));
+        let line = line.unwrap_or_else(|| panic!("{cause}: no refusal in {}", proxy.startup_log));
         assert!(
             line.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {line}"
@@ -138,7 +147,7 @@
                         return;
                     };
                     let _ = tcp.set_read_timeout(Some(Duration::from_secs(1)));
-                    let _ = tcp.write_all(pay(3.0).as_bytes());
+                    let _ = tcp.write_all(pay_request(3.0).as_bytes());
                     let _ = Message::read(&mut BufReader::new(tcp));
                 }
             })
@@ -151,9 +160,9 @@
         load.join().unwrap();
         proxy = start(&known, SETTINGS, &dir, "");
         assert!(
-            proxy.said.contains("snapshot taken"),
+            proxy.startup_log.contains("snapshot taken"),
             "round {round}: {}",
-            proxy.said
+            proxy.startup_log
         );
         let whole = file(&dir);
         let parts = std::fs::read_dir(&dir).unwrap().flatten();
@@ -167,11 +176,11 @@
             status(&proxy),
             200,
             "a warm start serves at once: {}",
-            proxy.said
+            proxy.startup_log
         );
     }
-    let ids = backend.seen.try_iter().filter_map(|seen| match seen {
-        Seen::Request(message) => message.header("x-correlation-id").map(String::from),
+    let ids = backend.events.try_iter().filter_map(|seen| match seen {
+        Event::Request(message) => message.header("x-correlation-id").map(String::from),
         _ => None,
     });
     let mut ids: Vec<String> = ids.collect();
@@ -193,20 +202,24 @@
     let dir = snapshots();
     let first = start(&known, SETTINGS, &dir, "");
     let other = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
-    let text = std::fs::read_to_string(&first.config)
+    let text = std::fs::read_to_string(&first.config_path)
         .unwrap()
         .replace(SETTINGS, &other);
-    std::fs::write(&first.config, text).unwrap();
+    std::fs::write(&first.config_path, text).unwrap();
     first.signal("-HUP");
     let begun = std::time::Instant::now();
-    while first.logged("configuration taken") == 0 {
-        assert!(begun.elapsed() < PATIENCE, "never taken");
+    while first.log_count("configuration taken") == 0 {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "never taken");
         std::thread::sleep(Duration::from_millis(20));
     }
     written(&dir);
     drop(first); // SIGKILL
     let second = start(&known, &other, &dir, "");
-    assert!(second.said.contains("snapshot taken"), "{}", second.said);
+    assert!(
+        second.startup_log.contains("snapshot taken"),
+        "{}",
+        second.startup_log
+    );
 }
 
 /// The operators' yes outlives a crash right after it, with nothing but the snapshot: it is written with each ban and
@@ -226,21 +239,31 @@
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
         dir.display()
     );
-    let start = || Proxy::configured(&known, SETTINGS, &seldom, &[tmp()]);
+    let start = || Proxy::with_extra_config(&known, SETTINGS, &seldom, &[tmp()]);
     let first = start();
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     drop(first); // SIGKILL
     let second = start();
-    let before = a.count();
+    let before = a.request_count();
     assert!(
-        (0..30).all(|_| status(&second) == 200) && a.count() == before,
+        (0..30).all(|_| status(&second) == 200) && a.request_count() == before,
         "the ban was forgotten"
     );
-    assert_eq!(second.call("PUT /maintenance/exit?who=b0").status(), 200);
+    assert_eq!(
+        second
+            .control_request("PUT /maintenance/exit?who=b0")
+            .status(),
+        200
+    );
     drop(second); // SIGKILL
     let third = start();
     assert!(
-        (0..60).all(|_| status(&third) == 200) && a.count() > before,
+        (0..60).all(|_| status(&third) == 200) && a.request_count() > before,
         "the ban came back"
     );
 }
@@ -261,20 +284,34 @@
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
         dir.display()
     );
-    let start = || Proxy::configured(&known, SETTINGS, &kept, std::slice::from_ref(&tmp));
+    let start = || Proxy::with_extra_config(&known, SETTINGS, &kept, std::slice::from_ref(&tmp));
     let mut first = start();
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     first.terminate(); // which writes
     assert!(first.child.wait().unwrap().success());
     let before = std::fs::read(file(&dir)).unwrap();
     let second = start();
-    assert_eq!(second.call("PUT /maintenance/exit?who=b0").status(), 200);
+    assert_eq!(
+        second
+            .control_request("PUT /maintenance/exit?who=b0")
+            .status(),
+        200
+    );
     drop(second); // SIGKILL
     std::fs::write(file(&dir), before).unwrap();
     let third = start();
-    assert!(third.said.contains("snapshot taken"), "{}", third.said);
     assert!(
-        (0..60).all(|_| status(&third) == 200) && a.count() > 0,
+        third.startup_log.contains("snapshot taken"),
+        "{}",
+        third.startup_log
+    );
+    assert!(
+        (0..60).all(|_| status(&third) == 200) && a.request_count() > 0,
         "the ban came back"
     );
 }
@@ -303,22 +340,35 @@
         dir.display()
     );
     let start = |tmp: &(&'static str, String)| {
-        let proxy = Proxy::configured(&known, SETTINGS, &kept, &[tmp.clone(), passed.clone()]);
+        let proxy =
+            Proxy::with_extra_config(&known, SETTINGS, &kept, &[tmp.clone(), passed.clone()]);
         proxy.wait_until_serving();
         proxy
     };
     let mut first = start(&tmp());
-    assert_eq!(first.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        first
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     first.terminate();
     assert!(first.child.wait().unwrap().success());
     let (old, new) = (start(&late), start(&late));
     for proxy in [&old, &new] {
-        assert!(proxy.said.contains("snapshot taken"), "{}", proxy.said);
+        assert!(
+            proxy.startup_log.contains("snapshot taken"),
+            "{}",
+            proxy.startup_log
+        );
     }
-    assert_eq!(old.call("PUT /maintenance/exit?who=b0").status(), 200);
+    assert_eq!(
+        old.control_request("PUT /maintenance/exit?who=b0").status(),
+        200
+    );
     drop(old);
     let end = std::time::Instant::now() + Duration::from_secs(5);
-    while a.count() == 0 {
+    while a.request_count() == 0 {
         assert!(
             std::time::Instant::now() < end,
             "the other process was not told"
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -26,7 +26,7 @@
 }
 
 fn log(left: f64) -> String {
-    read(left).replace("GET /read", "GET /log")
+    read_request(left).replace("GET /read", "GET /log")
 }
 
 /// With one more class, or with a number in its place.
@@ -45,16 +45,16 @@
 /// the signal once it runs, and does not wait for a pipe again.
 #[test]
 fn a_signal_before_the_configuration_is_read_does_not_end_the_start() {
-    let at = folder().join("config.json");
+    let at = create_temp_dir().join("config.json");
     pipe(&at);
-    let mut child = launch(None).env("NODE_CONFIG", &at).spawn().unwrap();
+    let mut child = proxy_command(None).env("NODE_CONFIG", &at).spawn().unwrap();
     // Opening for writing waits until the program has opened it for reading.
     let mut file = std::fs::OpenOptions::new().write(true).open(&at).unwrap();
     let kill = std::process::Command::new("kill")
         .args(["-HUP", &child.id().to_string()])
         .status();
     assert!(kill.unwrap().success());
-    let config = told(
+    let config = config_json(
         "127.0.0.1:0",
         "127.0.0.1:9".parse().unwrap(),
         1024,
@@ -85,7 +85,7 @@
     assert!(line.contains("not a file"), "{line}");
     assert_eq!(
         Client::connect(address)
-            .ask("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n")
+            .request("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n")
             .status(),
         200
     );
@@ -98,7 +98,10 @@
 fn what_is_no_configuration_is_told_once_and_changes_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let (at, sound) = (&proxy.config, std::fs::read(&proxy.config).unwrap());
+    let (at, sound) = (
+        &proxy.config_path,
+        std::fs::read(&proxy.config_path).unwrap(),
+    );
     let deny = |at: &Path| {
         std::fs::write(at, &sound).unwrap();
         std::fs::set_permissions(at, std::os::unix::fs::PermissionsExt::from_mode(0o000)).unwrap();
@@ -135,11 +138,11 @@
         put(at);
         proxy.signal("-HUP");
         until("no answer to the signal", || {
-            proxy.logged("configuration not taken") == n + 1
+            proxy.log_count("configuration not taken") == n + 1
         });
-        let line = proxy.lines("configuration not taken").pop().unwrap();
+        let line = proxy.log_lines("configuration not taken").pop().unwrap();
         assert!(line.contains(cause), "{cause}: {line}");
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
     let _ = std::fs::remove_file(at);
     let longest = vec![b' '; (64 << 20) - sound.len()];
@@ -150,10 +153,10 @@
         std::fs::write(at, text).unwrap();
         proxy.signal("-HUP");
         until("a sound one was not taken", || {
-            proxy.logged("configuration taken") == n + 1
+            proxy.log_count("configuration taken") == n + 1
         });
     }
-    assert_eq!(proxy.logged("configuration not taken"), cases.len());
+    assert_eq!(proxy.log_count("configuration not taken"), cases.len());
 }
 
 /// A file that is replaced again and again, in place, with a signal each time: whatever a signal found half written, the
@@ -170,28 +173,28 @@
         }
     });
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let mut open = proxy.client();
-    open.send(&pay(3.0));
-    backend.request();
+    open.send(&pay_request(3.0));
+    backend.next_request();
     for n in 0..6 {
-        std::fs::write(&proxy.config, with_class(&text, &format!("c{n}"))).unwrap();
+        std::fs::write(&proxy.config_path, with_class(&text, &format!("c{n}"))).unwrap();
         proxy.signal("-HUP");
     }
     std::fs::write(
-        &proxy.config,
+        &proxy.config_path,
         with_class(&text, "log").replace(r#""name":"pay""#, r#""name":"owe""#),
     )
     .unwrap();
     proxy.signal("-HUP");
-    until("the last was not taken", || proxy.logged("new log") == 1);
+    until("the last was not taken", || proxy.log_count("new log") == 1);
     gate.open();
-    assert_eq!(open.answer().expect("an answer").body, b"gated");
-    assert_eq!(proxy.ask(&log(3.0)).status(), 200);
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 404);
+    assert_eq!(open.response().expect("an answer").body, b"gated");
+    assert_eq!(proxy.request(&log(3.0)).status(), 200);
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 404);
     assert_eq!(
         proxy
-            .ask(&read(3.0).replace("GET /read", "GET /c5"))
+            .request(&read_request(3.0).replace("GET /read", "GET /c5"))
             .status(),
         404
     );
@@ -212,23 +215,23 @@
         ),
     );
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     std::fs::write(
-        &proxy.config,
+        &proxy.config_path,
         text.replace("\"tenant-7\"", "\"tenant-new\""),
     )
     .unwrap();
     let mut client = proxy.client();
-    client.ask(&read(3.0));
+    client.request(&read_request(3.0));
     proxy.signal("-HUP");
     let mut answered = 0;
-    while proxy.logged("configuration taken") == 0 {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+    while proxy.log_count("configuration taken") == 0 {
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
         answered += 1;
     }
     assert!(answered > 10, "{answered} answers while it was read");
-    let line = proxy.lines("configuration taken").pop().unwrap();
+    let line = proxy.log_lines("configuration taken").pop().unwrap();
     let figure = |name: &str| -> f64 {
         line.split(name)
             .nth(1)
@@ -252,34 +255,34 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = Proxy::operated(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
+    let mut proxy = Proxy::with_control(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
     let mut open = proxy.client();
-    open.send(&pay(3.0));
-    backend.request();
+    open.send(&pay_request(3.0));
+    backend.next_request();
     proxy.terminate();
-    until("it does not end", || proxy.logged("stopping") == 1);
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    until("it does not end", || proxy.log_count("stopping") == 1);
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let shorter = text.replace("\"deadline_us\":3000000", "\"deadline_us\":950000");
     for (n, text) in [&text[..text.len() / 2], &shorter, "", &text]
         .iter()
         .enumerate()
     {
-        std::fs::write(&proxy.config, text).unwrap();
+        std::fs::write(&proxy.config_path, text).unwrap();
         proxy.signal("-HUP");
         until("no answer to the signal", || {
-            proxy.logged("configuration") == n + 1
+            proxy.log_count("configuration") == n + 1
         });
         proxy.signal("-TERM");
         proxy.signal("-INT");
     }
-    assert_eq!(proxy.logged("configuration taken"), 2);
+    assert_eq!(proxy.log_count("configuration taken"), 2);
     gate.open();
     assert_eq!(
-        open.answer().expect("the answer that was owed").body,
+        open.response().expect("the answer that was owed").body,
         b"gated"
     );
     assert!(proxy.child.wait().unwrap().success());
-    assert_eq!(proxy.logged("stopping"), 1);
+    assert_eq!(proxy.log_count("stopping"), 1);
 }
 
 /// Limits that shrink under open requests: they end as they came, and those that rest make way.
@@ -290,26 +293,27 @@
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut open: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
-    open.iter_mut().for_each(|client| client.send(&pay(3.0)));
-    (0..4).for_each(|_| drop(backend.request()));
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    open.iter_mut()
+        .for_each(|client| client.send(&pay_request(3.0)));
+    (0..4).for_each(|_| drop(backend.next_request()));
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let text = text
         .replace("\"sockets\":1024", "\"sockets\":68")
         .replace(r#"{"name":"north","quota_rps":500.0}"#, "");
     std::fs::write(
-        &proxy.config,
+        &proxy.config_path,
         text.replace("\"max_attempts\":4", "\"max_attempts\":1"),
     )
     .unwrap();
     proxy.signal("-HUP");
-    until("not taken", || proxy.logged("configuration taken") == 1);
+    until("not taken", || proxy.log_count("configuration taken") == 1);
     gate.open();
     for client in &mut open {
-        assert_eq!(client.answer().expect("an answer").body, b"gated");
+        assert_eq!(client.response().expect("an answer").body, b"gated");
     }
-    let named = read(3.0).replace("\r\n\r\n", "\r\nX-Account: north\r\n\r\n");
+    let named = read_request(3.0).replace("\r\n\r\n", "\r\nX-Account: north\r\n\r\n");
     assert_eq!(
-        proxy.ask(&named).status(),
+        proxy.request(&named).status(),
         200,
         "a tenant that is no more is a stranger"
     );
@@ -325,18 +329,21 @@
     );
     let mut proxy = Proxy::start(&[]);
     let mut open = proxy.client();
-    open.send(&pay(3.0));
+    open.send(&pay_request(3.0));
     let (_, answer) = proxy.discovery.call();
     proxy.terminate();
-    until("it does not end", || proxy.logged("stopping") == 1);
+    until("it does not end", || proxy.log_count("stopping") == 1);
     let told = [
         entry("b0", drained.address, "DRAINING"),
         entry("b1", new.address, "SERVING"),
     ];
     answer.send((200, list(9, true, &told))).unwrap();
-    assert_eq!(open.answer().expect("the answer that is owed").body, b"new");
+    assert_eq!(
+        open.response().expect("the answer that is owed").body,
+        b"new"
+    );
     assert!(proxy.child.wait().unwrap().success());
-    assert_eq!(drained.count(), 0);
+    assert_eq!(drained.request_count(), 0);
 }
 
 /// Discovery moves while an answer of the old address is on its way: one that comes behind the new address's list and is
@@ -354,15 +361,15 @@
         ]
     };
     let proxy = Proxy::start(&[entry("b0", old.address, "SERVING")]);
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let (first, second) = (
         proxy.discovery.address.to_string(),
         DiscoveryServer::start(),
     );
-    let move_to = |to: &str, times: usize| {
-        std::fs::write(&proxy.config, text.replace(&first, to)).unwrap();
+    let move_to = |to: &str, n: usize| {
+        std::fs::write(&proxy.config_path, text.replace(&first, to)).unwrap();
         proxy.signal("-HUP");
-        until("not taken", || proxy.logged("configuration taken") == times);
+        until("not taken", || proxy.log_count("configuration taken") == n);
     };
     let (_, answer) = proxy.discovery.call();
     answer
@@ -381,15 +388,15 @@
         .send((200, list(7, true, &[entry("b0", old.address, "SERVING")])))
         .unwrap();
     until("the answer was not read", || {
-        proxy.discovery.ended.load(SeqCst) == 1
+        proxy.discovery.closed_connections.load(SeqCst) == 1
     });
-    let before = old.count();
-    let all = |body: &[u8]| (0..20).all(|_| proxy.ask(&pay(3.0)).body == body);
+    let before = old.request_count();
+    let all = |body: &[u8]| (0..20).all(|_| proxy.request(&pay_request(3.0)).body == body);
     assert!(
         all(b"new"),
         "an older answer brought a draining backend back"
     );
-    assert_eq!(old.count(), before);
+    assert_eq!(old.request_count(), before);
     move_to(&first, 2);
     let (target, _silent) = proxy.discovery.call();
     assert_eq!(
@@ -400,7 +407,7 @@
         .send((200, list(12, true, &at("SERVING", "DRAINING"))))
         .unwrap();
     until("a newer answer was dropped", || {
-        proxy.logged("answered a call late, with 12") == 1
+        proxy.log_count("answered a call late, with 12") == 1
     });
     assert!(all(b"old"));
 }
--- a/tests/restart_soak.rs
+++ b/tests/restart_soak.rs
@@ -168,7 +168,9 @@
             });
         let sent = match behaviour {
             Behaviour::HangsFromSignal if run.signalled.load(Ordering::SeqCst) => continue,
-            Behaviour::Resets if request.first.starts_with("POST /pay") && draws.chance(30) => {
+            Behaviour::Resets
+                if request.start_line.starts_with("POST /pay") && draws.chance(30) =>
+            {
                 count(&run.resets);
                 return;
             }
@@ -270,9 +272,9 @@
 fn exchange(run: &Run, mut connection: Connection, draws: &mut Draws) -> Option<Connection> {
     let seconds = draws.between(5, 30) as f64 / 10.0;
     let request = match draws.below(10) {
-        0..=5 => read(seconds),
-        6..=7 => vote(seconds),
-        _ => pay(seconds),
+        0..=5 => read_request(seconds),
+        6..=7 => vote_request(seconds),
+        _ => pay_request(seconds),
     };
     let id = header_of(&request, "X-Correlation-Id: ").to_string();
     if request.starts_with("POST /pay") {
@@ -295,7 +297,7 @@
         count(&run.abandoned);
         return None;
     }
-    let Some(answer) = connection.client.answer() else {
+    let Some(answer) = connection.client.response() else {
         check_unanswered(run, &connection, &id, begun);
         return None;
     };
@@ -373,8 +375,8 @@
 
 impl Place {
     fn start(&self) -> Proxy {
-        let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
-        Proxy::placed(
+        let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
+        Proxy::with_addresses(
             &self.listen.to_string(),
             self.discovery,
             &self.known,
@@ -483,7 +485,7 @@
     if took > READY_WITHIN {
         run.breaks(format!("the next process was ready after {took:?}"));
     }
-    if proxy.ask(READY).status() != 200 {
+    if proxy.request(READY).status() != 200 {
         run.breaks("the next process was not ready".into());
     }
 }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -30,9 +30,9 @@
 
 impl Seat {
     fn start(&self) -> Proxy {
-        let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
+        let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
         let kept = ("NODE_SNAPSHOT", self.kept.to_str().unwrap().to_string());
-        Proxy::placed(
+        Proxy::with_addresses(
             &self.listen,
             self.discovery,
             &self.known,
@@ -49,7 +49,7 @@
         move || {
             let begun = Instant::now();
             let proxy = seat.start();
-            let ready = proxy.ask("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n");
+            let ready = proxy.request("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n");
             assert_eq!(ready.status(), 200);
             (proxy, begun.elapsed())
         }
@@ -74,7 +74,7 @@
         known: (n % 2..1)
             .map(|_| entry("b0", backend.address, "SERVING"))
             .collect(),
-        kept: folder().join("kept"),
+        kept: create_temp_dir().join("kept"),
         settings: SETTINGS.into(),
     };
     (0..FLEET).map(seat).collect()
@@ -88,9 +88,9 @@
 
 /// Until each one serves.
 fn serving(proxies: &[Proxy]) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     for proxy in proxies {
-        while proxy.ask(&read(3.0)).status() != 200 {
+        while proxy.request(&read_request(3.0)).status() != 200 {
             assert!(Instant::now() < end, "a list that was told never counted");
         }
     }
@@ -104,7 +104,7 @@
 /// settings: ready at once, and serving once discovery is back in the middle of it.
 #[test]
 fn after_a_kill_with_discovery_down_and_unfit_snapshots_all_are_ready() {
-    let (backend, down) = (backend(), Refusing::new());
+    let (backend, down) = (backend(), RefusingPort::new());
     let mut seats = seats(down.address(), &backend);
     let (proxies, took) = started(&seats);
     told("first start", took);
@@ -125,13 +125,13 @@
     let causes = ["snapshot taken", "truncated", "checksum", "settings"];
     for (n, proxy) in proxies.iter().enumerate() {
         assert!(
-            proxy.said.contains(causes[n % 4]),
+            proxy.startup_log.contains(causes[n % 4]),
             "{}: {}",
             causes[n % 4],
-            proxy.said
+            proxy.startup_log
         );
     }
-    let served = |p: &&Proxy| p.ask(&read(0.3)).status() == 200;
+    let served = |p: &&Proxy| p.request(&read_request(0.3)).status() == 200;
     assert_eq!(
         proxies.iter().filter(served).count(),
         FLEET / 2,
@@ -154,7 +154,9 @@
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(call) = Message::read(&mut reader) {
-                        if call.first.contains("wait_ms=") && !call.first.contains("wait_ms=0") {
+                        if call.start_line.contains("wait_ms=")
+                            && !call.start_line.contains("wait_ms=0")
+                        {
                             std::thread::sleep(Duration::from_secs(1)); // no news
                         }
                         let _one = turn.lock().unwrap();
@@ -205,33 +207,34 @@
         .collect();
     let (mut old, _) = started(&seats);
     let mut open: Vec<Client> = old.iter().map(Proxy::client).collect();
-    open.iter_mut().for_each(|client| client.send(&pay(30.0)));
-    open.iter().for_each(|_| drop(backend.request()));
+    open.iter_mut()
+        .for_each(|client| client.send(&pay_request(30.0)));
+    open.iter().for_each(|_| drop(backend.next_request()));
     // Held, each listens until its new process has met it, whatever the machine does.
-    old.iter().for_each(Proxy::hold);
+    old.iter().for_each(Proxy::suspend);
     old.iter().for_each(Proxy::terminate);
     let starting = std::thread::spawn(move || started(&seats));
     let own =
         |line: &&str| line.contains(MET) && listen.iter().any(|at| line.contains(at.as_str()));
-    let end = Instant::now() + PATIENCE;
-    while STARTING.lock().unwrap().lines().filter(own).count() < FLEET {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while STARTUP_LOGS.lock().unwrap().lines().filter(own).count() < FLEET {
         assert!(
             Instant::now() < end,
             "not every new process met its old one"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    old.iter().for_each(Proxy::go_on);
+    old.iter().for_each(Proxy::resume);
     let (new, took) = starting.join().unwrap();
     told("told to end, discovery silent", took);
     assert!(
-        new.iter().all(|p| p.said.matches(MET).count() == 1),
+        new.iter().all(|p| p.startup_log.matches(MET).count() == 1),
         "it says so once"
     );
     gate.open();
     for (client, old) in open.iter_mut().zip(&mut old) {
         assert_eq!(
-            client.answer().expect("the answer that was owed").body,
+            client.response().expect("the answer that was owed").body,
             b"gated"
         );
         assert!(old.child.wait().unwrap().success());
@@ -245,7 +248,7 @@
     let at = held.local_addr().unwrap().to_string();
     let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let begun = Instant::now();
-    let out = launch(Some(&told_to_listen(&at, nowhere)))
+    let out = proxy_command(Some(&told_to_listen(&at, nowhere)))
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
@@ -258,5 +261,5 @@
 }
 
 fn told_to_listen(at: &str, discovery: SocketAddr) -> String {
-    rig::told(at, discovery, 1024, &[], SETTINGS)
+    rig::config_json(at, discovery, 1024, &[], SETTINGS)
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -7,44 +7,48 @@
 use std::time::{Duration, Instant};
 
 /// Two backends that are one listener, so that the test sees every request wherever it goes.
-fn pair(settings: &str) -> (Scripted, Proxy) {
-    let backend = Scripted::start();
+fn pair(settings: &str) -> (ScriptedBackend, Proxy) {
+    let backend = ScriptedBackend::start();
     let known = [
         entry("b0", backend.address, "SERVING"),
         entry("b1", backend.address, "SERVING"),
     ];
-    let proxy = Proxy::with(&known, 1024, settings);
+    let proxy = Proxy::with_settings(&known, 1024, settings);
     (backend, proxy)
 }
 
 /// The connection on which the next request comes, or none where the client has an answer first.
-fn next(backend: &Scripted, wires: &mut Vec<Wire>, client: &Client) -> Option<Wire> {
+fn next(
+    backend: &ScriptedBackend,
+    wires: &mut Vec<BackendConnection>,
+    client: &Client,
+) -> Option<BackendConnection> {
     let tcp = client.0.get_ref().try_clone().unwrap();
     tcp.set_read_timeout(Some(Duration::from_millis(2)))
         .unwrap();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     let came = loop {
         assert!(Instant::now() < end, "neither a request nor an answer");
-        wires.extend(backend.accepted());
-        if let Some(at) = wires.iter().position(Wire::stirs) {
+        wires.extend(backend.try_accept());
+        if let Some(at) = wires.iter().position(BackendConnection::has_data) {
             break Some(wires.remove(at));
         }
         if tcp.peek(&mut [0]).is_ok() {
             break None;
         }
     };
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     came
 }
 
 /// Requests that are served, so that the module has attempts to spare.
-fn warm_up(backend: &Scripted, wires: &mut Vec<Wire>, client: &mut Client) {
+fn warm_up(backend: &ScriptedBackend, wires: &mut Vec<BackendConnection>, client: &mut Client) {
     for _ in 0..25 {
-        client.send(&read(3.0));
+        client.send(&read_request(3.0));
         let mut wire = next(backend, wires, client).expect("a request");
-        wire.request();
-        wire.answer("x");
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        wire.next_request();
+        wire.send_response("x");
+        assert_eq!(client.response().expect("an answer").status(), 200);
         wires.push(wire);
     }
 }
@@ -62,18 +66,18 @@
         let (backend, proxy) = pair(SETTINGS);
         let (mut client, mut wires) = (proxy.client(), Vec::new());
         warm_up(&backend, &mut wires, &mut client);
-        client.send(&read(3.0));
+        client.send(&read_request(3.0));
         let mut first = next(&backend, &mut wires, &client).expect("a request");
-        first.request();
-        let text = std::fs::read_to_string(&proxy.config).unwrap();
+        first.next_request();
+        let text = std::fs::read_to_string(&proxy.config_path).unwrap();
         std::fs::write(
-            &proxy.config,
+            &proxy.config_path,
             text.replacen(r#""effect":"free""#, effect, 1),
         )
         .unwrap();
         proxy.signal("-HUP");
-        let end = Instant::now() + PATIENCE;
-        while proxy.logged("configuration taken") == 0 {
+        let end = Instant::now() + TEST_TIMEOUT;
+        while proxy.log_count("configuration taken") == 0 {
             assert!(Instant::now() < end, "the settings were not taken");
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -82,14 +86,14 @@
         assert_eq!(second.is_some(), repeated, "{effect}");
         let status = match second {
             Some(mut second) => {
-                second.request();
-                second.answer("own");
+                second.next_request();
+                second.send_response("own");
                 200
             }
             None => 502,
         };
         assert_eq!(
-            client.answer().expect("an answer").status(),
+            client.response().expect("an answer").status(),
             status,
             "{effect}"
         );
@@ -104,23 +108,29 @@
         let (backend, proxy) = pair(&settings);
         let (mut client, mut wires) = (proxy.client(), Vec::new());
         warm_up(&backend, &mut wires, &mut client);
-        client.send(&vote(3.0));
+        client.send(&vote_request(3.0));
         let mut first = next(&backend, &mut wires, &client).expect("a request");
-        let key = first.request().header("idempotency-key").map(String::from);
+        let key = first
+            .next_request()
+            .header("idempotency-key")
+            .map(String::from);
         std::thread::sleep(Duration::from_millis(wait)); // it was dispatched before
         first.reset();
         let second = next(&backend, &mut wires, &client);
         if !repeated {
             assert!(second.is_none(), "repeated after its window");
-            assert!(client.answer().expect("an answer").status() >= 500);
+            assert!(client.response().expect("an answer").status() >= 500);
         } else if let Some(mut second) = second {
             // Unless this machine took longer than the window for it.
             assert_eq!(
-                second.request().header("idempotency-key").map(String::from),
+                second
+                    .next_request()
+                    .header("idempotency-key")
+                    .map(String::from),
                 key
             );
-            second.answer("own");
-            assert_eq!(client.answer().expect("an answer").body, b"own");
+            second.send_response("own");
+            assert_eq!(client.response().expect("an answer").body, b"own");
         }
     }
 }
@@ -133,24 +143,24 @@
     let (mut client, mut wires) = (proxy.client(), Vec::new());
     warm_up(&backend, &mut wires, &mut client);
     for step in 0..30u64 {
-        client.send(&pay(0.06));
+        client.send(&pay_request(0.06));
         let Some(mut wire) = next(&backend, &mut wires, &client) else {
-            client.answer().expect("an answer");
+            client.response().expect("an answer");
             continue;
         };
-        wire.request();
+        wire.next_request();
         // From well before the proxy's last moment to well after it, across it.
         std::thread::sleep(Duration::from_millis(35 + step));
         use std::io::Write;
-        let _ = wire.0.get_mut().write_all(answer("own").as_bytes());
-        let got = client.answer().expect("an answer");
+        let _ = wire.0.get_mut().write_all(ok_response("own").as_bytes());
+        let got = client.response().expect("an answer");
         assert!(got.status() != 200 || got.body == b"own", "{got:?}");
         if got.status() == 200 {
             wires.push(wire);
         }
         assert_eq!(
             proxy
-                .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+                .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
                 .status(),
             200
         );
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -4,8 +4,8 @@
 use super::faults::Faults;
 use super::holdings::{self, Incarnation};
 use super::{
-    entry, folder, pay, read, Arc, BufReader, Client, Duration, Message, Mutex, Ordering, Proxy,
-    SocketAddr, TcpListener, TcpStream, Write, PATIENCE, SETTINGS,
+    create_temp_dir, entry, pay_request, read_request, Arc, BufReader, Client, Duration, Message,
+    Mutex, Ordering, Proxy, SocketAddr, TcpListener, TcpStream, Write, SETTINGS, TEST_TIMEOUT,
 };
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -36,7 +36,10 @@
 
 impl Status {
     pub fn of(proxy: &Proxy) -> Status {
-        Status(serde_json::from_slice(&proxy.call("GET /peers").body).expect("JSON at the door"))
+        Status(
+            serde_json::from_slice(&proxy.control_request("GET /peers").body)
+                .expect("JSON at the door"),
+        )
     }
     pub fn members(&self) -> usize {
         self.0["members"].as_array().unwrap().len()
@@ -131,16 +134,16 @@
         let peers = format!(
             r#","peers":{{"listen":"127.0.0.1:0","advertise":"{own}","cluster":"test","seeds":[{seeds}]{age}}}"#
         );
-        let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
+        let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
         let variables = [&self.variables[..], &[tmp]].concat();
-        let proxy = Proxy::seeded(
+        let proxy = Proxy::with_seed(
             n as u64 + 1,
             &self.known,
             &settings,
             &(peers + &duties + &self.more),
             &variables,
         );
-        faults.started(n, &proxy.said);
+        faults.started(n, &proxy.startup_log);
         proxy
     }
 }
@@ -184,7 +187,7 @@
             .any(|n| Status::of(&self.proxies[*n]).members() != others)
         {
             assert!(
-                begun.elapsed() < 3 * PATIENCE,
+                begun.elapsed() < 3 * TEST_TIMEOUT,
                 "not {others} others at each of {of:?}"
             );
             std::thread::sleep(Duration::from_millis(50));
@@ -261,7 +264,7 @@
             if let Some(got) = done(self) {
                 return got;
             }
-            assert!(begun.elapsed() < 2 * PATIENCE, "waited in vain: {what}");
+            assert!(begun.elapsed() < 2 * TEST_TIMEOUT, "waited in vain: {what}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -396,12 +399,12 @@
             "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        Client::connect(self.proxies[n].control.expect("a door")).ask(&(head + body))
+        Client::connect(self.proxies[n].control_address.expect("a door")).request(&(head + body))
     }
 
     /// What a call answers, as JSON.
     pub fn json(&self, n: usize, path: &str) -> serde_json::Value {
-        serde_json::from_slice(&self.proxies[n].call(&format!("GET {path}")).body)
+        serde_json::from_slice(&self.proxies[n].control_request(&format!("GET {path}")).body)
             .expect("JSON at the door")
     }
 }
@@ -438,7 +441,7 @@
 }
 
 fn log(proxy: &Proxy) -> String {
-    proxy.said.clone() + &proxy.lines("").join("\n")
+    proxy.startup_log.clone() + &proxy.log_lines("").join("\n")
 }
 
 /// A backend that writes down every request, with its time, and says in its answer who it is and what was asked.
@@ -586,7 +589,11 @@
                 continue;
             }
             let once = asked.len() % 2 == 1;
-            let request = if once { pay(3.0) } else { read(3.0) };
+            let request = if once {
+                pay_request(3.0)
+            } else {
+                read_request(3.0)
+            };
             let id = request
                 .split("X-Correlation-Id: ")
                 .nth(1)
@@ -597,7 +604,7 @@
                 .take()
                 .unwrap_or_else(|| Client::connect(*place.at.lock().unwrap()));
             let sent = at.0.get_mut().write_all(request.as_bytes()).is_ok();
-            let answer = sent.then(|| at.answer()).flatten();
+            let answer = sent.then(|| at.response()).flatten();
             let took = mono_us() - begun;
             let (status, body) = answer
                 .as_ref()
@@ -627,7 +634,10 @@
             .iter()
             .any(|n| !self.places[*n].idle.load(Ordering::SeqCst))
         {
-            assert!(begun.elapsed() < PATIENCE, "a client never had its answer");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "a client never had its answer"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
--- a/tests/rig/kept.rs
+++ b/tests/rig/kept.rs
@@ -1,6 +1,6 @@
 //! Folders of snapshots, as the tests look into them.
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
@@ -26,7 +26,7 @@
 
 /// Waits until there is one.
 pub fn first(dir: &Path) -> PathBuf {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while files(dir).is_empty() {
         assert!(Instant::now() < end, "no snapshot was written");
         std::thread::sleep(Duration::from_millis(5));
@@ -36,7 +36,7 @@
 
 /// Waits until a snapshot was begun after this moment and is whole.
 pub fn written(dir: &Path) {
-    let (asked, end) = (SystemTime::now(), Instant::now() + PATIENCE);
+    let (asked, end) = (SystemTime::now(), Instant::now() + TEST_TIMEOUT);
     let mut changes = BTreeSet::new();
     while changes.len() < 2 {
         assert!(Instant::now() < end, "no snapshot was written");
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -18,12 +18,12 @@
 pub mod scripted;
 
 /// No wait in these tests is meant to last as long: it only ends a test that would hang.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A request or an answer as it came.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -36,7 +36,7 @@
             .map(|h| h.1.as_str())
     }
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
@@ -50,7 +50,7 @@
             (read > 0).then(|| text.trim_end().to_string())
         };
         let mut message = Message {
-            first: line()?,
+            start_line: line()?,
             ..Message::default()
         };
         loop {
@@ -64,7 +64,7 @@
             .header("transfer-encoding")
             .is_some_and(|v| v.eq_ignore_ascii_case("chunked"))
         {
-            while message.chunk(from)? {}
+            while message.read_chunk(from)? {}
             return Some(message);
         }
         let length = message
@@ -76,7 +76,7 @@
         Some(message)
     }
     /// Takes one chunk; whether more come.
-    fn chunk(&mut self, from: &mut impl BufRead) -> Option<bool> {
+    fn read_chunk(&mut self, from: &mut impl BufRead) -> Option<bool> {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
         let length = usize::from_str_radix(line.trim_end(), 16).ok()?;
@@ -92,19 +92,19 @@
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// A status, a header line or none, a body.
-    Answer(u16, &'static str, String),
+    Response(u16, &'static str, String),
     /// The same, and the connection is closed without a word of it.
-    AnswerAndClose(u16, String),
+    ResponseAndClose(u16, String),
     /// The connection ends after the whole request.
-    Reset,
+    CloseWithoutResponse,
     /// Nothing, until the proxy gives up.
-    Silence,
+    NoResponse,
     /// Nothing until the gate opens, then 200.
     Gate(Arc<Gate>),
 }
 
 pub fn ok(body: &str) -> Reply {
-    Reply::Answer(200, "", body.into())
+    Reply::Response(200, "", body.into())
 }
 
 /// Opened once, for all that wait.
@@ -119,13 +119,13 @@
     pub fn wait(&self) {
         let _ = self
             .1
-            .wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open)
+            .wait_timeout_while(self.0.lock().unwrap(), TEST_TIMEOUT, |open| !*open)
             .unwrap();
     }
 }
 
 #[derive(Debug)]
-pub enum Seen {
+pub enum Event {
     Connected,
     Request(Message),
     /// A connection ended, from either side.
@@ -134,7 +134,7 @@
 
 pub struct BackendServer {
     pub address: SocketAddr,
-    pub seen: mpsc::Receiver<Seen>,
+    pub events: mpsc::Receiver<Event>,
     pub connections: Arc<AtomicU32>,
     pub requests: Arc<AtomicU32>,
 }
@@ -149,25 +149,25 @@
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(Seen::Connected);
+                let _ = tell.send(Event::Connected);
                 let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
                 std::thread::spawn(move || serve(tcp, &tell, &count, &*reply));
             }
         });
         BackendServer {
             address,
-            seen,
+            events: seen,
             connections,
             requests,
         }
     }
 
     /// Waits for the next request.
-    pub fn request(&self) -> Message {
+    pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) = self
-                .seen
-                .recv_timeout(PATIENCE)
+            if let Event::Request(message) = self
+                .events
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("a request at the backend")
             {
                 return message;
@@ -176,23 +176,23 @@
     }
 
     /// Waits until a connection ends.
-    pub fn closed(&self) {
+    pub fn wait_for_close(&self) {
         while !matches!(
-            self.seen
-                .recv_timeout(PATIENCE)
+            self.events
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("a closed connection"),
-            Seen::Closed
+            Event::Closed
         ) {}
     }
 
-    pub fn count(&self) -> u32 {
+    pub fn request_count(&self) -> u32 {
         self.requests.load(Ordering::SeqCst)
     }
 }
 
 fn serve(
     tcp: TcpStream,
-    tell: &mpsc::Sender<Seen>,
+    tell: &mpsc::Sender<Event>,
     count: &AtomicU32,
     reply: &dyn Fn(u32) -> Reply,
 ) {
@@ -200,7 +200,7 @@
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(Seen::Request(message));
+        let _ = tell.send(Event::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() {
                 String::new()
@@ -213,14 +213,14 @@
             out.write_all(text.as_bytes()).is_ok()
         };
         let go_on = match reply(number) {
-            Reply::Answer(status, header, body) => send(status, header, &body),
-            Reply::AnswerAndClose(status, body) => {
+            Reply::Response(status, header, body) => send(status, header, &body),
+            Reply::ResponseAndClose(status, body) => {
                 send(status, "", &body);
                 let _ = out.shutdown(std::net::Shutdown::Both);
                 false
             }
-            Reply::Reset => false,
-            Reply::Silence => true,
+            Reply::CloseWithoutResponse => false,
+            Reply::NoResponse => true,
             Reply::Gate(gate) => {
                 gate.wait();
                 send(200, "", "gated")
@@ -230,19 +230,19 @@
             break;
         }
     }
-    let _ = tell.send(Seen::Closed);
+    let _ = tell.send(Event::Closed);
 }
 
 /// A port on which nobody listens: connections to it are refused for as long as it is held.
-pub struct Refusing(socket2::Socket);
+pub struct RefusingPort(socket2::Socket);
 
-impl Refusing {
-    pub fn new() -> Refusing {
+impl RefusingPort {
+    pub fn new() -> RefusingPort {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
-        Refusing(socket)
+        RefusingPort(socket)
     }
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
@@ -272,16 +272,16 @@
 pub struct DiscoveryServer {
     pub address: SocketAddr,
     /// Connections that the proxy ended.
-    pub ended: Arc<AtomicU32>,
+    pub closed_connections: Arc<AtomicU32>,
     calls: mpsc::Receiver<(String, mpsc::Sender<(u16, String)>)>,
 }
 
 impl DiscoveryServer {
     pub fn start() -> DiscoveryServer {
-        DiscoveryServer::on(TcpListener::bind("127.0.0.1:0").unwrap())
+        DiscoveryServer::start_on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    pub fn on(listener: TcpListener) -> DiscoveryServer {
+    pub fn start_on(listener: TcpListener) -> DiscoveryServer {
         let address = listener.local_addr().unwrap();
         let (tell, calls) = mpsc::channel();
         let ended = Arc::new(AtomicU32::new(0));
@@ -293,7 +293,7 @@
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
                         let (answer, wait) = mpsc::channel::<(u16, String)>();
-                        if tell.send((message.first, answer)).is_err() {
+                        if tell.send((message.start_line, answer)).is_err() {
                             return;
                         }
                         let Ok((status, body)) = wait.recv() else {
@@ -312,20 +312,20 @@
         });
         DiscoveryServer {
             address,
-            ended,
+            closed_connections: ended,
             calls,
         }
     }
 
     /// The call that waits, if one does.
-    pub fn waiting(&self) -> Option<(String, mpsc::Sender<(u16, String)>)> {
+    pub fn pending_call(&self) -> Option<(String, mpsc::Sender<(u16, String)>)> {
         self.calls.try_recv().ok()
     }
 
     /// The next call, and where its answer goes.
     pub fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
         self.calls
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a call to discovery")
     }
 }
@@ -344,7 +344,7 @@
 static NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// What all programs logged until they listened, also those that do not yet.
-pub static STARTING: Mutex<String> = Mutex::new(String::new());
+pub static STARTUP_LOGS: Mutex<String> = Mutex::new(String::new());
 
 /// The program, with a configuration of its own.
 pub struct Proxy {
@@ -352,36 +352,50 @@
     pub address: SocketAddr,
     pub discovery: DiscoveryServer,
     /// The file that it was told to read.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
     /// The operators' door, where it has one.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// What it logged until it listened.
-    pub said: String,
+    pub startup_log: String,
     /// All that it logged since.
     log: Arc<Mutex<String>>,
 }
 
 impl Proxy {
     pub fn start(known: &[String]) -> Proxy {
-        Proxy::with(known, 1024, SETTINGS)
+        Proxy::with_settings(known, 1024, SETTINGS)
     }
 
-    pub fn with(known: &[String], sockets: u32, settings: &str) -> Proxy {
-        Proxy::launched(known, sockets, settings, 1024)
+    pub fn with_settings(known: &[String], sockets: u32, settings: &str) -> Proxy {
+        Proxy::with_descriptor_limit(known, sockets, settings, 1024)
     }
 
     /// With a limit on descriptors that need not be the one it is told.
-    pub fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
+    pub fn with_descriptor_limit(
+        known: &[String],
+        sockets: u32,
+        settings: &str,
+        descriptors: u32,
+    ) -> Proxy {
         let discovery = DiscoveryServer::start();
-        let config = told("127.0.0.1:0", discovery.address, sockets, known, settings);
-        Proxy::run(limited(Some(&config), descriptors), discovery)
+        let config = config_json("127.0.0.1:0", discovery.address, sockets, known, settings);
+        Proxy::run(
+            command_with_descriptor_limit(Some(&config), descriptors),
+            discovery,
+        )
     }
 
     /// With an operators' door and fewer descriptors than it is told.
-    pub fn scarce(descriptors: u32) -> Proxy {
+    pub fn with_control_and_descriptor_limit(descriptors: u32) -> Proxy {
         let discovery = DiscoveryServer::start();
-        let mut command = limited(
-            Some(&told("127.0.0.1:0", discovery.address, 1024, &[], SETTINGS)),
+        let mut command = command_with_descriptor_limit(
+            Some(&config_json(
+                "127.0.0.1:0",
+                discovery.address,
+                1024,
+                &[],
+                SETTINGS,
+            )),
             descriptors,
         );
         command.env("NODE_CONTROL", "127.0.0.1:0");
@@ -389,7 +403,7 @@
     }
 
     /// Told to listen there and to ask there; the discovery that it has by itself stands idle.
-    pub fn placed(
+    pub fn with_addresses(
         listen: &str,
         at: SocketAddr,
         known: &[String],
@@ -397,28 +411,31 @@
         settings: &str,
         more: &[(&str, String)],
     ) -> Proxy {
-        let mut command = limited(Some(&told(listen, at, sockets, known, settings)), sockets);
+        let mut command = command_with_descriptor_limit(
+            Some(&config_json(listen, at, sockets, known, settings)),
+            sockets,
+        );
         command.envs(more.iter().map(|(name, value)| (*name, value)));
         Proxy::run(command, DiscoveryServer::start())
     }
 
     /// With an operators' door and further variables in its environment.
-    pub fn operated(known: &[String], settings: &str, variables: &[(&str, String)]) -> Proxy {
-        Proxy::configured(known, settings, "", variables)
+    pub fn with_control(known: &[String], settings: &str, variables: &[(&str, String)]) -> Proxy {
+        Proxy::with_extra_config(known, settings, "", variables)
     }
 
     /// The same with `more` keys at the end of its configuration, each written with its leading comma.
-    pub fn configured(
+    pub fn with_extra_config(
         known: &[String],
         settings: &str,
         more: &str,
         variables: &[(&str, String)],
     ) -> Proxy {
-        Proxy::seeded(0x8c1f_30d2_7a5b_e964, known, settings, more, variables)
+        Proxy::with_seed(0x8c1f_30d2_7a5b_e964, known, settings, more, variables)
     }
 
     /// The same with a seed of its own, as proxies of one fleet have.
-    pub fn seeded(
+    pub fn with_seed(
         seed: u64,
         known: &[String],
         settings: &str,
@@ -431,7 +448,7 @@
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{at}","seed":"{seed:016x}",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}{more}}}"#
         );
-        let mut command = limited(Some(&config), 1024);
+        let mut command = command_with_descriptor_limit(Some(&config), 1024);
         command.env("NODE_CONTROL", "127.0.0.1:0");
         command.envs(variables.iter().map(|(name, value)| (*name, value)));
         Proxy::run(command, discovery)
@@ -453,7 +470,7 @@
                 "the program ended before it listened: {said}"
             );
             said += &line;
-            *STARTING.lock().unwrap() += &line;
+            *STARTUP_LOGS.lock().unwrap() += &line;
             if let Some(at) = line.split("control on ").nth(1) {
                 control = Some(at.trim().parse().unwrap());
             }
@@ -473,15 +490,15 @@
             child,
             address,
             discovery,
-            config,
-            control,
-            said,
+            config_path: config,
+            control_address: control,
+            startup_log: said,
             log: kept,
         }
     }
 
     /// Lines logged since it listened that hold these words.
-    pub fn lines(&self, words: &str) -> Vec<String> {
+    pub fn log_lines(&self, words: &str) -> Vec<String> {
         self.log
             .lock()
             .unwrap()
@@ -492,8 +509,8 @@
     }
 
     /// How many.
-    pub fn logged(&self, words: &str) -> usize {
-        self.lines(words).len()
+    pub fn log_count(&self, words: &str) -> usize {
+        self.log_lines(words).len()
     }
 
     pub fn client(&self) -> Client {
@@ -501,20 +518,20 @@
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Message {
-        self.client().ask(request)
+    pub fn request(&self, request: &str) -> Message {
+        self.client().request(request)
     }
 
     /// One call at the operators' door.
-    pub fn call(&self, line: &str) -> Message {
-        Client::connect(self.control.expect("a door"))
-            .ask(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
+    pub fn control_request(&self, line: &str) -> Message {
+        Client::connect(self.control_address.expect("a door"))
+            .request(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
     }
 
     /// Waits until it says that it takes clients.
     pub fn wait_until_serving(&self) {
-        let end = std::time::Instant::now() + PATIENCE;
-        while self.call("GET /status").status() != 200 {
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
+        while self.control_request("GET /status").status() != 200 {
             assert!(std::time::Instant::now() < end, "it never took clients");
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -525,17 +542,17 @@
     }
 
     /// Whatever the test does until `go_on` meets the program at once.
-    pub fn hold(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        let end = std::time::Instant::now() + PATIENCE;
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
             assert!(std::time::Instant::now() < end, "it never stood still");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -556,7 +573,7 @@
 }
 
 /// A configuration as the platform writes it.
-pub fn told(
+pub fn config_json(
     listen: &str,
     at: SocketAddr,
     sockets: u32,
@@ -571,7 +588,7 @@
 }
 
 /// A folder of its own, as `TMPDIR` for the processes of one proxy.
-pub fn folder() -> PathBuf {
+pub fn create_temp_dir() -> PathBuf {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let path =
         std::env::temp_dir().join(format!("meadowproxy-tmp-{}-{number}", std::process::id()));
@@ -580,11 +597,11 @@
 }
 
 /// The program's command, with a configuration or without any.
-pub fn launch(config: Option<&str>) -> Command {
-    limited(config, 1024)
+pub fn proxy_command(config: Option<&str>) -> Command {
+    command_with_descriptor_limit(config, 1024)
 }
 
-fn limited(config: Option<&str>, descriptors: u32) -> Command {
+fn command_with_descriptor_limit(config: Option<&str>, descriptors: u32) -> Command {
     let mut command = Command::new("sh");
     let line = format!("ulimit -n {descriptors}; exec \"$0\"");
     command.args(["-c", &line, env!("CARGO_BIN_EXE_meadowproxy")]);
@@ -612,52 +629,52 @@
 impl Client {
     pub fn connect(to: SocketAddr) -> Client {
         let tcp = TcpStream::connect(to).unwrap();
-        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+        tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client(BufReader::new(tcp))
     }
     pub fn send(&mut self, request: &str) {
         self.0.get_mut().write_all(request.as_bytes()).unwrap();
     }
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub fn request(&mut self, request: &str) -> Message {
         self.send(request);
-        self.answer().expect("a whole answer")
+        self.response().expect("a whole answer")
     }
     /// The proxy ended the connection before this side lost its patience.
-    pub fn let_go(&mut self) -> bool {
+    pub fn closed_in_time(&mut self) -> bool {
         let waited = [ErrorKind::WouldBlock, ErrorKind::TimedOut];
         self.0
             .read(&mut [0])
             .map_or_else(|e| !waited.contains(&e.kind()), |n| n == 0)
     }
     /// The proxy ended the connection, with nothing more on it.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-fn id() -> String {
+fn correlation_id() -> String {
     format!("{:016x}", NUMBER.fetch_add(1, Ordering::SeqCst))
 }
 
-pub fn read(left: f64) -> String {
+pub fn read_request(left: f64) -> String {
     format!(
         "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n",
-        id()
+        correlation_id()
     )
 }
 
-pub fn pay(left: f64) -> String {
-    let id = id();
+pub fn pay_request(left: f64) -> String {
+    let id = correlation_id();
     format!(
         "POST /pay/k1?q=1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\ncash"
     )
 }
 
-pub fn vote(left: f64) -> String {
-    let id = id();
+pub fn vote_request(left: f64) -> String {
+    let id = correlation_id();
     format!(
         "POST /vote/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nIdempotency-Key: key-{id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\nyeah"
     )
--- a/tests/rig/scripted.rs
+++ b/tests/rig/scripted.rs
@@ -1,23 +1,23 @@
 //! A backend that does nothing by itself: every connection and every byte is the test's, so that it decides the
 //! order of what happens on the two ends.
 
-use super::{Message, PATIENCE};
+use super::{Message, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-pub struct Scripted {
+pub struct ScriptedBackend {
     pub address: SocketAddr,
     accepted: mpsc::Receiver<TcpStream>,
 }
 
-impl Scripted {
-    pub fn start() -> Scripted {
-        Scripted::on(TcpListener::bind("127.0.0.1:0").unwrap())
+impl ScriptedBackend {
+    pub fn start() -> ScriptedBackend {
+        ScriptedBackend::start_on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    fn on(listener: TcpListener) -> Scripted {
+    fn start_on(listener: TcpListener) -> ScriptedBackend {
         let address = listener.local_addr().unwrap();
         let (tell, accepted) = mpsc::channel();
         std::thread::spawn(move || {
@@ -26,32 +26,32 @@
                 .flatten()
                 .all(|tcp| tell.send(tcp).is_ok())
         });
-        Scripted { address, accepted }
+        ScriptedBackend { address, accepted }
     }
 
     /// The next connection.
-    pub fn accept(&self) -> Wire {
+    pub fn accept(&self) -> BackendConnection {
         let tcp = self
             .accepted
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a connection to the backend");
-        Wire::new(tcp)
+        BackendConnection::new(tcp)
     }
 
     /// One that has come already.
-    pub fn accepted(&self) -> Option<Wire> {
-        self.accepted.try_recv().ok().map(Wire::new)
+    pub fn try_accept(&self) -> Option<BackendConnection> {
+        self.accepted.try_recv().ok().map(BackendConnection::new)
     }
 }
 
 /// A machine on which no connection comes up until the test lets it: its queue is full.
-pub struct Late {
+pub struct FullBacklog {
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn start() -> Late {
+impl FullBacklog {
+    pub fn start() -> FullBacklog {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -62,7 +62,7 @@
         while let Ok(tcp) = TcpStream::connect_timeout(&to, Duration::from_millis(200)) {
             queued.push(tcp);
         }
-        Late { listener, queued }
+        FullBacklog { listener, queued }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -70,26 +70,26 @@
     }
 
     /// From now on connections come up, with the next try of the side that connects.
-    pub fn open(self) -> Scripted {
+    pub fn start_accepting(self) -> ScriptedBackend {
         for _ in &self.queued {
             self.listener.accept().unwrap();
         }
-        Scripted::on(self.listener)
+        ScriptedBackend::start_on(self.listener)
     }
 }
 
 /// One connection from the proxy.
-pub struct Wire(pub BufReader<TcpStream>);
+pub struct BackendConnection(pub BufReader<TcpStream>);
 
-impl Wire {
-    fn new(tcp: TcpStream) -> Wire {
-        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+impl BackendConnection {
+    fn new(tcp: TcpStream) -> BackendConnection {
+        tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         tcp.set_nodelay(true).unwrap();
-        Wire(BufReader::new(tcp))
+        BackendConnection(BufReader::new(tcp))
     }
 
     /// Whether something has come on it.
-    pub fn stirs(&self) -> bool {
+    pub fn has_data(&self) -> bool {
         let tcp = self.0.get_ref();
         tcp.set_nonblocking(true).unwrap();
         let came = tcp.peek(&mut [0]).is_ok();
@@ -98,12 +98,12 @@
     }
 
     /// Waits for the next request.
-    pub fn request(&mut self) -> Message {
+    pub fn next_request(&mut self) -> Message {
         Message::read(&mut self.0).expect("a request at the backend")
     }
 
     /// Waits for so many bytes.
-    pub fn bytes(&mut self, count: usize) -> Vec<u8> {
+    pub fn read_bytes(&mut self, count: usize) -> Vec<u8> {
         let mut got = vec![0; count];
         self.0.read_exact(&mut got).expect("more of a request");
         got
@@ -114,8 +114,8 @@
     }
 
     /// A whole answer.
-    pub fn answer(&mut self, body: &str) {
-        self.send(answer(body));
+    pub fn send_response(&mut self, body: &str) {
+        self.send(ok_response(body));
     }
 
     /// Ends it in order.
@@ -129,8 +129,8 @@
     }
 
     /// What came until the proxy ended it, reset or not.
-    pub fn rest(mut self) -> Vec<u8> {
-        let (mut all, mut piece, end) = (Vec::new(), [0; 4096], Instant::now() + PATIENCE);
+    pub fn read_until_closed(mut self) -> Vec<u8> {
+        let (mut all, mut piece, end) = (Vec::new(), [0; 4096], Instant::now() + TEST_TIMEOUT);
         while Instant::now() < end {
             match self.0.read(&mut piece) {
                 Ok(0) => return all,
@@ -143,7 +143,7 @@
     }
 }
 
-pub fn answer(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -43,7 +43,7 @@
 }
 
 fn request(name: &str, effect: &str) -> String {
-    let read = read(2.0)
+    let read = read_request(2.0)
         .replace("/read/", &format!("/{name}/"))
         .replace("\r\n\r\n", "\r\nX-Account: nobody\r\n\r\n");
     match effect {
@@ -101,26 +101,34 @@
     ];
     let serves = |proxy: &Proxy, classes: &[(&str, &str)]| {
         for (name, effect) in classes.iter().filter(|c| c.0.is_ascii()) {
-            assert_eq!(proxy.ask(&request(name, effect)).status(), 200, "{name}");
+            assert_eq!(
+                proxy.request(&request(name, effect)).status(),
+                200,
+                "{name}"
+            );
         }
     };
     for known in [&bare, &placed] {
         for (classes, settings) in &shapes {
             serves(
-                &Proxy::with(std::slice::from_ref(known), 1024, settings),
+                &Proxy::with_settings(std::slice::from_ref(known), 1024, settings),
                 classes,
             );
         }
     }
-    let proxy = Proxy::with(&[bare], 1024, &shapes[2].1);
-    let text = std::fs::read_to_string(&proxy.config).unwrap();
+    let proxy = Proxy::with_settings(&[bare], 1024, &shapes[2].1);
+    let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let turns = [&shapes[3], &shapes[2], &shapes[3], &shapes[2]];
     for (n, (classes, settings)) in turns.into_iter().enumerate() {
-        std::fs::write(&proxy.config, text.replace(&shapes[2].1, settings)).unwrap();
+        std::fs::write(&proxy.config_path, text.replace(&shapes[2].1, settings)).unwrap();
         proxy.signal("-HUP");
-        let end = Instant::now() + PATIENCE;
-        while proxy.logged("configuration taken") <= n {
-            assert!(Instant::now() < end, "{:?}", proxy.lines("configuration"));
+        let end = Instant::now() + TEST_TIMEOUT;
+        while proxy.log_count("configuration taken") <= n {
+            assert!(
+                Instant::now() < end,
+                "{:?}",
+                proxy.log_lines("configuration")
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         serves(&proxy, classes);
