--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -28,7 +28,7 @@
 fn resting(proxy: &Proxy, count: usize) -> Vec<Client> {
     let one = |_| {
         let mut client = proxy.client();
-        assert_eq!(client.ask(READY).status(), 200);
+        assert_eq!(client.request(READY).status(), 200);
         client
     };
     (0..count).map(one).collect()
@@ -36,7 +36,7 @@
 
 /// Waits until the signal has arrived: the first answer that says so shows it.
 fn stopping(proxy: &Proxy) {
-    while proxy.ask(READY).header("connection") != Some("close") {}
+    while proxy.request(READY).header("connection") != Some("close") {}
 }
 
 /// The connection ended, and nothing was taken away by a reset.
@@ -52,21 +52,25 @@
     let backend = BackendServer::start(|_| ok("x"));
     let mut proxy = one(&backend);
     let mut clients = resting(&proxy, 8);
-    let request = read(3.0);
+    let request = read_request(3.0);
     let (begin, rest) = request.split_at(30);
     let mut half = proxy.client();
     half.send(begin);
-    assert_eq!(proxy.ask(READY).status(), 200); // the half was read
-    proxy.hold();
-    clients[..4].iter_mut().for_each(|c| c.send(&read(3.0)));
+    assert_eq!(proxy.request(READY).status(), 200); // the half was read
+    proxy.suspend();
+    clients[..4]
+        .iter_mut()
+        .for_each(|c| c.send(&read_request(3.0)));
     proxy.terminate();
-    clients[4..].iter_mut().for_each(|c| c.send(&read(3.0)));
+    clients[4..]
+        .iter_mut()
+        .for_each(|c| c.send(&read_request(3.0)));
     let mut new = proxy.client();
-    new.send(&read(3.0));
+    new.send(&read_request(3.0));
     half.send(rest);
-    proxy.go_on();
+    proxy.resume();
     for client in clients.iter_mut().chain([&mut new, &mut half]) {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.response().expect("an answer").status(), 200);
     }
     clients
         .iter_mut()
@@ -84,34 +88,34 @@
     let mut idle = resting(&proxy, 2);
     proxy.terminate();
     stopping(&proxy);
-    proxy.hold();
+    proxy.suspend();
     std::thread::sleep(RESTING); // its timer fires as soon as it goes on
-    clients.iter_mut().for_each(|c| c.send(&read(3.0)));
-    proxy.go_on();
+    clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
+    proxy.resume();
     for client in &mut clients {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.response().expect("an answer").status(), 200);
         ended_plainly(client);
     }
     idle.iter_mut().for_each(ended_plainly);
-    assert_eq!(backend.count(), 8);
+    assert_eq!(backend.request_count(), 8);
     assert!(proxy.child.wait().unwrap().success());
 }
 
 /// More connections stand in the kernel's queue at the listener's end than there are descriptors: none is dropped.
 #[test]
 fn what_stands_in_the_queue_at_the_end_is_answered_though_descriptors_run_out() {
-    let mut proxy = Proxy::launched(&[], 1024, SETTINGS, 40);
+    let mut proxy = Proxy::with_descriptor_limit(&[], 1024, SETTINGS, 40);
     proxy.terminate();
     stopping(&proxy);
-    proxy.hold();
+    proxy.suspend();
     std::thread::sleep(RESTING);
     let mut queued: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
     queued.iter_mut().for_each(|c| c.send(READY));
-    proxy.go_on();
+    proxy.resume();
     for (n, client) in queued.iter_mut().enumerate() {
         assert_eq!(
             client
-                .answer()
+                .response()
                 .unwrap_or_else(|| panic!("no answer to {n}"))
                 .status(),
             200
@@ -127,34 +131,34 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = Proxy::with(
+    let mut proxy = Proxy::with_settings(
         &[entry("b0", backend.address, "SERVING")],
         1024,
         &short(60_000),
     );
     let mut busy = proxy.client();
-    busy.send(&pay(60.0));
-    backend.request();
+    busy.send(&pay_request(60.0));
+    backend.next_request();
     proxy.terminate();
     stopping(&proxy);
-    let sound = std::fs::read_to_string(&proxy.config).unwrap();
+    let sound = std::fs::read_to_string(&proxy.config_path).unwrap();
     for (n, text) in [Some(&sound[..]), Some("{"), None].into_iter().enumerate() {
         match text {
-            Some(text) => std::fs::write(&proxy.config, text).unwrap(),
-            None => std::fs::remove_file(&proxy.config).unwrap(),
+            Some(text) => std::fs::write(&proxy.config_path, text).unwrap(),
+            None => std::fs::remove_file(&proxy.config_path).unwrap(),
         }
         ["-TERM", "-INT", "-HUP"]
             .iter()
             .for_each(|which| proxy.signal(which));
-        let end = Instant::now() + PATIENCE;
-        while proxy.logged("configuration") <= n {
+        let end = Instant::now() + TEST_TIMEOUT;
+        while proxy.log_count("configuration") <= n {
             assert!(Instant::now() < end, "it did not hear the signal");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
     gate.open();
     assert_eq!(
-        busy.answer().expect("the answer that was owed").body,
+        busy.response().expect("the answer that was owed").body,
         b"gated"
     );
     ended_plainly(&mut busy);
@@ -179,9 +183,9 @@
         wait.wait();
         tcp.write_all(&[b'x'; LONG / 2]).unwrap();
     });
-    let mut proxy = Proxy::with(&[entry("b0", address, "SERVING")], 1024, &short(300));
+    let mut proxy = Proxy::with_settings(&[entry("b0", address, "SERVING")], 1024, &short(300));
     let mut stream = proxy.client();
-    stream.send(&read(0.3));
+    stream.send(&read_request(0.3));
     stream.0.read_exact(&mut [0; 20_000]).unwrap();
     let mut half = resting(&proxy, 1).remove(0);
     half.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
@@ -205,17 +209,17 @@
     let proxy = one(&backend);
     let mut clients: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     clients[..4].iter_mut().for_each(|c| c.send("GET /-/re"));
-    assert_eq!(proxy.ask(READY).status(), 200); // all were taken in
-    proxy.hold();
+    assert_eq!(proxy.request(READY).status(), 200); // all were taken in
+    proxy.suspend();
     std::thread::sleep(Duration::from_millis(2_600));
     clients[..4]
         .iter_mut()
         .for_each(|c| c.send(READY.strip_prefix("GET /-/re").unwrap()));
     clients[4..].iter_mut().for_each(|c| c.send(READY));
-    proxy.go_on();
+    proxy.resume();
     assert!(clients
         .iter_mut()
-        .all(|c| c.answer().is_some_and(|a| a.status() == 200)));
+        .all(|c| c.response().is_some_and(|a| a.status() == 200)));
 }
 
 /// What could not be understood is answered, and the answer is not taken away by a reset over what was not read.
@@ -232,39 +236,42 @@
         ("no head at all", format!("what?\r\n\r\n{junk}"), 400),
         (
             "no such class",
-            long(pay(3.0).replace("/pay/", "/none/")),
+            long(pay_request(3.0).replace("/pay/", "/none/")),
             404,
         ),
         (
             "no id",
-            long(pay(3.0).replace("X-Correlation-Id", "X-Other")),
+            long(pay_request(3.0).replace("X-Correlation-Id", "X-Other")),
             400,
         ),
         (
             "a broken chunk",
-            pay(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &junk,
+            pay_request(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &junk,
             400,
         ),
         (
             "two lengths",
-            long(pay(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")),
+            long(pay_request(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")),
             400,
         ),
     ] {
-        proxy.hold();
+        proxy.suspend();
         let mut client = proxy.client();
         client.send(&request);
-        proxy.go_on();
+        proxy.resume();
         assert_eq!(
-            client.answer().unwrap_or_else(|| panic!("{what}")).status(),
+            client
+                .response()
+                .unwrap_or_else(|| panic!("{what}"))
+                .status(),
             status,
             "{what}"
         );
-        assert!(client.ended());
+        assert!(client.is_closed());
         // A reset right behind the end would show by now.
-        assert_eq!(proxy.ask(READY).status(), 200);
+        assert_eq!(proxy.request(READY).status(), 200);
         let reset = client.0.get_ref().take_error().unwrap();
         assert!(reset.is_none(), "{what}: {reset:?}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -12,13 +12,13 @@
 
 /// A proxy that writes ten times a second, and is held as it opens the next file: its folder, and the pipe.
 fn held(known: &[String]) -> (Proxy, PathBuf, PathBuf) {
-    let dir = folder().join("kept");
+    let dir = create_temp_dir().join("kept");
     let kept = format!(
         r#","snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
-    let tmp = ("TMPDIR", folder().to_str().unwrap().to_string());
-    let proxy = Proxy::configured(known, SETTINGS, &kept, &[tmp]);
+    let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
+    let proxy = Proxy::with_extra_config(known, SETTINGS, &kept, &[tmp]);
     let name = first(&dir)
         .file_name()
         .unwrap()
@@ -26,7 +26,7 @@
         .unwrap()
         .to_string();
     let pipe = dir.join(format!("{name}.{}.part", proxy.child.id()));
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !made(&pipe) {
         assert!(Instant::now() < end, "one is being written all the time");
     }
@@ -45,8 +45,8 @@
 
 /// Waits until it has said that the disk took too long.
 fn told(proxy: &Proxy) {
-    let end = Instant::now() + PATIENCE;
-    while proxy.logged("snapshot_late") == 0 {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while proxy.log_count("snapshot_late") == 0 {
         assert!(Instant::now() < end, "the disk did not hang");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -66,11 +66,16 @@
     ];
     let (proxy, dir, pipe) = held(&known);
     let before = first(&dir).metadata().unwrap().modified().unwrap();
-    assert_eq!(proxy.call("PUT /maintenance/enter?who=b0").status(), 200);
+    assert_eq!(
+        proxy
+            .control_request("PUT /maintenance/enter?who=b0")
+            .status(),
+        200
+    );
     told(&proxy);
     let mut client = proxy.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     assert_eq!(
         first(&dir).metadata().unwrap().modified().unwrap(),
@@ -81,7 +86,12 @@
     std::fs::remove_file(&pipe).unwrap();
     written(&dir);
     drop(other_end);
-    assert_eq!(proxy.call("PUT /maintenance/exit?who=b0").status(), 200);
+    assert_eq!(
+        proxy
+            .control_request("PUT /maintenance/exit?who=b0")
+            .status(),
+        200
+    );
 }
 
 /// Told to end while the disk hangs, it ends all the same.
@@ -89,9 +99,9 @@
 fn an_end_waits_for_a_disk_that_hangs_no_longer_than_stated() {
     let backend = BackendServer::start(|_| ok("x"));
     let (mut proxy, _dir, _pipe) = held(&[entry("b0", backend.address, "SERVING")]);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     proxy.terminate();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     let status = loop {
         if let Some(status) = proxy.child.try_wait().unwrap() {
             break status;
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -58,23 +58,23 @@
     let proxy = one(backend.address);
     let body = text(LONG);
     let mut client = proxy.client();
-    let got = client.ask(
-        &pay(3.0)
+    let got = client.request(
+        &pay_request(3.0)
             .replace("Length: 4", &format!("Length: {LONG}"))
             .replace("cash", &body),
     );
     assert_eq!((got.status(), got.body == answer.as_bytes()), (200, true));
-    assert!(backend.request().body == body.as_bytes());
+    assert!(backend.next_request().body == body.as_bytes());
     // Chunked, and with more on the same connection after it.
     let chunked = format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
     client.send(
-        &pay(3.0)
+        &pay_request(3.0)
             .replace("Content-Length: 4", "Transfer-Encoding: chunked")
             .replace("cash", &chunked),
     );
-    assert!(client.answer().expect("an answer").body == answer.as_bytes());
-    assert!(backend.request().body == body.as_bytes());
-    let got = client.ask(&read(3.0));
+    assert!(client.response().expect("an answer").body == answer.as_bytes());
+    assert!(backend.next_request().body == body.as_bytes());
+    let got = client.request(&read_request(3.0));
     assert_eq!((got.status(), got.body == answer.as_bytes()), (200, true));
 }
 
@@ -95,7 +95,7 @@
         });
         let proxy = one(address);
         let mut client = proxy.client();
-        client.send(&read(0.4));
+        client.send(&read_request(0.4));
         let mut first = vec![0; LONG / 2];
         client.0.read_exact(&mut first).unwrap();
         assert!(first.starts_with(b"HTTP/1.1 200"));
@@ -117,7 +117,7 @@
     });
     let proxy = one(address);
     let mut client = proxy.client();
-    client.send(&read(3.0));
+    client.send(&read_request(3.0));
     let mut got = Vec::new();
     let _ = client.0.read_to_end(&mut got);
     assert!(
@@ -135,7 +135,7 @@
     });
     let proxy = one(address);
     let mut client = proxy.client();
-    client.send(&read(3.0).replace("HTTP/1.1", "HTTP/1.0"));
+    client.send(&read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"));
     assert!(
         client.0.read_to_end(&mut Vec::new()).is_err(),
         "no plain end"
@@ -154,15 +154,15 @@
     });
     let proxy = one(first.0);
     let mut client = proxy.client();
-    let all = pay(3.0)
+    let all = pay_request(3.0)
         .replace("Length: 4", &format!("Length: {LONG}"))
         .replace("cash", &text(LONG / 2));
     client.send(&all);
     heard
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("it goes on before it is whole");
     assert_eq!(
-        client.answer().expect("an answer").status(),
+        client.response().expect("an answer").status(),
         503,
         "it never ran"
     );
@@ -187,13 +187,13 @@
     });
     let proxy = one(address);
     let mut client = proxy.client();
-    client.send(&read(3.0));
+    client.send(&read_request(3.0));
     stopped.wait();
     assert!(sent.load(SeqCst) < HUGE / 4, "{}", sent.load(SeqCst));
     assert_eq!(
         proxy
             .client()
-            .ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
+            .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
@@ -207,7 +207,7 @@
     let mut client = proxy.client();
     let length = 64 * 4000;
     client.send(
-        pay(1.0)
+        pay_request(1.0)
             .replace("Length: 4", &format!("Length: {length}"))
             .strip_suffix("cash")
             .unwrap(),
@@ -216,8 +216,8 @@
         client.send(&text(4000));
         std::thread::sleep(Duration::from_millis(62));
     }
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_eq!(backend.request().body.len(), length);
+    assert_eq!(client.response().expect("an answer").status(), 200);
+    assert_eq!(backend.next_request().body.len(), length);
 }
 
 #[test]
@@ -225,27 +225,32 @@
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(backend.address);
     let mut client = proxy.client();
-    client.send(&read(3.0).replace("GET /read/k1", "GET http://service.internal/read/k1?a=b"));
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_eq!(backend.request().first, "GET /read/k1?a=b HTTP/1.1");
-    let ask = pay(3.0).replace("Host: s", "Host: s\r\nExpect: 100-continue");
+    client.send(
+        &read_request(3.0).replace("GET /read/k1", "GET http://service.internal/read/k1?a=b"),
+    );
+    assert_eq!(client.response().expect("an answer").status(), 200);
+    assert_eq!(
+        backend.next_request().start_line,
+        "GET /read/k1?a=b HTTP/1.1"
+    );
+    let ask = pay_request(3.0).replace("Host: s", "Host: s\r\nExpect: 100-continue");
     client.send(ask.strip_suffix("cash").unwrap());
-    assert_eq!(client.answer().expect("a word to go on").status(), 100);
+    assert_eq!(client.response().expect("a word to go on").status(), 100);
     client.send("cash");
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    client.send(&(read(3.0) + &read(3.0)));
-    assert_eq!(client.answer().expect("the first").status(), 200);
-    assert_eq!(client.answer().expect("the second").status(), 200);
+    assert_eq!(client.response().expect("an answer").status(), 200);
+    client.send(&(read_request(3.0) + &read_request(3.0)));
+    assert_eq!(client.response().expect("the first").status(), 200);
+    assert_eq!(client.response().expect("the second").status(), 200);
     let mut old = proxy.client();
-    old.send(&read(3.0).replace("HTTP/1.1", "HTTP/1.0"));
-    assert_eq!(old.answer().expect("an answer").status(), 200);
-    assert!(old.ended());
+    old.send(&read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"));
+    assert_eq!(old.response().expect("an answer").status(), 200);
+    assert!(old.is_closed());
     for bad in [
         "Content-Length: 4\r\nContent-Length: 5",
         "Content-Length: 4, 5",
         "Transfer-Encoding: chunked, x",
     ] {
-        let answer = proxy.ask(&pay(3.0).replace("Content-Length: 4", bad));
+        let answer = proxy.request(&pay_request(3.0).replace("Content-Length: 4", bad));
         assert_eq!(answer.status(), 400, "{bad}");
     }
 }
@@ -255,14 +260,14 @@
 fn a_backend_that_takes_nothing_of_a_body_is_given_up() {
     const HUGE: usize = 64 << 20;
     let (address, _) = raw(move |_, tcp| {
-        std::thread::sleep(4 * PATIENCE);
+        std::thread::sleep(4 * TEST_TIMEOUT);
         drop(tcp);
     });
     let body = text(1 << 20);
     let proxy = one(address);
     let mut client = proxy.client();
     client.send(
-        pay(3.0)
+        pay_request(3.0)
             .replace("Length: 4", &format!("Length: {HUGE}"))
             .strip_suffix("cash")
             .unwrap(),
@@ -286,7 +291,7 @@
 #[test]
 fn the_rest_of_a_refused_body_is_read_and_not_kept() {
     const HUGE: usize = 48_000_000;
-    let nobody = Refusing::new();
+    let nobody = RefusingPort::new();
     let proxy = one(nobody.address());
     let resident = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
@@ -301,13 +306,13 @@
     let before = resident();
     let mut client = proxy.client();
     client.send(
-        &pay(3.0)
+        &pay_request(3.0)
             .replace("Length: 4", &format!("Length: {HUGE}"))
             .replace("cash", ""),
     );
     let piece = text(100_000);
     (0..HUGE / piece.len()).for_each(|_| client.send(&piece));
-    assert_eq!(client.answer().expect("an answer").status(), 503);
+    assert_eq!(client.response().expect("an answer").status(), 503);
     let grown = resident() - before;
     assert!(
         grown < HUGE / 4,
