--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter on wire lines of our own.
+//! Tests of the simulator adapter binary: writes lines of the simulator's exchange to its input and checks its replies,
+//! error messages and exit status.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use std::io::Write;
@@ -26,7 +27,7 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
+/// Runs the adapter on `input`; returns its output, its error output and whether it exited with success.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_meadowproxy-adapter"))
         .stdin(Stdio::piped())
@@ -35,7 +36,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // it may have ended on an early line
+    let _ = stdin.write_all(input.as_bytes()); // fails if the adapter has exited on an earlier line
     drop(stdin);
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_the_process() {
     assert_eq!(
         run("[\"TICK\",5]\n[\"END\"]\n"),
         ("[\"YIELD\"]\n".into(), String::new(), true)
@@ -52,52 +53,52 @@
 }
 
 #[test]
-fn a_request_is_handed_off_and_its_answer_closes_it() {
+fn a_request_is_handed_off_once_and_closed_by_its_response() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
     let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
         "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
         create(SETTINGS)
     );
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let (out, err, success) = run(&input);
+    assert!(success, "{err}");
     let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
     assert_eq!(out.matches(sent).count(), 1, "{out}");
     assert_eq!(out.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
 #[test]
-fn with_no_backend_a_request_is_refused_in_time() {
+fn a_request_without_backends_is_rejected_before_its_deadline() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let (out, err, success) = run(&input);
+    assert!(success, "{err}");
     let refusals = out
         .matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]")
         .count();
     assert_eq!(
         refusals, 1,
-        "once, with the term after which an ejected backend is tried again: {out}"
+        "expected one rejection, with the base ejection duration as its delay: {out}"
     );
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_come_again() {
-    let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!(
-        "[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"
+fn a_killed_instance_is_dropped_and_can_be_created_again() {
+    let (first, killed) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
+    let (out, _, success) = run(&format!(
+        "[\"TICK\",5]\n{first}{killed}{first}{LIST}[\"END\"]\n"
     ));
-    assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
-    let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!good && err.contains("known instance"), "{err}");
+    assert!(success && out.ends_with("[\"YIELD\"]\n"), "{out}");
+    let (_, err, success) = run(&format!("[\"TICK\",5]\n{first}{killed}{LIST}[\"END\"]\n"));
+    assert!(!success && err.contains("known instance"), "{err}");
 }
 
-/// Each is told with its line number and what was expected, and ends the process.
+/// A malformed line ends the process with an error that gives its line number and what was expected.
 #[test]
-fn malformed_lines_are_told_and_end_the_process() {
+fn malformed_lines_end_the_process_with_an_error() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
@@ -147,23 +148,23 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!(
+        let (_, err, success) = run(&format!(
             "[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n",
             create(SETTINGS)
         ));
-        assert!(!good, "accepted {line}");
+        assert!(!success, "the adapter accepted {line}");
         assert!(
             err.contains("line 5:") && err.contains(expected),
             "{line}: {err}"
         );
         assert!(!err.contains("panicked"), "{err}");
     }
-    let (_, err, good) = run("[\"END\"]\n");
-    assert!(!good && err.contains("TICK first"), "{err}");
+    let (_, err, success) = run("[\"END\"]\n");
+    assert!(!success && err.contains("TICK first"), "{err}");
 }
 
 #[test]
-fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
+fn invalid_settings_break_the_instance_and_name_the_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "proxies"),
@@ -187,11 +188,11 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!(
+        let (out, err, success) = run(&format!(
             "[\"TICK\",1]\n{}{LIST}[\"END\"]\n",
             create(&settings)
         ));
-        assert!(good, "{err}");
+        assert!(success, "{err}");
         assert!(
             out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key),
             "{to}: {out}"
--- a/tests/decision_modules.rs
+++ b/tests/decision_modules.rs
@@ -1,12 +1,12 @@
-//! The decisions on a request stand in `src/balancer/`, in modules that `deploy/balancer.toml` lists, and depend on
-//! nothing but their inputs: no clock, network, thread, environment or code of the driver.
+//! Checks that `deploy/balancer.toml` lists exactly the decision modules in `src/balancer/`, and that they depend on
+//! their inputs alone: no clock, network, threads, environment or code of the network driver.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 const DECISION_FOLDER: &str = "src/balancer";
 
-/// What no decision module may name.
+/// Texts that must not occur in the code of a decision module.
 const FORBIDDEN: [&str; 22] = [
     "std::time",
     "Instant",
@@ -37,12 +37,19 @@
 }
 
 fn rust_files(folder: &Path, files: &mut BTreeSet<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+    for entry in std::fs::read_dir(folder)
+        .expect("a readable folder")
+        .flatten()
+    {
         let path = entry.path();
         if path.is_dir() {
             rust_files(&path, files);
         } else if path.extension().is_some_and(|e| e == "rs") {
-            files.insert(path.strip_prefix(root()).expect("below the root").into());
+            files.insert(
+                path.strip_prefix(root())
+                    .expect("a path below the repository root")
+                    .into(),
+            );
         }
     }
 }
@@ -53,7 +60,7 @@
     files
 }
 
-/// Whether the file holds only tests, which are no part of the decisions.
+/// Whether the file contains only tests and is not a decision module.
 fn is_test_file(path: &Path) -> bool {
     path.file_stem()
         .is_some_and(|stem| stem.to_string_lossy().ends_with("tests"))
@@ -63,12 +70,16 @@
 fn the_deploy_file_lists_exactly_the_decision_modules() {
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
     let deploy: toml::Table = text.parse().unwrap();
-    let listed = deploy["policy"].as_array().expect("a list");
+    let listed = deploy["policy"].as_array().expect("policy is a list");
     let paths: BTreeSet<PathBuf> = listed
         .iter()
-        .map(|path| PathBuf::from(path.as_str().expect("a path")))
+        .map(|path| PathBuf::from(path.as_str().expect("an entry of policy is a path")))
         .collect();
-    assert_eq!(paths.len(), listed.len(), "a file is listed twice");
+    assert_eq!(
+        paths.len(),
+        listed.len(),
+        "deploy/balancer.toml lists a file twice"
+    );
     let modules: BTreeSet<PathBuf> = decision_files()
         .into_iter()
         .filter(|path| !is_test_file(path))
@@ -86,7 +97,7 @@
             for word in FORBIDDEN {
                 assert!(
                     !code.contains(word),
-                    "{}:{}: {word}",
+                    "{}:{}: {word} is not allowed in a decision module",
                     path.display(),
                     number + 1
                 );
@@ -95,9 +106,9 @@
     }
 }
 
-/// The driver reaches the decisions through the library's interface only: it is another crate.
+/// The proxy binary is a separate crate, which can reach the decision modules only through the library's interface.
 #[test]
-fn decision_modules_are_part_of_the_library_alone() {
+fn only_the_library_contains_the_decision_modules() {
     let program = std::fs::read_to_string(root().join("src/main.rs")).unwrap();
     assert!(!program.contains("mod balancer"));
     let library = std::fs::read_to_string(root().join("src/lib.rs")).unwrap();
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! A list told whole and the same list told by what changed lead to the same state: the same actions from then on.
+//! Property test: full endpoint lists and incremental updates of the same backends lead to the same state of the
+//! balancer and to the same actions.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use meadowproxy::*;
@@ -9,16 +10,16 @@
 mod common;
 use common::{backend, class};
 
-/// What a step does to one backend's line, or to the traffic.
+/// A generated step: a change to the backends, an announcement of the list, or traffic.
 #[derive(Clone, Debug)]
 enum Step {
-    Line(u32, BackendState, u64),
-    Told,
+    ChangeBackend(u32, BackendState, u64),
+    AnnounceList,
     Request(u64),
-    End(usize, Outcome),
-    Withdraw(u32),
-    Restore(u32),
-    Pass(u64),
+    EndAttempt(usize, Outcome),
+    Disable(u32),
+    Enable(u32),
+    AdvanceTime(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -34,33 +35,33 @@
         1 => Just(Outcome::Overloaded)
     ];
     prop_oneof![
-        6 => (0..12u32, state, 0..4u64).prop_map(|(b, s, boot)| Step::Line(b, s, boot)),
-        3 => Just(Step::Told),
+        6 => (0..12u32, state, 0..4u64).prop_map(|(b, s, start)| Step::ChangeBackend(b, s, start)),
+        3 => Just(Step::AnnounceList),
         6 => (10_000..900_000u64).prop_map(Step::Request),
-        5 => (0..32usize, outcome).prop_map(|(n, o)| Step::End(n, o)),
-        1 => (0..12u32).prop_map(Step::Withdraw),
-        1 => (0..12u32).prop_map(Step::Restore),
-        4 => (0..120_000u64).prop_map(Step::Pass),
+        5 => (0..32usize, outcome).prop_map(|(n, o)| Step::EndAttempt(n, o)),
+        1 => (0..12u32).prop_map(Step::Disable),
+        1 => (0..12u32).prop_map(Step::Enable),
+        4 => (0..120_000u64).prop_map(Step::AdvanceTime),
     ]
 }
 
-/// All that can be seen of a balancer's state.
+/// The observable state of a balancer.
 #[derive(Debug, PartialEq)]
 struct State {
     readiness: Vec<(BackendId, f64)>,
-    holds: Vec<(HardwareClassId, f64)>,
-    memory: LearnedState,
+    concurrency_limits: Vec<(HardwareClassId, f64)>,
+    learned_state: LearnedState,
 }
 
-/// One balancer, its clock and what it has out.
-struct Side {
+/// A balancer, its attempts in flight and the number of attempts of each request.
+struct BalancerUnderTest {
     balancer: Balancer,
-    out: Vec<(RequestId, AttemptNumber, Time)>,
-    tries: BTreeMap<RequestId, u32>,
+    in_flight: Vec<(RequestId, AttemptNumber, Time)>,
+    attempt_counts: BTreeMap<RequestId, u32>,
 }
 
-impl Side {
-    fn new(proxies: u32) -> Side {
+impl BalancerUnderTest {
+    fn new(proxies: u32) -> BalancerUnderTest {
         let mut cfg = Config::example();
         cfg.proxy_count = proxies;
         cfg.classes = [
@@ -70,77 +71,84 @@
         .into_iter()
         .collect();
         (cfg.cross_zone_cost, cfg.slow_start_duration) = (0.1, Micros(600_000));
-        let balancer = Balancer::new(cfg, 5).expect("sound");
-        Side {
+        let balancer = Balancer::new(cfg, 5).expect("a valid configuration");
+        BalancerUnderTest {
             balancer,
-            out: Vec::new(),
-            tries: BTreeMap::new(),
+            in_flight: Vec::new(),
+            attempt_counts: BTreeMap::new(),
         }
     }
 
-    fn tell(&mut self, now: Time, event: Event) -> Vec<Action> {
+    fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
         for action in &actions {
             if let Action::Dispatch { request, .. } = action {
-                let no = self.tries.entry(*request).or_default();
-                self.out.push((*request, AttemptNumber(*no), now));
-                *no += 1;
+                let number = self.attempt_counts.entry(*request).or_default();
+                self.in_flight.push((*request, AttemptNumber(*number), now));
+                *number += 1;
             }
         }
         actions
     }
 
-    fn end(&mut self, now: Time, n: usize, outcome: Outcome) -> Vec<Action> {
-        if self.out.is_empty() {
+    fn end_attempt(&mut self, now: Time, n: usize, outcome: Outcome) -> Vec<Action> {
+        if self.in_flight.is_empty() {
             return Vec::new();
         }
-        let (request, attempt, sent) = self.out.remove(n % self.out.len());
-        let settled = outcome == Outcome::Ok;
+        let (request, attempt, sent_at) = self.in_flight.remove(n % self.in_flight.len());
+        let answered = outcome == Outcome::Ok;
         let end = AttemptEnd {
             request,
             attempt,
             outcome,
-            latency: now - sent,
-            answered: settled,
+            latency: now - sent_at,
+            answered,
         };
-        self.tell(now, Event::AttemptEnded(end))
+        self.handle(now, Event::AttemptEnded(end))
     }
 
     fn state(&self, now: Time) -> State {
         let b = &self.balancer;
-        let (readiness, holds) = (
+        let (readiness, concurrency_limits) = (
             b.slow_start_readiness(now).collect(),
             b.concurrency_limits().collect(),
         );
         State {
             readiness,
-            holds,
-            memory: b.learned_state(now),
+            concurrency_limits,
+            learned_state: b.learned_state(now),
         }
     }
 }
 
-fn play(proxies: u32, reverse: bool, steps: &[Step]) {
-    let (mut whole, mut changes) = (Side::new(proxies), Side::new(proxies));
+/// Applies the steps to two balancers, one of which gets full lists and one incremental updates, and compares them.
+fn run_steps(proxies: u32, reverse: bool, steps: &[Step]) {
+    let (mut full, mut incremental) = (
+        BalancerUnderTest::new(proxies),
+        BalancerUnderTest::new(proxies),
+    );
     let mut list: BTreeMap<BackendId, Backend> = BTreeMap::new();
-    let mut told = list.clone();
+    let mut announced = list.clone();
     let mut now = Time(1_000_000_000);
-    let mut next = 0;
-    for step in steps.iter().chain([&Step::Told, &Step::Request(500_000)]) {
+    let mut next_request = 0;
+    for step in steps
+        .iter()
+        .chain([&Step::AnnounceList, &Step::Request(500_000)])
+    {
         let actions = match step {
-            Step::Line(b, state, boot) => {
-                // Most leave and come back under the same number, some in other zones and of other kinds.
-                let booted = (*boot > 0).then(|| Time(now.0 - boot * 100_000));
-                let line = Backend {
+            Step::ChangeBackend(b, state, start) => {
+                // Most backends leave and return under the same id, some in another zone or hardware class.
+                let started_at = (*start > 0).then(|| Time(now.0 - start * 100_000));
+                let entry = Backend {
                     state: *state,
-                    started_at: booted,
-                    ..backend(*b, b % 3 + (boot / 3) as u32, b % 2)
+                    started_at,
+                    ..backend(*b, b % 3 + (start / 3) as u32, b % 2)
                 };
                 if *state == BackendState::Removed {
-                    // The line of its end is its last one, as a whole list says no more than that it is gone.
-                    list.remove(&line.id);
-                    let last = told.get(&line.id).cloned();
+                    // A removed backend keeps its last announced entry, as a full list tells only that it is gone.
+                    list.remove(&entry.id);
+                    let last = announced.get(&entry.id).cloned();
                     list.extend(last.map(|last| {
                         (
                             last.id,
@@ -151,18 +159,18 @@
                         )
                     }));
                 } else {
-                    list.insert(line.id, line);
+                    list.insert(entry.id, entry);
                 }
                 continue;
             }
-            Step::Told => {
+            Step::AnnounceList => {
                 let changed: Vec<Backend> = list
                     .values()
-                    .filter(|b| told.get(&b.id) != Some(*b))
+                    .filter(|b| announced.get(&b.id) != Some(*b))
                     .cloned()
                     .collect();
-                told.clone_from(&list);
-                // A whole list does not name what is gone.
+                announced.clone_from(&list);
+                // A full list does not contain removed backends.
                 let mut all: Vec<Backend> = list
                     .values()
                     .filter(|b| b.state != BackendState::Removed)
@@ -172,14 +180,14 @@
                     all.reverse();
                 }
                 (
-                    whole.tell(
+                    full.handle(
                         now,
                         Event::EndpointsUpdated {
                             update: EndpointUpdate::Full,
                             backends: all,
                         },
                     ),
-                    changes.tell(
+                    incremental.handle(
                         now,
                         Event::EndpointsUpdated {
                             update: EndpointUpdate::Incremental,
@@ -189,44 +197,56 @@
                 )
             }
             Step::Request(left) => {
-                next += 1;
+                next_request += 1;
                 let arrival = RequestArrival {
-                    request: RequestId(next),
-                    class: ClassId(usize::from(next % 4 == 0)),
+                    request: RequestId(next_request),
+                    class: ClassId(usize::from(next_request % 4 == 0)),
                     tenant: None,
                     time_left: Micros(*left),
                     work_hint: None,
-                    client_retry: next % 7 == 0,
+                    client_retry: next_request % 7 == 0,
                 };
                 let event = Event::RequestArrived(arrival);
-                (whole.tell(now, event.clone()), changes.tell(now, event))
+                (
+                    full.handle(now, event.clone()),
+                    incremental.handle(now, event),
+                )
             }
-            Step::End(n, outcome) => (whole.end(now, *n, *outcome), changes.end(now, *n, *outcome)),
-            Step::Withdraw(b) => {
+            Step::EndAttempt(n, outcome) => (
+                full.end_attempt(now, *n, *outcome),
+                incremental.end_attempt(now, *n, *outcome),
+            ),
+            Step::Disable(b) => {
                 let event = Event::BackendDisabled {
                     backend: BackendId(*b),
                 };
-                (whole.tell(now, event.clone()), changes.tell(now, event))
+                (
+                    full.handle(now, event.clone()),
+                    incremental.handle(now, event),
+                )
             }
-            Step::Restore(b) => {
+            Step::Enable(b) => {
                 let event = Event::BackendEnabled {
                     backend: BackendId(*b),
                     since: now,
                 };
-                (whole.tell(now, event.clone()), changes.tell(now, event))
+                (
+                    full.handle(now, event.clone()),
+                    incremental.handle(now, event),
+                )
             }
-            Step::Pass(span) => {
+            Step::AdvanceTime(span) => {
                 now = now + Micros(*span);
                 continue;
             }
         };
         assert_eq!(actions.0, actions.1, "at {step:?}");
-        assert_eq!(whole.state(now), changes.state(now), "at {step:?}");
+        assert_eq!(full.state(now), incremental.state(now), "at {step:?}");
     }
 }
 
 #[test]
-fn whole_lists_and_changes_lead_to_the_same_state() {
+fn full_and_incremental_updates_lead_to_the_same_state() {
     let config = ProptestConfig {
         cases: 400,
         failure_persistence: None,
@@ -241,7 +261,7 @@
         proptest::collection::vec(step(), 1..160),
     );
     let run = runner.run(&all, |(proxies, reverse, steps)| {
-        play(proxies, reverse, &steps);
+        run_steps(proxies, reverse, &steps);
         Ok(())
     });
     run.unwrap();
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! The rules as invariants over generated sequences of events; `common::Host` checks each action.
+//! Property tests of the balancer's invariants over generated sequences of events. `common::Host` checks each action,
+//! and every request must be answered.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod common;
@@ -7,16 +8,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
+/// A generated event; attempts and requests are picked by an index modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(usize, u64, Option<usize>),
-    End(usize, Outcome),
-    Stream(usize),
-    Gone(usize),
-    Pass(u64),
-    Member(u32, BackendState, bool),
-    Relist(u32, EndpointUpdate),
-    Nonsense(u64, u32, u64),
+    EndAttempt(usize, Outcome),
+    StartResponse(usize),
+    Disconnect(usize),
+    AdvanceTime(u64),
+    ChangeBackend(u32, BackendState, bool),
+    AnnounceList(u32, EndpointUpdate),
+    UnknownIds(u64, u32, u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -44,16 +46,17 @@
     ];
     prop_oneof![
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
-        8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
-        1 => (0..64usize).prop_map(Step::Stream),
-        1 => (0..64usize).prop_map(Step::Gone),
-        8 => (0..150_000u64).prop_map(Step::Pass),
-        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::Member(b, s, r)),
-        1 => (0..256u32, update).prop_map(|(m, u)| Step::Relist(m, u)),
-        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::Nonsense(r, a, t)),
+        8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::EndAttempt(n, o)),
+        1 => (0..64usize).prop_map(Step::StartResponse),
+        1 => (0..64usize).prop_map(Step::Disconnect),
+        8 => (0..150_000u64).prop_map(Step::AdvanceTime),
+        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::ChangeBackend(b, s, r)),
+        1 => (0..256u32, update).prop_map(|(m, u)| Step::AnnounceList(m, u)),
+        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::UnknownIds(r, a, t)),
     ]
 }
 
+/// A configuration whose options follow from the bits.
 fn config(bits: u32) -> Config {
     let window = Micros(300_000);
     let mut cfg = Config::example();
@@ -96,33 +99,33 @@
     cfg
 }
 
-/// Plays the steps and returns every action as text, for the test of repeatability.
-fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
+/// Runs the steps and returns the actions of each as text, for the test of determinism.
+fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = Host::new(config(bits), seed);
     let mut trace = Vec::new();
-    let fleet = |mask: u32| {
+    let backends_of = |mask: u32| {
         (0..8)
             .filter(|i| mask >> i & 1 == 1)
             .map(|i| backend(i, i % 3, i % 2))
             .collect()
     };
-    host.update_endpoints(EndpointUpdate::Cached, fleet(0b0111_1011));
+    host.update_endpoints(EndpointUpdate::Cached, backends_of(0b0111_1011));
     for step in steps {
         match *step {
             Step::Arrive(c, left, t) => {
                 host.arrive_for_tenant(c, left, t.map(TenantId));
             }
-            Step::End(n, o) => {
+            Step::EndAttempt(n, o) => {
                 if let Some((id, index)) = nth(&host.attempts_in_flight(), n) {
                     host.end_attempt(id, index, o);
                 }
             }
-            Step::Stream(n) => {
+            Step::StartResponse(n) => {
                 if let Some((id, index)) = nth(&host.attempts_in_flight(), n) {
                     host.start_response(id, index);
                 }
             }
-            Step::Gone(n) => {
+            Step::Disconnect(n) => {
                 let open: Vec<RequestId> = host
                     .requests
                     .iter()
@@ -130,27 +133,27 @@
                     .map(|(id, _)| *id)
                     .collect();
                 if let Some(id) = nth(&open, n) {
-                    host.requests.get_mut(&id).unwrap().answer = Some("left");
+                    host.requests.get_mut(&id).unwrap().answer = Some("disconnected");
                     host.handle(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Pass(span) => host.advance(span),
-            Step::Member(b, state, restarted) => {
-                let booted = restarted.then_some(host.now);
+            Step::AdvanceTime(span) => host.advance(span),
+            Step::ChangeBackend(b, state, restarted) => {
+                let started_at = restarted.then_some(host.now);
                 host.update_endpoints(
                     EndpointUpdate::Incremental,
                     vec![Backend {
                         state,
-                        started_at: booted,
+                        started_at,
                         ..backend(b, b % 3, b % 2)
                     }],
                 );
             }
-            Step::Relist(_, EndpointUpdate::Failed) => {
+            Step::AnnounceList(_, EndpointUpdate::Failed) => {
                 host.update_endpoints(EndpointUpdate::Failed, Vec::new());
             }
-            Step::Relist(mask, update) => host.update_endpoints(update, fleet(mask)),
-            Step::Nonsense(r, a, t) => {
+            Step::AnnounceList(mask, update) => host.update_endpoints(update, backends_of(mask)),
+            Step::UnknownIds(r, a, t) => {
                 host.report_unknown_ids(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
             }
         }
@@ -160,12 +163,12 @@
     let answered = |r: &common::OpenRequest| r.answer.is_some() || r.response_started;
     assert!(
         host.requests.values().all(answered),
-        "a request was left without an answer"
+        "a request has no answer 3 s after the last event"
     );
     trace
 }
 
-/// Some item of the list, if it holds any.
+/// The item at `n` modulo the length, if there is any.
 fn nth<T: Copy>(list: &[T], n: usize) -> Option<T> {
     list.get(n % list.len().max(1)).copied()
 }
@@ -180,28 +183,28 @@
 }
 
 #[test]
-fn rules_hold_over_generated_events() {
+fn invariants_hold_over_generated_events() {
     let all = (
         0..32u32,
         any::<u64>(),
         proptest::collection::vec(step(), 1..250),
     );
     let run = runner(300).run(&all, |(bits, seed, steps)| {
-        play(bits, seed, &steps);
+        run_steps(bits, seed, &steps);
         Ok(())
     });
     run.unwrap();
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_seed_and_events_give_the_same_actions() {
     let all = (
         0..32u32,
         any::<u64>(),
         proptest::collection::vec(step(), 1..120),
     );
     let run = runner(40).run(&all, |(bits, seed, steps)| {
-        prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
+        prop_assert_eq!(run_steps(bits, seed, &steps), run_steps(bits, seed, &steps));
         Ok(())
     });
     run.unwrap();
