--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,7 +33,7 @@
     pub answer: Option<&'static str>,
 }
 
-/// Drives a balancer and records what it does.
+/// Drives a balancer and records its actions.
 pub struct Host {
     pub cfg: Config,
     pub balancer: Balancer,
@@ -110,6 +110,7 @@
         }
     }
 
+    /// Checks the action and records it; dispatched attempts stay in flight until a test ends them.
     fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend } => {
@@ -242,11 +243,12 @@
         self.handle(Event::EndpointsUpdated { update, backends });
     }
 
-    /// A request of the class arrives with `left` µs to its deadline.
+    /// A request of the class arrives `time_left_us` before its deadline.
     pub fn arrive(&mut self, class: usize, time_left_us: u64) -> RequestId {
         self.arrive_for_tenant(class, time_left_us, None)
     }
 
+    /// Like [`Host::arrive`], for a request of the tenant.
     pub fn arrive_for_tenant(
         &mut self,
         class: usize,
@@ -345,7 +347,7 @@
         }
     }
 
-    /// Advances the clock by `span` µs in steps of the timer resolution: fires timers, ends cancelled and timed-out
+    /// Advances the clock by `span_us` in steps of the timer resolution: fires timers, ends cancelled and timed-out
     /// attempts, and checks that each request is answered at most 16 ms after its deadline.
     pub fn advance(&mut self, span_us: u64) {
         let until = self.now + Micros(span_us);
@@ -387,7 +389,7 @@
             .collect()
     }
 
-    /// Advances the clock by `span` µs, then ends every attempt in flight with success.
+    /// Advances the clock by `span_us`, then ends every attempt in flight with success.
     pub fn serve_all(&mut self, span_us: u64) {
         self.advance(span_us);
         for (id, index) in self.attempts_in_flight() {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -5,10 +5,12 @@
 use common::{backend, class, Host};
 use meadowproxy::*;
 
+/// `count` backends of one zone and hardware class.
 fn fleet(count: u32) -> Vec<Backend> {
     (0..count).map(|i| backend(i, 0, 0)).collect()
 }
 
+/// The example configuration with other classes.
 fn config(classes: Vec<RequestClass>) -> Config {
     Config {
         classes: classes.into(),
@@ -16,9 +18,10 @@
     }
 }
 
-fn host(cfg: Config, list: Vec<Backend>) -> Host {
+/// A host whose balancer has received the backends as a full list.
+fn host(cfg: Config, backends: Vec<Backend>) -> Host {
     let mut host = Host::new(cfg, 11);
-    host.update_endpoints(EndpointUpdate::Full, list);
+    host.update_endpoints(EndpointUpdate::Full, backends);
     host
 }
 
@@ -41,37 +44,43 @@
 
 #[test]
 fn an_invalid_configuration_names_its_field() {
-    let bad = |change: fn(&mut Config)| {
+    let rejected_field = |change: fn(&mut Config)| {
         let mut cfg = Config::example();
         change(&mut cfg);
         Balancer::new(cfg, 1).err().map(|e| e.field)
     };
-    assert_eq!(bad(|c| c.proxy_count = 0), Some("proxies"));
-    assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
+    assert_eq!(rejected_field(|c| c.proxy_count = 0), Some("proxies"));
+    assert_eq!(rejected_field(|c| c.classes.clear()), Some("classes"));
     assert_eq!(
-        bad(|c| c.classes[0].latency_objective = Micros(0)),
+        rejected_field(|c| c.classes[0].latency_objective = Micros(0)),
         Some("aim")
     );
     assert_eq!(
-        bad(|c| c.classes[0].priority_weight = f64::NAN),
+        rejected_field(|c| c.classes[0].priority_weight = f64::NAN),
         Some("worth")
     );
-    assert_eq!(bad(|c| c.classes[0].late_weight = 1.5), Some("late_worth"));
     assert_eq!(
-        bad(|c| c.tenants.push_back(Tenant { quota_per_s: -1.0 })),
+        rejected_field(|c| c.classes[0].late_weight = 1.5),
+        Some("late_worth")
+    );
+    assert_eq!(
+        rejected_field(|c| c.tenants.push_back(Tenant { quota_per_s: -1.0 })),
         Some("quota_per_s")
     );
-    assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
-    assert_eq!(bad(|c| c.timer_resolution = Micros(0)), Some("tick"));
+    assert_eq!(rejected_field(|c| c.max_attempts = 0), Some("max_attempts"));
+    assert_eq!(
+        rejected_field(|c| c.timer_resolution = Micros(0)),
+        Some("tick")
+    );
     assert_eq!(
-        bad(|c| c.slow_start_min_readiness = -0.1),
+        rejected_field(|c| c.slow_start_min_readiness = -0.1),
         Some("cold_from")
     );
     assert_eq!(
-        bad(|c| c.overload_multiple = f64::INFINITY),
+        rejected_field(|c| c.overload_multiple = f64::INFINITY),
         Some("fall_multiple")
     );
-    assert_eq!(bad(|_| ()), None);
+    assert_eq!(rejected_field(|_| ()), None);
 }
 
 #[test]
@@ -102,18 +111,18 @@
 
 #[test]
 fn at_light_load_the_faster_hardware_class_gets_nearly_all_requests() {
-    let list = (0..6).map(|i| backend(i, 0, i % 2)).collect();
+    let backends = (0..6).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(
         Config {
             proxy_count: 1,
             ..Config::example()
         },
-        list,
+        backends,
     );
     let latency_us = |b: u32| if b.is_multiple_of(2) { 20_000 } else { 80_000 };
     serve(&mut host, 150, 0, latency_us);
-    let chosen = serve(&mut host, 100, 0, latency_us);
-    let fast = chosen.iter().filter(|b| *b % 2 == 0).count();
+    let attempted = serve(&mut host, 100, 0, latency_us);
+    let fast = attempted.iter().filter(|b| *b % 2 == 0).count();
     assert!(
         fast >= 95,
         "{fast} of 100 requests went to the faster hardware class"
@@ -129,12 +138,12 @@
         },
         fleet(4),
     );
-    let chosen = serve(&mut host, 800, 0, |_| 20_000);
+    let attempted = serve(&mut host, 800, 0, |_| 20_000);
     for b in 0..4 {
-        let part = chosen.iter().filter(|c| **c == b).count();
+        let count = attempted.iter().filter(|c| **c == b).count();
         assert!(
-            (150..=250).contains(&part),
-            "backend {b} got {part} of 800 requests"
+            (150..=250).contains(&count),
+            "backend {b} got {count} of 800 requests"
         );
     }
 }
@@ -144,15 +153,15 @@
     let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let hung = host.backends_attempted(id)[0];
+    let silent = host.backends_attempted(id)[0];
     host.advance(100_000);
     assert_eq!(
         host.backends_attempted(id).len(),
         1,
         "an attempt was hedged for its age alone, which overloads every backend"
     );
-    let chosen = serve(&mut host, 30, 0, |_| 5_000);
-    assert!(!chosen.contains(&hung));
+    let attempted = serve(&mut host, 30, 0, |_| 5_000);
+    assert!(!attempted.contains(&silent));
 }
 
 #[test]
@@ -198,8 +207,8 @@
             fleet(6),
         );
         host.burst(40, 0, 900_000);
-        let tries = host.requests.values().flat_map(|r| &r.attempts);
-        tries.for_each(|t| in_flight[t.backend.0 as usize] += 1);
+        let attempts = host.requests.values().flat_map(|r| &r.attempts);
+        attempts.for_each(|t| in_flight[t.backend.0 as usize] += 1);
     }
     assert_eq!(in_flight, [4; 6]);
 }
@@ -431,11 +440,11 @@
     );
     let (id, index) = in_flight[0];
     host.advance(20_000);
-    let before = host.attempts_in_flight().len();
+    let count_before = host.attempts_in_flight().len();
     host.end_attempt(id, index, Outcome::Ok);
     assert_eq!(
         host.attempts_in_flight().len(),
-        before,
+        count_before,
         "a freed slot was not used at once"
     );
 }
@@ -478,16 +487,16 @@
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
-/// Lets backend 3 fail and the others succeed until backend 3 is ejected; returns its number.
+/// Lets backend 3 fail and the others succeed until backend 3 is ejected; returns its id.
 fn eject_failing_backend(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.backends_attempted(id)[0] == 3;
+        let fails = host.backends_attempted(id)[0] == 3;
         host.advance(5_000);
-        host.end_attempt(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
-        let again = host.requests[&id].attempts.len();
-        host.end_attempt(id, again - 1, Outcome::Ok);
+        host.end_attempt(id, 0, if fails { Outcome::Error } else { Outcome::Ok });
+        let attempts = host.requests[&id].attempts.len();
+        host.end_attempt(id, attempts - 1, Outcome::Ok);
         if host.log_lines.iter().any(|l| l.contains("ejected")) {
             return 3;
         }
@@ -527,15 +536,15 @@
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.backends_attempted(id).first().is_some_and(|b| *b != 0);
+        let fails = host.backends_attempted(id).first().is_some_and(|b| *b != 0);
         host.advance(5_000);
-        host.end_attempt(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
+        host.end_attempt(id, 0, if fails { Outcome::Error } else { Outcome::Ok });
         let index = host.requests[&id].attempts.len().saturating_sub(1);
         host.end_attempt(id, index, Outcome::Ok);
     }
-    let chosen = serve(&mut host, 80, 0, |_| 5_000);
+    let attempted = serve(&mut host, 80, 0, |_| 5_000);
     assert!(
-        chosen.iter().any(|b| *b != 0),
+        attempted.iter().any(|b| *b != 0),
         "all requests went to the one backend that succeeds"
     );
 }
@@ -575,13 +584,13 @@
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     let restarted_at = Some(host.now);
-    let list = (0..12)
+    let backends = (0..12)
         .map(|i| Backend {
             started_at: restarted_at,
             ..backend(i, 0, 0)
         })
         .collect();
-    host.update_endpoints(EndpointUpdate::Full, list);
+    host.update_endpoints(EndpointUpdate::Full, backends);
     let mut sent = 0;
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
@@ -703,6 +712,7 @@
     );
 }
 
+/// How many of 300 requests stay in the proxy's zone, one of three, at a cost of crossing zones.
 fn requests_kept_in_zone(cost: f64) -> usize {
     let cfg = Config {
         cross_zone_cost: cost,
@@ -760,17 +770,17 @@
         cross_zone_cost: 0.05,
         ..Config::example()
     };
-    let list = (0..7)
+    let backends = (0..7)
         .map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0))
         .collect();
-    let mut host = host(cfg, list);
-    let near = serve(&mut host, 400, 0, |_| 10_000)
+    let mut host = host(cfg, backends);
+    let in_zone = serve(&mut host, 400, 0, |_| 10_000)
         .iter()
         .filter(|b| **b == 0)
         .count();
     assert!(
-        (120..=220).contains(&near),
-        "{near} of 400 requests stayed on the one backend in the zone"
+        (120..=220).contains(&in_zone),
+        "{in_zone} of 400 requests stayed on the one backend in the zone"
     );
 }
 
--- a/tests/disabled_backends.rs
+++ b/tests/disabled_backends.rs
@@ -6,10 +6,12 @@
 use common::*;
 use meadowproxy::*;
 
+/// Four backends of one zone and hardware class.
 fn fleet() -> Vec<Backend> {
     (0..4).map(|n| backend(n, 0, 0)).collect()
 }
 
+/// The only proxy of the four backends.
 fn host(seed: u64) -> Host {
     let mut host = Host::new(
         Config {
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Passes an event to the balancer and records the attempts that it dispatches.
     fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
@@ -92,6 +93,7 @@
         actions
     }
 
+    /// Ends the attempt in flight at `n` modulo their number, if there is any.
     fn end_attempt(&mut self, now: Time, n: usize, outcome: Outcome) -> Vec<Action> {
         if self.in_flight.is_empty() {
             return Vec::new();
@@ -196,13 +198,13 @@
                     ),
                 )
             }
-            Step::Request(left) => {
+            Step::Request(time_left_us) => {
                 next_request += 1;
                 let arrival = RequestArrival {
                     request: RequestId(next_request),
                     class: ClassId(usize::from(next_request % 4 == 0)),
                     tenant: None,
-                    time_left: Micros(*left),
+                    time_left: Micros(*time_left_us),
                     work_hint: None,
                     client_retry: next_request % 7 == 0,
                 };
--- a/tests/many_proxies.rs
+++ b/tests/many_proxies.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Passes an event to a proxy and carries out its actions.
     fn handle(&mut self, proxy: usize, event: Event) {
         let mut actions = Vec::new();
         self.proxies[proxy].handle(Time(self.now), event, &mut actions);
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Announces the backends to all proxies.
     fn update_endpoints(&mut self, update: EndpointUpdate, backends: &[Backend]) {
         for proxy in 0..self.proxies.len() {
             self.handle(
@@ -163,9 +165,9 @@
                         },
                     );
                 }
-                Queued::AttemptEnd(request, attempt, backend, sent) => {
+                Queued::AttemptEnd(request, attempt, backend, sent_at) => {
                     let (attempt, outcome) = (AttemptNumber(attempt), (self.response)(backend).1);
-                    let latency = Micros(at - sent);
+                    let latency = Micros(at - sent_at);
                     let end = AttemptEnd {
                         request,
                         attempt,
@@ -193,14 +195,14 @@
 /// Ready backends with scattered address hashes.
 fn backends(ids: std::ops::Range<u32>, started_at: Option<Time>) -> Vec<Backend> {
     let address_hash = |id: u32| u64::from(id.wrapping_mul(2_654_435_761)) >> 4;
-    let one = |id| Backend {
+    let backend = |id| Backend {
         id: BackendId(id),
         address_hash: address_hash(id),
         state: BackendState::Ready,
         started_at,
         ..Backend::default()
     };
-    ids.map(one).collect()
+    ids.map(backend).collect()
 }
 
 /// Observed in large fleets: each proxy was allowed at least one unit of work per cold backend and overload window, too
@@ -230,11 +232,11 @@
                 restarted_at + from * SECOND,
                 restarted_at + (from + 3) * SECOND,
             );
-            let most = 3.0 * 3.0 * warm * readiness(from - restarted_at);
+            let limit = 3.0 * 3.0 * warm * readiness(from - restarted_at);
             let attempts = fleet.count_attempts(id, from, to);
             assert!(
-                attempts as f64 <= most,
-                "{attempts} attempts to cold backend {id} in the window {} µs after its start, at most {most} allowed",
+                attempts as f64 <= limit,
+                "{attempts} attempts to cold backend {id} in the window {} µs after its start, at most {limit} allowed",
                 from - restarted_at
             );
         }
@@ -266,16 +268,16 @@
         (fleet.rejected, fleet.sent.len())
     };
     // 25 per second and backend at 200 ms are five in flight; the latency objective is 500 ms.
-    let (none, sent) = rejected(|_| (200_000, Outcome::Ok));
+    let (rejections, sent) = rejected(|_| (200_000, Outcome::Ok));
     assert!(
-        none * 20 < sent,
-        "{none} requests rejected, {sent} attempts sent"
+        rejections * 20 < sent,
+        "{rejections} requests rejected, {sent} attempts sent"
     );
     // Where responses are slow, retries are limited to half the concurrency limit: two per backend.
-    let (most, sent) = rejected(|_| (300_000, Outcome::Ok));
+    let (rejections, sent) = rejected(|_| (300_000, Outcome::Ok));
     assert!(
-        most > sent,
-        "{most} requests rejected, {sent} attempts sent"
+        rejections > sent,
+        "{rejections} requests rejected, {sent} attempts sent"
     );
 }
 
--- a/tests/peer_verdicts.rs
+++ b/tests/peer_verdicts.rs
@@ -6,6 +6,7 @@
 use common::*;
 use meadowproxy::*;
 
+/// Verdicts beyond this age are ignored.
 const MAX_AGE: Micros = Micros(5_000_000);
 
 /// One proxy of twelve with four backends, each of which has already served it.
@@ -54,6 +55,7 @@
     }));
 }
 
+/// A peer's first ejection of a backend, for one second.
 const EJECTED: Verdict = Verdict::Ejected {
     duration: Micros(1_000_000),
     consecutive_ejections: 1,
--- a/tests/reconfiguration.rs
+++ b/tests/reconfiguration.rs
@@ -6,6 +6,7 @@
 use common::*;
 use meadowproxy::*;
 
+/// An idempotent class 0 and a non-idempotent class 1, with up to three attempts.
 fn config() -> Config {
     let classes = vec![
         class(Idempotency::Idempotent),
@@ -35,6 +36,7 @@
     }
 }
 
+/// Changes the configuration to [`changed`].
 fn change(host: &mut Host) {
     host.cfg = changed();
     host.cfg.max_attempts = 3; // the host checks the highest limit of any open request
@@ -54,6 +56,7 @@
     });
 }
 
+/// A host whose balancer has learned the latency of both classes.
 fn host(seed: u64) -> Host {
     let mut host = Host::new(config(), seed);
     host.update_endpoints(
@@ -258,7 +261,7 @@
     let quota = |n: u64| Tenant {
         quota_per_s: 1.0 / (n.wrapping_mul(0x9e37_79b9) % 1000 + 1) as f64,
     };
-    let validated_whole = |tenants: Vec<Tenant>| {
+    let validated_config = |tenants: Vec<Tenant>| {
         Config {
             tenants: tenants.into(),
             ..config()
@@ -268,9 +271,9 @@
     };
     let mut tenants: Vec<Tenant> = (0..10_000).map(quota).collect();
     let sequential_sum = |tenants: &[Tenant]| tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
-    let original = validated_whole(tenants.clone());
+    let original = validated_config(tenants.clone());
     assert_eq!(
-        validated_whole(tenants[..4096].to_vec()).quota_sum_per_s(),
+        validated_config(tenants[..4096].to_vec()).quota_sum_per_s(),
         sequential_sum(&tenants[..4096]),
         "up to 4096 quotas are summed in their order"
     );
@@ -300,10 +303,10 @@
         changed_by_entry,
         Config {
             classes,
-            ..(*validated_whole(tenants)).clone()
+            ..(*validated_config(tenants)).clone()
         }
         .validated()
         .unwrap()
     );
-    assert_eq!(original, validated_whole((0..10_000).map(quota).collect()));
+    assert_eq!(original, validated_config((0..10_000).map(quota).collect()));
 }
--- a/tests/settings_reference.rs
+++ b/tests/settings_reference.rs
@@ -21,6 +21,7 @@
 };
 const ZONES: [&str; 4] = ["p", "q", "r", "s"];
 
+/// Entries of `profiles`.
 fn profile() -> impl Strategy<Value = Value> {
     let effects = [
         "free",
@@ -46,6 +47,7 @@
     })
 }
 
+/// Entries of `customers`.
 fn customer() -> impl Strategy<Value = Value> {
     let quota = prop::sample::select(vec![0.1, 0.7, 3.0, 1.0 / 3.0]);
     (prop::sample::select(&ENTRY_NAMES[..5]), quota)
@@ -96,6 +98,7 @@
     Add,
 }
 
+/// Mutations, each with the index that picks its value.
 fn mutation() -> impl Strategy<Value = (prop::sample::Index, Mutation)> {
     let values = vec![
         json!(null),
@@ -129,6 +132,7 @@
     all.push(at);
 }
 
+/// Applies the mutations to the settings.
 fn mutated(mut settings: Value, mutations: Vec<(prop::sample::Index, Mutation)>) -> Value {
     for (at, mutation) in mutations {
         let mut all = Vec::new();
@@ -197,6 +201,7 @@
     errors.iter().map(ToString::to_string).collect()
 }
 
+/// Adds the zone and kind of an endpoint list's row to the names.
 fn add_zone_and_kind(names: &mut Names, zone: &str, kind: &str) {
     names.backend_for(
         &EndpointRow::new("b", zone, kind, Backend::default()),
@@ -213,6 +218,7 @@
 }
 
 impl ReferenceState {
+    /// Checks that the settings in force equal those of the reference.
     fn assert_equals(&self, active: &ActiveSettings) {
         assert_eq!(self.config, *active.config);
         let sum: f64 = self.config.tenants.iter().map(|t| t.quota_per_s).sum();
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -6,8 +6,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const SECOND: u64 = 1_000_000;
+/// How long slow start takes.
 const RAMP: u64 = 23 * SECOND;
+/// The overload window, over which the work sent to a cold backend is limited.
 const WINDOW: u64 = 3 * SECOND;
+/// The fraction of its full speed that a backend has when it starts.
 const MIN_READINESS: f64 = 0.13;
 /// Work and traffic share of each class; the mean work is 1.
 const CLASSES: [(f64, f64); 2] = [(0.5, 0.75), (2.5, 0.25)];
@@ -18,6 +21,7 @@
 struct Random(u64);
 
 impl Random {
+    /// A number in 0..1.
     fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -25,8 +29,9 @@
         ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        (self.unit() * most as f64) as u64
+    /// A whole number below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
+        (self.unit() * bound as f64) as u64
     }
 }
 
@@ -190,7 +195,7 @@
 
     /// The endpoint list before or after the restart.
     fn list(&self, restarted: bool) -> Vec<Backend> {
-        let one = |id: u32| Backend {
+        let backend = |id: u32| Backend {
             id: BackendId(id),
             address_hash: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
             zone: ZoneId(id % 3),
@@ -204,19 +209,19 @@
         } else {
             0
         };
-        (0..self.case.backends - removed).map(one).collect()
+        (0..self.case.backends - removed).map(backend).collect()
     }
 
     /// Starts a new process of the old one's proxy, in its place or beside it.
     fn replace(&mut self, old: usize, start: ProcessStart) {
         let (position, weight) = (self.processes[old].position, self.processes[old].weight);
         let new = self.start(position, weight);
-        let memory = Box::new(self.processes[old].balancer.learned_state(Time(self.now)));
+        let state = Box::new(self.processes[old].balancer.learned_state(Time(self.now)));
         if start != ProcessStart::Empty {
             self.handle(
                 new,
                 Event::StateRestored {
-                    state: memory,
+                    state,
                     age: Micros(0),
                 },
             );
@@ -246,11 +251,12 @@
             self.cores[backend].fill(self.now);
         }
         for process in 0..self.processes.len() {
-            let late = self.random.below(self.case.max_update_delay);
-            self.schedule(self.now + late, Queued::EndpointsAnnounced(process));
+            let delay = self.random.below(self.case.max_update_delay);
+            self.schedule(self.now + delay, Queued::EndpointsAnnounced(process));
         }
     }
 
+    /// Passes an event to a process and carries out its actions.
     fn handle(&mut self, process: usize, event: Event) {
         let mut actions = Vec::new();
         self.processes[process]
@@ -291,11 +297,12 @@
         } else {
             1.0
         };
-        let takes = work * self.case.cores as f64 / self.case.service_rate / speed * SECOND as f64;
+        let service_time_us =
+            work * self.case.cores as f64 / self.case.service_rate / speed * SECOND as f64;
         let Some(core) = self.cores[backend as usize].iter_mut().min() else {
             return;
         };
-        *core = (*core).max(self.now) + takes as u64;
+        *core = (*core).max(self.now) + service_time_us as u64;
         let end = *core;
         self.schedule(
             end,
@@ -305,27 +312,27 @@
 
     /// A request arrives at a random process, and the next arrival is scheduled.
     fn arrival(&mut self) {
-        let all: f64 = self.processes.iter().map(|p| p.weight).sum();
-        let mut left = self.random.unit() * all;
-        let mut hit = |p: &Process| {
-            left -= p.weight;
-            left < 0.0
+        let total_weight: f64 = self.processes.iter().map(|p| p.weight).sum();
+        let mut remaining = self.random.unit() * total_weight;
+        let mut selected = |p: &Process| {
+            remaining -= p.weight;
+            remaining < 0.0
         };
-        let process = self.processes.iter().position(&mut hit).unwrap_or(0);
+        let process = self.processes.iter().position(&mut selected).unwrap_or(0);
         let class = usize::from(self.random.unit() >= CLASSES[0].1);
         let work = CLASSES[class].0 * (0.5 + self.random.unit());
         self.next_id += 1;
         let (request, class) = (RequestId(self.next_id), ClassId(class));
         self.requests.insert(request, (work, 0));
         let time_left = Micros([750_000, 3 * SECOND][class.0]);
-        let (tenant, work_hint, repeat) = (None, None, false);
+        let (tenant, work_hint, client_retry) = (None, None, false);
         let arrival = RequestArrival {
             request,
             class,
             tenant,
             time_left,
             work_hint,
-            client_retry: repeat,
+            client_retry,
         };
         self.handle(process, Event::RequestArrived(arrival));
         let client_timeout = if self.now < self.restarted_at {
@@ -363,14 +370,14 @@
             match queued {
                 Queued::RequestArrival => self.arrival(),
                 Queued::Timer(process, token) => self.handle(process, Event::TimerFired { token }),
-                Queued::AttemptEnd(process, request, attempt, sent, outcome) => {
-                    let (latency, settled) = (Micros(at - sent), true);
+                Queued::AttemptEnd(process, request, attempt, sent_at, outcome) => {
+                    let (latency, answered) = (Micros(at - sent_at), true);
                     let end = AttemptEnd {
                         request,
                         attempt,
                         outcome,
                         latency,
-                        answered: settled,
+                        answered,
                     };
                     self.handle(process, Event::AttemptEnded(end));
                 }
