--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership on simulated clocks and a simulated network with a constant latency.
+//! Tests of membership: fleets of real [`Membership`] instances with simulated clocks, in a simulated network with
+//! constant latency.
 
 use meadowproxy::fleet::membership::wire::{self, Body, DatagramSealer};
 use meadowproxy::fleet::membership::{
@@ -11,13 +12,14 @@
 use std::net::SocketAddr;
 
 const SECOND_US: u64 = 1_000_000;
-/// Wall time at the start.
+/// The wall clock at the start, in microseconds since the Unix epoch.
 const WALL_START_US: u64 = 1_700_000_000 * SECOND_US;
-/// How long each datagram takes.
+/// The latency of each datagram.
 const LATENCY_US: u64 = 500;
-/// Longer than the day for which a proxy remembers a member that is down.
+/// A time after which a proxy has forgotten a member that is down: it remembers it for a day.
 const FORGOTTEN_AFTER_US: u64 = 25 * 3600 * SECOND_US;
 
+/// The address of proxy `n`.
 fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1000 + n as u16))
 }
@@ -34,13 +36,14 @@
     }
 }
 
+/// A simulated proxy and the events that its membership has emitted.
 struct Proxy {
     membership: Membership,
     sealer: DatagramSealer,
     events: Vec<MembershipEvent>,
 }
 
-/// When a datagram arrives; of those that arrive together, the one sent first comes first.
+/// When a datagram arrives. Of datagrams that arrive at the same time, the one sent first is delivered first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at_us: u64,
@@ -53,6 +56,7 @@
     bytes: Vec<u8>,
 }
 
+/// A proxy whose wall clock is ahead of the others.
 #[derive(Clone, Copy)]
 struct ClockSkew {
     proxy: usize,
@@ -63,32 +67,32 @@
 struct Fleet {
     now_us: u64,
     size: usize,
-    /// The proxies that each one joins through.
+    /// The proxies that are configured as seeds.
     seeds: Vec<usize>,
     proxies: BTreeMap<usize, Proxy>,
     in_flight: BTreeMap<Arrival, InFlight>,
     sent: u64,
     /// Bytes sent by each proxy.
     sent_bytes: BTreeMap<usize, u64>,
-    /// These are partitioned from the others.
+    /// The proxies that are partitioned from the others.
     partitioned: BTreeSet<usize>,
-    /// No datagram from the first to the second one arrives.
+    /// Pairs of sender and recipient between which all datagrams are lost.
     blocked: BTreeSet<(usize, usize)>,
-    /// One in so many datagrams is lost, by a seeded draw.
+    /// One in this number of datagrams is lost, at random; `None` if none is.
     loss_one_in: Option<u32>,
     random: Pcg32,
-    /// A proxy whose wall clock is ahead.
     clock_skew: Option<ClockSkew>,
 }
 
 impl Fleet {
+    /// A fleet whose proxies all start now, with proxy 0 as the seed.
     fn new(size: usize) -> Fleet {
         let mut fleet = Fleet::not_started(size, vec![0]);
         (0..size).for_each(|n| fleet.start(n));
         fleet
     }
 
-    /// A fleet of which no proxy runs yet.
+    /// A fleet whose proxies have not started yet.
     fn not_started(size: usize, seeds: Vec<usize>) -> Fleet {
         Fleet {
             now_us: 0,
@@ -115,6 +119,7 @@
         }
     }
 
+    /// The clocks of a proxy.
     fn clock(&self, n: usize) -> ClockReading {
         let skew = self.clock_skew.filter(|skew| skew.proxy == n);
         let ahead_us = skew.map_or(0, |skew| skew.ahead_us);
@@ -124,6 +129,7 @@
         }
     }
 
+    /// Starts a proxy, or restarts it with empty memory.
     fn start(&mut self, n: usize) {
         let cluster = wire::cluster_id("test");
         let config = MembershipConfig {
@@ -140,21 +146,26 @@
         self.proxies.insert(n, proxy);
     }
 
-    /// One step of a proxy, and what comes of it.
+    /// Calls the membership of a proxy if it runs, and handles the outputs.
     fn step(
         &mut self,
         n: usize,
-        step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>),
+        call: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>),
     ) {
         let now = self.clock(n);
         let Some(proxy) = self.proxies.get_mut(&n) else {
             return;
         };
         let mut outputs = Vec::new();
-        step(&mut proxy.membership, now, &mut outputs);
+        call(&mut proxy.membership, now, &mut outputs);
         for output in outputs {
             match output {
-                Output::Event(event) => self.proxies.get_mut(&n).expect("alive").events.push(event),
+                Output::Event(event) => self
+                    .proxies
+                    .get_mut(&n)
+                    .expect("the proxy runs")
+                    .events
+                    .push(event),
                 Output::Send { to, body } => self.send(n, to, body, now),
             }
         }
@@ -164,7 +175,7 @@
         let bytes = self.proxies[&from]
             .sealer
             .seal(body, now.wall_us)
-            .expect("a body that fits");
+            .expect("the body fits into a datagram");
         self.sent += 1;
         *self.sent_bytes.entry(from).or_default() += bytes.len() as u64;
         let is_lost = self
@@ -209,7 +220,7 @@
             }
             self.now_us = self.now_us.max(next_us);
             if next_arrival_us == Some(next_us) {
-                let (_, datagram) = self.in_flight.pop_first().expect("one arrives");
+                let (_, datagram) = self.in_flight.pop_first().expect("a datagram is in flight");
                 self.step(datagram.to, |membership, now, outputs| {
                     membership.handle_datagram(&datagram.bytes, now, outputs);
                 });
@@ -237,7 +248,7 @@
             .all(|proxy| proxy.membership.member_count() + 1 == self.size)
     }
 
-    /// How many of a proxy's events match.
+    /// The number of a proxy's events that match.
     fn count_events(&self, n: usize, matches: fn(&MembershipEvent) -> bool) -> usize {
         let events = self.proxies[&n].events.iter();
         events.filter(|event| matches(event)).count()
@@ -253,13 +264,14 @@
         })
     }
 
-    /// Bytes sent by a proxy so far.
+    /// The bytes sent by a proxy so far.
     fn bytes_of(&self, n: usize) -> u64 {
         self.sent_bytes[&n]
     }
 }
 
-/// A proxy that was declared down by mistake rejoins under a later incarnation, and all know it by that.
+/// A proxy that a partition made the others declare down rejoins under a later incarnation, by which all others know
+/// it.
 #[test]
 fn a_partitioned_proxy_rejoins() {
     let mut fleet = Fleet::new(5);
@@ -267,7 +279,11 @@
     assert!(fleet.is_complete());
     fleet.partitioned = BTreeSet::from([4]);
     fleet.run_for(30 * SECOND_US);
-    assert_eq!(fleet.member_count(0), 3, "it was not declared down");
+    assert_eq!(
+        fleet.member_count(0),
+        3,
+        "the partitioned proxy was not declared down"
+    );
     fleet.partitioned.clear();
     fleet.run_for(10 * SECOND_US);
     assert!(fleet.is_complete());
@@ -276,12 +292,12 @@
         |event: &MembershipEvent| matches!(event, MembershipEvent::MemberReplaced { .. });
     assert!(
         fleet.count_events(0, replaced) > 0,
-        "by a later incarnation"
+        "proxy 0 did not replace the incarnation of proxy 4"
     );
 }
 
-/// A proxy whose clock was ahead is followed by one that starts earlier by its own clock: this one renews its incarnation
-/// by wall time, and is known once that has passed the start of the other.
+/// A proxy restarts after its wall clock was ahead, so that its new incarnation is earlier than the former one. It
+/// renews its incarnation by wall time, and is accepted when that is later than the start of its former process.
 #[test]
 fn a_restart_after_a_clock_that_was_ahead_is_accepted() {
     let mut fleet = Fleet::new(5);
@@ -297,11 +313,13 @@
     fleet.start(1);
     fleet.run_for(10 * SECOND_US);
     assert!(fleet.is_complete());
-    assert!(fleet.rejoins(1) > 0, "it had no need to");
+    assert!(
+        fleet.rejoins(1) > 0,
+        "proxy 1 was accepted without renewing its incarnation"
+    );
 }
 
-/// A proxy that crashes is detected by each of the others once, within the time that suspicion takes; no other proxy is
-/// declared down.
+/// Each of the others detects a crashed proxy once, within the duration of a suspicion. No live proxy is declared down.
 #[test]
 fn a_crashed_proxy_is_detected_by_all_and_no_live_one_is_declared_down() {
     let mut fleet = Fleet::new(40);
@@ -315,15 +333,15 @@
     fleet.run_for(30 * SECOND_US);
     assert!(
         fleet.proxies.keys().all(|n| fleet.members_down(*n) == 1),
-        "each detects it once"
+        "a proxy did not detect the crash exactly once"
     );
 }
 
-/// A requested snapshot arrives complete in the chunks that are sent; one that is too large is not sent.
+/// A requested snapshot arrives completely, in chunks. One that is too large is not sent.
 #[test]
 fn a_new_proxy_gets_the_snapshot_that_it_requested() {
     let mut fleet = Fleet::new(2);
-    fleet.run_for(600_000); // a request goes out each half second, and at the start no member is known
+    fleet.run_for(600_000); // a request is sent every half second, but at the start no member is known
     let request = fleet.proxies[&0]
         .events
         .iter()
@@ -331,12 +349,12 @@
             MembershipEvent::SnapshotRequested { from, nonce } => Some((*from, *nonce)),
             _ => None,
         });
-    let (requester, nonce) = request.expect("a request");
+    let (requester, nonce) = request.expect("proxy 0 received a request");
     let snapshot: Vec<u8> = (0..5_000u32).map(|n| n as u8).collect();
     fleet.step(0, |membership, _, outputs| {
         membership
             .send_snapshot(requester, nonce, &snapshot, outputs)
-            .expect("small enough");
+            .expect("the snapshot is small enough");
     });
     fleet.run_for(100_000);
     let received = fleet.proxies[&1]
@@ -354,8 +372,8 @@
     });
 }
 
-/// A verdict is received once by each other proxy, with the turns distributed: each has the place that its address has
-/// among all but the origin, which is the last.
+/// Each live proxy receives a verdict once, with its turn: the position of its address in the order by hash, which
+/// depends on the time of the verdict. The origin has the last turn.
 #[test]
 fn a_verdict_reaches_all_others_once_with_a_turn_each() {
     const ORIGIN: usize = 3;
@@ -397,10 +415,11 @@
     }
 }
 
-/// However many verdicts there are to broadcast, a proxy sends no more than its rate limit and burst, bare probes and
-/// acknowledgements excluded: 3.5 KB a second, a burst of 5 KB, and for the probes five datagrams of 100 bytes a second.
+/// Regardless of the number of verdicts to broadcast, a proxy sends at most its rate limit and burst, apart from bare
+/// probes and acknowledgements: 3.5 KB a second and a burst of 5 KB, and for the probes five datagrams of 100 bytes a
+/// second.
 #[test]
-fn what_a_proxy_sends_stays_within_its_rate_limit() {
+fn a_proxy_stays_within_its_rate_limit() {
     let mut fleet = Fleet::new(60);
     fleet.run_for(20 * SECOND_US);
     assert!(fleet.is_complete());
@@ -416,15 +435,19 @@
         let most = (0..60)
             .map(|n| fleet.bytes_of(n) - bytes_before[&n])
             .max()
-            .expect("sixty");
-        assert!(most <= 5_000 + second * 4_000, "{most} bytes in {second} s");
+            .expect("the fleet has 60 proxies");
+        assert!(
+            most <= 5_000 + second * 4_000,
+            "a proxy sent {most} bytes in {second} s"
+        );
     }
     assert!((0..60).all(|n| fleet.members_down(n) == 0));
 }
 
-/// Some verdicts on a backend reach all others soon while far more of them wait than may be sent.
+/// When many more verdicts on one backend are queued than the rate limit allows, some of them still reach all proxies
+/// soon.
 #[test]
-fn of_hundreds_of_verdicts_on_one_backend_all_receive_some_at_once() {
+fn of_many_verdicts_on_one_backend_all_proxies_receive_some_soon() {
     let mut fleet = Fleet::new(100);
     fleet.run_for(30 * SECOND_US);
     assert!(fleet.is_complete());
@@ -437,38 +460,41 @@
     let from_another = |event: &MembershipEvent| matches!(event, MembershipEvent::VerdictReceived { verdict, .. } if verdict.origin.is_some());
     for n in 0..100 {
         let others = fleet.count_events(n, from_another);
-        assert!(others >= 2, "proxy {n} received {others}");
+        assert!(
+            others >= 2,
+            "proxy {n} received {others} verdicts of others"
+        );
     }
     fleet.run_for(SECOND_US);
     let bytes: u64 = (0..100).map(|n| fleet.bytes_of(n) - bytes_before[&n]).sum();
     assert!(
         bytes / 100 <= 6_000,
-        "{} bytes each, as if all were passed on",
+        "{} bytes per proxy, as if it had forwarded all verdicts",
         bytes / 100
     );
 }
 
-/// Hundreds that start at once all know each other in the end, by anti-entropy; and once lists are equal, comparing them
-/// costs next to nothing.
+/// When hundreds of proxies start at once, anti-entropy makes all member lists complete. Comparing equal lists
+/// afterwards costs at most 200 bytes a second per proxy.
 #[test]
 fn member_lists_become_complete() {
     let mut fleet = Fleet::new(200);
     fleet.run_for(40 * SECOND_US);
     let incomplete = (0..200).filter(|n| fleet.member_count(*n) != 199).count();
-    assert_eq!(incomplete, 0, "proxies that lack another");
-    fleet.run_for(20 * SECOND_US); // the remaining gossip ends
+    assert_eq!(incomplete, 0, "the number of proxies with incomplete lists");
+    fleet.run_for(20 * SECOND_US); // until the remaining gossip has ended
     let bytes_before: u64 = fleet.sent_bytes.values().sum();
     fleet.run_for(10 * SECOND_US);
     let bytes = fleet.sent_bytes.values().sum::<u64>() - bytes_before;
     let bytes_per_s = bytes / 200 / 10;
     assert!(
         bytes_per_s <= 200,
-        "{bytes_per_s} bytes a second while nothing happens"
+        "{bytes_per_s} bytes a second per proxy without changes"
     );
 }
 
-/// After a partition the proxies of the smaller side rejoin under later incarnations, and those of the larger side keep
-/// theirs; on neither side is a proxy declared down by another one of that side.
+/// After a partition, the proxies of the smaller side rejoin under later incarnations, and those of the larger side
+/// keep theirs. No proxy is declared down by one of its own side.
 #[test]
 fn after_a_partition_only_the_smaller_side_rejoins() {
     const REGION: usize = 42;
@@ -479,7 +505,7 @@
     fleet.run_for(60 * SECOND_US);
     assert!(
         (0..REGION).all(|n| fleet.member_count(n) == REGION - 1),
-        "it was not declared down"
+        "the region was not declared down"
     );
     fleet.partitioned.clear();
     for proxy in fleet.proxies.values_mut() {
@@ -499,15 +525,16 @@
             assert_ne!(
                 is_in_region(*n),
                 is_in_region(other),
-                "{n} declared {other} down"
+                "proxy {n} declared proxy {other} of its own side down"
             );
         }
     }
 }
 
-/// With a tenth of the datagrams lost many are suspected; a proxy that refutes the suspicion is not told that it is down.
+/// With a tenth of the datagrams lost, many proxies are suspected. A proxy that refutes the suspicion is not declared
+/// down, and so doesn't rejoin.
 #[test]
-fn no_proxy_rejoins_for_a_suspicion_that_was_refuted() {
+fn no_proxy_rejoins_after_a_refuted_suspicion() {
     let mut fleet = Fleet::new(60);
     fleet.run_for(10 * SECOND_US);
     fleet.loss_one_in = Some(10);
@@ -516,20 +543,20 @@
     assert_eq!(rejoins, 0);
 }
 
-/// How long a fleet may take to become one.
+/// The maximum time until separate groups have joined into one fleet.
 const JOIN_LIMIT_US: u64 = 10 * SECOND_US;
 
-/// Proxies that started together formed groups that never met: each member had found another one while its datagrams to the
-/// rest were lost, and a proxy that knew a live member announced itself to no seed.
+/// Proxies that started together formed groups that never joined: each proxy had found a member of its group while its
+/// datagrams to the other groups were lost, and a proxy that knew a live member didn't announce itself to any seed.
 #[test]
 fn groups_of_three_and_two_that_met_first_become_one_fleet() {
     let groups: [&[usize]; 2] = [&[0, 1, 2], &[3, 4]];
     groups_that_met_first_become_one(&groups, 5);
 }
 
-/// The same of two pairs and a fifth, which is alone and announces itself until it is heard.
+/// The same fault with two pairs and a single proxy, which announces itself until it is heard.
 #[test]
-fn two_pairs_that_met_first_and_a_fifth_become_one_fleet() {
+fn two_pairs_that_met_first_and_a_single_proxy_become_one_fleet() {
     let groups: [&[usize]; 3] = [&[0, 1], &[2, 3], &[4]];
     groups_that_met_first_become_one(&groups, 5);
 }
@@ -547,14 +574,14 @@
         let apart = group
             .iter()
             .all(|n| fleet.member_count(*n) + 1 == group.len());
-        assert!(apart, "each has met its group");
+        assert!(apart, "a proxy doesn't know exactly its group {group:?}");
     }
     fleet.blocked.clear();
     fleet.run_for(JOIN_LIMIT_US);
     assert!(fleet.is_complete());
 }
 
-/// Two groups that met first never became one, also in a large fleet.
+/// Two groups that met first never joined, also in a large fleet.
 #[test]
 fn two_halves_that_met_first_become_one_fleet_of_300() {
     two_halves_that_met_first_become_one(300);
@@ -572,7 +599,10 @@
             .iter()
             .all(|n| fleet.member_count(*n) + 1 == group.len());
         let counts: Vec<usize> = group.iter().map(|n| fleet.member_count(*n)).collect();
-        assert!(complete, "each half is complete: {counts:?}");
+        assert!(
+            complete,
+            "a half is incomplete, its proxies know {counts:?} members"
+        );
     }
     fleet.partitioned.clear();
     fleet.run_for(JOIN_LIMIT_US);
@@ -582,18 +612,25 @@
         let of_other_half = others.filter(|other| is_in_first(other) != is_in_first(&n));
         let known = of_other_half.count();
         let least = first.len().min(second.len()) / 2;
-        assert!(known >= least, "{n} knows {known} of the other half");
+        assert!(
+            known >= least,
+            "proxy {n} knows only {known} members of the other half"
+        );
     }
     let mut seconds = JOIN_LIMIT_US / SECOND_US;
     while !fleet.is_complete() {
         fleet.run_for(SECOND_US);
         seconds += 1;
-        assert!(seconds <= 60, "lists become complete");
+        assert!(
+            seconds <= 60,
+            "a member list is incomplete after {seconds} s"
+        );
     }
-    println!("{size} proxies: all lists complete after {seconds} s");
+    println!("{size} proxies: all member lists complete after {seconds} s");
 }
 
-/// Late proxies whose seeds were all unreachable at their start met only each other, and never the fleet.
+/// Proxies that started later, while the seeds of the running fleet were unreachable, found each other and never joined
+/// the fleet.
 #[test]
 fn late_proxies_that_met_only_each_other_join_the_fleet() {
     let mut fleet = Fleet::not_started(6, vec![0, 4, 5]);
@@ -609,7 +646,7 @@
     assert!(fleet.is_complete());
 }
 
-/// Halves that were apart until each had forgotten the other never met again.
+/// Halves that were partitioned until each had forgotten the other never joined again.
 #[test]
 fn halves_that_forgot_each_other_become_one_fleet() {
     let mut fleet = Fleet::not_started(4, vec![0, 2]);
@@ -623,7 +660,8 @@
     assert!(fleet.is_complete());
 }
 
-/// The only seed came back, with no seed of its own, after all others had given it up and forgotten it.
+/// The only seed restarted, without another seed to join, after all others had forgotten it, and never joined them
+/// again.
 #[test]
 fn a_seed_that_was_forgotten_is_joined_again() {
     let mut fleet = Fleet::new(4);
@@ -635,9 +673,9 @@
     assert!(fleet.is_complete());
 }
 
-/// What a seed that is gone costs the others.
+/// An unreachable seed costs each of the other proxies at most 60 bytes a second.
 #[test]
-fn a_seed_that_is_gone_costs_little() {
+fn an_unreachable_seed_costs_little() {
     let mut fleet = Fleet::not_started(100, (0..5).collect());
     (0..100).for_each(|n| fleet.start(n));
     fleet.run_for(60 * SECOND_US);
@@ -646,10 +684,13 @@
         fleet.run_for(30 * SECOND_US);
         (fleet.sent_bytes.values().sum::<u64>() - before) / 30 / 100
     };
-    let whole = per_second(&mut fleet);
+    let with_all = per_second(&mut fleet);
     fleet.proxies.remove(&0);
     fleet.run_for(60 * SECOND_US);
     let without = per_second(&mut fleet);
-    println!("{whole} bytes a second each with all seeds, {without} without one");
-    assert!(without <= whole + 60, "{without} bytes, {whole} before");
+    println!("{with_all} bytes a second per proxy with all seeds, {without} without one");
+    assert!(
+        without <= with_all + 60,
+        "{without} bytes a second per proxy without a seed, {with_all} with it"
+    );
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,6 +1,6 @@
-//! Broadcasts over the relay tree: for how long each proxy goes without a heartbeat of the lease holder, and how long an
-//! update takes to reach the last proxy, at 30, 300 and 1,800 proxies in simulated time with datagrams lost; and which
-//! broadcasts are rejected. Seeded.
+//! Tests of broadcasts over the relay tree. With 30, 300 and 1,800 proxies in simulated time and datagrams lost: how
+//! long each proxy is without a new heartbeat of the lease holder, and how long an update takes to the last proxy.
+//! Other tests check which broadcasts are rejected, and the tree. Random numbers are seeded.
 
 use meadowproxy::fleet::relay::{
     BroadcastError, BroadcastHeader, HashRange, Relay, FAN_OUT, MAX_HOPS,
@@ -14,17 +14,18 @@
 use std::net::SocketAddr;
 
 const SECOND_US: u64 = 1_000_000;
-/// The wall clock at the simulation's start.
+/// The wall clock at the start, in microseconds since the Unix epoch.
 const WALL_START_US: u64 = 1_700_000_000 * SECOND_US;
-/// For how long a proxy acts on one heartbeat of the holder, by default.
+/// How long a proxy relies on one heartbeat of the lease holder, by default.
 const MAX_AGE_US: u64 = 5 * SECOND_US;
-/// How long after its decision an update has to be in force at the last proxy.
+/// The maximum time from a decision until its update is in force at the last proxy.
 const UPDATE_DEADLINE_US: u64 = 2 * SECOND_US;
-/// How often the holder broadcasts a heartbeat, and each proxy sends digests.
+/// The interval at which the lease holder broadcasts heartbeats and each proxy sends digests.
 const HEARTBEAT_INTERVAL_US: u64 = SECOND_US;
-/// When an update is broadcast, after its decision.
+/// The times after a decision at which its update is broadcast.
 const UPDATE_BROADCASTS_US: [u64; 3] = [0, 200_000, 600_000];
 
+/// The address of proxy `n`.
 fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000))
 }
@@ -33,7 +34,7 @@
 fn number(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => usize::from(ip.octets()[2]) << 8 | usize::from(ip.octets()[3]),
-        std::net::IpAddr::V6(_) => unreachable!("all are V4"),
+        std::net::IpAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
@@ -41,14 +42,14 @@
     span_us as f64 / SECOND_US as f64
 }
 
-/// Proxies are given by their numbers.
+/// A simulated event. Proxies are identified by their numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The holder broadcasts a heartbeat, or the update.
+    /// The lease holder broadcasts a heartbeat or the update.
     Originate { is_update: bool },
     /// A proxy sends its digests.
     SendDigests { from: usize },
-    /// A broadcast arrives; `header` is the index of its header.
+    /// A broadcast arrives; `header` is the index in [`Fleet::headers`].
     Broadcast {
         to: usize,
         header: usize,
@@ -67,20 +68,21 @@
     Update { to: usize },
 }
 
+/// A simulated proxy.
 struct Proxy {
     relay: Relay,
     members: Vec<SocketAddr>,
-    /// Which member the next digest goes to.
+    /// The index of the member that got the last digest, modulo the number of members.
     next_digest: usize,
-    /// When the newest heartbeat that it knows was sent.
+    /// When the newest heartbeat that this proxy knows of was sent.
     heartbeat_us: u64,
     /// The longest time without a newer heartbeat.
     longest_gap_us: u64,
-    /// When the update arrived.
+    /// When the update arrived, if it has.
     updated_at_us: Option<u64>,
 }
 
-/// An event at its time; of those at one time, the one scheduled first comes first.
+/// A scheduled event. Of events at the same time, the one scheduled first is handled first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at_us: u64,
@@ -88,6 +90,7 @@
     event: Event,
 }
 
+/// The simulated fleet and its network. The first proxy holds the lease.
 struct Fleet {
     proxies: Vec<Proxy>,
     alive: Vec<bool>,
@@ -95,14 +98,16 @@
     events: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     now_us: u64,
-    loss: f64,
+    /// The share of the datagrams that is lost.
+    loss_rate: f64,
     random: Pcg32,
-    /// Datagrams of broadcasts that each proxy sent.
+    /// The number of broadcast datagrams that each proxy sent.
     sent: Vec<u64>,
 }
 
-/// The first proxy holds the lease. So many percent are dead and not known to be; each proxy lacks as many of the others.
-fn fleet(size: usize, seed: u64, loss: f64, dead_percent: u32) -> Fleet {
+/// Creates a fleet in which `dead_percent` of the proxies are dead without the others knowing, and in which each proxy
+/// doesn't know the same percentage of the others.
+fn fleet(size: usize, seed: u64, loss_rate: f64, dead_percent: u32) -> Fleet {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut proxy = |n: usize| {
         let known = (0..size).filter(|m| *m != n && random.next_u32() % 100 >= dead_percent);
@@ -127,7 +132,7 @@
         events: BinaryHeap::new(),
         scheduled: 0,
         now_us: 0,
-        loss,
+        loss_rate,
         random,
         sent: vec![0; size],
     };
@@ -149,9 +154,9 @@
         }));
     }
 
-    /// A datagram takes 1 to 60 ms, or gets lost.
+    /// Sends a datagram, which takes 1 to 60 ms or is lost.
     fn send(&mut self, event: Event) {
-        let is_lost = f64::from(self.random.next_u32()) / 4_294_967_296.0 < self.loss;
+        let is_lost = f64::from(self.random.next_u32()) / 4_294_967_296.0 < self.loss_rate;
         let latency_us = 1000 + u64::from(self.random.next_u32()) % 59_000;
         if !is_lost {
             self.schedule(latency_us, event);
@@ -202,6 +207,7 @@
         }
     }
 
+    /// The lease holder broadcasts a heartbeat or the update. Each broadcast counts as a heartbeat.
     fn originate(&mut self, is_update: bool) {
         let header = self.proxies[0].relay.originate(WALL_START_US + self.now_us);
         self.proxies[0].heartbeat_us = self.now_us;
@@ -224,7 +230,7 @@
                     self.proxies[to].updated_at_us.get_or_insert(self.now_us);
                 }
             }
-            // Of two proxies that know other members, one may send it to a member that another sent it to.
+            // Proxies that know different members may send a broadcast to the same member.
             Err(error) => assert_eq!(error.cause(), "repeated"),
         }
     }
@@ -250,6 +256,7 @@
         }
     }
 
+    /// Records a newer heartbeat, and how long the proxy was without one.
     fn learn_heartbeat(&mut self, n: usize, sent_us: u64) {
         let proxy = &mut self.proxies[n];
         if sent_us > proxy.heartbeat_us {
@@ -274,7 +281,7 @@
         }
     }
 
-    /// The longest time without a newer heartbeat at each live proxy, in order, since the last call.
+    /// The longest time without a newer heartbeat at each live proxy since the last call, sorted.
     fn take_longest_gaps_us(&mut self) -> Vec<u64> {
         let now_us = self.now_us;
         let live = self
@@ -293,7 +300,7 @@
         gaps_us
     }
 
-    /// How long an update takes to the last live proxy; `None` where it isn't there within 10 s.
+    /// Broadcasts an update. Returns how long it takes to the last live proxy, or `None` if that is longer than 10 s.
     fn update_us(&mut self) -> Option<u64> {
         for proxy in &mut self.proxies {
             proxy.updated_at_us = None;
@@ -316,7 +323,7 @@
     }
 }
 
-/// Seconds of simulated time, or updates: fewer in a debug build.
+/// A number of simulated seconds or updates, which is smaller in a debug build.
 fn in_build(debug: u64, release: u64) -> u64 {
     if cfg!(debug_assertions) {
         debug
@@ -325,11 +332,11 @@
     }
 }
 
-/// No proxy goes without a newer heartbeat for longer than the maximum age with 1% of the datagrams lost; with 10% lost,
-/// also with 3% of the members dead and as many unknown besides, 1 in 100 at most ever does. Each sends about one datagram
-/// a heartbeat, the holder no more than the fan-out.
+/// With 1% of the datagrams lost, no proxy is without a newer heartbeat for longer than the maximum age. With 10% lost,
+/// even if 3% of the proxies are dead and as many unknown, at most 1 in 100 proxies ever is. On average each proxy
+/// sends at most one datagram per heartbeat, and the lease holder at most as many as the fan-out.
 #[test]
-fn heartbeats_reach_all_in_time_by_relay() {
+fn heartbeats_reach_all_proxies_in_time() {
     for (size, span_s) in [
         (30, 600),
         (300, in_build(60, 600)),
@@ -337,7 +344,7 @@
     ] {
         for (loss, dead_percent) in [(0.0, 0), (0.01, 0), (0.1, 0), (0.1, 3)] {
             let mut fleet = fleet(size, 11, loss, dead_percent);
-            fleet.run_until(3 * SECOND_US); // each has had a heartbeat
+            fleet.run_until(3 * SECOND_US); // by then each proxy has had a heartbeat
             fleet.take_longest_gaps_us();
             fleet.sent.fill(0);
             fleet.run_until((3 + span_s) * SECOND_US);
@@ -352,8 +359,9 @@
             let mean = fleet.sent[1..].iter().sum::<u64>() as f64 / (size as u64 * span_s) as f64;
             let holder = fleet.sent[0] as f64 / span_s as f64;
             println!(
-                "{size} proxies, {loss} lost, {dead_percent}% dead, {span_s} s: without a newer heartbeat p50 {:.2} s, \
-                 p99 {:.2}, most {:.2}, {over} of them over 5 s; datagrams a second {mean:.2} each, the holder {holder:.1}",
+                "{size} proxies, {loss} lost, {dead_percent}% dead, {span_s} s: longest time without a newer \
+                 heartbeat p50 {:.2} s, p99 {:.2} s, maximum {:.2} s, {over} proxies over 5 s; {mean:.2} datagrams/s \
+                 per proxy, the holder {holder:.1}",
                 quantile_s(0.5),
                 quantile_s(0.99),
                 seconds(longest_us)
@@ -361,24 +369,25 @@
             let allowed = if loss < 0.1 { 0 } else { size / 100 };
             assert!(
                 over <= allowed,
-                "{size} proxies, {loss} lost, {dead_percent}% dead: {over} went without a heartbeat"
+                "{size} proxies, {loss} lost, {dead_percent}% dead: {over} proxies had no heartbeat for over 5 s"
             );
             assert!(
                 holder <= FAN_OUT as f64 && mean <= 1.0,
-                "{holder} by the holder, {mean} by each"
+                "{holder} datagrams/s from the holder, {mean} from each proxy"
             );
-            // Without loss the last heartbeat reached all.
+            // Without loss each heartbeat reaches all proxies.
             assert!(
                 loss > 0.0 || longest_us < HEARTBEAT_INTERVAL_US + SECOND_US / 2,
-                "{longest_us} us"
+                "a proxy had no heartbeat for {longest_us} us without loss"
             );
         }
     }
 }
 
-/// With 1% lost an update is at the last proxy within the 2 s that a decision to drain is granted.
+/// With 1% of the datagrams lost, an update reaches the last proxy within 2 s, the time that a decision to drain may
+/// take.
 #[test]
-fn an_update_reaches_all_within_its_deadline_by_relay() {
+fn an_update_reaches_all_proxies_within_its_deadline() {
     for (size, updates) in [
         (30, 100),
         (300, in_build(20, 200)),
@@ -397,8 +406,8 @@
                 .count();
             let last = took_us.len() - 1;
             println!(
-                "{size} proxies, {loss} lost: an update at the last one after p50 {:.2} s, most {:.2}; {late} of {updates} \
-                 later than 2 s",
+                "{size} proxies, {loss} lost: an update reaches the last proxy after p50 {:.2} s, \
+                 maximum {:.2} s; {late} of {updates} take over 2 s",
                 seconds(took_us[last / 2]),
                 seconds(took_us[last])
             );
@@ -410,7 +419,8 @@
     }
 }
 
-/// A broadcast of that origin, as a member gets it that is a child of the origin.
+/// Broadcasts from `origin` and returns the header that the member `own_address` receives. It has to be a child of the
+/// origin.
 fn receive_from(
     origin: &mut Relay,
     now_us: u64,
@@ -421,12 +431,13 @@
     let next = origin.forward(&header, members);
     next.into_iter()
         .find(|forward| forward.to == own_address)
-        .expect("few enough for one level")
+        .expect("the member is a child of the origin")
         .header
 }
 
-/// A broadcast is accepted once. One that a later one overtook is forwarded, but isn't the newest; one that is too old, or
-/// was forwarded too often, or is meant for other members, is rejected by its cause, and so is the own one that returns.
+/// A broadcast is accepted once. One that a later broadcast overtook is accepted but isn't the newest. A broadcast is
+/// rejected with a cause if it is too old, ahead of the clock, was forwarded too often, is meant for other members, has
+/// no origin or is the receiver's own.
 #[test]
 fn late_duplicate_and_misdirected_broadcasts_are_rejected_by_cause() {
     let own_address = address(2);
@@ -437,10 +448,13 @@
     let second = receive_from(&mut origin, start_us, own_address, &[own_address]);
     assert!(
         second.sent_us > first.sent_us,
-        "numbers increase within a microsecond"
+        "broadcasts within the same microsecond don't have increasing times"
     );
     assert!(relay.accept(&second, start_us).unwrap());
-    assert!(!relay.accept(&first, start_us).unwrap(), "overtaken");
+    assert!(
+        !relay.accept(&first, start_us).unwrap(),
+        "an overtaken broadcast was the newest"
+    );
     let cause = |relay: &mut Relay, header: &BroadcastHeader, now_us| {
         relay.accept(header, now_us).unwrap_err().cause()
     };
@@ -468,13 +482,13 @@
     assert_eq!(cause(&mut relay, &from_nowhere, later_us), "origin");
     assert!(
         relay.accept(&third, later_us).unwrap(),
-        "a rejected one does not count as received"
+        "a broadcast was a duplicate of a rejected one"
     );
     assert!(
         relay
             .forward(&with_range(0, u32::MAX, MAX_HOPS), &[address(3)])
             .is_empty(),
-        "the hops are bounded"
+        "a broadcast was forwarded beyond the maximum number of hops"
     );
     assert!(matches!(
         relay.accept(&third, later_us),
@@ -482,7 +496,7 @@
     ));
 }
 
-/// Broadcasts have different trees: who is below a dead member in one isn't in the next.
+/// Each broadcast has a different tree, so that a proxy below a dead member in one tree is elsewhere in the next.
 #[test]
 fn each_broadcast_has_a_tree_of_its_own() {
     let members: Vec<SocketAddr> = (1..300).map(address).collect();
@@ -495,14 +509,15 @@
     }
     assert!(
         first_level.len() > 150,
-        "the first levels of 50 broadcasts had {} members",
+        "the first levels of 50 broadcasts had only {} different members",
         first_level.len()
     );
 }
 
-/// However many origins there are, memory is bounded; and no broadcast of those remembered is accepted twice.
+/// The relay remembers a limited number of origins, and forgets the oldest first. After 1,000 origins, no broadcast of
+/// the last 200 is accepted twice.
 #[test]
-fn many_origins_are_forgotten_in_the_order_of_their_age() {
+fn the_oldest_of_many_origins_are_forgotten_first() {
     let own_address = address(2);
     let mut relay = Relay::new(own_address, 0, Micros(MAX_AGE_US));
     let mut received = Vec::new();
@@ -519,8 +534,9 @@
 }
 
 proptest! {
-    /// Whatever the members: where all proxies know the same ones, each but the origin gets a broadcast exactly once, the
-    /// ranges that one proxy assigns leave no gap and don't overlap, and none sends it to more than the fan-out.
+    /// If all proxies know the same members, each of them but the origin gets a broadcast exactly once. The ranges that
+    /// a proxy assigns are contiguous and don't overlap, and it sends the broadcast to at most as many members as the
+    /// fan-out.
     #[test]
     fn with_equal_views_each_member_gets_a_broadcast_once(ports in prop::collection::btree_set(1u16.., 1..200), seed: u64, now_us in WALL_START_US..2 * WALL_START_US) {
         let members: Vec<SocketAddr> = ports.into_iter().map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
@@ -531,7 +547,7 @@
         while let Some((to, header)) = in_flight.pop() {
             let mut relay = relay(to);
             if to != origin {
-                prop_assert!(received.insert(to), "{to} twice");
+                prop_assert!(received.insert(to), "{to} received the broadcast twice");
                 prop_assert!(relay.accept(&header, now_us).unwrap());
             }
             let next = relay.forward(&header, &members);
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Forms that proxies of different versions exchange, and texts that operators' tools read, against what the program wrote
-//! when the fixtures were recorded.
+//! Checks formats that proxies of different versions exchange and texts that operators' tools read: what the program
+//! writes has to equal the recorded fixtures.
 
 #[path = "fixtures/mod.rs"]
 mod fixtures;
@@ -20,14 +20,16 @@
 /// 2025-12-03T08:00:00Z.
 const NOW: WallTime = WallTime(1_764_748_800_000_000);
 
+/// The time `seconds` after [`NOW`].
 fn at(seconds: u64) -> WallTime {
     NOW + Micros(seconds * 1_000_000)
 }
 
-fn stamp(by: u64) -> Version {
+/// The version of a call made one second after [`NOW`].
+fn version(incarnation: u64) -> Version {
     Version {
         called_at: at(1),
-        incarnation: by,
+        incarnation,
     }
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// A name for each kind; whoever adds one has to name it here and to give one of it below.
+/// The name of a variant. The match makes the compiler point here when a variant is added; add one to [`windows`] too.
 fn targets_name(targets: &Targets) -> &'static str {
     match targets {
         Targets::Ids(_) => "ids",
@@ -57,16 +59,16 @@
     }
 }
 
-fn when_name(when: &Schedule) -> &'static str {
-    match when {
+fn schedule_name(schedule: &Schedule) -> &'static str {
+    match schedule {
         Schedule::Once(_) => "once",
         Schedule::Recurring { .. } => "recurring",
     }
 }
 
-/// All steps, by the one that follows.
-fn next(step: Phase) -> Option<Phase> {
-    match step {
+/// The phase that follows in [`phases`]. The match makes the compiler point here when a phase is added.
+fn following_phase(phase: Phase) -> Option<Phase> {
+    match phase {
         Phase::Planned => Some(Phase::Draining),
         Phase::Draining => Some(Phase::Drained),
         Phase::Drained => Some(Phase::Open),
@@ -79,25 +81,27 @@
     }
 }
 
-fn steps() -> Vec<Phase> {
-    std::iter::successors(Some(Phase::Planned), |step| next(*step)).collect()
+/// All phases.
+fn phases() -> Vec<Phase> {
+    std::iter::successors(Some(Phase::Planned), |phase| following_phase(*phase)).collect()
 }
 
-fn window(targets: Targets, when: Schedule, step: Phase) -> Window {
+/// A window with all optional fields, named after its variants.
+fn window(targets: Targets, schedule: Schedule, phase: Phase) -> Window {
     let id = format!(
         "{}-{}-{}",
         targets_name(&targets),
-        when_name(&when),
-        step.name()
+        schedule_name(&schedule),
+        phase.name()
     );
-    let begin = match &when {
+    let begin = match &schedule {
         Schedule::Once(span) => span.begin,
-        // 02:30 in Lagos, the first Thursday, Monday or Tuesday after now.
+        // 02:30 in Lagos on Monday, 2025-12-08, an occurrence of the schedule.
         Schedule::Recurring { .. } => WallTime(1_765_157_400_000_000),
     };
-    let change = |by, at| {
+    let change = |incarnation, at| {
         Some(Versioned {
-            version: stamp(by),
+            version: version(incarnation),
             value: OccurrenceChange {
                 occurrence: begin,
                 at,
@@ -111,10 +115,10 @@
     Window {
         id,
         spec: Versioned {
-            version: stamp(1),
+            version: version(1),
             value: Spec {
                 targets,
-                schedule: when,
+                schedule,
                 lead_s: 45,
                 overrun_s: 900,
                 requested_by: "größer@ops".into(),
@@ -122,17 +126,18 @@
         },
         extension: change(2, begin + Micros(7_200_000_000)),
         early_start: change(3, at(300)),
-        cancelled: (step == Phase::Cancelled).then(|| stamp(4)),
+        cancelled: (phase == Phase::Cancelled).then(|| version(4)),
         progress: Some(Progress {
             occurrence: begin,
             token,
-            phase: step,
+            phase,
             since: at(30),
             reason: "zone east: 2 of 3 out".into(),
         }),
     }
 }
 
+/// A window for each phase and each kind of targets, and one without optional fields.
 fn windows() -> Vec<Window> {
     let ids = Targets::Ids(["s-1", "größer"].map(String::from).into());
     let others = [
@@ -140,9 +145,9 @@
         Targets::Kind("small".into()),
         Targets::Cell(u64::MAX),
     ];
-    let mut windows: Vec<Window> = steps()
+    let mut windows: Vec<Window> = phases()
         .into_iter()
-        .map(|step| window(ids.clone(), once(), step))
+        .map(|phase| window(ids.clone(), once(), phase))
         .collect();
     windows.extend(others.map(|targets| window(targets, recurring(), Phase::Open)));
     let plain = window(ids, once(), Phase::Planned);
@@ -171,13 +176,13 @@
 #[test]
 fn windows_keep_their_bytes() {
     let windows = windows();
-    let forms: Vec<(&str, Window)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
-    assert_bytes("windows.txt", &forms, Window::encode, |bytes| {
+    let named: Vec<(&str, Window)> = windows.iter().map(|w| (w.id.as_str(), w.clone())).collect();
+    assert_bytes("windows.txt", &named, Window::encode, |bytes| {
         Window::decode(bytes, NOW).unwrap()
     });
 }
 
-/// Digests name windows by hashes, which have to be the same at every proxy.
+/// Digests identify windows by hashes, which have to be the same at every proxy.
 #[test]
 fn digests_of_windows_keep_their_bytes() {
     let mut calendar = calendar();
@@ -185,10 +190,10 @@
         .iter()
         .for_each(|w| assert!(calendar.merge(w, NOW).unwrap()));
     let digests = calendar.digests(NOW);
-    let forms = [("all windows", digests[0].clone())];
+    let named = [("all windows", digests[0].clone())];
     assert_eq!(digests.len(), 1);
     let encode = |digest: &_| postcard::to_stdvec(digest).unwrap();
-    assert_bytes("window-digest.txt", &forms, encode, |bytes| {
+    assert_bytes("window-digest.txt", &named, encode, |bytes| {
         postcard::from_bytes(bytes).unwrap()
     });
 }
@@ -202,11 +207,11 @@
     let views = calendar.list(NOW);
     assert_eq!(views.len(), windows().len());
     let text = |view| serde_json::to_string(view).unwrap();
-    let forms: Vec<_> = views
+    let named: Vec<_> = views
         .iter()
         .map(|view| (view.id.as_str(), text(view)))
         .collect();
-    assert_lines("window-list.txt", &forms);
+    assert_lines("window-list.txt", &named);
 }
 
 const ONCE: &str = r#"{"ids":["s-2","s-1"],"begin":"2025-12-03T09:00:00Z","end":"2025-12-03T10:00:00+01:00[Africa/Lagos]","by":"ops"}"#;
@@ -245,28 +250,29 @@
     ("ends before it begins", ONCE),
 ];
 
-/// The body of a call is read to the window that it was read to.
+/// The body of a call is parsed to the same specification as before.
 #[test]
-fn bodies_of_calls_on_windows_are_read_the_same() {
-    let read = |body: &str| Spec::from_json(body.as_bytes());
-    let forms: Vec<(&str, Spec)> = BODIES
+fn bodies_of_calls_on_windows_are_parsed_as_before() {
+    let parse = |body: &str| Spec::from_json(body.as_bytes());
+    let named: Vec<(&str, Spec)> = BODIES
         .iter()
-        .map(|(name, body)| (*name, read(body).unwrap()))
+        .map(|(name, body)| (*name, parse(body).unwrap()))
         .collect();
     let encode = |spec: &Spec| postcard::to_stdvec(spec).unwrap();
-    assert_bytes("window-bodies.txt", &forms, encode, |bytes| {
+    assert_bytes("window-bodies.txt", &named, encode, |bytes| {
         postcard::from_bytes(bytes).unwrap()
     });
-    let refused = |body| serde_json::to_string(&read(body).unwrap_err()).unwrap();
-    let forms: Vec<_> = BAD_BODIES
+    let error = |body| serde_json::to_string(&parse(body).unwrap_err()).unwrap();
+    let named: Vec<_> = BAD_BODIES
         .iter()
-        .map(|(name, body)| (*name, refused(body)))
+        .map(|(name, body)| (*name, error(body)))
         .collect();
-    assert_lines("window-bodies-refused.txt", &forms);
+    assert_lines("window-bodies-refused.txt", &named);
 }
 
-fn rejected_name(rejected: &CallError) -> &'static str {
-    match rejected {
+/// The name of a variant. The match makes the compiler point here when a variant is added.
+fn error_name(error: &CallError) -> &'static str {
+    match error {
         CallError::Invalid(_) => "invalid",
         CallError::Conflict(_) => "conflict",
         CallError::NotFound => "unknown",
@@ -278,7 +284,12 @@
 fn refusals_of_calls_on_windows_keep_their_status_and_json() {
     let mut calendar = calendar();
     let put = |calendar: &mut Calendar, id: &str, body: &str| {
-        calendar.put(id, Spec::from_json(body.as_bytes()).unwrap(), stamp(1), NOW)
+        calendar.put(
+            id,
+            Spec::from_json(body.as_bytes()).unwrap(),
+            version(1),
+            NOW,
+        )
     };
     assert_eq!(
         put(&mut calendar, "w", BODIES[0].1),
@@ -286,8 +297,8 @@
     );
     let invalid = put(&mut calendar, "a b", BODIES[0].1).unwrap_err();
     let conflict = put(&mut calendar, "w", BODIES[1].1).unwrap_err();
-    let unknown = calendar.cancel("x", stamp(1), NOW).unwrap_err();
-    let forms = [invalid, conflict, unknown, CallError::Full];
+    let unknown = calendar.cancel("x", version(1), NOW).unwrap_err();
+    let errors = [invalid, conflict, unknown, CallError::Full];
     let text = |r: &CallError| {
         format!(
             "{} {}",
@@ -295,11 +306,12 @@
             serde_json::to_string(&r.invalid_field()).unwrap()
         )
     };
-    let forms: Vec<_> = forms.iter().map(|r| (rejected_name(r), text(r))).collect();
-    assert_lines("window-refusals.txt", &forms);
+    let named: Vec<_> = errors.iter().map(|r| (error_name(r), text(r))).collect();
+    assert_lines("window-refusals.txt", &named);
 }
 
-/// All proxies of a fleet have to split a broadcast's range alike, as datagrams don't say whom it is forwarded to.
+/// All proxies of a fleet have to divide a broadcast's range in the same way, as a datagram doesn't list the members
+/// that its recipient forwards it to.
 #[test]
 fn broadcasts_are_forwarded_over_the_same_tree() {
     let v4 = (1..=40).map(|n| SocketAddr::from(([10, 0, 0, n], 7000)));
@@ -319,18 +331,19 @@
     let pairs = |next: Vec<Forward>| -> Vec<(SocketAddr, BroadcastHeader)> {
         next.into_iter().map(|f| (f.to, f.header)).collect()
     };
-    let forms = [
+    let named = [
         ("by its origin", pairs(from_origin)),
         ("by another", pairs(from_member)),
     ];
     let encode = |next: &Vec<(SocketAddr, BroadcastHeader)>| postcard::to_stdvec(next).unwrap();
-    assert_bytes("broadcast-tree.txt", &forms, encode, |bytes| {
+    assert_bytes("broadcast-tree.txt", &named, encode, |bytes| {
         postcard::from_bytes(bytes).unwrap()
     });
 }
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml");
 
+/// The proxy's command, without settings from the environment.
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_meadowproxy"));
     for name in [
@@ -355,10 +368,10 @@
     );
 }
 
-/// The sections of a proxy in a fleet, with their defaults.
+/// The settings include the sections of a proxy in a fleet, with their defaults.
 #[test]
 fn show_config_of_a_proxy_in_a_fleet_keeps_its_text() {
-    let sets = [
+    let settings = [
         "version=1764748800123",
         "discovery=127.0.0.1:8500",
         "limits.cores=2.0",
@@ -373,8 +386,8 @@
     ];
     let mut command = program();
     command.args(["show-config", EXAMPLE]);
-    for set in sets {
-        command.args(["--set", set]);
+    for setting in settings {
+        command.args(["--set", setting]);
     }
     let output = command.output().unwrap();
     assert!(output.status.success(), "{output:?}");
@@ -384,15 +397,15 @@
     );
 }
 
-/// All files below a folder, digits of times and processes aside.
-fn files(below: &Path, folder: &Path, found: &mut Vec<String>) {
-    for entry in std::fs::read_dir(folder).into_iter().flatten() {
+/// Collects the paths of all files in a directory and its subdirectories, without the digits after `process-`.
+fn files(root: &Path, directory: &Path, found: &mut Vec<String>) {
+    for entry in std::fs::read_dir(directory).into_iter().flatten() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            files(below, &path, found);
+            files(root, &path, found);
         } else {
             let name = path
-                .strip_prefix(below)
+                .strip_prefix(root)
                 .unwrap()
                 .to_string_lossy()
                 .into_owned();
@@ -404,40 +417,42 @@
     }
 }
 
-/// Another version that runs beside or after this one looks there.
+/// A process of another version, which runs at the same time or later, expects the files at the same paths.
 #[test]
-fn the_running_program_keeps_its_files_where_it_did() {
-    let folder = std::env::temp_dir().join(format!("fixtures-files-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+fn the_running_program_keeps_its_file_paths() {
+    let directory = std::env::temp_dir().join(format!("fixtures-files-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
     let mut command = program();
     command.arg("run");
-    let snapshots = format!("snapshot.dir={}", folder.join("kept").display());
-    let sets = [
+    let snapshots = format!("snapshot.dir={}", directory.join("kept").display());
+    let settings = [
         "listen=127.0.0.1:0",
         "control=127.0.0.1:0",
         "snapshot.every_ms=50",
         &snapshots,
     ];
-    for set in sets {
-        command.args(["--set", set]);
+    for setting in settings {
+        command.args(["--set", setting]);
     }
-    command.args(["--config", EXAMPLE]).env("TMPDIR", &folder);
+    command
+        .args(["--config", EXAMPLE])
+        .env("TMPDIR", &directory);
     let mut child = command.stderr(Stdio::null()).spawn().unwrap();
-    let (begun, mut found) = (Instant::now(), Vec::new());
-    let whole = |found: &[String]| {
+    let (started_at, mut found) = (Instant::now(), Vec::new());
+    let is_complete = |found: &[String]| {
         found.len() == 2
             && !found
                 .iter()
                 .any(|f| f.contains("/.process") || f.ends_with(".part"))
     };
-    while !whole(&found) && begun.elapsed() < Duration::from_secs(20) {
+    while !is_complete(&found) && started_at.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(20));
         found.clear();
-        files(&folder, &folder, &mut found);
+        files(&directory, &directory, &mut found);
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
     found.sort();
     assert_text("files.txt", &(found.join("\n") + "\n"));
 }
