--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Answers that are not what they should be: each is told from a good one, and none reaches the request that comes next
-//! on its connection.
+//! Malformed, truncated and surplus responses from backends: the proxy detects each one, and none of their bytes become
+//! the response to a later request on the same connection.
 
 mod rig;
 
@@ -8,12 +8,12 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-fn one(backend: &ScriptedBackend) -> Proxy {
+fn start_with_backend(backend: &ScriptedBackend) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-/// A proxy with debug lines.
-fn talking(backend: &ScriptedBackend) -> Proxy {
+/// Starts a proxy with a control listener that logs at debug level.
+fn start_with_debug_log(backend: &ScriptedBackend) -> Proxy {
     let level = [
         ("NODE_LOG", "debug".to_string()),
         ("TMPDIR", create_temp_dir().display().to_string()),
@@ -21,32 +21,32 @@
     Proxy::with_control(&[entry("b0", backend.address, "SERVING")], SETTINGS, &level)
 }
 
-/// More came than one answer: the first is the client's, and the connection is not used again.
+/// Bytes that follow a response at once: the client gets the response, and the connection is not used again.
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_ones() {
+fn bytes_after_a_response_are_never_part_of_the_next_response() {
     let second = ok_response("another");
-    for more in [&second[..], "HTTP/1.1 2", "x", "\r\n"] {
+    for surplus in [&second[..], "HTTP/1.1 2", "x", "\r\n"] {
         let backend = ScriptedBackend::start();
-        let proxy = one(&backend);
+        let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
         client.send(&pay_request(3.0));
-        let mut wire = backend.accept();
-        wire.next_request();
-        wire.send(ok_response("first") + more);
+        let mut connection = backend.accept();
+        connection.next_request();
+        connection.send(ok_response("first") + surplus);
         assert_eq!(
-            client.response().expect("an answer").body,
+            client.response().expect("no response").body,
             b"first",
-            "{more:?}"
+            "{surplus:?}"
         );
-        the_next_goes_elsewhere(&backend, &mut client, wire, more);
+        check_next_request_uses_new_connection(&backend, &mut client, connection, surplus);
     }
 }
 
-/// The next request is served on a connection of its own, and the one before carries nothing more.
-fn the_next_goes_elsewhere(
+/// Checks that the next request is sent on a new connection and that nothing more is sent on the previous one.
+fn check_next_request_uses_new_connection(
     backend: &ScriptedBackend,
     client: &mut Client,
-    before: BackendConnection,
+    previous: BackendConnection,
     case: &str,
 ) {
     client.send(&pay_request(3.0));
@@ -54,64 +54,64 @@
     next.next_request();
     next.send_response("second");
     assert_eq!(
-        client.response().expect("an answer").body,
+        client.response().expect("no response").body,
         b"second",
         "{case:?}"
     );
-    assert_eq!(before.read_until_closed(), b"", "{case:?}");
+    assert_eq!(previous.read_until_closed(), b"", "{case:?}");
 }
 
-/// The same where it comes once the connection rests.
+/// Bytes that arrive while the connection is idle: it is not used for the next request.
 #[test]
-fn what_comes_between_two_requests_is_never_the_next_ones() {
+fn bytes_between_two_requests_are_never_part_of_the_next_response() {
     let second = ok_response("another");
-    for more in [&second[..], "HTTP/1.1 2", "x"] {
+    for surplus in [&second[..], "HTTP/1.1 2", "x"] {
         let backend = ScriptedBackend::start();
-        let proxy = one(&backend);
+        let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
         client.send(&pay_request(3.0));
-        let mut wire = backend.accept();
-        wire.next_request();
-        wire.send_response("first");
-        assert_eq!(client.response().expect("an answer").body, b"first");
-        wire.send(more);
-        the_next_goes_elsewhere(&backend, &mut client, wire, more);
+        let mut connection = backend.accept();
+        connection.next_request();
+        connection.send_response("first");
+        assert_eq!(client.response().expect("no response").body, b"first");
+        connection.send(surplus);
+        check_next_request_uses_new_connection(&backend, &mut client, connection, surplus);
     }
 }
 
-/// A late second answer would be taken for the next request's if that were on its way already: a connection rests before
-/// it is used again, however fast requests follow each other.
+/// A surplus response that arrives after the next request was sent would be taken for the response to that request. So the
+/// proxy keeps a connection idle for a few milliseconds before it reuses it, even if requests follow each other at once.
 #[test]
-fn a_connection_rests_between_an_answer_and_the_next_request() {
+fn a_connection_is_idle_briefly_between_a_response_and_the_next_request() {
     let backend = ScriptedBackend::start();
-    let proxy = one(&backend);
+    let proxy = start_with_backend(&backend);
     let mut client = proxy.client();
     client.send(&pay_request(3.0));
-    let mut wire = backend.accept();
+    let mut connection = backend.accept();
     for _ in 0..10 {
-        wire.next_request();
+        connection.next_request();
         let answered = Instant::now();
-        wire.send_response("x");
-        assert_eq!(client.response().expect("an answer").body, b"x");
+        connection.send_response("x");
+        assert_eq!(client.response().expect("no response").body, b"x");
         client.send(&pay_request(3.0));
-        wire.0.get_ref().peek(&mut [0]).expect("the next request");
+        connection.0.get_ref().peek(&mut [0]).expect("no request");
         assert!(
             answered.elapsed() >= Duration::from_millis(3),
             "{:?}",
             answered.elapsed()
         );
     }
-    wire.next_request();
-    wire.send_response("x");
-    assert_eq!(client.response().expect("an answer").status(), 200);
+    connection.next_request();
+    connection.send_response("x");
+    assert_eq!(client.response().expect("no response").status(), 200);
 }
 
-/// An answer that comes while its request still goes out cannot be made for it, and the request never runs.
+/// A response that arrives before the whole request was sent cannot belong to it, and the request has not run.
 #[test]
-fn an_answer_before_the_requests_last_byte_is_not_its_own() {
+fn a_response_before_the_requests_last_byte_is_rejected() {
     const LENGTH: usize = 1_000_000;
     let backend = ScriptedBackend::start();
-    let proxy = one(&backend);
+    let proxy = start_with_backend(&backend);
     let mut client = proxy.client();
     client.send(
         &pay_request(3.0)
@@ -119,26 +119,26 @@
             .replace("cash", ""),
     );
     client.send(&"y".repeat(LENGTH / 2));
-    let mut wire = backend.accept();
-    wire.read_bytes(LENGTH / 2);
-    wire.send_response("stale");
+    let mut connection = backend.accept();
+    connection.read_bytes(LENGTH / 2);
+    connection.send_response("stale");
     assert_eq!(
-        client.response().expect("an answer").status(),
+        client.response().expect("no response").status(),
         503,
         "it never ran"
     );
     assert!(
-        wire.read_until_closed().len() < LENGTH / 2,
+        connection.read_until_closed().len() < LENGTH / 2,
         "the rest did not go out"
     );
 }
 
-/// A body without a length that is cut off by a reset is not whole, however much of it came and whatever the client
-/// knows of framing. Ended in order it is.
+/// A response body without a length is complete if the backend closes the connection, and truncated if it resets it. The
+/// proxy must not present a truncated one as complete, however long it is and whatever HTTP version the client uses.
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
+fn a_reset_does_not_complete_a_response_without_a_length() {
     let (small, large) = ("z".repeat(3_000), "z".repeat(300_000));
-    for (old, body, reset) in [
+    for (http_1_0, body, reset) in [
         (false, &small, true),
         (true, &small, true),
         (false, &large, true),
@@ -147,81 +147,82 @@
         (false, &large, false),
     ] {
         let backend = ScriptedBackend::start();
-        let proxy = one(&backend);
+        let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
         let ask = pay_request(3.0).replace("Host: s", "Host: s\r\nConnection: close");
-        client.send(&ask.replace("HTTP/1.1", if old { "HTTP/1.0" } else { "HTTP/1.1" }));
-        let mut wire = backend.accept();
-        wire.next_request();
-        let (text, long) = (body.clone(), body.len() > 65_536);
+        client.send(&ask.replace("HTTP/1.1", if http_1_0 { "HTTP/1.0" } else { "HTTP/1.1" }));
+        let mut connection = backend.accept();
+        connection.next_request();
+        let (received, streamed) = (body.clone(), body.len() > 65_536);
         let (sent, all_sent) = std::sync::mpsc::channel();
-        let (go, wait) = std::sync::mpsc::channel::<()>();
+        let (finish, finish_signal) = std::sync::mpsc::channel::<()>();
         let sending = std::thread::spawn(move || {
-            wire.send("HTTP/1.1 200 OK\r\n\r\n");
-            wire.send(&text);
+            connection.send("HTTP/1.1 200 OK\r\n\r\n");
+            connection.send(&received);
             sent.send(()).unwrap();
-            wait.recv().unwrap();
+            finish_signal.recv().unwrap();
             if reset {
-                wire.reset();
+                connection.reset();
             }
         });
-        let mut got = Vec::new();
-        if long {
-            got = vec![0; 70_000]; // it streams: nothing takes these bytes back
-            client.0.read_exact(&mut got).unwrap();
+        let mut received_bytes = Vec::new();
+        if streamed {
+            received_bytes = vec![0; 70_000]; // streamed: the proxy can no longer replace the response
+            client.0.read_exact(&mut received_bytes).unwrap();
         }
         all_sent
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the backend's buffers hold it");
-        go.send(()).unwrap();
+            .expect("the backend could not send the whole body");
+        finish.send(()).unwrap();
         sending.join().unwrap();
-        let plain_end = client.0.read_to_end(&mut got).is_ok();
-        let text = String::from_utf8_lossy(&got);
-        let case = format!("old {old}, {} bytes, reset {reset}", body.len());
-        match (reset, long) {
+        let closed_cleanly = client.0.read_to_end(&mut received_bytes).is_ok();
+        let received = String::from_utf8_lossy(&received_bytes);
+        let case = format!("HTTP/1.0 {http_1_0}, {} bytes, reset {reset}", body.len());
+        match (reset, streamed) {
             (true, false) => assert!(
-                text.starts_with("HTTP/1.1 502") || text.starts_with("HTTP/1.0 502"),
-                "{case}: {text}"
+                received.starts_with("HTTP/1.1 502") || received.starts_with("HTTP/1.0 502"),
+                "{case}: {received}"
             ),
-            (true, true) if old => assert!(!plain_end, "{case}: a plain end"),
-            (true, true) => assert!(!text.ends_with("0\r\n\r\n"), "{case}"),
+            (true, true) if http_1_0 => assert!(!closed_cleanly, "{case}: closed without a reset"),
+            (true, true) => assert!(!received.ends_with("0\r\n\r\n"), "{case}"),
             (false, _) => assert!(
-                text.contains("200") && text.matches('z').count() == body.len(),
+                received.contains("200") && received.matches('z').count() == body.len(),
                 "{case}"
             ),
         }
     }
 }
 
-/// Begun to stream after a second for want of an end, then reset: the client can tell.
+/// A short response without a length that does not end is streamed after a second. If it is then reset, the client can
+/// tell that it is truncated.
 #[test]
-fn a_slow_answer_without_a_length_that_is_reset_shows_as_broken() {
-    for old in [false, true] {
+fn a_slow_response_without_a_length_that_is_reset_is_reported_as_broken() {
+    for http_1_0 in [false, true] {
         let backend = ScriptedBackend::start();
-        let proxy = one(&backend);
+        let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
         client.send(
-            &read_request(3.0).replace("HTTP/1.1", if old { "HTTP/1.0" } else { "HTTP/1.1" }),
+            &read_request(3.0).replace("HTTP/1.1", if http_1_0 { "HTTP/1.0" } else { "HTTP/1.1" }),
         );
-        let mut wire = backend.accept();
-        wire.next_request();
-        wire.send("HTTP/1.1 200 OK\r\n\r\nsome");
-        let mut got = vec![0; 12];
-        client.0.read_exact(&mut got).unwrap(); // it streams
-        wire.reset();
-        let plain_end = client.0.read_to_end(&mut got).is_ok();
-        let text = String::from_utf8_lossy(&got);
+        let mut connection = backend.accept();
+        connection.next_request();
+        connection.send("HTTP/1.1 200 OK\r\n\r\nsome");
+        let mut received_bytes = vec![0; 12];
+        client.0.read_exact(&mut received_bytes).unwrap(); // it is streamed
+        connection.reset();
+        let closed_cleanly = client.0.read_to_end(&mut received_bytes).is_ok();
+        let received = String::from_utf8_lossy(&received_bytes);
         assert!(
-            text.contains("some") && !text.ends_with("0\r\n\r\n"),
-            "{text}"
+            received.contains("some") && !received.ends_with("0\r\n\r\n"),
+            "{received}"
         );
-        assert!(!old || !plain_end, "a plain end");
+        assert!(!http_1_0 || !closed_cleanly, "closed without a reset");
     }
 }
 
-/// A client's request that reached the backend on a new connection. The one backend may just be out of use for what it
-/// did last: a client that is refused comes again.
-fn reached(proxy: &Proxy, backend: &ScriptedBackend) -> (Client, BackendConnection) {
+/// Sends requests until one reaches the backend on a new connection. Returns its client and that connection. The only
+/// backend may be out of use after its last broken response, so requests that the proxy rejects are repeated.
+fn send_until_received(proxy: &Proxy, backend: &ScriptedBackend) -> (Client, BackendConnection) {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
         let mut client = proxy.client();
@@ -229,115 +230,114 @@
         let tcp = client.0.get_ref();
         tcp.set_read_timeout(Some(Duration::from_millis(2)))
             .unwrap();
-        let wire = loop {
-            assert!(Instant::now() < end, "nothing reaches the backend");
+        let connection = loop {
+            assert!(
+                Instant::now() < end,
+                "no request reached the backend in time"
+            );
             match backend.try_accept() {
-                Some(wire) => break Some(wire),
+                Some(connection) => break Some(connection),
                 None if tcp.peek(&mut [0]).is_ok() => break None,
                 None => {}
             }
         };
         tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        match wire {
-            Some(wire) => return (client, wire),
+        match connection {
+            Some(connection) => return (client, connection),
             None => {
                 assert_eq!(
-                    client.response().expect("an answer").status(),
+                    client.response().expect("no response").status(),
                     503,
-                    "only a refusal is harmless"
+                    "a request that did not reach the backend must be rejected"
                 );
             }
         }
     }
 }
 
-/// What one broken answer of each sort comes to. A request that may have run and must not run twice fails in time,
-/// once; one line says why; the next request is served on another connection.
+/// Each kind of broken response: a request that may have run and must not be repeated fails with 502, one log line gives
+/// the reason, and the next request is served on another connection.
 #[test]
-fn each_broken_answer_fails_alone_and_says_why() {
-    let giant = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "g".repeat(200_000));
-    let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(300));
+fn each_broken_response_fails_its_request_alone_and_is_logged() {
+    let oversized = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "g".repeat(200_000));
+    let many_headers = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(300));
     let cases: [(&str, &str, bool); 17] = [
-        ("nonsense", "\u{1}\u{2}\u{3} what is this\r\n\r\n", false),
-        ("a giant head", &giant, false),
-        ("many headers", &many, false),
+        ("no HTTP", "\u{1}\u{2}\u{3} what is this\r\n\r\n", false),
+        ("an oversized head", &oversized, false),
+        ("many headers", &many_headers, false),
         ("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", false),
-        ("no number", "HTTP/1.1 200 OK\r\nContent-Length: four\r\n\r\nabcd", false),
-        ("negative", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nabcd", false),
+        ("a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: four\r\n\r\nabcd", false),
+        ("a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nabcd", false),
         ("length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n", false),
-        ("coded", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n", false),
-        ("another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nabcd", true),
+        ("a compressed transfer coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n", false),
+        ("an unknown transfer coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nabcd", true),
         (
-            "cut off, and not run it says",
+            "truncated, with X-Unprocessed",
             "HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nabcd",
             true,
         ),
-        ("broken chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n", false),
-        ("huge chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nabcd", false),
-        ("cut chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nabcd", true),
+        ("an invalid chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n", false),
+        ("an oversized chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nabcd", false),
+        ("a truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nabcd", true),
         ("no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n", true),
-        ("too short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabcd", true),
-        ("half a head", "HTTP/1.1 200 OK\r\nContent-Le", true),
-        ("switching", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false),
+        ("a body shorter than its length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabcd", true),
+        ("a truncated head", "HTTP/1.1 200 OK\r\nContent-Le", true),
+        ("an unrequested upgrade", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false),
     ];
     let backend = ScriptedBackend::start();
-    let proxy = talking(&backend);
-    for (what, bytes, ends) in cases {
+    let proxy = start_with_debug_log(&backend);
+    for (bad, bytes, close) in cases {
         let lines = proxy.log_count("attempt_broken");
-        let (mut client, mut wire) = reached(&proxy, &backend);
-        wire.next_request();
-        wire.send(bytes);
-        if ends {
-            wire.close();
+        let (mut client, mut connection) = send_until_received(&proxy, &backend);
+        connection.next_request();
+        connection.send(bytes);
+        if close {
+            connection.close();
         } else {
-            // It stays open on this side: the answer alone decides.
-            assert_eq!(
-                client.response().unwrap_or_default().status(),
-                502,
-                "{what}"
+            // The backend keeps the connection open, so the response alone decides.
+            assert_eq!(client.response().unwrap_or_default().status(), 502, "{bad}");
+            assert!(
+                connection.read_until_closed().is_empty(),
+                "{bad}: the connection was used again"
             );
-            assert!(wire.read_until_closed().is_empty(), "{what}: used again");
         }
-        if ends {
-            assert_eq!(
-                client.response().unwrap_or_default().status(),
-                502,
-                "{what}"
-            );
+        if close {
+            assert_eq!(client.response().unwrap_or_default().status(), 502, "{bad}");
         }
-        let (mut next, mut wire) = reached(&proxy, &backend);
-        wire.next_request();
-        // Not kept, so that the next round's request comes on a connection of its own.
-        wire.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood");
-        assert_eq!(next.response().expect("an answer").body, b"good", "{what}");
+        let (mut next, mut connection) = send_until_received(&proxy, &backend);
+        connection.next_request();
+        // `Connection: close`, so that the next case gets a new connection.
+        connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood");
+        assert_eq!(next.response().expect("no response").body, b"good", "{bad}");
         let end = Instant::now() + TEST_TIMEOUT;
         while proxy.log_count("attempt_broken") == lines {
-            assert!(Instant::now() < end, "{what}: no line");
+            assert!(Instant::now() < end, "{bad}: no log line in time");
             std::thread::sleep(Duration::from_millis(2));
         }
-        assert_eq!(proxy.log_count("attempt_broken"), lines + 1, "{what}");
+        assert_eq!(proxy.log_count("attempt_broken"), lines + 1, "{bad}");
     }
 }
 
-/// Words before the answer change nothing.
+/// Interim (1xx) responses before the final response are ignored.
 #[test]
-fn interim_answers_are_no_answers() {
+fn interim_responses_are_ignored() {
     let backend = ScriptedBackend::start();
-    let proxy = one(&backend);
+    let proxy = start_with_backend(&backend);
     let mut client = proxy.client();
     client.send(&pay_request(3.0));
-    let mut wire = backend.accept();
-    wire.next_request();
-    wire.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-    wire.send("HTTP/1.1 102 Processing\r\n\r\n");
-    wire.send_response("own");
-    let answer = client.response().expect("an answer");
+    let mut connection = backend.accept();
+    connection.next_request();
+    connection.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
+    connection.send("HTTP/1.1 102 Processing\r\n\r\n");
+    connection.send_response("own");
+    let answer = client.response().expect("no response");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"own"[..]));
 }
 
-/// Trickled for ever before anything goes on, it ends with the client's time; after that the connection is gone.
+/// A response that arrives in small pieces without end and of which nothing was passed on: the client gets an error when
+/// its time is over, and the proxy closes the backend connection.
 #[test]
-fn an_answer_that_never_ends_is_answered_for_in_time() {
+fn a_response_that_never_ends_fails_within_the_clients_time() {
     let heads = [
         "HTTP/1.1 102 Processing\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
@@ -346,21 +346,24 @@
     ];
     for head in heads {
         let backend = ScriptedBackend::start();
-        let proxy = one(&backend);
+        let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
         client.send(&pay_request(0.6));
-        let mut wire = backend.accept();
-        wire.next_request();
-        wire.send(head);
+        let mut connection = backend.accept();
+        connection.next_request();
+        connection.send(head);
         let trickle = if head.contains("102") { head } else { "t" };
         let trickling = std::thread::spawn(move || {
             let end = Instant::now() + TEST_TIMEOUT;
-            while wire.0.get_mut().write_all(trickle.as_bytes()).is_ok() {
-                assert!(Instant::now() < end, "the proxy keeps it");
+            while connection.0.get_mut().write_all(trickle.as_bytes()).is_ok() {
+                assert!(
+                    Instant::now() < end,
+                    "the proxy did not close the connection"
+                );
                 std::thread::sleep(Duration::from_millis(5));
             }
         });
-        let status = client.response().expect("an answer").status();
+        let status = client.response().expect("no response").status();
         assert!(status == 502 || status == 504, "{head:?}: {status}");
         trickling.join().unwrap();
     }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to backends: what changes between the choice of one and the last byte that goes out on it.
+//! Reuse of backend connections while the endpoint list changes, backends close connections or clients read slowly. No
+//! request may go out on a connection that is no longer usable, and none may run twice.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -10,23 +11,30 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
+/// Where the response to a call to discovery goes.
 type Reply = mpsc::Sender<(u16, String)>;
 
-/// Tells the proxy of one change and waits until it has taken it; gives the watch that is open then.
-fn told(proxy: &Proxy, watch: Reply, index: u64, address: SocketAddr, status: &str) -> Reply {
-    told_of(proxy, watch, index, &[entry("b0", address, status)])
+/// Sends the proxy a change to one endpoint and waits until it is applied. Returns the watch that is open afterwards.
+fn send_change(
+    proxy: &Proxy,
+    watch: Reply,
+    index: u64,
+    address: SocketAddr,
+    status: &str,
+) -> Reply {
+    send_changes(proxy, watch, index, &[entry("b0", address, status)])
 }
 
-/// The same of several.
-fn told_of(proxy: &Proxy, watch: Reply, index: u64, entries: &[String]) -> Reply {
+/// Like [`send_change`], for several endpoints.
+fn send_changes(proxy: &Proxy, watch: Reply, index: u64, entries: &[String]) -> Reply {
     watch.send((200, list(index, false, entries))).unwrap();
     let (call, watch) = proxy.discovery.call();
     assert!(call.contains(&format!("after={index}&")), "{call}");
     watch
 }
 
-/// A proxy that has the one backend, and its open watch.
-fn watching(address: SocketAddr, settings: &str) -> (Proxy, Reply) {
+/// Starts a proxy whose only endpoint is at `address`. Returns the proxy and its open watch.
+fn start_with_watch(address: SocketAddr, settings: &str) -> (Proxy, Reply) {
     let known = [entry("b0", address, "SERVING")];
     let proxy = Proxy::with_settings(&known, 1024, settings);
     let (_, answer) = proxy.discovery.call();
@@ -35,151 +43,162 @@
     (proxy, watch)
 }
 
-/// While the connection comes up its backend moves, drains or goes: not a byte goes out on it.
+/// The backend changes its address, drains or is deleted while a connection to it is being established: no byte is sent.
 #[test]
-fn a_late_connection_is_not_used_once_its_backend_has_moved_or_drains() {
-    let patient = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
-    let patient = patient.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
-    for what in ["moved", "DRAINING", "DELETED"] {
-        let (late, elsewhere) = (FullBacklog::start(), ScriptedBackend::start());
-        let (proxy, watch) = watching(late.address(), &patient);
+fn a_connection_is_not_used_if_its_backend_moved_or_drains_before_it_is_established() {
+    let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
+    let settings = settings.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
+    for change in ["moved", "DRAINING", "DELETED"] {
+        let (pending, elsewhere) = (FullBacklog::start(), ScriptedBackend::start());
+        let (proxy, watch) = start_with_watch(pending.address(), &settings);
         let mut client = proxy.client();
         client.send(&pay_request(9.0));
-        std::thread::sleep(Duration::from_millis(100)); // its dial is under way, or begins to the new address
-        let (address, status) = if what == "moved" {
+        std::thread::sleep(Duration::from_millis(100)); // the connect is under way, or starts to the new address
+        let (address, status) = if change == "moved" {
             (elsewhere.address, "SERVING")
         } else {
-            (late.address(), what)
+            (pending.address(), change)
         };
-        let _watch = told(&proxy, watch, 6, address, status);
-        let late = late.start_accepting();
-        let wire = late.accept();
+        let _watch = send_change(&proxy, watch, 6, address, status);
+        let pending = pending.start_accepting();
+        let connection = pending.accept();
         assert_eq!(
-            client.response().expect("an answer").status(),
+            client.response().expect("no response").status(),
             503,
-            "{what}: it never ran"
+            "{change}: the request did not run"
         );
-        drop(proxy); // an unused connection may be kept till then
-        assert_eq!(wire.read_until_closed(), b"", "{what}");
+        drop(proxy); // an unused connection may stay open until the proxy exits
+        assert_eq!(connection.read_until_closed(), b"", "{change}");
     }
 }
 
-/// Waits until somebody tries to connect there, by the machine's table of connections.
-fn dialled(to: SocketAddr) {
+/// Waits until /proc/net/tcp shows a connect attempt (SYN_SENT) to `to`.
+fn wait_for_connect_attempt(to: SocketAddr) {
     let (begun, port) = (Instant::now(), format!(":{:04X}", to.port()));
-    let tried = |line: &str| {
+    let connecting = |line: &str| {
         let mut columns = line.split_whitespace().skip(2);
         columns.next().is_some_and(|remote| remote.ends_with(&port)) && columns.next() == Some("02")
     };
     while !std::fs::read_to_string("/proc/net/tcp")
         .unwrap()
         .lines()
-        .any(tried)
+        .any(connecting)
     {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "nobody connects to {to}");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "no connect attempt to {to} in time"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// The same, with another backend to go to: the request that was not sent for its backend's drain is served there, though the process
-/// has just begun and has no attempt to spare.
+/// The backend drains before the first byte of a request was sent to it: another backend serves the request, even if the
+/// process has just started and its retry budget is empty.
 #[test]
 fn a_request_whose_backend_drains_before_its_first_byte_is_served_by_another() {
-    let patient = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
-    let patient = patient.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
-    let (late, other) = (FullBacklog::start(), ScriptedBackend::start());
-    let (proxy, watch) = watching(late.address(), &patient);
+    let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
+    let settings = settings.replace("\"deadline_us\":3000000", "\"deadline_us\":9000000");
+    let (pending, other) = (FullBacklog::start(), ScriptedBackend::start());
+    let (proxy, watch) = start_with_watch(pending.address(), &settings);
     let mut client = proxy.client();
     client.send(&pay_request(9.0));
-    dialled(late.address());
+    wait_for_connect_attempt(pending.address());
     let moved = [
-        entry("b0", late.address(), "DRAINING"),
+        entry("b0", pending.address(), "DRAINING"),
         entry("b1", other.address, "SERVING"),
     ];
-    let _watch = told_of(&proxy, watch, 6, &moved);
-    let late = late.start_accepting();
-    let unused = late.accept();
-    let mut wire = other.accept();
-    wire.next_request();
-    wire.send_response("own");
-    assert_eq!(client.response().expect("an answer").body, b"own");
-    drop(proxy); // an unused connection may be kept till then
-    assert_eq!(unused.read_until_closed(), b"", "nothing went out on it");
+    let _watch = send_changes(&proxy, watch, 6, &moved);
+    let pending = pending.start_accepting();
+    let unused = pending.accept();
+    let mut connection = other.accept();
+    connection.next_request();
+    connection.send_response("own");
+    assert_eq!(client.response().expect("no response").body, b"own");
+    drop(proxy); // an unused connection may stay open until the proxy exits
+    assert_eq!(
+        unused.read_until_closed(),
+        b"",
+        "bytes were sent to the draining backend"
+    );
 }
 
-/// An answer that comes after its backend began to drain, was shut and opened again, or moved: the client has it, and
-/// the connection serves nothing that is sent to another address or while it is shut.
+/// A response arrives after its backend began to drain, drained and returned to service, or changed its address: the
+/// client gets it, and the connection serves no request while the backend drains and none for the new address.
 #[test]
-fn a_connection_is_kept_only_for_the_backend_as_it_is_now() {
+fn a_connection_is_reused_only_while_its_backend_is_unchanged() {
     for reopened in [false, true] {
         let backend = ScriptedBackend::start();
-        let (proxy, watch) = watching(backend.address, SETTINGS);
+        let (proxy, watch) = start_with_watch(backend.address, SETTINGS);
         let mut client = proxy.client();
         client.send(&pay_request(3.0));
-        let mut wire = backend.accept();
-        wire.next_request();
-        let mut watch = told(&proxy, watch, 6, backend.address, "DRAINING");
+        let mut connection = backend.accept();
+        connection.next_request();
+        let mut watch = send_change(&proxy, watch, 6, backend.address, "DRAINING");
         if reopened {
-            watch = told(&proxy, watch, 7, backend.address, "SERVING");
+            watch = send_change(&proxy, watch, 7, backend.address, "SERVING");
         }
-        wire.send_response("own");
-        assert_eq!(client.response().expect("an answer").body, b"own");
+        connection.send_response("own");
+        assert_eq!(client.response().expect("no response").body, b"own");
         if !reopened {
-            assert_eq!(wire.read_until_closed(), b"", "not kept");
-            told(&proxy, watch, 8, backend.address, "SERVING");
-            wire = backend_after(&mut client, &backend);
+            assert_eq!(
+                connection.read_until_closed(),
+                b"",
+                "the connection to a draining backend was reused"
+            );
+            send_change(&proxy, watch, 8, backend.address, "SERVING");
+            connection = send_and_accept(&mut client, &backend);
         } else {
             client.send(&pay_request(3.0));
         }
-        wire.next_request();
-        wire.send_response("next");
+        connection.next_request();
+        connection.send_response("next");
         assert_eq!(
-            client.response().expect("an answer").body,
+            client.response().expect("no response").body,
             b"next",
             "reopened {reopened}"
         );
     }
     let (old, new) = (ScriptedBackend::start(), ScriptedBackend::start());
-    let (proxy, watch) = watching(old.address, SETTINGS);
+    let (proxy, watch) = start_with_watch(old.address, SETTINGS);
     let mut client = proxy.client();
     client.send(&pay_request(3.0));
-    let mut wire = old.accept();
-    wire.next_request();
-    let _watch = told(&proxy, watch, 6, new.address, "SERVING");
-    wire.send_response("own");
-    assert_eq!(client.response().expect("an answer").body, b"own");
-    let mut next = backend_after(&mut client, &new);
+    let mut connection = old.accept();
+    connection.next_request();
+    let _watch = send_change(&proxy, watch, 6, new.address, "SERVING");
+    connection.send_response("own");
+    assert_eq!(client.response().expect("no response").body, b"own");
+    let mut next = send_and_accept(&mut client, &new);
     next.next_request();
     next.send_response("next");
-    assert_eq!(client.response().expect("an answer").body, b"next");
+    assert_eq!(client.response().expect("no response").body, b"next");
     assert_eq!(
-        wire.read_until_closed(),
+        connection.read_until_closed(),
         b"",
-        "of no use at the old address"
+        "a request was sent to the old address"
     );
 }
 
-fn backend_after(client: &mut Client, backend: &ScriptedBackend) -> BackendConnection {
+fn send_and_accept(client: &mut Client, backend: &ScriptedBackend) -> BackendConnection {
     client.send(&pay_request(3.0));
     backend.accept()
 }
 
-/// A backend that has written a long answer is idle however long the client takes to read it: past its limit nothing
-/// more goes out on that connection.
+/// A backend counts as idle from its last byte on, even if the client takes longer to read the response: after the idle
+/// limit the connection is not used again.
 #[test]
-fn a_slow_client_does_not_stretch_the_idle_limit() {
+fn a_slow_client_does_not_extend_the_idle_limit() {
     const HUGE: usize = 24 << 20;
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
     let backend = ScriptedBackend::start();
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
     let mut client = proxy.client();
     client.send(&read_request(3.0));
-    let mut wire = backend.accept();
-    wire.next_request();
+    let mut connection = backend.accept();
+    connection.next_request();
     let sending = std::thread::spawn(move || {
-        wire.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {HUGE}\r\n\r\n"));
-        wire.send(vec![b'z'; HUGE]);
-        wire
+        connection.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {HUGE}\r\n\r\n"));
+        connection.send(vec![b'z'; HUGE]);
+        connection
     });
     client.0.read_exact(&mut [0; 12]).unwrap();
     std::thread::sleep(Duration::from_millis(1_000));
@@ -189,23 +208,23 @@
         line.clear();
         std::io::BufRead::read_line(&mut client.0, &mut line).unwrap();
     }
-    let mut piece = vec![0; 1 << 16];
+    let mut buffer = vec![0; 1 << 16];
     while left > 0 {
-        left -= client.0.read(&mut piece[..left.min(1 << 16)]).unwrap();
+        left -= client.0.read(&mut buffer[..left.min(1 << 16)]).unwrap();
     }
-    let wire = sending.join().unwrap();
-    let mut next = backend_after(&mut client, &backend);
+    let connection = sending.join().unwrap();
+    let mut next = send_and_accept(&mut client, &backend);
     next.next_request();
     next.send_response("next");
-    assert_eq!(client.response().expect("an answer").body, b"next");
-    assert_eq!(wire.read_until_closed(), b"");
+    assert_eq!(client.response().expect("no response").body, b"next");
+    assert_eq!(connection.read_until_closed(), b"");
 }
 
-/// A backend that ends, or says half a line, in the very moment in which a request goes out on a warm connection: the
-/// request may have run, and is neither sent again nor called harmless. Before that moment it goes elsewhere.
+/// A backend closes an idle connection or sends part of a line. If that crosses a request, the request may have run: it is
+/// not repeated and fails with 502. If it happens before the next request, that one is sent on another connection.
 #[test]
-fn what_a_backend_does_to_a_warm_connection_costs_no_second_run() {
-    for (crossing, half, reset) in [
+fn a_request_is_not_repeated_after_its_warm_connection_fails() {
+    for (crossing, partial_line, reset) in [
         (true, "", false),
         (true, "", true),
         (true, "HTTP/1.1 2", false),
@@ -222,59 +241,64 @@
         ];
         let proxy = Proxy::start(&known);
         let mut client = proxy.client();
-        let case = format!("crossing {crossing}, {half:?}, reset {reset}");
-        // Until the draw has come upon the scripted one: its first request makes the connection warm.
-        let mut wire = loop {
+        let case = format!("crossing {crossing}, {partial_line:?}, reset {reset}");
+        // Until a request is assigned to the scripted backend, which opens a connection.
+        let mut connection = loop {
             client.send(&read_request(3.0));
-            if let Some(wire) = until(|| backend.try_accept(), &client) {
-                break wire;
+            if let Some(connection) = event_before_response(|| backend.try_accept(), &client) {
+                break connection;
             }
-            assert_eq!(client.response().expect("an answer").body, b"elsewhere");
+            assert_eq!(client.response().expect("no response").body, b"elsewhere");
         };
-        wire.next_request();
-        wire.send_response("warm");
-        assert_eq!(client.response().expect("an answer").body, b"warm");
+        connection.next_request();
+        connection.send_response("warm");
+        assert_eq!(client.response().expect("no response").body, b"warm");
         if crossing {
             loop {
                 client.send(&pay_request(3.0));
-                if until(|| wire.has_data().then_some(()), &client).is_some() {
-                    wire.next_request();
+                if event_before_response(|| connection.has_data().then_some(()), &client).is_some()
+                {
+                    connection.next_request();
                     break;
                 }
-                assert_eq!(client.response().expect("an answer").body, b"elsewhere");
+                assert_eq!(client.response().expect("no response").body, b"elsewhere");
             }
         }
         let before = other.request_count();
-        wire.send(half);
+        connection.send(partial_line);
         if reset {
-            wire.reset();
+            connection.reset();
         } else {
-            wire.close();
+            connection.close();
         }
         if crossing {
             assert_eq!(
-                client.response().expect("an answer").status(),
+                client.response().expect("no response").status(),
                 502,
                 "{case}"
             );
-            // Its answer is the last that is done for it: a repeat would have come before.
-            assert_eq!(other.request_count(), before, "{case}: sent again");
+            // The response is the last step of the request: a retry would have been sent before it.
+            assert_eq!(
+                other.request_count(),
+                before,
+                "{case}: the request was sent twice"
+            );
         } else {
-            // None of these fails, wherever it goes.
+            // No request fails, whichever backend it is assigned to.
             for _ in 0..8 {
                 client.send(&pay_request(3.0));
-                if let Some(mut next) = until(|| backend.try_accept(), &client) {
+                if let Some(mut next) = event_before_response(|| backend.try_accept(), &client) {
                     next.next_request();
                     next.send_response("next");
                     assert_eq!(
-                        client.response().expect("an answer").body,
+                        client.response().expect("no response").body,
                         b"next",
                         "{case}"
                     );
                     break;
                 }
                 assert_eq!(
-                    client.response().expect("an answer").body,
+                    client.response().expect("no response").body,
                     b"elsewhere",
                     "{case}"
                 );
@@ -283,21 +307,24 @@
     }
 }
 
-/// What comes first: that, or else an answer for the client.
-fn until<T>(mut that: impl FnMut() -> Option<T>, client: &Client) -> Option<T> {
+/// Waits until `poll` returns a value, or returns `None` if the client gets a response first.
+fn event_before_response<T>(mut poll: impl FnMut() -> Option<T>, client: &Client) -> Option<T> {
     let tcp = client.0.get_ref();
     tcp.set_read_timeout(Some(Duration::from_millis(2)))
         .unwrap();
     let end = Instant::now() + TEST_TIMEOUT;
-    let came = loop {
-        assert!(Instant::now() < end, "neither came");
-        if let Some(came) = that() {
-            break Some(came);
+    let value = loop {
+        assert!(
+            Instant::now() < end,
+            "neither the event nor a response in time"
+        );
+        if let Some(value) = poll() {
+            break Some(value);
         }
         if tcp.peek(&mut [0]).is_ok() {
             break None;
         }
     };
     tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    came
+    value
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Further attempts that cross with what forbids them.
+//! Retries that coincide with what forbids them: a reload that makes a class stricter, the end of an idempotency window,
+//! and the client's deadline.
 
 mod rig;
 
@@ -6,8 +7,8 @@
 use rig::*;
 use std::time::{Duration, Instant};
 
-/// Two backends that are one listener, so that the test sees every request wherever it goes.
-fn pair(settings: &str) -> (ScriptedBackend, Proxy) {
+/// Starts a proxy with two endpoints that are one listener, so that the test sees every request in order.
+fn start_with_two_endpoints(settings: &str) -> (ScriptedBackend, Proxy) {
     let backend = ScriptedBackend::start();
     let known = [
         entry("b0", backend.address, "SERVING"),
@@ -17,57 +18,64 @@
     (backend, proxy)
 }
 
-/// The connection on which the next request comes, or none where the client has an answer first.
-fn next(
+/// Waits for the connection with the next request. Returns `None` if the client gets a response first.
+fn next_attempt(
     backend: &ScriptedBackend,
-    wires: &mut Vec<BackendConnection>,
+    connections: &mut Vec<BackendConnection>,
     client: &Client,
 ) -> Option<BackendConnection> {
     let tcp = client.0.get_ref().try_clone().unwrap();
     tcp.set_read_timeout(Some(Duration::from_millis(2)))
         .unwrap();
     let end = Instant::now() + TEST_TIMEOUT;
-    let came = loop {
-        assert!(Instant::now() < end, "neither a request nor an answer");
-        wires.extend(backend.try_accept());
-        if let Some(at) = wires.iter().position(BackendConnection::has_data) {
-            break Some(wires.remove(at));
+    let found = loop {
+        assert!(
+            Instant::now() < end,
+            "neither a request nor a response in time"
+        );
+        connections.extend(backend.try_accept());
+        if let Some(at) = connections.iter().position(BackendConnection::has_data) {
+            break Some(connections.remove(at));
         }
         if tcp.peek(&mut [0]).is_ok() {
             break None;
         }
     };
     tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    came
+    found
 }
 
-/// Requests that are served, so that the module has attempts to spare.
-fn warm_up(backend: &ScriptedBackend, wires: &mut Vec<BackendConnection>, client: &mut Client) {
+/// Sends requests that succeed, to fill the retry budget.
+fn warm_up(
+    backend: &ScriptedBackend,
+    connections: &mut Vec<BackendConnection>,
+    client: &mut Client,
+) {
     for _ in 0..25 {
         client.send(&read_request(3.0));
-        let mut wire = next(backend, wires, client).expect("a request");
-        wire.next_request();
-        wire.send_response("x");
-        assert_eq!(client.response().expect("an answer").status(), 200);
-        wires.push(wire);
+        let mut connection = next_attempt(backend, connections, client).expect("no request");
+        connection.next_request();
+        connection.send_response("x");
+        assert_eq!(client.response().expect("no response").status(), 200);
+        connections.push(connection);
     }
 }
 
-/// While its first attempt is out a request's class becomes one that must not run twice, or one whose repeats are dropped
-/// by a key that it has not: it is not sent again. Where it stays free it is.
+/// A reload during a request's first attempt makes its class one that must not run twice, or one that needs an idempotency
+/// key that the request lacks: the request is not retried. If the class stays free, it is.
 #[test]
-fn a_request_obeys_the_stricter_of_the_settings_before_and_after_a_reload() {
-    let keyed = r#""effect":"guarded","key_scope":"all","window_us":500000"#;
-    for (effect, repeated) in [
+fn a_request_follows_the_stricter_of_the_settings_before_and_after_a_reload() {
+    let guarded = r#""effect":"guarded","key_scope":"all","window_us":500000"#;
+    for (effect, retried) in [
         (r#""effect":"single_shot""#, false),
-        (keyed, false),
+        (guarded, false),
         (r#""effect":"free""#, true),
     ] {
-        let (backend, proxy) = pair(SETTINGS);
-        let (mut client, mut wires) = (proxy.client(), Vec::new());
-        warm_up(&backend, &mut wires, &mut client);
+        let (backend, proxy) = start_with_two_endpoints(SETTINGS);
+        let (mut client, mut connections) = (proxy.client(), Vec::new());
+        warm_up(&backend, &mut connections, &mut client);
         client.send(&read_request(3.0));
-        let mut first = next(&backend, &mut wires, &client).expect("a request");
+        let mut first = next_attempt(&backend, &mut connections, &client).expect("no request");
         first.next_request();
         let text = std::fs::read_to_string(&proxy.config_path).unwrap();
         std::fs::write(
@@ -78,12 +86,15 @@
         proxy.signal("-HUP");
         let end = Instant::now() + TEST_TIMEOUT;
         while proxy.log_count("configuration taken") == 0 {
-            assert!(Instant::now() < end, "the settings were not taken");
+            assert!(
+                Instant::now() < end,
+                "the configuration was not applied in time"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
         first.reset();
-        let second = next(&backend, &mut wires, &client);
-        assert_eq!(second.is_some(), repeated, "{effect}");
+        let second = next_attempt(&backend, &mut connections, &client);
+        assert_eq!(second.is_some(), retried, "{effect}");
         let status = match second {
             Some(mut second) => {
                 second.next_request();
@@ -93,35 +104,36 @@
             None => 502,
         };
         assert_eq!(
-            client.response().expect("an answer").status(),
+            client.response().expect("no response").status(),
             status,
             "{effect}"
         );
     }
 }
 
-/// A keyed request whose first attempt broke is repeated inside its window and not after it, counted from its dispatch.
+/// A request with an idempotency key whose first attempt was reset is retried within its window, which starts at its
+/// dispatch, and not after it.
 #[test]
-fn a_keyed_repeat_crosses_the_end_of_its_window() {
+fn a_keyed_request_is_retried_only_within_its_window() {
     let settings = SETTINGS.replace("\"window_us\":500000", "\"window_us\":300000");
-    for (wait, repeated) in [(0, true), (301, false)] {
-        let (backend, proxy) = pair(&settings);
-        let (mut client, mut wires) = (proxy.client(), Vec::new());
-        warm_up(&backend, &mut wires, &mut client);
+    for (wait, retried) in [(0, true), (301, false)] {
+        let (backend, proxy) = start_with_two_endpoints(&settings);
+        let (mut client, mut connections) = (proxy.client(), Vec::new());
+        warm_up(&backend, &mut connections, &mut client);
         client.send(&vote_request(3.0));
-        let mut first = next(&backend, &mut wires, &client).expect("a request");
+        let mut first = next_attempt(&backend, &mut connections, &client).expect("no request");
         let key = first
             .next_request()
             .header("idempotency-key")
             .map(String::from);
-        std::thread::sleep(Duration::from_millis(wait)); // it was dispatched before
+        std::thread::sleep(Duration::from_millis(wait)); // measured from after the dispatch, so that the window is over
         first.reset();
-        let second = next(&backend, &mut wires, &client);
-        if !repeated {
-            assert!(second.is_none(), "repeated after its window");
-            assert!(client.response().expect("an answer").status() >= 500);
+        let second = next_attempt(&backend, &mut connections, &client);
+        if !retried {
+            assert!(second.is_none(), "retried after its window");
+            assert!(client.response().expect("no response").status() >= 500);
         } else if let Some(mut second) = second {
-            // Unless this machine took longer than the window for it.
+            // `None` if this machine took longer than the window.
             assert_eq!(
                 second
                     .next_request()
@@ -130,33 +142,36 @@
                 key
             );
             second.send_response("own");
-            assert_eq!(client.response().expect("an answer").body, b"own");
+            assert_eq!(client.response().expect("no response").body, b"own");
         }
     }
 }
 
-/// The answer and the client's time come together, again and again: each client hears one final answer, whole, and the
-/// connection goes on.
+/// The backend's response and the client's deadline coincide: the client gets exactly one complete response, and its
+/// connection stays usable.
 #[test]
-fn an_answer_at_the_very_deadline_is_one_answer() {
-    let (backend, proxy) = pair(SETTINGS);
-    let (mut client, mut wires) = (proxy.client(), Vec::new());
-    warm_up(&backend, &mut wires, &mut client);
+fn a_response_at_the_deadline_is_the_only_response() {
+    let (backend, proxy) = start_with_two_endpoints(SETTINGS);
+    let (mut client, mut connections) = (proxy.client(), Vec::new());
+    warm_up(&backend, &mut connections, &mut client);
     for step in 0..30u64 {
         client.send(&pay_request(0.06));
-        let Some(mut wire) = next(&backend, &mut wires, &client) else {
-            client.response().expect("an answer");
+        let Some(mut attempt) = next_attempt(&backend, &mut connections, &client) else {
+            client.response().expect("no response");
             continue;
         };
-        wire.next_request();
-        // From well before the proxy's last moment to well after it, across it.
+        attempt.next_request();
+        // The steps cover the time from well before the proxy's own deadline to well after it.
         std::thread::sleep(Duration::from_millis(35 + step));
         use std::io::Write;
-        let _ = wire.0.get_mut().write_all(ok_response("own").as_bytes());
-        let got = client.response().expect("an answer");
-        assert!(got.status() != 200 || got.body == b"own", "{got:?}");
-        if got.status() == 200 {
-            wires.push(wire);
+        let _ = attempt.0.get_mut().write_all(ok_response("own").as_bytes());
+        let response = client.response().expect("no response");
+        assert!(
+            response.status() != 200 || response.body == b"own",
+            "{response:?}"
+        );
+        if response.status() == 200 {
+            connections.push(attempt);
         }
         assert_eq!(
             proxy
@@ -169,7 +184,7 @@
         client.0.get_ref().set_nonblocking(false).unwrap();
         assert!(
             more.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock),
-            "a second answer, or an end"
+            "a second response, or the connection was closed"
         );
     }
 }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! What stands around the program in its tests, on loopback: backends, discovery and a client, all on
-//! blocking sockets and ports that the kernel picks.
+//! Test harness for the proxy binary on loopback: starts the proxy as a child process with a generated configuration, and
+//! provides backends, a discovery server and HTTP clients on blocking sockets and ports that the kernel picks.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -17,10 +17,10 @@
 pub mod kept;
 pub mod scripted;
 
-/// No wait in these tests is meant to last as long: it only ends a test that would hang.
+/// Longest wait for anything in these tests. It only ends a test that would otherwise hang.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A request or an answer as it came.
+/// An HTTP request or response as received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
@@ -42,7 +42,7 @@
             .and_then(|s| s.parse().ok())
             .unwrap_or(0)
     }
-    /// `None` when the other side ended the connection first.
+    /// Reads a whole message. Returns `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -75,39 +75,40 @@
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
-    /// Takes one chunk; whether more come.
+    /// Reads one chunk into the body. Returns whether it was not the last one.
     fn read_chunk(&mut self, from: &mut impl BufRead) -> Option<bool> {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
         let length = usize::from_str_radix(line.trim_end(), 16).ok()?;
         let begin = self.body.len();
-        self.body.resize(begin + length + 2, 0); // with the line's end
+        self.body.resize(begin + length + 2, 0); // the chunk and its CRLF
         from.read_exact(&mut self.body[begin..]).ok()?;
         self.body.truncate(begin + length);
         Some(length > 0)
     }
 }
 
-/// What a backend does with a request.
+/// A [`BackendServer`]'s reaction to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// A status, a header line or none, a body.
+    /// Sends a response with a status, a header line (or an empty string for none) and a body.
     Response(u16, &'static str, String),
-    /// The same, and the connection is closed without a word of it.
+    /// Sends a response and closes the connection without announcing it in a `Connection` header.
     ResponseAndClose(u16, String),
-    /// The connection ends after the whole request.
+    /// Closes the connection after the whole request has arrived.
     CloseWithoutResponse,
-    /// Nothing, until the proxy gives up.
+    /// Sends nothing and keeps the connection open.
     NoResponse,
-    /// Nothing until the gate opens, then 200.
+    /// Sends nothing until the gate opens, then a response with status 200.
     Gate(Arc<Gate>),
 }
 
+/// A response with status 200 and no extra header.
 pub fn ok(body: &str) -> Reply {
     Reply::Response(200, "", body.into())
 }
 
-/// Opened once, for all that wait.
+/// Blocks threads until it is opened, which happens once and releases all of them.
 #[derive(Debug, Default)]
 pub struct Gate(Mutex<bool>, Condvar);
 
@@ -124,18 +125,22 @@
     }
 }
 
+/// What a [`BackendServer`] reports to the test.
 #[derive(Debug)]
 pub enum Event {
     Connected,
     Request(Message),
-    /// A connection ended, from either side.
+    /// A connection was closed by either side.
     Closed,
 }
 
+/// A backend that replies to its nth request, counted from 0 over all connections, with `reply(n)`.
 pub struct BackendServer {
     pub address: SocketAddr,
     pub events: mpsc::Receiver<Event>,
+    /// Number of connections accepted.
     pub connections: Arc<AtomicU32>,
+    /// Number of requests received whole.
     pub requests: Arc<AtomicU32>,
 }
 
@@ -143,48 +148,49 @@
     pub fn start(reply: impl Fn(u32) -> Reply + Send + Sync + 'static) -> BackendServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (sender, events) = mpsc::channel();
         let (connections, requests) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let (opened, count, reply) = (connections.clone(), requests.clone(), Arc::new(reply));
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(Event::Connected);
-                let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
-                std::thread::spawn(move || serve(tcp, &tell, &count, &*reply));
+                let _ = sender.send(Event::Connected);
+                let (sender, count, reply) = (sender.clone(), count.clone(), reply.clone());
+                std::thread::spawn(move || serve(tcp, &sender, &count, &*reply));
             }
         });
         BackendServer {
             address,
-            events: seen,
+            events,
             connections,
             requests,
         }
     }
 
-    /// Waits for the next request.
+    /// Waits for the next request and discards the other events before it.
     pub fn next_request(&self) -> Message {
         loop {
             if let Event::Request(message) = self
                 .events
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("a request at the backend")
+                .expect("no request reached the backend in time")
             {
                 return message;
             }
         }
     }
 
-    /// Waits until a connection ends.
+    /// Waits until a connection is closed.
     pub fn wait_for_close(&self) {
         while !matches!(
             self.events
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("a closed connection"),
+                .expect("no connection to the backend was closed in time"),
             Event::Closed
         ) {}
     }
 
+    /// Number of requests received whole.
     pub fn request_count(&self) -> u32 {
         self.requests.load(Ordering::SeqCst)
     }
@@ -192,7 +198,7 @@
 
 fn serve(
     tcp: TcpStream,
-    tell: &mpsc::Sender<Event>,
+    sender: &mpsc::Sender<Event>,
     count: &AtomicU32,
     reply: &dyn Fn(u32) -> Reply,
 ) {
@@ -200,7 +206,7 @@
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(Event::Request(message));
+        let _ = sender.send(Event::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() {
                 String::new()
@@ -212,7 +218,7 @@
                 format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
             out.write_all(text.as_bytes()).is_ok()
         };
-        let go_on = match reply(number) {
+        let keep_open = match reply(number) {
             Reply::Response(status, header, body) => send(status, header, &body),
             Reply::ResponseAndClose(status, body) => {
                 send(status, "", &body);
@@ -226,14 +232,14 @@
                 send(200, "", "gated")
             }
         };
-        if !go_on {
+        if !keep_open {
             break;
         }
     }
-    let _ = tell.send(Event::Closed);
+    let _ = sender.send(Event::Closed);
 }
 
-/// A port on which nobody listens: connections to it are refused for as long as it is held.
+/// A bound port without a listener: connections to it are refused until [`RefusingPort::listen`].
 pub struct RefusingPort(socket2::Socket);
 
 impl RefusingPort {
@@ -247,20 +253,21 @@
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
     }
-    /// From now on somebody listens there.
+    /// Starts to listen on the port.
     pub fn listen(self) -> TcpListener {
         self.0.listen(128).unwrap();
         self.0.into()
     }
 }
 
-/// An entry of the list.
+/// An entry of discovery's endpoint list, as JSON.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"east","type":"big","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
+/// Discovery's response of version `index`, as JSON: the whole endpoint list if `snapshot`, otherwise changes to it.
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(
         r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -268,10 +275,10 @@
     )
 }
 
-/// Discovery: hands each call's target to the test, which answers it with a status and a body.
+/// A discovery server that passes each call's request line to the test, which responds with a status and a body.
 pub struct DiscoveryServer {
     pub address: SocketAddr,
-    /// Connections that the proxy ended.
+    /// Number of connections that the proxy closed.
     pub closed_connections: Arc<AtomicU32>,
     calls: mpsc::Receiver<(String, mpsc::Sender<(u16, String)>)>,
 }
@@ -283,17 +290,17 @@
 
     pub fn start_on(listener: TcpListener) -> DiscoveryServer {
         let address = listener.local_addr().unwrap();
-        let (tell, calls) = mpsc::channel();
+        let (sender, calls) = mpsc::channel();
         let ended = Arc::new(AtomicU32::new(0));
         let count = ended.clone();
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
-                let (tell, count): (mpsc::Sender<_>, _) = (tell.clone(), count.clone());
+                let (sender, count): (mpsc::Sender<_>, _) = (sender.clone(), count.clone());
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
                         let (answer, wait) = mpsc::channel::<(u16, String)>();
-                        if tell.send((message.start_line, answer)).is_err() {
+                        if sender.send((message.start_line, answer)).is_err() {
                             return;
                         }
                         let Ok((status, body)) = wait.recv() else {
@@ -317,19 +324,20 @@
         }
     }
 
-    /// The call that waits, if one does.
+    /// The next call, if one has arrived already.
     pub fn pending_call(&self) -> Option<(String, mpsc::Sender<(u16, String)>)> {
         self.calls.try_recv().ok()
     }
 
-    /// The next call, and where its answer goes.
+    /// Waits for the next call. Returns its request line and the sender for its response.
     pub fn call(&self) -> (String, mpsc::Sender<(u16, String)>) {
         self.calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a call to discovery")
+            .expect("no call reached discovery in time")
     }
 }
 
+/// The `settings` object of the configuration that most tests use.
 pub const SETTINGS: &str = r#"{"blend":{"whole":0.6,"worst_class":0.2},"costs":{"cross_zone":0.0},
 "customers":[{"name":"north","quota_rps":500.0}],"discovery":"automatic","position":0,"group_size":1,
 "granularity_us":5000,"kinds":["big"],"my_zone":"east","zones":["east"],
@@ -341,36 +349,39 @@
 "gain":4.0,"late_worth":0.5}],
 "rules":{"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,"ramp_time_us":9000000,"tip_after_us":2000000}}"#;
 
+/// Source of the numbers in file names and correlation ids that are unique within this process.
 static NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// What all programs logged until they listened, also those that do not yet.
+/// The log of all proxies up to the line that says that they listen, including proxies that are still starting.
 pub static STARTUP_LOGS: Mutex<String> = Mutex::new(String::new());
 
-/// The program, with a configuration of its own.
+/// A running proxy process with its own configuration file and discovery server. It is killed on drop.
 pub struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
     pub discovery: DiscoveryServer,
-    /// The file that it was told to read.
+    /// The configuration file that the proxy reads at start and on SIGHUP.
     pub config_path: PathBuf,
-    /// The operators' door, where it has one.
+    /// Address of the control listener, if the proxy has one.
     pub control_address: Option<SocketAddr>,
-    /// What it logged until it listened.
+    /// The log up to the line that says that the proxy listens.
     pub startup_log: String,
-    /// All that it logged since.
+    /// The log after that line.
     log: Arc<Mutex<String>>,
 }
 
 impl Proxy {
+    /// Starts a proxy with [`SETTINGS`] whose configuration contains the endpoints `known`.
     pub fn start(known: &[String]) -> Proxy {
         Proxy::with_settings(known, 1024, SETTINGS)
     }
 
+    /// Starts a proxy with these settings. `sockets` is the descriptor limit in its configuration.
     pub fn with_settings(known: &[String], sockets: u32, settings: &str) -> Proxy {
         Proxy::with_descriptor_limit(known, sockets, settings, 1024)
     }
 
-    /// With a limit on descriptors that need not be the one it is told.
+    /// Starts a proxy whose actual descriptor limit may differ from `sockets`, the one in its configuration.
     pub fn with_descriptor_limit(
         known: &[String],
         sockets: u32,
@@ -385,7 +396,7 @@
         )
     }
 
-    /// With an operators' door and fewer descriptors than it is told.
+    /// Starts a proxy with a control listener and fewer descriptors than the 1024 in its configuration.
     pub fn with_control_and_descriptor_limit(descriptors: u32) -> Proxy {
         let discovery = DiscoveryServer::start();
         let mut command = command_with_descriptor_limit(
@@ -402,7 +413,7 @@
         Proxy::run(command, discovery)
     }
 
-    /// Told to listen there and to ask there; the discovery that it has by itself stands idle.
+    /// Starts a proxy that listens at `listen` and calls discovery at `at`; the discovery server in [`Proxy`] stays unused.
     pub fn with_addresses(
         listen: &str,
         at: SocketAddr,
@@ -419,12 +430,12 @@
         Proxy::run(command, DiscoveryServer::start())
     }
 
-    /// With an operators' door and further variables in its environment.
+    /// Starts a proxy with a control listener and additional environment variables.
     pub fn with_control(known: &[String], settings: &str, variables: &[(&str, String)]) -> Proxy {
         Proxy::with_extra_config(known, settings, "", variables)
     }
 
-    /// The same with `more` keys at the end of its configuration, each written with its leading comma.
+    /// Like [`Proxy::with_control`], with `more` appended to its configuration: JSON members, each with a leading comma.
     pub fn with_extra_config(
         known: &[String],
         settings: &str,
@@ -434,7 +445,7 @@
         Proxy::with_seed(0x8c1f_30d2_7a5b_e964, known, settings, more, variables)
     }
 
-    /// The same with a seed of its own, as proxies of one fleet have.
+    /// Like [`Proxy::with_extra_config`], with its own seed, as the proxies of one fleet need.
     pub fn with_seed(
         seed: u64,
         known: &[String],
@@ -462,14 +473,14 @@
         let config = PathBuf::from(path.unwrap());
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (mut control, mut said) = (None, String::new());
+        let (mut control, mut startup_log) = (None, String::new());
         let address = loop {
             let mut line = String::new();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "the program ended before it listened: {said}"
+                "the proxy exited before it listened: {startup_log}"
             );
-            said += &line;
+            startup_log += &line;
             *STARTUP_LOGS.lock().unwrap() += &line;
             if let Some(at) = line.split("control on ").nth(1) {
                 control = Some(at.trim().parse().unwrap());
@@ -478,12 +489,12 @@
                 break at.split(',').next().unwrap().parse().unwrap();
             }
         };
-        let kept = Arc::new(Mutex::new(String::new()));
-        let keep = kept.clone();
+        let log_text = Arc::new(Mutex::new(String::new()));
+        let log_writer = log_text.clone();
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 eprintln!("{line}");
-                *keep.lock().unwrap() += &(line + "\n");
+                *log_writer.lock().unwrap() += &(line + "\n");
             }
         });
         Proxy {
@@ -492,12 +503,12 @@
             discovery,
             config_path: config,
             control_address: control,
-            startup_log: said,
-            log: kept,
+            startup_log,
+            log: log_text,
         }
     }
 
-    /// Lines logged since it listened that hold these words.
+    /// Lines logged since the proxy listened that contain `words`.
     pub fn log_lines(&self, words: &str) -> Vec<String> {
         self.log
             .lock()
@@ -508,54 +519,68 @@
             .collect()
     }
 
-    /// How many.
+    /// Number of lines logged since the proxy listened that contain `words`.
     pub fn log_count(&self, words: &str) -> usize {
         self.log_lines(words).len()
     }
 
+    /// Opens a client connection to the proxy.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and returns the response.
     pub fn request(&self, request: &str) -> Message {
         self.client().request(request)
     }
 
-    /// One call at the operators' door.
+    /// Sends one request to the control listener on a new connection. `line` is the method and the path.
     pub fn control_request(&self, line: &str) -> Message {
-        Client::connect(self.control_address.expect("a door"))
-            .request(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
+        Client::connect(
+            self.control_address
+                .expect("the proxy has no control listener"),
+        )
+        .request(&format!("{line} HTTP/1.1\r\nHost: door\r\n\r\n"))
     }
 
-    /// Waits until it says that it takes clients.
+    /// Waits until `GET /status` reports that the proxy accepts clients.
     pub fn wait_until_serving(&self) {
         let end = std::time::Instant::now() + TEST_TIMEOUT;
         while self.control_request("GET /status").status() != 200 {
-            assert!(std::time::Instant::now() < end, "it never took clients");
+            assert!(
+                std::time::Instant::now() < end,
+                "GET /status did not return 200 in time"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Whatever the test does until `go_on` meets the program at once.
+    /// Stops the process and waits until it has stopped, so that everything the test does before [`Proxy::resume`] reaches
+    /// the proxy in one turn of its event loop.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let end = std::time::Instant::now() + TEST_TIMEOUT;
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
-            assert!(std::time::Instant::now() < end, "it never stood still");
+            assert!(
+                std::time::Instant::now() < end,
+                "the process did not stop in time after SIGSTOP"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
+    /// Continues the process after [`Proxy::suspend`].
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
+    /// Sends a signal. `which` is an option of `kill`, for example `-HUP`.
     pub fn signal(&self, which: &str) {
         let done = Command::new("kill")
             .args([which, &self.child.id().to_string()])
@@ -572,7 +597,7 @@
     }
 }
 
-/// A configuration as the platform writes it.
+/// A proxy's configuration file in its JSON form.
 pub fn config_json(
     listen: &str,
     at: SocketAddr,
@@ -587,7 +612,7 @@
     )
 }
 
-/// A folder of its own, as `TMPDIR` for the processes of one proxy.
+/// Creates a new directory, for example as the `TMPDIR` of the processes of one proxy.
 pub fn create_temp_dir() -> PathBuf {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let path =
@@ -596,11 +621,12 @@
     path
 }
 
-/// The program's command, with a configuration or without any.
+/// The command that starts the proxy, with the configuration in a file or without a configuration.
 pub fn proxy_command(config: Option<&str>) -> Command {
     command_with_descriptor_limit(config, 1024)
 }
 
+/// Like [`proxy_command`], with a limit on the process's descriptors.
 fn command_with_descriptor_limit(config: Option<&str>, descriptors: u32) -> Command {
     let mut command = Command::new("sh");
     let line = format!("ulimit -n {descriptors}; exec \"$0\"");
@@ -624,6 +650,7 @@
     command
 }
 
+/// An HTTP client on one connection.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
@@ -635,21 +662,23 @@
     pub fn send(&mut self, request: &str) {
         self.0.get_mut().write_all(request.as_bytes()).unwrap();
     }
+    /// Reads the next response. Returns `None` if the connection ends before the response is complete.
     pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
+    /// Sends a request and returns the response.
     pub fn request(&mut self, request: &str) -> Message {
         self.send(request);
-        self.response().expect("a whole answer")
+        self.response().expect("no complete response")
     }
-    /// The proxy ended the connection before this side lost its patience.
+    /// Whether the proxy closes or resets the connection within [`TEST_TIMEOUT`].
     pub fn closed_in_time(&mut self) -> bool {
         let waited = [ErrorKind::WouldBlock, ErrorKind::TimedOut];
         self.0
             .read(&mut [0])
             .map_or_else(|e| !waited.contains(&e.kind()), |n| n == 0)
     }
-    /// The proxy ended the connection, with nothing more on it.
+    /// Whether the next read returns no data: end of stream, a reset or a timeout.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
@@ -659,6 +688,7 @@
     format!("{:016x}", NUMBER.fetch_add(1, Ordering::SeqCst))
 }
 
+/// A GET of the class `read`, which may be repeated. `left` is the client's remaining time in seconds.
 pub fn read_request(left: f64) -> String {
     format!(
         "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n",
@@ -666,6 +696,7 @@
     )
 }
 
+/// A POST of the class `pay`, which must not run twice. `left` is the client's remaining time in seconds.
 pub fn pay_request(left: f64) -> String {
     let id = correlation_id();
     format!(
@@ -673,6 +704,8 @@
     )
 }
 
+/// A POST of the class `vote`, which may be repeated under its idempotency key within a window. `left` is the client's
+/// remaining time in seconds.
 pub fn vote_request(left: f64) -> String {
     let id = correlation_id();
     format!(
--- a/tests/rig/scripted.rs
+++ b/tests/rig/scripted.rs
@@ -1,5 +1,5 @@
-//! A backend that does nothing by itself: every connection and every byte is the test's, so that it decides the
-//! order of what happens on the two ends.
+//! A backend whose connections the test accepts, reads and writes itself, so that it controls the order of events between
+//! the proxy and the backend.
 
 use super::{Message, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
@@ -7,6 +7,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
+/// A listening backend that sends nothing by itself.
 pub struct ScriptedBackend {
     pub address: SocketAddr,
     accepted: mpsc::Receiver<TcpStream>,
@@ -19,32 +20,32 @@
 
     fn start_on(listener: TcpListener) -> ScriptedBackend {
         let address = listener.local_addr().unwrap();
-        let (tell, accepted) = mpsc::channel();
+        let (sender, accepted) = mpsc::channel();
         std::thread::spawn(move || {
             listener
                 .incoming()
                 .flatten()
-                .all(|tcp| tell.send(tcp).is_ok())
+                .all(|tcp| sender.send(tcp).is_ok())
         });
         ScriptedBackend { address, accepted }
     }
 
-    /// The next connection.
+    /// Waits for the next connection.
     pub fn accept(&self) -> BackendConnection {
         let tcp = self
             .accepted
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a connection to the backend");
+            .expect("no connection reached the backend in time");
         BackendConnection::new(tcp)
     }
 
-    /// One that has come already.
+    /// The next connection, if one has arrived already.
     pub fn try_accept(&self) -> Option<BackendConnection> {
         self.accepted.try_recv().ok().map(BackendConnection::new)
     }
 }
 
-/// A machine on which no connection comes up until the test lets it: its queue is full.
+/// A listener with a full backlog: connections to it stay incomplete until the test accepts the ones that fill it.
 pub struct FullBacklog {
     listener: TcpListener,
     queued: Vec<TcpStream>,
@@ -69,7 +70,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// From now on connections come up, with the next try of the side that connects.
+    /// Empties the backlog. Waiting connections complete when the connecting side next retransmits its SYN.
     pub fn start_accepting(self) -> ScriptedBackend {
         for _ in &self.queued {
             self.listener.accept().unwrap();
@@ -78,7 +79,7 @@
     }
 }
 
-/// One connection from the proxy.
+/// One connection from the proxy to a [`ScriptedBackend`].
 pub struct BackendConnection(pub BufReader<TcpStream>);
 
 impl BackendConnection {
@@ -88,61 +89,62 @@
         BackendConnection(BufReader::new(tcp))
     }
 
-    /// Whether something has come on it.
+    /// Whether unread bytes have arrived.
     pub fn has_data(&self) -> bool {
         let tcp = self.0.get_ref();
         tcp.set_nonblocking(true).unwrap();
-        let came = tcp.peek(&mut [0]).is_ok();
+        let arrived = tcp.peek(&mut [0]).is_ok();
         tcp.set_nonblocking(false).unwrap();
-        came
+        arrived
     }
 
     /// Waits for the next request.
     pub fn next_request(&mut self) -> Message {
-        Message::read(&mut self.0).expect("a request at the backend")
+        Message::read(&mut self.0).expect("no complete request reached the backend")
     }
 
-    /// Waits for so many bytes.
+    /// Waits for `count` bytes.
     pub fn read_bytes(&mut self, count: usize) -> Vec<u8> {
-        let mut got = vec![0; count];
-        self.0.read_exact(&mut got).expect("more of a request");
-        got
+        let mut bytes = vec![0; count];
+        self.0.read_exact(&mut bytes).expect("incomplete request");
+        bytes
     }
 
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         self.0.get_mut().write_all(bytes.as_ref()).unwrap();
     }
 
-    /// A whole answer.
+    /// Sends a complete response with status 200.
     pub fn send_response(&mut self, body: &str) {
         self.send(ok_response(body));
     }
 
-    /// Ends it in order.
+    /// Closes the connection with a FIN.
     pub fn close(self) {}
 
-    /// Ends it with a reset.
+    /// Closes the connection with a reset (RST).
     pub fn reset(self) {
         socket2::SockRef::from(self.0.get_ref())
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 
-    /// What came until the proxy ended it, reset or not.
+    /// Reads until the proxy closes or resets the connection and returns the bytes received.
     pub fn read_until_closed(mut self) -> Vec<u8> {
-        let (mut all, mut piece, end) = (Vec::new(), [0; 4096], Instant::now() + TEST_TIMEOUT);
+        let (mut all, mut buffer, end) = (Vec::new(), [0; 4096], Instant::now() + TEST_TIMEOUT);
         while Instant::now() < end {
-            match self.0.read(&mut piece) {
+            match self.0.read(&mut buffer) {
                 Ok(0) => return all,
-                Ok(n) => all.extend_from_slice(&piece[..n]),
+                Ok(n) => all.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return all,
-                Err(e) => panic!("the proxy does not end it: {e}"),
+                Err(e) => panic!("the proxy did not close the connection: {e}"),
             }
         }
-        panic!("the proxy goes on sending");
+        panic!("the proxy was still sending on the connection at the timeout");
     }
 }
 
+/// A complete HTTP response with status 200.
 pub fn ok_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Deployments of other shapes: one class or many, each effect once or none, no tenants, no zones, no kinds, and entries
-//! of the list that name neither. Real processes start with each, are moved from each to the next, and serve.
+//! Settings of different sizes: one request class or many, with and without tenants, zones and hardware kinds, and
+//! endpoints with and without a zone and a kind. Proxies start with each variant, reload from one to the next, and serve.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -7,6 +7,7 @@
 use rig::*;
 use std::time::{Duration, Instant};
 
+/// The settings entry of a request class.
 fn class(name: &str, effect: &str) -> String {
     format!(
         r#"{{"name":"{name}","aim_us":300000,"deadline_us":900000,"effect":"{effect}","key_scope":"all",
@@ -14,7 +15,7 @@
     )
 }
 
-/// Settings with these classes, and with what stands in the places of tenants, kinds, zones and the proxy's own zone.
+/// Settings with these classes. The other parameters are the JSON of the tenants, kinds, zones and the proxy's own zone.
 fn settings(
     classes: &[(&str, &str)],
     tenants: &str,
@@ -42,6 +43,7 @@
         )
 }
 
+/// A request of the class `name` that is valid for its effect, from an unknown tenant.
 fn request(name: &str, effect: &str) -> String {
     let read = read_request(2.0)
         .replace("/read/", &format!("/{name}/"))
@@ -59,13 +61,13 @@
 }
 
 #[test]
-fn any_number_of_classes_and_no_tenants_zones_or_kinds_are_served() {
+fn any_number_of_classes_without_tenants_zones_or_kinds_is_served() {
     let backend = BackendServer::start(|_| ok("x"));
-    let bare = format!(
+    let without_zone = format!(
         r#"{{"name":"b0","address":"{}","status":"SERVING"}}"#,
         backend.address
     );
-    let placed = entry("b0", backend.address, "SERVING");
+    let with_zone = entry("b0", backend.address, "SERVING");
     let one: &[(&str, &str)] = &[("only", "single_shot")];
     let many: &[(&str, &str)] = &[
         ("a", "guarded"),
@@ -75,7 +77,7 @@
         ("é", "free"),
         ("f", "free"),
     ];
-    let shapes = [
+    let variants = [
         (one, settings(one, "[]", "[]", "[]", "")),
         (many, settings(many, "[]", "[]", "[]", r#""my_zone":"","#)),
         (
@@ -108,19 +110,19 @@
             );
         }
     };
-    for known in [&bare, &placed] {
-        for (classes, settings) in &shapes {
+    for known in [&without_zone, &with_zone] {
+        for (classes, settings) in &variants {
             serves(
                 &Proxy::with_settings(std::slice::from_ref(known), 1024, settings),
                 classes,
             );
         }
     }
-    let proxy = Proxy::with_settings(&[bare], 1024, &shapes[2].1);
+    let proxy = Proxy::with_settings(&[without_zone], 1024, &variants[2].1);
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
-    let turns = [&shapes[3], &shapes[2], &shapes[3], &shapes[2]];
-    for (n, (classes, settings)) in turns.into_iter().enumerate() {
-        std::fs::write(&proxy.config_path, text.replace(&shapes[2].1, settings)).unwrap();
+    let reloads = [&variants[3], &variants[2], &variants[3], &variants[2]];
+    for (n, (classes, settings)) in reloads.into_iter().enumerate() {
+        std::fs::write(&proxy.config_path, text.replace(&variants[2].1, settings)).unwrap();
         proxy.signal("-HUP");
         let end = Instant::now() + TEST_TIMEOUT;
         while proxy.log_count("configuration taken") <= n {
