--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -1,4 +1,5 @@
-//! Proxies of other names, places and deployments that share a folder: none takes what another one learned or banned.
+//! Proxies with different names, listen addresses, discovery addresses or settings that share a directory: none loads
+//! another one's snapshot or applies another one's disabled backends.
 
 mod rig;
 
@@ -7,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Settings of which position and zone differ between the proxies of one fleet.
+/// Settings of a fleet with two proxies and two zones, so that the position and the zone can vary.
 fn settings() -> String {
     SETTINGS
         .replace(
@@ -17,17 +18,17 @@
         .replace(r#""zones":["east"]"#, r#""zones":["east","west"]"#)
 }
 
-/// Who a proxy is, before what differs; of two equal keys the last counts.
-const SELF: &str = r#","discovery":"127.0.0.1:9""#;
+/// Configuration members that tests override by appending the same key: of two equal keys the last one applies.
+const OVERRIDABLE: &str = r#","discovery":"127.0.0.1:9""#;
 
-/// A proxy that keeps snapshots there, with a `TMPDIR` of its own.
-fn keeping(dir: &Path, known: &[String], settings: &str, who: &str) -> Proxy {
-    let kept = format!(
-        r#"{SELF}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#,
+/// Starts a proxy that writes snapshots to `dir` and has its own `TMPDIR`. `who` overrides members of its configuration.
+fn start_with_snapshots(dir: &Path, known: &[String], settings: &str, who: &str) -> Proxy {
+    let members = format!(
+        r#"{OVERRIDABLE}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
-    Proxy::with_extra_config(known, settings, &kept, &[tmp])
+    Proxy::with_extra_config(known, settings, &members, &[tmp])
 }
 
 fn backends() -> (BackendServer, BackendServer, Vec<String>) {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Whether it sends anything to the first backend, which is banned for one of the proxies.
+/// Whether the proxy sends any of 30 requests to `banned`, a backend that was disabled at one of the proxies.
 fn uses(proxy: &Proxy, banned: &BackendServer) -> bool {
     let before = banned.request_count();
     for _ in 0..30 {
@@ -59,14 +60,14 @@
     banned.request_count() > before
 }
 
-/// A ban by hand at one proxy is in its snapshot, and a proxy of another name, at another address or of another
-/// discovery that is given the same folder neither takes it nor writes over it.
+/// An operator disables a backend at one proxy, which stores that in its snapshot. A proxy with another name, listen
+/// address or discovery address and the same snapshot directory neither loads nor overwrites that snapshot.
 #[test]
-fn a_snapshot_is_for_the_proxy_that_wrote_it() {
+fn a_snapshot_is_loaded_only_by_the_proxy_that_wrote_it() {
     let (a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
     let settings = settings();
-    let first = keeping(&dir, &known, &settings, "");
+    let first = start_with_snapshots(&dir, &known, &settings, "");
     assert_eq!(
         first
             .control_request("PUT /maintenance/enter?who=b0")
@@ -81,31 +82,37 @@
         r#","discovery":"127.0.0.1:10""#,
     ];
     for (n, who) in others.into_iter().enumerate() {
-        let other = keeping(&dir, &known, &settings, who);
+        let other = start_with_snapshots(&dir, &known, &settings, who);
         assert!(
             other.startup_log.contains("no snapshot: cold start"),
             "{who}: {}",
             other.startup_log
         );
-        assert!(uses(&other, &a), "{who}: it holds another one's ban");
-        until("it keeps no file of its own", || files(&dir).len() == n + 2);
+        assert!(
+            uses(&other, &a),
+            "{who}: it applies another proxy's disabled backend"
+        );
+        until("it wrote no snapshot of its own in time", || {
+            files(&dir).len() == n + 2
+        });
     }
-    let own = keeping(&dir, &known, &settings, "");
+    let own_file = start_with_snapshots(&dir, &known, &settings, "");
     assert!(
-        own.startup_log.contains("snapshot taken"),
+        own_file.startup_log.contains("snapshot taken"),
         "{}",
-        own.startup_log
+        own_file.startup_log
     );
-    assert!(!uses(&own, &a), "its own ban was lost");
+    assert!(!uses(&own_file, &a), "it lost its own disabled backend");
 }
 
-/// The same proxy under another position, zone or quota, and a file under its name that another one wrote: refused.
+/// A snapshot is refused if the proxy's position, zone or a quota has changed since, or if another proxy wrote the file.
+/// The log names the cause.
 #[test]
-fn a_snapshot_from_other_settings_or_another_proxy_is_refused_by_name() {
+fn a_snapshot_from_other_settings_or_another_proxy_is_refused_with_its_cause() {
     let (a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
     let settings = settings();
-    let first = keeping(&dir, &known, &settings, "");
+    let first = start_with_snapshots(&dir, &known, &settings, "");
     assert_eq!(
         first
             .control_request("PUT /maintenance/enter?who=b0")
@@ -114,10 +121,10 @@
     );
     written(&dir);
     drop(first); // SIGKILL
-    let own = files(&dir).remove(0);
-    let bytes = std::fs::read(&own).unwrap();
+    let own_file = files(&dir).remove(0);
+    let bytes = std::fs::read(&own_file).unwrap();
     let other = create_temp_dir().join("kept");
-    let second = keeping(&other, &known, &settings, r#","name":"n1""#);
+    let second = start_with_snapshots(&other, &known, &settings, r#","name":"n1""#);
     written(&other);
     drop(second); // SIGKILL
     let foreign = std::fs::read(files(&other).remove(0)).unwrap();
@@ -144,8 +151,8 @@
         ("owner", &foreign, settings.clone()),
     ];
     for (cause, bytes, settings) in cases {
-        std::fs::write(&own, bytes).unwrap();
-        let proxy = keeping(&dir, &known, &settings, "");
+        std::fs::write(&own_file, bytes).unwrap();
+        let proxy = start_with_snapshots(&dir, &known, &settings, "");
         let line = proxy
             .startup_log
             .lines()
@@ -155,37 +162,37 @@
             line.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {line}"
         );
-        assert!(uses(&proxy, &a), "{cause}: it holds a ban from elsewhere");
+        assert!(uses(&proxy, &a), "{cause}: it applies a refused snapshot");
     }
 }
 
-/// What stands where the snapshot belongs and is no file of sensible length neither stops the start nor fills the memory.
+/// A pipe, a directory or an oversized file at the snapshot's path neither blocks the start nor is read into memory.
 #[test]
-fn what_is_no_snapshot_file_does_not_hold_up_the_start() {
+fn a_snapshot_path_without_a_usable_file_does_not_delay_the_start() {
     let (_a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
-    let first = keeping(&dir, &known, &settings(), "");
+    let first = start_with_snapshots(&dir, &known, &settings(), "");
     written(&dir);
     drop(first); // SIGKILL
-    let own = files(&dir).remove(0);
-    let pipe = |at: &Path| {
+    let own_file = files(&dir).remove(0);
+    let named_pipe = |at: &Path| {
         assert!(std::process::Command::new("mkfifo")
             .arg(at)
             .status()
             .unwrap()
             .success());
     };
-    let huge = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
+    let oversized_file = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
     let folder = |at: &Path| std::fs::create_dir(at).unwrap();
     let cases = [
-        ("unreadable", &pipe as &dyn Fn(&Path)),
-        ("too_large", &huge),
+        ("unreadable", &named_pipe as &dyn Fn(&Path)),
+        ("too_large", &oversized_file),
         ("unreadable", &folder),
     ];
-    for (cause, put) in cases {
-        let _ = std::fs::remove_file(&own);
-        put(&own);
-        let proxy = keeping(&dir, &known, &settings(), "");
+    for (cause, create) in cases {
+        let _ = std::fs::remove_file(&own_file);
+        create(&own_file);
+        let proxy = start_with_snapshots(&dir, &known, &settings(), "");
         assert!(
             proxy.startup_log.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {}",
@@ -194,18 +201,18 @@
         assert_eq!(
             proxy.request(&read_request(3.0)).status(),
             200,
-            "{cause}: serves cold"
+            "{cause}: it does not serve after a cold start"
         );
     }
 }
 
-/// Discovery moves under the running proxy: its file moves along, so that the next process, told of the new address,
-/// takes it, and one at the old address finds nothing.
+/// A reload changes the discovery address of a running proxy, and its snapshot moves with it: the next process with the
+/// new address loads it, and one with the old address finds none.
 #[test]
 fn a_snapshot_follows_its_proxy_to_a_new_discovery() {
     let (a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
-    let first = keeping(&dir, &known, &settings(), "");
+    let first = start_with_snapshots(&dir, &known, &settings(), "");
     assert_eq!(
         first
             .control_request("PUT /maintenance/enter?who=b0")
@@ -220,11 +227,11 @@
     )
     .unwrap();
     first.signal("-HUP");
-    until("the new address was not taken", || {
+    until("the new discovery address was not applied in time", || {
         first.log_count("discovery at 127.0.0.1:10") > 0
     });
     drop(first); // SIGKILL
-    let old = keeping(&dir, &known, &settings(), "");
+    let old = start_with_snapshots(&dir, &known, &settings(), "");
     assert!(
         old.startup_log.contains("no snapshot: cold start"),
         "{}",
@@ -232,26 +239,29 @@
     );
     assert!(uses(&old, &a));
     drop(old);
-    let new = keeping(&dir, &known, &settings(), r#","discovery":"127.0.0.1:10""#);
+    let new = start_with_snapshots(&dir, &known, &settings(), r#","discovery":"127.0.0.1:10""#);
     assert!(
         new.startup_log.contains("snapshot taken"),
         "{}",
         new.startup_log
     );
-    assert!(!uses(&new, &a), "the ban did not come along");
+    assert!(
+        !uses(&new, &a),
+        "the disabled backend is missing in the moved snapshot"
+    );
 }
 
-/// Proxies of another name or at another address with one `TMPDIR` are neither another process of this one nor under
-/// its bans; the next process of the same proxy is under them, also where its discovery has moved.
+/// Proxies with another name or listen address and the same `TMPDIR` do not count as another process of this proxy and do
+/// not apply its disabled backends. The next process of the same proxy applies them, even with another discovery address.
 #[test]
-fn bans_and_processes_in_one_tmpdir_are_told_apart() {
+fn disabled_backends_and_processes_in_one_tmpdir_are_kept_apart() {
     let (a, _b, known) = backends();
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
     let start = |who: &str| {
         let proxy = Proxy::with_extra_config(
             &known,
             &settings(),
-            &format!("{SELF}{who}"),
+            &format!("{OVERRIDABLE}{who}"),
             std::slice::from_ref(&tmp),
         );
         proxy.wait_until_serving();
@@ -266,22 +276,27 @@
     );
     for who in [r#","name":"n1""#, r#","listen":"127.0.0.2:0""#] {
         let mut other = start(who);
-        assert!(uses(&other, &a), "{who}: it holds another one's ban");
+        assert!(
+            uses(&other, &a),
+            "{who}: it applies another proxy's disabled backend"
+        );
         other.terminate();
         assert!(other.child.wait().unwrap().success());
-        until("its log ends", || other.log_count("stopped") > 0);
+        until("it did not log that it stopped", || {
+            other.log_count("stopped") > 0
+        });
         assert_eq!(
             other.log_count("another process"),
             0,
-            "{who}: it left its clients to a stranger"
+            "{who}: it took a different proxy for its own newer process"
         );
     }
     assert_eq!(
         first.log_count("another process"),
         0,
-        "it shared its descriptors with a stranger"
+        "it shared its descriptors with a different proxy"
     );
     drop(first); // SIGKILL
     let next = start(r#","discovery":"127.0.0.1:10""#);
-    assert!(!uses(&next, &a), "its own ban was lost");
+    assert!(!uses(&next, &a), "it lost its own disabled backend");
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a real process holds for each backend and each tenant, from its own account of memory that is backed by no file.
+//! Memory that a proxy process uses for each backend and each tenant, measured as anonymous resident memory (`RssAnon`).
 
 mod rig;
 
@@ -7,11 +7,12 @@
 
 const BACKENDS: usize = 25_000;
 const TENANTS: usize = 130_000;
-const FEW: usize = 100;
-const MOST: Duration = Duration::from_secs(60);
+const BASELINE: usize = 100;
+/// Longest wait for a reload.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Bytes of the process that no file backs.
-fn held(proxy: &Proxy) -> f64 {
+/// Anonymous resident memory of the process, in bytes.
+fn anonymous_memory(proxy: &Proxy) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let line = status
         .lines()
@@ -25,7 +26,7 @@
         * 1024.0
 }
 
-/// A proxy that has taken a whole list of so many from discovery.
+/// Starts a proxy that has applied an endpoint list of `count` endpoints from discovery.
 fn with_backends(count: usize) -> Proxy {
     let proxy = Proxy::start(&[]);
     let address = "127.0.0.1:9".parse().unwrap();
@@ -39,10 +40,11 @@
         .send((200, list(5, true, &lines)))
         .unwrap();
     let (next, _) = proxy.discovery.call();
-    assert!(next.contains("after=5"), "the list was taken: {next}");
+    assert!(next.contains("after=5"), "the list was not applied: {next}");
     proxy
 }
 
+/// Starts a proxy with `count` tenants in its configuration.
 fn with_tenants(count: usize) -> Proxy {
     let tenant = |n: usize| format!(r#"{{"name":"tenant-{n:06}","quota_rps":{}}}"#, 1 + n % 7);
     let tenants: Vec<String> = (0..count).map(tenant).collect();
@@ -55,14 +57,14 @@
     )
 }
 
-/// Reads the file again; until it is taken.
+/// Sends SIGHUP and waits until the configuration is applied.
 fn reload(proxy: &Proxy) {
     let before = proxy.log_count("configuration taken");
     proxy.signal("-HUP");
     let begun = Instant::now();
     while proxy.log_count("configuration taken") == before {
         assert!(
-            begun.elapsed() < MOST,
+            begun.elapsed() < RELOAD_TIMEOUT,
             "{:?}",
             proxy.log_lines("configuration")
         );
@@ -70,26 +72,27 @@
     }
 }
 
-/// A fleet of the coming size is held by each proxy, and so is what it left behind on its way in.
+/// Each proxy stores the whole fleet. The bound includes memory that was used to read the list and not returned since.
 #[test]
-fn a_backend_takes_little_memory() {
-    let each =
-        (held(&with_backends(BACKENDS)) - held(&with_backends(FEW))) / (BACKENDS - FEW) as f64;
+fn a_backend_uses_less_than_800_bytes() {
+    let each = (anonymous_memory(&with_backends(BACKENDS))
+        - anonymous_memory(&with_backends(BASELINE)))
+        / (BACKENDS - BASELINE) as f64;
     println!("{each:.0} bytes a backend");
     assert!(each < 800.0, "{each:.0} bytes a backend");
 }
 
-/// The same settings read again stay the ones that are there: no second copy of them stays in memory.
+/// A reload of unchanged settings must not leave a second copy of them in memory.
 #[test]
-fn a_tenant_takes_little_memory_and_a_reload_next_to_none() {
-    let (many, few) = (with_tenants(TENANTS), with_tenants(FEW));
-    let each = |more: f64| more / (TENANTS - FEW) as f64;
-    let start = each(held(&many) - held(&few));
+fn a_tenant_uses_less_than_100_bytes_and_less_than_120_after_reloads() {
+    let (many, few) = (with_tenants(TENANTS), with_tenants(BASELINE));
+    let each = |more: f64| more / (TENANTS - BASELINE) as f64;
+    let start = each(anonymous_memory(&many) - anonymous_memory(&few));
     for _ in 0..3 {
         reload(&many);
         reload(&few);
     }
-    let after = each(held(&many) - held(&few));
+    let after = each(anonymous_memory(&many) - anonymous_memory(&few));
     println!("{start:.0} bytes a tenant, {after:.0} after three reloads");
     assert!(start < 100.0, "{start:.0} bytes a tenant");
     assert!(
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -1,4 +1,5 @@
-//! Messages that are too long to hold, and slow ones, on loopback sockets.
+//! Requests and responses that are too long to buffer, and slow ones: they are streamed, bounded in memory, and a break in
+//! one is visible to the client.
 
 mod rig;
 
@@ -11,14 +12,17 @@
 
 const LONG: usize = 1_000_000;
 
+/// A body of `length` bytes with a repeating pattern.
 fn text(length: usize) -> String {
     (0..length)
         .map(|n| char::from(b'a' + (n % 23) as u8))
         .collect()
 }
 
-/// A backend that reads each request's head and does with the connection what the test says.
-fn raw(act: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a backend that reads one request head on each connection and passes the connection to `act`, with its number.
+fn start_raw_backend(
+    act: impl Fn(usize, TcpStream) + Send + Sync + 'static,
+) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, count, act) = (
         listener.local_addr().unwrap(),
@@ -42,58 +46,65 @@
     (address, count)
 }
 
+/// The head of a response with a body of `length` bytes.
 fn head(length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n")
 }
 
-fn one(address: SocketAddr) -> Proxy {
+fn start_with_backend(address: SocketAddr) -> Proxy {
     Proxy::start(&[entry("b0", address, "SERVING")])
 }
 
 #[test]
-fn long_bodies_and_answers_pass_unchanged() {
-    let answer = text(LONG + 7);
-    let reply = answer.clone();
+fn long_requests_and_responses_pass_unchanged() {
+    let response = text(LONG + 7);
+    let reply = response.clone();
     let backend = BackendServer::start(move |_| ok(&reply));
-    let proxy = one(backend.address);
+    let proxy = start_with_backend(backend.address);
     let body = text(LONG);
     let mut client = proxy.client();
-    let got = client.request(
+    let received = client.request(
         &pay_request(3.0)
             .replace("Length: 4", &format!("Length: {LONG}"))
             .replace("cash", &body),
     );
-    assert_eq!((got.status(), got.body == answer.as_bytes()), (200, true));
+    assert_eq!(
+        (received.status(), received.body == response.as_bytes()),
+        (200, true)
+    );
     assert!(backend.next_request().body == body.as_bytes());
-    // Chunked, and with more on the same connection after it.
+    // A chunked body, followed by another request on the same connection.
     let chunked = format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
     client.send(
         &pay_request(3.0)
             .replace("Content-Length: 4", "Transfer-Encoding: chunked")
             .replace("cash", &chunked),
     );
-    assert!(client.response().expect("an answer").body == answer.as_bytes());
+    assert!(client.response().expect("no response").body == response.as_bytes());
     assert!(backend.next_request().body == body.as_bytes());
-    let got = client.request(&read_request(3.0));
-    assert_eq!((got.status(), got.body == answer.as_bytes()), (200, true));
+    let received = client.request(&read_request(3.0));
+    assert_eq!(
+        (received.status(), received.body == response.as_bytes()),
+        (200, true)
+    );
 }
 
-/// The first bytes count: the rest may take longer than the client's time, and comes as the backend gives it.
+/// The deadline applies to the first bytes of a response. The rest may take longer than the client's time.
 #[test]
-fn a_long_answer_streams_past_the_deadline() {
+fn a_long_response_streams_past_the_deadline() {
     for framing in [
         head(2 * LONG),
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".into(),
     ] {
         let gate = Arc::new(Gate::default());
         let wait = gate.clone();
-        let (address, _) = raw(move |_, mut tcp| {
+        let (address, _) = start_raw_backend(move |_, mut tcp| {
             tcp.write_all(framing.as_bytes()).unwrap();
             tcp.write_all(text(LONG).as_bytes()).unwrap();
             wait.wait();
             tcp.write_all(text(LONG).as_bytes()).unwrap();
         });
-        let proxy = one(address);
+        let proxy = start_with_backend(address);
         let mut client = proxy.client();
         client.send(&read_request(0.4));
         let mut first = vec![0; LONG / 2];
@@ -104,88 +115,88 @@
         client
             .0
             .read_exact(&mut vec![0; LONG + LONG / 2])
-            .expect("the rest"); // the head and what ends it are over
+            .expect("the response broke off"); // without the head and the last chunk
     }
 }
 
-/// A break in what has begun to stream shows to the client, and nothing is sent again.
+/// A response that breaks off while it is streamed is visibly truncated for the client, and the request is not retried.
 #[test]
-fn a_long_answer_that_breaks_is_not_taken_for_whole() {
-    let (address, count) = raw(|_, mut tcp| {
+fn a_long_response_that_breaks_off_is_visibly_truncated() {
+    let (address, count) = start_raw_backend(|_, mut tcp| {
         tcp.write_all(head(2 * LONG).as_bytes()).unwrap();
         tcp.write_all(text(LONG).as_bytes()).unwrap();
     });
-    let proxy = one(address);
+    let proxy = start_with_backend(address);
     let mut client = proxy.client();
     client.send(&read_request(3.0));
-    let mut got = Vec::new();
-    let _ = client.0.read_to_end(&mut got);
+    let mut received = Vec::new();
+    let _ = client.0.read_to_end(&mut received);
     assert!(
-        got.starts_with(b"HTTP/1.1 200") && got.len() < 2 * LONG,
+        received.starts_with(b"HTTP/1.1 200") && received.len() < 2 * LONG,
         "{}",
-        got.len()
+        received.len()
     );
     assert_eq!(count.load(SeqCst), 1);
-    // The same for one that knows no chunks and no length: only a reset tells it.
-    let (address, _) = raw(|_, mut tcp| {
+    // An HTTP/1.0 client gets neither chunks nor a length: only a reset shows that the response is truncated.
+    let (address, _) = start_raw_backend(|_, mut tcp| {
         tcp.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .unwrap();
         tcp.write_all(format!("{LONG:x}\r\n{}\r\n", text(LONG)).as_bytes())
             .unwrap();
     });
-    let proxy = one(address);
+    let proxy = start_with_backend(address);
     let mut client = proxy.client();
     client.send(&read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"));
     assert!(
         client.0.read_to_end(&mut Vec::new()).is_err(),
-        "no plain end"
+        "the connection was closed without a reset"
     );
 }
 
-/// A body goes on while it comes. Where the backend ends, the rest is not sent to another.
+/// A request body is forwarded while it arrives. If the backend closes the connection, the rest goes to no other backend.
 #[test]
 fn a_long_body_goes_to_one_backend_only() {
-    let (tell, heard) = mpsc::channel();
-    let tell = std::sync::Mutex::new(tell);
-    let first = raw(move |_, mut tcp| {
-        let mut piece = vec![0; 100_000];
-        tcp.read_exact(&mut piece).unwrap();
-        tell.lock().unwrap().send(()).unwrap();
+    let (sender, forwarded) = mpsc::channel();
+    let sender = std::sync::Mutex::new(sender);
+    let first = start_raw_backend(move |_, mut tcp| {
+        let mut chunk = vec![0; 100_000];
+        tcp.read_exact(&mut chunk).unwrap();
+        sender.lock().unwrap().send(()).unwrap();
     });
-    let proxy = one(first.0);
+    let proxy = start_with_backend(first.0);
     let mut client = proxy.client();
     let all = pay_request(3.0)
         .replace("Length: 4", &format!("Length: {LONG}"))
         .replace("cash", &text(LONG / 2));
     client.send(&all);
-    heard
+    forwarded
         .recv_timeout(TEST_TIMEOUT)
-        .expect("it goes on before it is whole");
+        .expect("the body was not forwarded before it was complete");
     assert_eq!(
-        client.response().expect("an answer").status(),
+        client.response().expect("no response").status(),
         503,
-        "it never ran"
+        "the request did not run"
     );
     assert_eq!(first.1.load(SeqCst), 1);
 }
 
-/// What a client does not take is not read from the backend either.
+/// Backpressure: if a client does not read a response, the proxy stops reading it from the backend.
 #[test]
-fn a_client_that_does_not_read_holds_little() {
+fn a_client_that_does_not_read_stops_reading_from_the_backend() {
     const HUGE: usize = 256 << 20;
     let (sent, stopped) = (Arc::new(AtomicUsize::new(0)), Arc::new(Gate::default()));
     let (count, stop) = (sent.clone(), stopped.clone());
-    let (address, _) = raw(move |_, mut tcp| {
+    let (address, _) = start_raw_backend(move |_, mut tcp| {
         tcp.set_write_timeout(Some(Duration::from_millis(500)))
             .unwrap();
         tcp.write_all(head(HUGE).as_bytes()).unwrap();
-        let piece = text(1 << 16);
-        while count.load(SeqCst) < HUGE && tcp.write_all(piece.as_bytes()).is_ok() {
+        let chunk = text(1 << 16);
+        while count.load(SeqCst) < HUGE && tcp.write_all(chunk.as_bytes()).is_ok() {
             count.fetch_add(1 << 16, SeqCst);
         }
         stop.open();
     });
-    let proxy = one(address);
+    let proxy = start_with_backend(address);
     let mut client = proxy.client();
     client.send(&read_request(3.0));
     stopped.wait();
@@ -199,11 +210,11 @@
     );
 }
 
-/// Slower than the patience with one that makes no progress, and short of the class's deadline at no time.
+/// A body that takes 4 s, longer than the stall timeout and the deadline of its class, is accepted while it makes progress.
 #[test]
-fn a_slow_body_is_waited_for_while_it_comes() {
+fn a_slow_body_is_accepted_while_it_makes_progress() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(backend.address);
+    let proxy = start_with_backend(backend.address);
     let mut client = proxy.client();
     let length = 64 * 4000;
     client.send(
@@ -216,55 +227,61 @@
         client.send(&text(4000));
         std::thread::sleep(Duration::from_millis(62));
     }
-    assert_eq!(client.response().expect("an answer").status(), 200);
+    assert_eq!(client.response().expect("no response").status(), 200);
     assert_eq!(backend.next_request().body.len(), length);
 }
 
 #[test]
-fn other_forms_of_the_protocol_are_understood() {
+fn absolute_targets_expect_pipelining_and_http_1_0_are_supported() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(backend.address);
+    let proxy = start_with_backend(backend.address);
     let mut client = proxy.client();
     client.send(
         &read_request(3.0).replace("GET /read/k1", "GET http://service.internal/read/k1?a=b"),
     );
-    assert_eq!(client.response().expect("an answer").status(), 200);
+    assert_eq!(client.response().expect("no response").status(), 200);
     assert_eq!(
         backend.next_request().start_line,
         "GET /read/k1?a=b HTTP/1.1"
     );
     let ask = pay_request(3.0).replace("Host: s", "Host: s\r\nExpect: 100-continue");
     client.send(ask.strip_suffix("cash").unwrap());
-    assert_eq!(client.response().expect("a word to go on").status(), 100);
+    assert_eq!(
+        client.response().expect("no interim response").status(),
+        100
+    );
     client.send("cash");
-    assert_eq!(client.response().expect("an answer").status(), 200);
+    assert_eq!(client.response().expect("no response").status(), 200);
     client.send(&(read_request(3.0) + &read_request(3.0)));
-    assert_eq!(client.response().expect("the first").status(), 200);
-    assert_eq!(client.response().expect("the second").status(), 200);
-    let mut old = proxy.client();
-    old.send(&read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"));
-    assert_eq!(old.response().expect("an answer").status(), 200);
-    assert!(old.is_closed());
+    assert_eq!(client.response().expect("no first response").status(), 200);
+    assert_eq!(client.response().expect("no second response").status(), 200);
+    let mut http_1_0_client = proxy.client();
+    http_1_0_client.send(&read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"));
+    assert_eq!(
+        http_1_0_client.response().expect("no response").status(),
+        200
+    );
+    assert!(http_1_0_client.is_closed());
     for bad in [
         "Content-Length: 4\r\nContent-Length: 5",
         "Content-Length: 4, 5",
         "Transfer-Encoding: chunked, x",
     ] {
-        let answer = proxy.request(&pay_request(3.0).replace("Content-Length: 4", bad));
-        assert_eq!(answer.status(), 400, "{bad}");
+        let response = proxy.request(&pay_request(3.0).replace("Content-Length: 4", bad));
+        assert_eq!(response.status(), 400, "{bad}");
     }
 }
 
-/// A backend that stops reading while its connection stays open is given up, and its client with it.
+/// If a backend stops reading a request body but keeps the connection open, the proxy abandons the request.
 #[test]
-fn a_backend_that_takes_nothing_of_a_body_is_given_up() {
+fn a_backend_that_stops_reading_a_body_is_abandoned() {
     const HUGE: usize = 64 << 20;
-    let (address, _) = raw(move |_, tcp| {
+    let (address, _) = start_raw_backend(move |_, tcp| {
         std::thread::sleep(4 * TEST_TIMEOUT);
         drop(tcp);
     });
     let body = text(1 << 20);
-    let proxy = one(address);
+    let proxy = start_with_backend(address);
     let mut client = proxy.client();
     client.send(
         pay_request(3.0)
@@ -276,46 +293,49 @@
     let sending =
         std::thread::spawn(move || (0..64).all(|_| writer.write_all(body.as_bytes()).is_ok()));
     let mut first = [0; 12];
-    let got = client.0.read(&mut first);
-    let ended = got.map_or_else(
+    let received = client.0.read(&mut first);
+    let ended = received.map_or_else(
         |e| e.kind() != std::io::ErrorKind::WouldBlock,
         |n| !first[..n].ends_with(b"200"),
     );
-    assert!(ended, "it waits for ever");
+    assert!(
+        ended,
+        "neither an error nor the end of the connection in time"
+    );
     drop((client, proxy));
-    assert!(!sending.join().unwrap(), "nobody took all of it");
+    assert!(!sending.join().unwrap(), "the whole body was read");
 }
 
-/// A body far longer than the memory whose request is refused while it still comes: its client hears so, and nothing of
-/// the rest is kept.
+/// A request is rejected while its body, which is larger than the memory limit, still arrives: the client gets the
+/// response, and the rest of the body is read and discarded.
 #[test]
-fn the_rest_of_a_refused_body_is_read_and_not_kept() {
+fn the_rest_of_a_rejected_body_is_read_and_discarded() {
     const HUGE: usize = 48_000_000;
     let nobody = RefusingPort::new();
-    let proxy = one(nobody.address());
-    let resident = || {
+    let proxy = start_with_backend(nobody.address());
+    let peak_memory = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
-        let most = status
+        let peak = status
             .lines()
             .find_map(|l| l.strip_prefix("VmHWM:"))
             .unwrap()
             .trim()
             .to_string();
-        most.split(' ').next().unwrap().parse::<usize>().unwrap() * 1024
+        peak.split(' ').next().unwrap().parse::<usize>().unwrap() * 1024
     };
-    let before = resident();
+    let before = peak_memory();
     let mut client = proxy.client();
     client.send(
         &pay_request(3.0)
             .replace("Length: 4", &format!("Length: {HUGE}"))
             .replace("cash", ""),
     );
-    let piece = text(100_000);
-    (0..HUGE / piece.len()).for_each(|_| client.send(&piece));
-    assert_eq!(client.response().expect("an answer").status(), 503);
-    let grown = resident() - before;
+    let chunk = text(100_000);
+    (0..HUGE / chunk.len()).for_each(|_| client.send(&chunk));
+    assert_eq!(client.response().expect("no response").status(), 503);
+    let grown = peak_memory() - before;
     assert!(
         grown < HUGE / 4,
-        "{grown} bytes more for a body of {HUGE} that was refused"
+        "{grown} bytes more of memory for a rejected body of {HUGE} bytes"
     );
 }
