--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,14 +1,15 @@
-//! One clock for the list of servers: a discovery that falls silent is asked again before what it missed counts as told.
+//! A discovery server that stops responding: the proxy calls it again in time to learn, within 6 s, what the unanswered
+//! call would have reported.
 
 mod rig;
 
 use rig::*;
 use std::time::{Duration, Instant};
 
-/// Whether or not it arrived, what a silent call missed counts as told so long after the silence began.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change is assumed to be known to the proxy this long after discovery stopped responding.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
 
-/// For lists that are pushed and lists that are asked for: a proxy that knows the old backend, beside a new one.
+/// Runs a case with pushed and with polled endpoint lists, on a proxy that knows `old` but not yet `new`.
 fn in_each_mode(case: impl Fn(&Proxy, &BackendServer, &BackendServer)) {
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
@@ -21,18 +22,18 @@
     }
 }
 
-/// From the moment the silence began: asked again in time for one more failure before the bound, and what the answer
-/// tells holds at once: the drained backend gets nothing new, the new one is used.
-fn mended(
+/// Checks that discovery is called again within the bound after `silent`, when it stopped responding, and that its response
+/// applies at once: the draining backend gets no new requests and the new one is used.
+fn check_recovery(
     proxy: &Proxy,
     at: &DiscoveryServer,
-    silent: Instant,
+    silent_since: Instant,
     old: &BackendServer,
     new: &BackendServer,
 ) {
     let (target, answer) = at.call();
-    let took = silent.elapsed();
-    assert!(took < TOLD, "asked again after {took:?}");
+    let took = silent_since.elapsed();
+    assert!(took < KNOWN_AFTER, "called again only after {took:?}");
     let change = [
         entry("b0", old.address, "DRAINING"),
         entry("b1", new.address, "SERVING"),
@@ -40,11 +41,11 @@
     let whole = target == "GET /api/targets HTTP/1.1";
     assert!(
         whole || target.contains("&wait_ms=0 "),
-        "it is to be answered at once: {target}"
+        "the call must not wait for changes: {target}"
     );
-    let told = list(9, whole, &change).replace(',', ",\n  "); // lists may come indented
-    answer.send((200, told)).unwrap();
-    let (target, _hold) = at.call(); // by now the change is taken in
+    let response = list(9, whole, &change).replace(',', ",\n  "); // lists may be indented
+    answer.send((200, response)).unwrap();
+    let (target, _hold) = at.call(); // by now the change is applied
     assert!(
         target.contains("after=9&") && !target.contains("wait_ms=0 "),
         "{target}"
@@ -54,35 +55,35 @@
         assert_eq!(
             proxy.request(&pay_request(3.0)).body,
             b"new",
-            "nothing new for one that drains"
+            "a draining backend got a new request"
         );
     });
     assert_eq!(old.request_count(), before);
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_reopened_before_its_missed_changes_are_assumed_known() {
     in_each_mode(|proxy, old, new| {
         let (_, answer) = proxy.discovery.call();
         answer
             .send((200, list(5, true, &[entry("b0", old.address, "SERVING")])))
             .unwrap();
         let (_, _silent) = proxy.discovery.call();
-        mended(proxy, &proxy.discovery, Instant::now(), old, new);
+        check_recovery(proxy, &proxy.discovery, Instant::now(), old, new);
     });
 }
 
 #[test]
-fn a_first_call_that_is_never_answered_is_made_again() {
+fn a_first_call_without_a_response_is_repeated() {
     in_each_mode(|proxy, old, new| {
         let (_, _silent) = proxy.discovery.call();
-        mended(proxy, &proxy.discovery, Instant::now(), old, new);
+        check_recovery(proxy, &proxy.discovery, Instant::now(), old, new);
     });
 }
 
-/// After SIGHUP all that the new address has to tell counts, whether or not its first answer came.
+/// A reload changes discovery's address, and the first call there gets no response.
 #[test]
-fn a_discovery_that_is_silent_right_after_a_reload_is_asked_again() {
+fn a_discovery_that_is_silent_right_after_a_reload_is_called_again() {
     in_each_mode(|proxy, old, new| {
         let (_, answer) = proxy.discovery.call();
         answer.send((200, list(5, true, &[]))).unwrap();
@@ -96,56 +97,56 @@
         std::fs::write(&proxy.config_path, text).unwrap();
         proxy.signal("-HUP");
         let (_, _silent) = moved.call();
-        mended(proxy, &moved, Instant::now(), old, new);
+        check_recovery(proxy, &moved, Instant::now(), old, new);
     });
 }
 
-/// An outage of several failed calls: the first that gets through is answered at once, not held for news; where lists
-/// are pushed the agent is tried without end at short pauses, as what it has counts from its return.
+/// After several failed calls the next one asks for a response at once instead of waiting for changes. Where lists are
+/// pushed, discovery is called at short intervals until it responds, because its changes count from its return.
 #[test]
-fn the_first_call_after_an_outage_is_answered_at_once() {
+fn the_first_call_after_an_outage_does_not_wait_for_changes() {
     in_each_mode(|proxy, old, new| {
         let (_, answer) = proxy.discovery.call();
         answer
             .send((200, list(5, true, &[entry("b0", old.address, "SERVING")])))
             .unwrap();
         let (_, answer) = proxy.discovery.call();
-        drop(answer); // watches end when discovery goes down
+        drop(answer); // the watch ends when discovery goes down
         for _ in 0..4 {
             proxy.discovery.call().1.send((503, String::new())).unwrap();
         }
-        mended(proxy, &proxy.discovery, Instant::now(), old, new);
+        check_recovery(proxy, &proxy.discovery, Instant::now(), old, new);
     });
 }
 
-/// What discovery writes counts as told, also to a call that was given up: an answer that comes late is taken, while the
-/// next call is still unanswered, and the watch goes on from there.
+/// A late response to a call that the proxy gave up is applied while the next call is still open, because discovery assumes
+/// that what it wrote is known. The watch continues from that version.
 #[test]
-fn an_answer_to_a_call_that_was_given_up_is_taken() {
+fn a_late_response_to_a_call_that_was_given_up_is_applied() {
     in_each_mode(|proxy, old, new| {
         let (_, answer) = proxy.discovery.call();
         answer
             .send((200, list(5, true, &[entry("b0", old.address, "SERVING")])))
             .unwrap();
         let (_, late) = proxy.discovery.call();
-        let (_, next) = proxy.discovery.call(); // the one before was given up
+        let (_, next) = proxy.discovery.call(); // the previous call was given up
         let change = [
             entry("b0", old.address, "DRAINING"),
             entry("b1", new.address, "SERVING"),
         ];
         late.send((200, list(9, false, &change))).unwrap();
-        let taken = (0..200).any(|_| {
+        let applied = (0..200).any(|_| {
             proxy.log_count("answered a call late") > 0 || {
                 std::thread::sleep(Duration::from_millis(50));
                 false
             }
         });
-        assert!(taken, "the late answer was dropped");
+        assert!(applied, "the late response was not applied in time");
         (0..8).for_each(|_| {
             assert_eq!(
                 proxy.request(&pay_request(3.0)).body,
                 b"new",
-                "nothing new for one that drains"
+                "a draining backend got a new request"
             );
         });
         next.send((503, String::new())).unwrap();
@@ -154,10 +155,10 @@
     });
 }
 
-/// A discovery with more callers than it can answer refuses calls, and lets the others stand in line for up to 3 s. Another
-/// call of a proxy that stands there ends both: so none is made, and the answer is heard.
+/// An overloaded discovery server rejects some calls and queues others for up to 3 s. A second call of a proxy whose call is
+/// queued would end both, so the proxy waits for the response to the queued one.
 #[test]
-fn a_call_after_a_refusal_keeps_its_place_in_the_line() {
+fn a_queued_call_after_a_rejection_is_not_repeated() {
     let settings = SETTINGS
         .replace("\"automatic\"", "\"subscribe\"")
         .replace("\"group_size\":1", "\"group_size\":32");
@@ -168,21 +169,21 @@
     let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
     proxy.discovery.call().1.send((503, String::new())).unwrap();
     let (_, _hangs) = proxy.discovery.call();
-    let stands = Instant::now();
-    let (_, in_line) = proxy.discovery.call();
+    let queued_since = Instant::now();
+    let (_, queued) = proxy.discovery.call();
     assert!(
-        stands.elapsed() > Duration::from_secs(3),
-        "called again after {:?}",
-        stands.elapsed()
+        queued_since.elapsed() > Duration::from_secs(3),
+        "called again already after {:?}",
+        queued_since.elapsed()
     );
-    in_line.send((503, String::new())).unwrap();
-    let (_, in_line) = proxy.discovery.call();
+    queued.send((503, String::new())).unwrap();
+    let (_, queued) = proxy.discovery.call();
     let change = [
         entry("b0", old.address, "DRAINING"),
         entry("b1", new.address, "SERVING"),
     ];
-    in_line.send((200, list(9, true, &change))).unwrap();
-    let (target, _hold) = proxy.discovery.call(); // by now the change is taken in
+    queued.send((200, list(9, true, &change))).unwrap();
+    let (target, _hold) = proxy.discovery.call(); // by now the change is applied
     assert!(
         target.contains("after=9&") && !target.contains("wait_ms=0 "),
         "{target}"
--- a/tests/discovery_order.rs
+++ b/tests/discovery_order.rs
@@ -1,21 +1,22 @@
-//! Answers of discovery that cross: with one another, with a beginning of its anew, with a move of its address, and with
-//! what the module said before. The stand-in answers when the test says, so each order is forced.
+//! Responses of discovery that arrive out of order: late ones, ones from before discovery restarted with lower versions or
+//! changed its address, and ones that cross a failure. The test decides when each call gets its response.
 
 mod rig;
 
 use rig::*;
 use std::time::{Duration, Instant};
 
-/// Where a call's answer goes.
-type Answer = std::sync::mpsc::Sender<(u16, String)>;
+/// Where the response to a call goes.
+type ResponseSender = std::sync::mpsc::Sender<(u16, String)>;
 
+/// A proxy, the backend that it knows at start and the one that replaces it.
 struct Case<'a> {
     proxy: &'a Proxy,
     old: &'a BackendServer,
     new: &'a BackendServer,
 }
 
-/// For lists that are pushed and lists that are asked for: a proxy that knows the old backend, beside a new one.
+/// Runs a case with pushed and with polled endpoint lists, on a proxy that knows the old backend but not yet the new one.
 fn in_each_mode(case: impl Fn(Case)) {
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
@@ -33,12 +34,12 @@
 }
 
 impl Case<'_> {
-    /// The old backend as it was, and alone.
+    /// The endpoints before the change: only the old backend.
     fn before(&self) -> Vec<String> {
         vec![entry("b0", self.old.address, "SERVING")]
     }
 
-    /// The old backend drains, the new one serves.
+    /// The endpoints after the change: the old backend drains, the new one serves.
     fn after(&self) -> Vec<String> {
         vec![
             entry("b0", self.old.address, "DRAINING"),
@@ -46,8 +47,8 @@
         ]
     }
 
-    /// Answers the first call with that version.
-    fn begin(&self, index: u64) {
+    /// Responds to the first call with the whole list, as version `index`.
+    fn respond_to_first_call(&self, index: u64) {
         self.proxy
             .discovery
             .call()
@@ -56,41 +57,45 @@
             .unwrap();
     }
 
-    /// A call after that version that is given up: its answer may come late.
-    fn given_up(&self, index: u64) -> Answer {
+    /// Waits for a call after version `index` that the test leaves open until the proxy gives it up.
+    fn unanswered_call(&self, index: u64) -> ResponseSender {
         let (target, answer) = self.proxy.discovery.call();
         assert!(target.contains(&format!("after={index}&")), "{target}");
         answer
     }
 
-    /// Waits until so many late answers were taken.
-    fn late(&self, count: usize) {
+    /// Waits until the proxy has logged `count` late responses.
+    fn wait_for_late_responses(&self, count: usize) {
         let end = Instant::now() + TEST_TIMEOUT;
         while self.proxy.log_count("answered a call late") < count {
-            assert!(Instant::now() < end, "the late answer was dropped");
+            assert!(
+                Instant::now() < end,
+                "the late response was not logged in time"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What was sent to the proxy before these requests has been read when they are answered.
-    fn only_new(&self) {
+    /// Checks that only the new backend gets requests. The proxy has read what was sent to it before these requests.
+    fn check_only_new_is_used(&self) {
         let before = self.old.request_count();
         (0..8).for_each(|_| {
             assert_eq!(
                 self.proxy.request(&pay_request(3.0)).body,
                 b"new",
-                "nothing new for one that drains"
+                "a draining backend got a new request"
             );
         });
         assert_eq!(self.old.request_count(), before);
     }
 
-    /// SIGHUP to another address.
-    fn moved(&self) -> DiscoveryServer {
-        self.moved_from(&self.proxy.discovery)
+    /// Starts a discovery server at another address and reloads the proxy with it.
+    fn move_discovery(&self) -> DiscoveryServer {
+        self.move_discovery_from(&self.proxy.discovery)
     }
 
-    fn moved_from(&self, before: &DiscoveryServer) -> DiscoveryServer {
+    /// Like [`Case::move_discovery`], for a proxy that already moved to `before`.
+    fn move_discovery_from(&self, before: &DiscoveryServer) -> DiscoveryServer {
         let moved = DiscoveryServer::start();
         let text = std::fs::read_to_string(&self.proxy.config_path).unwrap();
         let text = text.replace(&before.address.to_string(), &moved.address.to_string());
@@ -100,154 +105,155 @@
     }
 }
 
-fn goes_on(at: &DiscoveryServer, index: u64) -> Answer {
+/// Waits for the proxy's call after version `index`.
+fn next_call_after(at: &DiscoveryServer, index: u64) -> ResponseSender {
     let (target, answer) = at.call();
     assert!(target.contains(&format!("after={index}&")), "{target}");
     answer
 }
 
-/// A call is given up and answered late, while the next one is out; that one's answer was made earlier and arrives last.
+/// A late response arrives while the next call is open. The response to that call was written earlier and arrives last.
 #[test]
-fn a_whole_list_that_was_overtaken_by_a_newer_one_is_not_taken() {
+fn a_whole_list_older_than_the_applied_one_is_ignored() {
     in_each_mode(|case| {
-        case.begin(5);
-        let late = case.given_up(5);
-        let next = goes_on(&case.proxy.discovery, 5);
+        case.respond_to_first_call(5);
+        let late = case.unanswered_call(5);
+        let next = next_call_after(&case.proxy.discovery, 5);
         late.send((200, list(9, false, &case.after()))).unwrap();
-        case.late(1);
-        case.only_new();
+        case.wait_for_late_responses(1);
+        case.check_only_new_is_used();
         next.send((200, list(7, true, &case.before()))).unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 9);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 9);
+        case.check_only_new_is_used();
     });
 }
 
-/// Two calls were given up; the later one's answer comes first.
+/// Two calls were given up, and the response to the later one arrives first.
 #[test]
-fn two_late_answers_in_the_wrong_order_leave_the_newer_list() {
+fn two_late_responses_in_reverse_order_keep_the_newer_list() {
     in_each_mode(|case| {
-        case.begin(5);
-        let first = case.given_up(5);
-        let second = case.given_up(5);
-        let third = goes_on(&case.proxy.discovery, 5);
+        case.respond_to_first_call(5);
+        let first = case.unanswered_call(5);
+        let second = case.unanswered_call(5);
+        let third = next_call_after(&case.proxy.discovery, 5);
         second.send((200, list(9, false, &case.after()))).unwrap();
-        case.late(1);
+        case.wait_for_late_responses(1);
         first.send((200, list(8, true, &case.before()))).unwrap();
-        case.only_new();
-        // The one that is waited for has changes since 5 as well, up to more than is held: they follow on.
+        case.check_only_new_is_used();
+        // The open call also gets changes since 5, up to a version above the applied one: they are applied.
         third
             .send((
                 200,
                 list(12, false, &[entry("b2", case.new.address, "SERVING")]),
             ))
             .unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 12);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 12);
+        case.check_only_new_is_used();
     });
 }
 
-/// Discovery begins anew, with lower versions; what its earlier self wrote comes later.
+/// Discovery restarts with lower versions, and a response from before the restart arrives afterwards.
 #[test]
-fn an_answer_from_before_discovery_began_anew_is_not_taken() {
+fn a_response_from_before_discovery_restarted_is_ignored() {
     in_each_mode(|case| {
-        case.begin(50);
-        let late = case.given_up(50);
-        goes_on(&case.proxy.discovery, 50)
+        case.respond_to_first_call(50);
+        let late = case.unanswered_call(50);
+        next_call_after(&case.proxy.discovery, 50)
             .send((200, list(2, false, &[])))
             .unwrap();
         let (target, whole) = case.proxy.discovery.call();
         assert_eq!(
             target, "GET /api/targets HTTP/1.1",
-            "changes to a list that is not held"
+            "changes to an unknown list must be followed by a call for the whole list"
         );
         whole.send((200, list(3, true, &case.after()))).unwrap();
-        let next = goes_on(&case.proxy.discovery, 3);
-        case.only_new();
+        let next = next_call_after(&case.proxy.discovery, 3);
+        case.check_only_new_is_used();
         late.send((200, list(51, false, &case.before()))).unwrap();
-        case.only_new();
+        case.check_only_new_is_used();
         next.send((200, list(4, false, &[]))).unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 4);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 4);
+        case.check_only_new_is_used();
     });
 }
 
-/// ... and its whole list, lower, is taken though a late answer has made the held version higher meanwhile.
+/// Discovery restarts, and its whole list is applied despite its lower version, even after a late response with a higher one.
 #[test]
-fn a_discovery_that_began_anew_is_believed_after_a_late_answer() {
+fn a_restarted_discoverys_list_is_applied_after_a_late_response() {
     in_each_mode(|case| {
-        case.begin(50);
-        let late = case.given_up(50);
-        let next = goes_on(&case.proxy.discovery, 50);
+        case.respond_to_first_call(50);
+        let late = case.unanswered_call(50);
+        let next = next_call_after(&case.proxy.discovery, 50);
         late.send((200, list(60, false, &case.before()))).unwrap();
-        case.late(1);
-        next.send((503, String::new())).unwrap(); // it goes down here
-        goes_on(&case.proxy.discovery, 60)
+        case.wait_for_late_responses(1);
+        next.send((503, String::new())).unwrap(); // discovery goes down here
+        next_call_after(&case.proxy.discovery, 60)
             .send((200, list(3, true, &case.after())))
             .unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 3);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 3);
+        case.check_only_new_is_used();
     });
 }
 
-/// The answer of the old address, in versions of its own, comes after the new address's list.
+/// A response from the old address, whose versions are unrelated, arrives after the new address's list.
 #[test]
-fn the_old_address_never_undoes_what_the_new_one_told() {
+fn the_old_address_never_overrides_the_new_ones_list() {
     in_each_mode(|case| {
-        case.begin(5);
-        let watch = case.given_up(5);
-        let moved = case.moved();
+        case.respond_to_first_call(5);
+        let watch = case.unanswered_call(5);
+        let moved = case.move_discovery();
         let (target, whole) = moved.call();
         assert_eq!(target, "GET /api/targets HTTP/1.1");
         whole.send((200, list(3, true, &case.after()))).unwrap();
-        let next = goes_on(&moved, 3);
+        let next = next_call_after(&moved, 3);
         watch.send((200, list(90, false, &case.before()))).unwrap();
-        case.only_new();
+        case.check_only_new_is_used();
         next.send((200, list(4, false, &[]))).unwrap();
-        let _hold = goes_on(&moved, 4);
-        case.only_new();
+        let _hold = next_call_after(&moved, 4);
+        case.check_only_new_is_used();
     });
 }
 
-/// ... or before it: then both are taken, whatever their versions.
+/// A response from the old address arrives before the new address's list: both are applied, whatever their versions.
 #[test]
-fn the_new_address_is_believed_after_a_late_answer_of_the_old_one() {
+fn the_new_addresss_list_is_applied_after_a_late_response_from_the_old_one() {
     in_each_mode(|case| {
-        case.begin(5);
-        let watch = case.given_up(5);
-        let moved = case.moved();
+        case.respond_to_first_call(5);
+        let watch = case.unanswered_call(5);
+        let moved = case.move_discovery();
         let (_, whole) = moved.call();
         watch.send((200, list(90, false, &case.before()))).unwrap();
-        case.late(1);
+        case.wait_for_late_responses(1);
         whole.send((200, list(3, true, &case.after()))).unwrap();
-        let _hold = goes_on(&moved, 3);
-        case.only_new();
+        let _hold = next_call_after(&moved, 3);
+        case.check_only_new_is_used();
     });
 }
 
-/// Two moves in a row: the first new address answers after the second one's list.
+/// Discovery's address changes twice, and the first new address responds after the list of the second one.
 #[test]
-fn of_two_moves_in_a_row_the_last_address_is_believed() {
+fn after_two_moves_in_a_row_the_last_address_is_used() {
     in_each_mode(|case| {
-        case.begin(5);
-        let _watch = case.given_up(5);
-        let first = case.moved();
+        case.respond_to_first_call(5);
+        let _watch = case.unanswered_call(5);
+        let first = case.move_discovery();
         let (_, late) = first.call();
-        let second = case.moved_from(&first);
+        let second = case.move_discovery_from(&first);
         let (target, whole) = second.call();
         assert_eq!(target, "GET /api/targets HTTP/1.1");
         whole.send((200, list(3, true, &case.after()))).unwrap();
-        let next = goes_on(&second, 3);
+        let next = next_call_after(&second, 3);
         late.send((200, list(70, true, &case.before()))).unwrap();
-        case.only_new();
+        case.check_only_new_is_used();
         next.send((200, list(4, false, &[]))).unwrap();
-        let _hold = goes_on(&second, 4);
-        case.only_new();
+        let _hold = next_call_after(&second, 4);
+        case.check_only_new_is_used();
     });
 }
 
-/// What an outage grew the module's pause to is not waited for at a new address.
+/// An outage has increased the delay between calls: a new address is not called with that delay.
 #[test]
-fn a_move_in_an_outage_is_heard_in_time_though_the_first_call_there_fails() {
+fn a_move_during_an_outage_is_applied_in_time_even_if_the_first_call_fails() {
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let settings = settings
         .replace("\"group_size\":1,", "\"group_size\":300,")
@@ -264,7 +270,7 @@
     };
     (0..6).for_each(|_| proxy.discovery.call().1.send((503, String::new())).unwrap());
     let (_, last) = proxy.discovery.call();
-    let moved = case.moved();
+    let moved = case.move_discovery();
     let signal = Instant::now();
     let (_, first) = moved.call();
     first.send((503, String::new())).unwrap();
@@ -273,13 +279,13 @@
         .1
         .send((200, list(3, true, &case.after())))
         .unwrap();
-    let _hold = goes_on(&moved, 3);
+    let _hold = next_call_after(&moved, 3);
     let took = signal.elapsed();
     assert!(
         took < Duration::from_millis(1500),
-        "known {took:?} after the signal"
+        "the list was applied only {took:?} after the signal"
     );
-    // One of three hundred proxies takes the others to hold as much as it does, and refuses while the machine is busy.
+    // The proxy assumes that the other 299 proxies have as many open requests, so it may reject some on a busy machine.
     let before = old.request_count();
     assert_eq!(proxy.request(&pay_request(3.0)).body, b"new");
     (0..8)
@@ -290,60 +296,60 @@
     assert_eq!(
         old.request_count(),
         before,
-        "nothing new for one that drains"
+        "a draining backend got a new request"
     );
     drop(last);
 }
 
-/// The module repeats a call of which it hears nothing, while that call is still out. That one is not for the next failure.
+/// The balancer asks again while a call is open. That request must not shorten the delay after the call's later failure.
 #[test]
-fn a_repeated_ask_from_before_a_failure_does_not_end_the_pause_after_it() {
+fn a_repeated_request_for_a_call_before_a_failure_does_not_shorten_the_delay_after_it() {
     let settings = SETTINGS
         .replace("\"automatic\"", "\"subscribe\"")
         .replace("9000000,\"ramp", "2000000,\"ramp");
     let old = BackendServer::start(|_| ok("old"));
     let proxy = Proxy::with_settings(&[entry("b0", old.address, "SERVING")], 1024, &settings);
-    let (_, _silent) = proxy.discovery.call(); // repeated 1 s later, given up 1.8 s later
+    let (_, _silent) = proxy.discovery.call(); // asked for again after 1 s, given up after 1.8 s
     let (_, answer) = proxy.discovery.call();
-    std::thread::sleep(Duration::from_millis(300)); // the module's next word, if one is due, comes meanwhile
+    std::thread::sleep(Duration::from_millis(300)); // the balancer's next request for a call, if one is due, comes meanwhile
     let failed = Instant::now();
     answer.send((503, String::new())).unwrap();
     let _next = proxy.discovery.call();
     let pause = failed.elapsed();
     assert!(
         pause >= Duration::from_millis(45),
-        "called again after {pause:?}"
+        "called again already after {pause:?}"
     );
 }
 
-/// A late answer that came while the next call was out has nothing to say on a failure after that.
+/// A late response that arrived during the next call must not shorten the delay after a later failure.
 #[test]
-fn a_late_answer_from_before_a_failure_does_not_end_the_pause_after_it() {
+fn a_late_response_before_a_failure_does_not_shorten_the_delay_after_it() {
     in_each_mode(|case| {
-        case.begin(5);
-        let late = case.given_up(5);
-        let next = goes_on(&case.proxy.discovery, 5);
+        case.respond_to_first_call(5);
+        let late = case.unanswered_call(5);
+        let next = next_call_after(&case.proxy.discovery, 5);
         late.send((200, list(9, false, &case.after()))).unwrap();
-        case.late(1);
+        case.wait_for_late_responses(1);
         next.send((200, list(10, false, &[]))).unwrap();
-        let watch = goes_on(&case.proxy.discovery, 10);
+        let watch = next_call_after(&case.proxy.discovery, 10);
         let failed = Instant::now();
         watch.send((503, String::new())).unwrap();
-        let _next = goes_on(&case.proxy.discovery, 10);
+        let _next = next_call_after(&case.proxy.discovery, 10);
         let pause = failed.elapsed();
         assert!(
             pause >= Duration::from_millis(45),
-            "called again after {pause:?}"
+            "called again already after {pause:?}"
         );
     });
 }
 
-/// A discovery that has changes only, even for a call for the whole list, is one that fails: it is not called without end.
+/// Discovery sends only changes, even to calls for the whole list: that counts as a failure, so the calls are spaced out.
 #[test]
-fn changes_to_a_call_for_the_whole_list_count_as_a_failure() {
+fn changes_in_response_to_a_call_for_the_whole_list_count_as_a_failure() {
     in_each_mode(|case| {
-        case.begin(50);
-        goes_on(&case.proxy.discovery, 50)
+        case.respond_to_first_call(50);
+        next_call_after(&case.proxy.discovery, 50)
             .send((200, list(2, false, &[])))
             .unwrap();
         let begun = Instant::now();
@@ -357,42 +363,42 @@
         let pauses = begun.elapsed();
         assert!(
             pauses >= Duration::from_millis(250),
-            "{pauses:?} for five calls"
+            "five calls in only {pauses:?}"
         );
         assert_eq!(case.proxy.log_count("discovery failed: changes"), 1);
         whole.send((200, list(3, true, &case.after()))).unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 3);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 3);
+        case.check_only_new_is_used();
     });
 }
 
-/// A whole list none of whose entries makes sense is no list: what is known stays in use.
+/// A whole list without any valid entry is rejected, and the known endpoints stay in use.
 #[test]
-fn a_list_that_makes_no_sense_takes_nothing_out_of_use() {
+fn a_list_without_valid_entries_takes_nothing_out_of_use() {
     in_each_mode(|case| {
-        case.begin(5);
-        let lame = [
+        case.respond_to_first_call(5);
+        let invalid = [
             entry("b0", case.old.address, "LAME"),
             entry("b1", case.new.address, "LAME"),
         ];
-        goes_on(&case.proxy.discovery, 5)
-            .send((200, list(9, true, &lame)))
+        next_call_after(&case.proxy.discovery, 5)
+            .send((200, list(9, true, &invalid)))
             .unwrap();
-        let next = goes_on(&case.proxy.discovery, 5);
+        let next = next_call_after(&case.proxy.discovery, 5);
         assert_eq!(case.proxy.log_count("discovery failed: no entry"), 1);
         (0..4).for_each(|_| assert_eq!(case.proxy.request(&pay_request(3.0)).body, b"old"));
         next.send((200, list(10, true, &case.after()))).unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 10);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 10);
+        case.check_only_new_is_used();
     });
 }
 
-/// A backend moves to another address while a connection to the one before rests.
+/// A backend changes its address while a connection to the old one is idle.
 #[test]
-fn a_backend_whose_address_changed_is_reached_there_alone() {
+fn a_backend_whose_address_changed_gets_requests_only_there() {
     in_each_mode(|case| {
-        case.begin(5);
-        let watch = goes_on(&case.proxy.discovery, 5);
+        case.respond_to_first_call(5);
+        let watch = next_call_after(&case.proxy.discovery, 5);
         assert_eq!(case.proxy.request(&pay_request(3.0)).body, b"old");
         watch
             .send((
@@ -400,7 +406,7 @@
                 list(6, false, &[entry("b0", case.new.address, "SERVING")]),
             ))
             .unwrap();
-        let _hold = goes_on(&case.proxy.discovery, 6);
-        case.only_new();
+        let _hold = next_call_after(&case.proxy.discovery, 6);
+        case.check_only_new_is_used();
     });
 }
