--- a/src/net/state/snapshot.rs
+++ b/src/net/state/snapshot.rs
@@ -6,7 +6,7 @@
 //! is a [`Snapshot`]: a [`Header`] and a [`SavedState`]. Snapshots that the proxies of a fleet send each other have the
 //! same encoding.
 //!
-//! Files are replaced atomically: [`write`] writes a temporary file, syncs it, renames it and syncs the folder.
+//! Files are replaced atomically: [`write()`] writes a temporary file, syncs it, renames it and syncs the folder.
 
 use meadowproxy::{LearnedBackend, LearnedHardwareClass, Micros, SampledMean};
 use serde::{Deserialize, Serialize};
