--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -1,5 +1,5 @@
-//! Discovery that fails for a while, in every way it may, before real processes: what it has counts as told 6 s after it can
-//! be reached again, whatever came before.
+//! Discovery outages of different kinds and lengths: a change must be applied at most 6 s after discovery can be reached
+//! again, however it failed and for however long.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -12,76 +12,77 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How discovery fails, for calls that wait when it begins and for all that come.
+/// How discovery fails, both for calls that are open when the outage begins and for later ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Refused,
-    /// Connections never come up; what was open is silent.
+    /// New connections are not established, and nothing is sent on open ones.
     Unreachable,
     Unavailable,
     Reset,
-    /// Connections come up, and nothing is ever said on them, also after its return.
+    /// Connections are accepted, but nothing is ever sent on them, not even after the outage.
     Silent,
-    /// The same after half an answer.
-    Half,
-    /// One more piece now and then, without end.
+    /// Half of a response is sent, and then nothing more.
+    Truncated,
+    /// The response continues in small chunks without end.
     Endless,
-    /// An answer of some megabytes.
-    Giant,
-    /// 200, and no list.
-    Garbage,
+    /// The response is several megabytes long.
+    Oversized,
+    /// The response has status 200 but contains no endpoint list.
+    NotAList,
 }
 use Fault::*;
 
+/// The state of the discovery server, shared by its connections.
 #[derive(Default)]
-struct World {
+struct ServerState {
     fault: Option<Fault>,
     index: u64,
-    /// Each entry with the version it is of.
+    /// Each entry with the version that introduced it.
     entries: Vec<(u64, String)>,
     calls: u32,
 }
 
-/// Discovery as the protocol has it, with faults.
+/// A discovery server that implements the protocol and can be made to fail.
 #[derive(Clone)]
-struct Service {
+struct FaultyDiscovery {
     address: SocketAddr,
-    world: Arc<(Mutex<World>, Condvar)>,
-    /// Connections that are open, and the most there were.
+    state: Arc<(Mutex<ServerState>, Condvar)>,
+    /// Number of open connections, and the highest number so far.
     open: Arc<(AtomicI32, AtomicI32)>,
 }
 
-impl Service {
-    fn start(entries: Vec<String>) -> Service {
-        let socket = bound("127.0.0.1:0".parse().unwrap());
+impl FaultyDiscovery {
+    fn start(entries: Vec<String>) -> FaultyDiscovery {
+        let socket = bind("127.0.0.1:0".parse().unwrap());
         socket.listen(128).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         let entries = entries.into_iter().map(|e| (5, e)).collect();
-        let world = Arc::new((
-            Mutex::new(World {
+        let state = Arc::new((
+            Mutex::new(ServerState {
                 index: 5,
                 entries,
-                ..World::default()
+                ..ServerState::default()
             }),
             Condvar::new(),
         ));
-        let service = Service {
+        let discovery = FaultyDiscovery {
             address,
-            world,
+            state,
             open: Arc::default(),
         };
-        let accepting = service.clone();
+        let accepting = discovery.clone();
         std::thread::spawn(move || accepting.accept(socket));
-        service
+        discovery
     }
 
-    fn change(&self, change: impl FnOnce(&mut World)) {
-        change(&mut self.world.0.lock().unwrap());
-        self.world.1.notify_all();
+    fn change(&self, change: impl FnOnce(&mut ServerState)) {
+        change(&mut self.state.0.lock().unwrap());
+        self.state.1.notify_all();
     }
 
-    /// A new version, with these entries in it.
-    fn tell(&self, entries: &[String]) {
+    /// Publishes a new version with these entries.
+    fn publish(&self, entries: &[String]) {
         self.change(|w| {
             w.index += 1;
             let index = w.index;
@@ -89,36 +90,36 @@
         });
     }
 
-    /// Waits until so many calls have come.
-    fn called(&self, count: u32) {
-        let (world, changed) = &*self.world;
-        let few = |w: &mut World| w.calls < count;
+    /// Waits until `count` calls have arrived.
+    fn wait_for_calls(&self, count: u32) {
+        let (state, changed) = &*self.state;
+        let too_few = |w: &mut ServerState| w.calls < count;
         let (_world, late) = changed
-            .wait_timeout_while(world.lock().unwrap(), TEST_TIMEOUT, few)
+            .wait_timeout_while(state.lock().unwrap(), TEST_TIMEOUT, too_few)
             .unwrap();
-        assert!(!late.timed_out(), "not {count} calls");
+        assert!(!late.timed_out(), "fewer than {count} calls in time");
     }
 
     fn accept(self, socket: socket2::Socket) {
-        let (mut listener, mut away) = (Some(TcpListener::from(socket)), None::<Away>);
+        let (mut listener, mut reserved) = (Some(TcpListener::from(socket)), None::<ReservedPort>);
         loop {
-            let fault = self.world.0.lock().unwrap().fault;
+            let fault = self.state.0.lock().unwrap().fault;
             if fault == Some(Refused) || fault == Some(Unreachable) {
                 if listener.take().is_some() {
-                    away = Some(Away::at(self.address, fault == Some(Unreachable)));
+                    reserved = Some(ReservedPort::at(self.address, fault == Some(Unreachable)));
                 }
-            } else if let Some(away) = away.take() {
-                listener = Some(away.back());
+            } else if let Some(reserved) = reserved.take() {
+                listener = Some(reserved.listen());
             }
             match listener.as_ref().map(TcpListener::accept) {
                 Some(Ok((tcp, _))) => {
-                    let service = self.clone();
+                    let discovery = self.clone();
                     let now = self.open.0.fetch_add(1, Ordering::SeqCst) + 1;
                     self.open.1.fetch_max(now, Ordering::SeqCst);
                     std::thread::spawn(move || {
                         tcp.set_nonblocking(false).unwrap();
-                        service.serve(tcp);
-                        service.open.0.fetch_sub(1, Ordering::SeqCst);
+                        discovery.serve(tcp);
+                        discovery.open.0.fetch_sub(1, Ordering::SeqCst);
                     });
                 }
                 _ => std::thread::sleep(Duration::from_millis(1)),
@@ -143,18 +144,18 @@
             let go_on = match self.answer(after, wait) {
                 Ok(list) => send(&mut tcp, 200, &list),
                 Err(Unavailable) => send(&mut tcp, 503, ""),
-                Err(Garbage) => send(&mut tcp, 200, r#"{"index":"x","snapshot":true}"#),
-                Err(Giant) => send(&mut tcp, 200, &" ".repeat(6 << 20)),
+                Err(NotAList) => send(&mut tcp, 200, r#"{"index":"x","snapshot":true}"#),
+                Err(Oversized) => send(&mut tcp, 200, &" ".repeat(6 << 20)),
                 Err(Refused | Reset) => {
                     let _ = socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO));
                     false
                 }
-                Err(Silent | Unreachable) => hang(&mut tcp),
-                Err(Half) => {
+                Err(Silent | Unreachable) => wait_until_closed(&mut tcp),
+                Err(Truncated) => {
                     let _ = tcp.write_all(
                         b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{\"index\":9,\"snap",
                     );
-                    hang(&mut tcp)
+                    wait_until_closed(&mut tcp)
                 }
                 Err(Endless) => {
                     let _ = tcp.write_all(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -170,43 +171,43 @@
         }
     }
 
-    /// What a call is answered: the whole list, or news within the wait; or how it fails.
+    /// The response to a call: the whole list, or the changes after a version, for which it waits up to `wait` ms; or a fault.
     fn answer(&self, after: Option<u64>, wait: u64) -> Result<String, Fault> {
-        let (world, changed) = &*self.world;
-        let quiet =
-            |w: &mut World| w.fault.is_none() && after.is_some_and(|after| w.index <= after);
+        let (state, changed) = &*self.state;
+        let unchanged =
+            |w: &mut ServerState| w.fault.is_none() && after.is_some_and(|after| w.index <= after);
         let wait = Duration::from_millis(wait);
-        let (world, _) = changed
-            .wait_timeout_while(world.lock().unwrap(), wait, quiet)
+        let (state, _) = changed
+            .wait_timeout_while(state.lock().unwrap(), wait, unchanged)
             .unwrap();
-        let news = world
+        let changes = state
             .entries
             .iter()
             .filter(|e| after.is_none_or(|after| e.0 > after));
-        let news: Vec<String> = news.map(|e| e.1.clone()).collect();
-        world
+        let changes: Vec<String> = changes.map(|e| e.1.clone()).collect();
+        state
             .fault
-            .map_or(Ok(list(world.index, after.is_none(), &news)), Err)
+            .map_or(Ok(list(state.index, after.is_none(), &changes)), Err)
     }
 }
 
-/// The port while nobody answers there, so that nobody else gets it.
-struct Away(socket2::Socket, Vec<TcpStream>);
+/// Keeps the port bound during an outage, so that no other process gets it.
+struct ReservedPort(socket2::Socket, Vec<TcpStream>);
 
-impl Away {
-    /// Refusing connections, or letting none come up: a full queue drops what comes.
-    fn at(address: SocketAddr, full: bool) -> Away {
-        let (socket, mut queue) = (bound(address), Vec::new());
+impl ReservedPort {
+    /// Refuses connections or, if `full`, lets them time out: a full backlog drops new ones.
+    fn at(address: SocketAddr, full: bool) -> ReservedPort {
+        let (socket, mut backlog) = (bind(address), Vec::new());
         if full {
             socket.listen(0).unwrap();
             let more = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
-            queue.extend(std::iter::from_fn(more).take(8));
-            assert!(queue.len() < 8, "the queue never fills");
+            backlog.extend(std::iter::from_fn(more).take(8));
+            assert!(backlog.len() < 8, "the backlog did not fill up");
         }
-        Away(socket, queue)
+        ReservedPort(socket, backlog)
     }
 
-    fn back(self) -> TcpListener {
+    fn listen(self) -> TcpListener {
         self.0.listen(128).unwrap();
         let listener = TcpListener::from(self.0);
         self.1.iter().for_each(|_| drop(listener.accept()));
@@ -214,7 +215,8 @@
     }
 }
 
-fn bound(at: SocketAddr) -> socket2::Socket {
+/// A non-blocking socket bound to `at`.
+fn bind(at: SocketAddr) -> socket2::Socket {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
     socket.bind(&at.into()).unwrap();
@@ -222,8 +224,9 @@
     socket
 }
 
+/// Sends a response. Returns whether the connection is still usable.
 fn send(tcp: &mut TcpStream, status: u16, body: &str) -> bool {
-    // An interim answer first, as any server may send.
+    // Starts with an interim response, which any server may send.
     let head = format!(
         "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -231,26 +234,31 @@
     tcp.write_all((head + body).as_bytes()).is_ok()
 }
 
-/// Until the other side ends the connection.
-fn hang(tcp: &mut TcpStream) -> bool {
+/// Sends nothing more, and returns when the other side closes the connection.
+fn wait_until_closed(tcp: &mut TcpStream) -> bool {
     while tcp.read(&mut [0; 64]).is_ok_and(|n| n > 0) {}
     false
 }
 
-/// The program with its list from a service.
-struct Process {
+/// A running proxy that gets its endpoint list from a [`FaultyDiscovery`].
+struct ProxyProcess {
     child: Child,
     address: SocketAddr,
     log: Arc<Mutex<String>>,
 }
 
-impl Process {
-    fn start(service: &Service, known: &[String], mode: &str, proxies: u32) -> Process {
+impl ProxyProcess {
+    fn start(
+        discovery: &FaultyDiscovery,
+        known: &[String],
+        mode: &str,
+        proxies: u32,
+    ) -> ProxyProcess {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
         let settings = settings.replace("\"group_size\":1,", &format!("\"group_size\":{proxies},"));
         let settings =
             settings.replace("\"must_ask_in_us\":9000000", "\"must_ask_in_us\":600000000");
-        let (known, at) = (list(4, true, known), service.address);
+        let (known, at) = (list(4, true, known), discovery.address);
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{at}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}}}"#
@@ -263,62 +271,65 @@
             .by_ref()
             .find_map(|line| Some(line.split("listens on ").nth(1)?.to_string()));
         let address = listens
-            .expect("it listens")
+            .expect("the proxy exited before it listened")
             .split(',')
             .next()
             .unwrap()
             .parse()
             .unwrap();
         let log = Arc::new(Mutex::new(String::new()));
-        let keep = log.clone();
-        std::thread::spawn(move || lines.for_each(|line| *keep.lock().unwrap() += &(line + "\n")));
-        Process {
+        let sink = log.clone();
+        std::thread::spawn(move || lines.for_each(|line| *sink.lock().unwrap() += &(line + "\n")));
+        ProxyProcess {
             child,
             address,
             log,
         }
     }
 
-    fn logged(&self, words: &str) -> usize {
+    fn log_count(&self, words: &str) -> usize {
         self.log.lock().unwrap().matches(words).count()
     }
 }
 
-impl Drop for Process {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// When a backend last got something.
-type Last = Arc<Mutex<Option<Instant>>>;
+/// When a backend last got a request.
+type LastRequest = Arc<Mutex<Option<Instant>>>;
 
+/// An outage and the bound on the time until the proxy knows what it missed.
 struct Case {
     fault: Fault,
     down: Duration,
     mode: &'static str,
     proxies: u32,
-    /// What has to have reached the proxy so long after the return.
-    told: Duration,
+    /// Longest time from the end of the outage until the proxy has applied the changes.
+    bound: Duration,
 }
 
-fn case(fault: Fault, down: f64, mode: &'static str, proxies: u32, told: f64) -> Case {
+/// A case with its times in seconds.
+fn case(fault: Fault, down: f64, mode: &'static str, proxies: u32, bound: f64) -> Case {
     Case {
         fault,
         down: Duration::from_secs_f64(down),
         mode,
         proxies,
-        told: Duration::from_secs_f64(told),
+        bound: Duration::from_secs_f64(bound),
     }
 }
 
-/// A drain inside the outage and one right after it. Returns how long after the return, and after the second drain, the
-/// drained backends still got something, and the most connections that discovery saw at once.
-fn play(case: &Case) -> Result<String, String> {
-    let backends: Vec<(BackendServer, Last)> = (0..5)
+/// Runs one case with backends that drain during the outage and one that drains right after it. Returns a summary: how long
+/// after the outage, and after the second drain, the draining backends still got requests, and how many connections to
+/// discovery were open at most. The summary is an error if a bound is exceeded.
+fn run_case(case: &Case) -> Result<String, String> {
+    let backends: Vec<(BackendServer, LastRequest)> = (0..5)
         .map(|_| {
-            let last = Last::default();
+            let last = LastRequest::default();
             let mark = last.clone();
             let reply = move |_| {
                 *mark.lock().unwrap() = Some(Instant::now());
@@ -327,115 +338,119 @@
             (BackendServer::start(reply), last)
         })
         .collect();
-    let line = |n: usize, status: &str| entry(&format!("b{n}"), backends[n].0.address, status);
-    let all: Vec<String> = (0..3).map(|n| line(n, "SERVING")).collect();
-    let service = Service::start(all.clone());
-    let proxy = Process::start(&service, &all, case.mode, case.proxies);
-    service.called(2); // the second one waits for news
-    let over = Arc::new(Mutex::new(false));
-    let (address, until) = (proxy.address, over.clone());
+    let endpoint = |n: usize, status: &str| entry(&format!("b{n}"), backends[n].0.address, status);
+    let all: Vec<String> = (0..3).map(|n| endpoint(n, "SERVING")).collect();
+    let discovery = FaultyDiscovery::start(all.clone());
+    let proxy = ProxyProcess::start(&discovery, &all, case.mode, case.proxies);
+    discovery.wait_for_calls(2); // the second one waits for changes
+    let stopped = Arc::new(Mutex::new(false));
+    let (address, stop) = (proxy.address, stopped.clone());
     let client = std::thread::spawn(move || {
-        while !*until.lock().unwrap() {
+        while !*stop.lock().unwrap() {
             let _ = Client::connect(address).request(&read_request(1.0));
             std::thread::sleep(Duration::from_millis(60));
         }
     });
     std::thread::sleep(Duration::from_millis(400));
     let last = |n: usize| *backends[n].1.lock().unwrap();
-    service.change(|w| w.fault = Some(case.fault));
+    discovery.change(|w| w.fault = Some(case.fault));
     std::thread::sleep(case.down / 2);
-    // All that it knew, as it may use only a slice of them.
-    service.tell(&[
-        line(0, "DRAINING"),
-        line(1, "DRAINING"),
-        line(2, "DRAINING"),
-        line(3, "SERVING"),
+    // All known backends drain, because the proxy may use only a subset of them.
+    discovery.publish(&[
+        endpoint(0, "DRAINING"),
+        endpoint(1, "DRAINING"),
+        endpoint(2, "DRAINING"),
+        endpoint(3, "SERVING"),
     ]);
     std::thread::sleep(case.down / 2);
-    let back = Instant::now();
-    service.change(|w| w.fault = None);
+    let outage_end = Instant::now();
+    discovery.change(|w| w.fault = None);
     std::thread::sleep(Duration::from_millis(200));
     let drained = Instant::now();
-    service.tell(&[line(3, "DRAINING"), line(4, "SERVING")]);
+    discovery.publish(&[endpoint(3, "DRAINING"), endpoint(4, "SERVING")]);
     let quiet =
         || (0..4).all(|n| last(n).is_none_or(|at| at.elapsed() > Duration::from_millis(700)));
-    while back.elapsed() < Duration::from_millis(7500) && !(quiet() && last(4).is_some()) {
+    while outage_end.elapsed() < Duration::from_millis(7500) && !(quiet() && last(4).is_some()) {
         std::thread::sleep(Duration::from_millis(20));
     }
-    *over.lock().unwrap() = true;
+    *stopped.lock().unwrap() = true;
     client.join().unwrap();
     let after =
         |n: usize, at: Instant| last(n).map_or(Duration::ZERO, |l| l.saturating_duration_since(at));
-    let first = (0..3).map(|n| after(n, back)).max().unwrap_or_default();
-    let (second, most) = (after(3, drained), service.open.1.load(Ordering::SeqCst));
+    let first = (0..3)
+        .map(|n| after(n, outage_end))
+        .max()
+        .unwrap_or_default();
+    let (second, most) = (after(3, drained), discovery.open.1.load(Ordering::SeqCst));
     let name = format!(
         "{:?} {:?} {} {}",
         case.fault, case.down, case.mode, case.proxies
     );
-    let said = format!(
+    let summary = format!(
         "{name}: {first:?} and {second:?}, {most} connections, {} lines",
-        proxy.logged("discovery failed")
+        proxy.log_count("discovery failed")
     );
-    let held = first < case.told && second < case.told;
-    // One call that is waited for, and four that were given up.
-    let bounded = most <= 5 && proxy.logged("discovery failed") == 1;
-    let used = (0..3).any(|n| last(n).is_some()) && last(4).is_some();
-    if held && bounded && used {
-        Ok(said)
+    let in_time = first < case.bound && second < case.bound;
+    // One open call, and four that were given up.
+    let calls_bounded = most <= 5 && proxy.log_count("discovery failed") == 1;
+    let backends_used = (0..3).any(|n| last(n).is_some()) && last(4).is_some();
+    if in_time && calls_bounded && backends_used {
+        Ok(summary)
     } else {
-        Err(said)
+        Err(summary)
     }
 }
 
-fn play_all(cases: Vec<Case>) {
+/// Runs all cases at the same time.
+fn run_cases(cases: Vec<Case>) {
     let running: Vec<_> = cases
         .into_iter()
-        .map(|c| std::thread::spawn(move || play(&c)))
+        .map(|c| std::thread::spawn(move || run_case(&c)))
         .collect();
     let results: Vec<_> = running.into_iter().map(|r| r.join().unwrap()).collect();
     let failed: Vec<&String> = results.iter().filter_map(|r| r.as_ref().err()).collect();
     results
         .iter()
         .flatten()
-        .for_each(|said| eprintln!("{said}"));
+        .for_each(|summary| eprintln!("{summary}"));
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// One proxy of 300, whose settings let it go without asking for ten minutes: neither counts.
+/// With polled lists the bound holds regardless of the fleet's size and of the longest polling interval, here 10 minutes.
 #[test]
-fn lists_that_are_asked_for_are_known_within_six_seconds_of_the_return() {
-    let faults = [Refused, Unreachable, Unavailable, Reset, Silent, Half];
+fn polled_lists_are_applied_within_six_seconds_after_an_outage() {
+    let faults = [Refused, Unreachable, Unavailable, Reset, Silent, Truncated];
     let lengths = [0.5, 7.0, 13.0];
     let cases = faults
         .iter()
         .flat_map(|f| lengths.iter().map(|l| case(*f, *l, "subscribe", 300, 6.0)));
-    let more = [Endless, Giant, Garbage]
+    let more = [Endless, Oversized, NotAList]
         .iter()
         .map(|f| case(*f, 5.0, "subscribe", 300, 6.0));
-    let few = [
+    let small_fleets = [
         case(Refused, 13.0, "subscribe", 3, 6.0),
         case(Silent, 13.0, "subscribe", 30, 6.0),
     ];
-    play_all(cases.chain(more).chain(few).collect());
+    run_cases(cases.chain(more).chain(small_fleets).collect());
 }
 
-/// Where lists are pushed what the agent has counts at once, and what a silence swallowed 6 s after that began. A call
-/// that fails at once is made again within 0.1 s; the rest is left to busy machines.
+/// With pushed lists a change counts at once, and one that a silent connection lost counts 6 s after the silence began. A
+/// call that fails at once is repeated within 0.1 s; the bound of 1 s leaves the rest of the time to busy machines.
 #[test]
-fn lists_that_are_pushed_are_known_at_once() {
-    let quick = [Refused, Unavailable, Reset, Garbage];
-    let quick = quick.iter().flat_map(|f| {
+fn pushed_lists_are_applied_at_once_after_an_outage() {
+    let failing_at_once = [Refused, Unavailable, Reset, NotAList];
+    let failing_at_once = failing_at_once.iter().flat_map(|f| {
         [0.5, 4.0]
             .iter()
             .map(|l| case(*f, *l, "automatic", 300, 1.0))
     });
-    let slow = [Silent, Half, Endless]
+    let silent = [Silent, Truncated, Endless]
         .iter()
         .map(|f| case(*f, 4.0, "automatic", 300, 6.0));
-    // Until the open watch is taken for broken no new connection is tried; from then on one each 0.35 s.
-    let cut_off = [
+    // No new connection is tried until the open watch is considered broken; from then on one each 0.35 s.
+    let unreachable = [
         case(Unreachable, 0.5, "automatic", 300, 6.0),
         case(Unreachable, 8.0, "automatic", 300, 1.5),
     ];
-    play_all(quick.chain(slow).chain(cut_off).collect());
+    run_cases(failing_at_once.chain(silent).chain(unreachable).collect());
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -1,4 +1,5 @@
-//! SIGHUP and SIGTERM at moments where they cross something else.
+//! SIGHUP and SIGTERM that coincide with the start, with unusable configuration files, with open requests, with a shutdown
+//! or with discovery's responses.
 
 mod rig;
 
@@ -17,7 +18,8 @@
     }
 }
 
-fn pipe(at: &Path) {
+/// Creates a named pipe.
+fn create_pipe(at: &Path) {
     assert!(std::process::Command::new("mkfifo")
         .arg(at)
         .status()
@@ -25,11 +27,12 @@
         .success());
 }
 
+/// A GET of the class `log`, which the configuration at start does not contain.
 fn log(left: f64) -> String {
     read_request(left).replace("GET /read", "GET /log")
 }
 
-/// With one more class, or with a number in its place.
+/// The configuration `text` with an additional class.
 fn with_class(text: &str, name: &str) -> String {
     let class = format!(
         r#"{{"name":"{name}","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}},"#
@@ -41,12 +44,12 @@
     )
 }
 
-/// The program still reads its configuration, from a pipe that nobody wrote to yet, when SIGHUP comes: it starts, answers
-/// the signal once it runs, and does not wait for a pipe again.
+/// SIGHUP arrives while the proxy reads its configuration, from a pipe without data: the proxy starts, handles the signal
+/// once it runs, and on that reload rejects the pipe instead of waiting for it.
 #[test]
-fn a_signal_before_the_configuration_is_read_does_not_end_the_start() {
+fn a_signal_before_the_configuration_is_read_does_not_end_the_process() {
     let at = create_temp_dir().join("config.json");
-    pipe(&at);
+    create_pipe(&at);
     let mut child = proxy_command(None).env("NODE_CONFIG", &at).spawn().unwrap();
     // Opening for writing waits until the program has opened it for reading.
     let mut file = std::fs::OpenOptions::new().write(true).open(&at).unwrap();
@@ -62,16 +65,16 @@
         SETTINGS,
     );
     file.write_all(config.as_bytes())
-        .expect("the program is still there");
+        .expect("the proxy exited before it had read its configuration");
     drop(file);
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(child.stderr.take().unwrap()));
-    let mut next = |words: &str| {
+    let mut next_line = |words: &str| {
         lines
             .by_ref()
             .map_while(Result::ok)
             .find(|line| line.contains(words))
     };
-    let line = next("listens on").expect("it ended before it listened");
+    let line = next_line("listens on").expect("the proxy exited before it listened");
     let address = line
         .split("listens on ")
         .nth(1)
@@ -81,7 +84,8 @@
         .unwrap()
         .parse()
         .unwrap();
-    let line = next("configuration not taken").expect("it ended before it answered the signal");
+    let line = next_line("configuration not taken")
+        .expect("the proxy exited before it handled the signal");
     assert!(line.contains("not a regular file"), "{line}");
     assert_eq!(
         Client::connect(address)
@@ -93,51 +97,51 @@
     child.wait().unwrap();
 }
 
-/// Whatever stands in the place of the configuration: one line that says why, and all stays as it was.
+/// An unusable file at the configuration's path: each SIGHUP logs one line with the reason and changes nothing.
 #[test]
-fn what_is_no_configuration_is_told_once_and_changes_nothing() {
+fn an_unusable_configuration_file_is_logged_once_and_changes_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let (at, sound) = (
+    let (at, valid) = (
         &proxy.config_path,
         std::fs::read(&proxy.config_path).unwrap(),
     );
-    let deny = |at: &Path| {
-        std::fs::write(at, &sound).unwrap();
+    let remove_permissions = |at: &Path| {
+        std::fs::write(at, &valid).unwrap();
         std::fs::set_permissions(at, std::os::unix::fs::PermissionsExt::from_mode(0o000)).unwrap();
     };
-    // Who may read everything reads this one, too: then it is cut.
-    let denied = |at: &Path| {
-        deny(at);
+    // Root can read the file despite its mode; then a truncated file stands in for it.
+    let unreadable = |at: &Path| {
+        remove_permissions(at);
         if std::fs::read(at).is_ok() {
-            std::fs::write(at, &sound[..sound.len() / 2]).unwrap();
+            std::fs::write(at, &valid[..valid.len() / 2]).unwrap();
         }
     };
-    let huge = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
-    let long =
-        |at: &Path| std::fs::write(at, [&sound[..], &vec![b' '; 64 << 20]].concat()).unwrap();
+    let sparse = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
+    let padded =
+        |at: &Path| std::fs::write(at, [&valid[..], &vec![b' '; 64 << 20]].concat()).unwrap();
     let dir = |at: &Path| std::fs::create_dir(at).unwrap();
     let bytes = |at: &Path| std::fs::write(at, [0xff, 0xfe, 0]).unwrap();
-    let deep = |at: &Path| std::fs::write(at, vec![b'['; 1 << 20]).unwrap();
+    let nested = |at: &Path| std::fs::write(at, vec![b'['; 1 << 20]).unwrap();
     let nothing = |_: &Path| {};
-    let short = |at: &Path| std::fs::write(at, &sound[..sound.len() - 1]).unwrap();
+    let truncated = |at: &Path| std::fs::write(at, &valid[..valid.len() - 1]).unwrap();
     let cases = [
         ("cannot read", &nothing as &dyn Fn(&Path)),
-        ("", &denied),
-        ("over 67108864 bytes", &long),
-        ("", &huge),
+        ("", &unreadable),
+        ("over 67108864 bytes", &padded),
+        ("", &sparse),
         ("not a regular file", &dir),
-        ("not a regular file", &pipe),
+        ("not a regular file", &create_pipe),
         ("cannot read", &bytes),
-        ("", &deep),
-        ("", &short),
+        ("", &nested),
+        ("", &truncated),
     ];
-    for (n, (cause, put)) in cases.iter().enumerate() {
+    for (n, (cause, create)) in cases.iter().enumerate() {
         let _ = std::fs::remove_file(at);
         let _ = std::fs::remove_dir(at);
-        put(at);
+        create(at);
         proxy.signal("-HUP");
-        until("no answer to the signal", || {
+        until("the signal was not handled in time", || {
             proxy.log_count("configuration not taken") == n + 1
         });
         let line = proxy.log_lines("configuration not taken").pop().unwrap();
@@ -145,24 +149,24 @@
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
     let _ = std::fs::remove_file(at);
-    let longest = vec![b' '; (64 << 20) - sound.len()];
-    for (n, text) in [&sound, &[&sound[..], &longest].concat()]
+    let longest = vec![b' '; (64 << 20) - valid.len()];
+    for (n, text) in [&valid, &[&valid[..], &longest].concat()]
         .into_iter()
         .enumerate()
     {
         std::fs::write(at, text).unwrap();
         proxy.signal("-HUP");
-        until("a sound one was not taken", || {
+        until("a valid one was not applied", || {
             proxy.log_count("configuration taken") == n + 1
         });
     }
     assert_eq!(proxy.log_count("configuration not taken"), cases.len());
 }
 
-/// A file that is replaced again and again, in place, with a signal each time: whatever a signal found half written, the
-/// last one counts, and requests that were open keep the class that they came under.
+/// The file is overwritten several times in a row, each time with a signal: a signal may find it half written, but the last
+/// version is applied, and requests that were open keep the class that they arrived with.
 #[test]
-fn of_many_reloads_in_a_row_the_last_counts() {
+fn after_many_reloads_in_a_row_the_last_one_applies() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| {
@@ -187,9 +191,9 @@
     )
     .unwrap();
     proxy.signal("-HUP");
-    until("the last was not taken", || proxy.log_count("new log") == 1);
+    until("last not applied", || proxy.log_count("new log") == 1);
     gate.open();
-    assert_eq!(open.response().expect("an answer").body, b"gated");
+    assert_eq!(open.response().expect("no response").body, b"gated");
     assert_eq!(proxy.request(&log(3.0)).status(), 200);
     assert_eq!(proxy.request(&pay_request(3.0)).status(), 404);
     assert_eq!(
@@ -200,10 +204,10 @@
     );
 }
 
-/// Requests do not wait for a configuration that takes long to read: the same client is answered again and again between
-/// the signal and the line that tells of it.
+/// A configuration that takes long to read does not block requests: a client gets many responses between the signal and the
+/// log line of the reload.
 #[test]
-fn requests_are_answered_while_a_long_configuration_is_read() {
+fn requests_are_served_while_a_long_configuration_is_read() {
     let tenants: Vec<String> = (0..60_000)
         .map(|n| format!(r#"{{"name":"tenant-{n}","quota_rps":1.5}}"#))
         .collect();
@@ -230,7 +234,10 @@
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
         answered += 1;
     }
-    assert!(answered > 10, "{answered} answers while it was read");
+    assert!(
+        answered > 10,
+        "only {answered} responses while the configuration was read"
+    );
     let line = proxy.log_lines("configuration taken").pop().unwrap();
     let figure = |name: &str| -> f64 {
         line.split(name)
@@ -244,12 +251,12 @@
     };
     assert!(
         figure("step_us=") / 1e3 < figure("read_ms=") / 4.0,
-        "it was read on the loop: {line}"
+        "the configuration was read on the event loop: {line}"
     );
 }
 
-/// Signals that come while the program ends: neither a second SIGTERM, nor SIGINT, nor a new configuration, sound or
-/// broken, takes the answer that is owed.
+/// Signals during a shutdown: neither a second SIGTERM, nor SIGINT, nor a reload of a valid or invalid configuration loses
+/// the response to an open request.
 #[test]
 fn signals_during_the_shutdown_change_nothing() {
     let gate = Arc::new(Gate::default());
@@ -260,7 +267,7 @@
     open.send(&pay_request(3.0));
     backend.next_request();
     proxy.terminate();
-    until("it does not end", || proxy.log_count("stopping") == 1);
+    until("no shutdown", || proxy.log_count("stopping") == 1);
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let shorter = text.replace("\"deadline_us\":3000000", "\"deadline_us\":950000");
     for (n, text) in [&text[..text.len() / 2], &shorter, "", &text]
@@ -269,7 +276,7 @@
     {
         std::fs::write(&proxy.config_path, text).unwrap();
         proxy.signal("-HUP");
-        until("no answer to the signal", || {
+        until("the signal was not handled in time", || {
             proxy.log_count("configuration") == n + 1
         });
         proxy.signal("-TERM");
@@ -277,17 +284,14 @@
     }
     assert_eq!(proxy.log_count("configuration taken"), 2);
     gate.open();
-    assert_eq!(
-        open.response().expect("the answer that was owed").body,
-        b"gated"
-    );
+    assert_eq!(open.response().expect("no response").body, b"gated");
     assert!(proxy.child.wait().unwrap().success());
     assert_eq!(proxy.log_count("stopping"), 1);
 }
 
-/// Limits that shrink under open requests: they end as they came, and those that rest make way.
+/// A reload lowers limits below the number of open requests: these are still served, and idle connections are closed.
 #[test]
-fn limits_that_shrink_take_no_open_request() {
+fn lowered_limits_end_no_open_request() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -306,23 +310,23 @@
     )
     .unwrap();
     proxy.signal("-HUP");
-    until("not taken", || proxy.log_count("configuration taken") == 1);
+    until("no reload", || proxy.log_count("configuration taken") == 1);
     gate.open();
     for client in &mut open {
-        assert_eq!(client.response().expect("an answer").body, b"gated");
+        assert_eq!(client.response().expect("no response").body, b"gated");
     }
     let named = read_request(3.0).replace("\r\n\r\n", "\r\nX-Account: north\r\n\r\n");
     assert_eq!(
         proxy.request(&named).status(),
         200,
-        "a tenant that is no more is a stranger"
+        "a removed tenant is treated as an unknown one"
     );
 }
 
-/// A request waits for a backend when SIGTERM comes, and the list that then brings one, beside one that drains, still
-/// counts: the process that ends serves it there.
+/// A request is waiting for a backend when SIGTERM arrives. An endpoint list that arrives during the shutdown, with a
+/// serving and a draining backend, is applied, and the request is served.
 #[test]
-fn a_list_that_comes_in_the_shutdown_counts() {
+fn an_endpoint_list_during_the_shutdown_is_applied() {
     let (drained, new) = (
         BackendServer::start(|_| ok("drained")),
         BackendServer::start(|_| ok("new")),
@@ -332,24 +336,21 @@
     open.send(&pay_request(3.0));
     let (_, answer) = proxy.discovery.call();
     proxy.terminate();
-    until("it does not end", || proxy.log_count("stopping") == 1);
-    let told = [
+    until("no shutdown", || proxy.log_count("stopping") == 1);
+    let endpoints = [
         entry("b0", drained.address, "DRAINING"),
         entry("b1", new.address, "SERVING"),
     ];
-    answer.send((200, list(9, true, &told))).unwrap();
-    assert_eq!(
-        open.response().expect("the answer that is owed").body,
-        b"new"
-    );
+    answer.send((200, list(9, true, &endpoints))).unwrap();
+    assert_eq!(open.response().expect("no response").body, b"new");
     assert!(proxy.child.wait().unwrap().success());
     assert_eq!(drained.request_count(), 0);
 }
 
-/// Discovery moves while an answer of the old address is on its way: one that comes behind the new address's list and is
-/// older changes nothing, and one that is newer is taken; a move there and back ends at the first.
+/// A reload changes discovery's address while a response from the old address is in transit. If that response arrives after
+/// the new address's list, it is ignored if it is older and applied if it is newer. The address then changes back.
 #[test]
-fn an_answer_that_crosses_a_move_of_discovery_counts_by_its_age() {
+fn a_response_that_crosses_a_move_of_discovery_is_applied_if_newer() {
     let (old, new) = (
         BackendServer::start(|_| ok("old")),
         BackendServer::start(|_| ok("new")),
@@ -369,7 +370,7 @@
     let move_to = |to: &str, n: usize| {
         std::fs::write(&proxy.config_path, text.replace(&first, to)).unwrap();
         proxy.signal("-HUP");
-        until("not taken", || proxy.log_count("configuration taken") == n);
+        until("no reload", || proxy.log_count("configuration taken") == n);
     };
     let (_, answer) = proxy.discovery.call();
     answer
@@ -382,32 +383,32 @@
         .1
         .send((200, list(9, true, &at("DRAINING", "SERVING"))))
         .unwrap();
-    let (target, newer) = second.call(); // by now the list is taken
+    let (target, newer) = second.call(); // by now the list is applied
     assert!(target.contains("after=9&"), "{target}");
     older
         .send((200, list(7, true, &[entry("b0", old.address, "SERVING")])))
         .unwrap();
-    until("the answer was not read", || {
+    until("the response was not read", || {
         proxy.discovery.closed_connections.load(SeqCst) == 1
     });
     let before = old.request_count();
-    let all = |body: &[u8]| (0..20).all(|_| proxy.request(&pay_request(3.0)).body == body);
+    let only = |body: &[u8]| (0..20).all(|_| proxy.request(&pay_request(3.0)).body == body);
     assert!(
-        all(b"new"),
-        "an older answer brought a draining backend back"
+        only(b"new"),
+        "an older response put a draining backend back into service"
     );
     assert_eq!(old.request_count(), before);
     move_to(&first, 2);
     let (target, _silent) = proxy.discovery.call();
     assert_eq!(
         target, "GET /api/targets HTTP/1.1",
-        "the whole list, and where it is now"
+        "the whole list must be requested at the current address"
     );
     newer
         .send((200, list(12, true, &at("SERVING", "DRAINING"))))
         .unwrap();
-    until("a newer answer was dropped", || {
+    until("a newer response was dropped", || {
         proxy.log_count("answered a call late, with 12") == 1
     });
-    assert!(all(b"old"));
+    assert!(only(b"old"));
 }
