--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -1,5 +1,5 @@
-//! Clients that leave before their answer: from then on nothing is sent on for them, wherever their request stands and
-//! however they leave.
+//! Clients that disconnect before their response: from then on nothing is sent to a backend for them, whatever the state of
+//! their request and however they close the connection.
 
 mod rig;
 
@@ -10,36 +10,36 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-/// How a client ends its connection, and whether bytes stand before the end that the proxy has no use for yet.
+/// How a client disconnects: with a reset or a FIN, and with or without a pipelined request that the proxy has not read.
 #[derive(Clone, Copy, Debug)]
-struct Leave {
+struct Disconnect {
     reset: bool,
-    bytes: bool,
+    pipelined: bool,
 }
 
-const WAYS: [Leave; 4] = [
-    Leave {
+const DISCONNECTS: [Disconnect; 4] = [
+    Disconnect {
         reset: false,
-        bytes: true,
+        pipelined: true,
     },
-    Leave {
+    Disconnect {
         reset: true,
-        bytes: true,
+        pipelined: true,
     },
-    Leave {
+    Disconnect {
         reset: false,
-        bytes: false,
+        pipelined: false,
     },
-    Leave {
+    Disconnect {
         reset: true,
-        bytes: false,
+        pipelined: false,
     },
 ];
 
-impl Leave {
-    /// Asks on a connection of its own.
-    fn ask(self, proxy: &Proxy, request: &str) -> Client {
-        let more = if self.bytes {
+impl Disconnect {
+    /// Sends a request for [`PATH`] on a new connection.
+    fn request(self, proxy: &Proxy, request: &str) -> Client {
+        let more = if self.pipelined {
             read_request(3.0)
         } else {
             String::new()
@@ -49,42 +49,43 @@
         client
     }
 
-    /// Leaves, though the kernel may not bring that to the proxy's side before it has read what stands before.
-    fn turn_away(self, client: Client) {
+    /// Disconnects. The kernel may report that to the proxy only after the proxy has read the bytes before it.
+    fn close(self, client: Client) {
         let tcp = client.0.get_ref();
         socket2::SockRef::from(tcp)
             .set_linger(self.reset.then_some(Duration::ZERO))
             .unwrap();
     }
 
-    /// Leaves, and waits until the kernel has brought that to the proxy's side.
-    fn go(self, client: Client) {
+    /// Disconnects, and waits until the proxy's side of the connection is no longer established.
+    fn close_and_wait(self, client: Client) {
         let tcp = client.0.get_ref();
         let (own, proxy) = (tcp.local_addr().unwrap(), tcp.peer_addr().unwrap());
-        self.turn_away(client);
-        until(
+        self.close(client);
+        wait_until(
             || sockets(ESTABLISHED, Some(proxy), own) == 0,
-            "the end never arrived",
+            "the disconnect did not reach the proxy's side in time",
         );
     }
 }
 
-/// What the requests of those that leave are about.
+/// The path of the requests whose clients disconnect.
 const PATH: &str = "/leaver";
 
-/// Requests of theirs that reached a backend whole.
-fn sent_on(backend: &BackendServer) -> usize {
+/// Number of requests for [`PATH`] that reached the backend whole.
+fn forwarded_requests(backend: &BackendServer) -> usize {
     let count = |seen: &Event| matches!(seen, Event::Request(m) if m.start_line.contains(PATH));
     backend.events.try_iter().filter(count).count()
 }
 
+/// States of a TCP socket in /proc/net/tcp.
 const ESTABLISHED: &str = "01";
 const SYN_SENT: &str = "02";
 
-/// How many sockets of this machine are in that state, from there (or anywhere) to there.
+/// Number of this machine's sockets in a state, from the address `from` (any if `None`) to the address `to`.
 fn sockets(state: &str, from: Option<SocketAddr>, to: SocketAddr) -> usize {
-    let named = |at: SocketAddr| format!("0100007F:{:04X}", at.port());
-    let (from, to) = (from.map(named), named(to));
+    let encode_address = |at: SocketAddr| format!("0100007F:{:04X}", at.port());
+    let (from, to) = (from.map(encode_address), encode_address(to));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let fields = table
         .lines()
@@ -94,16 +95,16 @@
         .count()
 }
 
-fn until(done: impl Fn() -> bool, otherwise: &str) {
+fn wait_until(condition: impl Fn() -> bool, message: &str) {
     let end = Instant::now() + TEST_TIMEOUT;
-    while !done() {
-        assert!(Instant::now() < end, "{otherwise}");
+    while !condition() {
+        assert!(Instant::now() < end, "{message}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// All that came before this was read by the proxy.
-fn in_hand(proxy: &Proxy) {
+/// Waits until the proxy has read everything that was sent to it before.
+fn wait_for_proxy(proxy: &Proxy) {
     assert_eq!(
         proxy
             .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
@@ -112,7 +113,8 @@
     );
 }
 
-fn figure(proxy: &Proxy, name: &str) -> u32 {
+/// A value of the proxy's metrics.
+fn metric(proxy: &Proxy, name: &str) -> u32 {
     let text = String::from_utf8(proxy.control_request("GET /metrics").body).unwrap();
     let value = text
         .lines()
@@ -120,108 +122,115 @@
     value.unwrap_or_else(|| panic!("no {name} in {text}")) as u32
 }
 
-/// Stands for whatever reached the backend before it.
-fn served(proxy: &Proxy) {
+/// Sends a request that is served. Whatever the proxy had sent to the backend before has reached it by then.
+fn check_served(proxy: &Proxy) {
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
 }
 
+/// A POST of the class `pay` with a body of `length` bytes.
 fn upload(length: usize) -> String {
     pay_request(3.0)
         .replace("Length: 4", &format!("Length: {length}"))
         .replace("cash", &"x".repeat(length))
 }
 
-/// No backend serves; the list that brings one and the clients' ends meet, in either order.
+/// Requests wait for a backend. The endpoint list with the first one and the disconnects arrive together, in either order.
 #[test]
 fn a_request_that_waits_for_a_backend_is_dropped_with_its_client() {
     for list_first in [false, true] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::start(&[]);
         let (_, answer) = proxy.discovery.call();
-        let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
-        // Of a body this long a part stays in the kernel for as long as no backend takes it.
-        let bodies = WAYS.map(|way| (way, way.ask(&proxy, &upload(100_000))));
-        in_hand(&proxy);
+        let leaving = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &read_request(3.0))));
+        // Part of a body this long stays in the kernel until a backend reads it.
+        let bodies = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &upload(100_000))));
+        wait_for_proxy(&proxy);
         proxy.suspend();
         let news = list(5, true, &[entry("b0", backend.address, "SERVING")]);
         if list_first {
             answer.send((200, news.clone())).unwrap();
         }
-        left.into_iter()
+        leaving
+            .into_iter()
             .chain(bodies)
-            .for_each(|(way, client)| way.go(client));
+            .for_each(|(kind, client)| kind.close_and_wait(client));
         if !list_first {
             answer.send((200, news)).unwrap();
         }
         proxy.resume();
-        served(&proxy);
-        assert_eq!(sent_on(&backend), 0, "list first: {list_first}");
+        check_served(&proxy);
+        assert_eq!(forwarded_requests(&backend), 0, "list first: {list_first}");
     }
 }
 
-/// All slots of the only backend are taken, and become free in the moment in which those that wait for one leave.
+/// Requests wait because the only backend is at its concurrency limit. It becomes free just as their clients disconnect.
 #[test]
-fn a_request_that_waits_for_a_slot_is_dropped_with_its_client() {
+fn a_request_that_waits_for_capacity_is_dropped_with_its_client() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
     let proxy = Proxy::with_control(&[entry("b0", backend.address, "SERVING")], SETTINGS, &[]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
-    let out = || figure(&proxy, "meadowproxy_attempts_total");
-    until(
-        || figure(&proxy, "meadowproxy_requests_total") == 20 && out() == backend.request_count(),
-        "never all out",
+    let attempts = || metric(&proxy, "meadowproxy_attempts_total");
+    wait_until(
+        || {
+            metric(&proxy, "meadowproxy_requests_total") == 20
+                && attempts() == backend.request_count()
+        },
+        "not all attempts were sent in time",
     );
-    assert!(backend.request_count() < 20, "none waits");
-    let late = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
-    in_hand(&proxy);
+    assert!(backend.request_count() < 20, "no request is waiting");
+    let waiting = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &read_request(3.0))));
+    wait_for_proxy(&proxy);
     proxy.suspend();
-    late.into_iter().for_each(|(way, client)| way.go(client));
+    waiting
+        .into_iter()
+        .for_each(|(kind, client)| kind.close_and_wait(client));
     gate.open();
     proxy.resume();
     clients
         .iter_mut()
-        .for_each(|c| drop(c.response().expect("an answer")));
-    until(
+        .for_each(|c| drop(c.response().expect("no response")));
+    wait_until(
         || proxy.request(&read_request(3.0)).status() == 200,
-        "nothing more is served",
+        "no request was served in time",
     );
-    assert_eq!(sent_on(&backend), 0);
+    assert_eq!(forwarded_requests(&backend), 0);
 }
 
-/// A backend whose queue of connections is full comes up only when it accepts.
-struct Late {
+/// A listener with a full backlog: connections to it are established only after [`FullBacklog::open`].
+struct FullBacklog {
     listener: TcpListener,
-    _queue: Vec<socket2::Socket>,
+    _backlog: Vec<socket2::Socket>,
 }
 
-impl Late {
-    const QUEUE: usize = 8;
+impl FullBacklog {
+    const BACKLOG: usize = 8;
 
-    fn new() -> Late {
+    fn new() -> FullBacklog {
         let new =
             || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = new();
         socket
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
             .unwrap();
-        socket.listen(Late::QUEUE as i32 - 1).unwrap();
+        socket.listen(FullBacklog::BACKLOG as i32 - 1).unwrap();
         let to = socket.local_addr().unwrap();
         let connected = |_| {
             let client = new();
             client.connect(&to).unwrap();
             client
         };
-        Late {
-            _queue: (0..Late::QUEUE).map(connected).collect(),
+        FullBacklog {
+            _backlog: (0..FullBacklog::BACKLOG).map(connected).collect(),
             listener: socket.into(),
         }
     }
 
-    /// Takes those who filled the queue: whoever tries now comes up.
+    /// Accepts the connections that fill the backlog, so that new ones are established.
     fn open(&self) {
-        (0..Late::QUEUE).for_each(|_| drop(self.accept()));
+        (0..FullBacklog::BACKLOG).for_each(|_| drop(self.accept()));
     }
 
     fn accept(&self) -> TcpStream {
@@ -240,56 +249,66 @@
     }
 }
 
-/// Connections to the backend come up in the moment in which their clients leave.
+/// Connections to the backend are established just as the clients disconnect.
 #[test]
-fn a_connection_that_comes_up_after_the_client_left_is_sent_nothing() {
-    let late = Late::new();
-    let slow = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
-    let known = [entry("b0", late.listener.local_addr().unwrap(), "SERVING")];
-    let proxy = Proxy::with_settings(&known, 1024, &slow);
-    let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(9.0))));
-    until(
-        || sockets(SYN_SENT, None, late.listener.local_addr().unwrap()) == 4,
-        "not all were dispatched",
+fn a_connection_established_after_the_client_left_is_sent_nothing() {
+    let backlog = FullBacklog::new();
+    let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
+    let known = [entry(
+        "b0",
+        backlog.listener.local_addr().unwrap(),
+        "SERVING",
+    )];
+    let proxy = Proxy::with_settings(&known, 1024, &settings);
+    let leaving = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &read_request(9.0))));
+    wait_until(
+        || sockets(SYN_SENT, None, backlog.listener.local_addr().unwrap()) == 4,
+        "not all connects were attempted in time",
     );
     proxy.suspend();
-    late.open();
-    let came: Vec<_> = (0..4).map(|_| late.accept()).collect(); // up, as the proxy will find
-    left.into_iter().for_each(|(way, client)| way.go(client));
+    backlog.open();
+    let established: Vec<_> = (0..4).map(|_| backlog.accept()).collect(); // established, though the proxy has not seen it yet
+    leaving
+        .into_iter()
+        .for_each(|(kind, client)| kind.close_and_wait(client));
     proxy.resume();
-    // The next one's attempt comes after whatever was sent for those.
-    let mut stays = proxy.client();
-    stays.send(&read_request(9.0));
-    let (tell, heard) = mpsc::channel();
-    for tcp in came {
-        answer_each(tcp, tell.clone());
+    // This client's attempt is sent after any attempt for the clients that disconnected.
+    let mut staying_client = proxy.client();
+    staying_client.send(&read_request(9.0));
+    let (sender, received) = mpsc::channel();
+    for tcp in established {
+        answer_each(tcp, sender.clone());
     }
-    let listener = late.listener.try_clone().unwrap();
+    let listener = backlog.listener.try_clone().unwrap();
     std::thread::spawn(move || {
         listener
             .incoming()
             .flatten()
-            .for_each(|tcp| answer_each(tcp, tell.clone()));
+            .for_each(|tcp| answer_each(tcp, sender.clone()));
     });
-    assert_eq!(stays.response().expect("an answer").status(), 200);
-    assert_eq!(heard.try_iter().count(), 1);
+    assert_eq!(
+        staying_client.response().expect("no response").status(),
+        200
+    );
+    assert_eq!(received.try_iter().count(), 1);
 }
 
-fn answer_each(tcp: TcpStream, tell: mpsc::Sender<()>) {
+/// Responds to every request on a connection and reports each one on the channel.
+fn answer_each(tcp: TcpStream, sender: mpsc::Sender<()>) {
     std::thread::spawn(move || {
         let mut reader = std::io::BufReader::new(tcp.try_clone().unwrap());
         while Message::read(&mut reader).is_some() {
-            tell.send(()).unwrap();
+            sender.send(()).unwrap();
             use std::io::Write;
             let _ = (&tcp).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
         }
     });
 }
 
-/// The attempt fails in the moment in which the client leaves: there is no next one.
+/// An attempt fails just as its client disconnects: it is not retried.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left() {
-    for way in WAYS {
+fn no_retry_is_sent_for_a_client_that_left() {
+    for kind in DISCONNECTS {
         let (failing, gate) = (Arc::new(AtomicBool::new(false)), Arc::new(Gate::default()));
         let start = || {
             let (failing, gate) = (failing.clone(), gate.clone());
@@ -306,9 +325,9 @@
             entry("b0", a.address, "SERVING"),
             entry("b1", b.address, "SERVING"),
         ]);
-        (0..25).for_each(|_| served(&proxy)); // each saves up for a further attempt
+        (0..25).for_each(|_| check_served(&proxy)); // fills the retry budget
         let (count, failed) = (Cell::new(0), Cell::new(0));
-        let heard = || {
+        let drain_events = || {
             for seen in a.events.try_iter().chain(b.events.try_iter()) {
                 match seen {
                     Event::Request(m) if m.start_line.contains(PATH) => count.set(count.get() + 1),
@@ -318,40 +337,48 @@
             }
         };
         let sent = || {
-            heard();
+            drain_events();
             count.get()
         };
         failing.store(true, SeqCst);
-        let client = way.ask(&proxy, &read_request(3.0));
-        until(|| sent() == 1, "it was never sent");
-        until(|| !failing.load(SeqCst), "it was answered"); // one fails, and all others serve
+        let client = kind.request(&proxy, &read_request(3.0));
+        wait_until(|| sent() == 1, "the request was not sent in time");
+        wait_until(
+            || !failing.load(SeqCst),
+            "no backend started to fail in time",
+        ); // one backend fails once; all other requests are served
         proxy.suspend();
-        way.go(client);
+        kind.close_and_wait(client);
         let before = failed.get();
         gate.open();
-        until(|| sent() == 1 && failed.get() > before, "no failure");
+        wait_until(
+            || sent() == 1 && failed.get() > before,
+            "the attempt did not fail in time",
+        );
         proxy.resume();
-        served(&proxy);
-        assert_eq!(sent(), 1, "{way:?}");
+        check_served(&proxy);
+        assert_eq!(sent(), 1, "{kind:?}");
     }
 }
 
-/// What was sent by one who has left before it is read is not sent on: neither the first request nor one behind it.
+/// A client disconnects before the proxy has read its requests: neither the first nor a pipelined one is sent on.
 #[test]
-fn a_request_of_one_who_has_left_already_is_not_sent_on() {
+fn a_request_whose_client_left_before_it_was_read_is_not_sent_on() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     proxy.suspend();
-    WAYS.iter()
-        .for_each(|way| way.go(way.ask(&proxy, &read_request(3.0))));
-    WAYS.iter()
-        .for_each(|way| way.go(way.ask(&proxy, &upload(100_000))));
+    DISCONNECTS
+        .iter()
+        .for_each(|kind| kind.close_and_wait(kind.request(&proxy, &read_request(3.0))));
+    DISCONNECTS
+        .iter()
+        .for_each(|kind| kind.close_and_wait(kind.request(&proxy, &upload(100_000))));
     proxy.resume();
-    served(&proxy);
-    assert_eq!(sent_on(&backend), 0);
+    check_served(&proxy);
+    assert_eq!(forwarded_requests(&backend), 0);
 }
 
-/// The first of two requests is answered in the moment in which the client leaves: the second is not sent on.
+/// The response to the first of two pipelined requests arrives just as the client disconnects: the second is not sent on.
 #[test]
 fn a_pipelined_request_is_not_sent_on_once_its_client_left() {
     let gate = Arc::new(Gate::default());
@@ -364,12 +391,21 @@
         }
     });
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let left = WAYS.map(|way| (way, way.ask(&proxy, &read_request(3.0))));
-    until(|| backend.request_count() == 4, "not all were sent");
+    let leaving = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &read_request(3.0))));
+    wait_until(
+        || backend.request_count() == 4,
+        "not all first requests were sent in time",
+    );
     proxy.suspend();
-    left.into_iter().for_each(|(way, client)| way.go(client));
+    leaving
+        .into_iter()
+        .for_each(|(kind, client)| kind.close_and_wait(client));
     gate.open();
     proxy.resume();
-    served(&proxy);
-    assert_eq!(sent_on(&backend), 4, "the first of each");
+    check_served(&proxy);
+    assert_eq!(
+        forwarded_requests(&backend),
+        4,
+        "only the first request of each client"
+    );
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! What crosses a shutdown or a close: signals, requests and ends that meet in one turn of the event loop.
+//! Requests, signals and timeouts that coincide with a shutdown or with the closing of a connection, in one turn of the
+//! event loop.
 
 mod rig;
 
@@ -9,14 +10,15 @@
 use std::time::{Duration, Instant};
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
-/// After SIGTERM resting connections are let go once this is over.
-const RESTING: Duration = Duration::from_millis(500);
+/// After SIGTERM the proxy closes idle connections when this time is over.
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-fn one(backend: &BackendServer) -> Proxy {
+fn start_with_backend(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-fn short(deadline_ms: u32) -> String {
+/// Settings whose classes have this deadline.
+fn settings_with_deadline(deadline_ms: u32) -> String {
     let aim = format!("\"aim_us\":{}000", deadline_ms / 2);
     let deadline = format!("\"deadline_us\":{deadline_ms}000");
     SETTINGS
@@ -24,39 +26,39 @@
         .replace("\"deadline_us\":3000000", &deadline)
 }
 
-/// Clients whose first request was answered.
-fn resting(proxy: &Proxy, count: usize) -> Vec<Client> {
-    let one = |_| {
+/// Opens `count` client connections that are idle after a first request.
+fn idle_clients(proxy: &Proxy, count: usize) -> Vec<Client> {
+    let start_with_backend = |_| {
         let mut client = proxy.client();
         assert_eq!(client.request(READY).status(), 200);
         client
     };
-    (0..count).map(one).collect()
+    (0..count).map(start_with_backend).collect()
 }
 
-/// Waits until the signal has arrived: the first answer that says so shows it.
-fn stopping(proxy: &Proxy) {
+/// Waits until the proxy has handled SIGTERM, which the first response with `Connection: close` shows.
+fn wait_for_shutdown(proxy: &Proxy) {
     while proxy.request(READY).header("connection") != Some("close") {}
 }
 
-/// The connection ended, and nothing was taken away by a reset.
-fn ended_plainly(client: &mut Client) {
+/// Checks that the connection was closed without a reset and without further data.
+fn check_clean_close(client: &mut Client) {
     let mut rest = Vec::new();
-    client.0.read_to_end(&mut rest).expect("a plain end");
+    client.0.read_to_end(&mut rest).expect("reset");
     assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
 }
 
-/// The signal and the requests meet in one turn of the loop, on connections at rest and on one with half of a head.
+/// SIGTERM and requests arrive in one turn of the event loop: on idle connections, on new ones and on one with a partial head.
 #[test]
-fn requests_that_meet_the_signal_are_answered() {
+fn requests_that_coincide_with_the_signal_are_served() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut proxy = one(&backend);
-    let mut clients = resting(&proxy, 8);
+    let mut proxy = start_with_backend(&backend);
+    let mut clients = idle_clients(&proxy, 8);
     let request = read_request(3.0);
     let (begin, rest) = request.split_at(30);
-    let mut half = proxy.client();
-    half.send(begin);
-    assert_eq!(proxy.request(READY).status(), 200); // the half was read
+    let mut partial = proxy.client();
+    partial.send(begin);
+    assert_eq!(proxy.request(READY).status(), 200); // by now the partial head was read
     proxy.suspend();
     clients[..4]
         .iter_mut()
@@ -67,48 +69,48 @@
         .for_each(|c| c.send(&read_request(3.0)));
     let mut new = proxy.client();
     new.send(&read_request(3.0));
-    half.send(rest);
+    partial.send(rest);
     proxy.resume();
-    for client in clients.iter_mut().chain([&mut new, &mut half]) {
-        assert_eq!(client.response().expect("an answer").status(), 200);
+    for client in clients.iter_mut().chain([&mut new, &mut partial]) {
+        assert_eq!(client.response().expect("no response").status(), 200);
     }
     clients
         .iter_mut()
-        .chain([&mut new, &mut half])
-        .for_each(ended_plainly);
+        .chain([&mut new, &mut partial])
+        .for_each(check_clean_close);
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// Resting connections are about to be closed as their next requests arrive.
+/// Requests arrive on idle connections at the moment when the proxy is about to close these.
 #[test]
-fn requests_that_meet_the_close_of_resting_connections_are_answered() {
+fn requests_that_coincide_with_the_closing_of_idle_connections_are_served() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut proxy = one(&backend);
-    let mut clients = resting(&proxy, 8);
-    let mut idle = resting(&proxy, 2);
+    let mut proxy = start_with_backend(&backend);
+    let mut clients = idle_clients(&proxy, 8);
+    let mut idle = idle_clients(&proxy, 2);
     proxy.terminate();
-    stopping(&proxy);
+    wait_for_shutdown(&proxy);
     proxy.suspend();
-    std::thread::sleep(RESTING); // its timer fires as soon as it goes on
+    std::thread::sleep(IDLE_GRACE); // the timer fires as soon as the proxy resumes
     clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
     proxy.resume();
     for client in &mut clients {
-        assert_eq!(client.response().expect("an answer").status(), 200);
-        ended_plainly(client);
+        assert_eq!(client.response().expect("no response").status(), 200);
+        check_clean_close(client);
     }
-    idle.iter_mut().for_each(ended_plainly);
+    idle.iter_mut().for_each(check_clean_close);
     assert_eq!(backend.request_count(), 8);
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// More connections stand in the kernel's queue at the listener's end than there are descriptors: none is dropped.
+/// When the listener is closed, its backlog contains more connections than there are descriptors: none of them is dropped.
 #[test]
-fn what_stands_in_the_queue_at_the_end_is_answered_though_descriptors_run_out() {
+fn connections_in_the_backlog_are_served_at_shutdown_even_without_free_descriptors() {
     let mut proxy = Proxy::with_descriptor_limit(&[], 1024, SETTINGS, 40);
     proxy.terminate();
-    stopping(&proxy);
+    wait_for_shutdown(&proxy);
     proxy.suspend();
-    std::thread::sleep(RESTING);
+    std::thread::sleep(IDLE_GRACE);
     let mut queued: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
     queued.iter_mut().for_each(|c| c.send(READY));
     proxy.resume();
@@ -116,7 +118,7 @@
         assert_eq!(
             client
                 .response()
-                .unwrap_or_else(|| panic!("no answer to {n}"))
+                .unwrap_or_else(|| panic!("no response to client {n}"))
                 .status(),
             200
         );
@@ -125,7 +127,7 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// A second SIGTERM, SIGINT and SIGHUP (with a file that is sound, broken or gone) change nothing of a shutdown.
+/// A second SIGTERM, SIGINT and SIGHUP (with a valid, an invalid and a missing file) do not affect a shutdown.
 #[test]
 fn further_signals_do_not_disturb_a_shutdown() {
     let gate = Arc::new(Gate::default());
@@ -134,15 +136,15 @@
     let mut proxy = Proxy::with_settings(
         &[entry("b0", backend.address, "SERVING")],
         1024,
-        &short(60_000),
+        &settings_with_deadline(60_000),
     );
     let mut busy = proxy.client();
     busy.send(&pay_request(60.0));
     backend.next_request();
     proxy.terminate();
-    stopping(&proxy);
-    let sound = std::fs::read_to_string(&proxy.config_path).unwrap();
-    for (n, text) in [Some(&sound[..]), Some("{"), None].into_iter().enumerate() {
+    wait_for_shutdown(&proxy);
+    let valid = std::fs::read_to_string(&proxy.config_path).unwrap();
+    for (n, text) in [Some(&valid[..]), Some("{"), None].into_iter().enumerate() {
         match text {
             Some(text) => std::fs::write(&proxy.config_path, text).unwrap(),
             None => std::fs::remove_file(&proxy.config_path).unwrap(),
@@ -152,22 +154,20 @@
             .for_each(|which| proxy.signal(which));
         let end = Instant::now() + TEST_TIMEOUT;
         while proxy.log_count("configuration") <= n {
-            assert!(Instant::now() < end, "it did not hear the signal");
+            assert!(Instant::now() < end, "the signal was not handled in time");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
     gate.open();
-    assert_eq!(
-        busy.response().expect("the answer that was owed").body,
-        b"gated"
-    );
-    ended_plainly(&mut busy);
+    assert_eq!(busy.response().expect("no response").body, b"gated");
+    check_clean_close(&mut busy);
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// Half of a head, or nothing, holds the program for no longer than what it may still owe; a stream holds it to its end.
+/// An idle connection or one with a partial head delays the exit by no more than the longest deadline; a streamed response
+/// delays it until its end.
 #[test]
-fn a_shutdown_waits_for_streams_and_not_for_halves() {
+fn a_shutdown_waits_for_streams_and_not_for_partial_heads() {
     const LONG: usize = 300_000;
     let (gate, listener) = (
         Arc::new(Gate::default()),
@@ -183,33 +183,37 @@
         wait.wait();
         tcp.write_all(&[b'x'; LONG / 2]).unwrap();
     });
-    let mut proxy = Proxy::with_settings(&[entry("b0", address, "SERVING")], 1024, &short(300));
+    let mut proxy = Proxy::with_settings(
+        &[entry("b0", address, "SERVING")],
+        1024,
+        &settings_with_deadline(300),
+    );
     let mut stream = proxy.client();
     stream.send(&read_request(0.3));
     stream.0.read_exact(&mut [0; 20_000]).unwrap();
-    let mut half = resting(&proxy, 1).remove(0);
-    half.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
+    let mut partial = idle_clients(&proxy, 1).remove(0);
+    partial.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
     proxy.terminate();
-    std::thread::sleep(4 * RESTING); // well past the longest deadline
+    std::thread::sleep(4 * IDLE_GRACE); // well past the longest deadline
     assert!(
         proxy.child.try_wait().unwrap().is_none(),
-        "it left its stream"
+        "the proxy exited during the stream"
     );
     gate.open();
     let mut rest = Vec::new();
-    stream.0.read_to_end(&mut rest).expect("the whole stream");
+    stream.0.read_to_end(&mut rest).expect("reset");
     assert!(rest.len() > LONG - 20_000, "{}", rest.len());
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// The patience with a first head ends in the moment in which the head comes: it is answered.
+/// The rest of a first request head arrives just as the timeout for it expires: the request is served.
 #[test]
-fn a_head_that_meets_the_end_of_patience_is_answered() {
+fn a_request_head_that_coincides_with_its_timeout_is_served() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = start_with_backend(&backend);
     let mut clients: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     clients[..4].iter_mut().for_each(|c| c.send("GET /-/re"));
-    assert_eq!(proxy.request(READY).status(), 200); // all were taken in
+    assert_eq!(proxy.request(READY).status(), 200); // all were accepted
     proxy.suspend();
     std::thread::sleep(Duration::from_millis(2_600));
     clients[..4]
@@ -222,36 +226,37 @@
         .all(|c| c.response().is_some_and(|a| a.status() == 200)));
 }
 
-/// What could not be understood is answered, and the answer is not taken away by a reset over what was not read.
+/// A request that is rejected before its body was read gets its response: the proxy does not close the connection with
+/// unread data, as the resulting reset could discard the response before the client reads it.
 #[test]
-fn an_error_arrives_though_bytes_were_left_unread() {
+fn an_error_response_arrives_despite_unread_bytes() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
-    let junk = "x".repeat(60_000);
-    let long = |head: String| {
+    let proxy = start_with_backend(&backend);
+    let filler = "x".repeat(60_000);
+    let with_long_body = |head: String| {
         head.replace("Length: 4", "Length: 60000")
-            .replace("cash", &junk)
+            .replace("cash", &filler)
     };
-    for (what, request, status) in [
-        ("no head at all", format!("what?\r\n\r\n{junk}"), 400),
+    for (case, request, status) in [
+        ("no request line", format!("what?\r\n\r\n{filler}"), 400),
         (
-            "no such class",
-            long(pay_request(3.0).replace("/pay/", "/none/")),
+            "an unknown class",
+            with_long_body(pay_request(3.0).replace("/pay/", "/none/")),
             404,
         ),
         (
-            "no id",
-            long(pay_request(3.0).replace("X-Correlation-Id", "X-Other")),
+            "no correlation id",
+            with_long_body(pay_request(3.0).replace("X-Correlation-Id", "X-Other")),
             400,
         ),
         (
-            "a broken chunk",
-            pay_request(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &junk,
+            "an invalid chunk size",
+            pay_request(3.0).replace("Content-Length: 4", "Transfer-Encoding: chunked") + &filler,
             400,
         ),
         (
             "two lengths",
-            long(pay_request(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")),
+            with_long_body(pay_request(3.0).replace("Host: s", "Host: s\r\nContent-Length: 9")),
             400,
         ),
     ] {
@@ -262,16 +267,16 @@
         assert_eq!(
             client
                 .response()
-                .unwrap_or_else(|| panic!("{what}"))
+                .unwrap_or_else(|| panic!("{case}"))
                 .status(),
             status,
-            "{what}"
+            "{case}"
         );
         assert!(client.is_closed());
-        // A reset right behind the end would show by now.
+        // A reset after the end of the stream would have arrived by now.
         assert_eq!(proxy.request(READY).status(), 200);
         let reset = client.0.get_ref().take_error().unwrap();
-        assert!(reset.is_none(), "{what}: {reset:?}");
+        assert!(reset.is_none(), "{case}: {reset:?}");
     }
     assert_eq!(backend.request_count(), 0);
 }
