--- a/benches/duties.rs
+++ b/benches/duties.rs
@@ -6,32 +6,35 @@
 #[path = "../tests/rig/mod.rs"]
 mod rig;
 
-use rig::fleet::{check, mono_us, Asked, Fleet, Load, Recorder, Shape, Status};
-use rig::holdings;
+use rig::fleet::{
+    check_fleet_run, monotonic_us, ClientRequest, Fleet, FleetOptions, Load, PeersStatus,
+    RecordingBackend,
+};
+use rig::lease_history;
 use std::time::{Duration, Instant};
 
 const DEATHS: usize = 20;
 const BACKENDS: usize = 8;
 
-fn shape(size: usize, lease_ms: u64) -> Shape {
-    let (_, known) = Recorder::several(BACKENDS);
-    Shape {
+fn options(size: usize, lease_ms: u64) -> FleetOptions {
+    let (_, endpoints) = RecordingBackend::start_many(BACKENDS);
+    FleetOptions {
         size,
         seed: 1,
-        known,
+        endpoints,
         voters: 3,
         lease_ms,
         floor: 0.1,
         max_age_s: 5.0,
-        ..Shape::default()
+        ..FleetOptions::default()
     }
 }
 
 /// A fleet whose members all know each other, and how long that took from the first one's start.
-fn joined(shape: Shape) -> (Fleet, f64) {
-    let (begun, size) = (Instant::now(), shape.size);
-    let fleet = Fleet::of(shape);
-    let unknown = |n: usize| Status::of(&fleet.proxies[n]).members() + 1 < size;
+fn joined(options: FleetOptions) -> (Fleet, f64) {
+    let (begun, size) = (Instant::now(), options.size);
+    let fleet = Fleet::with_options(options);
+    let unknown = |n: usize| PeersStatus::of(&fleet.proxies[n]).members() + 1 < size;
     while (0..size).any(unknown) && begun.elapsed() < Duration::from_secs(120) {
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -56,46 +59,46 @@
 
 /// From the holder's SIGKILL to the first step of its successor, which a window gives it that is put after the death.
 fn deaths(lease_ms: u64) -> String {
-    let (mut fleet, _) = joined(shape(5, lease_ms));
+    let (mut fleet, _) = joined(options(5, lease_ms));
     let (mut held, mut acted) = (Vec::new(), Vec::new());
     for n in 0..DEATHS {
-        let (holder, token) = fleet.holder(&[]);
+        let (holder, token) = fleet.wait_for_holder(&[]);
         // A voter that has just started is silent for a grant's life, and has to vote again before the next dies.
         // The deaths are spread over the time between two renewals.
         let phase = lease_ms * n as u64 / (3 * DEATHS as u64);
         std::thread::sleep(Duration::from_millis(lease_ms * 5 / 4 + 500 + phase));
-        let died = mono_us();
+        let died = monotonic_us();
         fleet.kill(&[holder]);
         let at = (holder + 1) % 5;
         let id = format!("d{n}");
-        fleet.put(at, &id, &[&format!("b{}", n % BACKENDS)], 1.0, 30.0, 1);
-        let all = |f: &Fleet| holdings::holdings(&f.lives());
+        fleet.put_window(at, &id, &[&format!("b{}", n % BACKENDS)], 1.0, 30.0, 1);
+        let all = |f: &Fleet| lease_history::calendar_holdings(&f.incarnations());
         held.push(
-            fleet.wait("a successor", |f| {
+            fleet.wait_for("a successor", |f| {
                 all(f).iter().find(|h| h.token > token).map(|h| h.from)
             }) - died,
         );
-        acted.push(fleet.stepped(&id, "draining").at - died);
-        fleet.call(at, &format!("DELETE /windows/{id}"), "");
+        acted.push(fleet.wait_for_transition(&id, "draining").at - died);
+        fleet.control_call(at, &format!("DELETE /windows/{id}"), "");
         fleet.restart(holder);
     }
-    let wrong = holdings::contradictions(&fleet.lives());
+    let wrong = lease_history::lease_violations(&fleet.incarnations());
     assert!(wrong.is_empty(), "{wrong:#?}");
     format!("| {lease_ms} | {} | {} |", spread(held), spread(acted))
 }
 
 /// From the decision to drain to the last proxy's stop, ten times.
 fn stop(size: usize) -> String {
-    let (fleet, joined) = joined(shape(size, 1500));
-    fleet.holder(&[]);
+    let (fleet, joined) = joined(options(size, 1500));
+    fleet.wait_for_holder(&[]);
     let last = |n: usize| {
         let (id, backend) = (format!("w{n}"), format!("b{}", n % BACKENDS));
-        fleet.put(n % size, &id, &[&backend], 1.0, 1.5, 1);
-        let decided = fleet.stepped(&id, "draining").at;
-        let out = |f: &Fleet, of: usize| f.moves(of, &backend).0.get(n / BACKENDS).copied();
-        let stopped = (0..size).map(|of| fleet.wait("all to stop", |f| out(f, of)));
+        fleet.put_window(n % size, &id, &[&backend], 1.0, 1.5, 1);
+        let decided = fleet.wait_for_transition(&id, "draining").at;
+        let out = |f: &Fleet, of: usize| f.drain_times(of, &backend).0.get(n / BACKENDS).copied();
+        let stopped = (0..size).map(|of| fleet.wait_for("all to stop", |f| out(f, of)));
         let last = stopped.max().unwrap_or(decided).saturating_sub(decided);
-        fleet.stepped(&id, "done");
+        fleet.wait_for_transition(&id, "done");
         last
     };
     let all = (0..10).map(last).collect();
@@ -105,7 +108,7 @@
 /// Datagrams and bytes that each proxy sends a second.
 fn sent(fleet: &Fleet, span: Duration) -> String {
     let sum = || {
-        let all: Vec<_> = fleet.proxies.iter().map(Status::of).collect();
+        let all: Vec<_> = fleet.proxies.iter().map(PeersStatus::of).collect();
         ["sent", "sent_bytes"].map(|what| all.iter().map(|s| s.count(what)).sum::<u64>() as f64)
     };
     let (begun, before) = (Instant::now(), sum());
@@ -126,7 +129,7 @@
     for n in 0..windows {
         let begin = 2.0 + n as f64 * span / windows as f64;
         let backend = format!("b{}", n % BACKENDS);
-        fleet.put(
+        fleet.put_window(
             n % fleet.proxies.len(),
             &format!("{prefix}{n}"),
             &[&backend],
@@ -139,16 +142,16 @@
 
 fn cost(size: usize) {
     let span = Duration::from_secs(10);
-    let off = joined(Shape {
+    let off = joined(FleetOptions {
         voters: 0,
-        ..shape(size, 0)
+        ..options(size, 0)
     })
     .0;
     std::thread::sleep(Duration::from_secs(5));
     println!("| {size} | off | {} |", sent(&off, span));
     drop(off);
-    let on = joined(shape(size, 1500)).0;
-    on.holder(&[]);
+    let on = joined(options(size, 1500)).0;
+    on.wait_for_holder(&[]);
     std::thread::sleep(Duration::from_secs(5));
     println!("| {size} | quiet | {} |", sent(&on, span));
     busy(&on, "c", 40, 14.0);
@@ -176,24 +179,24 @@
 fn backends(count: usize) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let entry = |n: usize| rig::entry(&format!("b{n}"), address, "SERVING");
-    let mut known: Vec<String> = (0..count).map(entry).collect();
-    known[1] = known[1].replace("big", "odd");
-    let fleet = joined(Shape {
-        known,
+    let mut endpoints: Vec<String> = (0..count).map(entry).collect();
+    endpoints[1] = endpoints[1].replace("big", "odd");
+    let fleet = joined(FleetOptions {
+        endpoints,
         floor: 0.0,
-        ..shape(4, 1500)
+        ..options(4, 1500)
     })
     .0;
     let share = |what: &str| {
         std::thread::sleep(Duration::from_secs(3));
-        let (holder, _) = fleet.holder(&[]);
+        let (holder, _) = fleet.wait_for_holder(&[]);
         let sum = || fleet.proxies.iter().map(used).collect::<Vec<f64>>();
         let (begun, before) = (Instant::now(), sum());
         std::thread::sleep(Duration::from_secs(15));
         let (after, span) = (sum(), begun.elapsed().as_secs_f64());
         let of = |n: usize| (after[n] - before[n]) / span * 100.0;
         let others: f64 = (0..4).filter(|n| *n != holder).map(of).sum();
-        let kept = if fleet.holder(&[]).0 == holder {
+        let kept = if fleet.wait_for_holder(&[]).0 == holder {
             ""
         } else {
             ", handed on meanwhile"
@@ -205,56 +208,61 @@
         );
     };
     share("quiet");
-    fleet.put(1, "w0", &["b0"], 2.0, 40.0, 1);
-    fleet.stepped("w0", "open");
+    fleet.put_window(1, "w0", &["b0"], 2.0, 40.0, 1);
+    fleet.wait_for_transition("w0", "open");
     share("a window on one");
-    fleet.stepped("w0", "done");
+    fleet.wait_for_transition("w0", "done");
     let at = |secs| jiff::Timestamp::now() + jiff::SignedDuration::from_secs(secs);
     let (begin, end) = (at(2), at(42));
     let body = format!(r#"{{"kind":"odd","begin":"{begin}","end":"{end}","lead_s":1,"by":"ops"}}"#);
-    fleet.call(1, "PUT /windows/w1", &body);
-    fleet.stepped("w1", "open");
+    fleet.control_call(1, "PUT /windows/w1", &body);
+    fleet.wait_for_transition("w1", "open");
     share("a window on a kind");
 }
 
 /// Clients' times at two fleets side by side: one without duties, one whose calendar holds 250 windows that begin in
 /// 125 s, with the whole list asked of every door five times a second.
 fn times() {
-    let (_a, known_off) = Recorder::several(BACKENDS);
-    let (_b, known_on) = Recorder::several(BACKENDS);
-    let off = joined(Shape {
+    let (_a, known_off) = RecordingBackend::start_many(BACKENDS);
+    let (_b, known_on) = RecordingBackend::start_many(BACKENDS);
+    let off = joined(FleetOptions {
         voters: 0,
-        known: known_off,
-        ..shape(5, 0)
+        endpoints: known_off,
+        ..options(5, 0)
     })
     .0;
-    let on = joined(Shape {
-        known: known_on,
-        ..shape(5, 1500)
+    let on = joined(FleetOptions {
+        endpoints: known_on,
+        ..options(5, 1500)
     })
     .0;
-    on.holder(&[]);
+    on.wait_for_holder(&[]);
     let loads = [
         Load::start(&off, Duration::from_millis(1)),
         Load::start(&on, Duration::from_millis(1)),
     ];
-    let begun = mono_us() + 2_000_000;
+    let begun = monotonic_us() + 2_000_000;
     busy(&on, "t", 250, 125.0);
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
-        (0..5).for_each(|n| drop(on.json(n, "/windows")));
+        (0..5).for_each(|n| drop(on.control_json(n, "/windows")));
         std::thread::sleep(Duration::from_millis(200));
     }
-    let stepped = |l: &holdings::Incarnation| holdings::events(&l.log, "window").count();
-    let steps: usize = on.lives().iter().map(stepped).sum();
+    let stepped =
+        |l: &lease_history::Incarnation| lease_history::event_lines(&l.log, "window").count();
+    let steps: usize = on.incarnations().iter().map(stepped).sum();
     println!(
         "{steps} steps of windows in {:.0} s",
-        (mono_us() - begun) as f64 / 1e6 + 2.0
+        (monotonic_us() - begun) as f64 / 1e6 + 2.0
     );
     for (name, load) in ["off", "busy"].into_iter().zip(loads) {
-        let asked: Vec<Asked> = load.end().into_iter().filter(|a| a.begun > begun).collect();
+        let asked: Vec<ClientRequest> = load
+            .stop()
+            .into_iter()
+            .filter(|a| a.started_us > begun)
+            .collect();
         let failed = asked.iter().filter(|a| a.status != 200).count();
-        let mut took: Vec<u64> = asked.iter().map(|a| a.took).collect();
+        let mut took: Vec<u64> = asked.iter().map(|a| a.took_us).collect();
         took.sort();
         let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize] as f64 / 1e3;
         let (median, p99, p999) = (at(0.5), at(0.99), at(0.999));
@@ -268,13 +276,13 @@
 /// Random faults and random windows by a seed, with datagrams lost, doubled, late, spoiled and replayed throughout:
 /// every window ends, what lived through it took its backend out and back once and not early, and all of `check` holds.
 fn soak(seed: u64) {
-    let (backends, known) = Recorder::several(BACKENDS);
-    let mut fleet = joined(Shape {
+    let (backends, endpoints) = RecordingBackend::start_many(BACKENDS);
+    let mut fleet = joined(FleetOptions {
         seed,
-        known,
+        endpoints,
         floor: 0.4,
         max_age_s: 3.0,
-        ..shape(5, 800)
+        ..options(5, 800)
     })
     .0;
     let load = Load::start(&fleet, Duration::from_millis(20));
@@ -290,14 +298,14 @@
     for round in 0..4u64 {
         {
             let mut rules = fleet.faults.rules.lock().expect("no panic in the relays");
-            (rules.drop, rules.double, rules.spoil, rules.replay) = (0.1, 0.1, 0.03, 0.05);
-            rules.late = Duration::from_millis(40);
+            (rules.drop, rules.duplicate, rules.corrupt, rules.replay) = (0.1, 0.1, 0.03, 0.05);
+            rules.max_delay = Duration::from_millis(40);
         }
-        let (holder, _) = fleet.holder(&[]);
+        let (holder, _) = fleet.wait_for_holder(&[]);
         let mut put = |k: u64| {
             let (begin, lasts) = (8.0 + draw(10) as f64 / 5.0, 4.0 + draw(10) as f64 / 4.0);
             let backend = format!("b{}", round * 2 + k);
-            fleet.put(
+            fleet.put_window(
                 draw(5) as usize,
                 &format!("s{round}-{k}"),
                 &[&backend],
@@ -307,20 +315,22 @@
             )
         };
         let windows = [put(0), put(1)];
-        fleet.know(&[0, 1, 2, 3, 4], &[&windows[0], &windows[1]]);
+        fleet.wait_until_listed(&[0, 1, 2, 3, 4], &[&windows[0], &windows[1]]);
         pause(draw(9000));
         let others: Vec<usize> = (0..5).filter(|n| *n != holder).collect();
         let fate = draw(7);
         if fate < 3 {
-            load.away(&[holder]);
+            load.pause(&[holder]);
         }
         match fate {
             0 => fleet.kill(&[holder]),
-            1 => drop(fleet.end(holder)),
+            1 => drop(fleet.terminate(holder)),
             2 => fleet.proxies[holder].signal("-STOP"),
-            3 => fleet.faults.split(&[&[holder], &others]),
-            4 => fleet.faults.split(&[&[3, 4]]),
-            5 => fleet.faults.split(&[&[holder, others[0]], &others[1..]]),
+            3 => fleet.faults.partition(&[&[holder], &others]),
+            4 => fleet.faults.partition(&[&[3, 4]]),
+            5 => fleet
+                .faults
+                .partition(&[&[holder, others[0]], &others[1..]]),
             _ => {
                 fleet
                     .faults
@@ -339,26 +349,29 @@
         fleet.faults.heal();
         if fate < 3 {
             pause(1000); // what was stopped hears again what it missed
-            load.back(&fleet, &[holder]);
+            load.resume(&fleet, &[holder]);
         }
         for window in &windows {
             let over = |to: &str| ["done", "refused"].contains(&to);
             let ended = |f: &Fleet| {
-                f.steps(&window.id)
+                f.transitions(&window.id)
                     .iter()
                     .any(|d| over(&d.to))
                     .then_some(())
             };
-            fleet.wait("a window's end", ended);
-            fleet.out_and_back_once(if fate < 3 { &others } else { &[0, 1, 2, 3, 4] }, window);
-            shut.extend(window.shut(window.begin));
+            fleet.wait_for("a window's end", ended);
+            fleet.check_single_maintenance(
+                if fate < 3 { &others } else { &[0, 1, 2, 3, 4] },
+                window,
+            );
+            shut.extend(window.drained_periods(window.begin));
         }
     }
-    check(
+    check_fleet_run(
         &format!("soak {seed}"),
         &fleet,
         &backends,
-        &load.end(),
+        &load.stop(),
         &shut,
     );
 }
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -8,7 +8,7 @@
 };
 use super::real::{self, wait, Real, RealProxy, Recipe, CLUSTER, MAX_AGE_S};
 use super::relay::Shared;
-use super::rig::{holdings, Client};
+use super::rig::{lease_history, Client};
 use super::{figures, hollow, in_force, rig, worker};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Write};
@@ -414,9 +414,12 @@
     }
 
     /// Which real one holds the configuration's duty under a token above that one, and its token.
-    pub fn holder(&self, above: Option<&holdings::Token>) -> Option<(usize, holdings::Token)> {
+    pub fn holder(
+        &self,
+        above: Option<&lease_history::Token>,
+    ) -> Option<(usize, lease_history::Token)> {
         let lives: Vec<_> = self.real.iter().flat_map(RealProxy::lives).collect();
-        let all = holdings::holdings_of("config", &lives);
+        let all = lease_history::duty_holdings("config", &lives);
         let now = all
             .iter()
             .rfind(|h| h.to == u64::MAX && above.is_none_or(|above| h.token > *above))?;
@@ -430,15 +433,15 @@
     /// What contradicts that a version has one content, that no copy goes back, and that one holds the duty at a time.
     pub fn contradictions(&self) -> Vec<String> {
         let lives: Vec<_> = self.real.iter().flat_map(RealProxy::lives).collect();
-        let mut wrong = holdings::contradictions(&lives);
+        let mut wrong = lease_history::lease_violations(&lives);
         let mut digests: HashMap<u64, String> = HashMap::new();
         for life in &lives {
             let mut last = 0;
-            for line in holdings::events(&life.log, "config_copy") {
-                let Some(version) = holdings::number(line, "version") else {
+            for line in lease_history::event_lines(&life.log, "config_copy") {
+                let Some(version) = lease_history::number_field(line, "version") else {
                     continue;
                 };
-                let digest = holdings::field(line, "digest").unwrap_or_default();
+                let digest = lease_history::log_field(line, "digest").unwrap_or_default();
                 if version <= last {
                     wrong.push(format!(
                         "proxy {} went from {last} to {version}",
@@ -450,7 +453,8 @@
                     wrong.push(format!("two states have version {version}"));
                 }
             }
-            wrong.extend(holdings::events(&life.log, "config_diverged").map(String::from));
+            wrong
+                .extend(lease_history::event_lines(&life.log, "config_diverged").map(String::from));
         }
         wrong
     }
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -5,7 +5,7 @@
 use super::phases::{Done, Play};
 use super::protocol::{Absence, Isolation};
 use super::real::{call, wait};
-use super::rig::{holdings::Token, Client};
+use super::rig::{lease_history::Token, Client};
 use std::time::Duration;
 
 /// What is wrong with the holder's datagrams while its change is under way.
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -5,7 +5,7 @@
 use super::quiet::Quiet;
 use super::relay::{Relay, Shared};
 use super::rig::{
-    create_temp_dir, entry, holdings, BackendServer, Client, DiscoveryServer, Message, Proxy,
+    create_temp_dir, entry, lease_history, BackendServer, Client, DiscoveryServer, Message, Proxy,
     RefusingPort, SETTINGS,
 };
 use super::{rig, worker};
@@ -189,7 +189,7 @@
     relay: Relay,
     /// When its process was killed, if it is not restarted yet, and what earlier ones logged.
     killed: Option<u64>,
-    past: Vec<holdings::Incarnation>,
+    past: Vec<lease_history::Incarnation>,
 }
 
 impl Drop for RealProxy {
@@ -232,7 +232,7 @@
             .lines()
             .find(|l| l.contains("peers_start"))
             .expect("it shares state");
-        let at = holdings::field(line, "listen")
+        let at = lease_history::log_field(line, "listen")
             .and_then(|at| at.parse().ok())
             .expect("an address");
         self.relay.target(at);
@@ -253,17 +253,17 @@
         self.place();
     }
 
-    fn life(&self) -> holdings::Incarnation {
+    fn life(&self) -> lease_history::Incarnation {
         let log = self.proxy.log_lines("event=").join("\n");
-        holdings::Incarnation {
+        lease_history::Incarnation {
             proxy: self.number as usize,
             log,
-            killed: self.killed,
+            ended_us: self.killed,
         }
     }
 
     /// Every process that ever was in its place.
-    pub fn lives(&self) -> Vec<holdings::Incarnation> {
+    pub fn lives(&self) -> Vec<lease_history::Incarnation> {
         let now = self.life();
         self.past.iter().cloned().chain([now]).collect()
     }
@@ -300,8 +300,8 @@
         let lines = self.proxy.log_lines("event=\"config_in_force\"");
         let of = |line: &String| {
             Some((
-                holdings::number(line, "version")?,
-                holdings::number(line, "mono_us")?,
+                lease_history::number_field(line, "version")?,
+                lease_history::number_field(line, "mono_us")?,
             ))
         };
         lines.iter().filter_map(of).collect()
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -4,16 +4,16 @@
 
 mod rig;
 
-use rig::fleet::{Fleet, Shape};
-use rig::holdings::{contradictions, events, holdings, Incarnation};
+use rig::fleet::{Fleet, FleetOptions};
+use rig::lease_history::{calendar_holdings, event_lines, lease_violations, Incarnation};
 use rig::*;
 use std::time::Duration;
 
-fn incarnation(proxy: usize, killed: Option<u64>, log: &str) -> Incarnation {
+fn incarnation(proxy: usize, ended_us: Option<u64>, log: &str) -> Incarnation {
     Incarnation {
         proxy,
         log: log.into(),
-        killed,
+        ended_us,
     }
 }
 
@@ -38,11 +38,11 @@
         incarnation(1, Some(600), &second),
         incarnation(2, None, &held("12-1", 700)),
     ];
-    assert_eq!(contradictions(&valid), [""; 0]);
+    assert_eq!(lease_violations(&valid), [""; 0]);
     let finds = |n: usize, text: &str, what: &str| {
         let mut wrong = valid.clone();
         wrong[n].log = text.into();
-        let wrong = contradictions(&wrong);
+        let wrong = lease_violations(&wrong);
         assert!(
             wrong.iter().any(|w| w.contains(what)),
             "{what} not found: {wrong:?}"
@@ -69,9 +69,9 @@
         vec![incarnation(3, None, &other(held("10-7", 450)))],
     ]
     .concat();
-    assert_eq!(contradictions(&both), [""; 0]);
+    assert_eq!(lease_violations(&both), [""; 0]);
     let two = [both, vec![incarnation(4, None, &other(held("11-7", 460)))]].concat();
-    assert!(contradictions(&two)
+    assert!(lease_violations(&two)
         .iter()
         .any(|w| w.contains("two holders at once")));
 }
@@ -82,31 +82,31 @@
 #[test]
 fn one_proxy_at_a_time_holds_a_duty_under_faults() {
     let backend = BackendServer::start(|_| ok("x"));
-    let known = vec![entry("b0", backend.address, "SERVING")];
-    let shape = Shape {
+    let endpoints = vec![entry("b0", backend.address, "SERVING")];
+    let shape = FleetOptions {
         size: 5,
         seed: 7,
-        known,
+        endpoints,
         voters: 3,
         lease_ms: 800,
         floor: 0.5,
         max_age_s: 5.0,
-        ..Shape::default()
+        ..FleetOptions::default()
     };
-    let mut fleet = Fleet::of(shape);
+    let mut fleet = Fleet::with_options(shape);
     let noise = |fleet: &Fleet| {
         let mut rules = fleet.faults.rules.lock().unwrap();
-        (rules.drop, rules.double, rules.spoil, rules.replay) = (0.1, 0.1, 0.05, 0.05);
-        rules.late = Duration::from_millis(50);
+        (rules.drop, rules.duplicate, rules.corrupt, rules.replay) = (0.1, 0.1, 0.05, 0.05);
+        rules.max_delay = Duration::from_millis(50);
     };
     let mut state = 0x9e37_79b9_7f4a_7c15u64;
     let (mut faults_so_far, mut ended) = (Vec::new(), Vec::new());
     while faults_so_far.len() < 10 {
         noise(&fleet);
-        let (holder, token) = fleet.holder(&[]);
+        let (holder, token) = fleet.wait_for_holder(&[]);
         let others: Vec<usize> = (0..5).filter(|n| *n != holder).collect();
         let one_way =
-            |pairs: Vec<(usize, usize)>| fleet.faults.rules.lock().unwrap().cut.extend(pairs);
+            |pairs: Vec<(usize, usize)>| fleet.faults.rules.lock().unwrap().blocked.extend(pairs);
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
@@ -119,13 +119,13 @@
         match fault {
             0 => fleet.kill(&[holder]),
             1 => fleet.proxies[holder].signal("-STOP"),
-            2 => fleet.faults.split(&[&[holder], &others]),
+            2 => fleet.faults.partition(&[&[holder], &others]),
             3 => one_way(others.iter().map(|n| (*n, holder)).collect()),
             4 => one_way(others.iter().map(|n| (holder, *n)).collect()),
-            _ => ended.push((holder, fleet.end(holder))),
+            _ => ended.push((holder, fleet.terminate(holder))),
         }
-        fleet.wait("a successor", |f| {
-            holdings(&f.lives())
+        fleet.wait_for("a successor", |f| {
+            calendar_holdings(&f.incarnations())
                 .iter()
                 .any(|h| h.token > token)
                 .then_some(())
@@ -137,25 +137,29 @@
         }
         fleet.faults.heal();
         let over = |f: &Fleet| {
-            holdings(&f.lives())
+            calendar_holdings(&f.incarnations())
                 .iter()
                 .all(|h| h.token != token || h.to != u64::MAX)
         };
-        fleet.wait("the first lease to be over", |f| over(f).then_some(()));
+        fleet.wait_for("the first lease to be over", |f| over(f).then_some(()));
     }
-    let incarnations = fleet.lives();
-    let wrong = contradictions(&incarnations);
+    let incarnations = fleet.incarnations();
+    let wrong = lease_violations(&incarnations);
     assert!(wrong.is_empty(), "{wrong:#?}");
-    let over = |l: &Incarnation| events(&l.log, "duty_over").any(|line| line.contains("term over"));
+    let over =
+        |l: &Incarnation| event_lines(&l.log, "duty_over").any(|line| line.contains("term over"));
     assert!(
         incarnations.iter().any(over),
         "some lease ended by its term"
     );
     // A process that ended by SIGTERM has released its leases and logged it.
-    let still_held = |h: &&holdings::Holding| ended.contains(&(h.proxy, h.to));
-    assert_eq!(holdings(&incarnations).iter().find(still_held), None);
+    let still_held = |h: &&lease_history::Holding| ended.contains(&(h.proxy, h.to));
+    assert_eq!(
+        calendar_holdings(&incarnations).iter().find(still_held),
+        None
+    );
     eprintln!(
         "{faults_so_far:?}: {} leases, never two at once",
-        holdings(&incarnations).len()
+        calendar_holdings(&incarnations).len()
     );
 }
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -3,9 +3,9 @@
 
 mod rig;
 
-use rig::changes::*;
+use rig::config_changes::*;
 use rig::fleet::Fleet;
-use rig::holdings::{self, contradictions, holdings_of, Token};
+use rig::lease_history::{self, duty_holdings, lease_violations, Token};
 use rig::*;
 use serde_json::json;
 use std::io::Write;
@@ -13,8 +13,8 @@
 
 /// Waits until one proxy is the leader under a token above that one, and may propose.
 fn leader(fleet: &Fleet, above: &Token) -> (usize, Token) {
-    fleet.wait("a leader", |fleet| {
-        let all = holdings_of("config", &fleet.lives());
+    fleet.wait_for("a leader", |fleet| {
+        let all = duty_holdings("config", &fleet.incarnations());
         let now = all.iter().rfind(|h| h.to == u64::MAX && h.token > *above)?;
         Some((now.proxy, now.token.clone()))
     })
@@ -23,56 +23,64 @@
 #[test]
 fn changes_at_any_proxy_come_into_force_at_all_or_are_rejected_with_the_reason() {
     let backend = BackendServer::start(|_| ok("x"));
-    let fleet = fleet(1, &backend);
-    fleet.until(&ALL, 4);
+    let fleet = start_fleet(1, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let mut last = 0;
     for n in ALL {
-        last = put_surely(&fleet, n, &format!("t{n}"), 10 + n as u64);
-        assert_eq!(equal(&fleet, &ALL, last), last);
+        last = put_quota_until_accepted(&fleet, n, &format!("t{n}"), 10 + n as u64);
+        assert_eq!(wait_for_equal_copies(&fleet, &ALL, last), last);
     }
     for n in ALL {
-        assert_eq!(quota(&fleet, 4 - n, &format!("t{n}")), Some(10 + n as u64));
+        assert_eq!(
+            tenant_quota(&fleet, 4 - n, &format!("t{n}")),
+            Some(10 + n as u64)
+        );
     }
     check_conflicts(&fleet, last);
     let now = check_several_edits(&fleet);
     check_invalid_calls(&fleet, now);
-    assert_eq!(equal(&fleet, &ALL, 0), now);
+    assert_eq!(wait_for_equal_copies(&fleet, &ALL, 0), now);
     // The metrics have the same version.
-    fleet.wait("the metrics", |fleet| {
+    fleet.wait_for("the metrics", |fleet| {
         let text =
             String::from_utf8(fleet.proxies[3].control_request("GET /metrics").body).unwrap();
         text.contains(&format!("meadowproxy_config_version {now}\n"))
             .then_some(())
     });
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// A change made from an older version is rejected where the entry changed since, and only there.
 fn check_conflicts(fleet: &Fleet, last: u64) {
-    let (code, answer) = put_answered(fleet, 3, "t4", last - 1, 99);
+    let (code, answer) = put_quota_until_available(fleet, 3, "t4", last - 1, 99);
     assert_eq!(
         (code, &answer["field"], &answer["version"]),
         (409, &json!("tenants.t4"), &json!(last)),
         "{answer}"
     );
-    assert_eq!(put_answered(fleet, 3, "t0", last - 1, 99).0, 200);
-    let (code, answer) = put_answered(fleet, 2, "t0", last, 99);
+    assert_eq!(
+        put_quota_until_available(fleet, 3, "t0", last - 1, 99).0,
+        200
+    );
+    let (code, answer) = put_quota_until_available(fleet, 2, "t0", last, 99);
     assert_eq!(code, 200, "the same again: {answer}");
 }
 
 /// A change of several entries, and one that removes an entry; returns the version after them.
 fn check_several_edits(fleet: &Fleet) -> u64 {
-    let now = version(fleet, 1);
+    let now = config_version(fleet, 1);
     let several = json!({ "version": now, "entries": [
         { "kind": "tenants", "name": "t1" }, { "kind": "tenants", "name": "north" },
         { "kind": "tenants", "name": "t2", "value": { "name": "t2", "quota_rps": 3.5 } },
     ]});
-    let (code, answer) = answered(fleet, 1, "PUT /config", &several.to_string());
+    let (code, answer) = call_until_available(fleet, 1, "PUT /config", &several.to_string());
     assert_eq!(code, 200, "{answer}");
     let now = answer["version"].as_u64().unwrap();
-    equal(fleet, &ALL, now);
-    let state =
-        |path: &str| said(&fleet.call(0, &format!("GET /config/{path}"), "")).1["state"].clone();
+    wait_for_equal_copies(fleet, &ALL, now);
+    let state = |path: &str| {
+        status_and_json(&fleet.control_call(0, &format!("GET /config/{path}"), "")).1["state"]
+            .clone()
+    };
     assert_eq!(
         [
             state("tenants/t1"),
@@ -81,14 +89,14 @@
         ],
         ["removed", "removed", "set"]
     );
-    let (code, answer) = answered(
+    let (code, answer) = call_until_available(
         fleet,
         2,
         "DELETE /config/tenants/t3",
         &json!({ "version": now }).to_string(),
     );
     assert_eq!(code, 200, "{answer}");
-    equal(fleet, &ALL, answer["version"].as_u64().unwrap())
+    wait_for_equal_copies(fleet, &ALL, answer["version"].as_u64().unwrap())
 }
 
 /// The answer to an invalid call names all errors by key, and nothing is changed.
@@ -99,7 +107,7 @@
         { "kind": "tenants", "name": "b", "value": 5 }, { "kind": "tenants", "name": "b", "value": { "name": "c" } },
         { "kind": "tenants", "name": "c", "value": { "name": "c", "x": "y".repeat(600) } },
     ]});
-    let (code, answer) = answered(fleet, 1, "PUT /config", &wrong.to_string());
+    let (code, answer) = call_until_available(fleet, 1, "PUT /config", &wrong.to_string());
     let fields: Vec<&str> = answer["errors"]
         .as_array()
         .unwrap()
@@ -161,15 +169,18 @@
         ("GET /config/tenants/never", "", 404, "path"),
     ];
     for (line, body, code, key) in bad {
-        let (status, answer) = answered(fleet, 0, line, body);
+        let (status, answer) = call_until_available(fleet, 0, line, body);
         assert_eq!(
             (status, answer["field"].as_str()),
             (code, Some(key)),
             "{line} {body}: {answer}"
         );
     }
-    assert_eq!(fleet.call(0, "GET /config/cells/a", "").status(), 404);
-    assert_eq!(fleet.call(0, "POST /config", "").status(), 405);
+    assert_eq!(
+        fleet.control_call(0, "GET /config/cells/a", "").status(),
+        404
+    );
+    assert_eq!(fleet.control_call(0, "POST /config", "").status(), 405);
 }
 
 /// A route that operators set serves at every proxy, one that they removed is rejected at every proxy, and both outlive a file
@@ -177,8 +188,8 @@
 #[test]
 fn routes_changed_for_the_fleet_are_in_force_for_requests_and_win_over_the_file() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut fleet = fleet(5, &backend);
-    fleet.until(&ALL, 4);
+    let mut fleet = start_fleet(5, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let status_of = |fleet: &Fleet, n: usize, route: &str| {
         let request = read_request(3.0).replace("/read/", &format!("/{route}/"));
         Client::connect(fleet.proxies[n].address)
@@ -204,39 +215,39 @@
     let entries = format!(
         r#""entries":[{{"kind":"routes","name":"list","value":{route}}},{{"kind":"routes","name":"vote"}}]"#
     );
-    let version = fleet.wait("a change to be committed", |fleet| {
-        let body = format!(r#"{{"version":{},{entries}}}"#, version(fleet, 2));
-        let (code, answer) = said(&fleet.call(2, "PUT /config", &body));
+    let version = fleet.wait_for("a change to be committed", |fleet| {
+        let body = format!(r#"{{"version":{},{entries}}}"#, config_version(fleet, 2));
+        let (code, answer) = status_and_json(&fleet.control_call(2, "PUT /config", &body));
         (code == 200).then(|| answer["version"].as_u64().unwrap())
     });
-    equal(&fleet, &ALL, version);
+    wait_for_equal_copies(&fleet, &ALL, version);
     changed(&fleet);
     for n in ALL {
         let loaded = || fleet.proxies[n].log_lines("configuration taken").len();
         let before = loaded();
         fleet.proxies[n].signal("-HUP");
-        fleet.wait("the file to be loaded", |_| {
+        fleet.wait_for("the file to be loaded", |_| {
             (loaded() > before).then_some(())
         });
     }
     changed(&fleet);
     fleet.kill(&[4]);
     fleet.restart(4);
-    equal(&fleet, &ALL, version);
+    wait_for_equal_copies(&fleet, &ALL, version);
     changed(&fleet);
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// A region without a majority goes on serving, rejects changes with the reason, and catches up soon after the partition heals.
 #[test]
 fn a_partitioned_region_rejects_changes_and_catches_up_after_the_heal() {
     let backend = BackendServer::start(|_| ok("x"));
-    let fleet = fleet(2, &backend);
-    fleet.until(&ALL, 4);
-    equal(&fleet, &ALL, put_surely(&fleet, 4, "a", 1));
-    fleet.faults.split(&[&[0, 3], &[1, 2, 4]]);
-    let reason = fleet.wait("a reason", |fleet| {
-        let (code, answer) = put(fleet, 3, "b", version(fleet, 3), 2);
+    let fleet = start_fleet(2, &backend);
+    fleet.wait_for_members(&ALL, 4);
+    wait_for_equal_copies(&fleet, &ALL, put_quota_until_accepted(&fleet, 4, "a", 1));
+    fleet.faults.partition(&[&[0, 3], &[1, 2, 4]]);
+    let reason = fleet.wait_for("a reason", |fleet| {
+        let (code, answer) = put_quota(fleet, 3, "b", config_version(fleet, 3), 2);
         assert_eq!(code, 503, "{answer}");
         answer["why"]
             .as_str()
@@ -246,11 +257,11 @@
     assert!(reason.ends_with("1 of 3"), "{reason}");
     let mut last = 0;
     for quota in 0..3 {
-        last = put_surely(&fleet, 4, "a", quota + 5);
+        last = put_quota_until_accepted(&fleet, 4, "a", quota + 5);
     }
-    equal(&fleet, &[1, 2, 4], last);
+    wait_for_equal_copies(&fleet, &[1, 2, 4], last);
     assert_eq!(
-        quota(&fleet, 3, "a"),
+        tenant_quota(&fleet, 3, "a"),
         Some(1),
         "it goes on with what it has"
     );
@@ -258,15 +269,15 @@
     assert_eq!(response.status(), 200);
     fleet.faults.heal();
     let healed = Instant::now();
-    last = equal(&fleet, &ALL, last);
+    last = wait_for_equal_copies(&fleet, &ALL, last);
     eprintln!("equal {:?} after the heal", healed.elapsed());
     assert!(
         healed.elapsed() < Duration::from_secs(5),
         "{:?}",
         healed.elapsed()
     );
-    assert!(put_surely(&fleet, 3, "b", 2) > last);
-    consistent(&fleet);
+    assert!(put_quota_until_accepted(&fleet, 3, "b", 2) > last);
+    check_consistency(&fleet);
 }
 
 /// Which of the leader's datagrams arrive while it proposes a change.
@@ -291,8 +302,8 @@
 #[test]
 fn a_change_whose_leader_fails_is_in_force_everywhere_or_nowhere() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut fleet = fleet(3, &backend);
-    fleet.until(&ALL, 4);
+    let mut fleet = start_fleet(3, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let cases = [
         (Delivered::None, Failure::Killed),
         (Delivered::Requests, Failure::Killed),
@@ -302,17 +313,21 @@
         (Delivered::Requests, Failure::Partitioned),
     ];
     for (n, (delivered, failure)) in cases.into_iter().enumerate() {
-        let before = put_surely(&fleet, 4, &format!("before-{n}"), 1);
-        equal(&fleet, &ALL, before);
-        let votes = |f: &Fleet| (0..3).all(|n| status(f, n)["votes"] == true).then_some(());
-        fleet.wait("all voters to vote", votes);
+        let before = put_quota_until_accepted(&fleet, 4, &format!("before-{n}"), 1);
+        wait_for_equal_copies(&fleet, &ALL, before);
+        let votes = |f: &Fleet| {
+            (0..3)
+                .all(|n| config_status(f, n)["votes"] == true)
+                .then_some(())
+        };
+        fleet.wait_for("all voters to vote", votes);
         let (at, token) = leader(&fleet, &(0, String::new()));
         let others: Vec<usize> = ALL.into_iter().filter(|other| *other != at).collect();
         let cut = others.iter().map(|other| match delivered {
             Delivered::None => (at, *other),
             Delivered::Requests => (*other, at),
         });
-        fleet.faults.rules.lock().unwrap().cut.extend(cut);
+        fleet.faults.rules.lock().unwrap().blocked.extend(cut);
         let name = format!("middle-{n}");
         let mut caller = begin_change(&fleet, at, &name);
         if delivered == Delivered::Requests {
@@ -326,16 +341,16 @@
             Failure::Partitioned => {}
         }
         fleet.faults.heal();
-        let after = put_surely(&fleet, (at + 1) % 5, &format!("after-{n}"), 1);
-        equal(&fleet, &ALL, after);
+        let after = put_quota_until_accepted(&fleet, (at + 1) % 5, &format!("after-{n}"), 1);
+        wait_for_equal_copies(&fleet, &ALL, after);
         check_outcome(&fleet, &name, delivered, failure);
     }
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// Sends a change to the leader, and waits until it is proposed.
 fn begin_change(fleet: &Fleet, leader: usize, name: &str) -> Client {
-    let base = version(fleet, leader);
+    let base = config_version(fleet, leader);
     let body = json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
     let length = body.len();
     let call =
@@ -346,8 +361,8 @@
             .expect("a control address"),
     );
     caller.0.get_mut().write_all(call.as_bytes()).unwrap();
-    fleet.wait("the change to be proposed", |f| {
-        status(f, leader)["proposed"].as_u64()
+    fleet.wait_for("the change to be proposed", |f| {
+        config_status(f, leader)["proposed"].as_u64()
     });
     caller
 }
@@ -355,8 +370,10 @@
 /// Waits until all voters among these have accepted the change, or have it in force, where a new leader was quick.
 fn wait_until_accepted(fleet: &Fleet, others: &[usize], name: &str) {
     let voters: Vec<usize> = others.iter().copied().filter(|n| *n < 3).collect();
-    fleet.wait("the voters to accept it", |f| {
-        let accepted = |n: usize| !status(f, n)["keeps"].is_null() || quota(f, n, name).is_some();
+    fleet.wait_for("the voters to accept it", |f| {
+        let accepted = |n: usize| {
+            !config_status(f, n)["keeps"].is_null() || tenant_quota(f, n, name).is_some()
+        };
         let count = voters.iter().filter(|n| accepted(**n)).count();
         (count == voters.len()).then_some(())
     });
@@ -373,19 +390,19 @@
         Failure::Killed => fleet.kill(&[leader]),
         Failure::Paused => fleet.proxies[leader].signal("-STOP"),
         Failure::Partitioned => {
-            fleet.faults.split(&[&[leader], others]);
-            let (code, answer) = said(&caller.response().expect("an answer"));
+            fleet.faults.partition(&[&[leader], others]);
+            let (code, answer) = status_and_json(&caller.response().expect("an answer"));
             assert_eq!(code, 503, "{answer}");
         }
     }
     if failure != Failure::Partitioned {
-        fleet.faults.split(&[&[leader], others]); // datagrams in flight do not arrive
+        fleet.faults.partition(&[&[leader], others]); // datagrams in flight do not arrive
     }
 }
 
 /// Checks that the change is in force everywhere or nowhere, and where it must be.
 fn check_outcome(fleet: &Fleet, name: &str, delivered: Delivered, failure: Failure) {
-    let has: Vec<Option<u64>> = ALL.iter().map(|n| quota(fleet, *n, name)).collect();
+    let has: Vec<Option<u64>> = ALL.iter().map(|n| tenant_quota(fleet, *n, name)).collect();
     eprintln!("{delivered:?}, {failure:?}: {has:?}");
     assert!(
         has.iter().all(|q| *q == has[0]),
@@ -407,24 +424,24 @@
 #[test]
 fn acknowledged_changes_survive_network_faults_and_restarts_of_voters() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut fleet = fleet(4, &backend);
-    fleet.until(&ALL, 4);
+    let mut fleet = start_fleet(4, &backend);
+    fleet.wait_for_members(&ALL, 4);
     {
         let mut rules = fleet.faults.rules.lock().unwrap();
-        (rules.drop, rules.double, rules.spoil, rules.replay) = (0.1, 0.1, 0.05, 0.05);
-        rules.late = Duration::from_millis(50);
+        (rules.drop, rules.duplicate, rules.corrupt, rules.replay) = (0.1, 0.1, 0.05, 0.05);
+        rules.max_delay = Duration::from_millis(50);
     }
     let mut took = Vec::new();
     let mut made = 1;
     let mut changes = |fleet: &Fleet, of: &[usize]| {
         for n in of {
-            let version = put_surely(fleet, *n, &format!("t{}", made % 7), made);
+            let version = put_quota_until_accepted(fleet, *n, &format!("t{}", made % 7), made);
             let begun = Instant::now();
-            equal(fleet, of, version);
+            wait_for_equal_copies(fleet, of, version);
             took.push(begun.elapsed());
             made += 1;
         }
-        version(fleet, of[0])
+        config_version(fleet, of[0])
     };
     changes(&fleet, &ALL);
     for voter in 0..3 {
@@ -432,16 +449,20 @@
         let others: Vec<usize> = ALL.into_iter().filter(|other| *other != voter).collect();
         changes(&fleet, &others);
         fleet.restart(voter);
-        fleet.wait("the voter to vote", |f| {
-            (status(f, voter)["votes"] == true).then_some(())
+        fleet.wait_for("the voter to vote", |f| {
+            (config_status(f, voter)["votes"] == true).then_some(())
         });
     }
     let before = changes(&fleet, &ALL);
-    let had: Vec<_> = (0..7).map(|n| quota(&fleet, 4, &format!("t{n}"))).collect();
+    let had: Vec<_> = (0..7)
+        .map(|n| tenant_quota(&fleet, 4, &format!("t{n}")))
+        .collect();
     fleet.kill(&[0, 1, 2]);
     (0..3).for_each(|voter| fleet.restart(voter));
-    equal(&fleet, &ALL, before);
-    let has: Vec<_> = (0..7).map(|n| quota(&fleet, 1, &format!("t{n}"))).collect();
+    wait_for_equal_copies(&fleet, &ALL, before);
+    let has: Vec<_> = (0..7)
+        .map(|n| tenant_quota(&fleet, 1, &format!("t{n}")))
+        .collect();
     assert_eq!(has, had, "the other proxies had it");
     assert!(changes(&fleet, &ALL) > before);
     took.sort();
@@ -451,18 +472,21 @@
         took[took.len() / 2],
         took[took.len() - 1]
     );
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// The check that the tests above rest on counts the holdings of one lease without the other's.
 #[test]
 fn the_holdings_of_each_lease_are_counted_apart() {
     let held = |duty: &str| format!(" event=\"duty_held\" duty={duty} token=10-7 mono_us=5\n");
-    let life = holdings::Incarnation {
+    let incarnation = lease_history::Incarnation {
         proxy: 0,
         log: held("calendar") + &held("config"),
-        killed: None,
+        ended_us: None,
     };
-    assert_eq!(holdings_of("config", std::slice::from_ref(&life)).len(), 1);
-    assert_eq!(contradictions(&[life]), [""; 0]);
+    assert_eq!(
+        duty_holdings("config", std::slice::from_ref(&incarnation)).len(),
+        1
+    );
+    assert_eq!(lease_violations(&[incarnation]), [""; 0]);
 }
--- a/tests/fleet_files.rs
+++ b/tests/fleet_files.rs
@@ -4,7 +4,7 @@
 
 mod rig;
 
-use rig::changes::*;
+use rig::config_changes::*;
 use rig::fleet::Fleet;
 use rig::*;
 use serde_json::json;
@@ -39,7 +39,7 @@
     let before = lines();
     std::fs::write(&fleet.proxies[n].config_path, text).unwrap();
     fleet.proxies[n].signal("-HUP");
-    fleet.wait("the file to be read", |_| {
+    fleet.wait_for("the file to be read", |_| {
         let (taken, not) = lines();
         match (taken.len() > before.0.len(), not.len() > before.1.len()) {
             (true, _) => Some((true, taken.last()?.clone())),
@@ -71,12 +71,12 @@
     } else {
         "DELETE /config/routes/list"
     };
-    let version = fleet.wait("a change to be taken", |fleet| {
-        let body = format!(r#"{{"version":{}{value}}}"#, version(fleet, n));
-        let (code, told) = said(&fleet.call(n, line, &body));
+    let version = fleet.wait_for("a change to be taken", |fleet| {
+        let body = format!(r#"{{"version":{}{value}}}"#, config_version(fleet, n));
+        let (code, told) = status_and_json(&fleet.control_call(n, line, &body));
         (code == 200).then(|| told["version"].as_u64().unwrap())
     });
-    equal(fleet, &ALL, version)
+    wait_for_equal_copies(fleet, &ALL, version)
 }
 
 /// A file's version says which of the table's entries it contains: those it wins over, and no later one, at the proxies that
@@ -84,16 +84,16 @@
 #[test]
 fn a_file_wins_over_the_changes_that_it_contains_and_over_no_later_one() {
     let backend = BackendServer::start(|_| ok("x"));
-    let fleet = fleet(21, &backend);
-    fleet.until(&ALL, 4);
+    let fleet = start_fleet(21, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let plain: Vec<String> = ALL.iter().map(|n| plain(&fleet, *n)).collect();
     let first = put_list(&fleet, 0, true);
     assert!(ALL.iter().all(|n| lists(&fleet, *n)));
     // At some proxies only: the file has that change, and the operator took the route out of it since.
     for n in [1, 3] {
         assert!(reload(&fleet, n, &file(&plain[n], first, false)).0);
-        fleet.wait("it to be shown", |f| {
-            (status(f, n)["file"] == first).then_some(())
+        fleet.wait_for("it to be shown", |f| {
+            (config_status(f, n)["file"] == first).then_some(())
         });
     }
     assert_eq!(
@@ -124,7 +124,7 @@
         let (taken, line) = reload(&fleet, 2, &text);
         assert!(!taken && line.contains("version: "), "{wrong}: {line}");
     }
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// Entries that all files contain are dropped by a change of its own, so everywhere alike. A proxy that lives loses nothing by it,
@@ -132,16 +132,16 @@
 #[test]
 fn what_the_files_contain_is_dropped_from_the_table_and_lost_nowhere() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut fleet = fleet(22, &backend);
-    fleet.until(&ALL, 4);
+    let mut fleet = start_fleet(22, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let plain: Vec<String> = ALL.iter().map(|n| plain(&fleet, *n)).collect();
     for n in 0..4 {
-        put_surely(&fleet, n, &format!("t{n}"), 5);
+        put_quota_until_accepted(&fleet, n, &format!("t{n}"), 5);
     }
     let upto = put_list(&fleet, 0, true);
     let contain = |fleet: &Fleet, n: usize, upto: u64| {
-        let body = json!({ "version": version(fleet, n), "contains": upto }).to_string();
-        answered(fleet, n, "PUT /config/file", &body)
+        let body = json!({ "version": config_version(fleet, n), "contains": upto }).to_string();
+        call_until_available(fleet, n, "PUT /config/file", &body)
     };
     let (code, told) = contain(&fleet, 2, upto);
     assert_eq!(
@@ -152,14 +152,14 @@
     for n in [0, 1, 2, 4] {
         assert!(reload(&fleet, n, &file(&plain[n], upto, true)).0);
     }
-    fleet.wait("the file to be shown", |f| {
-        (status(f, 2)["file"] == upto).then_some(())
+    fleet.wait_for("the file to be shown", |f| {
+        (config_status(f, 2)["file"] == upto).then_some(())
     });
     let (code, told) = contain(&fleet, 2, upto);
     assert_eq!(code, 200, "{told}");
-    let dropped = equal(&fleet, &ALL, told["version"].as_u64().unwrap());
+    let dropped = wait_for_equal_copies(&fleet, &ALL, told["version"].as_u64().unwrap());
     for n in ALL {
-        let status = status(&fleet, n);
+        let status = config_status(&fleet, n);
         assert_eq!(
             (&status["entries"], &status["contained"]),
             (&json!(1), &json!(upto)),
@@ -180,7 +180,7 @@
     );
     assert!(lists(&fleet, 2));
     // One that starts with the newer file, killed in the middle of its repair once, has all.
-    fleet.write_more(format!(r#","version":{upto}"#));
+    fleet.set_extra_config(format!(r#","version":{upto}"#));
     fleet.kill(&[4]);
     fleet.faults.rules.lock().unwrap().drop = 0.6;
     fleet.restart(4);
@@ -188,26 +188,32 @@
     fleet.kill(&[4]);
     fleet.faults.rules.lock().unwrap().drop = 0.0;
     fleet.restart(4);
-    equal(&fleet, &ALL, dropped);
-    assert_eq!(status(&fleet, 4)["entries"], 1);
+    wait_for_equal_copies(&fleet, &ALL, dropped);
+    assert_eq!(config_status(&fleet, 4)["entries"], 1);
     // One that starts with a file from before goes on with that alone, as no state of the fleet can be made of it.
-    fleet.write_more(String::new());
+    fleet.set_extra_config(String::new());
     fleet.kill(&[4]);
     fleet.restart(4);
-    equal(&fleet, &[0, 1, 2, 3], put_surely(&fleet, 1, "later", 6));
-    fleet.wait("the line", |f| {
+    wait_for_equal_copies(
+        &fleet,
+        &[0, 1, 2, 3],
+        put_quota_until_accepted(&fleet, 1, "later", 6),
+    );
+    fleet.wait_for("the line", |f| {
         f.proxies[4].log_lines("config_file_old").pop()
     });
-    let newest = version(&fleet, 0);
-    fleet.wait("its copy", |f| (version(f, 4) == newest).then_some(()));
+    let newest = config_version(&fleet, 0);
+    fleet.wait_for("its copy", |f| {
+        (config_version(f, 4) == newest).then_some(())
+    });
     assert!(!lists(&fleet, 4));
-    assert_eq!(status(&fleet, 4)["in_force"], 0);
-    let now = version(&fleet, 4);
+    assert_eq!(config_status(&fleet, 4)["in_force"], 0);
+    let now = config_version(&fleet, 4);
     let start = std::fs::read_to_string(&fleet.proxies[4].config_path).unwrap();
     assert!(reload(&fleet, 4, &file(&start, upto, true)).0);
-    equal(&fleet, &ALL, now);
+    wait_for_equal_copies(&fleet, &ALL, now);
     assert!(lists(&fleet, 4));
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// A proxy that starts again begins with its own copy, also where nobody answers it, and gets what is different from then on; a
@@ -216,12 +222,12 @@
 fn a_proxy_that_starts_again_begins_with_its_own_copy() {
     let backend = BackendServer::start(|_| ok("x"));
     let dir = create_temp_dir();
-    let mut fleet = fleet_with(
+    let mut fleet = start_fleet_with_variables(
         24,
         &backend,
         vec![("NODE_SNAPSHOT", dir.to_str().unwrap().into())],
     );
-    fleet.until(&ALL, 4);
+    fleet.wait_for_members(&ALL, 4);
     let files = || -> Vec<std::path::PathBuf> {
         let all = std::fs::read_dir(&dir)
             .into_iter()
@@ -232,10 +238,10 @@
             .collect()
     };
     for n in ALL {
-        put_surely(&fleet, n, &format!("t{n}"), 5);
+        put_quota_until_accepted(&fleet, n, &format!("t{n}"), 5);
     }
     let kept = put_list(&fleet, 1, true);
-    fleet.wait("all copies to be written with that", |_| {
+    fleet.wait_for("all copies to be written with that", |_| {
         let name = br#""name":"list""#;
         let has = |bytes: Vec<u8>| bytes.windows(name.len()).any(|window| window == name);
         let whole = files()
@@ -252,8 +258,12 @@
     };
     // A voter and another, both alone at their start, with the others gone on meanwhile.
     fleet.kill(&[0, 4]);
-    equal(&fleet, &[1, 2, 3], put_surely(&fleet, 1, "later", 5));
-    fleet.faults.split(&[&[0], &[4], &[1, 2, 3]]);
+    wait_for_equal_copies(
+        &fleet,
+        &[1, 2, 3],
+        put_quota_until_accepted(&fleet, 1, "later", 5),
+    );
+    fleet.faults.partition(&[&[0], &[4], &[1, 2, 3]]);
     for n in [0, 4] {
         fleet.restart(n);
         let line = lines(&fleet, n, "config_snapshot_taken")
@@ -264,18 +274,18 @@
             "{line}"
         );
         assert!(lists(&fleet, n));
-        let status = status(&fleet, n);
+        let status = config_status(&fleet, n);
         assert_eq!(
             (&status["version"], &status["in_force"]),
             (&json!(kept), &json!(kept))
         );
     }
-    assert_eq!(status(&fleet, 0)["votes"], false);
+    assert_eq!(config_status(&fleet, 0)["votes"], false);
     fleet.faults.heal();
-    fleet.wait("the voter", |f| {
-        (status(f, 0)["votes"] == true).then_some(())
+    fleet.wait_for("the voter", |f| {
+        (config_status(f, 0)["votes"] == true).then_some(())
     });
-    let now = equal(&fleet, &ALL, kept + 1);
+    let now = wait_for_equal_copies(&fleet, &ALL, kept + 1);
     for (cut, cause) in [(true, "checksum"), (false, "magic")] {
         let texts: Vec<_> = files()
             .into_iter()
@@ -296,9 +306,9 @@
             .pop()
             .expect("refused");
         assert!(line.contains(&format!(r#"cause="{cause}""#)), "{line}");
-        equal(&fleet, &ALL, now);
+        wait_for_equal_copies(&fleet, &ALL, now);
     }
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
 
 /// A change that is taken back leaves what the file says, in force in one step with the rest of its change, at each proxy by its
@@ -306,8 +316,8 @@
 #[test]
 fn a_change_that_is_taken_back_leaves_what_the_file_says() {
     let backend = BackendServer::start(|_| ok("x"));
-    let mut fleet = fleet(23, &backend);
-    fleet.until(&ALL, 4);
+    let mut fleet = start_fleet(23, &backend);
+    fleet.wait_for_members(&ALL, 4);
     let ask = |fleet: &Fleet, n: usize, route: &str| {
         let request = read_request(3.0).replace("/read/", &format!("/{route}/"));
         Client::connect(fleet.proxies[n].address)
@@ -322,18 +332,21 @@
         })
     };
     let back = |fleet: &Fleet, n: usize, path: &str| {
-        let body = json!({ "version": version(fleet, n) }).to_string();
-        answered(fleet, n, &format!("DELETE /config/{path}/override"), &body)
+        let body = json!({ "version": config_version(fleet, n) }).to_string();
+        call_until_available(fleet, n, &format!("DELETE /config/{path}/override"), &body)
     };
     assert_eq!(back(&fleet, 0, "routes/list").0, 404);
     let entries = format!(
         r#"[{{"kind":"routes","name":"list","value":{LIST}}},{{"kind":"routes","name":"read"}}]"#
     );
     let change = |fleet: &Fleet, n: usize, entries: &str| {
-        let body = format!(r#"{{"version":{},"entries":{entries}}}"#, version(fleet, n));
-        let (code, told) = answered(fleet, n, "PUT /config", &body);
+        let body = format!(
+            r#"{{"version":{},"entries":{entries}}}"#,
+            config_version(fleet, n)
+        );
+        let (code, told) = call_until_available(fleet, n, "PUT /config", &body);
         assert_eq!(code, 200, "{told}");
-        equal(fleet, &ALL, told["version"].as_u64().unwrap())
+        wait_for_equal_copies(fleet, &ALL, told["version"].as_u64().unwrap())
     };
     change(&fleet, 1, &entries);
     assert_eq!(serve(&fleet), [[true, false]; 5]);
@@ -351,13 +364,13 @@
     let put = put_list(&fleet, 3, true);
     let (code, told) = back(&fleet, 4, "routes/list");
     assert_eq!(code, 200, "{told}");
-    let now = equal(&fleet, &ALL, told["version"].as_u64().unwrap());
+    let now = wait_for_equal_copies(&fleet, &ALL, told["version"].as_u64().unwrap());
     assert!(now > put);
     fleet.kill(&[0]);
     fleet.restart(0);
-    equal(&fleet, &ALL, now);
+    wait_for_equal_copies(&fleet, &ALL, now);
     assert_eq!(serve(&fleet), [[false, true]; 5]);
-    let (code, told) = answered(
+    let (code, told) = call_until_available(
         &fleet,
         1,
         "DELETE /config/routes/x/override",
@@ -365,7 +378,7 @@
     );
     assert_eq!((code, &told["field"]), (422, &json!("value")), "{told}");
     let both = r#"{"version":1,"entries":[{"kind":"routes","name":"x","value":{"name":"x"},"as_file":true}]}"#;
-    let (code, told) = answered(&fleet, 1, "PUT /config", both);
+    let (code, told) = call_until_available(&fleet, 1, "PUT /config", both);
     assert_eq!(
         (code, &told["field"]),
         (422, &json!("entries[0].value")),
@@ -381,5 +394,5 @@
         (422, &json!("routes.list")),
         "{told}"
     );
-    consistent(&fleet);
+    check_consistency(&fleet);
 }
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use rig::kept::{files, written};
+use rig::snapshot_files::{files, wait_for_new};
 use rig::*;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -73,7 +73,7 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let others = [
         r#","name":"n1""#,
@@ -112,13 +112,13 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let own = files(&dir).remove(0);
     let bytes = std::fs::read(&own).unwrap();
     let other = create_temp_dir().join("kept");
     let second = keeping(&other, &known, &settings, r#","name":"n1""#);
-    written(&other);
+    wait_for_new(&other);
     drop(second); // SIGKILL
     let foreign = std::fs::read(files(&other).remove(0)).unwrap();
     let swap = |from: &str, to: &str| {
@@ -165,7 +165,7 @@
     let (_a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
     let first = keeping(&dir, &known, &settings(), "");
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let own = files(&dir).remove(0);
     let pipe = |at: &Path| {
@@ -212,7 +212,7 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     let text = std::fs::read_to_string(&first.config_path).unwrap();
     std::fs::write(
         &first.config_path,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use rig::fleet::{Fleet, Status};
+use rig::fleet::{Fleet, PeersStatus};
 use rig::*;
 use std::time::{Duration, Instant};
 
@@ -61,13 +61,13 @@
             )
         })
         .collect();
-    fleet.until(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
+    fleet.wait_for_members(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
     {
         let mut rules = fleet.faults.rules.lock().unwrap();
         rules.drop = 0.1;
-        rules.double = 0.1;
-        rules.late = Duration::from_millis(50);
-        rules.cut.insert((0, 1)); // indirect probes reach a member whose datagrams get lost one way
+        rules.duplicate = 0.1;
+        rules.max_delay = Duration::from_millis(50);
+        rules.blocked.insert((0, 1)); // indirect probes reach a member whose datagrams get lost one way
     }
     let failed = [&fleet.proxies, &separate]
         .map(|side| send_requests(side, 20))
@@ -82,7 +82,7 @@
     eprintln!(
         "failed connects with gossip {with}, without {without}; responses not 200: {failed:?}"
     );
-    fleet.until(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
+    fleet.wait_for_members(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
     assert!(with >= 2, "some proxy has to detect it");
     assert!(
         without >= 5 * with,
@@ -104,9 +104,9 @@
     let backend = BackendServer::start(|_| ok("x"));
     let endpoints = [entry("b0", backend.address, "SERVING")];
     let fleet = Fleet::new(3, 3, &endpoints, &[]);
-    fleet.until(&[0, 1, 2], 2);
-    let target = fleet.faults.started(0, &fleet.proxies[0].startup_log);
-    let valid = fleet.faults.last.lock().unwrap()[&0].clone();
+    fleet.wait_for_members(&[0, 1, 2], 2);
+    let target = fleet.faults.register(0, &fleet.proxies[0].startup_log);
+    let valid = fleet.faults.last_datagrams.lock().unwrap()[&0].clone();
     let mut invalid = vec![
         Vec::new(),
         vec![0; 5],
@@ -128,7 +128,7 @@
     }
     let begin = Instant::now();
     let status = loop {
-        let status = Status::of(&fleet.proxies[0]);
+        let status = PeersStatus::of(&fleet.proxies[0]);
         let all = ["short", "magic", "version", "checksum", "oversized"]
             .iter()
             .all(|cause| status.refused(cause) >= 10);
@@ -163,21 +163,21 @@
     ];
     let fleet = Fleet::new(6, 11, &endpoints, &[]);
     let all = [0, 1, 2, 3, 4, 5];
-    fleet.until(&all, 5);
+    fleet.wait_for_members(&all, 5);
     fleet
         .faults
-        .part(&[0, 1, 2], &[3, 4, 5], Duration::from_secs(7));
+        .delay_between(&[0, 1, 2], &[3, 4, 5], Duration::from_secs(7));
     // Only one half gets requests and so detects the dead backend; its verdicts are still sent to the other half.
     send_requests(&fleet.proxies[..3], 10).join().unwrap();
-    let partitioned = fleet.until(&all, 2);
+    let partitioned = fleet.wait_for_members(&all, 2);
     assert!(
         fleet.proxies[..3]
             .iter()
-            .any(|p| Status::of(p).count("facts_heard") > 0),
+            .any(|p| PeersStatus::of(p).count("facts_heard") > 0),
         "no verdict within a half"
     );
     for proxy in &fleet.proxies[3..] {
-        let status = Status::of(proxy);
+        let status = PeersStatus::of(proxy);
         assert!(
             status.refused("stale") > 0,
             "no datagram was stale: {}",
@@ -191,7 +191,7 @@
         );
     }
     fleet.faults.heal();
-    let healed = fleet.until(&all, 5);
+    let healed = fleet.wait_for_members(&all, 5);
     eprintln!(
         "two halves {partitioned:.1?} after the requests, one fleet {healed:.1?} after the heal"
     );
@@ -208,10 +208,10 @@
         entry("b1", other.address, "SERVING"),
     ];
     let mut fleet = Fleet::new(6, 5, &endpoints, &[]);
-    fleet.until(&[0, 1, 2, 3, 4, 5], 5);
+    fleet.wait_for_members(&[0, 1, 2, 3, 4, 5], 5);
     fleet.proxies.truncate(4); // SIGKILL
     let requests = send_requests(&fleet.proxies, 10);
-    let detected = fleet.until(&[0, 1, 2, 3], 3);
+    let detected = fleet.wait_for_members(&[0, 1, 2, 3], 3);
     assert_eq!(
         requests.join().unwrap(),
         0,
@@ -230,7 +230,7 @@
         assert!(begin.elapsed() < TEST_TIMEOUT, "no snapshot was restored");
         std::thread::sleep(Duration::from_millis(20));
     }
-    fleet.until(&[0, 1, 2, 3, 4], 4);
+    fleet.wait_for_members(&[0, 1, 2, 3, 4], 4);
     let before = backend.request_count();
     for _ in 0..30 {
         assert_eq!(fleet.proxies[4].request(&read_request(3.0)).status(), 200);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use rig::kept::{file, first, written};
+use rig::snapshot_files::{only_file, wait_for_first, wait_for_new};
 use rig::*;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -60,7 +60,7 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let named = ("NODE_SNAPSHOT", dir.to_str().unwrap().into());
     let second = Proxy::with_extra_config(&known, SETTINGS, DEPLOYMENT, &[tmp(), named]);
@@ -90,9 +90,9 @@
     for _ in 0..20 {
         assert_eq!(status(&first), 200);
     }
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
-    let whole = file(&dir);
+    let whole = only_file(&dir);
     let (name, good) = (whole.file_name().unwrap(), std::fs::read(&whole).unwrap());
     let flipped = {
         let mut bytes = good.clone();
@@ -153,7 +153,7 @@
             })
         };
         seed = seed.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-        first(&dir); // on a busy machine the very first takes its time
+        wait_for_first(&dir); // on a busy machine the very first takes its time
         std::thread::sleep(Duration::from_millis(150 + u64::from(seed >> 24)));
         drop(proxy); // SIGKILL
         busy.store(false, Ordering::SeqCst);
@@ -164,7 +164,7 @@
             "round {round}: {}",
             proxy.startup_log
         );
-        let whole = file(&dir);
+        let whole = only_file(&dir);
         let parts = std::fs::read_dir(&dir).unwrap().flatten();
         assert!(
             parts.filter(|e| e.path() != whole).count() <= 1,
@@ -212,7 +212,7 @@
         assert!(begun.elapsed() < TEST_TIMEOUT, "never taken");
         std::thread::sleep(Duration::from_millis(20));
     }
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let second = start(&known, &other, &dir, "");
     assert!(
@@ -294,7 +294,7 @@
     );
     first.terminate(); // which writes
     assert!(first.child.wait().unwrap().success());
-    let before = std::fs::read(file(&dir)).unwrap();
+    let before = std::fs::read(only_file(&dir)).unwrap();
     let second = start();
     assert_eq!(
         second
@@ -303,7 +303,7 @@
         200
     );
     drop(second); // SIGKILL
-    std::fs::write(file(&dir), before).unwrap();
+    std::fs::write(only_file(&dir), before).unwrap();
     let third = start();
     assert!(
         third.startup_log.contains("snapshot taken"),
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use rig::kept::first;
+use rig::snapshot_files::wait_for_first;
 use rig::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -108,7 +108,10 @@
     let mut seats = seats(down.address(), &backend);
     let (proxies, took) = started(&seats);
     told("first start", took);
-    let files: Vec<PathBuf> = seats.iter().map(|seat| first(&seat.kept)).collect();
+    let files: Vec<PathBuf> = seats
+        .iter()
+        .map(|seat| wait_for_first(&seat.kept))
+        .collect();
     drop(proxies); // SIGKILL
     for (n, (file, seat)) in files.iter().zip(&mut seats).enumerate() {
         let mut bytes = std::fs::read(file).unwrap();
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -2,7 +2,7 @@
 //! over all that these recorded.
 
 use super::faults::Faults;
-use super::holdings::{self, Incarnation};
+use super::lease_history::{self, Incarnation};
 use super::{
     create_temp_dir, entry, pay_request, read_request, Arc, BufReader, Client, Duration, Message,
     Mutex, Ordering, Proxy, SocketAddr, TcpListener, TcpStream, Write, SETTINGS, TEST_TIMEOUT,
@@ -14,7 +14,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The machine's monotonic clock, which its processes share, in microseconds.
-pub fn mono_us() -> u64 {
+pub fn monotonic_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
 }
@@ -22,8 +22,8 @@
 /// What that clock says at a wall time in microseconds.
 ///
 /// A pause between the two readings makes it too early, never too late.
-pub fn mono_at(wall_us: u64) -> u64 {
-    let mono = mono_us();
+pub fn monotonic_at_wall_time(wall_us: u64) -> u64 {
+    let mono = monotonic_us();
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -32,11 +32,11 @@
 }
 
 /// What `GET /peers` answers, as far as the tests ask.
-pub struct Status(pub serde_json::Value);
+pub struct PeersStatus(pub serde_json::Value);
 
-impl Status {
-    pub fn of(proxy: &Proxy) -> Status {
-        Status(
+impl PeersStatus {
+    pub fn of(proxy: &Proxy) -> PeersStatus {
+        PeersStatus(
             serde_json::from_slice(&proxy.control_request("GET /peers").body)
                 .expect("JSON at the door"),
         )
@@ -55,26 +55,26 @@
 /// So many fleets of one test program run at a time: nine of five processes each, with their backends and relays as threads
 /// of that program, stall each other on eight cores, and a backend of the test's own that stands still for seconds is no
 /// fault of the proxy's.
-const AT_A_TIME: usize = 4;
+const MAX_RUNNING_FLEETS: usize = 4;
 
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
 /// A fleet's turn to run.
-struct Turn;
+struct FleetPermit;
 
-impl Turn {
-    fn wait() -> Turn {
+impl FleetPermit {
+    fn acquire() -> FleetPermit {
         let running = RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let full = |running: &mut usize| *running >= AT_A_TIME;
+        let full = |running: &mut usize| *running >= MAX_RUNNING_FLEETS;
         *RUNNING
             .1
             .wait_while(running, full)
             .unwrap_or_else(PoisonError::into_inner) += 1;
-        Turn
+        FleetPermit
     }
 }
 
-impl Drop for Turn {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
         *RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         RUNNING.1.notify_one();
@@ -85,20 +85,20 @@
     pub faults: Faults,
     pub proxies: Vec<Proxy>,
     /// When the process in that place was killed.
-    killed: HashMap<usize, u64>,
+    ended_us: HashMap<usize, u64>,
     /// Killed ones that have another in their place.
-    past: Vec<(usize, Proxy, u64)>,
-    shape: Shape,
+    replaced: Vec<(usize, Proxy, u64)>,
+    options: FleetOptions,
     /// Given back last, once all processes are gone.
-    _turn: Turn,
+    _permit: FleetPermit,
 }
 
 /// What all its proxies are started with.
 #[derive(Clone, Default)]
-pub struct Shape {
+pub struct FleetOptions {
     pub size: usize,
     pub seed: u64,
-    pub known: Vec<String>,
+    pub endpoints: Vec<String>,
     pub variables: Vec<(&'static str, String)>,
     /// Of the members, the first so many are voters; with none there are no duties.
     pub voters: usize,
@@ -107,10 +107,10 @@
     /// How long facts are used, and how long a proxy that hears of no holder goes by what it last heard.
     pub max_age_s: f64,
     /// More keys of the file, each with a comma before it.
-    pub more: String,
+    pub extra_config: String,
 }
 
-impl Shape {
+impl FleetOptions {
     /// Proxy number `n`; all start from the first one as their seed, or from the voters where there are any.
     fn start(&self, faults: &Faults, n: usize) -> Proxy {
         let group = format!(r#""position":{n},"group_size":{},"#, self.size);
@@ -138,12 +138,12 @@
         let variables = [&self.variables[..], &[tmp]].concat();
         let proxy = Proxy::with_seed(
             n as u64 + 1,
-            &self.known,
+            &self.endpoints,
             &settings,
-            &(peers + &duties + &self.more),
+            &(peers + &duties + &self.extra_config),
             &variables,
         );
-        faults.started(n, &proxy.startup_log);
+        faults.register(n, &proxy.startup_log);
         proxy
     }
 }
@@ -152,39 +152,41 @@
     pub fn new(
         size: usize,
         seed: u64,
-        known: &[String],
+        endpoints: &[String],
         variables: &[(&'static str, String)],
     ) -> Fleet {
-        let (known, variables) = (known.to_vec(), variables.to_vec());
-        Fleet::of(Shape {
+        let (endpoints, variables) = (endpoints.to_vec(), variables.to_vec());
+        Fleet::with_options(FleetOptions {
             size,
             seed,
-            known,
+            endpoints,
             variables,
-            ..Shape::default()
+            ..FleetOptions::default()
         })
     }
 
-    pub fn of(shape: Shape) -> Fleet {
-        let turn = Turn::wait();
-        let faults = Faults::new(shape.size, shape.seed);
-        let proxies = (0..shape.size).map(|n| shape.start(&faults, n)).collect();
+    pub fn with_options(options: FleetOptions) -> Fleet {
+        let permit = FleetPermit::acquire();
+        let faults = Faults::new(options.size, options.seed);
+        let proxies = (0..options.size)
+            .map(|n| options.start(&faults, n))
+            .collect();
         Fleet {
             faults,
             proxies,
-            killed: HashMap::new(),
-            past: Vec::new(),
-            shape,
-            _turn: turn,
+            ended_us: HashMap::new(),
+            replaced: Vec::new(),
+            options,
+            _permit: permit,
         }
     }
 
     /// Waits until each of these sees so many others; how long that took.
-    pub fn until(&self, of: &[usize], others: usize) -> Duration {
+    pub fn wait_for_members(&self, of: &[usize], others: usize) -> Duration {
         let begun = Instant::now();
         while of
             .iter()
-            .any(|n| Status::of(&self.proxies[*n]).members() != others)
+            .any(|n| PeersStatus::of(&self.proxies[*n]).members() != others)
         {
             assert!(
                 begun.elapsed() < 3 * TEST_TIMEOUT,
@@ -196,43 +198,44 @@
     }
 
     /// More keys of the file for the processes that start from now on.
-    pub fn write_more(&mut self, more: String) {
-        self.shape.more = more;
+    pub fn set_extra_config(&mut self, extra_config: String) {
+        self.options.extra_config = extra_config;
     }
 
     /// A new process under the name and address of number `n`, with nothing in its memory. Where its turn has come
     /// after a truncation, it is the next.
     pub fn restart(&mut self, n: usize) {
-        let proxy = self.shape.start(&self.faults, n);
+        let proxy = self.options.start(&self.faults, n);
         if n == self.proxies.len() {
             self.proxies.push(proxy);
             return;
         }
         let before = std::mem::replace(&mut self.proxies[n], proxy);
-        let killed = self.killed.remove(&n).expect("killed before");
-        self.past.push((n, before, killed));
+        let ended_us = self.ended_us.remove(&n).expect("killed before");
+        self.replaced.push((n, before, ended_us));
     }
 
     /// SIGKILL for all of these at once; their logs are kept.
     pub fn kill(&mut self, of: &[usize]) {
         of.iter().for_each(|n| drop(self.proxies[*n].child.kill()));
         of.iter().for_each(|n| drop(self.proxies[*n].child.wait()));
-        self.killed.extend(of.iter().map(|n| (*n, mono_us())));
+        self.ended_us
+            .extend(of.iter().map(|n| (*n, monotonic_us())));
     }
 
     /// SIGTERM; returns once the process has ended, with the time.
-    pub fn end(&mut self, n: usize) -> u64 {
+    pub fn terminate(&mut self, n: usize) -> u64 {
         self.proxies[n].terminate();
         let _ = self.proxies[n].child.wait();
-        let at = mono_us();
-        self.killed.insert(n, at);
+        let at = monotonic_us();
+        self.ended_us.insert(n, at);
         at
     }
 
     /// Those whose process lives.
     pub fn live(&self) -> Vec<usize> {
         (0..self.proxies.len())
-            .filter(|n| !self.killed.contains_key(n))
+            .filter(|n| !self.ended_us.contains_key(n))
             .collect()
     }
 
@@ -242,23 +245,23 @@
     }
 
     /// Every process that ever was.
-    pub fn lives(&self) -> Vec<Incarnation> {
-        let past = self.past.iter().map(|(n, p, at)| Incarnation {
+    pub fn incarnations(&self) -> Vec<Incarnation> {
+        let replaced = self.replaced.iter().map(|(n, p, at)| Incarnation {
             proxy: *n,
             log: log(p),
-            killed: Some(*at),
+            ended_us: Some(*at),
         });
         let now = self.proxies.iter().enumerate();
         let now = now.map(|(n, p)| Incarnation {
             proxy: n,
             log: log(p),
-            killed: self.killed.get(&n).copied(),
+            ended_us: self.ended_us.get(&n).copied(),
         });
-        past.chain(now).collect()
+        replaced.chain(now).collect()
     }
 
     /// Waits until `done` says so.
-    pub fn wait<T>(&self, what: &str, done: impl Fn(&Fleet) -> Option<T>) -> T {
+    pub fn wait_for<T>(&self, what: &str, done: impl Fn(&Fleet) -> Option<T>) -> T {
         let begun = Instant::now();
         loop {
             if let Some(got) = done(self) {
@@ -270,9 +273,9 @@
     }
 
     /// Waits until one proxy holds the duty, not counting those named; which, and its token.
-    pub fn holder(&self, but: &[usize]) -> (usize, holdings::Token) {
-        self.wait("a holder", |fleet| {
-            let all = holdings::holdings(&fleet.lives());
+    pub fn wait_for_holder(&self, but: &[usize]) -> (usize, lease_history::Token) {
+        self.wait_for("a holder", |fleet| {
+            let all = lease_history::calendar_holdings(&fleet.incarnations());
             let now = all
                 .iter()
                 .rfind(|h| h.to == u64::MAX && !but.contains(&h.proxy));
@@ -281,7 +284,7 @@
     }
 
     /// Puts a window at a proxy's door: it begins in so many seconds and lasts so many.
-    pub fn put(
+    pub fn put_window(
         &self,
         at: usize,
         id: &str,
@@ -305,30 +308,32 @@
         let body = format!(
             r#"{{"ids":{ids:?},"begin":"{from}","end":"{to}","lead_s":{lead_s},"overrun_s":5,"by":"ops"}}"#
         );
-        let answer = self.call(at, &format!("PUT /windows/{id}"), &body);
+        let answer = self.control_call(at, &format!("PUT /windows/{id}"), &body);
         assert!(answer.status() / 100 == 2, "{answer:?}");
         let ids = ids.iter().map(ToString::to_string).collect();
         Window {
             id: id.into(),
             ids,
-            begin: mono_at(begin),
-            end: mono_at(end),
+            begin: monotonic_at_wall_time(begin),
+            end: monotonic_at_wall_time(end),
         }
     }
 
     /// What holders decided of a window, over all processes, in the order of time.
-    pub fn steps(&self, window: &str) -> Vec<Decided> {
+    pub fn transitions(&self, window: &str) -> Vec<Transition> {
         let mut all = Vec::new();
-        for life in self.lives() {
-            let own = |l: &&str| holdings::field(l, "window") == Some(window);
+        for incarnation in self.incarnations() {
+            let own = |l: &&str| lease_history::log_field(l, "window") == Some(window);
             all.extend(
-                holdings::events(&life.log, "window")
+                lease_history::event_lines(&incarnation.log, "window")
                     .filter(own)
-                    .map(|line| Decided {
-                        proxy: life.proxy,
-                        to: holdings::field(line, "to").unwrap_or_default().into(),
-                        at: holdings::number(line, "mono_us").expect("a time"),
-                        token: holdings::token(line).expect("a token"),
+                    .map(|line| Transition {
+                        proxy: incarnation.proxy,
+                        to: lease_history::log_field(line, "to")
+                            .unwrap_or_default()
+                            .into(),
+                        at: lease_history::number_field(line, "mono_us").expect("a time"),
+                        token: lease_history::token_field(line).expect("a token"),
                     }),
             );
         }
@@ -337,18 +342,22 @@
     }
 
     /// Waits until a holder decided that step; which came first.
-    pub fn stepped(&self, window: &str, to: &str) -> Decided {
+    pub fn wait_for_transition(&self, window: &str, to: &str) -> Transition {
         let what = format!("{window} to be {to}");
-        self.wait(&what, |fleet| {
-            fleet.steps(window).into_iter().find(|d| d.to == to)
+        self.wait_for(&what, |fleet| {
+            fleet.transitions(window).into_iter().find(|d| d.to == to)
         })
     }
 
     /// Waits until the list of each of these has these windows.
-    pub fn know(&self, of: &[usize], windows: &[&Window]) {
-        self.wait("all to know the windows", |fleet| {
-            let lists =
-                |n: &usize, w: &Window| fleet.json(*n, "/windows").to_string().contains(&w.id);
+    pub fn wait_until_listed(&self, of: &[usize], windows: &[&Window]) {
+        self.wait_for("all to know the windows", |fleet| {
+            let lists = |n: &usize, w: &Window| {
+                fleet
+                    .control_json(*n, "/windows")
+                    .to_string()
+                    .contains(&w.id)
+            };
             of.iter()
                 .all(|n| windows.iter().all(|w| lists(n, w)))
                 .then_some(())
@@ -356,13 +365,13 @@
     }
 
     /// When the present process of a proxy took a backend out, and when it took it back.
-    pub fn moves(&self, n: usize, backend: &str) -> (Vec<u64>, Vec<u64>) {
+    pub fn drain_times(&self, n: usize, backend: &str) -> (Vec<u64>, Vec<u64>) {
         let log = self.log(n);
         let of = |event: &str| {
-            let own = |l: &&str| holdings::field(l, "backend") == Some(backend);
-            let lines = holdings::events(&log, event).filter(own);
+            let own = |l: &&str| lease_history::log_field(l, "backend") == Some(backend);
+            let lines = lease_history::event_lines(&log, event).filter(own);
             lines
-                .map(|l| holdings::number(l, "mono_us").expect("a time"))
+                .map(|l| lease_history::number_field(l, "mono_us").expect("a time"))
                 .collect()
         };
         (of("window_out"), of("window_back"))
@@ -370,16 +379,16 @@
 
     /// Waits until each of these has taken a window's backends out and back, and sees that each was so once, and not
     /// back before the window's end.
-    pub fn out_and_back_once(&self, of: &[usize], window: &Window) {
+    pub fn check_single_maintenance(&self, of: &[usize], window: &Window) {
         for (n, backend) in of
             .iter()
             .flat_map(|n| window.ids.iter().map(move |b| (*n, b)))
         {
             let what = format!("proxy {n} to take {backend} back");
-            self.wait(&what, |fleet| {
-                (!fleet.moves(n, backend).1.is_empty()).then_some(())
+            self.wait_for(&what, |fleet| {
+                (!fleet.drain_times(n, backend).1.is_empty()).then_some(())
             });
-            let (out, back) = self.moves(n, backend);
+            let (out, back) = self.drain_times(n, backend);
             assert_eq!(
                 (out.len(), back.len()),
                 (1, 1),
@@ -394,7 +403,7 @@
     }
 
     /// A call with a body at a proxy's door.
-    pub fn call(&self, n: usize, line: &str, body: &str) -> Message {
+    pub fn control_call(&self, n: usize, line: &str, body: &str) -> Message {
         let head = format!(
             "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n",
             body.len()
@@ -403,7 +412,7 @@
     }
 
     /// What a call answers, as JSON.
-    pub fn json(&self, n: usize, path: &str) -> serde_json::Value {
+    pub fn control_json(&self, n: usize, path: &str) -> serde_json::Value {
         serde_json::from_slice(&self.proxies[n].control_request(&format!("GET {path}")).body)
             .expect("JSON at the door")
     }
@@ -419,10 +428,10 @@
 
 impl Window {
     /// Where nothing may reach its backends: from that time to its end.
-    pub fn shut(&self, from: u64) -> Vec<Shut> {
+    pub fn drained_periods(&self, from: u64) -> Vec<DrainedPeriod> {
         self.ids
             .iter()
-            .map(|b| Shut {
+            .map(|b| DrainedPeriod {
                 backend: b.clone(),
                 from,
                 to: self.end,
@@ -433,11 +442,11 @@
 
 /// One step of a window, as its holder logged it.
 #[derive(Clone, Debug)]
-pub struct Decided {
+pub struct Transition {
     pub proxy: usize,
     pub to: String,
     pub at: u64,
-    pub token: holdings::Token,
+    pub token: lease_history::Token,
 }
 
 fn log(proxy: &Proxy) -> String {
@@ -445,26 +454,29 @@
 }
 
 /// A backend that writes down every request, with its time, and says in its answer who it is and what was asked.
-pub struct Recorder {
+pub struct RecordingBackend {
     pub name: String,
     pub address: SocketAddr,
     /// Correlation id and time.
-    pub seen: Arc<Mutex<Vec<(String, u64)>>>,
+    pub received: Arc<Mutex<Vec<(String, u64)>>>,
     /// The same of each answer, once it was written.
     answered: Arc<Mutex<Vec<(String, u64)>>>,
-    dead: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
 }
 
-impl Recorder {
-    pub fn start(name: &str) -> Recorder {
+impl RecordingBackend {
+    pub fn start(name: &str) -> RecordingBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, answered, dead): (Arc<Mutex<Vec<_>>>, Arc<Mutex<Vec<_>>>, Arc<AtomicBool>) =
-            Default::default();
+        let (received, answered, stopping): (
+            Arc<Mutex<Vec<_>>>,
+            Arc<Mutex<Vec<_>>>,
+            Arc<AtomicBool>,
+        ) = Default::default();
         let (record, wrote, gone, own) = (
-            seen.clone(),
+            received.clone(),
             answered.clone(),
-            dead.clone(),
+            stopping.clone(),
             name.to_string(),
         );
         std::thread::spawn(move || {
@@ -482,7 +494,7 @@
                             .unwrap_or_default()
                             .to_string();
                         let body = format!("{own} {id}");
-                        record.lock().unwrap().push((id.clone(), mono_us()));
+                        record.lock().unwrap().push((id.clone(), monotonic_us()));
                         let last = gone.load(Ordering::SeqCst);
                         let close = if last { "Connection: close\r\n" } else { "" };
                         let length = body.len();
@@ -491,7 +503,7 @@
                         if tcp.write_all((head + &body).as_bytes()).is_err() {
                             return;
                         }
-                        wrote.lock().unwrap().push((id, mono_us()));
+                        wrote.lock().unwrap().push((id, monotonic_us()));
                         if last {
                             return;
                         }
@@ -499,97 +511,102 @@
                 });
             }
         });
-        Recorder {
+        RecordingBackend {
             name: name.into(),
             address,
-            seen,
+            received,
             answered,
-            dead,
+            stopping,
         }
     }
 
     /// A whole kind of them, `b0` and on, and the list's entries.
-    pub fn several(count: usize) -> (Vec<Recorder>, Vec<String>) {
-        let all: Vec<Recorder> = (0..count)
-            .map(|n| Recorder::start(&format!("b{n}")))
+    pub fn start_many(count: usize) -> (Vec<RecordingBackend>, Vec<String>) {
+        let all: Vec<RecordingBackend> = (0..count)
+            .map(|n| RecordingBackend::start(&format!("b{n}")))
             .collect();
-        let known = all
+        let endpoints = all
             .iter()
             .map(|b| entry(&b.name, b.address, "SERVING"))
             .collect();
-        (all, known)
+        (all, endpoints)
     }
 
     /// From now on connections are refused; one that is open is closed with its next answer, so that nothing that
     /// may run once is cut off half-way.
-    pub fn die(&self) {
-        self.dead.store(true, Ordering::SeqCst);
+    pub fn shut_down(&self) {
+        self.stopping.store(true, Ordering::SeqCst);
         drop(TcpStream::connect(self.address)); // wakes the one that accepts
     }
 }
 
 /// A client's request and what came of it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub proxy: usize,
     pub id: String,
     /// Not safe to repeat.
-    pub once: bool,
-    pub begun: u64,
+    pub is_pay: bool,
+    pub started_us: u64,
     /// Until its answer was whole, in microseconds.
-    pub took: u64,
+    pub took_us: u64,
     pub status: u16,
     /// Whole and of this request.
-    pub own: bool,
+    pub valid: bool,
 }
 
 /// Steady clients, one to a proxy, each on a connection that it keeps.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    places: Vec<Arc<Place>>,
-    threads: Vec<JoinHandle<Vec<Asked>>>,
+    states: Vec<Arc<ClientState>>,
+    threads: Vec<JoinHandle<Vec<ClientRequest>>>,
 }
 
-struct Place {
-    at: Mutex<SocketAddr>,
-    away: AtomicBool,
+struct ClientState {
+    address: Mutex<SocketAddr>,
+    paused: AtomicBool,
     idle: AtomicBool,
 }
 
 impl Load {
     /// Each client asks again so long after its last answer.
     pub fn start(fleet: &Fleet, pause: Duration) -> Load {
-        let place = |p: &Proxy| Place {
-            at: Mutex::new(p.address),
-            away: false.into(),
+        let state = |p: &Proxy| ClientState {
+            address: Mutex::new(p.address),
+            paused: false.into(),
             idle: false.into(),
         };
-        let places: Vec<_> = fleet.proxies.iter().map(|p| Arc::new(place(p))).collect();
+        let states: Vec<_> = fleet.proxies.iter().map(|p| Arc::new(state(p))).collect();
         let stop: Arc<AtomicBool> = Arc::default();
-        let client = |(n, place): (usize, &Arc<Place>)| {
-            let (place, stop) = (place.clone(), stop.clone());
-            std::thread::spawn(move || Load::client(n, &place, &stop, pause))
+        let client = |(n, state): (usize, &Arc<ClientState>)| {
+            let (state, stop) = (state.clone(), stop.clone());
+            std::thread::spawn(move || Load::client(n, &state, &stop, pause))
         };
-        let threads = places.iter().enumerate().map(client).collect();
+        let threads = states.iter().enumerate().map(client).collect();
         Load {
             stop,
-            places,
+            states,
             threads,
         }
     }
 
-    fn client(proxy: usize, place: &Place, stop: &AtomicBool, pause: Duration) -> Vec<Asked> {
+    fn client(
+        proxy: usize,
+        state: &ClientState,
+        stop: &AtomicBool,
+        pause: Duration,
+    ) -> Vec<ClientRequest> {
         let (mut asked, mut client) = (Vec::new(), None);
         while !stop.load(Ordering::SeqCst) {
-            let away = place.away.load(Ordering::SeqCst);
-            place.idle.store(away, Ordering::SeqCst);
-            if away {
+            let paused = state.paused.load(Ordering::SeqCst);
+            state.idle.store(paused, Ordering::SeqCst);
+            if paused {
                 client = None;
                 std::thread::sleep(Duration::from_millis(2));
                 continue;
             }
-            let once = asked.len() % 2 == 1;
-            let request = if once {
+            let is_pay = asked.len() % 2 == 1;
+            let request = if is_pay {
                 pay_request(3.0)
             } else {
                 read_request(3.0)
@@ -599,25 +616,25 @@
                 .nth(1)
                 .and_then(|r| r.split('\r').next())
                 .unwrap();
-            let begun = mono_us();
+            let started_us = monotonic_us();
             let mut at = client
                 .take()
-                .unwrap_or_else(|| Client::connect(*place.at.lock().unwrap()));
+                .unwrap_or_else(|| Client::connect(*state.address.lock().unwrap()));
             let sent = at.0.get_mut().write_all(request.as_bytes()).is_ok();
             let answer = sent.then(|| at.response()).flatten();
-            let took = mono_us() - begun;
+            let took_us = monotonic_us() - started_us;
             let (status, body) = answer
                 .as_ref()
                 .map_or((0, &[][..]), |a| (a.status(), &a.body));
-            let own = std::str::from_utf8(body).is_ok_and(|b| b.split(' ').nth(1) == Some(id));
-            asked.push(Asked {
+            let valid = std::str::from_utf8(body).is_ok_and(|b| b.split(' ').nth(1) == Some(id));
+            asked.push(ClientRequest {
                 proxy,
                 id: id.into(),
-                once,
-                begun,
-                took,
+                is_pay,
+                started_us,
+                took_us,
                 status,
-                own,
+                valid,
             });
             client = (status != 0).then_some(at);
             std::thread::sleep(pause);
@@ -626,13 +643,13 @@
     }
 
     /// Takes its clients away from these, as the front does before a proxy goes; returns once nothing of theirs is out.
-    pub fn away(&self, of: &[usize]) {
+    pub fn pause(&self, of: &[usize]) {
         of.iter()
-            .for_each(|n| self.places[*n].away.store(true, Ordering::SeqCst));
+            .for_each(|n| self.states[*n].paused.store(true, Ordering::SeqCst));
         let begun = Instant::now();
         while of
             .iter()
-            .any(|n| !self.places[*n].idle.load(Ordering::SeqCst))
+            .any(|n| !self.states[*n].idle.load(Ordering::SeqCst))
         {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
@@ -643,16 +660,16 @@
     }
 
     /// Gives them back, wherever the proxies listen now.
-    pub fn back(&self, fleet: &Fleet, of: &[usize]) {
+    pub fn resume(&self, fleet: &Fleet, of: &[usize]) {
         for n in of {
             fleet.proxies[*n].wait_until_serving();
-            *self.places[*n].at.lock().unwrap() = fleet.proxies[*n].address;
-            self.places[*n].away.store(false, Ordering::SeqCst);
+            *self.states[*n].address.lock().unwrap() = fleet.proxies[*n].address;
+            self.states[*n].paused.store(false, Ordering::SeqCst);
         }
     }
 
     /// Ends it; all that was asked.
-    pub fn end(self) -> Vec<Asked> {
+    pub fn stop(self) -> Vec<ClientRequest> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads
             .into_iter()
@@ -663,14 +680,14 @@
 
 /// A span in which nothing that a client began may reach a backend.
 #[derive(Clone, Debug)]
-pub struct Shut {
+pub struct DrainedPeriod {
     pub backend: String,
     pub from: u64,
     pub to: u64,
 }
 
 /// What is known of a request: when it came to which backend and was answered there, and what its proxy said of backends.
-fn story(asked: &Asked, fleet: &Fleet, backends: &[Recorder]) -> String {
+fn describe_request(asked: &ClientRequest, fleet: &Fleet, backends: &[RecordingBackend]) -> String {
     let mut told = vec![format!("{asked:?}")];
     for backend in backends {
         let of = |times: &Mutex<Vec<(String, u64)>>| {
@@ -681,7 +698,7 @@
                 .map(|(_, at)| *at)
                 .collect::<Vec<_>>()
         };
-        let (came, answered) = (of(&backend.seen), of(&backend.answered));
+        let (came, answered) = (of(&backend.received), of(&backend.answered));
         if !came.is_empty() {
             told.push(format!(
                 "came to {} at {came:?}, answered at {answered:?}",
@@ -689,10 +706,10 @@
             ));
         }
     }
-    let lives = fleet
-        .lives()
+    let incarnations = fleet
+        .incarnations()
         .into_iter()
-        .filter(|life| life.proxy == asked.proxy);
+        .filter(|incarnation| incarnation.proxy == asked.proxy);
     let words = [
         "ejected",
         "readmitted",
@@ -702,27 +719,37 @@
         "stopping",
         "report",
     ];
-    for life in lives {
+    for incarnation in incarnations {
         let said = |line: &&str| words.iter().any(|word| line.contains(word));
         told.extend(
-            life.log
+            incarnation
+                .log
                 .lines()
                 .filter(said)
                 .map(|line| format!("its proxy: {line}")),
         );
     }
-    told.push(format!("now {}, {:?}", mono_us(), SystemTime::now()));
+    told.push(format!("now {}, {:?}", monotonic_us(), SystemTime::now()));
     told.join("\n  ")
 }
 
 /// What must hold whatever went on: every client was answered by a backend for its own request, nothing that may run
 /// once ran twice, nothing begun in a shut span reached that backend, one holder at a time. Says how many were sent.
-pub fn check(name: &str, fleet: &Fleet, backends: &[Recorder], asked: &[Asked], shut: &[Shut]) {
-    let failed: Vec<_> = asked.iter().filter(|a| a.status != 200 || !a.own).collect();
+pub fn check_fleet_run(
+    name: &str,
+    fleet: &Fleet,
+    backends: &[RecordingBackend],
+    asked: &[ClientRequest],
+    shut: &[DrainedPeriod],
+) {
+    let failed: Vec<_> = asked
+        .iter()
+        .filter(|a| a.status != 200 || !a.valid)
+        .collect();
     let told: Vec<String> = failed
         .iter()
         .take(5)
-        .map(|a| story(a, fleet, backends))
+        .map(|a| describe_request(a, fleet, backends))
         .collect();
     assert!(
         failed.is_empty(),
@@ -730,19 +757,20 @@
         failed.len(),
         told.join("\n")
     );
-    let by_id: HashMap<&str, &Asked> = asked.iter().map(|a| (a.id.as_str(), a)).collect();
+    let by_id: HashMap<&str, &ClientRequest> = asked.iter().map(|a| (a.id.as_str(), a)).collect();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let mut late = Vec::new();
     for backend in backends {
-        for (id, at) in backend.seen.lock().unwrap().iter() {
+        for (id, at) in backend.received.lock().unwrap().iter() {
             *runs.entry(id.clone()).or_default() += 1;
             let Some(asked) = by_id.get(id.as_str()) else {
                 continue;
             };
-            let hit =
-                |s: &&Shut| s.backend == backend.name && s.from < asked.begun && asked.begun < s.to;
+            let hit = |s: &&DrainedPeriod| {
+                s.backend == backend.name && s.from < asked.started_us && asked.started_us < s.to
+            };
             if let Some(shut) = shut.iter().find(hit) {
-                let begun = asked.begun as f64 / 1e6;
+                let begun = asked.started_us as f64 / 1e6;
                 late.push(format!(
                     "proxy {} {begun} (arrived {at}) in {shut:?}",
                     asked.proxy
@@ -750,9 +778,9 @@
             }
         }
     }
-    let ran = |a: &Asked| runs.get(&a.id).copied().unwrap_or(0);
+    let ran = |a: &ClientRequest| runs.get(&a.id).copied().unwrap_or(0);
     let lost = asked.iter().filter(|a| ran(a) == 0).count();
-    let doubled = asked.iter().filter(|a| a.once && ran(a) > 1).count();
+    let doubled = asked.iter().filter(|a| a.is_pay && ran(a) > 1).count();
     eprintln!(
         "{name}: sent {}, failed 0, lost {lost}, doubled {doubled}, to a drained backend {}",
         asked.len(),
@@ -770,6 +798,6 @@
         late.len(),
         &late[..late.len().min(5)]
     );
-    let wrong = holdings::contradictions(&fleet.lives());
+    let wrong = lease_history::lease_violations(&fleet.incarnations());
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
--- a/tests/rig/holdings.rs
+++ b/tests/rig/lease_history.rs
@@ -9,7 +9,7 @@
     pub proxy: usize,
     pub log: String,
     /// Microseconds on the machine's monotonic clock, as all times here.
-    pub killed: Option<u64>,
+    pub ended_us: Option<u64>,
 }
 
 /// A fencing token, ordered as the program orders it.
@@ -28,7 +28,7 @@
 }
 
 /// A field of a log line, without its quotes.
-pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let rest = line.split_once(&format!(" {name}="))?.1;
     match rest.strip_prefix('"') {
         Some(quoted) => quoted.split('"').next(),
@@ -37,41 +37,41 @@
 }
 
 /// The same as a number.
-pub fn number(line: &str, name: &str) -> Option<u64> {
-    field(line, name)?.parse().ok()
+pub fn number_field(line: &str, name: &str) -> Option<u64> {
+    log_field(line, name)?.parse().ok()
 }
 
-pub fn token(line: &str) -> Option<Token> {
-    let (number, incarnation) = field(line, "token")?.split_once('-')?;
+pub fn token_field(line: &str) -> Option<Token> {
+    let (number, incarnation) = log_field(line, "token")?.split_once('-')?;
     Some((number.parse().ok()?, incarnation.into()))
 }
 
 /// The lines of one event.
-pub fn events<'a>(log: &'a str, event: &str) -> impl Iterator<Item = &'a str> + use<'a> {
+pub fn event_lines<'a>(log: &'a str, event: &str) -> impl Iterator<Item = &'a str> + use<'a> {
     let event = event.to_string();
     log.lines()
-        .filter(move |line| field(line, "event") == Some(&event))
+        .filter(move |line| log_field(line, "event") == Some(&event))
 }
 
 /// Every holding of the calendar's duty, in the order of their begins.
-pub fn holdings(incarnations: &[Incarnation]) -> Vec<Holding> {
-    holdings_of("calendar", incarnations)
+pub fn calendar_holdings(incarnations: &[Incarnation]) -> Vec<Holding> {
+    duty_holdings("calendar", incarnations)
 }
 
 /// The same of any duty.
-pub fn holdings_of(duty: &str, incarnations: &[Incarnation]) -> Vec<Holding> {
-    let of = |line: &&str| field(line, "duty") == Some(duty);
+pub fn duty_holdings(duty: &str, incarnations: &[Incarnation]) -> Vec<Holding> {
+    let of = |line: &&str| log_field(line, "duty") == Some(duty);
     let mut all = Vec::new();
     for (n, incarnation) in incarnations.iter().enumerate() {
-        let ends: HashMap<Token, u64> = events(&incarnation.log, "duty_over")
+        let ends: HashMap<Token, u64> = event_lines(&incarnation.log, "duty_over")
             .filter(of)
-            .filter_map(|l| Some((token(l)?, number(l, "mono_us")?))) // when it ended, whenever that was noticed
+            .filter_map(|l| Some((token_field(l)?, number_field(l, "mono_us")?))) // when it ended, whenever that was noticed
             .collect();
-        for line in events(&incarnation.log, "duty_held").filter(of) {
-            let token = token(line).unwrap_or_else(|| panic!("no token: {line}"));
-            let from = number(line, "mono_us").unwrap_or_else(|| panic!("no time: {line}"));
+        for line in event_lines(&incarnation.log, "duty_held").filter(of) {
+            let token = token_field(line).unwrap_or_else(|| panic!("no token: {line}"));
+            let from = number_field(line, "mono_us").unwrap_or_else(|| panic!("no time: {line}"));
             let end = ends.get(&token).copied().unwrap_or(u64::MAX);
-            let to = end.min(incarnation.killed.unwrap_or(u64::MAX));
+            let to = end.min(incarnation.ended_us.unwrap_or(u64::MAX));
             all.push(Holding {
                 proxy: incarnation.proxy,
                 incarnation: n,
@@ -86,10 +86,10 @@
 }
 
 /// Whatever contradicts "one holder at a time, and only it acts", as texts; empty where nothing does.
-pub fn contradictions(incarnations: &[Incarnation]) -> Vec<String> {
-    let all = holdings(incarnations);
+pub fn lease_violations(incarnations: &[Incarnation]) -> Vec<String> {
+    let all = calendar_holdings(incarnations);
     let mut wrong = Vec::new();
-    for all in [&all, &holdings_of("config", incarnations)] {
+    for all in [&all, &duty_holdings("config", incarnations)] {
         for (n, one) in all.iter().enumerate() {
             for other in &all[n + 1..] {
                 if other.from < one.to {
@@ -102,8 +102,8 @@
         }
     }
     for (n, incarnation) in incarnations.iter().enumerate() {
-        for line in events(&incarnation.log, "window") {
-            let Some((acting, at)) = token(line).zip(number(line, "mono_us")) else {
+        for line in event_lines(&incarnation.log, "window") {
+            let Some((acting, at)) = token_field(line).zip(number_field(line, "mono_us")) else {
                 continue;
             };
             let own = |h: &&Holding| {
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -10,12 +10,12 @@
 use std::sync::{mpsc, Arc, Condvar, Mutex};
 use std::time::Duration;
 
-pub mod changes;
+pub mod config_changes;
 pub mod faults;
 pub mod fleet;
-pub mod holdings;
-pub mod kept;
+pub mod lease_history;
 pub mod scripted;
+pub mod snapshot_files;
 
 /// No wait in these tests is meant to last as long: it only ends a test that would hang.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/rig/kept.rs
+++ b/tests/rig/snapshot_files.rs
@@ -18,24 +18,24 @@
 }
 
 /// The one that it holds.
-pub fn file(dir: &Path) -> PathBuf {
+pub fn only_file(dir: &Path) -> PathBuf {
     let mut whole = files(dir);
     assert_eq!(whole.len(), 1, "one proxy, one file: {whole:?}");
     whole.remove(0)
 }
 
 /// Waits until there is one.
-pub fn first(dir: &Path) -> PathBuf {
+pub fn wait_for_first(dir: &Path) -> PathBuf {
     let end = Instant::now() + TEST_TIMEOUT;
     while files(dir).is_empty() {
         assert!(Instant::now() < end, "no snapshot was written");
         std::thread::sleep(Duration::from_millis(5));
     }
-    file(dir)
+    only_file(dir)
 }
 
 /// Waits until a snapshot was begun after this moment and is whole.
-pub fn written(dir: &Path) {
+pub fn wait_for_new(dir: &Path) {
     let (asked, end) = (SystemTime::now(), Instant::now() + TEST_TIMEOUT);
     let mut changes = BTreeSet::new();
     while changes.len() < 2 {
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use rig::kept::{first, written};
+use rig::snapshot_files::{wait_for_first, wait_for_new};
 use rig::*;
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     );
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
     let proxy = Proxy::with_extra_config(known, SETTINGS, &kept, &[tmp]);
-    let name = first(&dir)
+    let name = wait_for_first(&dir)
         .file_name()
         .unwrap()
         .to_str()
@@ -65,7 +65,7 @@
         entry("b1", b.address, "SERVING"),
     ];
     let (proxy, dir, pipe) = held(&known);
-    let before = first(&dir).metadata().unwrap().modified().unwrap();
+    let before = wait_for_first(&dir).metadata().unwrap().modified().unwrap();
     assert_eq!(
         proxy
             .control_request("PUT /maintenance/enter?who=b0")
@@ -78,13 +78,13 @@
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     assert_eq!(
-        first(&dir).metadata().unwrap().modified().unwrap(),
+        wait_for_first(&dir).metadata().unwrap().modified().unwrap(),
         before,
         "the disk did not hang"
     );
     let other_end = File::open(&pipe).unwrap();
     std::fs::remove_file(&pipe).unwrap();
-    written(&dir);
+    wait_for_new(&dir);
     drop(other_end);
     assert_eq!(
         proxy
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -4,8 +4,11 @@
 
 mod rig;
 
-use rig::fleet::{check, mono_us, Decided, Fleet, Load, Recorder, Shape, Shut, Window};
-use rig::holdings;
+use rig::fleet::{
+    check_fleet_run, monotonic_us, DrainedPeriod, Fleet, FleetOptions, Load, RecordingBackend,
+    Transition, Window,
+};
+use rig::lease_history;
 use std::time::Duration;
 
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
@@ -27,32 +30,32 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// Five proxies, three of them voters, that know each other, and so many backends of one kind and zone.
-fn fleet(seed: u64, backends: usize, shape: Shape) -> (Vec<Recorder>, Fleet) {
-    let (recorders, known) = Recorder::several(backends);
-    let fleet = Fleet::of(Shape {
+fn fleet(seed: u64, backends: usize, options: FleetOptions) -> (Vec<RecordingBackend>, Fleet) {
+    let (recorders, endpoints) = RecordingBackend::start_many(backends);
+    let fleet = Fleet::with_options(FleetOptions {
         size: ALL.len(),
         seed,
-        known,
+        endpoints,
         voters: 3,
-        ..shape
+        ..options
     });
-    fleet.until(&ALL, ALL.len() - 1);
+    fleet.wait_for_members(&ALL, ALL.len() - 1);
     (recorders, fleet)
 }
 
-fn shape() -> Shape {
-    Shape {
+fn options() -> FleetOptions {
+    FleetOptions {
         lease_ms: 1500,
         floor: 0.5,
         max_age_s: 3.0,
-        ..Shape::default()
+        ..FleetOptions::default()
     }
 }
 
 fn inject_noise(fleet: &Fleet) {
     let mut rules = fleet.faults.rules.lock().unwrap();
-    (rules.drop, rules.double, rules.late) = (0.05, 0.05, Duration::from_millis(20));
-    (rules.spoil, rules.replay) = (0.01, 0.02);
+    (rules.drop, rules.duplicate, rules.max_delay) = (0.05, 0.05, Duration::from_millis(20));
+    (rules.corrupt, rules.replay) = (0.01, 0.02);
 }
 
 fn all_but(n: usize) -> Vec<usize> {
@@ -60,8 +63,9 @@
 }
 
 /// Shut from the grace after the decision to drain on, as long as everyone is connected.
-fn decided(fleet: &Fleet, windows: &[&Window]) -> Vec<Shut> {
-    let of = |w: &&Window| w.shut(fleet.stepped(&w.id, "draining").at + GRACE_US);
+fn decided(fleet: &Fleet, windows: &[&Window]) -> Vec<DrainedPeriod> {
+    let of =
+        |w: &&Window| w.drained_periods(fleet.wait_for_transition(&w.id, "draining").at + GRACE_US);
     windows.iter().flat_map(of).collect()
 }
 
@@ -69,31 +73,31 @@
 /// one drains. Its successor goes on: at every other proxy each backend enters and leaves maintenance once.
 #[test]
 fn a_successor_goes_on_where_a_killed_holder_stopped() {
-    let (backends, mut fleet) = fleet(19, 6, shape());
+    let (backends, mut fleet) = fleet(19, 6, options());
     inject_noise(&fleet);
     let load = Load::start(&fleet, PAUSE);
-    let (first, _) = fleet.holder(&[]);
+    let (first, _) = fleet.wait_for_holder(&[]);
     let windows = [
-        fleet.put((first + 1) % 5, "w0", &["b0"], 4.0, 9.0, 3),
-        fleet.put((first + 2) % 5, "w1", &["b1"], 4.5, 9.0, 3),
+        fleet.put_window((first + 1) % 5, "w0", &["b0"], 4.0, 9.0, 3),
+        fleet.put_window((first + 2) % 5, "w1", &["b1"], 4.5, 9.0, 3),
     ];
-    fleet.know(&ALL, &[&windows[0], &windows[1]]);
-    let Decided {
+    fleet.wait_until_listed(&ALL, &[&windows[0], &windows[1]]);
+    let Transition {
         proxy: first,
         token,
         ..
-    } = fleet.stepped("w0", "draining");
-    load.away(&[first]);
+    } = fleet.wait_for_transition("w0", "draining");
+    load.pause(&[first]);
     fleet.kill(&[first]);
     for window in &windows {
         assert!(
-            fleet.stepped(&window.id, "done").token > token,
+            fleet.wait_for_transition(&window.id, "done").token > token,
             "the successor's doing"
         );
-        fleet.out_and_back_once(&all_but(first), window);
+        fleet.check_single_maintenance(&all_but(first), window);
     }
     let shut = decided(&fleet, &[&windows[0], &windows[1]]);
-    check("holder killed", &fleet, &backends, &load.end(), &shut);
+    check_fleet_run("holder killed", &fleet, &backends, &load.stop(), &shut);
 }
 
 /// The holder stops past its lease while its messages to some are still on their way. Another goes on, and what then comes
@@ -104,44 +108,46 @@
     let (backends, fleet) = fleet(
         23,
         6,
-        Shape {
+        FleetOptions {
             lease_ms: 3000,
             max_age_s: 60.0,
-            ..shape()
+            ..options()
         },
     );
     let load = Load::start(&fleet, PAUSE);
-    let (first, token) = fleet.holder(&[]);
-    load.away(&[first]);
+    let (first, token) = fleet.wait_for_holder(&[]);
+    load.pause(&[first]);
     let rest = all_but(first);
     let late: Vec<usize> = rest.iter().copied().filter(|n| *n >= 3).collect(); // no voters: the lease goes on
-    fleet.faults.rules.lock().unwrap().kept = late.iter().map(|n| (first, *n)).collect();
-    let window = fleet.put(rest[0], "w0", &["b0"], 4.0, 14.0, 4);
-    assert_eq!(fleet.stepped("w0", "draining").proxy, first);
+    fleet.faults.rules.lock().unwrap().held = late.iter().map(|n| (first, *n)).collect();
+    let window = fleet.put_window(rest[0], "w0", &["b0"], 4.0, 14.0, 4);
+    assert_eq!(fleet.wait_for_transition("w0", "draining").proxy, first);
     fleet.proxies[first].signal("-STOP");
-    let (next, grown) = fleet.holder(&[first]);
+    let (next, grown) = fleet.wait_for_holder(&[first]);
     assert!(next != first && grown > token, "{grown:?} after {token:?}");
-    let knows =
-        |f: &Fleet, n: usize| f.json(n, "/duties")["token"] == format!("{}-{}", grown.0, grown.1);
-    fleet.wait("the others to know of it", |f| {
+    let knows = |f: &Fleet, n: usize| {
+        f.control_json(n, "/duties")["token"] == format!("{}-{}", grown.0, grown.1)
+    };
+    fleet.wait_for("the others to know of it", |f| {
         late.iter().all(|n| knows(f, *n)).then_some(())
     });
-    fleet.faults.let_go();
+    fleet.faults.release_held();
     for n in &late {
-        let refused = |l: &str| holdings::field(l, "cause") == Some("token");
-        let late = |f: &Fleet| holdings::events(&f.log(*n), "effect_refused").any(refused);
-        fleet.wait("a late effect to be rejected", |f| late(f).then_some(()));
+        let refused = |l: &str| lease_history::log_field(l, "cause") == Some("token");
+        let late =
+            |f: &Fleet| lease_history::event_lines(&f.log(*n), "effect_refused").any(refused);
+        fleet.wait_for("a late effect to be rejected", |f| late(f).then_some(()));
     }
     fleet.proxies[first].signal("-CONT");
-    let over = |f: &Fleet| holdings::events(&f.log(first), "duty_over").count() > 0;
-    fleet.wait("the stopped holder to find its lease over", |f| {
+    let over = |f: &Fleet| lease_history::event_lines(&f.log(first), "duty_over").count() > 0;
+    fleet.wait_for("the stopped holder to find its lease over", |f| {
         over(f).then_some(())
     });
-    load.back(&fleet, &[first]);
-    assert!(fleet.stepped("w0", "done").token >= grown);
-    fleet.out_and_back_once(&rest, &window);
+    load.resume(&fleet, &[first]);
+    assert!(fleet.wait_for_transition("w0", "done").token >= grown);
+    fleet.check_single_maintenance(&rest, &window);
     let shut = decided(&fleet, &[&window]);
-    check("holder stopped", &fleet, &backends, &load.end(), &shut);
+    check_fleet_run("holder stopped", &fleet, &backends, &load.stop(), &shut);
 }
 
 /// Two windows that do not fit together are known everywhere; then, at a step of the first, `cut` partitions the fleet at its
@@ -154,38 +160,38 @@
     step: &str,
     cut: impl Fn(&Fleet, usize, &Window),
 ) -> Fleet {
-    let (backends, fleet) = fleet(seed, 6, shape());
+    let (backends, fleet) = fleet(seed, 6, options());
     let load = Load::start(&fleet, PAUSE);
     let Plan {
         begin_s: begin,
         lasts_s: lasts,
         lead_s: lead,
     } = plan;
-    let (holder, _) = fleet.holder(&[]);
-    let window = fleet.put(holder, "w0", &["b0", "b1"], begin, lasts, lead);
-    let other = fleet.put(holder, "w1", &["b2", "b3"], begin + 0.1, lasts, lead);
-    fleet.know(&ALL, &[&window, &other]);
+    let (holder, _) = fleet.wait_for_holder(&[]);
+    let window = fleet.put_window(holder, "w0", &["b0", "b1"], begin, lasts, lead);
+    let other = fleet.put_window(holder, "w1", &["b2", "b3"], begin + 0.1, lasts, lead);
+    fleet.wait_until_listed(&ALL, &[&window, &other]);
     if step != "planned" {
-        fleet.stepped("w0", step);
+        fleet.wait_for_transition("w0", step);
     }
     cut(&fleet, holder, &window);
-    fleet.out_and_back_once(&ALL, &window);
+    fleet.check_single_maintenance(&ALL, &window);
     fleet.faults.heal();
-    fleet.until(&ALL, ALL.len() - 1);
-    fleet.stepped("w1", "refused");
+    fleet.wait_for_members(&ALL, ALL.len() - 1);
+    fleet.wait_for_transition("w1", "refused");
     for n in ALL {
         assert_eq!(
-            fleet.moves(n, "b2").0,
+            fleet.drain_times(n, "b2").0,
             [0; 0],
             "proxy {n} went below the floor"
         );
     }
-    check(
+    check_fleet_run(
         name,
         &fleet,
         &backends,
-        &load.end(),
-        &window.shut(window.begin),
+        &load.stop(),
+        &window.drained_periods(window.begin),
     );
     fleet
 }
@@ -198,11 +204,14 @@
         PLAN,
         "planned",
         |fleet, holder, _| {
-            fleet.faults.split(&[&[holder], &all_but(holder)]);
-            fleet.holder(&[holder]);
+            fleet.faults.partition(&[&[holder], &all_but(holder)]);
+            fleet.wait_for_holder(&[holder]);
         },
     );
-    assert!(fleet.stepped("w0", "done").token >= fleet.stepped("w0", "draining").token);
+    assert!(
+        fleet.wait_for_transition("w0", "done").token
+            >= fleet.wait_for_transition("w0", "draining").token
+    );
 }
 
 /// Partitioned in an open window, the minority restores at its end by itself.
@@ -217,23 +226,24 @@
             let voters = [0, 1, 2].into_iter().filter(|v| *v != holder).take(2);
             let side: Vec<usize> = voters.chain([holder]).collect();
             let other: Vec<usize> = ALL.into_iter().filter(|n| !side.contains(n)).collect();
-            fleet.faults.split(&[&side, &other]);
+            fleet.faults.partition(&[&side, &other]);
         },
     );
-    fleet.stepped("w0", "done");
+    fleet.wait_for_transition("w0", "done");
 }
 
 #[test]
 fn windows_are_on_time_without_any_majority() {
     let fleet = partitioned("no majority", 37, PLAN, "planned", |fleet, _, _| {
-        fleet.faults.split(&[&[3, 4]]);
+        fleet.faults.partition(&[&[3, 4]]);
     });
-    let logged = |n: &usize| holdings::events(&fleet.log(*n), "duty_no_majority").count() > 0;
+    let logged =
+        |n: &usize| lease_history::event_lines(&fleet.log(*n), "duty_no_majority").count() > 0;
     assert!(
         ALL.iter().any(logged),
         "no proxy logged that there is no quorum"
     );
-    fleet.stepped("w0", "refused"); // nobody held the duty in all its time
+    fleet.wait_for_transition("w0", "refused"); // nobody held the duty in all its time
 }
 
 /// Every proxy drains by itself; then the partition heals in the open window, and the new holder adopts it, though less
@@ -250,64 +260,64 @@
         },
         "planned",
         |fleet, _, window| {
-            fleet.faults.split(&[&[3, 4]]);
-            let out = |f: &Fleet| ALL.iter().all(|n| !f.moves(*n, "b0").0.is_empty());
-            fleet.wait("all to drain by themselves", |f| out(f).then_some(()));
-            fleet.wait("less than the lead to be left", |_| {
-                (mono_us() > window.end - 7_000_000).then_some(())
+            fleet.faults.partition(&[&[3, 4]]);
+            let out = |f: &Fleet| ALL.iter().all(|n| !f.drain_times(*n, "b0").0.is_empty());
+            fleet.wait_for("all to drain by themselves", |f| out(f).then_some(()));
+            fleet.wait_for("less than the lead to be left", |_| {
+                (monotonic_us() > window.end - 7_000_000).then_some(())
             });
             fleet.faults.heal();
         },
     );
-    fleet.stepped("w0", "done");
+    fleet.wait_for_transition("w0", "done");
 }
 
 #[test]
 fn windows_are_on_time_while_the_holder_reaches_nobody() {
     let fleet = partitioned("one way cut", 41, PLAN, "planned", |fleet, holder, _| {
-        fleet.faults.rules.lock().unwrap().cut =
+        fleet.faults.rules.lock().unwrap().blocked =
             all_but(holder).into_iter().map(|n| (holder, n)).collect();
-        fleet.holder(&[holder]);
+        fleet.wait_for_holder(&[holder]);
     });
-    fleet.stepped("w0", "done");
+    fleet.wait_for_transition("w0", "done");
 }
 
 /// All voters are killed at once in an open window and start again with nothing in their memory; later the whole fleet
 /// does. Tokens grow both times, and nothing is restored before its window's end.
 #[test]
 fn tokens_grow_over_a_restart_of_all_voters_and_nothing_is_restored_early() {
-    let (backends, mut fleet) = fleet(43, 6, shape());
+    let (backends, mut fleet) = fleet(43, 6, options());
     let load = Load::start(&fleet, PAUSE);
-    let (_, before) = fleet.holder(&[]);
-    let window = fleet.put(3, "w0", &["b0"], 3.0, 14.0, 3);
-    let draining = fleet.stepped("w0", "draining").at;
-    fleet.stepped("w0", "open");
+    let (_, before) = fleet.wait_for_holder(&[]);
+    let window = fleet.put_window(3, "w0", &["b0"], 3.0, 14.0, 3);
+    let draining = fleet.wait_for_transition("w0", "draining").at;
+    fleet.wait_for_transition("w0", "open");
     let voters = [0, 1, 2];
-    load.away(&voters);
+    load.pause(&voters);
     fleet.kill(&voters);
     voters.iter().for_each(|n| fleet.restart(*n));
-    let knows = |f: &Fleet| voters.iter().all(|n| !f.moves(*n, "b0").0.is_empty());
-    fleet.wait("the new processes to learn of the window", |f| {
+    let knows = |f: &Fleet| voters.iter().all(|n| !f.drain_times(*n, "b0").0.is_empty());
+    fleet.wait_for("the new processes to learn of the window", |f| {
         knows(f).then_some(())
     });
-    load.back(&fleet, &voters);
-    let (_, after) = fleet.wait("a new holder", |f| {
-        Some(f.holder(&[])).filter(|(_, t)| *t > before)
+    load.resume(&fleet, &voters);
+    let (_, after) = fleet.wait_for("a new holder", |f| {
+        Some(f.wait_for_holder(&[])).filter(|(_, t)| *t > before)
     });
     assert!(after.0 > before.0, "{after:?} after {before:?}");
-    fleet.out_and_back_once(&ALL, &window);
-    fleet.stepped("w0", "done");
-    load.away(&ALL);
+    fleet.check_single_maintenance(&ALL, &window);
+    fleet.wait_for_transition("w0", "done");
+    load.pause(&ALL);
     fleet.kill(&ALL);
     ALL.iter().for_each(|n| fleet.restart(*n));
-    let (_, last) = fleet.holder(&[]);
+    let (_, last) = fleet.wait_for_holder(&[]);
     assert!(last.0 > after.0, "{last:?} after {after:?}");
-    check(
+    check_fleet_run(
         "all voters killed",
         &fleet,
         &backends,
-        &load.end(),
-        &window.shut(draining + GRACE_US),
+        &load.stop(),
+        &window.drained_periods(draining + GRACE_US),
     );
 }
 
@@ -319,44 +329,45 @@
     let (backends, mut fleet) = fleet(
         47,
         8,
-        Shape {
+        FleetOptions {
             floor: 0.6,
-            ..shape()
+            ..options()
         },
     );
     let load = Load::start(&fleet, PAUSE);
-    let (first, _) = fleet.holder(&[]);
-    let put = |at, id, ids: &[&str], begin, end| fleet.put(at, id, ids, begin, end - begin, 2);
+    let (first, _) = fleet.wait_for_holder(&[]);
+    let put =
+        |at, id, ids: &[&str], begin, end| fleet.put_window(at, id, ids, begin, end - begin, 2);
     let windows = [
         put(0, "w0", &["b0", "b1"], 3.0, 6.0),
         put(1, "w1", &["b2", "b3"], 3.1, 14.0),
         put(2, "w2", &["b4", "b5"], 3.2, 22.0),
     ];
     put(3, "w3", &["b0", "b1", "b2"], 3.3, 29.0);
-    fleet.stepped("w0", "open");
+    fleet.wait_for_transition("w0", "open");
     let waits = |id: &str| {
-        let list = fleet.json((first + 1) % 5, "/windows").to_string();
+        let list = fleet.control_json((first + 1) % 5, "/windows").to_string();
         assert!(
             list.contains("waiting"),
             "{id} does not say what it waits for: {list}"
         );
     };
     waits("w1");
-    backends[7].die();
-    fleet.stepped("w1", "open");
-    load.away(&[first]);
-    fleet.end(first);
+    backends[7].shut_down();
+    fleet.wait_for_transition("w1", "open");
+    load.pause(&[first]);
+    fleet.terminate(first);
     let rest = all_but(first);
-    fleet.stepped("w3", "refused");
+    fleet.wait_for_transition("w3", "refused");
     assert!(
-        fleet.steps("w3").iter().all(|d| d.to != "draining"),
+        fleet.transitions("w3").iter().all(|d| d.to != "draining"),
         "{:?}",
-        fleet.steps("w3")
+        fleet.transitions("w3")
     );
     for pair in windows.windows(2) {
         let (over, next) = (
-            fleet.stepped(&pair[0].id, "restoring").at,
-            fleet.stepped(&pair[1].id, "draining").at,
+            fleet.wait_for_transition(&pair[0].id, "restoring").at,
+            fleet.wait_for_transition(&pair[1].id, "draining").at,
         );
         assert!(
             over <= next,
@@ -368,7 +379,7 @@
     }
     windows
         .iter()
-        .for_each(|w| fleet.out_and_back_once(&rest, w));
+        .for_each(|w| fleet.check_single_maintenance(&rest, w));
     let shut = decided(&fleet, &[&windows[0], &windows[1], &windows[2]]);
-    check("budget", &fleet, &backends, &load.end(), &shut);
+    check_fleet_run("budget", &fleet, &backends, &load.stop(), &shut);
 }
