--- a/benches/scale/in_force.rs
+++ b/benches/scale/activation.rs
@@ -1,13 +1,13 @@
 //! When changes of the configuration were in force at the last proxy.
 
-use super::hollow::{Change, PeerVerdict};
+use super::light_proxy::{Change, Observation};
 use super::protocol::Absence;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Milliseconds until each change, by its number and when it was asked for, was in force at the last of these proxies;
 /// `None` where it is not at some. Those that were absent meanwhile are not asked.
-pub fn slowest<'a>(
-    asked: impl Iterator<Item = (u32, &'a [PeerVerdict])>,
+pub fn slowest_activations<'a>(
+    observers: impl Iterator<Item = (u32, &'a [Observation])>,
     absences: &[Absence],
     changes: &[(u32, u64)],
 ) -> BTreeMap<u32, Option<u32>> {
@@ -16,14 +16,14 @@
         .iter()
         .map(|(number, _)| (*number, Some(0)))
         .collect();
-    for (_, news) in asked.filter(|(proxy, _)| !absent.contains(proxy)) {
-        let in_force = news
+    for (_, recorded) in observers.filter(|(proxy, _)| !absent.contains(proxy)) {
+        let applied = recorded
             .iter()
             .rev()
-            .filter(|(.., change)| *change == Change::ActiveSettings);
-        let first: HashMap<u32, u64> = in_force.map(|(at, number, _)| (*number, *at)).collect();
+            .filter(|(.., change)| *change == Change::SettingsApplied);
+        let first: HashMap<u32, u64> = applied.map(|(at, number, _)| (*number, *at)).collect();
         for (number, from) in changes {
-            merge(
+            merge_slowest(
                 &mut slowest,
                 *number,
                 first
@@ -36,7 +36,7 @@
 }
 
 /// Takes in when a change was in force at some more.
-pub fn merge(slowest: &mut BTreeMap<u32, Option<u32>>, number: u32, ms: Option<u32>) {
+pub fn merge_slowest(slowest: &mut BTreeMap<u32, Option<u32>>, number: u32, ms: Option<u32>) {
     let last = slowest.entry(number).or_insert(Some(0));
     *last = last.zip(ms).map(|(one, other)| one.max(other));
 }
--- a/benches/scale/balance.rs
+++ b/benches/scale/balancer_driver.rs
@@ -11,120 +11,121 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
 
-const ANSWER: u64 = 5_000;
-const REFUSAL: u64 = 200;
+const ANSWER_US: u64 = 5_000;
+const REFUSAL_US: u64 = 200;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum DueEvent {
     Arrival,
     Timer(u64),
     End(RequestId, u32, u32, u64),
 }
 
-pub struct Balance {
+pub struct BalancerDriver {
     balancer: Balancer,
     load: Load,
-    due: BinaryHeap<Reverse<(u64, Due)>>,
-    next: u64,
-    tries: BTreeMap<RequestId, u32>,
-    told: Vec<(String, Verdict)>,
+    due: BinaryHeap<Reverse<(u64, DueEvent)>>,
+    next_request: u64,
+    attempts: BTreeMap<RequestId, u32>,
+    verdicts: Vec<(String, Verdict)>,
     /// Time spent here.
     pub spent: Duration,
 }
 
-fn name(backend: BackendId) -> String {
+fn backend_name(backend: BackendId) -> String {
     format!("b{}", backend.0)
 }
 
-impl Balance {
-    pub fn new(load: Load, position: u32, proxies: u32, seed: u64, now: Time) -> Balance {
+impl BalancerDriver {
+    pub fn new(load: Load, position: u32, proxies: u32, seed: u64, now: Time) -> BalancerDriver {
         let config = Config {
             proxy_count: proxies,
             proxy_index: position,
             max_attempts: 4,
             ..Config::example()
         };
-        let mut balance = Balance {
+        let mut balance = BalancerDriver {
             balancer: Balancer::new(config, seed ^ u64::from(position))
                 .expect("a sound configuration"),
             load,
             due: BinaryHeap::new(),
-            next: 0,
-            tries: BTreeMap::new(),
-            told: Vec::new(),
+            next_request: 0,
+            attempts: BTreeMap::new(),
+            verdicts: Vec::new(),
             spent: Duration::ZERO,
         };
-        let one = |id: u32| Backend {
+        let backend = |id: u32| Backend {
             id: BackendId(id),
             address_hash: u64::from(id.wrapping_mul(2_654_435_761)) >> 4,
             state: BackendState::Ready,
             ..Backend::default()
         };
-        let backends = (0..load.backends).map(one).collect();
-        balance.event(
+        let backends = (0..load.backends).map(backend).collect();
+        balance.handle(
             now,
             Event::EndpointsUpdated {
                 update: EndpointUpdate::Full,
                 backends,
             },
         );
-        let first = now.0 + balance.gap() * u64::from(position) / u64::from(proxies);
-        balance.due.push(Reverse((first, Due::Arrival)));
+        let first = now.0 + balance.arrival_interval() * u64::from(position) / u64::from(proxies);
+        balance.due.push(Reverse((first, DueEvent::Arrival)));
         balance
     }
 
-    fn gap(&self) -> u64 {
+    fn arrival_interval(&self) -> u64 {
         (1e6 / self.load.per_second) as u64
     }
 
-    pub fn due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.due.peek().map(|d| Time(d.0 .0))
     }
 
     /// Does all that is due; the verdicts that this proxy tells.
-    pub fn pass(&mut self, now: Time) -> Vec<(String, Verdict)> {
+    pub fn run_due(&mut self, now: Time) -> Vec<(String, Verdict)> {
         let begun = Instant::now();
         while self.due.peek().is_some_and(|d| d.0 .0 <= now.0) {
             let Some(Reverse((at, due))) = self.due.pop() else {
                 break;
             };
             let event = match due {
-                Due::Arrival => {
-                    self.due.push(Reverse((at + self.gap(), Due::Arrival)));
-                    self.arrival()
+                DueEvent::Arrival => {
+                    self.due
+                        .push(Reverse((at + self.arrival_interval(), DueEvent::Arrival)));
+                    self.next_arrival()
                 }
-                Due::Timer(token) => Event::TimerFired {
+                DueEvent::Timer(token) => Event::TimerFired {
                     token: TimerToken(token),
                 },
-                Due::End(request, attempt, backend, sent) => {
-                    self.end(request, attempt, backend, now.0 - sent)
+                DueEvent::End(request, attempt, backend, sent) => {
+                    self.finish_attempt(request, attempt, backend, now.0 - sent)
                 }
             };
-            self.event(now, event);
+            self.handle(now, event);
         }
         self.spent += begun.elapsed();
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.verdicts)
     }
 
-    pub fn heard(&mut self, backend: &str, heard: PeerVerdict, now: Time) {
+    pub fn receive_verdict(&mut self, backend: &str, received: PeerVerdict, now: Time) {
         let Some(id) = backend.strip_prefix('b').and_then(|n| n.parse().ok()) else {
             return;
         };
         let begun = Instant::now();
-        self.event(
+        self.handle(
             now,
             Event::VerdictReceived(PeerVerdict {
                 backend: BackendId(id),
-                ..heard
+                ..received
             }),
         );
         self.spent += begun.elapsed();
     }
 
-    fn arrival(&mut self) -> Event {
-        self.next += 1;
+    fn next_arrival(&mut self) -> Event {
+        self.next_request += 1;
         Event::RequestArrived(RequestArrival {
-            request: RequestId(self.next),
+            request: RequestId(self.next_request),
             class: ClassId(0),
             tenant: None,
             time_left: Micros(3_000_000),
@@ -133,49 +134,55 @@
         })
     }
 
-    fn end(&mut self, request: RequestId, attempt: u32, backend: u32, took: u64) -> Event {
-        let ok = backend >= self.load.dead;
-        if ok {
-            self.tries.remove(&request);
+    fn finish_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        backend: u32,
+        latency_us: u64,
+    ) -> Event {
+        let succeeded = backend >= self.load.dead;
+        if succeeded {
+            self.attempts.remove(&request);
         }
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt: AttemptNumber(attempt),
-            outcome: if ok {
+            outcome: if succeeded {
                 Outcome::Ok
             } else {
                 Outcome::ConnectFailed
             },
-            latency: Micros(took),
-            answered: ok,
+            latency: Micros(latency_us),
+            answered: succeeded,
         })
     }
 
-    fn event(&mut self, now: Time, event: Event) {
+    fn handle(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Dispatch { request, backend } => {
-                    let attempt = self.tries.entry(request).or_default();
-                    let takes = if backend.0 < self.load.dead {
-                        REFUSAL
+                    let attempt = self.attempts.entry(request).or_default();
+                    let duration = if backend.0 < self.load.dead {
+                        REFUSAL_US
                     } else {
-                        ANSWER
+                        ANSWER_US
                     };
-                    let end = Due::End(request, *attempt, backend.0, now.0);
-                    self.due.push(Reverse((now.0 + takes, end)));
+                    let end = DueEvent::End(request, *attempt, backend.0, now.0);
+                    self.due.push(Reverse((now.0 + duration, end)));
                     *attempt += 1;
                 }
                 Action::SetTimer { token, after } => {
                     self.due
-                        .push(Reverse((now.0 + after.0, Due::Timer(token.0))));
+                        .push(Reverse((now.0 + after.0, DueEvent::Timer(token.0))));
                 }
                 Action::PublishVerdict { backend, verdict } => {
-                    self.told.push((name(backend), verdict));
+                    self.verdicts.push((backend_name(backend), verdict));
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    self.tries.remove(&request);
+                    self.attempts.remove(&request);
                 }
                 _ => {}
             }
--- a/benches/scale/changes.rs
+++ b/benches/scale/changes.rs
@@ -1,33 +1,34 @@
 //! Operators change the configuration while things befall the fleet.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-use super::fleet::Changed;
-use super::hollow::mono_us;
-use super::phases::{Done, Play, RESTARTED, WORST};
+use super::fleet::AcceptedChange;
+use super::light_proxy::mono_us;
+use super::phases::{PhaseEvents, PhaseRunner, HEAVY_FAULTS, RESTART_TIME};
 use super::protocol::{Absence, Cut, Faults};
 use std::time::{Duration, Instant};
 
 /// Changes a second, at one real proxy's door after the other.
 const PER_SECOND: f64 = 5.0;
 /// The last change has so long to come into force everywhere.
-const LAST: Duration = Duration::from_secs(5);
+const LAST_CHANGE_TIME: Duration = Duration::from_secs(5);
 /// Real ones that clients ask meanwhile, and how often a second each.
-const ASKED: usize = 4;
-const ASKED_PER_SECOND: f64 = 10.0;
+const CLIENT_PROXIES: usize = 4;
+const CLIENT_REQUESTS_PER_SECOND: f64 = 10.0;
 /// Copies are to be equal so soon after a heal; it is watched for longer.
-const EQUAL: Duration = Duration::from_secs(5);
-const WATCHED: Duration = Duration::from_secs(30);
+const MAX_CONVERGENCE: Duration = Duration::from_secs(5);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-impl Play {
+impl PhaseRunner {
     /// Changes at the doors of real ones, with so many restarts of hollow ones beside.
     pub fn changes(&mut self, name: &str, faults: Faults, churn: f64) {
-        self.fleet.ask(ASKED, ASKED_PER_SECOND);
-        self.fleet.faults(faults);
+        self.fleet
+            .start_clients(CLIENT_PROXIES, CLIENT_REQUESTS_PER_SECOND);
+        self.fleet.set_faults(faults);
         let span = self.spans.changes;
-        self.watch(name, span + LAST, |play| {
+        self.measure(name, span + LAST_CHANGE_TIME, |play| {
             let rate = play.events_in(span, churn);
-            let mut done = Done::default();
-            play.changing(name, span, rate, &mut done);
+            let mut done = PhaseEvents::default();
+            play.make_changes(name, span, rate, &mut done);
             done
         });
         self.end_of_changes(name);
@@ -36,10 +37,11 @@
     /// A tenth of the datagrams lost and a rack gone at once.
     pub fn changes_without_rack(&mut self) {
         let name = "changes, 10% lost, rack gone";
-        let (who, span) = (self.neighbours(40), self.spans.changes);
-        self.fleet.ask(ASKED, ASKED_PER_SECOND);
-        self.fleet.faults(WORST);
-        self.watch(name, span + LAST, |play| {
+        let (who, span) = (self.neighbors(40), self.spans.changes);
+        self.fleet
+            .start_clients(CLIENT_PROXIES, CLIENT_REQUESTS_PER_SECOND);
+        self.fleet.set_faults(HEAVY_FAULTS);
+        self.measure(name, span + LAST_CHANGE_TIME, |play| {
             let from = mono_us();
             play.fleet.stop(&who, false);
             let absences = who
@@ -50,11 +52,11 @@
                     to: None,
                 })
                 .collect();
-            let mut done = Done {
+            let mut done = PhaseEvents {
                 absences,
-                ..Done::default()
+                ..PhaseEvents::default()
             };
-            play.changing(name, span, 0, &mut done);
+            play.make_changes(name, span, 0, &mut done);
             done.wrong = false; // here the distribution is asked for, as it is
             done
         });
@@ -63,39 +65,39 @@
     }
 
     fn end_of_changes(&mut self, name: &str) {
-        self.fleet.calm();
-        self.fleet.faults(Faults::default());
-        let versions = self.fleet.hollow_versions();
+        self.fleet.stop_clients();
+        self.fleet.set_faults(Faults::default());
+        let versions = self.fleet.light_versions();
         eprintln!(
             "{name}: versions at the end {versions:?}, at the doors {}",
-            self.fleet.version()
+            self.fleet.newest_version()
         );
         self.settle();
     }
 
     /// So many restarts among the changes of a span.
-    fn changing(&mut self, name: &str, span: Duration, restarts: u32, done: &mut Done) {
-        let (begun, mut from) = (Instant::now(), self.fleet.version());
+    fn make_changes(&mut self, name: &str, span: Duration, restarts: u32, done: &mut PhaseEvents) {
+        let (begun, mut from) = (Instant::now(), self.fleet.newest_version());
         let count = (span.as_secs_f64() * PER_SECOND) as u32;
         let mut returns = Vec::new();
         for n in 0..count {
             let at = begun + span.mul_f64(f64::from(n) / f64::from(count));
             self.back_until(at, &mut returns, &mut done.absences);
             if restarts > 0 && n % (count / restarts).max(1) == 0 {
-                let proxy = self.drawn(&done.absences);
+                let proxy = self.random_proxy(&done.absences);
                 done.absences.push(Absence {
                     proxy,
                     from: mono_us(),
                     to: None,
                 });
                 self.fleet.stop(&[proxy], true);
-                returns.push((Instant::now() + RESTARTED, done.absences.len() - 1));
+                returns.push((Instant::now() + RESTART_TIME, done.absences.len() - 1));
             }
             match self.fleet.change(n as usize, &mut from) {
-                Ok(changed) => done.take(changed),
+                Ok(changed) => done.record(changed),
                 Err(why) => {
                     eprintln!("{name}: change {n}: {why}");
-                    from = self.fleet.version();
+                    from = self.fleet.newest_version();
                 }
             }
         }
@@ -104,7 +106,7 @@
         let last = done
             .changes
             .iter()
-            .map(|c| c.answered.saturating_sub(c.asked) / 1000)
+            .map(|c| c.answered_us.saturating_sub(c.requested_us) / 1000)
             .max()
             .unwrap_or(0);
         done.outcome = Some(format!(
@@ -122,41 +124,47 @@
             return eprintln!("changes-region: no real proxy");
         };
         let inside = |number: u32| plan.region(number) == region;
-        let doors = |within: bool| {
+        let positions = |within: bool| {
             let all = self.fleet.real.iter().enumerate();
             all.filter(|(_, r)| inside(r.number) == within)
                 .map(|(n, _)| n)
                 .collect::<Vec<_>>()
         };
-        let (shut, open) = (doors(true), doors(false));
+        let (inside_proxies, outside_proxies) = (positions(true), positions(false));
         let begun = Instant::now();
-        let from = self.fleet.faults(Faults {
+        let from = self.fleet.set_faults(Faults {
             cut: Some(region),
             ..Faults::default()
         });
         let mut newest = 0;
-        self.watch("changes, region cut", self.spans.cut, |play| {
+        self.measure("changes, region cut", self.spans.cut, |play| {
             let cut = Some(Cut {
                 region,
                 from,
                 to: u64::MAX / 2,
             });
-            let mut done = Done {
+            let mut done = PhaseEvents {
                 cut,
-                ..Done::default()
+                ..PhaseEvents::default()
             };
             let (mut refused, mut taken, mut tries) = (0, 0, 0);
-            let (mut reason, mut base) = (String::new(), play.fleet.version());
+            let (mut reason, mut base) = (String::new(), play.fleet.newest_version());
             let mut last_taken = Duration::ZERO;
             let end = begun + play.spans.cut.saturating_sub(Duration::from_secs(2));
             while Instant::now() < end {
                 std::thread::sleep(Duration::from_millis(500));
-                match play.fleet.change(open[tries % open.len()], &mut base) {
-                    Ok(changed) => done.take(changed),
+                match play
+                    .fleet
+                    .change(outside_proxies[tries % outside_proxies.len()], &mut base)
+                {
+                    Ok(changed) => done.record(changed),
                     Err(why) => eprintln!("changes, region cut: outside: {why}"),
                 }
                 let mut from = base;
-                match play.fleet.change(shut[tries % shut.len()], &mut from) {
+                match play
+                    .fleet
+                    .change(inside_proxies[tries % inside_proxies.len()], &mut from)
+                {
                     Ok(_) => (taken, last_taken) = (taken + 1, begun.elapsed()),
                     Err(why) => {
                         refused += u32::from(why.starts_with("503"));
@@ -176,23 +184,23 @@
             done.wrong = taken > 0 || refused as usize != tries;
             done
         });
-        self.watch("changes, region healed", self.spans.back, |play| {
-            let (to, begun) = (play.fleet.faults(Faults::default()), Instant::now());
-            let mut done = Done {
+        self.measure("changes, region healed", self.spans.back, |play| {
+            let (to, begun) = (play.fleet.set_faults(Faults::default()), Instant::now());
+            let mut done = PhaseEvents {
                 cut: Some(Cut { region, from, to }),
-                ..Done::default()
+                ..PhaseEvents::default()
             };
             let equal = loop {
-                if play.fleet.reached(newest, |_| true) {
+                if play.fleet.all_reached(newest, |_| true) {
                     break Some(begun.elapsed());
                 }
-                if begun.elapsed() > WATCHED {
+                if begun.elapsed() > CONVERGENCE_TIMEOUT {
                     break None;
                 }
                 std::thread::sleep(Duration::from_millis(50));
             };
-            let wrong = play.fleet.contradictions();
-            done.wrong = !wrong.is_empty() || equal.is_none_or(|after| after > EQUAL);
+            let wrong = play.fleet.consistency_violations();
+            done.wrong = !wrong.is_empty() || equal.is_none_or(|after| after > MAX_CONVERGENCE);
             let equal = equal.map_or("not equal in 30 s".into(), |after| {
                 format!("equal after {:.1} s", after.as_secs_f64())
             });
@@ -206,9 +214,9 @@
     }
 }
 
-impl Done {
-    fn take(&mut self, changed: Changed) {
-        self.probes.push((changed.number, changed.asked));
+impl PhaseEvents {
+    fn record(&mut self, changed: AcceptedChange) {
+        self.probes.push((changed.number, changed.requested_us));
         self.changes.push(changed);
     }
 }
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -1,16 +1,16 @@
 //! The holder of the configuration is lost in the middle of a change: it must come into force everywhere or nowhere.
 
-use super::fleet::Changed;
-use super::hollow::mono_us;
-use super::phases::{Done, Play};
+use super::fleet::AcceptedChange;
+use super::light_proxy::mono_us;
+use super::phases::{PhaseEvents, PhaseRunner};
 use super::protocol::{Absence, Isolation};
-use super::real::{call, wait};
+use super::real::{format_call, wait_until};
 use super::rig::{lease_history::Token, Client};
 use std::time::Duration;
 
 /// What is wrong with the holder's datagrams while its change is under way.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PeerVerdict {
+pub enum HeardBy {
     /// Nobody hears it, and so nobody else has the change.
     Nobody,
     /// All hear it, and it hears nobody: the voters have the change, and it does not know so.
@@ -19,33 +19,33 @@
 
 /// What then befalls it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum HolderFailure {
     Killed,
     /// SIGSTOP past its lease.
     Stopped,
-    CutOff,
+    Partitioned,
 }
 
 /// No step takes as long: it only ends one that does not come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-impl Play {
-    pub fn without_holder(&mut self, heard: PeerVerdict, fate: Fate) {
+impl PhaseRunner {
+    pub fn holder_failure(&mut self, heard: HeardBy, failure: HolderFailure) {
         let name = format!(
             "holder {}, heard by {}",
-            words(fate),
-            if heard == PeerVerdict::All {
+            failure_name(failure),
+            if heard == HeardBy::All {
                 "all"
             } else {
                 "nobody"
             }
         );
-        self.watch(&name, Duration::ZERO, |play| {
-            let mut done = Done {
+        self.measure(&name, Duration::ZERO, |play| {
+            let mut done = PhaseEvents {
                 events: 1,
-                ..Done::default()
+                ..PhaseEvents::default()
             };
-            let outcome = play.lose_holder(heard, fate, &mut done);
+            let outcome = play.fail_holder(heard, failure, &mut done);
             done.wrong = outcome.is_err();
             done.outcome = Some(outcome.unwrap_or_else(|why| why));
             done
@@ -54,73 +54,78 @@
         self.settle();
     }
 
-    fn lose_holder(
+    fn fail_holder(
         &mut self,
-        heard: PeerVerdict,
-        fate: Fate,
-        done: &mut Done,
+        heard: HeardBy,
+        failure: HolderFailure,
+        done: &mut PhaseEvents,
     ) -> Result<String, String> {
         let (at, token) = self.fleet.holder(None).ok_or("nobody holds the duty")?;
-        let base = self.change_surely(at + 1)?.version;
-        self.reach(base, "a change before")?;
+        let base = self.change_until_accepted(at + 1)?.version;
+        self.wait_all_active(base, "a change before")?;
         let holder = self.fleet.real[at].number;
         self.fleet.isolate(match heard {
-            PeerVerdict::Nobody => Isolation {
-                mute: Some(holder),
-                deaf: None,
+            HeardBy::Nobody => Isolation {
+                outbound_blocked: Some(holder),
+                inbound_blocked: None,
             },
-            PeerVerdict::All => Isolation {
-                mute: None,
-                deaf: Some(holder),
+            HeardBy::All => Isolation {
+                outbound_blocked: None,
+                inbound_blocked: Some(holder),
             },
         });
-        let (number, line, body) = self.fleet.next_change(base);
+        let (number, line, body) = self.fleet.prepare_change(base);
         let from = mono_us();
         let mut caller =
             Client::connect(self.fleet.real[at].proxy.control_address.ok_or("no door")?);
-        caller.send(&call(&line, &body));
-        let begun = || self.fleet.real[at].json("/config")["proposed"].is_u64();
-        let begun = wait(Duration::from_secs(2), begun);
-        let kept =
-            heard == PeerVerdict::All && wait(Duration::from_secs(2), || self.kept(at, &line));
-        if !begun || (heard == PeerVerdict::All && !kept) {
+        caller.send(&format_call(&line, &body));
+        let proposed = || self.fleet.real[at].json("/config")["proposed"].is_u64();
+        let proposed = wait_until(Duration::from_secs(2), proposed);
+        let stored = heard == HeardBy::All
+            && wait_until(Duration::from_secs(2), || self.stored_by_voters(at, &line));
+        if !proposed || (heard == HeardBy::All && !stored) {
             return Err(format!(
-                "not in the middle of a change: proposed {begun}, kept by the voters {kept}"
+                "not in the middle of a change: proposed {proposed}, kept by the voters {stored}"
             ));
         }
-        self.befall(at, fate, &token)?;
+        self.inject_failure(at, failure, &token)?;
         done.absences.push(Absence {
             proxy: holder,
             from,
             to: None,
         });
         self.fleet.isolate(Isolation::default());
-        let after = self.change_surely(at + 1)?;
-        self.reach(after.version, "a change after")?;
+        let after = self.change_until_accepted(at + 1)?;
+        self.wait_all_active(after.version, "a change after")?;
         std::thread::sleep(Duration::from_secs(1)); // whatever is late
-        self.judge(number, from, &line, heard, fate)
+        self.check_all_or_nothing(number, from, &line, heard, failure)
     }
 
-    fn befall(&mut self, at: usize, fate: Fate, token: &Token) -> Result<(), String> {
+    fn inject_failure(
+        &mut self,
+        at: usize,
+        failure: HolderFailure,
+        token: &Token,
+    ) -> Result<(), String> {
         let holder = self.fleet.real[at].number;
-        match fate {
-            Fate::Killed => self.fleet.real[at].kill(),
-            Fate::Stopped => self.fleet.real[at].proxy.suspend(),
-            Fate::CutOff => {}
+        match failure {
+            HolderFailure::Killed => self.fleet.real[at].kill(),
+            HolderFailure::Stopped => self.fleet.real[at].proxy.suspend(),
+            HolderFailure::Partitioned => {}
         }
         // What is on its way stays there.
         self.fleet.isolate(Isolation {
-            mute: Some(holder),
-            deaf: Some(holder),
+            outbound_blocked: Some(holder),
+            inbound_blocked: Some(holder),
         });
-        let other = wait(PATIENCE, || self.fleet.holder(Some(token)).is_some());
-        match fate {
-            Fate::Killed => {
-                let recipe = &self.fleet.recipe;
-                self.fleet.real[at].restart(recipe);
+        let other = wait_until(STEP_TIMEOUT, || self.fleet.holder(Some(token)).is_some());
+        match failure {
+            HolderFailure::Killed => {
+                let launch = &self.fleet.launch;
+                self.fleet.real[at].restart(launch);
             }
-            Fate::Stopped => self.fleet.real[at].proxy.resume(),
-            Fate::CutOff => {}
+            HolderFailure::Stopped => self.fleet.real[at].proxy.resume(),
+            HolderFailure::Partitioned => {}
         }
         other
             .then_some(())
@@ -128,13 +133,13 @@
     }
 
     /// Whether all other voters keep the change, or have it in force already.
-    fn kept(&self, holder: usize, line: &str) -> bool {
+    fn stored_by_voters(&self, holder: usize, line: &str) -> bool {
         let others = self
             .fleet
             .real
             .iter()
             .enumerate()
-            .filter(|(n, r)| *n != holder && r.votes);
+            .filter(|(n, r)| *n != holder && r.is_voter);
         others.into_iter().all(|(_, r)| {
             let get = line.replace("PUT", "GET");
             !r.json("/config")["keeps"].is_null()
@@ -143,10 +148,10 @@
     }
 
     /// A change at a door that is taken in the end.
-    fn change_surely(&mut self, at: usize) -> Result<Changed, String> {
+    fn change_until_accepted(&mut self, at: usize) -> Result<AcceptedChange, String> {
         let (mut last, mut taken) = (String::new(), None);
-        wait(PATIENCE, || {
-            let mut base = self.fleet.version();
+        wait_until(STEP_TIMEOUT, || {
+            let mut base = self.fleet.newest_version();
             match self.fleet.change(at, &mut base) {
                 Ok(changed) => taken = Some(changed),
                 Err(why) => last = why,
@@ -156,27 +161,27 @@
         taken.ok_or(format!("no change was taken: {last}"))
     }
 
-    fn reach(&mut self, version: u64, what: &str) -> Result<(), String> {
-        let reached = wait(PATIENCE, || self.fleet.reached(version, |_| true));
+    fn wait_all_active(&mut self, version: u64, what: &str) -> Result<(), String> {
+        let all_reached = wait_until(STEP_TIMEOUT, || self.fleet.all_reached(version, |_| true));
         let all: Vec<u64> = self
             .fleet
             .real
             .iter()
-            .map(super::real::RealProxy::in_force)
+            .map(super::real::RealProxy::active_version)
             .collect();
-        reached
+        all_reached
             .then_some(())
             .ok_or_else(|| format!("{what}: {version} is not in force everywhere: {all:?}"))
     }
 
     /// Everywhere or nowhere, and no two states of one version.
-    fn judge(
+    fn check_all_or_nothing(
         &mut self,
         number: u32,
         from: u64,
         line: &str,
-        heard: PeerVerdict,
-        fate: Fate,
+        heard: HeardBy,
+        failure: HolderFailure,
     ) -> Result<String, String> {
         let get = line.replace("PUT", "GET");
         let has = |status| {
@@ -188,35 +193,35 @@
             at.count()
         };
         let (real_with, real_without) = (has(200), has(404));
-        let hollow = self.fleet.learned(from, &[], &[(number, from)], None);
-        let hollow_with: u32 = hollow.heard.iter().map(|(_, n)| n).sum();
-        let hollow_without = hollow.heard_missing;
-        let wrong = self.fleet.contradictions();
+        let observed = self.fleet.observations(from, &[], &[(number, from)], None);
+        let light_with: u32 = observed.heard.iter().map(|(_, n)| n).sum();
+        let light_without = observed.heard_missing;
+        let wrong = self.fleet.consistency_violations();
         wrong.iter().for_each(|wrong| eprintln!("holder: {wrong}"));
-        let told = format!(
-            "in force at {real_with} real and {hollow_with} hollow ones, not at {real_without} and \
-             {hollow_without}; contradictions: {}",
+        let summary = format!(
+            "in force at {real_with} real and {light_with} hollow ones, not at {real_without} and \
+             {light_without}; contradictions: {}",
             wrong.len()
         );
-        let everywhere = real_with == self.fleet.real.len() && hollow_without == 0;
-        let nowhere = real_without == self.fleet.real.len() && hollow_with == 0;
-        let due = match (heard, fate) {
-            (PeerVerdict::All, _) => everywhere, // a majority of the voters kept it
-            (PeerVerdict::Nobody, Fate::Killed) => nowhere,
-            (PeerVerdict::Nobody, _) => everywhere || nowhere,
+        let everywhere = real_with == self.fleet.real.len() && light_without == 0;
+        let nowhere = real_without == self.fleet.real.len() && light_with == 0;
+        let expected = match (heard, failure) {
+            (HeardBy::All, _) => everywhere, // a majority of the voters kept it
+            (HeardBy::Nobody, HolderFailure::Killed) => nowhere,
+            (HeardBy::Nobody, _) => everywhere || nowhere,
         };
-        if due && wrong.is_empty() {
-            Ok(told)
+        if expected && wrong.is_empty() {
+            Ok(summary)
         } else {
-            Err(told)
+            Err(summary)
         }
     }
 }
 
-fn words(fate: Fate) -> &'static str {
-    match fate {
-        Fate::Killed => "killed",
-        Fate::Stopped => "stopped",
-        Fate::CutOff => "cut off",
+fn failure_name(failure: HolderFailure) -> &'static str {
+    match failure {
+        HolderFailure::Killed => "killed",
+        HolderFailure::Stopped => "stopped",
+        HolderFailure::Partitioned => "cut off",
     }
 }
--- a/benches/scale/quiet.rs
+++ b/benches/scale/idle_discovery.rs
@@ -6,35 +6,36 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The version of the list that proxies start with.
-const INDEX: u64 = 4;
+const LIST_VERSION: u64 = 4;
 
 /// A call's answer: when it is due, the version that was asked about, and where it goes.
-type Waiting = (Instant, u64, mpsc::Sender<(u16, String)>);
+type PendingAnswer = (Instant, u64, mpsc::Sender<(u16, String)>);
 
 /// Ends when it is dropped.
-pub struct Quiet(Arc<AtomicBool>);
+pub struct IdleDiscovery(Arc<AtomicBool>);
 
-impl Drop for Quiet {
+impl Drop for IdleDiscovery {
     fn drop(&mut self) {
         self.0.store(true, Relaxed);
     }
 }
 
-impl Quiet {
-    pub fn start(server: DiscoveryServer, known: Arc<Vec<String>>) -> Quiet {
+impl IdleDiscovery {
+    pub fn start(server: DiscoveryServer, endpoints: Arc<Vec<String>>) -> IdleDiscovery {
         let ended = Arc::new(AtomicBool::new(false));
         let end = ended.clone();
         std::thread::spawn(move || {
-            let mut waiting: Vec<Waiting> = Vec::new();
+            let mut waiting: Vec<PendingAnswer> = Vec::new();
             while !end.load(Relaxed) {
                 while let Some((target, answer)) = server.pending_call() {
-                    match parameter(&target, "after") {
-                        None => drop(answer.send((200, list(INDEX, true, &known)))),
+                    match query_parameter(&target, "after") {
+                        None => drop(answer.send((200, list(LIST_VERSION, true, &endpoints)))),
                         Some(after) => {
-                            let wait =
-                                Duration::from_millis(parameter(&target, "wait_ms").unwrap_or(0));
+                            let wait = Duration::from_millis(
+                                query_parameter(&target, "wait_ms").unwrap_or(0),
+                            );
                             waiting.push((Instant::now() + wait, after, answer));
                         }
                     }
@@ -43,15 +44,15 @@
                 for (_, after, answer) in waiting.extract_if(.., |(due, ..)| *due <= now) {
                     let _ = answer.send((200, list(after, false, &[]))); // who asked may be gone
                 }
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
-        Quiet(ended)
+        IdleDiscovery(ended)
     }
 }
 
 /// A number in a call's target.
-fn parameter(target: &str, name: &str) -> Option<u64> {
+fn query_parameter(target: &str, name: &str) -> Option<u64> {
     let query = target.split(' ').nth(1)?.split_once('?')?.1;
     query
         .split('&')
--- a/benches/scale/hollow.rs
+++ b/benches/scale/light_proxy.rs
@@ -1,9 +1,9 @@
 //! A hollow proxy: the library's membership, and the module where there is load, on a UDP socket of its own; no HTTP.
 
-use super::balance::Balance;
-use super::hollow_replica::{HollowReplica, Mail};
+use super::balancer_driver::BalancerDriver;
+use super::light_replica::{LightReplica, Mail};
 use super::plan::Plan;
-use super::protocol::{Conditions, Load, LATE_US};
+use super::protocol::{Conditions, Load, MAX_DELAY_US};
 use meadowproxy::fleet::membership::wire::{self, DatagramError, DatagramSealer};
 use meadowproxy::fleet::membership::{
     ClockReading, Counters, Membership, MembershipConfig, MembershipEvent, Output,
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// Membership news kept of each proxy.
-const MOST_NEWS: usize = 100_000;
+const MAX_OBSERVATIONS: usize = 100_000;
 
 /// The machine's monotonic clock, which all processes share, in microseconds.
 pub fn mono_us() -> u64 {
@@ -44,22 +44,22 @@
     Up,
     Down,
     Replaced,
-    /// A probe of that number, see [`probe`].
-    PeerVerdict,
-    /// A change of that number, see [`change`].
-    ActiveSettings,
+    /// A probe of that number, see [`probe_name`].
+    ProbeReceived,
+    /// A change of that number, see [`change_name`].
+    SettingsApplied,
 }
 
 /// When, of whom, and what.
-pub type PeerVerdict = (u64, u32, Change);
+pub type Observation = (u64, u32, Change);
 
 /// The name of a backend that is none: a verdict on it only shows how it spreads.
-pub fn probe(number: u32) -> String {
+pub fn probe_name(number: u32) -> String {
     format!("probe-{number}")
 }
 
 /// The name of an entry that only shows how its change spreads.
-pub fn change(number: u32) -> String {
+pub fn change_name(number: u32) -> String {
     format!("change-{number}")
 }
 
@@ -71,20 +71,20 @@
     pub rejoined: Cell<u64>,
     pub balancer: Cell<Duration>,
     /// Of proxies that are gone.
-    pub past: RefCell<Counters>,
-    pub news: RefCell<Vec<PeerVerdict>>,
+    pub previous: RefCell<Counters>,
+    pub observations: RefCell<Vec<Observation>>,
 }
 
-pub struct Hollow {
+pub struct LightProxy {
     number: u32,
     plan: Plan,
     socket: UdpSocket,
-    /// The same socket's sending side.
-    sending: Rc<std::net::UdpSocket>,
-    seal: DatagramSealer,
+    /// The same socket's send_socket side.
+    send_socket: Rc<std::net::UdpSocket>,
+    sealer: DatagramSealer,
     membership: RefCell<Membership>,
-    balance: RefCell<Option<Balance>>,
-    replica: RefCell<Option<HollowReplica>>,
+    balance: RefCell<Option<BalancerDriver>>,
+    replica: RefCell<Option<LightReplica>>,
     conditions: Rc<Cell<Conditions>>,
     random: RefCell<Pcg32>,
     pub tally: Rc<Tally>,
@@ -93,29 +93,29 @@
     stopped: Cell<bool>,
 }
 
-impl Hollow {
+impl LightProxy {
     /// Takes its socket and works until it is stopped.
     pub fn start(
         plan: Plan,
         number: u32,
-        rules: MembershipConfig,
+        config: MembershipConfig,
         voters: Vec<SocketAddr>,
         conditions: Rc<Cell<Conditions>>,
         tally: Rc<Tally>,
-    ) -> io::Result<Rc<Hollow>> {
+    ) -> io::Result<Rc<LightProxy>> {
         let address = plan.address(number);
         let socket = std::net::UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let seed = plan.seed ^ (u64::from(number) << 32);
-        let hollow = Rc::new(Hollow {
+        let light_proxy = Rc::new(LightProxy {
             number,
             plan,
             socket: UdpSocket::from_std(socket.try_clone()?)?,
-            sending: Rc::new(socket),
-            seal: DatagramSealer::new(rules.cluster, address),
-            membership: RefCell::new(Membership::new(rules, address, seed, true, now())),
+            send_socket: Rc::new(socket),
+            sealer: DatagramSealer::new(config.cluster, address),
+            membership: RefCell::new(Membership::new(config, address, seed, true, now())),
             balance: RefCell::default(),
-            replica: RefCell::new(HollowReplica::new(
+            replica: RefCell::new(LightReplica::new(
                 voters,
                 address,
                 seed ^ now().wall_us,
@@ -127,15 +127,19 @@
             wake: Notify::new(),
             stopped: Cell::new(false),
         });
-        tokio::task::spawn_local(hollow.clone().run());
-        Ok(hollow)
+        tokio::task::spawn_local(light_proxy.clone().run());
+        Ok(light_proxy)
     }
 
     async fn run(self: Rc<Self>) {
         let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         while !self.stopped.get() {
-            let balance = self.balance.borrow().as_ref().and_then(Balance::due);
-            let replica = self.replica.borrow().as_ref().map(HollowReplica::due);
+            let balance = self
+                .balance
+                .borrow()
+                .as_ref()
+                .and_then(BalancerDriver::next_due);
+            let replica = self.replica.borrow().as_ref().map(LightReplica::next_due);
             let due = balance
                 .into_iter()
                 .chain(replica)
@@ -143,13 +147,13 @@
             let wait = Duration::from_micros((due - Time(mono_us())).0);
             tokio::select! {
                 got = self.socket.recv_from(&mut buffer) => if let Ok((length, from)) = got {
-                    if self.hears(from) {
-                        self.turn(|m, now, out| m.handle_datagram(&buffer[..length], now, out));
+                    if self.receives_from(from) {
+                        self.step(|m, now, out| m.handle_datagram(&buffer[..length], now, out));
                     }
                 },
                 () = tokio::time::sleep_until(Instant::now() + wait) => {
-                    self.turn(Membership::run_timers);
-                    self.serve();
+                    self.step(Membership::run_timers);
+                    self.run_balancer();
                     self.step_replica(|replica, now| replica.tick(now, &self.membership.borrow()));
                 }
                 () = self.wake.notified() => {}
@@ -160,26 +164,26 @@
     /// The others find out, or are told.
     pub fn stop(&self, leave: bool) {
         if leave {
-            self.turn(Membership::leave);
+            self.step(Membership::leave);
         }
-        let (mut past, counts) = (
-            self.tally.past.borrow_mut(),
+        let (mut previous, counts) = (
+            self.tally.previous.borrow_mut(),
             self.membership.borrow().counters(),
         );
-        past.received += counts.received;
-        past.verdicts_sent += counts.verdicts_sent;
-        past.verdicts_received += counts.verdicts_received;
+        previous.received += counts.received;
+        previous.verdicts_sent += counts.verdicts_sent;
+        previous.verdicts_received += counts.verdicts_received;
         counts
             .rejected
             .into_iter()
-            .for_each(|(cause, n)| *past.rejected.entry(cause).or_default() += n);
+            .for_each(|(cause, n)| *previous.rejected.entry(cause).or_default() += n);
         self.stopped.set(true);
         self.wake.notify_one();
     }
 
-    pub fn load(&self, load: Option<Load>) {
+    pub fn set_load(&self, load: Option<Load>) {
         let new = |load| {
-            Balance::new(
+            BalancerDriver::new(
                 load,
                 self.number,
                 self.plan.size,
@@ -191,8 +195,8 @@
         self.wake.notify_one();
     }
 
-    pub fn tell(&self, backend: String, verdict: Verdict) {
-        self.turn(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
+    pub fn broadcast_verdict(&self, backend: String, verdict: Verdict) {
+        self.step(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
     }
 
     /// The version of its copy of the configuration, 0 without one.
@@ -200,11 +204,11 @@
         self.replica
             .borrow()
             .as_ref()
-            .map_or(0, HollowReplica::version)
+            .map_or(0, LightReplica::version)
     }
 
     /// Live members that it knows, facts that wait, and its counts.
-    pub fn seen(&self) -> (u32, u64, Counters) {
+    pub fn status(&self) -> (u32, u64, Counters) {
         let m = self.membership.borrow();
         (
             m.member_count() as u32,
@@ -213,21 +217,22 @@
         )
     }
 
-    fn serve(&self) {
+    fn run_balancer(&self) {
         let mut spent = Duration::ZERO;
-        let told = self.balance.borrow_mut().as_mut().map(|balance| {
-            let told = balance.pass(Time(mono_us()));
+        let verdicts = self.balance.borrow_mut().as_mut().map(|balance| {
+            let verdicts = balance.run_due(Time(mono_us()));
             spent = std::mem::take(&mut balance.spent);
-            told
+            verdicts
         });
         self.tally.balancer.set(self.tally.balancer.get() + spent);
-        told.into_iter()
+        verdicts
+            .into_iter()
             .flatten()
-            .for_each(|(backend, verdict)| self.tell(backend, verdict));
+            .for_each(|(backend, verdict)| self.broadcast_verdict(backend, verdict));
     }
 
     /// One turn of the copy of the configuration, and what comes of it; whether there is one.
-    fn step_replica(&self, step: impl FnOnce(&mut HollowReplica, ClockReading) -> Mail) -> bool {
+    fn step_replica(&self, step: impl FnOnce(&mut LightReplica, ClockReading) -> Mail) -> bool {
         let done = self
             .replica
             .borrow_mut()
@@ -241,42 +246,42 @@
         let numbers = names
             .iter()
             .filter_map(|name| name.strip_prefix("change-")?.parse().ok());
-        numbers.for_each(|number| self.keep(number, Change::ActiveSettings));
+        numbers.for_each(|number| self.record(number, Change::SettingsApplied));
         true
     }
 
-    fn turn(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
+    fn step(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let mut out = Vec::new();
         step(&mut self.membership.borrow_mut(), now(), &mut out);
         for output in out {
             match output {
                 Output::Send { to, body } => self.send(to, body),
-                Output::Event(news) => self.news(news),
+                Output::Event(event) => self.handle_event(event),
             }
         }
     }
 
-    fn news(&self, news: MembershipEvent) {
-        match news {
-            MembershipEvent::MemberUp { peer, .. } => self.change(peer, Change::Up),
-            MembershipEvent::MemberDown { peer, .. } => self.change(peer, Change::Down),
-            MembershipEvent::MemberReplaced { peer } => self.change(peer, Change::Replaced),
+    fn handle_event(&self, event: MembershipEvent) {
+        match event {
+            MembershipEvent::MemberUp { peer, .. } => self.observe(peer, Change::Up),
+            MembershipEvent::MemberDown { peer, .. } => self.observe(peer, Change::Down),
+            MembershipEvent::MemberReplaced { peer } => self.observe(peer, Change::Replaced),
             MembershipEvent::Rejoined { .. } => {
                 self.tally.rejoined.set(self.tally.rejoined.get() + 1);
             }
             MembershipEvent::VerdictReceived {
                 backend,
-                verdict: heard,
+                verdict: received,
             } => {
                 if let Some(number) = backend.strip_prefix("probe-").and_then(|n| n.parse().ok()) {
-                    self.keep(number, Change::PeerVerdict);
+                    self.record(number, Change::ProbeReceived);
                 } else if let Some(balance) = self.balance.borrow_mut().as_mut() {
-                    balance.heard(&backend, heard, Time(mono_us()));
+                    balance.receive_verdict(&backend, received, Time(mono_us()));
                 }
             }
             MembershipEvent::CoordinationMessage { from, bytes } => {
                 if !self.step_replica(|replica, now| replica.handle(from, &bytes, now)) {
-                    self.turn(|m, now, out| m.reject_datagram(DatagramError::Unhandled, now, out));
+                    self.step(|m, now, out| m.reject_datagram(DatagramError::Unhandled, now, out));
                 }
             }
             // It learned nothing that a snapshot could hold, and logs nothing.
@@ -288,34 +293,35 @@
         }
     }
 
-    fn change(&self, peer: SocketAddr, change: Change) {
+    fn observe(&self, peer: SocketAddr, change: Change) {
         self.plan
             .proxy(peer)
             .into_iter()
-            .for_each(|peer| self.keep(peer, change));
+            .for_each(|peer| self.record(peer, change));
     }
 
-    fn keep(&self, number: u32, change: Change) {
-        let mut news = self.tally.news.borrow_mut();
-        if news.len() < MOST_NEWS {
-            news.push((mono_us(), number, change));
+    fn record(&self, number: u32, change: Change) {
+        let mut observations = self.tally.observations.borrow_mut();
+        if observations.len() < MAX_OBSERVATIONS {
+            observations.push((mono_us(), number, change));
         }
     }
 
     /// Whether a datagram from there arrives. One of a real proxy, whose socket has another port, is lost here, as it has no
-    /// sending side of ours; those of hollow ones are lost where they are sent.
-    fn hears(&self, from: SocketAddr) -> bool {
+    /// send_socket side of ours; those of hollow ones are lost where they are sent.
+    fn receives_from(&self, from: SocketAddr) -> bool {
         let conditions = self.conditions.get();
         let passes = self
             .plan
             .proxy(from)
             .is_none_or(|from| conditions.passes(&self.plan, from, self.number));
-        passes && (from.port() == self.plan.port || self.drawn() >= conditions.faults.lost)
+        passes
+            && (from.port() == self.plan.port || self.random_fraction() >= conditions.faults.lost)
     }
 
     /// Seals and sends, as far as the faults let it.
     fn send(&self, to: SocketAddr, body: wire::Body) {
-        let Ok(bytes) = self.seal.seal(body, now().wall_us) else {
+        let Ok(bytes) = self.sealer.seal(body, now().wall_us) else {
             return;
         };
         self.tally.sent.set(self.tally.sent.get() + 1);
@@ -328,17 +334,21 @@
             .plan
             .proxy(to)
             .is_none_or(|to| conditions.passes(&self.plan, self.number, to));
-        if !passes || self.drawn() < faults.lost {
+        if !passes || self.random_fraction() < faults.lost {
             return;
         }
-        let copies = if self.drawn() < faults.doubled { 2 } else { 1 };
+        let copies = if self.random_fraction() < faults.duplicated {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            if self.drawn() >= faults.late {
-                let _ = self.sending.send_to(&bytes, to); // as in service: UDP is not sure to arrive
+            if self.random_fraction() >= faults.delayed {
+                let _ = self.send_socket.send_to(&bytes, to); // as in service: UDP is not sure to arrive
                 continue;
             }
-            let late = Duration::from_micros((self.drawn() * LATE_US as f64) as u64);
-            let (socket, bytes) = (self.sending.clone(), bytes.clone());
+            let late = Duration::from_micros((self.random_fraction() * MAX_DELAY_US as f64) as u64);
+            let (socket, bytes) = (self.send_socket.clone(), bytes.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(late).await;
                 let _ = socket.send_to(&bytes, to);
@@ -347,7 +357,7 @@
     }
 
     /// From 0 to below 1.
-    fn drawn(&self) -> f64 {
+    fn random_fraction(&self) -> f64 {
         f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 }
--- a/benches/scale/hollow_replica.rs
+++ b/benches/scale/light_replica.rs
@@ -19,7 +19,7 @@
 const TERM: Micros = Micros(3_000_000);
 const DRIFT: f64 = 0.01;
 
-pub struct HollowReplica {
+pub struct LightReplica {
     replica: Replica,
     relay: Relay,
     leader: Option<SocketAddr>,
@@ -31,18 +31,18 @@
 /// Messages that go out, sealed as duties'.
 pub type Mail = Vec<(SocketAddr, Vec<u8>)>;
 
-impl HollowReplica {
+impl LightReplica {
     /// A replica with an empty table; `None` for an invalid number of voters.
     pub fn new(
         voters: Vec<SocketAddr>,
         own: SocketAddr,
         seed: u64,
         now: Time,
-    ) -> Option<HollowReplica> {
+    ) -> Option<LightReplica> {
         let lease = lease::Rules::new(voters.len(), TERM, DRIFT).ok()?;
         let replica = Replica::new(Rules { lease, voters, own }, seed, now);
         let relay = Relay::new(own, seed, MAX_AGE);
-        Some(HollowReplica {
+        Some(LightReplica {
             replica,
             relay,
             leader: None,
@@ -52,7 +52,7 @@
         })
     }
 
-    pub fn due(&self) -> Time {
+    pub fn next_due(&self) -> Time {
         self.tick_due
     }
 
@@ -74,7 +74,9 @@
     /// Handles another proxy's message; sends nothing where it is not about the configuration, or rejected.
     pub fn handle(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Mail {
         match message::decode(bytes) {
-            Ok(DutyMessage::Broadcast(header, said)) => self.pass_on(&header, &said, now),
+            Ok(DutyMessage::Broadcast(header, announcement)) => {
+                self.forward_broadcast(&header, &announcement, now)
+            }
             Ok(DutyMessage::Config(message)) => self.step(now, |replica, context, out| {
                 let _ = replica.handle(now.monotonic, context, from, message, out);
                 // rejected: it changed nothing
@@ -84,22 +86,26 @@
     }
 
     /// Handles a broadcast and passes it on, unless it is rejected.
-    fn pass_on(
+    fn forward_broadcast(
         &mut self,
         header: &BroadcastHeader,
-        said: &Announcement,
+        announcement: &Announcement,
         now: ClockReading,
     ) -> Mail {
         if self.relay.accept(header, now.wall_us).is_err() {
             return Mail::new();
         }
-        if said.held.iter().any(|held| held.duty == Duty::Config) {
+        if announcement
+            .held
+            .iter()
+            .any(|held| held.duty == Duty::Config)
+        {
             self.leader = Some(header.origin);
         }
         let next = self.relay.forward(header, &self.members);
         next.into_iter()
             .map(|forward| {
-                let message = DutyMessage::Broadcast(forward.header, said.clone());
+                let message = DutyMessage::Broadcast(forward.header, announcement.clone());
                 (forward.to, message::encode(&message))
             })
             .collect()
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -7,22 +7,22 @@
 //! runs wrote. With `--full` the real ones have the plan's whole file. A phase that fails ends the run; the rows before it are kept.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
-mod balance;
+mod activation;
+mod balancer_driver;
 mod changes;
-mod clockwork;
-mod figures;
 mod fleet;
 #[path = "../common/generated.rs"]
 mod generated;
 mod holder;
-mod hollow;
-mod hollow_replica;
-mod in_force;
-mod learned;
+mod light_proxy;
+mod light_replica;
 /// The codec of what is said about duties is the program's.
 #[allow(dead_code)] // the program uses more of it
 #[path = "../../src/net/cluster/coordination/message.rs"]
 mod message;
+mod observations;
+mod report;
+mod simulation;
 /// What that takes from the program is the library's there as well.
 mod net {
     pub mod cluster {
@@ -31,10 +31,10 @@
         }
     }
 }
+mod idle_discovery;
 mod phases;
 mod plan;
 mod protocol;
-mod quiet;
 mod real;
 mod relay;
 #[path = "../../tests/rig/mod.rs"]
@@ -42,100 +42,102 @@
 mod rows;
 mod worker;
 
-use figures::Row;
-use fleet::{Fleet, Shape};
-use phases::{Play, Spans};
+use fleet::{Fleet, FleetOptions};
+use phases::{PhaseRunner, Spans};
+use report::Row;
 use std::io::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::{Duration, Instant};
 
 /// The argument by which this executable is a worker of another run.
-pub const HIDDEN: &str = "--hollow";
+pub const WORKER_ARG: &str = "--hollow";
 /// The plan's size.
-const PLAN: u32 = 1800;
+const TARGET_SIZE: u32 = 1800;
 /// Processes of a run at most.
-const MOST_PROCESSES: u32 = 200;
+const MAX_PROCESSES: u32 = 200;
 /// Memory that is reckoned with, in kB: of a hollow proxy beside each other one, of a process, of a real proxy.
-const HOLLOW_KB: u64 = 900;
+const LIGHT_PROXY_KB: u64 = 900;
 const PROCESS_KB: u64 = 8_000;
 const REAL_KB: u64 = 40_000;
 const FULL_KB: u64 = 90_000;
 
-struct Asked {
+struct Options {
     sizes: Vec<u32>,
     phases: Vec<String>,
     seed: u64,
     real: u32,
     full: bool,
-    each: u32,
-    cut: u64,
+    proxies_per_worker: u32,
+    partition_s: u64,
     /// Hollow proxies of each worker that start at a time, twice a second, and seconds until all are to know all.
     wave: u32,
-    patience: u64,
+    join_timeout_s: u64,
     /// Seconds after which the run ends whatever it does.
-    deadline: u64,
+    deadline_s: u64,
     json: Option<String>,
     /// Without sockets, on a clock of our own.
     clockwork: bool,
 }
 
-fn asked(args: &[String]) -> Result<Asked, String> {
-    let mut asked = Asked {
+fn parse_options(args: &[String]) -> Result<Options, String> {
+    let mut options = Options {
         sizes: Vec::new(),
         phases: phases::ALL.map(String::from).to_vec(),
         seed: 1,
         real: 5,
         full: false,
-        each: 60,
-        cut: 60,
+        proxies_per_worker: 60,
+        partition_s: 60,
         wave: 4,
-        patience: 30,
-        deadline: 3600,
+        join_timeout_s: 30,
+        deadline_s: 3600,
         json: None,
         clockwork: false,
     };
     let mut rest = args.iter();
     while let Some(arg) = rest.next() {
         if let Ok(size) = arg.parse() {
-            asked.sizes.push(size);
+            options.sizes.push(size);
             continue;
         }
         let mut value = || rest.next().ok_or(format!("{arg}: a value is missing"));
         let number = |text: &String| text.parse::<u32>().map_err(|e| format!("{arg}: {e}"));
         match arg.as_str() {
             "--bench" => {} // cargo's own
-            "--phases" => asked.phases = value()?.split(',').map(String::from).collect(),
-            "--seed" => asked.seed = u64::from(number(value()?)?),
-            "--real" => asked.real = number(value()?)?,
-            "--full" => asked.full = true,
-            "--deadline" => asked.deadline = u64::from(number(value()?)?),
-            "--each" => asked.each = number(value()?)?.max(1),
-            "--cut" => asked.cut = u64::from(number(value()?)?),
-            "--wave" => asked.wave = number(value()?)?.max(1),
-            "--patience" => asked.patience = u64::from(number(value()?)?),
-            "--clockwork" => asked.clockwork = true,
-            "--json" => asked.json = Some(value()?.clone()),
+            "--phases" => options.phases = value()?.split(',').map(String::from).collect(),
+            "--seed" => options.seed = u64::from(number(value()?)?),
+            "--real" => options.real = number(value()?)?,
+            "--full" => options.full = true,
+            "--deadline" => options.deadline_s = u64::from(number(value()?)?),
+            "--each" => options.proxies_per_worker = number(value()?)?.max(1),
+            "--cut" => options.partition_s = u64::from(number(value()?)?),
+            "--wave" => options.wave = number(value()?)?.max(1),
+            "--patience" => options.join_timeout_s = u64::from(number(value()?)?),
+            "--clockwork" => options.clockwork = true,
+            "--json" => options.json = Some(value()?.clone()),
             other => return Err(format!("{other}: not known")),
         }
     }
-    if asked.sizes.is_empty() {
-        asked.sizes = vec![30, 100, 300, 900, PLAN];
+    if options.sizes.is_empty() {
+        options.sizes = vec![30, 100, 300, 900, TARGET_SIZE];
     }
-    Ok(asked)
+    Ok(options)
 }
 
 /// Whether a run of that size is within what may be taken of the machine.
-fn fits(size: u32, asked: &Asked) -> Result<(), String> {
-    let workers = size.saturating_sub(asked.real).div_ceil(asked.each);
-    let processes = workers + asked.real + 1;
-    if processes > MOST_PROCESSES {
-        return Err(format!("{processes} processes, over {MOST_PROCESSES}"));
+fn check_resources(size: u32, options: &Options) -> Result<(), String> {
+    let workers = size
+        .saturating_sub(options.real)
+        .div_ceil(options.proxies_per_worker);
+    let processes = workers + options.real + 1;
+    if processes > MAX_PROCESSES {
+        return Err(format!("{processes} processes, over {MAX_PROCESSES}"));
     }
-    let hollow = u64::from(size) * HOLLOW_KB;
-    let needed = hollow
+    let light = u64::from(size) * LIGHT_PROXY_KB;
+    let needed = light
         + u64::from(workers) * PROCESS_KB
-        + u64::from(asked.real) * if asked.full { FULL_KB } else { REAL_KB };
-    let available = figures::available_kb();
+        + u64::from(options.real) * if options.full { FULL_KB } else { REAL_KB };
+    let available = report::available_kb();
     if needed > available / 2 {
         return Err(format!(
             "{needed} kB needed, over half of the {available} kB that can be had"
@@ -145,28 +147,28 @@
 }
 
 /// Plays all phases, or those before one that fails; whether all were played.
-fn play(size: u32, asked: &Asked, rows: &mut Vec<Row>) -> Result<bool, String> {
-    fits(size, asked)?;
+fn run_size(size: u32, options: &Options, rows: &mut Vec<Row>) -> Result<bool, String> {
+    check_resources(size, options)?;
     let open = |path| {
         std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(path)
     };
-    let mut kept = asked
+    let mut output = options
         .json
         .as_ref()
         .map(open)
         .transpose()
         .map_err(|e| e.to_string())?;
-    if asked.clockwork {
+    if options.clockwork {
         let plan = plan::Plan {
             size,
             port: 1,
-            seed: asked.seed,
+            seed: options.seed,
         };
-        for row in clockwork::Clockwork::new(plan).rows(&asked.phases) {
-            if let Some(file) = &mut kept {
+        for row in simulation::Simulation::new(plan).run(&options.phases) {
+            if let Some(file) = &mut output {
                 writeln!(file, "{}", serde_json::to_string(&row).expect("plain data"))
                     .map_err(|e| e.to_string())?;
             }
@@ -174,26 +176,26 @@
         }
         return Ok(true);
     }
-    let (real, full) = (asked.real.min(size / 3), asked.full);
-    let shape = Shape {
+    let (real, full) = (options.real.min(size / 3), options.full);
+    let fleet_options = FleetOptions {
         size,
-        seed: asked.seed,
+        seed: options.seed,
         real,
         full,
-        each: asked.each,
+        proxies_per_worker: options.proxies_per_worker,
         threads: false,
     };
     let begun = Instant::now();
-    let mut fleet = Fleet::new(shape);
+    let mut fleet = Fleet::new(fleet_options);
     eprintln!(
         "{} real ones started: {:.1?}",
         fleet.real.len(),
         begun.elapsed()
     );
     let joined = fleet.join(
-        asked.wave,
+        options.wave,
         Duration::from_millis(500),
-        Duration::from_secs(asked.patience),
+        Duration::from_secs(options.join_timeout_s),
     );
     eprintln!("{size} started: {:.1?}, {joined:?}", begun.elapsed());
     let seconds = Duration::from_secs;
@@ -205,31 +207,35 @@
         loss: seconds(20),
         gone: seconds(30),
         back: seconds(15),
-        cut: seconds(asked.cut),
+        cut: seconds(options.partition_s),
         heal: seconds(15),
         settle: seconds(10),
     };
-    let mut play = Play::new(fleet, spans, kept);
+    let mut play = PhaseRunner::new(fleet, spans, output);
     std::thread::sleep(spans.settle);
-    let whole = asked.phases.iter().all(|phase| {
-        let played = catch_unwind(AssertUnwindSafe(|| play.phase(phase)));
+    let all_passed = options.phases.iter().all(|phase| {
+        let result = catch_unwind(AssertUnwindSafe(|| play.run_phase(phase)));
         eprintln!(
             "{phase}: {} at {:.0?}",
-            if played.is_ok() { "played" } else { "FAILED" },
+            if result.is_ok() { "played" } else { "FAILED" },
             begun.elapsed()
         );
-        played.is_ok()
+        result.is_ok()
     });
     rows.extend(play.rows());
-    Ok(whole)
+    Ok(all_passed)
 }
 
 /// Ends this process, and with it the workers, and the real ones, if the run takes longer.
-fn guard(deadline: Duration) {
+fn spawn_watchdog(deadline: Duration) {
     std::thread::spawn(move || {
         std::thread::sleep(deadline);
         eprintln!("scale: over its {deadline:?}");
-        for process in real::LIVE.lock().expect("no panic under it").iter() {
+        for process in real::LIVE_PROCESSES
+            .lock()
+            .expect("no panic under it")
+            .iter()
+        {
             let _ = std::process::Command::new("kill")
                 .args(["-KILL", &process.to_string()])
                 .status();
@@ -238,7 +244,7 @@
     });
 }
 
-fn read(files: &[String]) -> Result<Vec<Row>, String> {
+fn read_rows(files: &[String]) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for file in files {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
@@ -249,12 +255,12 @@
     Ok(rows)
 }
 
-fn tables(rows: &[Row]) {
-    figures::table(rows);
+fn print_tables(rows: &[Row]) {
+    report::print_cost_table(rows);
     println!();
-    figures::control(rows);
+    report::print_control_table(rows);
     println!();
-    figures::lines(rows, PLAN);
+    report::print_fits(rows, TARGET_SIZE);
 }
 
 fn run(args: &[String]) -> Result<(), String> {
@@ -264,17 +270,17 @@
             .filter(|a| *a != "--bench")
             .cloned()
             .collect();
-        tables(&read(&files)?);
+        print_tables(&read_rows(&files)?);
         return Ok(());
     }
-    let asked = asked(args)?;
-    guard(Duration::from_secs(asked.deadline));
-    let (mut rows, mut whole) = (Vec::new(), true);
-    for size in &asked.sizes {
-        whole &= play(*size, &asked, &mut rows)?;
+    let options = parse_options(args)?;
+    spawn_watchdog(Duration::from_secs(options.deadline_s));
+    let (mut rows, mut all_passed) = (Vec::new(), true);
+    for size in &options.sizes {
+        all_passed &= run_size(*size, &options, &mut rows)?;
     }
-    tables(&rows);
-    if whole {
+    print_tables(&rows);
+    if all_passed {
         Ok(())
     } else {
         Err("a phase failed".into())
@@ -283,7 +289,7 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    if args.first().is_some_and(|arg| arg == HIDDEN) {
+    if args.first().is_some_and(|arg| arg == WORKER_ARG) {
         return worker::process();
     }
     if let Err(why) = run(&args) {
--- a/benches/scale/protocol.rs
+++ b/benches/scale/protocol.rs
@@ -9,22 +9,26 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Faults {
     pub lost: f64,
-    pub doubled: f64,
-    /// So many are late by an even draw up to [`LATE_US`], and so out of order.
-    pub late: f64,
+    #[serde(rename = "doubled")]
+    pub duplicated: f64,
+    /// So many are late by an even draw up to [`MAX_DELAY_US`], and so out of order.
+    #[serde(rename = "late")]
+    pub delayed: f64,
     /// Nothing passes between this region and the others, either way.
     pub cut: Option<u32>,
 }
 
-pub const LATE_US: u64 = 50_000;
+pub const MAX_DELAY_US: u64 = 50_000;
 
 /// A proxy that the others do not hear, or that does not hear them, of whatever kind they are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Isolation {
     /// Nobody hears it.
-    pub mute: Option<u32>,
+    #[serde(rename = "mute")]
+    pub outbound_blocked: Option<u32>,
     /// It hears nobody.
-    pub deaf: Option<u32>,
+    #[serde(rename = "deaf")]
+    pub inbound_blocked: Option<u32>,
 }
 
 /// All that is wrong with the ways between proxies.
@@ -41,7 +45,7 @@
         let cut = faults
             .cut
             .is_some_and(|r| (plan.region(from) == r) != (plan.region(to) == r));
-        !cut && isolation.mute != Some(from) && isolation.deaf != Some(to)
+        !cut && isolation.outbound_blocked != Some(from) && isolation.inbound_blocked != Some(to)
     }
 }
 
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -1,9 +1,9 @@
 //! The real ones of a fleet: processes of the program with a door, each behind a relay at its place in the plan.
 
 use super::generated::{self, Size};
+use super::idle_discovery::IdleDiscovery;
 use super::plan::Plan;
-use super::quiet::Quiet;
-use super::relay::{Relay, Shared};
+use super::relay::{Relay, SharedConditions};
 use super::rig::{
     create_temp_dir, entry, lease_history, BackendServer, Client, DiscoveryServer, Message, Proxy,
     RefusingPort, SETTINGS,
@@ -22,26 +22,27 @@
     tenants: 130_000,
     backends: 25_000,
 };
-const SERVERS: usize = 8;
+const BACKEND_SERVERS: usize = 8;
 /// A process has loaded its file by then, and what it was read with is given back.
-const LOADED: Duration = Duration::from_millis(500);
+const LOAD_TIME: Duration = Duration::from_millis(500);
 
 /// Processes of real proxies that live now, for whoever has to end them in a hurry.
-pub static LIVE: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+pub static LIVE_PROCESSES: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-fn noted(proxy: Proxy) -> Proxy {
-    LIVE.lock()
+fn register(proxy: Proxy) -> Proxy {
+    LIVE_PROCESSES
+        .lock()
         .expect("no panic under it")
         .insert(proxy.child.id());
     proxy
 }
 
 /// What all real ones are started with.
-pub struct Recipe {
+pub struct LaunchConfig {
     plan: Plan,
     seeds: String,
     voters: String,
-    known: Arc<Vec<String>>,
+    endpoints: Arc<Vec<String>>,
     settings: String,
     pub full: bool,
     /// Behind them.
@@ -49,7 +50,7 @@
 }
 
 /// Of so many real ones, which vote: five at most, an odd number, even over the others.
-pub fn voting(count: u32) -> Vec<u32> {
+pub fn voter_positions(count: u32) -> Vec<u32> {
     let voters = if count < 5 {
         count.saturating_sub(1) / 2 * 2 + count.min(1)
     } else {
@@ -59,12 +60,12 @@
 }
 
 /// As the settings name addresses.
-fn listed(addresses: &[SocketAddr]) -> String {
+fn quoted_list(addresses: &[SocketAddr]) -> String {
     let each: Vec<String> = addresses.iter().map(|at| format!("\"{at}\"")).collect();
     each.join(",")
 }
 
-impl Recipe {
+impl LaunchConfig {
     /// With the plan's whole file, or a small one with `backends` of which the first `dead` refuse.
     pub fn new(
         plan: Plan,
@@ -73,12 +74,12 @@
         full: bool,
         backends: u32,
         dead: u32,
-    ) -> Recipe {
+    ) -> LaunchConfig {
         let dead: Vec<RefusingPort> = (0..if full { 0 } else { dead })
             .map(|_| RefusingPort::new())
             .collect();
         let count = if full {
-            SERVERS
+            BACKEND_SERVERS
         } else {
             backends as usize - dead.len()
         };
@@ -94,7 +95,7 @@
             .iter()
             .map(RefusingPort::address)
             .chain(live.iter().map(|b| b.address).cycle());
-        let known: Vec<String> = at
+        let endpoints: Vec<String> = at
             .take(total)
             .enumerate()
             .map(|(n, at)| entry(&format!("b{n}"), at, "SERVING"))
@@ -104,31 +105,32 @@
         } else {
             SETTINGS.into()
         };
-        let (seeds, voters, known) = (listed(seeds), listed(voters), Arc::new(known));
-        Recipe {
+        let (seeds, voters, endpoints) =
+            (quoted_list(seeds), quoted_list(voters), Arc::new(endpoints));
+        LaunchConfig {
             plan,
             seeds,
             voters,
-            known,
+            endpoints,
             settings,
             full,
             _backends: (live, dead),
         }
     }
 
-    fn start(&self, position: u32, number: u32) -> (Proxy, Quiet) {
+    fn start(&self, position: u32, number: u32) -> (Proxy, IdleDiscovery) {
         let group = format!(r#""position":{position},"group_size":{},"#, self.plan.size);
         let settings = self
             .settings
             .replacen(r#""position":0,"group_size":1,"#, &group, 1);
-        let own = self.plan.address(number);
+        let advertised = self.plan.address(number);
         let duties = match self.voters.as_str() {
             "" => String::new(),
             voters => format!(r#","duties":{{"voters":[{voters}]}}"#),
         };
         let more = format!(
-            r#","peers":{{"listen":"{}:0","advertise":"{own}","cluster":"{CLUSTER}","seeds":[{}],"max_age_s":{MAX_AGE_S}}}{duties}"#,
-            own.ip(),
+            r#","peers":{{"listen":"{}:0","advertise":"{advertised}","cluster":"{CLUSTER}","seeds":[{}],"max_age_s":{MAX_AGE_S}}}{duties}"#,
+            advertised.ip(),
             self.seeds
         );
         let tmp = (
@@ -136,15 +138,15 @@
             create_temp_dir().to_str().expect("a name").to_string(),
         );
         let seed = self.plan.seed + u64::from(position) + 1;
-        let mut proxy = noted(Proxy::with_seed(
+        let mut proxy = register(Proxy::with_seed(
             seed,
-            &self.known,
+            &self.endpoints,
             &settings,
             &more,
             &[tmp],
         ));
         let server = std::mem::replace(&mut proxy.discovery, DiscoveryServer::start());
-        (proxy, Quiet::start(server, self.known.clone()))
+        (proxy, IdleDiscovery::start(server, self.endpoints.clone()))
     }
 
     /// The n-th request of a client.
@@ -163,15 +165,16 @@
         "TMPDIR",
         create_temp_dir().to_str().expect("a name").to_string(),
     );
-    let proxy = noted(Proxy::with_control(&[], SETTINGS, &[tmp]));
-    std::thread::sleep(LOADED);
+    let proxy = register(Proxy::with_control(&[], SETTINGS, &[tmp]));
+    std::thread::sleep(LOAD_TIME);
     let kb = worker::resident_of(&proxy.child.id().to_string());
-    forget(&proxy);
+    unregister(&proxy);
     kb
 }
 
-fn forget(proxy: &Proxy) {
-    LIVE.lock()
+fn unregister(proxy: &Proxy) {
+    LIVE_PROCESSES
+        .lock()
         .expect("no panic under it")
         .remove(&proxy.child.id());
     let _ = std::fs::remove_file(&proxy.config_path); // may be gone
@@ -181,51 +184,51 @@
     /// Among the real ones, and in the plan.
     position: u32,
     pub number: u32,
-    pub votes: bool,
+    pub is_voter: bool,
     /// Clients ask it now.
-    pub asked: bool,
+    pub has_clients: bool,
     pub proxy: Proxy,
-    discovery: Quiet,
+    discovery: IdleDiscovery,
     relay: Relay,
     /// When its process was killed, if it is not restarted yet, and what earlier ones logged.
     killed: Option<u64>,
-    past: Vec<lease_history::Incarnation>,
+    previous: Vec<lease_history::Incarnation>,
 }
 
 impl Drop for RealProxy {
     fn drop(&mut self) {
-        forget(&self.proxy);
+        unregister(&self.proxy);
     }
 }
 
 impl RealProxy {
     pub fn start(
-        recipe: &Recipe,
+        launch: &LaunchConfig,
         position: u32,
         number: u32,
-        votes: bool,
-        shared: Shared,
+        is_voter: bool,
+        shared: SharedConditions,
     ) -> RealProxy {
-        let relay = Relay::start(recipe.plan, number, shared).expect("an address of the plan");
-        let (proxy, discovery) = recipe.start(position, number);
-        let (asked, killed, past) = Default::default();
+        let relay = Relay::start(launch.plan, number, shared).expect("an address of the plan");
+        let (proxy, discovery) = launch.start(position, number);
+        let (has_clients, killed, previous) = Default::default();
         let real = RealProxy {
             position,
             number,
-            votes,
-            asked,
+            is_voter,
+            has_clients,
             proxy,
             discovery,
             relay,
             killed,
-            past,
+            previous,
         };
-        real.place();
+        real.update_relay_target();
         real
     }
 
     /// Lets the relay know where the process listens.
-    fn place(&self) {
+    fn update_relay_target(&self) {
         let line = self
             .proxy
             .startup_log
@@ -235,25 +238,25 @@
         let at = lease_history::log_field(line, "listen")
             .and_then(|at| at.parse().ok())
             .expect("an address");
-        self.relay.target(at);
+        self.relay.set_target(at);
     }
 
     pub fn kill(&mut self) {
         let _ = self.proxy.child.kill();
         let _ = self.proxy.child.wait();
-        self.killed = Some(super::hollow::mono_us());
+        self.killed = Some(super::light_proxy::mono_us());
     }
 
     /// Another process in the place of one that was killed, which knows nothing.
-    pub fn restart(&mut self, recipe: &Recipe) {
-        forget(&self.proxy);
-        self.past.push(self.life());
-        (self.proxy, self.discovery) = recipe.start(self.position, self.number);
+    pub fn restart(&mut self, launch: &LaunchConfig) {
+        unregister(&self.proxy);
+        self.previous.push(self.incarnation());
+        (self.proxy, self.discovery) = launch.start(self.position, self.number);
         self.killed = None;
-        self.place();
+        self.update_relay_target();
     }
 
-    fn life(&self) -> lease_history::Incarnation {
+    fn incarnation(&self) -> lease_history::Incarnation {
         let log = self.proxy.log_lines("event=").join("\n");
         lease_history::Incarnation {
             proxy: self.number as usize,
@@ -263,23 +266,23 @@
     }
 
     /// Every process that ever was in its place.
-    pub fn lives(&self) -> Vec<lease_history::Incarnation> {
-        let now = self.life();
-        self.past.iter().cloned().chain([now]).collect()
+    pub fn incarnations(&self) -> Vec<lease_history::Incarnation> {
+        let now = self.incarnation();
+        self.previous.iter().cloned().chain([now]).collect()
     }
 
     /// One call at its door, which may fail as the process may be gone or stand still.
     pub fn call(&self, line: &str, body: &str) -> Option<Message> {
-        let door = self.proxy.control_address?;
+        let address = self.proxy.control_address?;
         let mut client = Client(std::io::BufReader::new(
-            std::net::TcpStream::connect(door).ok()?,
+            std::net::TcpStream::connect(address).ok()?,
         ));
         client
             .0
             .get_ref()
             .set_read_timeout(Some(rig::TEST_TIMEOUT))
             .ok()?;
-        client.send(&call(line, body));
+        client.send(&format_call(line, body));
         client.response()
     }
 
@@ -291,12 +294,12 @@
     }
 
     /// The version of the configuration that its requests go by.
-    pub fn in_force(&self) -> u64 {
+    pub fn active_version(&self) -> u64 {
         self.json("/config")["in_force"].as_u64().unwrap_or(0)
     }
 
     /// When each version came into force, as its log says, in its order; a version that was passed over came with the next.
-    pub fn came(&self) -> Vec<(u64, u64)> {
+    pub fn activations(&self) -> Vec<(u64, u64)> {
         let lines = self.proxy.log_lines("event=\"config_in_force\"");
         let of = |line: &String| {
             Some((
@@ -307,7 +310,7 @@
         lines.iter().filter_map(of).collect()
     }
 
-    pub fn counts(&self) -> Real {
+    pub fn sample(&self) -> RealSample {
         let status = self.json("/peers");
         let count = |name: &str| status[name].as_u64().unwrap_or(0);
         let process = self.proxy.child.id();
@@ -318,13 +321,13 @@
             let ns = worker::first_number(&format!("{}/schedstat", task.display()));
             *threads.entry(name.trim().into()).or_default() += ns;
         }
-        let role = match (self.asked, self.votes) {
-            (true, _) => ASKED,
+        let role = match (self.has_clients, self.is_voter) {
+            (true, _) => WITH_CLIENTS,
             _ if self.json("/config")["held"].is_string() => HOLDER,
             (_, true) => VOTER,
             _ => OTHER,
         };
-        Real {
+        RealSample {
             role,
             sent: count("sent"),
             bytes: count("sent_bytes"),
@@ -339,7 +342,7 @@
 }
 
 /// A call as it is written.
-pub fn call(line: &str, body: &str) -> String {
+pub fn format_call(line: &str, body: &str) -> String {
     format!(
         "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -350,11 +353,11 @@
 pub const HOLDER: &str = "real, holder";
 pub const VOTER: &str = "real, voter";
 pub const OTHER: &str = "real, other";
-pub const ASKED: &str = "real, asked";
+pub const WITH_CLIENTS: &str = "real, asked";
 
 /// What a real one counted: datagrams and bytes sent, facts told and heard, members, processor time and memory.
 #[derive(Clone)]
-pub struct Real {
+pub struct RealSample {
     pub role: &'static str,
     pub sent: u64,
     pub bytes: u64,
@@ -368,7 +371,7 @@
 }
 
 /// Waits until something is so, and says whether it came.
-pub fn wait(patience: Duration, mut done: impl FnMut() -> bool) -> bool {
+pub fn wait_until(patience: Duration, mut done: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + patience;
     while !done() {
         if Instant::now() > end {
--- a/benches/scale/relay.rs
+++ b/benches/scale/relay.rs
@@ -2,7 +2,7 @@
 //! what hollow ones send.
 
 use super::plan::Plan;
-use super::protocol::{Conditions, LATE_US};
+use super::protocol::{Conditions, MAX_DELAY_US};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::io;
@@ -12,30 +12,30 @@
 use std::time::Duration;
 
 /// How often it looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What is wrong now, for all relays of a fleet.
-pub type Shared = Arc<Mutex<Conditions>>;
+pub type SharedConditions = Arc<Mutex<Conditions>>;
 
-struct Relaying {
+struct RelayState {
     plan: Plan,
     number: u32,
     socket: UdpSocket,
-    conditions: Shared,
+    conditions: SharedConditions,
     /// Where the process in that place listens, while there is one.
     target: Mutex<Option<SocketAddr>>,
     ended: AtomicBool,
 }
 
 /// Ends when it is dropped.
-pub struct Relay(Arc<Relaying>);
+pub struct Relay(Arc<RelayState>);
 
 impl Relay {
-    pub fn start(plan: Plan, number: u32, conditions: Shared) -> io::Result<Relay> {
+    pub fn start(plan: Plan, number: u32, conditions: SharedConditions) -> io::Result<Relay> {
         let socket = UdpSocket::bind(plan.address(number))?;
-        socket.set_read_timeout(Some(LOOK))?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
         let (target, ended) = Default::default();
-        let relaying = Arc::new(Relaying {
+        let state = Arc::new(RelayState {
             plan,
             number,
             socket,
@@ -43,13 +43,13 @@
             target,
             ended,
         });
-        let of = relaying.clone();
-        std::thread::spawn(move || of.run());
-        Ok(Relay(relaying))
+        let running = state.clone();
+        std::thread::spawn(move || running.run());
+        Ok(Relay(state))
     }
 
     /// From now on there is a process at that address.
-    pub fn target(&self, address: SocketAddr) {
+    pub fn set_target(&self, address: SocketAddr) {
         *self.0.target.lock().expect("no panic under it") = Some(address);
     }
 }
@@ -60,10 +60,11 @@
     }
 }
 
-impl Relaying {
+impl RelayState {
     fn run(self: Arc<Self>) {
         let mut random = Pcg32::seed_from_u64(self.plan.seed ^ (u64::from(self.number) << 32));
-        let mut chance = move || f64::from(random.next_u32()) / (f64::from(u32::MAX) + 1.0);
+        let mut random_fraction =
+            move || f64::from(random.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let mut bytes = [0; 2048];
         while !self.ended.load(Relaxed) {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes) else {
@@ -83,20 +84,24 @@
             } else {
                 conditions.faults
             };
-            if chance() < faults.lost {
+            if random_fraction() < faults.lost {
                 continue;
             }
-            let copies = if chance() < faults.doubled { 2 } else { 1 };
+            let copies = if random_fraction() < faults.duplicated {
+                2
+            } else {
+                1
+            };
             for _ in 0..copies {
-                if chance() >= faults.late {
+                if random_fraction() >= faults.delayed {
                     let _ = self.socket.send_to(&bytes[..length], target); // UDP is not sure to arrive
                     continue;
                 }
-                let (of, data) = (self.clone(), bytes[..length].to_vec());
-                let wait = Duration::from_micros((chance() * LATE_US as f64) as u64);
+                let (state, data) = (self.clone(), bytes[..length].to_vec());
+                let wait = Duration::from_micros((random_fraction() * MAX_DELAY_US as f64) as u64);
                 std::thread::spawn(move || {
                     std::thread::sleep(wait);
-                    let _ = of.socket.send_to(&data, target);
+                    let _ = state.socket.send_to(&data, target);
                 });
             }
         }
--- a/benches/scale/figures.rs
+++ b/benches/scale/report.rs
@@ -58,13 +58,13 @@
 }
 
 /// A machine that is busier says nothing of the program.
-pub const MOST_BUSY: f64 = 90.0;
+pub const MAX_BUSY_PERCENT: f64 = 90.0;
 
 /// How long changes took until they were in force at the last proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct PropagationTimes {
     pub changes: u32,
-    /// Milliseconds of half, 99 in 100 and the last of those that came.
+    /// Milliseconds of half, 99 in 100 and the last of those that completed.
     pub ms: Option<[u32; 3]>,
     /// So many came within the aim and the bound.
     pub within_2s: u32,
@@ -73,17 +73,17 @@
     pub never: u32,
 }
 
-impl Spread {
+impl PropagationTimes {
     /// Of each change the milliseconds, `None` where it is not in force at some.
-    pub fn of(slowest: impl Iterator<Item = Option<u32>>) -> Option<Spread> {
+    pub fn of(slowest: impl Iterator<Item = Option<u32>>) -> Option<PropagationTimes> {
         let all: Vec<Option<u32>> = slowest.collect();
-        let mut came: Vec<u32> = all.iter().copied().flatten().collect();
-        came.sort_unstable();
-        let hist: Vec<(u32, u32)> = came.iter().map(|ms| (*ms, 1)).collect();
-        let within = |bound: u32| came.iter().filter(|ms| **ms <= bound).count() as u32;
+        let mut completed: Vec<u32> = all.iter().copied().flatten().collect();
+        completed.sort_unstable();
+        let hist: Vec<(u32, u32)> = completed.iter().map(|ms| (*ms, 1)).collect();
+        let within = |bound: u32| completed.iter().filter(|ms| **ms <= bound).count() as u32;
         let (within_2s, within_5s) = (within(2000), within(5000));
-        let (changes, never) = (all.len() as u32, (all.len() - came.len()) as u32);
-        (changes > 0).then(|| Spread {
+        let (changes, never) = (all.len() as u32, (all.len() - completed.len()) as u32);
+        (changes > 0).then(|| PropagationTimes {
             changes,
             ms: quantiles(&hist),
             within_2s,
@@ -94,7 +94,7 @@
 }
 
 /// The role of hollow proxies.
-pub const HOLLOW: &str = "hollow";
+pub const LIGHT: &str = "hollow";
 
 /// One phase at one size, for one role.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -143,7 +143,7 @@
     /// The machine was too busy for the row to say anything of the program.
     pub void: bool,
     /// From the call at a door until a change was in force at the last proxy of the role.
-    pub in_force: Option<Spread>,
+    pub in_force: Option<PropagationTimes>,
     /// Of the proxy of the role that has most; the mean of the role in the quiet phase; resident memory of the smallest
     /// program.
     pub most_cpu_percent: f64,
@@ -159,16 +159,16 @@
 
 /// A straight line through points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct LinearFit {
     pub at_zero: f64,
     pub slope: f64,
     /// Root of the mean square of what is left, with two degrees of freedom taken out.
     pub residual: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// `None` with fewer than three points or all at one place.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+    pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let n = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
@@ -179,14 +179,14 @@
         }
         let slope = xy / xx;
         let at_zero = y - slope * x;
-        let left: f64 = points
+        let squared_residuals: f64 = points
             .iter()
             .map(|p| (p.1 - at_zero - slope * p.0).powi(2))
             .sum();
-        Some(Line {
+        Some(LinearFit {
             at_zero,
             slope,
-            residual: (left / (n - 2.0)).sqrt(),
+            residual: (squared_residuals / (n - 2.0)).sqrt(),
         })
     }
 
@@ -195,7 +195,7 @@
     }
 }
 
-fn head(columns: &[&str]) {
+fn print_header(columns: &[&str]) {
     println!(
         "| {} |\n|{}",
         columns.join(" | "),
@@ -204,8 +204,8 @@
 }
 
 /// Prints as Markdown tables what the rows cost, and when the last one knew.
-pub fn table(rows: &[Row]) {
-    head(&[
+pub fn print_cost_table(rows: &[Row]) {
+    print_header(&[
         "proxies",
         "phase",
         "role",
@@ -236,11 +236,11 @@
             r.resident_kb,
             r.told,
             r.heard,
-            load(r),
+            machine_load(r),
         );
     }
     println!();
-    head(&[
+    print_header(&[
         "proxies",
         "phase",
         "events",
@@ -253,7 +253,7 @@
         "false downs",
         "rejoined",
     ]);
-    for r in rows.iter().filter(|r| r.role == HOLLOW) {
+    for r in rows.iter().filter(|r| r.role == LIGHT) {
         let ms = |q: Option<[u32; 3]>, never: u32| {
             q.map_or("-".into(), |[half, most, last]| {
                 format!("{half} / {most} / {last} ({never})")
@@ -282,8 +282,8 @@
 const BUDGET: [f64; 3] = [1.4, 32_000.0, 6_000.0];
 
 /// Prints when changes were in force at the last proxy, what control spent, and what became of faults.
-pub fn control(rows: &[Row]) {
-    head(&[
+pub fn print_control_table(rows: &[Row]) {
+    print_header(&[
         "proxies",
         "phase",
         "role",
@@ -307,11 +307,11 @@
             s.within_2s,
             s.within_5s,
             s.never,
-            load(r),
+            machine_load(r),
         );
     }
     println!();
-    head(&[
+    print_header(&[
         "proxies",
         "phase",
         "role",
@@ -355,11 +355,11 @@
             r.bytes,
             r.most_bytes,
             over.collect::<Vec<_>>().join(" / "),
-            load(r),
+            machine_load(r),
         );
     }
     println!();
-    head(&[
+    print_header(&[
         "proxies",
         "phase",
         "outcome",
@@ -372,13 +372,13 @@
             r.size,
             r.phase,
             if r.wrong { "**no**" } else { "yes" },
-            load(r)
+            machine_load(r)
         );
     }
 }
 
 /// How busy the machine was, and whether that makes the row void.
-fn load(r: &Row) -> String {
+fn machine_load(r: &Row) -> String {
     format!(
         "{:.0} ({:.1}){}",
         r.busy_percent,
@@ -387,9 +387,9 @@
     )
 }
 
-type Figure = (&'static str, fn(&Row) -> Option<f64>);
+type Metric = (&'static str, fn(&Row) -> Option<f64>);
 
-const FIGURES: [Figure; 8] = [
+const METRICS: [Metric; 8] = [
     ("datagrams/s", |r| Some(r.datagrams)),
     ("bytes/s", |r| Some(r.bytes)),
     ("% of a core", |r| Some(r.cpu_percent)),
@@ -401,9 +401,9 @@
 ];
 
 /// Prints the line of each figure over the sizes, and what it gives at the plan's size beside what was measured there.
-pub fn lines(rows: &[Row], plan: u32) {
+pub fn print_fits(rows: &[Row], plan: u32) {
     let (line_at, measured_at) = (format!("line at {plan}"), format!("measured at {plan}"));
-    head(&[
+    print_header(&[
         "phase",
         "role",
         "figure",
@@ -424,17 +424,17 @@
             .iter()
             .filter(|r| (r.phase.as_str(), r.role.as_str()) == (phase, role))
             .collect();
-        for (name, figure) in FIGURES {
+        for (name, metric) in METRICS {
             let points: Vec<(f64, f64)> = of
                 .iter()
-                .filter_map(|r| Some((f64::from(r.size), figure(r)?)))
+                .filter_map(|r| Some((f64::from(r.size), metric(r)?)))
                 .collect();
             let below: Vec<(f64, f64)> = points
                 .iter()
                 .copied()
                 .filter(|p| p.0 < f64::from(plan))
                 .collect();
-            let Some(line) = Line::through(&points) else {
+            let Some(fit) = LinearFit::through(&points) else {
                 continue;
             };
             let show = |x: Option<f64>| x.map_or("-".into(), |x| format!("{x:.3}"));
@@ -443,11 +443,11 @@
             println!(
                 "| {phase} | {role} | {name} | {} | {:.3} | {:.4} | {:.3} | {:.3} | {} | {} |",
                 sizes.join(" "),
-                line.at_zero,
-                line.slope * 100.0,
-                line.residual,
-                line.at(f64::from(plan)),
-                show(Line::through(&below).map(|l| l.at(f64::from(plan)))),
+                fit.at_zero,
+                fit.slope * 100.0,
+                fit.residual,
+                fit.at(f64::from(plan)),
+                show(LinearFit::through(&below).map(|l| l.at(f64::from(plan)))),
                 show(measured),
             );
         }
--- a/benches/scale/rows.rs
+++ b/benches/scale/rows.rs
@@ -1,10 +1,10 @@
 //! The rows of a phase: one for the hollow proxies, one for all real ones without clients, and one for each role of those.
 
-use super::figures::{quantiles, Row, HOLLOW, MOST_BUSY};
-use super::fleet::{Fleet, Moment};
-use super::phases::Done;
+use super::fleet::{Fleet, Measurement};
+use super::phases::PhaseEvents;
 use super::protocol::{Learned, Sample};
-use super::real::{Real, ASKED, HOLDER, OTHER, VOTER};
+use super::real::{RealSample, HOLDER, OTHER, VOTER, WITH_CLIENTS};
+use super::report::{quantiles, Row, LIGHT, MAX_BUSY_PERCENT};
 use std::collections::BTreeMap;
 
 /// All real ones but those with clients.
@@ -17,18 +17,18 @@
 pub fn rows(
     fleet: &Fleet,
     phase: &str,
-    before: &Moment,
-    after: &Moment,
-    done: &Done,
-    learned: &Learned,
+    before: &Measurement,
+    after: &Measurement,
+    done: &PhaseEvents,
+    observations: &Learned,
 ) -> Vec<Row> {
     let seconds = (after.at - before.at).as_secs_f64();
-    let hollow: Vec<_> = after.hollow.iter().zip(&before.hollow).collect();
-    let hollow_ns: u64 = hollow
+    let light: Vec<_> = after.light.iter().zip(&before.light).collect();
+    let light_ns: u64 = light
         .iter()
         .map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns))
         .sum();
-    let real: Vec<(&Real, &Real)> = after.real.iter().zip(&before.real).collect();
+    let real: Vec<(&RealSample, &RealSample)> = after.real.iter().zip(&before.real).collect();
     let real_ns: u64 = real
         .iter()
         .map(|(a, b)| a.cpu_ns.saturating_sub(b.cpu_ns))
@@ -40,11 +40,11 @@
         phase: phase.into(),
         seconds,
         events: done.events,
-        whole_s: done.whole.all_s,
-        nearly_s: done.whole.nearly_s,
+        whole_s: done.convergence.full_s,
+        nearly_s: done.convergence.nearly_s,
         busy_percent,
-        own_percent: percent(hollow_ns + real_ns, seconds) / cores,
-        void: busy_percent > MOST_BUSY,
+        own_percent: percent(light_ns + real_ns, seconds) / cores,
+        void: busy_percent > MAX_BUSY_PERCENT,
         ..Row::default()
     };
     let outcome = Row {
@@ -52,13 +52,13 @@
         wrong: done.wrong,
         ..common.clone()
     };
-    let mut rows = vec![hollow_row(outcome, &hollow, hollow_ns, learned)];
+    let mut rows = vec![light_row(outcome, &light, light_ns, observations)];
     let roles = [
         (ALL_REAL, &[HOLDER, VOTER, OTHER][..]),
         (HOLDER, &[HOLDER]),
         (VOTER, &[VOTER]),
         (OTHER, &[OTHER]),
-        (ASKED, &[ASKED]),
+        (WITH_CLIENTS, &[WITH_CLIENTS]),
     ];
     for (role, of) in roles {
         let of: Vec<_> = real
@@ -77,11 +77,11 @@
     rows
 }
 
-fn hollow_row(common: Row, samples: &[(&Sample, &Sample)], ns: u64, learned: &Learned) -> Row {
+fn light_row(common: Row, samples: &[(&Sample, &Sample)], ns: u64, observations: &Learned) -> Row {
     let seconds = common.seconds;
     let proxies: u32 = samples.iter().map(|(a, _)| a.proxies).sum();
     let each = f64::from(proxies.max(1));
-    let grown = |of: fn(&Sample) -> u64| {
+    let increase = |of: fn(&Sample) -> u64| {
         samples
             .iter()
             .map(|(a, b)| of(a).saturating_sub(of(b)))
@@ -98,25 +98,25 @@
         .sum();
     let sum = |of: fn(&Sample) -> u64| samples.iter().map(|(a, _)| of(a)).sum::<u64>();
     Row {
-        role: HOLLOW.into(),
+        role: LIGHT.into(),
         proxies,
-        datagrams: grown(|s| s.sent) / seconds / each,
+        datagrams: increase(|s| s.sent) / seconds / each,
         bytes: bytes.values().sum::<u64>() as f64 / seconds / each,
         most_bytes: bytes.values().max().copied().unwrap_or(0) as f64 / seconds,
         cpu_percent: percent(ns, seconds) / each,
-        module_percent: percent(grown(|s| s.balancers_ns) as u64, seconds) / each,
+        module_percent: percent(increase(|s| s.balancers_ns) as u64, seconds) / each,
         resident_kb: resident as f64 / each,
-        told: grown(|s| s.told) as u64,
-        heard: grown(|s| s.heard) / seconds / each,
-        rejoined: grown(|s| s.rejoined) as u64,
-        false_downs: learned.false_downs,
-        gone_ms: quantiles(&learned.gone),
-        back_ms: quantiles(&learned.back),
-        heard_ms: quantiles(&learned.heard),
+        told: increase(|s| s.told) as u64,
+        heard: increase(|s| s.heard) / seconds / each,
+        rejoined: increase(|s| s.rejoined) as u64,
+        false_downs: observations.false_downs,
+        gone_ms: quantiles(&observations.gone),
+        back_ms: quantiles(&observations.back),
+        heard_ms: quantiles(&observations.heard),
         missing: [
-            learned.gone_missing,
-            learned.back_missing,
-            learned.heard_missing,
+            observations.gone_missing,
+            observations.back_missing,
+            observations.heard_missing,
         ],
         lacking: sum(|s| s.lacking),
         lack: sum(|s| u64::from(s.lack)) as u32,
@@ -125,15 +125,15 @@
     }
 }
 
-fn real_row(common: Row, role: &str, of: &[(&Real, &Real)]) -> Row {
+fn real_row(common: Row, role: &str, of: &[(&RealSample, &RealSample)]) -> Row {
     let seconds = common.seconds;
     // Of one that was restarted meanwhile only what the new process did counts.
-    let grown = |figure: fn(&Real) -> u64| {
+    let increase = |counter: fn(&RealSample) -> u64| {
         of.iter()
-            .map(move |(a, b)| figure(a).checked_sub(figure(b)).unwrap_or(figure(a)) as f64)
+            .map(move |(a, b)| counter(a).checked_sub(counter(b)).unwrap_or(counter(a)) as f64)
     };
-    let mean = |figure: fn(&Real) -> u64| grown(figure).sum::<f64>() / of.len() as f64;
-    let most = |figure: fn(&Real) -> u64| grown(figure).fold(0.0, f64::max);
+    let mean = |counter: fn(&RealSample) -> u64| increase(counter).sum::<f64>() / of.len() as f64;
+    let most = |counter: fn(&RealSample) -> u64| increase(counter).fold(0.0, f64::max);
     let mut threads: BTreeMap<String, f64> = BTreeMap::new();
     for (a, b) in of {
         for (name, ns) in &a.threads {
@@ -154,7 +154,7 @@
         most_cpu_percent: percent(most(|r| r.cpu_ns) as u64, seconds),
         resident_kb: of.iter().map(|(a, _)| a.resident_kb as f64).sum::<f64>() / of.len() as f64,
         most_resident_kb: of.iter().map(|(a, _)| a.resident_kb).max().unwrap_or(0) as f64,
-        told: grown(|r| r.told).sum::<f64>() as u64,
+        told: increase(|r| r.told).sum::<f64>() as u64,
         heard: mean(|r| r.heard) / seconds,
         least_known: of.iter().map(|(a, _)| a.members).min().unwrap_or(0),
         ..common
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -1,8 +1,8 @@
 //! Holds some of the hollow proxies on one thread, and does what the conductor says.
 
-use super::hollow::{probe, Hollow, Tally};
-use super::in_force::slowest;
-use super::learned::learned;
+use super::activation::slowest_activations;
+use super::light_proxy::{probe_name, LightProxy, Tally};
+use super::observations::observe;
 use super::plan::Plan;
 use super::protocol::{Absence, Command, Conditions, Cut, Learned, Load, Reply, Sample};
 use meadowproxy::fleet::membership::{wire, MembershipConfig};
@@ -16,7 +16,7 @@
 /// One place of the plan, with the proxy that is there now.
 #[derive(Default)]
 struct Place {
-    hollow: Option<Rc<Hollow>>,
+    light_proxy: Option<Rc<LightProxy>>,
     tally: Rc<Tally>,
 }
 
@@ -77,8 +77,11 @@
             Command::Start(who) => who.into_iter().try_for_each(|number| self.start(number))?,
             Command::Stop { who, leave } => {
                 for number in who {
-                    let hollow = self.places.get_mut(&number).and_then(|p| p.hollow.take());
-                    hollow
+                    let light_proxy = self
+                        .places
+                        .get_mut(&number)
+                        .and_then(|p| p.light_proxy.take());
+                    light_proxy
                         .ok_or(format!("proxy {number} is not there"))?
                         .stop(leave);
                 }
@@ -86,13 +89,14 @@
             Command::Conditions(conditions) => self.conditions.set(conditions),
             Command::Load(load) => {
                 self.load = load;
-                self.hollows().for_each(|hollow| hollow.load(load));
+                self.light_proxies()
+                    .for_each(|light_proxy| light_proxy.set_load(load));
             }
             Command::Probe { proxy, number } => {
-                let hollow = self.places.get(&proxy).and_then(|p| p.hollow.as_ref());
-                hollow
+                let light_proxy = self.places.get(&proxy).and_then(|p| p.light_proxy.as_ref());
+                light_proxy
                     .ok_or(format!("proxy {proxy} is not there"))?
-                    .tell(probe(number), Verdict::Readmitted);
+                    .broadcast_verdict(probe_name(number), Verdict::Readmitted);
             }
             Command::Sample => return Ok(Reply::Sample(self.sample())),
             Command::Learned {
@@ -101,38 +105,40 @@
                 probes,
                 cut,
             } => {
-                return Ok(Reply::Learned(self.learned(since, &absences, &probes, cut)));
+                return Ok(Reply::Learned(
+                    self.observations(since, &absences, &probes, cut),
+                ));
             }
         }
         Ok(Reply::Done)
     }
 
     fn start(&mut self, number: u32) -> Result<(), String> {
-        let (plan, rules, voters) = self.plan.clone().ok_or("no plan yet")?;
+        let (plan, config, voters) = self.plan.clone().ok_or("no plan yet")?;
         let place = self.places.entry(number).or_default();
-        let hollow = Hollow::start(
+        let light_proxy = LightProxy::start(
             plan,
             number,
-            rules,
+            config,
             voters,
             self.conditions.clone(),
             place.tally.clone(),
         )
         .map_err(|e| format!("proxy {number} at {}: {e}", plan.address(number)))?;
         if self.load.is_some() {
-            hollow.load(self.load);
+            light_proxy.set_load(self.load);
         }
-        place.hollow = Some(hollow);
+        place.light_proxy = Some(light_proxy);
         Ok(())
     }
 
-    fn hollows(&self) -> impl Iterator<Item = &Rc<Hollow>> {
-        self.places.values().filter_map(|p| p.hollow.as_ref())
+    fn light_proxies(&self) -> impl Iterator<Item = &Rc<LightProxy>> {
+        self.places.values().filter_map(|p| p.light_proxy.as_ref())
     }
 
     fn sample(&self) -> Sample {
         let mut s = Sample {
-            proxies: self.hollows().count() as u32,
+            proxies: self.light_proxies().count() as u32,
             cpu_ns: thread_cpu_ns(),
             resident_kb: resident_kb(),
             base_kb: self.base_kb,
@@ -146,8 +152,8 @@
             s.rejoined += tally.rejoined.get();
             s.balancers_ns += tally.balancer.get().as_nanos() as u64;
             s.bytes.insert(*number, tally.bytes.get());
-            let mut of = vec![tally.past.borrow().clone()];
-            if let Some((live, waiting, counts)) = place.hollow.as_ref().map(|h| h.seen()) {
+            let mut counters = vec![tally.previous.borrow().clone()];
+            if let Some((live, waiting, counts)) = place.light_proxy.as_ref().map(|h| h.status()) {
                 (s.least, s.most) = (s.least.min(live), s.most.max(live));
                 let lacking = self
                     .plan
@@ -156,12 +162,12 @@
                     .saturating_sub(live);
                 s.lacking += u64::from(lacking);
                 s.lack += u32::from(lacking > 0);
-                let version = place.hollow.as_ref().map_or(0, |h| h.version());
+                let version = place.light_proxy.as_ref().map_or(0, |h| h.version());
                 s.versions = (s.versions.0.min(version), s.versions.1.max(version));
                 s.waiting = s.waiting.max(waiting);
-                of.push(counts);
+                counters.push(counts);
             }
-            for counts in of {
+            for counts in counters {
                 s.received += counts.received;
                 s.told += counts.verdicts_sent;
                 s.heard += counts.verdicts_received;
@@ -173,7 +179,7 @@
         s
     }
 
-    fn learned(
+    fn observations(
         &self,
         since: u64,
         absences: &[Absence],
@@ -186,15 +192,17 @@
         let there = self
             .places
             .iter()
-            .filter(|(_, place)| place.hollow.is_some());
-        let news: Vec<_> = there
-            .map(|(number, place)| (*number, place.tally.news.borrow()))
+            .filter(|(_, place)| place.light_proxy.is_some());
+        let recorded: Vec<_> = there
+            .map(|(number, place)| (*number, place.tally.observations.borrow()))
             .collect();
-        let asked = news.iter().map(|(number, news)| (*number, news.as_slice()));
-        let slowest = slowest(asked.clone(), absences, probes);
+        let observers = recorded
+            .iter()
+            .map(|(number, observations)| (*number, observations.as_slice()));
+        let slowest = slowest_activations(observers.clone(), absences, probes);
         Learned {
             slowest,
-            ..learned(plan, asked, since, absences, probes, cut)
+            ..observe(plan, observers, since, absences, probes, cut)
         }
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,12 +1,11 @@
 //! A short run of what `cargo bench --bench scale` plays: a few dozen hollow proxies on real sockets.
 
 // The bench uses all of these; a short run of it does not.
+#[path = "../benches/scale/activation.rs"]
+mod activation;
 #[allow(dead_code)]
-#[path = "../benches/scale/balance.rs"]
-mod balance;
-#[allow(dead_code)]
-#[path = "../benches/scale/figures.rs"]
-mod figures;
+#[path = "../benches/scale/balancer_driver.rs"]
+mod balancer_driver;
 #[allow(dead_code)]
 #[path = "../benches/scale/fleet.rs"]
 mod fleet;
@@ -14,18 +13,19 @@
 #[path = "../benches/common/generated.rs"]
 mod generated;
 #[allow(dead_code)]
-#[path = "../benches/scale/hollow.rs"]
-mod hollow;
+#[path = "../benches/scale/light_proxy.rs"]
+mod light_proxy;
 #[allow(dead_code)]
-#[path = "../benches/scale/hollow_replica.rs"]
-mod hollow_replica;
-#[path = "../benches/scale/in_force.rs"]
-mod in_force;
-#[path = "../benches/scale/learned.rs"]
-mod learned;
+#[path = "../benches/scale/light_replica.rs"]
+mod light_replica;
 #[allow(dead_code)]
 #[path = "../src/net/cluster/coordination/message.rs"]
 mod message;
+#[path = "../benches/scale/observations.rs"]
+mod observations;
+#[allow(dead_code)]
+#[path = "../benches/scale/report.rs"]
+mod report;
 mod net {
     pub mod cluster {
         pub mod gossip {
@@ -33,14 +33,14 @@
         }
     }
 }
+#[path = "../benches/scale/idle_discovery.rs"]
+mod idle_discovery;
 #[allow(dead_code)]
 #[path = "../benches/scale/plan.rs"]
 mod plan;
 #[allow(dead_code)]
 #[path = "../benches/scale/protocol.rs"]
 mod protocol;
-#[path = "../benches/scale/quiet.rs"]
-mod quiet;
 #[allow(dead_code)]
 #[path = "../benches/scale/real.rs"]
 mod real;
@@ -52,30 +52,30 @@
 #[path = "../benches/scale/worker.rs"]
 mod worker;
 
-use figures::{quantiles, Line, Spread};
-use fleet::{Changed, Fleet, Shape, Whole, TROUBLE};
-use hollow::mono_us;
+use fleet::{AcceptedChange, Convergence, Fleet, FleetOptions, FAILING_BACKENDS};
+use light_proxy::mono_us;
 use plan::Plan;
 use protocol::{Absence, Faults, Isolation, Learned};
-use real::{wait, RealProxy};
+use real::{wait_until, RealProxy};
+use report::{quantiles, LinearFit, PropagationTimes};
 use std::time::{Duration, Instant};
 
 /// Workers are threads here.
-pub const HIDDEN: &str = "";
+pub const WORKER_ARG: &str = "";
 const SIZE: u32 = 36;
 const PATIENCE: Duration = Duration::from_secs(60);
 
-fn joined(size: u32, real: u32) -> Fleet {
-    let mut fleet = Fleet::new(Shape {
+fn start_fleet(size: u32, real: u32) -> Fleet {
+    let mut fleet = Fleet::new(FleetOptions {
         size,
         seed: 5,
         real,
         full: false,
-        each: 12,
+        proxies_per_worker: 12,
         threads: true,
     });
     assert!(
-        fleet.join(12, Duration::ZERO, PATIENCE).all_s.is_some(),
+        fleet.join(12, Duration::ZERO, PATIENCE).full_s.is_some(),
         "they never knew all"
     );
     fleet
@@ -86,14 +86,14 @@
 }
 
 /// Waits for what must come; how it was then.
-fn until(
+fn wait_for(
     fleet: &mut Fleet,
-    mut learned: impl FnMut(&mut Fleet) -> Learned,
+    mut observe: impl FnMut(&mut Fleet) -> Learned,
     done: fn(&Learned) -> bool,
 ) -> Learned {
     let begun = Instant::now();
     loop {
-        let now = learned(fleet);
+        let now = observe(fleet);
         if done(&now) {
             return now;
         }
@@ -106,18 +106,18 @@
 /// is missed by all others and known again once it is back.
 #[test]
 fn a_fleet_of_hollow_and_real_proxies_misses_only_who_is_gone() {
-    let mut fleet = joined(SIZE, 3);
+    let mut fleet = start_fleet(SIZE, 3);
     let begun = mono_us();
     std::thread::sleep(Duration::from_secs(3));
-    let quiet = fleet.learned(begun, &[], &[], None);
+    let quiet = fleet.observations(begun, &[], &[], None);
     assert_eq!((quiet.false_downs, lacking(&mut fleet)), (0, 0));
-    let moment = fleet.moment();
+    let moment = fleet.measure();
     assert!(
         moment.real.iter().all(|r| r.members == SIZE - 1),
         "a real one lacks some"
     );
     assert_eq!(
-        moment.hollow.iter().map(|s| s.proxies).sum::<u32>(),
+        moment.light.iter().map(|s| s.proxies).sum::<u32>(),
         SIZE - 3
     );
 
@@ -128,9 +128,9 @@
         from,
         to: None,
     }];
-    let missed = until(
+    let missed = wait_for(
         &mut fleet,
-        |f| f.learned(from, &gone, &[], None),
+        |f| f.observations(from, &gone, &[], None),
         |l| l.gone_missing == 0,
     );
     assert_eq!(
@@ -146,23 +146,26 @@
         from,
         to,
     }];
-    let known = until(
+    let known = wait_for(
         &mut fleet,
-        |f| f.learned(from, &back, &[], None),
+        |f| f.observations(from, &back, &[], None),
         |l| l.back_missing == 0,
     );
     assert_eq!(known.false_downs, 0);
-    assert!(fleet.whole(Instant::now(), PATIENCE).all_s.is_some());
+    assert!(fleet
+        .wait_converged(Instant::now(), PATIENCE)
+        .full_s
+        .is_some());
 }
 
 /// A region that is cut off is missed and misses the others, and all are one fleet again after the heal.
 #[test]
 fn a_cut_off_region_is_missed_and_grows_together_again() {
     let size = 27;
-    let mut fleet = joined(size, 0);
+    let mut fleet = start_fleet(size, 0);
     let inside = (0..size).filter(|n| fleet.plan.region(*n) == 6).count() as u64;
     assert!(inside > 2, "{inside}");
-    fleet.faults(Faults {
+    fleet.set_faults(Faults {
         cut: Some(6),
         ..Faults::default()
     });
@@ -172,23 +175,23 @@
         assert!(begun.elapsed() < PATIENCE, "the cut lets something pass");
         std::thread::sleep(Duration::from_millis(100));
     }
-    fleet.faults(Faults::default());
-    let Whole { all_s, .. } = fleet.whole(Instant::now(), PATIENCE);
-    assert!(all_s.is_some(), "two fleets");
+    fleet.set_faults(Faults::default());
+    let Convergence { full_s, .. } = fleet.wait_converged(Instant::now(), PATIENCE);
+    assert!(full_s.is_some(), "two fleets");
 }
 
 /// Under load with dead backends the module tells verdicts and the others hear them; a probe reaches nearly all.
 #[test]
 fn verdicts_spread_between_hollow_proxies() {
-    let mut fleet = joined(SIZE, 0);
+    let mut fleet = start_fleet(SIZE, 0);
     let probe = fleet.probe(7);
-    let heard = until(
+    let heard = wait_for(
         &mut fleet,
-        |f| f.learned(0, &[], &[probe], None),
+        |f| f.observations(0, &[], &[probe], None),
         |l| l.heard_missing <= SIZE / 4,
     );
     assert!(quantiles(&heard.heard).is_some());
-    fleet.load(Some(TROUBLE));
+    fleet.set_load(Some(FAILING_BACKENDS));
     let begun = Instant::now();
     loop {
         let samples = fleet.samples();
@@ -202,11 +205,11 @@
 }
 
 /// A change at that door that is taken in the end.
-fn changed(fleet: &mut Fleet, door: usize) -> Changed {
+fn accepted_change(fleet: &mut Fleet, proxy: usize) -> AcceptedChange {
     let mut taken = None;
-    let came = wait(PATIENCE, || {
-        let mut base = fleet.version();
-        taken = fleet.change(door, &mut base).ok();
+    let came = wait_until(PATIENCE, || {
+        let mut base = fleet.newest_version();
+        taken = fleet.change(proxy, &mut base).ok();
         taken.is_some()
     });
     assert!(came, "no change was taken");
@@ -214,72 +217,72 @@
 }
 
 /// Of how many changes it is told that they are in force at the last hollow proxy, and at the last real one.
-fn told_in_force(fleet: &mut Fleet, changes: &[Changed]) -> [usize; 2] {
-    let asked: Vec<(u32, u64)> = changes.iter().map(|c| (c.number, c.asked)).collect();
-    let hollow = fleet.learned(0, &[], &asked, None).slowest;
-    let real = fleet.real_slowest(changes, |_| true);
-    [hollow, real].map(|slowest| slowest.values().flatten().count())
+fn active_counts(fleet: &mut Fleet, changes: &[AcceptedChange]) -> [usize; 2] {
+    let asked: Vec<(u32, u64)> = changes.iter().map(|c| (c.number, c.requested_us)).collect();
+    let light = fleet.observations(0, &[], &asked, None).slowest;
+    let real = fleet.slowest_real_activations(changes, |_| true);
+    [light, real].map(|slowest| slowest.values().flatten().count())
 }
 
 /// A change at a door is in force at each hollow proxy and at each real one, and the run says so; where one of them, hollow
 /// or real, hears nobody, the run says that it is not, until it hears again.
 #[test]
 fn a_change_counts_once_it_is_in_force_at_the_last_proxy() {
-    let mut fleet = joined(SIZE, 4);
-    let voting: Vec<u32> = fleet
+    let mut fleet = start_fleet(SIZE, 4);
+    let voters: Vec<u32> = fleet
         .real
         .iter()
-        .filter(|r| r.votes)
+        .filter(|r| r.is_voter)
         .map(|r| r.number)
         .collect();
-    let other = fleet.real.iter().find(|r| !r.votes).unwrap().number;
-    assert_eq!((voting.as_slice(), other), (&[0, 9, 18][..], 27));
-    let mut changes = vec![changed(&mut fleet, 0)];
-    let came = wait(PATIENCE, || told_in_force(&mut fleet, &changes) == [1, 1]);
-    assert!(came, "{:?}", told_in_force(&mut fleet, &changes));
+    let other = fleet.real.iter().find(|r| !r.is_voter).unwrap().number;
+    assert_eq!((voters.as_slice(), other), (&[0, 9, 18][..], 27));
+    let mut changes = vec![accepted_change(&mut fleet, 0)];
+    let came = wait_until(PATIENCE, || active_counts(&mut fleet, &changes) == [1, 1]);
+    assert!(came, "{:?}", active_counts(&mut fleet, &changes));
     for (deaf, told) in [(20, [1, 2]), (other, [3, 2])] {
         fleet.isolate(Isolation {
-            deaf: Some(deaf),
+            inbound_blocked: Some(deaf),
             ..Isolation::default()
         });
-        changes.push(changed(&mut fleet, 1));
+        changes.push(accepted_change(&mut fleet, 1));
         let version = changes.last().unwrap().version;
         let hears = |r: &RealProxy| r.number != deaf;
         let others = SIZE - 4 - u32::from(deaf == 20);
         let number = changes.last().unwrap().number;
-        let came = wait(PATIENCE, || {
-            let heard = fleet.learned(0, &[], &[(number, 0)], None).heard;
-            let hollow: u32 = heard.iter().map(|(_, n)| n).sum();
-            hollow == others
+        let came = wait_until(PATIENCE, || {
+            let heard = fleet.observations(0, &[], &[(number, 0)], None).heard;
+            let light: u32 = heard.iter().map(|(_, n)| n).sum();
+            light == others
                 && fleet
                     .real
                     .iter()
                     .filter(|r| hears(r))
-                    .all(|r| r.in_force() >= version)
+                    .all(|r| r.active_version() >= version)
         });
         assert!(came, "all but {deaf} should have it");
         assert_eq!(
-            told_in_force(&mut fleet, &changes),
+            active_counts(&mut fleet, &changes),
             told,
             "{deaf} has it, or is not asked"
         );
         fleet.isolate(Isolation::default());
         let all = changes.len();
         assert!(
-            wait(PATIENCE, || told_in_force(&mut fleet, &changes)
+            wait_until(PATIENCE, || active_counts(&mut fleet, &changes)
                 == [all, all]),
             "{deaf} never had it"
         );
     }
-    assert_eq!(fleet.contradictions(), [""; 0]);
+    assert_eq!(fleet.consistency_violations(), [""; 0]);
 }
 
 /// By hand: of five changes one never came, and of the others three came within two seconds.
 #[test]
 fn a_spread_counts_what_came_and_what_did_not() {
     let slowest = [Some(10), Some(5001), None, Some(2000), Some(20)];
-    let spread = Spread::of(slowest.into_iter()).unwrap();
-    let by_hand = Spread {
+    let spread = PropagationTimes::of(slowest.into_iter()).unwrap();
+    let by_hand = PropagationTimes {
         changes: 5,
         ms: Some([20, 5001, 5001]),
         within_2s: 3,
@@ -287,7 +290,7 @@
         never: 1,
     };
     assert_eq!(spread, by_hand);
-    assert_eq!(Spread::of(std::iter::empty()), None);
+    assert_eq!(PropagationTimes::of(std::iter::empty()), None);
 }
 
 #[test]
@@ -300,21 +303,21 @@
     let real = plan.real(20);
     let zones: std::collections::BTreeSet<u32> = real.iter().map(|n| plan.zone(*n)).collect();
     assert_eq!(zones.len(), 20);
-    let voting: Vec<u32> = real::voting(20)
+    let voters: Vec<u32> = real::voter_positions(20)
         .iter()
         .map(|n| plan.region(real[*n as usize]))
         .collect();
     assert_eq!(
-        voting,
+        voters,
         [0, 1, 2, 4, 5],
         "no region has two, and the last none"
     );
     assert_eq!(plan.region(real[19]), 6);
     assert_eq!(
-        [1, 2, 3, 4, 5, 9].map(|count| real::voting(count).len()),
+        [1, 2, 3, 4, 5, 9].map(|count| real::voter_positions(count).len()),
         [1, 1, 3, 3, 5, 5]
     );
-    assert!(real::voting(0).is_empty());
+    assert!(real::voter_positions(0).is_empty());
 }
 
 #[test]
@@ -346,22 +349,22 @@
 /// By hand: the line y = 3 + 2 x with one point a whole unit off; quantiles by rank.
 #[test]
 fn lines_and_quantiles_are_as_worked_out_by_hand() {
-    let line = Line::through(&[(0.0, 3.0), (1.0, 5.0), (2.0, 7.0)]).unwrap();
+    let line = LinearFit::through(&[(0.0, 3.0), (1.0, 5.0), (2.0, 7.0)]).unwrap();
     assert_eq!(
         line,
-        Line {
+        LinearFit {
             at_zero: 3.0,
             slope: 2.0,
             residual: 0.0
         }
     );
-    let off = Line::through(&[(0.0, 0.0), (1.0, 0.0), (2.0, 3.0)]).unwrap();
+    let off = LinearFit::through(&[(0.0, 0.0), (1.0, 0.0), (2.0, 3.0)]).unwrap();
     assert!((off.slope - 1.5).abs() < 1e-9 && (off.at_zero + 0.5).abs() < 1e-9);
     assert!(
         (off.residual - 1.5f64.sqrt()).abs() < 1e-9,
         "0.5, -1 and 0.5 are left, one degree of freedom"
     );
-    assert_eq!(Line::through(&[(1.0, 1.0), (2.0, 2.0)]), None);
+    assert_eq!(LinearFit::through(&[(1.0, 1.0), (2.0, 2.0)]), None);
     assert_eq!(quantiles(&[(10, 98), (20, 1), (30, 1)]), Some([10, 20, 30]));
     assert_eq!(quantiles(&[]), None);
 }
