--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -57,13 +57,13 @@
 
 /// The specification of a window that occurs once, with `begin` and `end` in seconds after noon.
 fn once(targets: Targets, begin: u64, end: u64, lead_s: u32, overrun_s: u32) -> Spec {
-    let when = Schedule::Once(Span {
+    let schedule = Schedule::Once(Span {
         begin: at(begin),
         end: at(end),
     });
     Spec {
         targets,
-        schedule: when,
+        schedule,
         lead_s,
         overrun_s,
         requested_by: "ops".into(),
@@ -325,8 +325,8 @@
 #[test]
 fn local_time_follows_daylight_saving_time() {
     let spec = |days: &str, zone: &str| {
-        let when = format!(r#"{{"days":{days},"at":"02:30","zone":"{zone}","lasts_s":3600}}"#);
-        Spec::from_json(format!(r#"{{"ids":["a"],"by":"x","recurring":{when}}}"#).as_bytes())
+        let schedule = format!(r#"{{"days":{days},"at":"02:30","zone":"{zone}","lasts_s":3600}}"#);
+        Spec::from_json(format!(r#"{{"ids":["a"],"by":"x","recurring":{schedule}}}"#).as_bytes())
             .unwrap()
     };
     let begins = |spec: &Spec, from: &str, n: usize| -> Vec<String> {
@@ -448,14 +448,14 @@
     // A recurring window that an operator starts early opens when drained, lasts as long as planned, and recurs the
     // next day.
     let mut c = calendar(0.5);
-    let when = Schedule::Recurring {
+    let schedule = Schedule::Recurring {
         weekdays: 0x7f,
         minute_of_day: 14 * 60,
         time_zone: "UTC".into(),
         duration_s: 100,
     };
     let spec = Spec {
-        schedule: when,
+        schedule,
         ..once(ids(&[1]), 0, 0, 30, 0)
     };
     c.put("often", spec, version(0), at(0)).unwrap();
@@ -592,7 +592,7 @@
 fn an_isolated_proxy_follows_its_own_copy() {
     let (mut c, mut fleet) = (calendar(0.5), fleet());
     let names = |out: BTreeSet<String>| out.into_iter().collect::<Vec<_>>().join(" ");
-    let (since_holder, lost) = (Micros(5_000_000), Micros(5_000_001));
+    let (since_holder, isolated) = (Micros(5_000_000), Micros(5_000_001));
     c.put("on", once(ids(&[0]), 50, 300, 30, 60), version(0), at(0))
         .unwrap();
     c.put(
@@ -618,18 +618,21 @@
         "s0",
         "the holder's decision does not apply"
     );
-    assert_eq!(names(c.backends_in_maintenance(at(69), lost, &fleet)), "s0");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(69), isolated, &fleet)),
+        "s0"
+    );
     // When isolated, the proxy drains windows that are due by its own clock if the budget allows. A whole zone exceeds
     // it.
     assert_eq!(
-        names(c.backends_in_maintenance(at(70), lost, &fleet)),
+        names(c.backends_in_maintenance(at(70), isolated, &fleet)),
         "s0 s1 s2 s3"
     );
     // A window that it drained stays in effect, although the budget no longer allows it, and although the holder's
     // decisions name only others.
     (4..9).for_each(|i| fleet.get_mut(&format!("s{i}")).unwrap().readiness = 0.0);
     assert_eq!(
-        names(c.backends_in_maintenance(at(150), lost, &fleet)),
+        names(c.backends_in_maintenance(at(150), isolated, &fleet)),
         "s0 s1 s2 s3"
     );
     assert_eq!(
@@ -667,13 +670,13 @@
         "s0"
     );
     assert_eq!(
-        names(c.backends_in_maintenance(at(200), lost, &fleet)),
+        names(c.backends_in_maintenance(at(200), isolated, &fleet)),
         "s0"
     );
     // The holder would wait for the overrun. An isolated proxy restores the backend at the window's end, and does not
     // drain it again.
     assert_eq!(
-        names(c.backends_in_maintenance(at(299), lost, &fleet)),
+        names(c.backends_in_maintenance(at(299), isolated, &fleet)),
         "s0"
     );
     assert_eq!(
@@ -683,7 +686,10 @@
         ),
         "s0"
     );
-    assert_eq!(names(c.backends_in_maintenance(at(300), lost, &fleet)), "");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(300), isolated, &fleet)),
+        ""
+    );
     assert_eq!(
         names(c.backends_in_maintenance(at(310), since_holder, &fleet)),
         ""
@@ -691,7 +697,7 @@
     // A recurring window that was started early and is over does not begin again at its planned time, but on the next
     // day.
     let (mut c, fleet) = (calendar(0.5), self::fleet());
-    let when = Schedule::Recurring {
+    let schedule = Schedule::Recurring {
         weekdays: 0x7f,
         minute_of_day: 14 * 60,
         time_zone: "UTC".into(),
@@ -700,7 +706,7 @@
     c.put(
         "often",
         Spec {
-            schedule: when,
+            schedule,
             ..once(ids(&[1]), 0, 0, 30, 0)
         },
         version(0),
@@ -717,7 +723,7 @@
         26 * 3600 - 30,
         26 * 3600 + 100,
     ];
-    let outs = times.map(|s| names(c.backends_in_maintenance(at(s), lost, &fleet)));
+    let outs = times.map(|s| names(c.backends_in_maintenance(at(s), isolated, &fleet)));
     assert_eq!(outs, ["s1", "s1", "", "", "", "s1", ""]);
     assert_eq!(
         c.list(at(5000))[0].begin.as_deref(),
@@ -727,15 +733,21 @@
     let mut c = calendar(0.5);
     c.put("off", once(ids(&[0]), 50, 300, 30, 0), version(0), at(0))
         .unwrap();
-    assert_eq!(names(c.backends_in_maintenance(at(60), lost, &fleet)), "s0");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(60), isolated, &fleet)),
+        "s0"
+    );
     c.cancel("off", version(61), at(61)).unwrap();
-    assert_eq!(names(c.backends_in_maintenance(at(62), lost, &fleet)), "");
+    assert_eq!(
+        names(c.backends_in_maintenance(at(62), isolated, &fleet)),
+        ""
+    );
 }
 
 /// A window with every field at its maximum length.
 fn largest() -> Window {
     let name = |i: usize| format!("{i:0>63}");
-    let when = Schedule::Recurring {
+    let schedule = Schedule::Recurring {
         weekdays: 0x7f,
         minute_of_day: 1439,
         time_zone: "America/Argentina/ComodRivadavia".into(),
@@ -743,7 +755,7 @@
     };
     let spec = Spec {
         targets: Targets::Ids((0..MAX_IDS_BYTES / 64).map(name).collect()),
-        schedule: when,
+        schedule,
         lead_s: MAX_LEAD_S,
         overrun_s: 9999,
         requested_by: "x".repeat(MAX_NAME_BYTES),
@@ -857,20 +869,20 @@
 /// Versions of one window whose times, tokens and call versions are often equal.
 fn any_window() -> impl Strategy<Value = Window> {
     let version = || {
-        (0..3u64, 0..3u64).prop_map(|(s, by)| Version {
+        (0..3u64, 0..3u64).prop_map(|(s, incarnation)| Version {
             called_at: at(s),
-            incarnation: by,
+            incarnation,
         })
     };
     let change = || {
-        let of = |(version, s): (Version, u64)| Versioned {
+        let versioned = |(version, s): (Version, u64)| Versioned {
             version,
             value: OccurrenceChange {
                 occurrence: at(100),
                 at: at(s),
             },
         };
-        proptest::option::of((version(), 200..203u64).prop_map(of))
+        proptest::option::of((version(), 200..203u64).prop_map(versioned))
     };
     let phases = [
         Phase::Planned,
@@ -887,9 +899,9 @@
         proptest::sample::select(phases.to_vec()),
         0..3u64,
     );
-    let progress = progress.prop_map(|(o, t, phase, s)| Progress {
-        occurrence: at(100 + o),
-        token: token(t),
+    let progress = progress.prop_map(|(delay_s, number, phase, s)| Progress {
+        occurrence: at(100 + delay_s),
+        token: token(number),
         phase,
         since: at(s),
         reason: format!("{s}"),
@@ -902,20 +914,22 @@
         proptest::option::of(version()),
         proptest::option::of(progress),
     );
-    fields.prop_map(|(version, i, extended, begun, cancelled, progress)| {
-        let spec = Versioned {
-            version,
-            value: once(ids(&[i]), 100, 200, 30, 0),
-        };
-        Window {
-            id: "w".into(),
-            spec,
-            extension: extended,
-            early_start: begun,
-            cancelled,
-            progress,
-        }
-    })
+    fields.prop_map(
+        |(version, i, extension, early_start, cancelled, progress)| {
+            let spec = Versioned {
+                version,
+                value: once(ids(&[i]), 100, 200, 30, 0),
+            };
+            Window {
+                id: "w".into(),
+                spec,
+                extension,
+                early_start,
+                cancelled,
+                progress,
+            }
+        },
+    )
 }
 
 /// The result of merging `other` into `one`.
@@ -924,6 +938,7 @@
     one
 }
 
+/// Merges windows into a calendar, which has to accept all of them.
 fn merge_all(to: &mut Calendar, windows: &[Window], now: WallTime) {
     windows
         .iter()
@@ -932,7 +947,7 @@
 
 /// Makes an operator's call at second `now`, or none, depending on `kind`. The call may be rejected.
 fn call(c: &mut Calendar, kind: u8, i: usize, now: u64) {
-    let (id, s) = (
+    let (id, version) = (
         format!("w{}", i % 6),
         Version {
             called_at: at(now),
@@ -955,11 +970,11 @@
                 10 * (i as u32 % 3),
                 15,
             );
-            c.put(&id, spec, s, at(now))
+            c.put(&id, spec, version, at(now))
         }
-        4 => c.cancel(&id, s, at(now)),
-        5 => c.extend(&id, at(now + 60), s, at(now)),
-        6 => c.start_now(&id, s, at(now)),
+        4 => c.cancel(&id, version, at(now)),
+        5 => c.extend(&id, at(now + 60), version, at(now)),
+        6 => c.start_now(&id, version, at(now)),
         _ => Ok(CallOutcome::Unchanged),
     };
 }
@@ -985,7 +1000,7 @@
     }
 }
 
-/// The backends of windows in these phases, computed independently from the list of windows.
+/// The backends of the windows in these phases, computed from the list of windows and independently of the calendar.
 fn occupied_backends(
     c: &Calendar,
     fleet: &ListedBackends,
@@ -1018,7 +1033,9 @@
     names.collect()
 }
 
+/// The phases in which a window's backends get no requests.
 const IN_EFFECT: [Phase; 3] = [Phase::Draining, Phase::Drained, Phase::Open];
+/// The phases in which a window takes capacity from the budget.
 const OCCUPIED: [Phase; 4] = [
     Phase::Draining,
     Phase::Drained,
@@ -1028,15 +1045,16 @@
 
 /// The listed capacity of a kind or zone, and the usable one without the given backends.
 fn capacity(fleet: &ListedBackends, group: &str, without: &BTreeSet<String>) -> (f64, f64) {
-    let of = fleet
+    let in_group = fleet
         .iter()
         .filter(|(_, b)| b.kind == group || b.zone == group);
-    of.fold((0.0, 0.0), |(listed, free), (name, b)| {
+    in_group.fold((0.0, 0.0), |(listed, free), (name, b)| {
         let usable = b.serving && !b.disabled && !without.contains(name);
         (listed + 1.0, free + if usable { b.readiness } else { 0.0 })
     })
 }
 
+/// A proptest configuration with a fixed seed.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(19);
     ProptestConfig {
@@ -1066,24 +1084,24 @@
         }
     }
 
-    /// Three proxies accept calls and hold the lease in turn, while the windows that they send are lost, duplicated or
-    /// delayed. Comparing digests makes them equal again.
+    /// Three proxies accept calls and hold the lease in holder_draw, while the windows that they send are lost,
+    /// duplicated or delayed. Comparing digests makes them equal again.
     #[test]
     fn replicas_become_equal(seconds in seconds(), deliveries in proptest::collection::vec(0..4u8, 64)) {
-        let (mut proxies, fleet, mut holding) = (vec![calendar(0.5); 3], fleet(), 1);
+        let (mut proxies, fleet, mut token_number) = (vec![calendar(0.5); 3], fleet(), 1);
         let mut deliveries = deliveries.into_iter().cycle();
-        let mut late: Vec<(usize, Window)> = Vec::new();
-        for (s, (kind, i, _, _, turn)) in seconds.into_iter().enumerate() {
+        let mut delayed: Vec<(usize, Window)> = Vec::new();
+        for (s, (kind, i, _, _, holder_draw)) in seconds.into_iter().enumerate() {
             let now = s as u64;
             call(&mut proxies[i % 3], kind, i, now);
-            holding += u64::from(turn == 0);
-            proxies[holding as usize % 3].advance(at(now), token(holding), &fleet, &idle());
+            token_number += u64::from(holder_draw == 0);
+            proxies[token_number as usize % 3].advance(at(now), token(token_number), &fleet, &idle());
             for from in 0..3 {
                 for window in proxies[from].take_changed() {
                     for to in (0..3).filter(|to| *to != from) {
                         match deliveries.next().unwrap() {
                             0 => {}
-                            1 => late.push((to, window.clone())),
+                            1 => delayed.push((to, window.clone())),
                             n => (1..n).for_each(|_| merge_all(&mut proxies[to], std::slice::from_ref(&window), at(now))),
                         }
                     }
@@ -1091,8 +1109,8 @@
             }
         }
         let now = at(150);
-        late.reverse();
-        late.into_iter().for_each(|(to, window)| merge_all(&mut proxies[to], &[window], now));
+        delayed.reverse();
+        delayed.into_iter().for_each(|(to, window)| merge_all(&mut proxies[to], &[window], now));
         for (from, to) in [(0, 1), (1, 2), (0, 1), (2, 0)] {
             for digest in proxies[from].digests(now) {
                 let differences = proxies[to].compare(&digest, now);
@@ -1154,20 +1172,20 @@
     fn the_floor_is_kept_and_all_backends_return(seconds in seconds()) {
         let floor = 0.5;
         let (mut holder, mut follower, mut fleet) = (calendar(floor), calendar(floor), fleet());
-        let (mut token_now, mut seen) = (1, BTreeMap::<(String, Phase), usize>::new());
-        let (mut out, mut back) = (BTreeSet::new(), BTreeMap::<String, usize>::new());
+        let (mut token_number, mut seen) = (1, BTreeMap::<(String, Phase), usize>::new());
+        let (mut previously_in_maintenance, mut returns) = (BTreeSet::new(), BTreeMap::<String, usize>::new());
         for s in 0..400u64 {
             let now = at(s);
-            if let Some(&(kind, i, j, change, turn)) = seconds.get(s as usize) {
+            if let Some(&(kind, i, j, change, holder_draw)) = seconds.get(s as usize) {
                 call(if j % 2 == 0 { &mut holder } else { &mut follower }, kind, i, s);
                 change_fleet(&mut fleet, j, change);
-                if turn == 0 {
-                    token_now += 1;
+                if holder_draw == 0 {
+                    token_number += 1;
                     std::mem::swap(&mut holder, &mut follower);
                 }
                 merge_all(&mut holder, &follower.take_changed(), now);
             }
-            let transitions = holder.advance(now, token(token_now), &fleet, &idle());
+            let transitions = holder.advance(now, token(token_number), &fleet, &idle());
             merge_all(&mut follower, &holder.take_changed(), now);
             let begun: Vec<String> = transitions.iter().filter(|t| t.to == Phase::Draining).map(|t| t.window.clone()).collect();
             let newly_drained = occupied_backends(&holder, &fleet, now, &[Phase::Draining], &|id| begun.contains(&id.to_string()));
@@ -1178,23 +1196,23 @@
                 prop_assert!(free >= floor * listed - 1e-9, "second {s}: {free} of {listed} left of {group} after {transitions:?}");
             }
             for transition in &transitions {
-                prop_assert!(transition.to > transition.from && transition.token == token(token_now));
+                prop_assert!(transition.to > transition.from && transition.token == token(token_number));
                 *seen.entry((transition.window.clone(), transition.to)).or_default() += 1;
             }
-            let again = holder.clone().advance(now, token(token_now), &fleet, &idle());
-            prop_assert!(again.iter().all(|t| !seen.contains_key(&(t.window.clone(), t.to))), "{again:?}");
+            let again = holder.clone().advance(now, token(token_number), &fleet, &idle());
+            prop_assert!(again.iter().all(|t| !seen.contains_key(&(t.window.clone(), t.to))), "repeated transitions: {again:?}");
             let in_maintenance = follower.backends_in_maintenance(now, Micros(0), &fleet);
             prop_assert_eq!(&in_maintenance, &occupied_backends(&holder, &fleet, now, &IN_EFFECT, &|_| true));
-            for name in out.difference(&in_maintenance) {
-                *back.entry(String::clone(name)).or_default() += 1;
+            for name in previously_in_maintenance.difference(&in_maintenance) {
+                *returns.entry(String::clone(name)).or_default() += 1;
             }
-            out = in_maintenance;
+            previously_in_maintenance = in_maintenance;
         }
-        prop_assert!(out.is_empty(), "{out:?} never returned");
+        prop_assert!(previously_in_maintenance.is_empty(), "{previously_in_maintenance:?} never returned");
         prop_assert!(seen.values().all(|times| *times == 1), "{seen:?}");
         let times = |phase| seen.keys().filter(|(_, p)| *p == phase).count();
         prop_assert_eq!(times(Phase::Draining), times(Phase::Restoring) + times(Phase::Overrun));
-        prop_assert!(back.values().all(|n| *n <= times(Phase::Draining)));
+        prop_assert!(returns.values().all(|n| *n <= times(Phase::Draining)));
     }
 }
 
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Calls a candidate's timer if it is due, or at once while the candidate drains.
+    /// Calls a candidate's timer if it is due, or in any case while the candidate drains. Does nothing while it is stalled.
     fn run_timer(&mut self, candidate: usize) {
         let CandidateNode {
             machine,
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -45,8 +45,8 @@
     /// The duration in ticks of true time.
     ticks: u64,
     /// The maximum number of ballots of each candidate.
-    bids: u8,
-    /// The highest round of a ballot.
+    ballots: u8,
+    /// The maximum number of requests (rounds) of each ballot.
     rounds: u32,
     /// The clock rates to check, in units per tick: of the voters, and of the candidates.
     clock_rates: Vec<([u64; VOTERS], [u64; CANDIDATES])>,
@@ -82,13 +82,13 @@
     /// How far [`Fault::TermFromResponse`] has set the clock back, in units.
     set_back_by: u64,
     /// The number of ballots.
-    bids: u8,
+    ballots: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     ticks: u64,
-    /// The voters in the order of their hashes, as they are interchangeable.
+    /// The voters in the order of their hashes: they are interchangeable, so that fewer states differ.
     voters: Vec<VoterNode>,
     candidates: Vec<CandidateNode>,
     /// All messages that candidates ever sent. Each may arrive at any time, any number of times, or never.
@@ -190,7 +190,7 @@
         for message in out {
             match message {
                 Message::PreVote { ballot } => {
-                    candidate.bids += 1;
+                    candidate.ballots += 1;
                     (candidate.round, candidate.has_majority) = ((ballot, 0), false);
                 }
                 Message::RequestGrant { ballot, round } => {
@@ -281,7 +281,7 @@
             has_majority: false,
             request_sent_at: Time(0),
             set_back_by: 0,
-            bids: 0,
+            ballots: 0,
         };
         let voter = |clock_rate| VoterNode {
             machine: self.long_running_voter(Time(START)),
@@ -437,7 +437,7 @@
             Message::RequestGrant { round, .. } => *round <= self.rounds,
             _ => true,
         });
-        rounds && world.candidates.iter().all(|p| p.bids <= self.bids)
+        rounds && world.candidates.iter().all(|p| p.ballots <= self.ballots)
     }
 
     fn properties(&self) -> Vec<Property<Fleet>> {
@@ -462,7 +462,7 @@
         Fleet {
             fault: Fault::None,
             ticks,
-            bids: 1,
+            ballots: 1,
             rounds,
             clock_rates,
             restarts,
@@ -504,10 +504,10 @@
         ("a voter restarts", Fleet::worst_case(2, 2, 1)),
         ("renewals end", Fleet::worst_case(3, 2, 0)),
         (
-            "a holder drains and bids again",
+            "a holder drains and starts another election",
             Fleet {
                 drains: 1,
-                bids: 2,
+                ballots: 2,
                 ..Fleet::worst_case(2, 1, 0)
             },
         ),
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -29,6 +29,7 @@
     usize::from(address.port()) - 1000
 }
 
+/// The verdict that all tests broadcast.
 fn ejected() -> Verdict {
     Verdict::Ejected {
         duration: Micros(SECOND_US),
@@ -71,6 +72,7 @@
     seeds: Vec<usize>,
     proxies: BTreeMap<usize, Proxy>,
     in_flight: BTreeMap<Arrival, InFlight>,
+    /// The number of datagrams sent.
     sent: u64,
     /// Bytes sent by each proxy.
     sent_bytes: BTreeMap<usize, u64>,
@@ -270,8 +272,7 @@
     }
 }
 
-/// A proxy that a partition made the others declare down rejoins under a later incarnation, by which all others know
-/// it.
+/// A proxy that the others declared down during a partition rejoins under a later incarnation, which all others accept.
 #[test]
 fn a_partitioned_proxy_rejoins() {
     let mut fleet = Fleet::new(5);
@@ -415,9 +416,8 @@
     }
 }
 
-/// Regardless of the number of verdicts to broadcast, a proxy sends at most its rate limit and burst, apart from bare
-/// probes and acknowledgements: 3.5 KB a second and a burst of 5 KB, and for the probes five datagrams of 100 bytes a
-/// second.
+/// Regardless of the number of verdicts to broadcast, a proxy sends at most 3.5 KB a second and a burst of 5 KB. The
+/// limit excludes bare probes and acknowledgements, for which the test allows five datagrams of 100 bytes a second.
 #[test]
 fn a_proxy_stays_within_its_rate_limit() {
     let mut fleet = Fleet::new(60);
