--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use rig::kept::{files, written};
+use rig::snapshot_files::{files, wait_for_new};
 use rig::*;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let others = [
         r#","name":"n1""#,
@@ -119,13 +119,13 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let own_file = files(&dir).remove(0);
     let bytes = std::fs::read(&own_file).unwrap();
     let other = create_temp_dir().join("kept");
     let second = start_with_snapshots(&other, &known, &settings, r#","name":"n1""#);
-    written(&other);
+    wait_for_new(&other);
     drop(second); // SIGKILL
     let foreign = std::fs::read(files(&other).remove(0)).unwrap();
     let swap = |from: &str, to: &str| {
@@ -172,7 +172,7 @@
     let (_a, _b, known) = backends();
     let dir = create_temp_dir().join("kept");
     let first = start_with_snapshots(&dir, &known, &settings(), "");
-    written(&dir);
+    wait_for_new(&dir);
     drop(first); // SIGKILL
     let own_file = files(&dir).remove(0);
     let named_pipe = |at: &Path| {
@@ -219,7 +219,7 @@
             .status(),
         200
     );
-    written(&dir);
+    wait_for_new(&dir);
     let text = std::fs::read_to_string(&first.config_path).unwrap();
     std::fs::write(
         &first.config_path,
