--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line and the TOML form of the configuration, with the real program.
+//! The command line and the TOML form of the configuration, tested with the proxy binary.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -10,6 +10,7 @@
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/local.toml");
 
+/// The proxy binary with these arguments and none of the environment variables that configure it.
 fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_meadowproxy"));
     for name in [
@@ -25,6 +26,7 @@
     command
 }
 
+/// Runs the binary. Returns its exit code and its standard output and error.
 fn output(arguments: &[&str]) -> (Option<i32>, String) {
     let Output {
         status,
@@ -37,16 +39,17 @@
     )
 }
 
-fn written(text: &str) -> String {
+/// Writes a configuration file to a new directory and returns its path.
+fn write_config(text: &str) -> String {
     let path = create_temp_dir().join("proxy.toml");
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().into()
 }
 
-/// Each mistake is named with its path and ends in 2; several in one file are all named.
+/// `check` reports each mistake with its path and exits with 2. It reports all mistakes of a file.
 #[test]
-fn check_names_every_error_with_its_path() {
-    let sound = std::fs::read_to_string(EXAMPLE).unwrap();
+fn check_reports_every_error_with_its_path() {
+    let valid = std::fs::read_to_string(EXAMPLE).unwrap();
     assert_eq!(output(&["check", EXAMPLE]), (Some(0), "ok\n".into()));
     let cases: [(&str, &str, &[&str]); 6] = [
         (
@@ -76,15 +79,15 @@
         ),
     ];
     for (from, to, expected) in cases {
-        let (code, text) = output(&["check", &written(&sound.replacen(from, to, 1))]);
+        let (code, text) = output(&["check", &write_config(&valid.replacen(from, to, 1))]);
         assert_eq!(code, Some(2), "{to}: {text}");
         let text = text.replace("settings: profiles", "settings.profiles");
         expected
             .iter()
             .for_each(|words| assert!(text.contains(words), "{to}: {words:?} not in {text}"));
     }
-    // Each once, whatever stands before it, and nothing that only follows from another.
-    let mut bad = sound.replace("name = \"write\"", "name = \"read\"");
+    // Each mistake is reported once, whatever precedes it, and errors that merely follow from another one are not reported.
+    let mut bad = valid.replace("name = \"write\"", "name = \"read\"");
     for (from, to) in [
         ("aim_us = 400000", "aim_us = \"soon\""),
         ("deadline_us = 1000000", "deadline_us = 0"),
@@ -99,7 +102,7 @@
         assert!(bad.contains(from), "{from}");
         bad = bad.replacen(from, to, 1);
     }
-    let (code, text) = output(&["check", &written(&bad)]);
+    let (code, text) = output(&["check", &write_config(&bad)]);
     let expected = [
         "settings.blend.whol: unknown key",
         "settings: zones: expected an array, got \"here\"",
@@ -131,11 +134,12 @@
     }
 }
 
-/// Duties that could not be kept are refused with the key that is wrong, and none are kept without peers.
+/// Invalid settings of `duties` are refused with the key that is wrong, and so are duties without peers.
 #[test]
-fn check_refuses_duties_that_cannot_be_kept() {
+fn check_refuses_invalid_duties() {
     let peers = r#"peers={"listen":"127.0.0.1:0","cluster":"c","seeds":[]}"#;
-    let old = r#"peers={"listen":"127.0.0.1:0","cluster":"c","seeds":[],"max_age_s":1}"#;
+    let peers_with_max_age =
+        r#"peers={"listen":"127.0.0.1:0","cluster":"c","seeds":[],"max_age_s":1}"#;
     let voters = r#""voters":["127.0.0.1:1","127.0.0.1:2","127.0.0.1:3"]"#;
     let check = |peers: &str, duties: &str| {
         let duties = format!("duties={{{duties}}}");
@@ -144,7 +148,7 @@
     assert_eq!(check(peers, voters).0, Some(0));
     for (peers, duties, words) in [
         ("name=x", voters.into(), "duties: peers is missing"),
-        (old, voters.into(), "duties: peers.max_age_s"),
+        (peers_with_max_age, voters.into(), "duties: peers.max_age_s"),
         (
             peers,
             r#""voters":[]"#.into(),
@@ -187,9 +191,9 @@
     }
 }
 
-/// What `show-config` prints is itself a configuration, with the defaults in it and what was set.
+/// `show-config` prints a valid configuration that contains the defaults and the values of `--set`.
 #[test]
-fn what_show_config_prints_is_the_configuration_in_force() {
+fn show_config_prints_a_complete_valid_configuration() {
     let set = [
         "--set",
         "settings.locality={\"leave_share\":0.5,\"ramp_us\":1000}",
@@ -207,22 +211,22 @@
     ] {
         assert!(shown.contains(line), "{line} not in {shown}");
     }
-    let again = written(&shown);
-    assert_eq!(output(&["check", &again]), (Some(0), "ok\n".into()));
-    assert_eq!(output(&["show-config", &again]), (Some(0), shown));
+    let shown_path = write_config(&shown);
+    assert_eq!(output(&["check", &shown_path]), (Some(0), "ok\n".into()));
+    assert_eq!(output(&["show-config", &shown_path]), (Some(0), shown));
 }
 
-/// The shipped example runs as the README says; its log lines are JSON objects with their fields, and a broken file
-/// at SIGHUP changes nothing and is named.
+/// The shipped example runs as described in the README, its log lines are JSON objects, and an invalid file at SIGHUP
+/// changes nothing and is logged with the location of the mistake.
 #[test]
-fn the_example_serves_and_outlives_a_broken_reload() {
+fn the_example_serves_and_survives_an_invalid_reload() {
     let backend = BackendServer::start(|_| ok("x"));
     let at = backend.address.to_string();
-    let sound = std::fs::read_to_string(EXAMPLE)
+    let valid = std::fs::read_to_string(EXAMPLE)
         .unwrap()
         .replace("127.0.0.1:9001", &at)
         .replace("127.0.0.1:9002", &at);
-    let path = written(&sound);
+    let path = write_config(&valid);
     let set = [
         "--set",
         "listen=127.0.0.1:0",
@@ -238,11 +242,11 @@
         .spawn()
         .unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let mut until = |words: &str| loop {
+    let mut wait_for_log = |words: &str| loop {
         let mut line = String::new();
         assert!(
             log.read_line(&mut line).unwrap() > 0,
-            "it ended before {words}"
+            "the proxy exited before it logged {words:?}"
         );
         let fields: serde_json::Value =
             serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
@@ -250,8 +254,11 @@
             return fields;
         }
     };
-    let said = until("listens on")["message"].as_str().unwrap().to_string();
-    let address = said
+    let message = wait_for_log("listens on")["message"]
+        .as_str()
+        .unwrap()
+        .to_string();
+    let address = message
         .split("listens on ")
         .nth(1)
         .unwrap()
@@ -275,13 +282,13 @@
             .status(),
         200
     );
-    std::fs::write(&path, sound.replace("[settings.blend]", "[settings.blend")).unwrap();
+    std::fs::write(&path, valid.replace("[settings.blend]", "[settings.blend")).unwrap();
     let hangup = Command::new("kill")
         .args(["-HUP", &child.id().to_string()])
         .status()
         .unwrap();
     assert!(hangup.success());
-    let line = until("configuration not taken");
+    let line = wait_for_log("configuration not taken");
     assert_eq!(line["level"], "WARN");
     assert!(
         line["message"].as_str().unwrap().contains("settings.blend"),
@@ -297,7 +304,7 @@
     let _ = child.wait();
 }
 
-/// The README's command to run it is one that cargo understands, on the file that the other tests here start from.
+/// The README contains the command that runs the example, and the manifest names the binary that `cargo run` starts.
 #[test]
 fn the_readme_runs_the_example() {
     let command = "cargo run --release -- run --config examples/local.toml";
@@ -314,11 +321,11 @@
     assert_eq!(
         program,
         Some("meadowproxy"),
-        "of two programs cargo has to know which"
+        "there are two binaries, so `default-run` must name one"
     );
 }
 
-/// Every key of the example, those in its commented parts too, has its place in the page on the configuration.
+/// Every key of the example, including commented ones, is documented in docs/configuration.md.
 #[test]
 fn every_key_of_the_example_is_documented() {
     let page = include_str!("../docs/configuration.md");
@@ -352,18 +359,18 @@
             };
             assert!(
                 row.is_some_and(|row| row.contains(&format!("`{path}`"))),
-                "{table} {key}: not in the page"
+                "key {key} of table {table:?}: not in docs/configuration.md"
             );
             keys += 1;
         }
     }
-    assert!(keys > 50, "{keys} keys found");
+    assert!(keys > 50, "only {keys} keys found in the example");
 }
 
-/// A JSON file is checked to be text as it is read: a character that lies on both sides of any two pieces is whole, and
-/// bytes that are none, or the half of one at the end, are refused.
+/// A JSON file is checked to be UTF-8 while it is read in chunks: a character that crosses a chunk boundary is valid, and
+/// invalid bytes or a truncated character at the end are refused.
 #[test]
-fn a_long_file_is_text_to_its_end() {
+fn a_long_file_is_checked_to_be_utf8_to_its_end() {
     let config = config_json(
         "127.0.0.1:0",
         "127.0.0.1:9".parse().unwrap(),
@@ -383,7 +390,7 @@
         assert_eq!(
             check(long.as_bytes()),
             (Some(0), "ok\n".into()),
-            "{ahead} ahead"
+            "{ahead} bytes before the first long character"
         );
         let mut bytes = long.clone().into_bytes();
         let at = bytes.len()
@@ -401,18 +408,18 @@
             "{text}"
         );
     }
-    // At the very end the parser may be the first to see it.
-    let half = [config.as_bytes(), b" ", &"é".as_bytes()[..1]].concat();
-    let (code, text) = check(&half);
+    // At the end of the file the parser may be the first to detect the truncated character.
+    let truncated = [config.as_bytes(), b" ", &"é".as_bytes()[..1]].concat();
+    let (code, text) = check(&truncated);
     assert!(
         code == Some(2) && text.lines().count() == 1 && text.contains("config.json"),
         "{text}"
     );
 }
 
-/// A mistyped `NODE_LOG` was silently `info`.
+/// An invalid `NODE_LOG` is an error. It used to be treated as `info` without a message.
 #[test]
-fn a_log_level_that_is_none_ends_the_start_with_one_clear_error() {
+fn an_invalid_log_level_ends_the_start_with_one_error() {
     let Output { status, stderr, .. } = program(&["check", EXAMPLE])
         .env("NODE_LOG", "debgu")
         .output()
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Clients that connect and stay until no more fit, in a process with the smallest limits: what the process needs for
-//! discovery, backends and operators is kept for these.
+//! A proxy with few descriptors and more client connections than it can hold: descriptors for discovery, backends and
+//! operators stay reserved, and new clients are still served.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -14,35 +14,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+/// The process's descriptor limit.
 const SOCKETS: u32 = 256;
-/// What is kept for all else, without the clients over their bound (docs/design.md).
+/// Descriptors reserved for everything else than clients and backends, without the margin of clients above their limit
+/// (docs/design.md).
 const RESERVED: usize = 40;
-/// Connections to backends that are allowed, as many as there may be clients.
+/// Limit on backend connections, which equals the limit on client connections.
 const UPSTREAMS: usize = (SOCKETS as usize - 64) / 2;
-const CROWD: usize = 400;
-/// What discovery has to tell counts as told so long after its return.
-const TOLD: Duration = Duration::from_secs(6);
-/// Calls that were given up are listened to for up to 10 s each: after this their number grows no more.
+/// Number of client connections that are kept open, more than the proxy can hold.
+const OPEN_CLIENTS: usize = 400;
+/// A change is assumed to be known to the proxy this long after discovery can be reached again.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
+/// Length of an outage. Calls that were given up stay open for up to 10 s each, so their number no longer grows after this.
 const OUTAGE: Duration = Duration::from_secs(13);
 
-/// Clients that hold their connections: some say nothing, some stop half way in a head or a body, some rest after an
-/// answer. Who is let go comes back at once.
-struct Crowd {
-    busy: Arc<AtomicBool>,
-    back: Arc<AtomicUsize>,
+/// Clients that keep their connections open: some send nothing, some stop halfway through a head or a body, some are idle
+/// after a response. Those whose connection is closed reconnect at once.
+struct OpenClients {
+    running: Arc<AtomicBool>,
+    reconnects: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(at: SocketAddr) -> Crowd {
-        let (busy, back) = (
+impl OpenClients {
+    fn start(at: SocketAddr) -> OpenClients {
+        let (running, reconnects) = (
             Arc::new(AtomicBool::new(true)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let (go_on, count) = (busy.clone(), back.clone());
+        let (keep_running, count) = (running.clone(), reconnects.clone());
         let thread = std::thread::spawn(move || {
-            let mut all: Vec<Option<TcpStream>> = (0..CROWD).map(|_| None).collect();
-            while go_on.load(Ordering::SeqCst) {
+            let mut all: Vec<Option<TcpStream>> = (0..OPEN_CLIENTS).map(|_| None).collect();
+            while keep_running.load(Ordering::SeqCst) {
                 for (n, slot) in all.iter_mut().enumerate() {
                     if !slot.as_mut().is_some_and(open) {
                         *slot = connect(at, n);
@@ -52,17 +55,17 @@
                 std::thread::sleep(Duration::from_millis(20));
             }
         });
-        Crowd {
-            busy,
-            back,
+        OpenClients {
+            running,
+            reconnects,
             thread: Some(thread),
         }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for OpenClients {
     fn drop(&mut self) {
-        self.busy.store(false, Ordering::SeqCst);
+        self.running.store(false, Ordering::SeqCst);
         self.thread
             .take()
             .into_iter()
@@ -70,22 +73,23 @@
     }
 }
 
+/// Opens a connection of one of four kinds, chosen by `n`.
 fn connect(at: SocketAddr, n: usize) -> Option<TcpStream> {
     let mut tcp = TcpStream::connect(at).ok()?;
     let head = read_request(3.0);
     let body = pay_request(3.0).replace("Content-Length: 4", "Content-Length: 400");
-    let said = match n % 4 {
+    let text_sent = match n % 4 {
         0 => "",
         1 => &head[..head.len() / 2],
         2 => &head,
         _ => &body,
     };
-    let _ = tcp.write_all(said.as_bytes());
+    let _ = tcp.write_all(text_sent.as_bytes());
     tcp.set_nonblocking(true).ok()?;
     Some(tcp)
 }
 
-/// Reads what has come; whether the connection is still there.
+/// Reads what has arrived. Returns whether the connection is still open.
 fn open(tcp: &mut TcpStream) -> bool {
     let mut bytes = [0; 4096];
     loop {
@@ -97,62 +101,64 @@
     }
 }
 
+/// Number of open descriptors of a process.
 fn descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd"))
         .unwrap()
         .count()
 }
 
-/// Descriptors that are neither a client's nor an upstream's.
-fn beyond(proxy: &Proxy) -> usize {
+/// Number of open descriptors that are neither client nor backend connections.
+fn other_descriptors(proxy: &Proxy) -> usize {
     let all = descriptors(proxy.child.id());
     let text = String::from_utf8(proxy.control_request("GET /metrics").body).unwrap();
-    let figure = |name: &str| -> usize {
+    let metric = |name: &str| -> usize {
         let line = text.lines().find(|l| l.split(' ').next() == Some(name));
         line.and_then(|l| l.split(' ').nth(1)?.parse().ok())
             .unwrap_or_else(|| panic!("{name} in {text}"))
     };
-    all.saturating_sub(figure("meadowproxy_clients") + figure("meadowproxy_upstreams"))
+    all.saturating_sub(metric("meadowproxy_clients") + metric("meadowproxy_upstreams"))
 }
 
-/// The most descriptors seen, looked at again and again until this is dropped.
-struct Most {
-    seen: Arc<AtomicUsize>,
-    busy: Arc<AtomicBool>,
+/// Samples a process's number of open descriptors every 2 ms until it is dropped, and records the maximum.
+struct MaxDescriptors {
+    maximum: Arc<AtomicUsize>,
+    running: Arc<AtomicBool>,
 }
 
-impl Most {
-    fn of(pid: u32) -> Most {
-        let (seen, busy) = (
+impl MaxDescriptors {
+    fn of(pid: u32) -> MaxDescriptors {
+        let (maximum, running) = (
             Arc::new(AtomicUsize::new(0)),
             Arc::new(AtomicBool::new(true)),
         );
-        let (tell, go_on) = (seen.clone(), busy.clone());
+        let (recorded, keep_running) = (maximum.clone(), running.clone());
         std::thread::spawn(move || {
-            while go_on.load(Ordering::SeqCst) {
+            while keep_running.load(Ordering::SeqCst) {
                 let now = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
-                tell.fetch_max(now, Ordering::SeqCst);
+                recorded.fetch_max(now, Ordering::SeqCst);
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
-        Most { seen, busy }
+        MaxDescriptors { maximum, running }
     }
 }
 
-impl Drop for Most {
+impl Drop for MaxDescriptors {
     fn drop(&mut self) {
-        self.busy.store(false, Ordering::SeqCst);
+        self.running.store(false, Ordering::SeqCst);
     }
 }
 
-/// A list that drains the first of the old backends and brings a new one.
-fn news(old: &[BackendServer], new: &BackendServer) -> String {
+/// An endpoint list in which the first of the old backends drains and a new backend serves.
+fn changed_list(old: &[BackendServer], new: &BackendServer) -> String {
     let mut entries = entries(old);
     entries[0] = entry("b0", old[0].address, "DRAINING");
     entries.push(entry("new", new.address, "SERVING"));
     list(9, true, &entries)
 }
 
+/// The endpoint entries of backends in service.
 fn entries(all: &[BackendServer]) -> Vec<String> {
     all.iter()
         .enumerate()
@@ -160,8 +166,8 @@
         .collect()
 }
 
-/// As many requests at once as the clients' bound allows: each leaves a warm connection to a backend.
-fn warm(proxy: &Proxy, old: &[BackendServer], gate: &Gate) {
+/// Sends as many concurrent requests as the client limit allows, so that each leaves a warm backend connection.
+fn warm_up(proxy: &Proxy, old: &[BackendServer], gate: &Gate) {
     let mut clients: Vec<Client> = (0..UPSTREAMS).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|c| c.send(&read_request(3.0)));
     let end = Instant::now() + Duration::from_secs(2);
@@ -175,9 +181,13 @@
         .all(|c| c.response().is_some_and(|a| a.status() == 200)));
 }
 
-/// Under a crowd that fills it a small process goes through an outage of discovery. `back` ends the outage and gives the
-/// discovery that answers from then on.
-fn an_outage_under_a_crowd(mode: &str, at: SocketAddr, back: impl FnOnce() -> DiscoveryServer) {
+/// A proxy at its client limit goes through a discovery outage and must apply the list from after it in time.
+/// `end_outage` ends the outage and returns the discovery server that responds from then on.
+fn run_outage_at_client_limit(
+    mode: &str,
+    at: SocketAddr,
+    end_outage: impl FnOnce() -> DiscoveryServer,
+) {
     let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
     let (first, gate) = (Arc::new(Gate::default()), Arc::new(Gate::default()));
     let gated = |gate: &Arc<Gate>| {
@@ -198,50 +208,54 @@
     ];
     let proxy = Proxy::with_addresses("127.0.0.1:0", at, &known, SOCKETS, &settings, &more);
     let (pid, begun) = (proxy.child.id(), Instant::now());
-    let most = Most::of(pid);
-    warm(&proxy, &old, &first);
-    let crowd = Crowd::start(proxy.address);
-    // Staff who hold all the door's connections, too.
-    let mut staff: Vec<Option<TcpStream>> = (0..20).map(|_| None).collect();
-    let mut asked = 0;
+    let max = MaxDescriptors::of(pid);
+    warm_up(&proxy, &old, &first);
+    let open_clients = OpenClients::start(proxy.address);
+    // Operators also hold all connections of the control listener.
+    let mut operators: Vec<Option<TcpStream>> = (0..20).map(|_| None).collect();
+    let mut requests = 0;
     while begun.elapsed() < OUTAGE {
-        for held in &mut staff {
-            if !held.as_mut().is_some_and(open) {
-                *held = TcpStream::connect(proxy.control_address.unwrap()).ok();
-                held.iter()
+        for operator in &mut operators {
+            if !operator.as_mut().is_some_and(open) {
+                *operator = TcpStream::connect(proxy.control_address.unwrap()).ok();
+                operator
+                    .iter()
                     .for_each(|tcp| tcp.set_nonblocking(true).unwrap());
             }
         }
         assert_eq!(
             proxy.request(&read_request(3.0)).status(),
             200,
-            "a client among the crowd"
+            "a new client among the open connections"
         );
-        asked += 1;
+        requests += 1;
         std::thread::sleep(Duration::from_millis(50));
     }
-    let full = descriptors(pid);
-    let rest = (0..5).map(|_| beyond(&proxy)).min().unwrap();
-    assert!(rest <= RESERVED, "{rest} beside clients and upstreams");
-    let discovery = back();
+    let open_now = descriptors(pid);
+    let other = (0..5).map(|_| other_descriptors(&proxy)).min().unwrap();
+    assert!(
+        other <= RESERVED,
+        "{other} descriptors besides client and backend connections"
+    );
+    let discovery = end_outage();
     let returned = Instant::now();
     let (target, answer) = loop {
-        // Calls that were given up meanwhile may have been answered by nobody: the last one counts.
+        // Earlier calls may be gone without a response: the first one whose response can still be sent counts.
         let (target, answer) = discovery.call();
-        if answer.send((200, news(&old, &new))).is_ok() {
+        if answer.send((200, changed_list(&old, &new))).is_ok() {
             break (target, answer);
         }
     };
     drop(answer);
-    let mut busy: Vec<Client> = Vec::new();
+    let mut waiting: Vec<Client> = Vec::new();
     while new.request_count() == 0 {
         assert!(
-            returned.elapsed() < TOLD,
-            "the list was not taken in time after {target}"
+            returned.elapsed() < KNOWN_AFTER,
+            "the list was not applied in time after {target}"
         );
         let mut client = proxy.client();
         client.send(&pay_request(3.0));
-        busy.push(client);
+        waiting.push(client);
         std::thread::sleep(Duration::from_millis(20));
     }
     let took = returned.elapsed();
@@ -249,32 +263,35 @@
     for _ in 0..30 {
         let mut client = proxy.client();
         client.send(&read_request(3.0));
-        busy.push(client);
+        waiting.push(client);
     }
     gate.open();
-    let answers: Vec<u16> = busy
+    let statuses: Vec<u16> = waiting
         .iter_mut()
         .map(|c| c.response().map_or(0, |a| a.status()))
         .collect();
-    assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
-    let most = most.seen.load(Ordering::SeqCst);
-    let back = crowd.back.load(Ordering::SeqCst);
+    assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
+    let max = max.maximum.load(Ordering::SeqCst);
+    let reconnects = open_clients.reconnects.load(Ordering::SeqCst);
     eprintln!(
-        "{mode}: {asked} asked, {back} came, {full} open at the return, {rest} of them reserved, {most} at most, list after {took:?}"
+        "{mode}: {requests} requests, {reconnects} connects, {open_now} descriptors open after the outage, {other} of them reserved, {max} at most, list applied after {took:?}"
+    );
+    assert!(
+        reconnects > 2 * OPEN_CLIENTS,
+        "too few reconnects for a proxy at its client limit: {reconnects}"
     );
-    assert!(back > 2 * CROWD, "the crowd did not fill it: {back}");
     assert_eq!(
         old[0].request_count(),
         before,
-        "nothing new for one that drains"
+        "a draining backend got a new request"
     );
     assert!(
         new.connections.load(Ordering::SeqCst) > 0,
-        "attempts open connections"
+        "no connection to the new backend"
     );
     assert!(
-        full > 200 && most <= SOCKETS as usize,
-        "{full}, at most {most}"
+        open_now > 200 && max <= SOCKETS as usize,
+        "{open_now} descriptors open, at most {max}"
     );
     for words in ["Too many open files", "panicked", "accept:"] {
         assert_eq!(proxy.log_count(words), 0, "{words}");
@@ -282,50 +299,50 @@
 }
 
 #[test]
-fn a_crowd_does_not_keep_a_discovery_that_was_silent_from_being_heard() {
+fn a_silent_discovery_outage_at_the_client_limit_is_recovered_from() {
     for mode in ["automatic", "subscribe"] {
         let discovery = DiscoveryServer::start();
-        an_outage_under_a_crowd(mode, discovery.address, move || {
-            while discovery.pending_call().is_some() {} // never answered
+        run_outage_at_client_limit(mode, discovery.address, move || {
+            while discovery.pending_call().is_some() {} // drops the open calls without a response
             discovery
         });
     }
 }
 
 #[test]
-fn a_crowd_does_not_keep_a_discovery_that_was_down_from_being_heard() {
+fn a_refusing_discovery_outage_at_the_client_limit_is_recovered_from() {
     for mode in ["automatic", "subscribe"] {
         let down = RefusingPort::new();
         let at = down.address();
-        an_outage_under_a_crowd(mode, at, move || DiscoveryServer::start_on(down.listen()));
+        run_outage_at_client_limit(mode, at, move || DiscoveryServer::start_on(down.listen()));
     }
 }
 
-/// A thousand connections that never speak and never end, more than the descriptors allow, and clients with requests
-/// among them, most in the listener's queue at once: the queue moves on however slowly the crowd leaves, and each request
-/// is answered within its client's time.
+/// A thousand silent connections that are never closed, more than there are descriptors, and clients with requests among
+/// them, most in the listener's backlog at once: the proxy closes silent connections fast enough to serve each request
+/// within its client's time.
 #[test]
-fn clients_among_a_silent_crowd_are_answered_in_time() {
+fn clients_among_silent_connections_are_served_in_time() {
     const SILENT: usize = 1000;
     const ASKING: usize = 40;
     const LEFT: Duration = Duration::from_secs(1);
     let backend = BackendServer::start(|_| ok("x"));
     let known = [entry("b0", backend.address, "SERVING")];
     let proxy = Proxy::with_descriptor_limit(&known, SOCKETS, SETTINGS, SOCKETS);
-    let most = Most::of(proxy.child.id());
-    let mut dice = Pcg32::seed_from_u64(28);
+    let max = MaxDescriptors::of(proxy.child.id());
+    let mut random = Pcg32::seed_from_u64(28);
     let connect = || TcpStream::connect(proxy.address).unwrap();
     let mut silent: Vec<TcpStream> = (0..SOCKETS).map(|_| connect()).collect();
     assert_eq!(
         proxy.request(&read_request(3.0)).status(),
         200,
-        "behind a crowd that was taken in"
+        "a client after silent connections that were accepted"
     );
     proxy.suspend();
     let mut asking = Vec::new();
     while silent.len() < SILENT || asking.len() < ASKING {
-        let (quiet, loud) = (SILENT - silent.len(), ASKING - asking.len());
-        if (dice.next_u32() as usize) % (quiet + loud) < quiet {
+        let (silent_left, asking_left) = (SILENT - silent.len(), ASKING - asking.len());
+        if (random.next_u32() as usize) % (silent_left + asking_left) < silent_left {
             silent.push(connect());
         } else {
             let mut client = proxy.client();
@@ -344,50 +361,58 @@
             from.elapsed()
         );
     }
-    eprintln!("all answered after {:?}", from.elapsed());
+    eprintln!("all requests served after {:?}", from.elapsed());
     assert_eq!(backend.request_count() as usize, 1 + ASKING);
-    assert!(most.seen.load(Ordering::SeqCst) <= SOCKETS as usize);
+    assert!(max.maximum.load(Ordering::SeqCst) <= SOCKETS as usize);
     assert_eq!(proxy.log_count("accept:"), 0);
 }
 
-/// Fewer descriptors than the process is told of, all taken by clients that are still sending: neither listener fills the
-/// log or the processor, and operators are heard once there is room.
+/// Fewer descriptors than the configuration says, all used by clients that are still sending: neither listener floods the
+/// log or spins, and an operator's call is served when a descriptor is free again.
 #[test]
 fn listeners_that_are_out_of_descriptors_neither_spin_nor_flood_the_log() {
     let proxy = Proxy::with_control_and_descriptor_limit(64);
     let begun = Instant::now();
-    let stopped = pay_request(3.0).replace("Content-Length: 4", "Content-Length: 400");
+    let incomplete = pay_request(3.0).replace("Content-Length: 4", "Content-Length: 400");
     let mut clients: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|client| client.send(&stopped));
-    let until = |words: &str| {
+    clients
+        .iter_mut()
+        .for_each(|client| client.send(&incomplete));
+    let wait_for_log = |words: &str| {
         while proxy.log_count(words) == 0 {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "never: {words}");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "not logged in time: {words}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    until("server: accept: Too many open files");
-    let mut staff = Client::connect(proxy.control_address.unwrap());
-    staff.send("GET /status HTTP/1.1\r\nHost: d\r\n\r\n");
-    until("control: accept: Too many open files");
-    let used = ticks(proxy.child.id());
+    wait_for_log("server: accept: Too many open files");
+    let mut operator = Client::connect(proxy.control_address.unwrap());
+    operator.send("GET /status HTTP/1.1\r\nHost: d\r\n\r\n");
+    wait_for_log("control: accept: Too many open files");
+    let ticks_used = ticks(proxy.child.id());
     std::thread::sleep(Duration::from_millis(500));
-    let used = ticks(proxy.child.id()) - used;
+    let ticks_used = ticks(proxy.child.id()) - ticks_used;
     assert!(
-        staff.response().is_some_and(|a| a.status() == 200),
-        "never heard"
+        operator.response().is_some_and(|a| a.status() == 200),
+        "the operator's call was not served"
     );
-    let most = 2 + begun.elapsed().as_secs() as usize;
+    let max_lines = 2 + begun.elapsed().as_secs() as usize;
     for words in ["control: accept", "server: accept"] {
         assert!(
-            proxy.log_count(words) <= most,
+            proxy.log_count(words) <= max_lines,
             "{} lines: {words}",
             proxy.log_count(words)
         );
     }
-    assert!(used < 25, "{used} hundredths of a second of 50");
+    assert!(
+        ticks_used < 25,
+        "{ticks_used} of 50 hundredths of a second of processor time used"
+    );
 }
 
-/// Processor time that a process has used, in hundredths of a second.
+/// Processor time used by a process, in hundredths of a second.
 fn ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! What operators do with the running program: the door, a new version beside the old one, backends taken out
-//! by hand, settings that change.
+//! Operators' actions on a running proxy: calls to the control listener, a hot restart with a shared socket, disabling
+//! backends, and reloads of the configuration.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -11,20 +11,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A listening socket that every child inherits, and how the platform tells of it.
-fn platform() -> (TcpListener, (&'static str, String)) {
+/// A listening socket that child processes inherit, and the environment variable that passes its descriptor.
+fn inherited_socket() -> (TcpListener, (&'static str, String)) {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&socket).set_cloexec(false).unwrap();
     let variable = ("NODE_SOCKET_FD", socket.as_raw_fd().to_string());
     (socket, variable)
 }
 
+/// A `TMPDIR` variable with a new directory.
 fn tmp() -> (&'static str, String) {
     ("TMPDIR", create_temp_dir().to_str().unwrap().into())
 }
 
 #[test]
-fn the_door_answers_each_call_and_closes() {
+fn the_control_listener_serves_one_call_per_connection() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_control(
         &[entry("b0", backend.address, "SERVING")],
@@ -47,18 +48,21 @@
             .status(),
         200
     );
-    assert!(client.is_closed(), "one call to a connection");
+    assert!(
+        client.is_closed(),
+        "the connection must be closed after one call"
+    );
     let mut client = Client::connect(proxy.control_address.unwrap());
     client.send("what is this\r\n\r\n");
     assert!(client.response().is_none_or(|a| a.status() == 400));
     assert_eq!(proxy.control_request("GET /status").status(), 200);
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
-    let figures = proxy.control_request("GET /metrics");
+    let metrics = proxy.control_request("GET /metrics");
     assert_eq!(
-        figures.header("content-type"),
+        metrics.header("content-type"),
         Some("text/plain; version=0.0.4")
     );
-    let text = String::from_utf8(figures.body).unwrap();
+    let text = String::from_utf8(metrics.body).unwrap();
     assert!(
         text.contains(
             "# TYPE meadowproxy_requests_served_total counter\nmeadowproxy_requests_served_total 1\n"
@@ -68,9 +72,9 @@
     assert_eq!(proxy.control_request("PUT /metrics").status(), 405);
 }
 
-/// Callers that hold their connection with no whole call make way, and each is let go in the end.
+/// Connections to the control listener without a complete call do not block other callers, and all of them are closed.
 #[test]
-fn callers_that_say_nothing_do_not_keep_others_out() {
+fn silent_callers_do_not_block_the_control_listener() {
     let proxy = Proxy::with_control(&[], SETTINGS, &[tmp()]);
     let mut idle: Vec<Client> = (0..200)
         .map(|n| {
@@ -83,7 +87,8 @@
     assert!(idle.iter_mut().all(Client::closed_in_time));
 }
 
-/// The old process answers what it has, tells its clients to go, and leaves what comes to the new one.
+/// Hot restart: the old process completes its open requests, closes its client connections and leaves new ones to the new
+/// process.
 #[test]
 fn a_new_version_takes_over_without_a_lost_request() {
     let gate = Arc::new(Gate::default());
@@ -96,7 +101,7 @@
         }
     });
     let second = BackendServer::start(|_| ok("new"));
-    let ((socket, passed), tmp) = (platform(), tmp());
+    let ((socket, passed), tmp) = (inherited_socket(), tmp());
     let at = socket.local_addr().unwrap();
     let start =
         |known: &[String]| Proxy::with_control(known, SETTINGS, &[passed.clone(), tmp.clone()]);
@@ -112,7 +117,7 @@
     assert_ne!(
         new.control_request("GET /status").status(),
         200,
-        "not before its list is at hand"
+        "it is ready before it has an endpoint list"
     );
     answer
         .send((
@@ -135,19 +140,21 @@
     );
     gate.open();
     assert_eq!(
-        busy.response().expect("the answer that was owed").body,
+        busy.response()
+            .expect("no response from the old process")
+            .body,
         b"gated"
     );
     assert!(old.child.wait().unwrap().success());
     assert_eq!(
         Client::connect(at).request(&read_request(3.0)).body,
         b"new",
-        "the socket was closed, not shut down"
+        "the old process shut down the shared socket instead of closing its descriptor"
     );
     assert_eq!(
         second.connections.load(SeqCst),
         1,
-        "a warm connection all along"
+        "the new process did not reuse its warm connection"
     );
 }
 
@@ -180,19 +187,20 @@
     }
 }
 
-fn names(backends: &[&BackendServer]) -> Vec<String> {
+/// Endpoint entries for these backends, named b0, b1 and so on.
+fn entries(backends: &[&BackendServer]) -> Vec<String> {
     let each = backends.iter().enumerate();
     each.map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING"))
         .collect()
 }
 
 #[test]
-fn a_backend_taken_out_gets_nothing_until_it_is_called_back() {
+fn a_disabled_backend_gets_no_requests_until_it_is_enabled() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
     );
-    let proxy = Proxy::with_control(&names(&[&a, &b]), SETTINGS, &[tmp()]);
+    let proxy = Proxy::with_control(&entries(&[&a, &b]), SETTINGS, &[tmp()]);
     proxy.wait_until_serving();
     for (status, line) in [
         (404, "PUT /maintenance/enter?who=b7"),
@@ -221,20 +229,23 @@
     );
     let end = std::time::Instant::now() + TEST_TIMEOUT;
     while a.request_count() == before {
-        assert!(std::time::Instant::now() < end, "it was never used again");
+        assert!(
+            std::time::Instant::now() < end,
+            "the enabled backend got no request in time"
+        );
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
 }
 
-/// A ban made at one process reaches the other, and both outlive the process that was told.
+/// A backend disabled or enabled at one process is so at the other one too, and stays so after the first process ends.
 #[test]
-fn bans_reach_a_new_version_and_are_kept_over_it() {
+fn disabled_backends_reach_a_new_process_and_outlive_the_old_one() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
     );
-    let ((_socket, passed), tmp) = (platform(), tmp());
-    let known = names(&[&a, &b]);
+    let ((_socket, passed), tmp) = (inherited_socket(), tmp());
+    let known = entries(&[&a, &b]);
     let start = || Proxy::with_control(&known, SETTINGS, &[passed.clone(), tmp.clone()]);
     let old = start();
     let kept = std::fs::read_dir(std::path::Path::new(&tmp.1).join("shaletide"))
@@ -242,7 +253,7 @@
         .flatten();
     let kept: Vec<_> = kept.map(|e| e.path()).collect();
     assert_eq!(kept.len(), 1, "one proxy, one folder");
-    std::fs::write(kept[0].join("out-6x"), "").unwrap(); // foreign: skipped
+    std::fs::write(kept[0].join("out-6x"), "").unwrap(); // not a backend's file: skipped
     old.wait_until_serving();
     assert_eq!(
         old.control_request("PUT /maintenance/enter?who=b0")
@@ -261,7 +272,7 @@
         assert_eq!(
             new.request(&read_request(3.0)).body,
             b"b",
-            "read before the first request"
+            "the disabled backends must be read before the first request"
         );
     }
     assert_eq!(a.request_count(), 0);
@@ -274,7 +285,7 @@
             .status(),
         200
     );
-    std::thread::sleep(Duration::from_millis(300)); // the grace is half a second
+    std::thread::sleep(Duration::from_millis(300)); // the change must reach the other process within half a second
     drop(old);
     let before = b.request_count();
     for _ in 0..30 {
@@ -287,19 +298,19 @@
     assert_eq!(
         third.request(&read_request(3.0)).body,
         b"a",
-        "kept though no process ran"
+        "the disabled backend was lost while no process ran"
     );
 }
 
-/// Without a folder the ban holds all the same.
+/// If the directory for disabled backends cannot be written, a backend is still disabled in this process.
 #[test]
-fn a_missing_folder_does_not_undo_a_ban() {
+fn a_missing_directory_does_not_enable_a_disabled_backend() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
     );
     let nowhere = ("TMPDIR", "/proc/none".to_string());
-    let proxy = Proxy::with_control(&names(&[&a, &b]), SETTINGS, &[nowhere]);
+    let proxy = Proxy::with_control(&entries(&[&a, &b]), SETTINGS, &[nowhere]);
     proxy.wait_until_serving();
     assert_eq!(
         proxy
@@ -313,7 +324,7 @@
     }
 }
 
-/// Writes the proxy's configuration anew, with some of its text replaced.
+/// Replaces the first occurrence of `from` in the proxy's configuration file. Returns the previous text.
 fn rewrite(proxy: &Proxy, from: &str, to: &str) -> String {
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     assert!(text.contains(from), "{from}");
@@ -321,23 +332,28 @@
     text
 }
 
+/// A GET of the class `log`.
 fn log(left: f64) -> String {
     read_request(left).replace("GET /read", "GET /log")
 }
 
+/// The settings entry of the class `log`.
 const LOG: &str = r#"{"name":"log","aim_us":900000,"deadline_us":3000000,"effect":"free","gain":1.0,"late_worth":0.5}"#;
 
-/// Asks until the answer is that one: a signal takes its time.
-fn until(proxy: &Proxy, request: impl Fn(f64) -> String, status: u16) {
+/// Repeats a request until its response has `status`, because a signal takes effect asynchronously.
+fn request_until(proxy: &Proxy, request: impl Fn(f64) -> String, status: u16) {
     let end = std::time::Instant::now() + TEST_TIMEOUT;
     while proxy.request(&request(3.0)).status() != status {
-        assert!(std::time::Instant::now() < end, "{status} never came");
+        assert!(
+            std::time::Instant::now() < end,
+            "no response with status {status} in time"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn on_a_reload_classes_come_and_go_and_open_requests_keep_theirs() {
+fn a_reload_adds_and_removes_classes_and_open_requests_keep_theirs() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| {
@@ -347,12 +363,12 @@
             ok("x")
         }
     });
-    let proxy = Proxy::with_control(&names(&[&backend]), SETTINGS, &[tmp()]);
+    let proxy = Proxy::with_control(&entries(&[&backend]), SETTINGS, &[tmp()]);
     let mut open = proxy.client();
     open.send(&pay_request(3.0));
     backend.next_request();
     assert_eq!(proxy.request(&log(3.0)).status(), 404);
-    // `pay` makes way for `log`, and `read` becomes one that must not be repeated.
+    // `log` replaces `pay`, and requests of `read` must no longer be repeated.
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     let (from, to) = (
         text.find(r#"{"name":"pay""#).unwrap(),
@@ -361,12 +377,12 @@
     rewrite(&proxy, &text[from..to], &format!("{LOG},"));
     rewrite(&proxy, r#""effect":"free""#, r#""effect":"single_shot""#);
     proxy.signal("-HUP");
-    until(&proxy, log, 200);
+    request_until(&proxy, log, 200);
     assert_eq!(proxy.request(&pay_request(3.0)).status(), 404);
     assert_eq!(
         proxy.request(&read_request(3.0)).status(),
         400,
-        "no GET for what must not be repeated"
+        "a class that must not be repeated accepts no GET"
     );
     assert_eq!(
         proxy
@@ -375,10 +391,10 @@
         200
     );
     gate.open();
-    assert_eq!(open.response().expect("an answer").body, b"gated");
+    assert_eq!(open.response().expect("no response").body, b"gated");
     std::fs::write(&proxy.config_path, text).unwrap();
     proxy.signal("-HUP");
-    until(&proxy, log, 404);
+    request_until(&proxy, log, 404);
     assert_eq!(
         (
             proxy.request(&pay_request(3.0)).status(),
@@ -388,12 +404,12 @@
     );
 }
 
-/// Each file is broken in one way and would bring a new class: nothing of it is taken, and a sound one is.
+/// Each file adds a class and contains one mistake: nothing of it is applied. Without a mistake it is.
 #[test]
-fn nothing_is_taken_from_a_broken_file() {
+fn nothing_is_applied_from_an_invalid_file() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::with_control(&names(&[&backend]), SETTINGS, &[tmp()]);
-    let sound = rewrite(
+    let proxy = Proxy::with_control(&entries(&[&backend]), SETTINGS, &[tmp()]);
+    let original = rewrite(
         &proxy,
         r#"{"name":"read""#,
         &format!(r#"{LOG},{{"name":"read""#),
@@ -406,7 +422,7 @@
     let half = new.len() / 2;
     let deadline = r#""deadline_us":3000000"#;
     let attempts = r#""max_attempts":4"#;
-    for broken in [
+    for invalid in [
         String::new(),
         "{}".into(),
         new[..half].into(),
@@ -425,14 +441,14 @@
         swap(attempts, r#""max_attempts":-4"#),
         swap(attempts, r#""max_attempts":null"#),
     ] {
-        std::fs::write(&proxy.config_path, &broken).unwrap();
+        std::fs::write(&proxy.config_path, &invalid).unwrap();
         proxy.signal("-HUP");
         std::thread::sleep(Duration::from_millis(60));
-        assert_eq!(proxy.request(&log(3.0)).status(), 404, "{broken}");
+        assert_eq!(proxy.request(&log(3.0)).status(), 404, "{invalid}");
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
     std::fs::write(&proxy.config_path, &new).unwrap();
     proxy.signal("-HUP");
-    until(&proxy, log, 200);
-    assert_ne!(new, sound);
+    request_until(&proxy, log, 200);
+    assert_ne!(new, original);
 }
