--- a/tests/rig/config_changes.rs
+++ b/tests/rig/config_changes.rs
@@ -1,4 +1,4 @@
-//! A fleet whose configuration is changed at its doors, and what has to hold over all of its copies.
+//! Changes a fleet's configuration through the proxies' control addresses, and checks that the proxies' copies of it agree.
 
 use super::fleet::{Fleet, FleetOptions};
 use super::lease_history::{event_lines, lease_violations, log_field, number_field};
@@ -6,19 +6,22 @@
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
+/// Numbers of the fleet's proxies.
 pub const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 
+/// Returns a proxy's answer to `GET /config`.
 pub fn config_status(fleet: &Fleet, n: usize) -> Value {
     fleet.control_json(n, "/config")
 }
 
+/// Returns the version of a proxy's copy of the configuration.
 pub fn config_version(fleet: &Fleet, n: usize) -> u64 {
     config_status(fleet, n)["version"]
         .as_u64()
         .expect("a version")
 }
 
-/// A change of one tenant at a proxy's door, made from that version.
+/// Sets a tenant's quota at a proxy, in requests per second, as a change based on the version `base`. Returns status and body.
 pub fn put_quota(fleet: &Fleet, n: usize, name: &str, base: u64, quota: u64) -> (u16, Value) {
     let body = json!({ "version": base, "value": { "name": name, "quota_rps": quota as f64 } });
     status_and_json(&fleet.control_call(
@@ -28,6 +31,7 @@
     ))
 }
 
+/// Returns a response's status and its body as JSON, or null if it is not JSON.
 pub fn status_and_json(answer: &Message) -> (u16, Value) {
     (
         answer.status(),
@@ -35,7 +39,8 @@
     )
 }
 
-/// What a call comes to, once somebody holds the duty: on a machine that is short of time a lease may end in between.
+/// Repeats a call until its status is not 503: on a busy machine the leader's lease may end meanwhile, and calls are rejected
+/// until there is a leader again.
 pub fn call_until_available(fleet: &Fleet, n: usize, line: &str, body: &str) -> (u16, Value) {
     fleet.wait_for("an answer", |fleet| {
         let answer = status_and_json(&fleet.control_call(n, line, body));
@@ -43,6 +48,7 @@
     })
 }
 
+/// Repeats [`put_quota`] until its status is not 503.
 pub fn put_quota_until_available(
     fleet: &Fleet,
     n: usize,
@@ -55,55 +61,57 @@
     })
 }
 
-/// The same until it is taken; its version.
+/// Sets a tenant's quota at a proxy, each time based on the proxy's present version, until it is accepted. Returns the
+/// version of the change.
 pub fn put_quota_until_accepted(fleet: &Fleet, n: usize, name: &str, quota: u64) -> u64 {
-    fleet.wait_for("a change to be taken", |fleet| {
-        let (status, told) = put_quota(fleet, n, name, config_version(fleet, n), quota);
-        eprintln!("proxy {n}, {name}: {status} {told}");
-        (status == 200).then(|| told["version"].as_u64().expect("its version"))
+    fleet.wait_for("a change to be accepted", |fleet| {
+        let (status, answer) = put_quota(fleet, n, name, config_version(fleet, n), quota);
+        eprintln!("proxy {n}, {name}: {status} {answer}");
+        (status == 200).then(|| answer["version"].as_u64().expect("a version"))
     })
 }
 
-/// What a proxy has of a tenant: its quota, none where it never changed.
+/// Returns a tenant's quota in a proxy's copy of the configuration, or `None` if no change ever set it.
 pub fn tenant_quota(fleet: &Fleet, n: usize, name: &str) -> Option<u64> {
-    let (status, told) =
+    let (status, answer) =
         status_and_json(&fleet.control_call(n, &format!("GET /config/tenants/{name}"), ""));
-    (status == 200).then(|| told["value"]["quota_rps"].as_f64().expect("its quota") as u64)
+    (status == 200).then(|| answer["value"]["quota_rps"].as_f64().expect("a quota") as u64)
 }
 
-/// Waits until these have one version, at least that one, in force and with one content; which.
-pub fn wait_for_equal_copies(fleet: &Fleet, of: &[usize], least: u64) -> u64 {
+/// Waits until these proxies have the same content and the same version, at least `least`, in force. Returns that version.
+pub fn wait_for_equal_copies(fleet: &Fleet, proxies: &[usize], least: u64) -> u64 {
     fleet.wait_for("equal copies", |fleet| {
-        let all: Vec<Value> = of.iter().map(|n| config_status(fleet, *n)).collect();
+        let all: Vec<Value> = proxies.iter().map(|n| config_status(fleet, *n)).collect();
         let version = all[0]["version"]
             .as_u64()
             .filter(|version| *version >= least)?;
-        let same = |s: &Value| {
+        let is_equal = |s: &Value| {
             s["version"] == version && s["in_force"] == version && s["digest"] == all[0]["digest"]
         };
-        all.iter().all(same).then_some(version)
+        all.iter().all(is_equal).then_some(version)
     })
 }
 
-/// Over all processes that ever were: no two states of one version, no copy that went back, one holder at a time.
+/// Checks the logs of all past and present processes: each version has one content, no proxy's version decreased, and each
+/// duty had one holder at a time.
 pub fn check_consistency(fleet: &Fleet) {
     let incarnations = fleet.incarnations();
-    let wrong = lease_violations(&incarnations);
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let violations = lease_violations(&incarnations);
+    assert!(violations.is_empty(), "{violations:#?}");
     let mut digests: HashMap<u64, String> = HashMap::new();
     for incarnation in &incarnations {
-        let mut last = 0;
+        let mut last_version = 0;
         for line in event_lines(&incarnation.log, "config_copy") {
             let (version, digest) = (
                 number_field(line, "version").unwrap(),
                 log_field(line, "digest").unwrap(),
             );
             assert!(
-                version > last,
-                "proxy {} went from {last} to {version}",
+                version > last_version,
+                "proxy {} went from {last_version} to {version}",
                 incarnation.proxy
             );
-            last = version;
+            last_version = version;
             let first_digest = digests.entry(version).or_insert(digest.into());
             assert_eq!(
                 first_digest, digest,
@@ -116,15 +124,15 @@
             None
         );
     }
-    assert!(!digests.is_empty(), "too few versions to prove anything");
+    assert!(!digests.is_empty(), "no process logged a version");
 }
 
-/// Five proxies, three of them voters.
+/// Starts five proxies, three of them voters.
 pub fn start_fleet(seed: u64, backend: &BackendServer) -> Fleet {
     start_fleet_with_variables(seed, backend, Vec::new())
 }
 
-/// The same with these variables.
+/// Starts five proxies, three of them voters, with these environment variables.
 pub fn start_fleet_with_variables(
     seed: u64,
     backend: &BackendServer,
--- a/tests/rig/faults.rs
+++ b/tests/rig/faults.rs
@@ -1,45 +1,49 @@
-//! Faults between the proxies of a fleet: each one's datagrams come through a relay of the test's own on loopback,
-//! which drops, delays, reorders, doubles, spoils, replays or cuts them off one way, by a seed.
+//! Injects network faults between the proxies of a fleet. Datagrams to each proxy pass through a relay of the test on
+//! loopback, which drops, delays, reorders, duplicates, corrupts, replays or blocks them in one direction, drawn from a seed.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use super::{Arc, Duration, Mutex, SocketAddr};
 use std::collections::{HashMap, HashSet};
 use std::net::UdpSocket;
 
-/// What happens to datagrams between proxies.
+/// Faults that the relays apply to datagrams between proxies. The default applies none.
 #[derive(Default)]
 pub struct Rules {
-    /// Parts of all, from 0 to 1.
+    /// Probability that a datagram is dropped, from 0 to 1.
     pub drop: f64,
+    /// Probability that a datagram is sent twice.
     pub duplicate: f64,
-    /// One byte of the datagram is changed.
+    /// Probability that one byte of the datagram is changed.
     pub corrupt: f64,
-    /// The datagram that came before it to the same proxy comes once more behind it.
+    /// Probability that the previous datagram to the same proxy is sent again after this one.
     pub replay: f64,
-    /// Each is late by an even draw up to this, so that they overtake each other.
+    /// Upper bound of each datagram's delay, which is drawn uniformly, so that datagrams are reordered.
     pub max_delay: Duration,
-    /// From, to: nothing passes that way.
+    /// Pairs (from, to) of proxies between which every datagram is dropped.
     pub blocked: HashSet<(usize, usize)>,
-    /// From, to: all that passes that way is kept until it is let go.
+    /// Pairs (from, to) of proxies whose datagrams are held until [`Faults::release_held`].
     pub held: HashSet<(usize, usize)>,
-    /// From, to: all that passes that way takes so long.
+    /// Fixed delays of the datagrams between pairs (from, to) of proxies, in addition to `max_delay`.
     pub delays: HashMap<(usize, usize), Duration>,
 }
 
-/// A datagram that is kept, behind the number of the proxy that it goes to.
+/// Number of the destination proxy and the bytes of a held datagram.
 type HeldDatagram = (usize, Vec<u8>);
 
-/// The relays of a fleet, numbered as its proxies.
+/// The relays of a fleet, one per proxy and with the same numbers.
 pub struct Faults {
     sockets: Vec<Arc<UdpSocket>>,
+    /// Number of the proxy that listens on an address.
     addresses: Arc<Mutex<HashMap<SocketAddr, usize>>>,
     pub rules: Arc<Mutex<Rules>>,
+    /// Datagrams held back by [`Rules::held`].
     held: Arc<Mutex<Vec<HeldDatagram>>>,
-    /// The last datagram that passed towards each proxy, to be replayed.
+    /// The last datagram sent to each proxy, used for replays.
     pub last_datagrams: Arc<Mutex<HashMap<usize, Vec<u8>>>>,
 }
 
 impl Faults {
+    /// Starts a relay for each proxy.
     pub fn new(proxies: usize, seed: u64) -> Faults {
         let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
         let sockets: Vec<Arc<UdpSocket>> = (0..proxies).map(bind).collect();
@@ -55,17 +59,18 @@
         faults
     }
 
-    /// Where the others reach that proxy.
+    /// Returns the relay address at which the other proxies reach this one.
     pub fn address(&self, proxy: usize) -> SocketAddr {
         self.sockets[proxy].local_addr().unwrap()
     }
 
-    /// Where the proxy listens, as its first lines say; an earlier process of it is forgotten.
+    /// Returns the address on which a proxy listens according to its startup log, and relays to it from now on instead of to
+    /// the proxy's previous process.
     pub fn register(&self, proxy: usize, startup_log: &str) -> SocketAddr {
         let at = startup_log
             .lines()
             .find(|l| l.contains("peers_start"))
-            .expect("it shares state");
+            .expect("a line with peers_start");
         let at = at
             .split("listen=")
             .nth(1)
@@ -81,15 +86,15 @@
         at
     }
 
-    /// What passes between two groups takes so long, both ways.
-    pub fn delay_between(&self, one: &[usize], other: &[usize], delay: Duration) {
-        let both = one
+    /// Delays all datagrams between two groups of proxies by the same time in both directions.
+    pub fn delay_between(&self, first: &[usize], second: &[usize], delay: Duration) {
+        let both = first
             .iter()
-            .flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
+            .flat_map(|a| second.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
         self.rules.lock().unwrap().delays = both.map(|pair| (pair, delay)).collect();
     }
 
-    /// Nothing passes between these groups, either way; whoever is in none is alone. Other rules stay as they are.
+    /// Blocks all datagrams between these groups of proxies. A proxy in none of them is isolated. Other rules stay as they are.
     pub fn partition(&self, groups: &[&[usize]]) {
         let group = |n: usize| groups.iter().position(|g| g.contains(&n)).ok_or(n);
         let all = 0..self.sockets.len();
@@ -98,7 +103,7 @@
             pairs.filter(|(a, b)| group(*a) != group(*b)).collect();
     }
 
-    /// What was kept goes on, late.
+    /// Delivers the datagrams that were held, and holds no more.
     pub fn release_held(&self) {
         self.rules.lock().unwrap().held.clear();
         let addresses = self.addresses.lock().unwrap();
@@ -113,11 +118,12 @@
         }
     }
 
-    /// Whatever was wrong ends.
+    /// Ends all faults.
     pub fn heal(&self) {
         *self.rules.lock().unwrap() = Rules::default();
     }
 
+    /// Starts the thread that relays datagrams to the proxy `to`.
     fn start_relay(&self, to: usize, seed: u64) {
         let (socket, addresses) = (self.sockets[to].clone(), self.addresses.clone());
         let (rules, held, last_datagrams) = (
@@ -126,48 +132,49 @@
             self.last_datagrams.clone(),
         );
         let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        let mut chance = move || {
+        let mut draw_fraction = move || {
             state ^= state << 13;
             state ^= state >> 7;
             state ^= state << 17;
             (state >> 11) as f64 / (1u64 << 53) as f64
         };
         std::thread::spawn(move || {
-            let mut bytes = [0; 2048];
-            while let Ok((length, source)) = socket.recv_from(&mut bytes) {
+            let mut buffer = [0; 2048];
+            while let Ok((length, sender)) = socket.recv_from(&mut buffer) {
                 let (from, target) = {
                     let addresses = addresses.lock().unwrap();
                     let target = addresses
                         .iter()
                         .find(|(_, number)| **number == to)
                         .map(|(at, _)| *at);
-                    (addresses.get(&source).copied(), target)
+                    (addresses.get(&sender).copied(), target)
                 };
                 let (Some(from), Some(target)) = (from, target) else {
                     continue;
                 };
-                let mut data = bytes[..length].to_vec();
+                let mut data = buffer[..length].to_vec();
                 let (copies, max_delay, delay, replay) = {
                     let rules = rules.lock().unwrap();
                     if rules.held.contains(&(from, to)) {
                         held.lock().unwrap().push((to, data));
                         continue;
                     }
-                    let lost = rules.blocked.contains(&(from, to)) || chance() < rules.drop;
+                    let lost = rules.blocked.contains(&(from, to)) || draw_fraction() < rules.drop;
                     let copies = if lost {
                         0
                     } else {
-                        1 + usize::from(chance() < rules.duplicate)
+                        1 + usize::from(draw_fraction() < rules.duplicate)
                     };
-                    if length > 0 && chance() < rules.corrupt {
-                        data[(chance() * length as f64) as usize] ^= 1 + (chance() * 255.0) as u8;
+                    if length > 0 && draw_fraction() < rules.corrupt {
+                        data[(draw_fraction() * length as f64) as usize] ^=
+                            1 + (draw_fraction() * 255.0) as u8;
                     }
                     let delay = rules.delays.get(&(from, to)).copied().unwrap_or_default();
                     (
                         copies,
                         rules.max_delay,
                         delay,
-                        copies > 0 && chance() < rules.replay,
+                        copies > 0 && draw_fraction() < rules.replay,
                     )
                 };
                 let previous = if copies > 0 {
@@ -176,7 +183,8 @@
                     None
                 };
                 for data in std::iter::repeat_n(data, copies).chain(previous.filter(|_| replay)) {
-                    let (socket, wait) = (socket.clone(), delay + max_delay.mul_f64(chance()));
+                    let (socket, wait) =
+                        (socket.clone(), delay + max_delay.mul_f64(draw_fraction()));
                     let send = move || drop(socket.send_to(&data, target));
                     if wait.is_zero() {
                         send();
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real proxies that share state, with faults between them: its backends, its clients, and what has to hold
-//! over all that these recorded.
+//! Starts a fleet of real proxies that share state, with network faults between them, recording backends and steady
+//! clients, and checks what these recorded.
 
 use super::faults::Faults;
 use super::lease_history::{self, Incarnation};
@@ -13,15 +13,15 @@
 use std::thread::JoinHandle;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The machine's monotonic clock, which its processes share, in microseconds.
+/// Returns the time of the machine's monotonic clock in microseconds. All processes share this clock.
 pub fn monotonic_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
 }
 
-/// What that clock says at a wall time in microseconds.
+/// Converts a wall time in microseconds to the monotonic clock.
 ///
-/// A pause between the two readings makes it too early, never too late.
+/// If the thread is suspended between reading the two clocks, the result is too early, never too late.
 pub fn monotonic_at_wall_time(wall_us: u64) -> u64 {
     let mono = monotonic_us();
     let wall = SystemTime::now()
@@ -31,38 +31,43 @@
     (mono + wall_us).saturating_sub(wall)
 }
 
-/// What `GET /peers` answers, as far as the tests ask.
+/// A proxy's answer to `GET /peers`.
 pub struct PeersStatus(pub serde_json::Value);
 
 impl PeersStatus {
     pub fn of(proxy: &Proxy) -> PeersStatus {
         PeersStatus(
             serde_json::from_slice(&proxy.control_request("GET /peers").body)
-                .expect("JSON at the door"),
+                .expect("JSON from the control address"),
         )
     }
+    /// Returns the number of other proxies that this one knows.
     pub fn members(&self) -> usize {
         self.0["members"].as_array().unwrap().len()
     }
+    /// Returns how many datagrams were rejected for this cause.
     pub fn refused(&self, cause: &str) -> u64 {
         self.0["refused"][cause].as_u64().unwrap_or(0)
     }
-    pub fn count(&self, what: &str) -> u64 {
-        self.0[what].as_u64().unwrap()
+    /// Returns the counter of this name.
+    pub fn count(&self, name: &str) -> u64 {
+        self.0[name].as_u64().unwrap()
     }
 }
 
-/// So many fleets of one test program run at a time: nine of five processes each, with their backends and relays as threads
-/// of that program, stall each other on eight cores, and a backend of the test's own that stands still for seconds is no
-/// fault of the proxy's.
+/// Maximum number of fleets of one test program that run at a time. Nine fleets of five processes, with their backends and
+/// relays as threads of the test program, stalled each other on eight cores, and a test backend that stands still for
+/// seconds fails requests without a fault of the proxy.
 const MAX_RUNNING_FLEETS: usize = 4;
 
+/// Number of fleets that run.
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// A fleet's turn to run.
+/// Permission for a fleet to run, given back on drop.
 struct FleetPermit;
 
 impl FleetPermit {
+    /// Waits until fewer than [`MAX_RUNNING_FLEETS`] fleets run.
     fn acquire() -> FleetPermit {
         let running = RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner);
         let full = |running: &mut usize| *running >= MAX_RUNNING_FLEETS;
@@ -81,37 +86,41 @@
     }
 }
 
+/// Proxy processes that share state through the relays of [`Faults`].
 pub struct Fleet {
     pub faults: Faults,
     pub proxies: Vec<Proxy>,
-    /// When the process in that place was killed.
+    /// When the present process of a proxy ended, by the proxy's number, on the monotonic clock in microseconds.
     ended_us: HashMap<usize, u64>,
-    /// Killed ones that have another in their place.
+    /// Ended processes that were replaced, with the proxy's number and the time of their end.
     replaced: Vec<(usize, Proxy, u64)>,
     options: FleetOptions,
-    /// Given back last, once all processes are gone.
+    /// Last field, so that it is dropped after all processes are killed.
     _permit: FleetPermit,
 }
 
-/// What all its proxies are started with.
+/// Options with which all proxies of a fleet are started.
 #[derive(Clone, Default)]
 pub struct FleetOptions {
+    /// Number of proxies.
     pub size: usize,
     pub seed: u64,
+    /// Entries of the endpoint list that each proxy is configured with.
     pub endpoints: Vec<String>,
+    /// Environment variables.
     pub variables: Vec<(&'static str, String)>,
-    /// Of the members, the first so many are voters; with none there are no duties.
+    /// Number of voters, which are the first proxies. With 0, the proxies have no duties.
     pub voters: usize,
     pub lease_ms: u64,
     pub floor: f64,
-    /// How long facts are used, and how long a proxy that hears of no holder goes by what it last heard.
+    /// Maximum age of shared facts, in seconds. A proxy that hears from no lease holder acts on its last decision for as long.
     pub max_age_s: f64,
-    /// More keys of the file, each with a comma before it.
+    /// Additional keys of the configuration file, each after a comma.
     pub extra_config: String,
 }
 
 impl FleetOptions {
-    /// Proxy number `n`; all start from the first one as their seed, or from the voters where there are any.
+    /// Starts proxy number `n`. Its membership seeds are the voters, or the first proxy if there are none.
     fn start(&self, faults: &Faults, n: usize) -> Proxy {
         let group = format!(r#""position":{n},"group_size":{},"#, self.size);
         let mut settings = SETTINGS.replace(r#""position":0,"group_size":1,"#, &group);
@@ -123,7 +132,7 @@
         let (own, seeds) = (faults.address(n), of(self.voters.max(1)).join(","));
         let (mut age, mut duties) = (String::new(), String::new());
         if self.voters > 0 {
-            // Backends that come back are cold for no longer than a test wants to wait.
+            // A shorter slow start of readmitted backends keeps the tests short.
             settings = settings.replace(r#""ramp_time_us":9000000"#, r#""ramp_time_us":1500000"#);
             age = format!(r#","max_age_s":{:?}"#, self.max_age_s);
             let (voters, lease, floor) = (of(self.voters).join(","), self.lease_ms, self.floor);
@@ -149,6 +158,7 @@
 }
 
 impl Fleet {
+    /// Starts a fleet without voters.
     pub fn new(
         size: usize,
         seed: u64,
@@ -165,6 +175,7 @@
         })
     }
 
+    /// Starts a fleet, once a permit is free.
     pub fn with_options(options: FleetOptions) -> Fleet {
         let permit = FleetPermit::acquire();
         let faults = Faults::new(options.size, options.seed);
@@ -181,7 +192,7 @@
         }
     }
 
-    /// Waits until each of these sees so many others; how long that took.
+    /// Waits until each of these proxies knows exactly `others` other members. Returns how long that took.
     pub fn wait_for_members(&self, of: &[usize], others: usize) -> Duration {
         let begun = Instant::now();
         while of
@@ -190,20 +201,20 @@
         {
             assert!(
                 begun.elapsed() < 3 * TEST_TIMEOUT,
-                "not {others} others at each of {of:?}"
+                "not each of the proxies {of:?} knows {others} other members"
             );
             std::thread::sleep(Duration::from_millis(50));
         }
         begun.elapsed()
     }
 
-    /// More keys of the file for the processes that start from now on.
+    /// Replaces the additional keys of the configuration file, for processes that start from now on.
     pub fn set_extra_config(&mut self, extra_config: String) {
         self.options.extra_config = extra_config;
     }
 
-    /// A new process under the name and address of number `n`, with nothing in its memory. Where its turn has come
-    /// after a truncation, it is the next.
+    /// Starts a new process with the name and address of proxy `n`, whose process was killed. If the list of proxies was
+    /// truncated to length `n`, the new process is appended to it.
     pub fn restart(&mut self, n: usize) {
         let proxy = self.options.start(&self.faults, n);
         if n == self.proxies.len() {
@@ -215,7 +226,7 @@
         self.replaced.push((n, before, ended_us));
     }
 
-    /// SIGKILL for all of these at once; their logs are kept.
+    /// Kills all of these proxies at once by SIGKILL. Their logs stay available.
     pub fn kill(&mut self, of: &[usize]) {
         of.iter().for_each(|n| drop(self.proxies[*n].child.kill()));
         of.iter().for_each(|n| drop(self.proxies[*n].child.wait()));
@@ -223,7 +234,7 @@
             .extend(of.iter().map(|n| (*n, monotonic_us())));
     }
 
-    /// SIGTERM; returns once the process has ended, with the time.
+    /// Sends SIGTERM to proxy `n`, waits until its process has ended, and returns that time in monotonic microseconds.
     pub fn terminate(&mut self, n: usize) -> u64 {
         self.proxies[n].terminate();
         let _ = self.proxies[n].child.wait();
@@ -232,19 +243,19 @@
         at
     }
 
-    /// Those whose process lives.
+    /// Returns the numbers of the proxies whose process runs.
     pub fn live(&self) -> Vec<usize> {
         (0..self.proxies.len())
             .filter(|n| !self.ended_us.contains_key(n))
             .collect()
     }
 
-    /// All that the present process of number `n` logged.
+    /// Returns the log of the present process of proxy `n`.
     pub fn log(&self, n: usize) -> String {
         log(&self.proxies[n])
     }
 
-    /// Every process that ever was.
+    /// Returns all past and present processes of the fleet, with their logs.
     pub fn incarnations(&self) -> Vec<Incarnation> {
         let replaced = self.replaced.iter().map(|(n, p, at)| Incarnation {
             proxy: *n,
@@ -260,30 +271,33 @@
         replaced.chain(now).collect()
     }
 
-    /// Waits until `done` says so.
+    /// Waits until `done` returns a value, and returns it. `what` names it in the failure message.
     pub fn wait_for<T>(&self, what: &str, done: impl Fn(&Fleet) -> Option<T>) -> T {
         let begun = Instant::now();
         loop {
             if let Some(got) = done(self) {
                 return got;
             }
-            assert!(begun.elapsed() < 2 * TEST_TIMEOUT, "waited in vain: {what}");
+            assert!(
+                begun.elapsed() < 2 * TEST_TIMEOUT,
+                "timed out waiting for {what}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Waits until one proxy holds the duty, not counting those named; which, and its token.
-    pub fn wait_for_holder(&self, but: &[usize]) -> (usize, lease_history::Token) {
+    /// Waits until a proxy other than those in `excluded` holds the duty `calendar`. Returns its number and its token.
+    pub fn wait_for_holder(&self, excluded: &[usize]) -> (usize, lease_history::Token) {
         self.wait_for("a holder", |fleet| {
             let all = lease_history::calendar_holdings(&fleet.incarnations());
             let now = all
                 .iter()
-                .rfind(|h| h.to == u64::MAX && !but.contains(&h.proxy));
+                .rfind(|h| h.to == u64::MAX && !excluded.contains(&h.proxy));
             now.map(|h| (h.proxy, h.token.clone()))
         })
     }
 
-    /// Puts a window at a proxy's door: it begins in so many seconds and lasts so many.
+    /// Creates a maintenance window of the backends `ids` at a proxy. It begins in `begin_in` seconds and lasts `lasts` seconds.
     pub fn put_window(
         &self,
         at: usize,
@@ -319,7 +333,7 @@
         }
     }
 
-    /// What holders decided of a window, over all processes, in the order of time.
+    /// Returns all transitions of a window that the processes logged, ordered by time.
     pub fn transitions(&self, window: &str) -> Vec<Transition> {
         let mut all = Vec::new();
         for incarnation in self.incarnations() {
@@ -341,17 +355,17 @@
         all
     }
 
-    /// Waits until a holder decided that step; which came first.
+    /// Waits until a window has made the transition to the state `to`, and returns the first such transition.
     pub fn wait_for_transition(&self, window: &str, to: &str) -> Transition {
-        let what = format!("{window} to be {to}");
+        let what = format!("window {window} to be {to}");
         self.wait_for(&what, |fleet| {
             fleet.transitions(window).into_iter().find(|d| d.to == to)
         })
     }
 
-    /// Waits until the list of each of these has these windows.
+    /// Waits until each of these proxies lists these windows.
     pub fn wait_until_listed(&self, of: &[usize], windows: &[&Window]) {
-        self.wait_for("all to know the windows", |fleet| {
+        self.wait_for("all proxies to list the windows", |fleet| {
             let lists = |n: &usize, w: &Window| {
                 fleet
                     .control_json(*n, "/windows")
@@ -364,7 +378,8 @@
         });
     }
 
-    /// When the present process of a proxy took a backend out, and when it took it back.
+    /// Returns the times at which the present process of proxy `n` took a backend out of use, and those at which it put it
+    /// back into use, in monotonic microseconds.
     pub fn drain_times(&self, n: usize, backend: &str) -> (Vec<u64>, Vec<u64>) {
         let log = self.log(n);
         let of = |event: &str| {
@@ -377,14 +392,15 @@
         (of("window_out"), of("window_back"))
     }
 
-    /// Waits until each of these has taken a window's backends out and back, and sees that each was so once, and not
-    /// back before the window's end.
+    /// Waits until each of these proxies has put each of the window's backends back into use. Checks that each was taken out
+    /// of use and put back once, and was not put back before the window's end. 20 ms earlier is allowed, as wall times are
+    /// converted to the monotonic clock.
     pub fn check_single_maintenance(&self, of: &[usize], window: &Window) {
         for (n, backend) in of
             .iter()
             .flat_map(|n| window.ids.iter().map(move |b| (*n, b)))
         {
-            let what = format!("proxy {n} to take {backend} back");
+            let what = format!("proxy {n} to put {backend} back into use");
             self.wait_for(&what, |fleet| {
                 (!fleet.drain_times(n, backend).1.is_empty()).then_some(())
             });
@@ -392,42 +408,44 @@
             assert_eq!(
                 (out.len(), back.len()),
                 (1, 1),
-                "proxy {n}, {backend}: {out:?}, {back:?}"
+                "proxy {n} took {backend} out of use at {out:?} and put it back at {back:?}"
             );
             let early = window.end.saturating_sub(back[0]);
             assert!(
                 early < 20_000,
-                "proxy {n} took {backend} back {early} us before the end"
+                "proxy {n} put {backend} back into use {early} us before the window's end"
             );
         }
     }
 
-    /// A call with a body at a proxy's door.
+    /// Sends a request with a body to the control address of proxy `n`.
     pub fn control_call(&self, n: usize, line: &str, body: &str) -> Message {
         let head = format!(
             "{line} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        Client::connect(self.proxies[n].control_address.expect("a door")).request(&(head + body))
+        Client::connect(self.proxies[n].control_address.expect("a control address"))
+            .request(&(head + body))
     }
 
-    /// What a call answers, as JSON.
+    /// Returns the JSON body of the answer to a GET request at the control address of proxy `n`.
     pub fn control_json(&self, n: usize, path: &str) -> serde_json::Value {
         serde_json::from_slice(&self.proxies[n].control_request(&format!("GET {path}")).body)
-            .expect("JSON at the door")
+            .expect("JSON from the control address")
     }
 }
 
-/// A window as it was put, with its times on the monotonic clock.
+/// A maintenance window as it was created, with its times in microseconds of the monotonic clock.
 pub struct Window {
     pub id: String,
+    /// Ids of its backends.
     pub ids: Vec<String>,
     pub begin: u64,
     pub end: u64,
 }
 
 impl Window {
-    /// Where nothing may reach its backends: from that time to its end.
+    /// Returns the drained periods of the window's backends, from the time `from` to the window's end.
     pub fn drained_periods(&self, from: u64) -> Vec<DrainedPeriod> {
         self.ids
             .iter()
@@ -440,31 +458,35 @@
     }
 }
 
-/// One step of a window, as its holder logged it.
+/// A transition of a window to the state `to`, as the lease holder logged it.
 #[derive(Clone, Debug)]
 pub struct Transition {
     pub proxy: usize,
     pub to: String,
+    /// Microseconds of the monotonic clock.
     pub at: u64,
     pub token: lease_history::Token,
 }
 
+/// Returns all that a process logged.
 fn log(proxy: &Proxy) -> String {
     proxy.startup_log.clone() + &proxy.log_lines("").join("\n")
 }
 
-/// A backend that writes down every request, with its time, and says in its answer who it is and what was asked.
+/// A backend that records every request with its time. The body of its response is its name and the request's correlation id.
 pub struct RecordingBackend {
     pub name: String,
     pub address: SocketAddr,
-    /// Correlation id and time.
+    /// Correlation id of each request, and when it was received, in monotonic microseconds.
     pub received: Arc<Mutex<Vec<(String, u64)>>>,
-    /// The same of each answer, once it was written.
+    /// Correlation id of each request, and when its response was written, in monotonic microseconds.
     answered: Arc<Mutex<Vec<(String, u64)>>>,
+    /// Connections are refused, and open ones closed after their next response.
     stopping: Arc<AtomicBool>,
 }
 
 impl RecordingBackend {
+    /// Starts a backend on a port that the kernel picks.
     pub fn start(name: &str) -> RecordingBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -473,7 +495,7 @@
             Arc<Mutex<Vec<_>>>,
             Arc<AtomicBool>,
         ) = Default::default();
-        let (record, wrote, gone, own) = (
+        let (requests, answers, stops, own) = (
             received.clone(),
             answered.clone(),
             stopping.clone(),
@@ -481,11 +503,15 @@
         );
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
-                if gone.load(Ordering::SeqCst) {
+                if stops.load(Ordering::SeqCst) {
                     return;
                 }
-                let (record, wrote, gone, own) =
-                    (record.clone(), wrote.clone(), gone.clone(), own.clone());
+                let (requests, answers, stops, own) = (
+                    requests.clone(),
+                    answers.clone(),
+                    stops.clone(),
+                    own.clone(),
+                );
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(message) = Message::read(&mut reader) {
@@ -494,8 +520,8 @@
                             .unwrap_or_default()
                             .to_string();
                         let body = format!("{own} {id}");
-                        record.lock().unwrap().push((id.clone(), monotonic_us()));
-                        let last = gone.load(Ordering::SeqCst);
+                        requests.lock().unwrap().push((id.clone(), monotonic_us()));
+                        let last = stops.load(Ordering::SeqCst);
                         let close = if last { "Connection: close\r\n" } else { "" };
                         let length = body.len();
                         let head =
@@ -503,7 +529,7 @@
                         if tcp.write_all((head + &body).as_bytes()).is_err() {
                             return;
                         }
-                        wrote.lock().unwrap().push((id, monotonic_us()));
+                        answers.lock().unwrap().push((id, monotonic_us()));
                         if last {
                             return;
                         }
@@ -520,7 +546,7 @@
         }
     }
 
-    /// A whole kind of them, `b0` and on, and the list's entries.
+    /// Starts `count` backends named `b0`, `b1` and so on, and returns them with their entries of the endpoint list.
     pub fn start_many(count: usize) -> (Vec<RecordingBackend>, Vec<String>) {
         let all: Vec<RecordingBackend> = (0..count)
             .map(|n| RecordingBackend::start(&format!("b{n}")))
@@ -532,44 +558,49 @@
         (all, endpoints)
     }
 
-    /// From now on connections are refused; one that is open is closed with its next answer, so that nothing that
-    /// may run once is cut off half-way.
+    /// Refuses connections from now on. An open connection is closed after its next response, so that no request that must
+    /// not be repeated is cut off.
     pub fn shut_down(&self) {
         self.stopping.store(true, Ordering::SeqCst);
-        drop(TcpStream::connect(self.address)); // wakes the one that accepts
+        drop(TcpStream::connect(self.address)); // wakes the accepting thread
     }
 }
 
-/// A client's request and what came of it.
+/// A client's request and its outcome.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     pub proxy: usize,
     pub id: String,
-    /// Not safe to repeat.
+    /// Whether it is a payment, which must not be repeated.
     pub is_pay: bool,
+    /// When it was sent, in monotonic microseconds.
     pub started_us: u64,
-    /// Until its answer was whole, in microseconds.
+    /// Time until the response was complete, in microseconds.
     pub took_us: u64,
+    /// Status of the response, 0 if there was none.
     pub status: u16,
-    /// Whole and of this request.
+    /// Whether the response is complete and belongs to this request.
     pub valid: bool,
 }
 
-/// Steady clients, one to a proxy, each on a connection that it keeps.
+/// Steady clients, one per proxy, each on a connection that it reuses.
 pub struct Load {
     stop: Arc<AtomicBool>,
     states: Vec<Arc<ClientState>>,
     threads: Vec<JoinHandle<Vec<ClientRequest>>>,
 }
 
+/// What a client thread shares with the test.
 struct ClientState {
     address: Mutex<SocketAddr>,
+    /// The client is to send nothing.
     paused: AtomicBool,
+    /// The client is paused and waits for no response.
     idle: AtomicBool,
 }
 
 impl Load {
-    /// Each client asks again so long after its last answer.
+    /// Starts the clients. Each sends its next request `pause` after the previous response.
     pub fn start(fleet: &Fleet, pause: Duration) -> Load {
         let state = |p: &Proxy| ClientState {
             address: Mutex::new(p.address),
@@ -590,13 +621,14 @@
         }
     }
 
+    /// Runs one client until `stop` is set, and returns its requests. Every second one is a payment.
     fn client(
         proxy: usize,
         state: &ClientState,
         stop: &AtomicBool,
         pause: Duration,
     ) -> Vec<ClientRequest> {
-        let (mut asked, mut client) = (Vec::new(), None);
+        let (mut requests, mut client) = (Vec::new(), None);
         while !stop.load(Ordering::SeqCst) {
             let paused = state.paused.load(Ordering::SeqCst);
             state.idle.store(paused, Ordering::SeqCst);
@@ -605,7 +637,7 @@
                 std::thread::sleep(Duration::from_millis(2));
                 continue;
             }
-            let is_pay = asked.len() % 2 == 1;
+            let is_pay = requests.len() % 2 == 1;
             let request = if is_pay {
                 pay_request(3.0)
             } else {
@@ -627,7 +659,7 @@
                 .as_ref()
                 .map_or((0, &[][..]), |a| (a.status(), &a.body));
             let valid = std::str::from_utf8(body).is_ok_and(|b| b.split(' ').nth(1) == Some(id));
-            asked.push(ClientRequest {
+            requests.push(ClientRequest {
                 proxy,
                 id: id.into(),
                 is_pay,
@@ -639,10 +671,11 @@
             client = (status != 0).then_some(at);
             std::thread::sleep(pause);
         }
-        asked
+        requests
     }
 
-    /// Takes its clients away from these, as the front does before a proxy goes; returns once nothing of theirs is out.
+    /// Pauses the clients of these proxies, as the layer in front of the proxies does before one is stopped. Returns once none
+    /// of them waits for a response.
     pub fn pause(&self, of: &[usize]) {
         of.iter()
             .for_each(|n| self.states[*n].paused.store(true, Ordering::SeqCst));
@@ -653,13 +686,13 @@
         {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
-                "a client never had its answer"
+                "a client of the proxies {of:?} still waits for a response"
             );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Gives them back, wherever the proxies listen now.
+    /// Resumes the clients of these proxies, at the addresses on which the proxies listen now.
     pub fn resume(&self, fleet: &Fleet, of: &[usize]) {
         for n in of {
             fleet.proxies[*n].wait_until_serving();
@@ -668,7 +701,7 @@
         }
     }
 
-    /// Ends it; all that was asked.
+    /// Stops all clients, and returns their requests.
     pub fn stop(self) -> Vec<ClientRequest> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads
@@ -678,7 +711,7 @@
     }
 }
 
-/// A span in which nothing that a client began may reach a backend.
+/// A period during which a client must not start a request that reaches the backend, in monotonic microseconds.
 #[derive(Clone, Debug)]
 pub struct DrainedPeriod {
     pub backend: String,
@@ -686,22 +719,27 @@
     pub to: u64,
 }
 
-/// What is known of a request: when it came to which backend and was answered there, and what its proxy said of backends.
-fn describe_request(asked: &ClientRequest, fleet: &Fleet, backends: &[RecordingBackend]) -> String {
-    let mut told = vec![format!("{asked:?}")];
+/// Describes a failed request: when it reached which backend and was answered there, and what its proxy logged about
+/// backends.
+fn describe_request(
+    request: &ClientRequest,
+    fleet: &Fleet,
+    backends: &[RecordingBackend],
+) -> String {
+    let mut lines = vec![format!("{request:?}")];
     for backend in backends {
         let of = |times: &Mutex<Vec<(String, u64)>>| {
             let times = times.lock().unwrap();
             times
                 .iter()
-                .filter(|(id, _)| *id == asked.id)
+                .filter(|(id, _)| *id == request.id)
                 .map(|(_, at)| *at)
                 .collect::<Vec<_>>()
         };
-        let (came, answered) = (of(&backend.received), of(&backend.answered));
-        if !came.is_empty() {
-            told.push(format!(
-                "came to {} at {came:?}, answered at {answered:?}",
+        let (reached, answered) = (of(&backend.received), of(&backend.answered));
+        if !reached.is_empty() {
+            lines.push(format!(
+                "reached {} at {reached:?}, answered at {answered:?}",
                 backend.name
             ));
         }
@@ -709,7 +747,7 @@
     let incarnations = fleet
         .incarnations()
         .into_iter()
-        .filter(|incarnation| incarnation.proxy == asked.proxy);
+        .filter(|incarnation| incarnation.proxy == request.proxy);
     let words = [
         "ejected",
         "readmitted",
@@ -720,84 +758,84 @@
         "report",
     ];
     for incarnation in incarnations {
-        let said = |line: &&str| words.iter().any(|word| line.contains(word));
-        told.extend(
+        let is_relevant = |line: &&str| words.iter().any(|word| line.contains(word));
+        lines.extend(
             incarnation
                 .log
                 .lines()
-                .filter(said)
+                .filter(is_relevant)
                 .map(|line| format!("its proxy: {line}")),
         );
     }
-    told.push(format!("now {}, {:?}", monotonic_us(), SystemTime::now()));
-    told.join("\n  ")
+    lines.push(format!("now {}, {:?}", monotonic_us(), SystemTime::now()));
+    lines.join("\n  ")
 }
 
-/// What must hold whatever went on: every client was answered by a backend for its own request, nothing that may run
-/// once ran twice, nothing begun in a shut span reached that backend, one holder at a time. Says how many were sent.
+/// Checks a run of a fleet, whatever faults occurred: every client got a backend's response to its own request, no payment
+/// ran twice, no request that was started in a drained period reached that backend, and each duty had one holder at a time.
+/// Prints how many requests were sent.
 pub fn check_fleet_run(
     name: &str,
     fleet: &Fleet,
     backends: &[RecordingBackend],
-    asked: &[ClientRequest],
-    shut: &[DrainedPeriod],
+    requests: &[ClientRequest],
+    drained: &[DrainedPeriod],
 ) {
-    let failed: Vec<_> = asked
+    let failed: Vec<_> = requests
         .iter()
         .filter(|a| a.status != 200 || !a.valid)
         .collect();
-    let told: Vec<String> = failed
+    let descriptions: Vec<String> = failed
         .iter()
         .take(5)
         .map(|a| describe_request(a, fleet, backends))
         .collect();
     assert!(
         failed.is_empty(),
-        "{} clients failed: {}",
+        "{} requests failed: {}",
         failed.len(),
-        told.join("\n")
+        descriptions.join("\n")
     );
-    let by_id: HashMap<&str, &ClientRequest> = asked.iter().map(|a| (a.id.as_str(), a)).collect();
+    let by_id: HashMap<&str, &ClientRequest> =
+        requests.iter().map(|a| (a.id.as_str(), a)).collect();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let mut late = Vec::new();
     for backend in backends {
         for (id, at) in backend.received.lock().unwrap().iter() {
             *runs.entry(id.clone()).or_default() += 1;
-            let Some(asked) = by_id.get(id.as_str()) else {
+            let Some(request) = by_id.get(id.as_str()) else {
                 continue;
             };
-            let hit = |s: &&DrainedPeriod| {
-                s.backend == backend.name && s.from < asked.started_us && asked.started_us < s.to
+            let covers_start = |s: &&DrainedPeriod| {
+                s.backend == backend.name
+                    && s.from < request.started_us
+                    && request.started_us < s.to
             };
-            if let Some(shut) = shut.iter().find(hit) {
-                let begun = asked.started_us as f64 / 1e6;
+            if let Some(period) = drained.iter().find(covers_start) {
+                let started_s = request.started_us as f64 / 1e6;
                 late.push(format!(
-                    "proxy {} {begun} (arrived {at}) in {shut:?}",
-                    asked.proxy
+                    "proxy {}, started at {started_s} s, arrived at {at} us, in {period:?}",
+                    request.proxy
                 ));
             }
         }
     }
     let ran = |a: &ClientRequest| runs.get(&a.id).copied().unwrap_or(0);
-    let lost = asked.iter().filter(|a| ran(a) == 0).count();
-    let doubled = asked.iter().filter(|a| a.is_pay && ran(a) > 1).count();
+    let lost = requests.iter().filter(|a| ran(a) == 0).count();
+    let repeated = requests.iter().filter(|a| a.is_pay && ran(a) > 1).count();
     eprintln!(
-        "{name}: sent {}, failed 0, lost {lost}, doubled {doubled}, to a drained backend {}",
-        asked.len(),
+        "{name}: sent {}, failed 0, lost {lost}, repeated {repeated}, to a drained backend {}",
+        requests.len(),
         late.len()
     );
-    assert!(
-        asked.len() > 100,
-        "too few to prove anything: {}",
-        asked.len()
-    );
-    assert_eq!((lost, doubled), (0, 0));
+    assert!(requests.len() > 100, "too few requests: {}", requests.len());
+    assert_eq!((lost, repeated), (0, 0));
     assert!(
         late.is_empty(),
-        "{} reached a drained backend: {:?}",
+        "{} requests reached a drained backend: {:?}",
         late.len(),
         &late[..late.len().min(5)]
     );
-    let wrong = lease_history::lease_violations(&fleet.incarnations());
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let violations = lease_history::lease_violations(&fleet.incarnations());
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/tests/rig/snapshot_files.rs
+++ b/tests/rig/snapshot_files.rs
@@ -1,30 +1,34 @@
-//! Folders of snapshots, as the tests look into them.
+//! Lists the snapshot files in a directory and waits for the proxy to write new ones.
 
 use super::TEST_TIMEOUT;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
 
-/// The snapshots in a folder, without what is being written.
+/// Returns the completed snapshot files in a directory, sorted by path. Unfinished files, which have an extension, are left out.
 pub fn files(dir: &Path) -> Vec<PathBuf> {
-    let all = std::fs::read_dir(dir)
+    let paths = std::fs::read_dir(dir)
         .into_iter()
         .flatten()
         .flatten()
         .map(|e| e.path());
-    let mut whole: Vec<PathBuf> = all.filter(|p| p.extension().is_none()).collect();
-    whole.sort();
-    whole
+    let mut snapshots: Vec<PathBuf> = paths.filter(|p| p.extension().is_none()).collect();
+    snapshots.sort();
+    snapshots
 }
 
-/// The one that it holds.
+/// Returns the only snapshot file in a directory.
 pub fn only_file(dir: &Path) -> PathBuf {
-    let mut whole = files(dir);
-    assert_eq!(whole.len(), 1, "one proxy, one file: {whole:?}");
-    whole.remove(0)
+    let mut snapshots = files(dir);
+    assert_eq!(
+        snapshots.len(),
+        1,
+        "one proxy writes one snapshot file: {snapshots:?}"
+    );
+    snapshots.remove(0)
 }
 
-/// Waits until there is one.
+/// Waits until the directory has a snapshot file, and returns it.
 pub fn wait_for_first(dir: &Path) -> PathBuf {
     let end = Instant::now() + TEST_TIMEOUT;
     while files(dir).is_empty() {
@@ -34,16 +38,18 @@
     only_file(dir)
 }
 
-/// Waits until a snapshot was begun after this moment and is whole.
+/// Waits until a snapshot that was begun after this call is complete.
+///
+/// The first new modification time may belong to a snapshot that was begun before the call, so it waits for a second one.
 pub fn wait_for_new(dir: &Path) {
-    let (asked, end) = (SystemTime::now(), Instant::now() + TEST_TIMEOUT);
-    let mut changes = BTreeSet::new();
-    while changes.len() < 2 {
-        assert!(Instant::now() < end, "no snapshot was written");
+    let (called_at, end) = (SystemTime::now(), Instant::now() + TEST_TIMEOUT);
+    let mut new_times = BTreeSet::new();
+    while new_times.len() < 2 {
+        assert!(Instant::now() < end, "no new snapshot was written");
         let times = files(dir)
             .into_iter()
             .filter_map(|p| p.metadata().ok()?.modified().ok());
-        changes.extend(times.filter(|at| *at > asked));
+        new_times.extend(times.filter(|at| *at > called_at));
         std::thread::sleep(Duration::from_millis(5));
     }
 }
