--- a/benches/scale/activation.rs
+++ b/benches/scale/activation.rs
@@ -1,11 +1,11 @@
-//! When changes of the configuration were in force at the last proxy.
+//! Computes when configuration changes were active at the last proxy.
 
 use super::light_proxy::{Change, Observation};
 use super::protocol::Absence;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Milliseconds until each change, by its number and when it was asked for, was in force at the last of these proxies;
-/// `None` where it is not at some. Those that were absent meanwhile are not asked.
+/// For each change, given by its number and the time of its request in microseconds, the milliseconds until it was active
+/// at the last of the observers, or `None` if it is missing at some. Observers that were absent don't count.
 pub fn slowest_activations<'a>(
     observers: impl Iterator<Item = (u32, &'a [Observation])>,
     absences: &[Absence],
@@ -35,8 +35,8 @@
     slowest
 }
 
-/// Takes in when a change was in force at some more.
+/// Merges the slowest activation of a change among further proxies into the map; `None` if it is missing at one of them.
 pub fn merge_slowest(slowest: &mut BTreeMap<u32, Option<u32>>, number: u32, ms: Option<u32>) {
     let last = slowest.entry(number).or_insert(Some(0));
-    *last = last.zip(ms).map(|(one, other)| one.max(other));
+    *last = last.zip(ms).map(|(a, b)| a.max(b));
 }
--- a/benches/scale/balancer_driver.rs
+++ b/benches/scale/balancer_driver.rs
@@ -1,5 +1,5 @@
-//! The module behind a hollow proxy, in service without HTTP: requests at a steady rate, live backends that answer after
-//! 5 ms, dead ones that refuse the connection. So verdicts come at the rate at which the module itself tells them.
+//! Drives the balancer of a lightweight proxy without HTTP: requests arrive at a steady rate, live backends answer after
+//! 5 ms, and dead ones refuse the connection. The proxy thus sends verdicts at the rate at which a real balancer does.
 
 use super::protocol::Load;
 use meadowproxy::{
@@ -11,24 +11,31 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
 
+/// The response time of a live backend, in microseconds.
 const ANSWER_US: u64 = 5_000;
+/// The time until a dead backend refuses a connection, in microseconds.
 const REFUSAL_US: u64 = 200;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum DueEvent {
     Arrival,
     Timer(u64),
+    /// The end of an attempt: request, attempt number, backend, and start time in microseconds.
     End(RequestId, u32, u32, u64),
 }
 
+/// A balancer and the load on it.
 pub struct BalancerDriver {
     balancer: Balancer,
     load: Load,
+    /// Scheduled events by time in microseconds.
     due: BinaryHeap<Reverse<(u64, DueEvent)>>,
     next_request: u64,
+    /// The number of attempts of each open request.
     attempts: BTreeMap<RequestId, u32>,
+    /// Verdicts to broadcast.
     verdicts: Vec<(String, Verdict)>,
-    /// Time spent here.
+    /// Time spent in the balancer since the caller last reset it.
     pub spent: Duration,
 }
 
@@ -44,9 +51,9 @@
             max_attempts: 4,
             ..Config::example()
         };
-        let mut balance = BalancerDriver {
+        let mut driver = BalancerDriver {
             balancer: Balancer::new(config, seed ^ u64::from(position))
-                .expect("a sound configuration"),
+                .expect("a valid configuration"),
             load,
             due: BinaryHeap::new(),
             next_request: 0,
@@ -61,27 +68,29 @@
             ..Backend::default()
         };
         let backends = (0..load.backends).map(backend).collect();
-        balance.handle(
+        driver.handle(
             now,
             Event::EndpointsUpdated {
                 update: EndpointUpdate::Full,
                 backends,
             },
         );
-        let first = now.0 + balance.arrival_interval() * u64::from(position) / u64::from(proxies);
-        balance.due.push(Reverse((first, DueEvent::Arrival)));
-        balance
+        let first = now.0 + driver.arrival_interval() * u64::from(position) / u64::from(proxies);
+        driver.due.push(Reverse((first, DueEvent::Arrival)));
+        driver
     }
 
+    /// Microseconds between two requests.
     fn arrival_interval(&self) -> u64 {
         (1e6 / self.load.per_second) as u64
     }
 
+    /// When the next event is due.
     pub fn next_due(&self) -> Option<Time> {
         self.due.peek().map(|d| Time(d.0 .0))
     }
 
-    /// Does all that is due; the verdicts that this proxy tells.
+    /// Handles all events that are due. Returns the verdicts to broadcast.
     pub fn run_due(&mut self, now: Time) -> Vec<(String, Verdict)> {
         let begun = Instant::now();
         while self.due.peek().is_some_and(|d| d.0 .0 <= now.0) {
@@ -107,6 +116,7 @@
         std::mem::take(&mut self.verdicts)
     }
 
+    /// Passes a peer's verdict to the balancer.
     pub fn receive_verdict(&mut self, backend: &str, received: PeerVerdict, now: Time) {
         let Some(id) = backend.strip_prefix('b').and_then(|n| n.parse().ok()) else {
             return;
@@ -158,6 +168,7 @@
         })
     }
 
+    /// Passes an event to the balancer and executes its actions.
     fn handle(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
--- a/benches/scale/changes.rs
+++ b/benches/scale/changes.rs
@@ -57,7 +57,7 @@
                 ..PhaseEvents::default()
             };
             play.make_changes(name, span, 0, &mut done);
-            done.wrong = false; // here the distribution is asked for, as it is
+            done.unexpected = false; // here the distribution is asked for, as it is
             done
         });
         self.fleet.start(&who);
@@ -113,7 +113,7 @@
             "{} of {count} taken, answered after {last} ms at the last",
             done.events
         ));
-        done.wrong = done.events < count;
+        done.unexpected = done.events < count;
     }
 
     /// The region of the last real proxy is cut off: its doors refuse changes, the others take them, and all copies are
@@ -137,7 +137,7 @@
             ..Faults::default()
         });
         let mut newest = 0;
-        self.measure("changes, region cut", self.spans.cut, |play| {
+        self.measure("changes, region cut", self.spans.partition, |play| {
             let cut = Some(Cut {
                 region,
                 from,
@@ -150,7 +150,7 @@
             let (mut refused, mut taken, mut tries) = (0, 0, 0);
             let (mut reason, mut base) = (String::new(), play.fleet.newest_version());
             let mut last_taken = Duration::ZERO;
-            let end = begun + play.spans.cut.saturating_sub(Duration::from_secs(2));
+            let end = begun + play.spans.partition.saturating_sub(Duration::from_secs(2));
             while Instant::now() < end {
                 std::thread::sleep(Duration::from_millis(500));
                 match play
@@ -181,10 +181,10 @@
                  {refused} refused with 503, at the end: {reason}",
                 done.events
             ));
-            done.wrong = taken > 0 || refused as usize != tries;
+            done.unexpected = taken > 0 || refused as usize != tries;
             done
         });
-        self.measure("changes, region healed", self.spans.back, |play| {
+        self.measure("changes, region healed", self.spans.after_return, |play| {
             let (to, begun) = (play.fleet.set_faults(Faults::default()), Instant::now());
             let mut done = PhaseEvents {
                 cut: Some(Cut { region, from, to }),
@@ -199,15 +199,16 @@
                 }
                 std::thread::sleep(Duration::from_millis(50));
             };
-            let wrong = play.fleet.consistency_violations();
-            done.wrong = !wrong.is_empty() || equal.is_none_or(|after| after > MAX_CONVERGENCE);
+            let violations = play.fleet.consistency_violations();
+            done.unexpected =
+                !violations.is_empty() || equal.is_none_or(|after| after > MAX_CONVERGENCE);
             let equal = equal.map_or("not equal in 30 s".into(), |after| {
                 format!("equal after {:.1} s", after.as_secs_f64())
             });
-            done.outcome = Some(format!("{equal}, contradictions: {}", wrong.len()));
-            wrong
+            done.outcome = Some(format!("{equal}, contradictions: {}", violations.len()));
+            violations
                 .iter()
-                .for_each(|wrong| eprintln!("changes, region: {wrong}"));
+                .for_each(|violation| eprintln!("changes, region: {violation}"));
             done
         });
         self.settle();
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -1,10 +1,11 @@
-//! The conductor's side: workers with hollow proxies, real proxies beside them, and what is asked of all.
+//! A fleet under test: real proxy processes and workers with lightweight proxies, controlled by the coordinator. A run
+//! starts it, injects faults and load, and reads counters and observations.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use super::light_proxy::mono_us;
 use super::plan::Plan;
 use super::protocol::{
-    Absence, Command, Conditions, Cut, Faults, Isolation, Learned, Load, Reply, Sample,
+    Absence, Command, Conditions, Cut, Faults, Isolation, Load, Observations, Reply, Sample,
 };
 use super::real::{self, wait_until, LaunchConfig, RealProxy, RealSample, CLUSTER, MAX_AGE_S};
 use super::relay::SharedConditions;
@@ -20,27 +21,29 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// No answer of a worker takes as long, however busy the machine is.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Backends that proxies know, of which the first so many are dead, and requests a second at each under trouble.
+/// The timeout for a worker's reply, and until the real proxies know each other. It is longer than either takes on a
+/// busy machine.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
+/// A small load with dead backends.
 pub const FAILING_BACKENDS: Load = Load {
     backends: 9,
     dead: 3,
     per_second: 4.0,
 };
-/// The same in a service of the plan's mean size, at the plan's peak.
+/// The load on a proxy of a service of mean size at the target deployment's peak, with dead backends.
 pub const PEAK_LOAD: Load = Load {
     backends: 43,
     dead: 3,
     per_second: 117.0,
 };
 
-/// Where a worker is.
+/// How a worker runs and receives commands.
 enum WorkerTransport {
     Process(Child, ChildStdin),
     Thread(UnboundedSender<Command>),
 }
 
+/// The coordinator's connection to a worker.
 struct WorkerLink {
     transport: WorkerTransport,
     replies: Receiver<Reply>,
@@ -49,7 +52,7 @@
 }
 
 impl WorkerLink {
-    /// This executable once more, as a worker.
+    /// Starts this executable again as a worker process.
     fn process(proxies: Vec<u32>) -> WorkerLink {
         let own = std::env::current_exe().expect("this executable");
         let mut command = std::process::Command::new(own);
@@ -79,12 +82,13 @@
         }
     }
 
+    /// Starts a worker on a thread of this process.
     fn thread(proxies: Vec<u32>) -> WorkerLink {
         let (tell, replies) = channel();
         let (sender, commands) = tokio::sync::mpsc::unbounded_channel();
         std::thread::spawn(move || {
             worker::run(commands, |reply| {
-                let _ = tell.send(reply); // who asked may be gone
+                let _ = tell.send(reply); // the coordinator may have gone
             });
         });
         WorkerLink {
@@ -94,18 +98,20 @@
         }
     }
 
+    /// Sends a command; the worker answers each command with one reply.
     fn send(&mut self, command: &Command) {
         match &mut self.transport {
             WorkerTransport::Process(_, input) => {
-                let line = serde_json::to_string(command).expect("plain data") + "\n";
+                let line = serde_json::to_string(command).expect("serializable data") + "\n";
                 input.write_all(line.as_bytes()).expect("a live worker");
             }
             WorkerTransport::Thread(sender) => sender.send(command.clone()).expect("a live worker"),
         }
     }
 
+    /// Waits for the next reply. Panics if the worker failed or does not reply in time.
     fn reply(&self) -> Reply {
-        match self.replies.recv_timeout(PATIENCE).expect("an answer") {
+        match self.replies.recv_timeout(REPLY_TIMEOUT).expect("an answer") {
             Reply::Failed(why) => panic!("a worker failed: {why}"),
             reply => reply,
         }
@@ -121,37 +127,41 @@
     }
 }
 
-/// How a fleet is put together.
+/// Options of a fleet.
 #[derive(Clone, Copy)]
 pub struct FleetOptions {
     pub size: u32,
     pub seed: u64,
-    /// Of `size`, so many are real processes, even over the zones: all others join through them, and up to five vote on duties.
+    /// How many of the `size` proxies are real processes, spread evenly over the zones. All others join through them, and up
+    /// to five of them vote on duties.
     pub real: u32,
-    /// These have the plan's whole file, or a small one.
+    /// Whether the real proxies load a configuration of the target deployment's size, or a small one.
     pub full: bool,
-    /// Hollow proxies to a worker.
+    /// The maximum number of lightweight proxies in a worker.
     pub proxies_per_worker: u32,
-    /// Workers are threads of this process.
+    /// Whether workers are threads of this process.
     pub threads: bool,
 }
 
+/// A running fleet; its processes end when it is dropped.
 pub struct Fleet {
     pub plan: Plan,
     pub real: Vec<RealProxy>,
     pub launch: LaunchConfig,
-    /// Resident kB of the program with the smallest file.
+    /// Resident memory in kB of a proxy process with a minimal configuration and no peers.
     pub smallest_kb: u64,
     links: Vec<WorkerLink>,
     conditions: Conditions,
-    /// The same for the relays.
+    /// The same conditions, as the relays of the real proxies read them.
     shared: SharedConditions,
-    /// Clients of real ones go on.
+    /// Whether the clients of the real proxies keep running.
     clients_running: Arc<AtomicBool>,
+    /// The number of the last probe or change.
     probes: u32,
 }
 
-/// A change that was taken: its number, its version, and when it was asked for and answered.
+/// An accepted change: its number, its version, and when it was requested and answered, in microseconds of the monotonic
+/// clock.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedChange {
     pub number: u32,
@@ -160,17 +170,18 @@
     pub answered_us: u64,
 }
 
-/// Seconds until all knew all, and until they lacked no more than one pair in [`NEARLY_DIVISOR`]; `None` where that did not
-/// come in time.
+/// Seconds until every proxy knew all others, and until at most one pair in [`NEARLY_DIVISOR`] was missing; `None` if that
+/// did not happen in time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Convergence {
     pub full_s: Option<f64>,
-    pub nearly_s: Option<f64>,
+    pub near_s: Option<f64>,
 }
 
+/// The fleet counts as nearly converged once at most one pair in this many is missing.
 const NEARLY_DIVISOR: u64 = 1000;
 
-/// All that is counted at one moment.
+/// All counters of the fleet at one time.
 pub struct Measurement {
     pub at: Instant,
     pub light: Vec<Sample>,
@@ -179,7 +190,7 @@
 }
 
 impl Fleet {
-    /// Starts the real ones, one after the other, and the workers; hollow proxies start with [`Fleet::join`].
+    /// Starts the real proxies, one after the other, and the workers. [`Fleet::join`] starts the lightweight proxies.
     pub fn new(shape: FleetOptions) -> Fleet {
         let FleetOptions {
             size,
@@ -195,8 +206,8 @@
             seed,
         };
         let numbers = plan.real(real);
-        let votes = real::voter_positions(real);
-        let voters: Vec<SocketAddr> = votes
+        let voter_positions = real::voter_positions(real);
+        let voters: Vec<SocketAddr> = voter_positions
             .iter()
             .map(|n| plan.address(numbers[*n as usize]))
             .collect();
@@ -215,7 +226,13 @@
         let smallest_kb = if real > 0 { real::smallest_kb() } else { 0 };
         let shared = SharedConditions::default();
         let start = |(n, number): (u32, &u32)| {
-            RealProxy::start(&launch, n, *number, votes.contains(&n), shared.clone())
+            RealProxy::start(
+                &launch,
+                n,
+                *number,
+                voter_positions.contains(&n),
+                shared.clone(),
+            )
         };
         let started: Vec<RealProxy> = (0..).zip(&numbers).map(start).collect();
         let light: Vec<u32> = (0..size).filter(|n| !numbers.contains(n)).collect();
@@ -231,14 +248,14 @@
                 }
             })
             .collect();
-        let said = Command::Plan {
+        let command = Command::Plan {
             plan,
             seeds,
             voters,
             cluster: CLUSTER.into(),
             max_age_s: MAX_AGE_S,
         };
-        links.iter_mut().for_each(|link| link.send(&said));
+        links.iter_mut().for_each(|link| link.send(&command));
         links.iter().for_each(|link| drop(link.reply()));
         let (conditions, clients_running) = (Conditions::default(), Arc::default());
         let fleet = Fleet {
@@ -252,16 +269,17 @@
             clients_running,
             probes: 0,
         };
-        let met = |r: &RealProxy| r.json("/peers")["members"].as_array().map_or(0, Vec::len) + 1;
-        let all = || fleet.real.iter().all(|r| met(r) >= fleet.real.len());
-        if !wait_until(PATIENCE, all) {
-            eprintln!("the real ones do not know each other yet");
+        let known = |r: &RealProxy| r.json("/peers")["members"].as_array().map_or(0, Vec::len) + 1;
+        let all = || fleet.real.iter().all(|r| known(r) >= fleet.real.len());
+        if !wait_until(REPLY_TIMEOUT, all) {
+            eprintln!("the real proxies do not all know each other after {REPLY_TIMEOUT:?}");
         }
         fleet
     }
 
-    /// Starts all hollow proxies, so many of each worker at a time, and waits until all know all.
-    pub fn join(&mut self, wave: u32, pause: Duration, patience: Duration) -> Convergence {
+    /// Starts all lightweight proxies, `batch_size` of each worker at a time with a pause after each batch, and waits until
+    /// every proxy knows all others.
+    pub fn join(&mut self, batch_size: u32, pause: Duration, timeout: Duration) -> Convergence {
         let begun = Instant::now();
         let longest = self
             .links
@@ -269,36 +287,40 @@
             .map(|l| l.proxies.len() as u32)
             .max()
             .unwrap_or(0);
-        for from in (0..longest).step_by(wave as usize) {
+        for from in (0..longest).step_by(batch_size as usize) {
             let part = |link: &WorkerLink| {
-                let part = link.proxies.iter().skip(from as usize).take(wave as usize);
+                let part = link
+                    .proxies
+                    .iter()
+                    .skip(from as usize)
+                    .take(batch_size as usize);
                 Command::Start(part.copied().collect())
             };
             self.send_each(part);
             std::thread::sleep(pause);
         }
-        self.wait_converged(begun, patience)
+        self.wait_converged(begun, timeout)
     }
 
-    /// Waits until each hollow proxy knows all others of the plan, but no longer than so long from then.
-    pub fn wait_converged(&mut self, since: Instant, patience: Duration) -> Convergence {
+    /// Waits until each lightweight proxy knows all others of the plan, or until `timeout` after `since`.
+    pub fn wait_converged(&mut self, since: Instant, timeout: Duration) -> Convergence {
         let size = u64::from(self.plan.size);
-        let mut nearly_s = None;
+        let mut near_s = None;
         loop {
-            let lacking: u64 = self.samples().iter().map(|s| s.lacking).sum();
+            let unknown: u64 = self.samples().iter().map(|s| s.unknown_members).sum();
             let seconds = since.elapsed().as_secs_f64();
-            if lacking * NEARLY_DIVISOR <= size * size {
-                nearly_s = nearly_s.or(Some(seconds));
+            if unknown * NEARLY_DIVISOR <= size * size {
+                near_s = near_s.or(Some(seconds));
             }
-            let full_s = (lacking == 0).then_some(seconds);
-            if full_s.is_some() || since.elapsed() > patience {
-                return Convergence { full_s, nearly_s };
+            let full_s = (unknown == 0).then_some(seconds);
+            if full_s.is_some() || since.elapsed() > timeout {
+                return Convergence { full_s, near_s };
             }
             std::thread::sleep(Duration::from_millis(200));
         }
     }
 
-    /// Says something of its own to each worker, and waits for all.
+    /// Sends each worker its own command and waits for all replies.
     fn send_each(&mut self, command: impl Fn(&WorkerLink) -> Command) -> Vec<Reply> {
         for link in &mut self.links {
             let command = command(link);
@@ -307,19 +329,22 @@
         self.links.iter().map(WorkerLink::reply).collect()
     }
 
-    pub fn start(&mut self, who: &[u32]) -> u64 {
-        self.send_to_owners(who, Command::Start)
+    /// Starts these lightweight proxies; returns the time in microseconds.
+    pub fn start(&mut self, proxies: &[u32]) -> u64 {
+        self.send_to_owners(proxies, Command::Start)
     }
 
-    pub fn stop(&mut self, who: &[u32], leave: bool) -> u64 {
-        self.send_to_owners(who, |who| Command::Stop { who, leave })
+    /// Stops these lightweight proxies; with `leave` they announce it. Returns the time in microseconds.
+    pub fn stop(&mut self, proxies: &[u32], leave: bool) -> u64 {
+        self.send_to_owners(proxies, |proxies| Command::Stop { proxies, leave })
     }
 
-    /// Tells the workers of these; when that was done at the last one.
-    fn send_to_owners(&mut self, who: &[u32], command: impl Fn(Vec<u32>) -> Command) -> u64 {
+    /// Sends the commands for these proxies to their workers. Returns the time at which the last worker had executed its own.
+    fn send_to_owners(&mut self, proxies: &[u32], command: impl Fn(Vec<u32>) -> Command) -> u64 {
         self.send_each(|link| {
             command(
-                who.iter()
+                proxies
+                    .iter()
                     .copied()
                     .filter(|n| link.proxies.contains(n))
                     .collect(),
@@ -328,6 +353,7 @@
         mono_us()
     }
 
+    /// Sets the injected faults; returns the time in microseconds.
     pub fn set_faults(&mut self, faults: Faults) -> u64 {
         self.set_conditions(Conditions {
             faults,
@@ -335,6 +361,7 @@
         })
     }
 
+    /// Sets which proxy is isolated; returns the time in microseconds.
     pub fn isolate(&mut self, isolation: Isolation) -> u64 {
         self.set_conditions(Conditions {
             isolation,
@@ -344,16 +371,17 @@
 
     fn set_conditions(&mut self, conditions: Conditions) -> u64 {
         self.conditions = conditions;
-        *self.shared.lock().expect("no panic under it") = conditions;
+        *self.shared.lock().expect("the lock is not poisoned") = conditions;
         self.send_each(|_| Command::Conditions(conditions));
         mono_us()
     }
 
+    /// Sets the load of all lightweight proxies, or stops it.
     pub fn set_load(&mut self, load: Option<Load>) {
         self.send_each(|_| Command::Load(load));
     }
 
-    /// Lets that hollow proxy tell a probe; its number and when that was.
+    /// Makes a lightweight proxy broadcast a probe verdict. Returns the probe's number and the time in microseconds.
     pub fn probe(&mut self, proxy: u32) -> (u32, u64) {
         self.probes += 1;
         let (number, at) = (self.probes, mono_us());
@@ -364,7 +392,8 @@
         (number, at)
     }
 
-    /// The entry of a change of its own, and the call that sets it from that version.
+    /// Prepares a change of a new entry that is based on version `from`. Returns the change's number, and the request line
+    /// and body that set the entry.
     pub fn prepare_change(&mut self, from: u64) -> (u32, String, String) {
         self.probes += 1;
         let (number, name) = (self.probes, light_proxy::change_name(self.probes));
@@ -373,23 +402,26 @@
         (number, format!("PUT /config/tenants/{name}"), body)
     }
 
-    /// Asks a real proxy's door to change one entry, from the version that it is at, or why not.
+    /// Requests a change of one entry at a real proxy's control address, based on version `from`, which is then set to the new
+    /// version. Returns the reason if the change was not accepted.
     pub fn change(&mut self, at: usize, from: &mut u64) -> Result<AcceptedChange, String> {
         let (number, line, body) = self.prepare_change(*from);
         let requested_us = mono_us();
         let answer = self.real[at % self.real.len()]
             .call(&line, &body)
-            .ok_or("no answer")?;
-        let said: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let refused = || {
+            .ok_or("no response")?;
+        let response: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        let rejection = || {
             format!(
                 "{}: {}",
                 answer.status(),
                 String::from_utf8_lossy(&answer.body).trim()
             )
         };
-        let taken = said["version"].as_u64().filter(|_| answer.status() == 200);
-        let version = taken.ok_or_else(refused)?;
+        let accepted = response["version"]
+            .as_u64()
+            .filter(|_| answer.status() == 200);
+        let version = accepted.ok_or_else(rejection)?;
         *from = version;
         Ok(AcceptedChange {
             number,
@@ -399,13 +431,14 @@
         })
     }
 
-    /// The newest version at a real proxy's door.
+    /// The newest configuration version that a real proxy reports.
     pub fn newest_version(&self) -> u64 {
         let version = |r: &RealProxy| r.json("/config")["version"].as_u64().unwrap_or(0);
         self.real.iter().map(version).max().unwrap_or(0)
     }
 
-    /// Milliseconds until each change was in force at the last of these real ones, `None` where it is not at some.
+    /// By the number of a change, the milliseconds until it was active at the last of the selected real proxies; `None` if it
+    /// is missing at one of them.
     pub fn slowest_real_activations(
         &self,
         changes: &[AcceptedChange],
@@ -427,13 +460,13 @@
         slowest
     }
 
-    /// Which real one holds the configuration's duty under a token above that one, and its token.
+    /// The index of the real proxy that holds the configuration's duty with a token above the given one, and its token.
     pub fn holder(
         &self,
         above: Option<&lease_history::Token>,
     ) -> Option<(usize, lease_history::Token)> {
-        let lives: Vec<_> = self.real.iter().flat_map(RealProxy::incarnations).collect();
-        let all = lease_history::duty_holdings("config", &lives);
+        let incarnations: Vec<_> = self.real.iter().flat_map(RealProxy::incarnations).collect();
+        let all = lease_history::duty_holdings("config", &incarnations);
         let now = all
             .iter()
             .rfind(|h| h.to == u64::MAX && above.is_none_or(|above| h.token > *above))?;
@@ -444,35 +477,38 @@
         Some((at, now.token.clone()))
     }
 
-    /// What contradicts that a version has one content, that no copy goes back, and that one holds the duty at a time.
+    /// Checks the logs of all real proxies: each version has one content, no replica returns to an older version, and only one
+    /// proxy holds a duty at a time. Returns the violations.
     pub fn consistency_violations(&self) -> Vec<String> {
-        let lives: Vec<_> = self.real.iter().flat_map(RealProxy::incarnations).collect();
-        let mut wrong = lease_history::lease_violations(&lives);
+        let incarnations: Vec<_> = self.real.iter().flat_map(RealProxy::incarnations).collect();
+        let mut violations = lease_history::lease_violations(&incarnations);
         let mut digests: HashMap<u64, String> = HashMap::new();
-        for life in &lives {
+        for incarnation in &incarnations {
             let mut last = 0;
-            for line in lease_history::event_lines(&life.log, "config_copy") {
+            for line in lease_history::event_lines(&incarnation.log, "config_copy") {
                 let Some(version) = lease_history::number_field(line, "version") else {
                     continue;
                 };
                 let digest = lease_history::log_field(line, "digest").unwrap_or_default();
                 if version <= last {
-                    wrong.push(format!(
-                        "proxy {} went from {last} to {version}",
-                        life.proxy
+                    violations.push(format!(
+                        "the replica of proxy {} went from version {last} to {version}",
+                        incarnation.proxy
                     ));
                 }
                 last = version;
                 if digests.entry(version).or_insert(digest.into()) != digest {
-                    wrong.push(format!("two states have version {version}"));
+                    violations.push(format!("version {version} has two digests"));
                 }
             }
-            wrong
-                .extend(lease_history::event_lines(&life.log, "config_diverged").map(String::from));
+            violations.extend(
+                lease_history::event_lines(&incarnation.log, "config_diverged").map(String::from),
+            );
         }
-        wrong
+        violations
     }
 
+    /// The lowest and the highest configuration version among the lightweight proxies.
     pub fn light_versions(&mut self) -> (u64, u64) {
         let all = self.samples();
         all.iter().fold((u64::MAX, 0), |(low, high), s| {
@@ -480,7 +516,7 @@
         })
     }
 
-    /// Whether every copy, of hollow proxies and of these real ones, is at that version or above.
+    /// Whether all lightweight and the selected real proxies have this version active or a newer one.
     pub fn all_reached(&mut self, version: u64, of: impl Fn(&RealProxy) -> bool) -> bool {
         self.real
             .iter()
@@ -489,6 +525,7 @@
             && self.light_versions().0 >= version
     }
 
+    /// The counters of all workers.
     pub fn samples(&mut self) -> Vec<Sample> {
         let replies = self.send_each(|_| Command::Sample);
         replies
@@ -503,45 +540,47 @@
             .collect()
     }
 
+    /// What the lightweight proxies detected of these events; see [`Command::Observations`].
     pub fn observations(
         &mut self,
         since: u64,
         absences: &[Absence],
         probes: &[(u32, u64)],
         cut: Option<Cut>,
-    ) -> Learned {
+    ) -> Observations {
         let (absences, probes) = (absences.to_vec(), probes.to_vec());
-        let said = Command::Learned {
+        let command = Command::Observations {
             since,
             absences,
             probes,
             cut,
         };
-        let mut all = Learned::default();
+        let mut all = Observations::default();
         let mut hists = [(); 3].map(|()| BTreeMap::<u32, u32>::new());
-        for reply in self.send_each(|_| said.clone()) {
-            let Reply::Learned(one) = reply else { continue };
+        for r in self.send_each(|_| command.clone()) {
+            let Reply::Observed(one) = r else { continue };
             one.slowest
                 .iter()
                 .for_each(|(n, ms)| activation::merge_slowest(&mut all.slowest, *n, *ms));
-            for (hist, part) in hists.iter_mut().zip([one.gone, one.back, one.heard]) {
+            for (hist, part) in hists.iter_mut().zip([one.down, one.up, one.received]) {
                 part.into_iter()
                     .for_each(|(ms, n)| *hist.entry(ms).or_default() += n);
             }
-            all.gone_missing += one.gone_missing;
-            all.back_missing += one.back_missing;
-            all.heard_missing += one.heard_missing;
+            all.down_missing += one.down_missing;
+            all.up_missing += one.up_missing;
+            all.received_missing += one.received_missing;
             all.false_downs += one.false_downs;
         }
-        let [gone, back, heard] = hists.map(|hist| hist.into_iter().collect());
-        Learned {
-            gone,
-            back,
-            heard,
+        let [down, up, received] = hists.map(|hist| hist.into_iter().collect());
+        Observations {
+            down,
+            up,
+            received,
             ..all
         }
     }
 
+    /// Reads all counters.
     pub fn measure(&mut self) -> Measurement {
         let real = self.real.iter().map(RealProxy::sample).collect();
         let light = self.samples();
@@ -553,7 +592,7 @@
         }
     }
 
-    /// Asks the real ones as often as the load says, but no more than ten times a second, until that time.
+    /// Sends requests to the real proxies until `end`, at the load's rate but at most ten a second each.
     pub fn load_real_proxies(&self, load: Load, end: Instant) {
         let pause = Duration::from_secs_f64(1.0 / load.per_second.min(10.0));
         for at in self.real.iter().map(|r| r.proxy.address) {
@@ -567,7 +606,8 @@
         }
     }
 
-    /// Lets clients ask the last so many real ones that do not vote, so often a second each, until [`Fleet::calm`].
+    /// Starts clients of the last `count` real proxies that don't vote, each at `per_second` requests a second. They run until
+    /// [`Fleet::stop_clients`].
     pub fn start_clients(&mut self, count: usize, per_second: f64) {
         self.clients_running.store(true, Relaxed);
         for real in self
@@ -600,6 +640,7 @@
         }
     }
 
+    /// Stops the clients that [`Fleet::start_clients`] started.
     pub fn stop_clients(&mut self) {
         self.clients_running.store(false, Relaxed);
         self.real.iter_mut().for_each(|r| r.has_clients = false);
@@ -612,7 +653,7 @@
     }
 }
 
-/// A port that nobody has now, for all addresses of a run.
+/// A currently free UDP port; all proxies of a run use it on their own addresses.
 fn free_port() -> u16 {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.local_addr().expect("an address").port()
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -46,7 +46,7 @@
                 ..PhaseEvents::default()
             };
             let outcome = play.fail_holder(heard, failure, &mut done);
-            done.wrong = outcome.is_err();
+            done.unexpected = outcome.is_err();
             done.outcome = Some(outcome.unwrap_or_else(|why| why));
             done
         });
@@ -194,14 +194,16 @@
         };
         let (real_with, real_without) = (has(200), has(404));
         let observed = self.fleet.observations(from, &[], &[(number, from)], None);
-        let light_with: u32 = observed.heard.iter().map(|(_, n)| n).sum();
-        let light_without = observed.heard_missing;
-        let wrong = self.fleet.consistency_violations();
-        wrong.iter().for_each(|wrong| eprintln!("holder: {wrong}"));
+        let light_with: u32 = observed.received.iter().map(|(_, n)| n).sum();
+        let light_without = observed.received_missing;
+        let violations = self.fleet.consistency_violations();
+        violations
+            .iter()
+            .for_each(|violation| eprintln!("holder: {violation}"));
         let summary = format!(
             "in force at {real_with} real and {light_with} hollow ones, not at {real_without} and \
              {light_without}; contradictions: {}",
-            wrong.len()
+            violations.len()
         );
         let everywhere = real_with == self.fleet.real.len() && light_without == 0;
         let nowhere = real_without == self.fleet.real.len() && light_with == 0;
@@ -210,7 +212,7 @@
             (HeardBy::Nobody, HolderFailure::Killed) => nowhere,
             (HeardBy::Nobody, _) => everywhere || nowhere,
         };
-        if expected && wrong.is_empty() {
+        if expected && violations.is_empty() {
             Ok(summary)
         } else {
             Err(summary)
--- a/benches/scale/idle_discovery.rs
+++ b/benches/scale/idle_discovery.rs
@@ -1,19 +1,20 @@
-//! A discovery that has no news: it tells its whole list to whoever asks for that, and lets the other calls wait as long as
-//! they ask for.
+//! A discovery service whose endpoint list never changes. It answers a call for the whole list at once, and a call for
+//! changes with an empty list after the wait that the call asks for.
 
 use super::rig::{list, DiscoveryServer};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
+/// How often the thread checks for calls and for answers that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The version of the list that proxies start with.
+/// The version of the list with which proxies start.
 const LIST_VERSION: u64 = 4;
 
-/// A call's answer: when it is due, the version that was asked about, and where it goes.
+/// A delayed answer: when it is due, the version that the call already has, and the channel to send it to.
 type PendingAnswer = (Instant, u64, mpsc::Sender<(u16, String)>);
 
-/// Ends when it is dropped.
+/// A running discovery service; its thread stops after this is dropped.
 pub struct IdleDiscovery(Arc<AtomicBool>);
 
 impl Drop for IdleDiscovery {
@@ -23,6 +24,7 @@
 }
 
 impl IdleDiscovery {
+    /// Answers the server's calls on a thread.
     pub fn start(server: DiscoveryServer, endpoints: Arc<Vec<String>>) -> IdleDiscovery {
         let ended = Arc::new(AtomicBool::new(false));
         let end = ended.clone();
@@ -42,7 +44,7 @@
                 }
                 let now = Instant::now();
                 for (_, after, answer) in waiting.extract_if(.., |(due, ..)| *due <= now) {
-                    let _ = answer.send((200, list(after, false, &[]))); // who asked may be gone
+                    let _ = answer.send((200, list(after, false, &[]))); // the caller may have gone
                 }
                 std::thread::sleep(POLL_INTERVAL);
             }
@@ -51,7 +53,7 @@
     }
 }
 
-/// A number in a call's target.
+/// The number that a call's target has as this query parameter.
 fn query_parameter(target: &str, name: &str) -> Option<u64> {
     let query = target.split(' ').nth(1)?.split_once('?')?.1;
     query
--- a/benches/scale/light_proxy.rs
+++ b/benches/scale/light_proxy.rs
@@ -1,4 +1,5 @@
-//! A hollow proxy: the library's membership, and the module where there is load, on a UDP socket of its own; no HTTP.
+//! A lightweight proxy: the library's membership, a configuration replica and, under load, a balancer, on a UDP socket of
+//! its own but without HTTP. It lets one machine run fleets that are too large for real proxy processes.
 
 use super::balancer_driver::BalancerDriver;
 use super::light_replica::{LightReplica, Mail};
@@ -20,10 +21,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Membership news kept of each proxy.
+/// The maximum number of observations that are recorded of each proxy.
 const MAX_OBSERVATIONS: usize = 100_000;
 
-/// The machine's monotonic clock, which all processes share, in microseconds.
+/// The monotonic clock in microseconds; all processes of the machine share it.
 pub fn mono_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
@@ -39,62 +40,66 @@
     }
 }
 
+/// What a lightweight proxy can observe.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Change {
     Up,
     Down,
     Replaced,
-    /// A probe of that number, see [`probe_name`].
+    /// A probe arrived, see [`probe_name`].
     ProbeReceived,
-    /// A change of that number, see [`change_name`].
+    /// A configuration change became active, see [`change_name`].
     SettingsApplied,
 }
 
-/// When, of whom, and what.
+/// An observation: the time in microseconds, the number of the proxy, probe or change, and what was observed.
 pub type Observation = (u64, u32, Change);
 
-/// The name of a backend that is none: a verdict on it only shows how it spreads.
+/// The backend name of a probe: no such backend exists, a verdict on it only shows how verdicts spread.
 pub fn probe_name(number: u32) -> String {
     format!("probe-{number}")
 }
 
-/// The name of an entry that only shows how its change spreads.
+/// The name of a configuration entry that only shows how changes spread.
 pub fn change_name(number: u32) -> String {
     format!("change-{number}")
 }
 
-/// What a place's proxies counted, over all their restarts.
+/// The counters of a member of the plan, over all its restarts.
 #[derive(Default)]
 pub struct Tally {
+    /// Datagrams and bytes sent.
     pub sent: Cell<u64>,
     pub bytes: Cell<u64>,
     pub rejoined: Cell<u64>,
+    /// Processor time spent in the balancer.
     pub balancer: Cell<Duration>,
-    /// Of proxies that are gone.
+    /// The membership counters before the last restart.
     pub previous: RefCell<Counters>,
     pub observations: RefCell<Vec<Observation>>,
 }
 
+/// A running lightweight proxy.
 pub struct LightProxy {
     number: u32,
     plan: Plan,
     socket: UdpSocket,
-    /// The same socket's send_socket side.
+    /// The same socket, for sending.
     send_socket: Rc<std::net::UdpSocket>,
     sealer: DatagramSealer,
     membership: RefCell<Membership>,
-    balance: RefCell<Option<BalancerDriver>>,
+    balancer: RefCell<Option<BalancerDriver>>,
     replica: RefCell<Option<LightReplica>>,
     conditions: Rc<Cell<Conditions>>,
     random: RefCell<Pcg32>,
     pub tally: Rc<Tally>,
-    /// Something changed, or this proxy is to stop.
+    /// Wakes the proxy's task after its load changed or it was stopped.
     wake: Notify,
     stopped: Cell<bool>,
 }
 
 impl LightProxy {
-    /// Takes its socket and works until it is stopped.
+    /// Binds the proxy's address and spawns its task on the current thread; the task runs until [`LightProxy::stop`].
     pub fn start(
         plan: Plan,
         number: u32,
@@ -114,7 +119,7 @@
             send_socket: Rc::new(socket),
             sealer: DatagramSealer::new(config.cluster, address),
             membership: RefCell::new(Membership::new(config, address, seed, true, now())),
-            balance: RefCell::default(),
+            balancer: RefCell::default(),
             replica: RefCell::new(LightReplica::new(
                 voters,
                 address,
@@ -134,19 +139,19 @@
     async fn run(self: Rc<Self>) {
         let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         while !self.stopped.get() {
-            let balance = self
-                .balance
+            let balancer = self
+                .balancer
                 .borrow()
                 .as_ref()
                 .and_then(BalancerDriver::next_due);
             let replica = self.replica.borrow().as_ref().map(LightReplica::next_due);
-            let due = balance
+            let due = balancer
                 .into_iter()
                 .chain(replica)
                 .fold(self.membership.borrow().next_due(), Time::min);
             let wait = Duration::from_micros((due - Time(mono_us())).0);
             tokio::select! {
-                got = self.socket.recv_from(&mut buffer) => if let Ok((length, from)) = got {
+                received = self.socket.recv_from(&mut buffer) => if let Ok((length, from)) = received {
                     if self.receives_from(from) {
                         self.step(|m, now, out| m.handle_datagram(&buffer[..length], now, out));
                     }
@@ -161,7 +166,7 @@
         }
     }
 
-    /// The others find out, or are told.
+    /// Stops the proxy. With `leave` it announces this; otherwise the others have to detect it.
     pub fn stop(&self, leave: bool) {
         if leave {
             self.step(Membership::leave);
@@ -181,6 +186,7 @@
         self.wake.notify_one();
     }
 
+    /// Sets the load of the balancer, or stops it.
     pub fn set_load(&self, load: Option<Load>) {
         let new = |load| {
             BalancerDriver::new(
@@ -191,7 +197,7 @@
                 now().monotonic,
             )
         };
-        *self.balance.borrow_mut() = load.map(new);
+        *self.balancer.borrow_mut() = load.map(new);
         self.wake.notify_one();
     }
 
@@ -199,7 +205,7 @@
         self.step(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
     }
 
-    /// The version of its copy of the configuration, 0 without one.
+    /// The version of the configuration replica, 0 without one.
     pub fn version(&self) -> u64 {
         self.replica
             .borrow()
@@ -207,7 +213,7 @@
             .map_or(0, LightReplica::version)
     }
 
-    /// Live members that it knows, facts that wait, and its counts.
+    /// The number of live members that the proxy knows, the number of verdicts to forward, and its counters.
     pub fn status(&self) -> (u32, u64, Counters) {
         let m = self.membership.borrow();
         (
@@ -217,11 +223,12 @@
         )
     }
 
+    /// Runs what is due in the balancer and broadcasts the resulting verdicts.
     fn run_balancer(&self) {
         let mut spent = Duration::ZERO;
-        let verdicts = self.balance.borrow_mut().as_mut().map(|balance| {
-            let verdicts = balance.run_due(Time(mono_us()));
-            spent = std::mem::take(&mut balance.spent);
+        let verdicts = self.balancer.borrow_mut().as_mut().map(|balancer| {
+            let verdicts = balancer.run_due(Time(mono_us()));
+            spent = std::mem::take(&mut balancer.spent);
             verdicts
         });
         self.tally.balancer.set(self.tally.balancer.get() + spent);
@@ -231,25 +238,27 @@
             .for_each(|(backend, verdict)| self.broadcast_verdict(backend, verdict));
     }
 
-    /// One turn of the copy of the configuration, and what comes of it; whether there is one.
+    /// Runs one step of the configuration replica, sends its messages and records active changes. Returns whether there is a
+    /// replica.
     fn step_replica(&self, step: impl FnOnce(&mut LightReplica, ClockReading) -> Mail) -> bool {
         let done = self
             .replica
             .borrow_mut()
             .as_mut()
             .map(|replica| (step(replica, now()), replica.changed_entries()));
-        let Some((mail, names)) = done else {
+        let Some((mail, changed_names)) = done else {
             return false;
         };
         mail.into_iter()
             .for_each(|(to, bytes)| self.send(to, wire::Body::Coordination(bytes)));
-        let numbers = names
+        let numbers = changed_names
             .iter()
             .filter_map(|name| name.strip_prefix("change-")?.parse().ok());
         numbers.for_each(|number| self.record(number, Change::SettingsApplied));
         true
     }
 
+    /// Runs one step of the membership and handles its output.
     fn step(&self, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let mut out = Vec::new();
         step(&mut self.membership.borrow_mut(), now(), &mut out);
@@ -275,8 +284,8 @@
             } => {
                 if let Some(number) = backend.strip_prefix("probe-").and_then(|n| n.parse().ok()) {
                     self.record(number, Change::ProbeReceived);
-                } else if let Some(balance) = self.balance.borrow_mut().as_mut() {
-                    balance.receive_verdict(&backend, received, Time(mono_us()));
+                } else if let Some(balancer) = self.balancer.borrow_mut().as_mut() {
+                    balancer.receive_verdict(&backend, received, Time(mono_us()));
                 }
             }
             MembershipEvent::CoordinationMessage { from, bytes } => {
@@ -284,7 +293,7 @@
                     self.step(|m, now, out| m.reject_datagram(DatagramError::Unhandled, now, out));
                 }
             }
-            // It learned nothing that a snapshot could hold, and logs nothing.
+            // A lightweight proxy has no learned state for a snapshot, and writes no log.
             MembershipEvent::SnapshotRequested { .. }
             | MembershipEvent::SnapshotReceived { .. }
             | MembershipEvent::SnapshotUnavailable { .. }
@@ -293,6 +302,7 @@
         }
     }
 
+    /// Records what was observed of a member of the plan.
     fn observe(&self, peer: SocketAddr, change: Change) {
         self.plan
             .proxy(peer)
@@ -307,8 +317,8 @@
         }
     }
 
-    /// Whether a datagram from there arrives. One of a real proxy, whose socket has another port, is lost here, as it has no
-    /// send_socket side of ours; those of hollow ones are lost where they are sent.
+    /// Whether the network conditions let a datagram from this address arrive. Datagrams of lightweight proxies are lost at
+    /// their sender. Real proxies send from another port and inject no faults, so that their datagrams are lost here.
     fn receives_from(&self, from: SocketAddr) -> bool {
         let conditions = self.conditions.get();
         let passes = self
@@ -319,7 +329,7 @@
             && (from.port() == self.plan.port || self.random_fraction() >= conditions.faults.lost)
     }
 
-    /// Seals and sends, as far as the faults let it.
+    /// Seals and sends a datagram, subject to the injected faults.
     fn send(&self, to: SocketAddr, body: wire::Body) {
         let Ok(bytes) = self.sealer.seal(body, now().wall_us) else {
             return;
@@ -344,19 +354,20 @@
         };
         for _ in 0..copies {
             if self.random_fraction() >= faults.delayed {
-                let _ = self.send_socket.send_to(&bytes, to); // as in service: UDP is not sure to arrive
+                let _ = self.send_socket.send_to(&bytes, to); // ignored as in the proxy: UDP is unreliable
                 continue;
             }
-            let late = Duration::from_micros((self.random_fraction() * MAX_DELAY_US as f64) as u64);
+            let delay =
+                Duration::from_micros((self.random_fraction() * MAX_DELAY_US as f64) as u64);
             let (socket, bytes) = (self.send_socket.clone(), bytes.clone());
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(late).await;
+                tokio::time::sleep(delay).await;
                 let _ = socket.send_to(&bytes, to);
             });
         }
     }
 
-    /// From 0 to below 1.
+    /// A random number from 0 to below 1.
     fn random_fraction(&self) -> f64 {
         f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
--- a/benches/scale/light_replica.rs
+++ b/benches/scale/light_replica.rs
@@ -1,5 +1,5 @@
-//! A hollow proxy's replica of the fleet's configuration, and its part in others' broadcasts. It is never the leader: it passes
-//! changes on, compares digests and catches up, as every proxy does.
+//! A lightweight proxy's replica of the fleet's configuration, and its forwarding of broadcasts. It never becomes leader;
+//! it forwards changes, compares digests and fetches missing changes, like every proxy.
 
 use super::message::{self, Announcement, Duty, DutyMessage};
 use meadowproxy::fleet::config::{Context, Event, Outbox, Replica, Rules};
@@ -9,16 +9,17 @@
 use meadowproxy::{Micros, Time};
 use std::net::SocketAddr;
 
-/// The interval of ticks, as in service.
+/// The interval of ticks, as in the proxy.
 const TICK_INTERVAL: Micros = Micros(100_000);
-/// The interval at which the members are updated, as in service.
+/// The interval at which the list of members is updated, as in the proxy.
 const MEMBERS_INTERVAL: Micros = Micros(250_000);
-/// How old a broadcast may be, by default.
+/// The maximum age of a broadcast, which is the proxy's default.
 const MAX_AGE: Micros = Micros(5_000_000);
-/// The defaults of a fleet's leases.
+/// The lease's term and clock drift, which are the proxy's defaults.
 const TERM: Micros = Micros(3_000_000);
 const DRIFT: f64 = 0.01;
 
+/// The configuration replica of a lightweight proxy.
 pub struct LightReplica {
     replica: Replica,
     relay: Relay,
@@ -28,7 +29,7 @@
     members_due: Time,
 }
 
-/// Messages that go out, sealed as duties'.
+/// Encoded coordination messages to send, with their destinations.
 pub type Mail = Vec<(SocketAddr, Vec<u8>)>;
 
 impl LightReplica {
@@ -52,11 +53,12 @@
         })
     }
 
+    /// When the next tick is due.
     pub fn next_due(&self) -> Time {
         self.tick_due
     }
 
-    /// Lets time pass, where it is due.
+    /// Runs a tick if one is due.
     pub fn tick(&mut self, now: ClockReading, membership: &Membership) -> Mail {
         if now.monotonic < self.tick_due {
             return Mail::new();
@@ -71,7 +73,7 @@
         })
     }
 
-    /// Handles another proxy's message; sends nothing where it is not about the configuration, or rejected.
+    /// Handles another proxy's message. Returns no messages if it was rejected or does not concern the configuration.
     pub fn handle(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Mail {
         match message::decode(bytes) {
             Ok(DutyMessage::Broadcast(header, announcement)) => {
@@ -79,7 +81,7 @@
             }
             Ok(DutyMessage::Config(message)) => self.step(now, |replica, context, out| {
                 let _ = replica.handle(now.monotonic, context, from, message, out);
-                // rejected: it changed nothing
+                // a rejected message changes nothing
             }),
             _ => Mail::new(),
         }
@@ -111,6 +113,7 @@
             .collect()
     }
 
+    /// Runs one step of the replica and encodes its messages.
     fn step(
         &mut self,
         now: ClockReading,
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -1,10 +1,13 @@
-//! What a fleet costs as it grows, and how quick it is: hollow proxies, many to a process, beside a few real ones in one
-//! cluster on loopback, in the plan's regions and zones. Never run by the tests.
+//! Measures the cost and latency of the control plane as the fleet grows. Each run starts a cluster on loopback, spread over
+//! 7 regions and 27 zones: a few real proxy processes, and many lightweight proxies (membership, balancer and a
+//! configuration replica, but no HTTP) that share worker processes. The tests don't run this bench.
 //!
 //! `cargo bench --bench scale -- [SIZE ..] [--phases NAME,..] [--seed N] [--real N] [--full] [--each N] [--cut SECONDS]
-//! [--wave N] [--patience SECONDS] [--deadline SECONDS] [--json FILE] [--clockwork]` plays these sizes (30 100 300 900 1800) and
-//! prints a JSON line for each phase and role, then the tables; `-- --table FILE ..` prints the tables of lines that earlier
-//! runs wrote. With `--full` the real ones have the plan's whole file. A phase that fails ends the run; the rows before it are kept.
+//! [--wave N] [--patience SECONDS] [--deadline SECONDS] [--json FILE] [--clockwork]` runs the given fleet sizes (default:
+//! 30 100 300 900 1800) and prints a JSON line for each phase and role, then the tables. `-- --table FILE ..` prints the
+//! tables of JSON lines that earlier runs wrote. With `--full` the real proxies load a configuration of the target
+//! deployment's size; with `--clockwork` the run is a discrete-event simulation without sockets. A phase that fails ends
+//! the run; the rows measured before it are kept.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod activation;
@@ -16,14 +19,14 @@
 mod holder;
 mod light_proxy;
 mod light_replica;
-/// The codec of what is said about duties is the program's.
-#[allow(dead_code)] // the program uses more of it
+/// The proxy's own codec for coordination messages.
+#[allow(dead_code)] // the bench uses only part of the codec
 #[path = "../../src/net/cluster/coordination/message.rs"]
 mod message;
 mod observations;
 mod report;
 mod simulation;
-/// What that takes from the program is the library's there as well.
+/// The path under which the codec imports the wire format; the library exports it.
 mod net {
     pub mod cluster {
         pub mod gossip {
@@ -49,34 +52,41 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::{Duration, Instant};
 
-/// The argument by which this executable is a worker of another run.
+/// The first argument that makes this executable a worker process of another run.
 pub const WORKER_ARG: &str = "--hollow";
-/// The plan's size.
+/// Number of proxies in the target deployment.
 const TARGET_SIZE: u32 = 1800;
-/// Processes of a run at most.
+/// Maximum number of processes of a run.
 const MAX_PROCESSES: u32 = 200;
-/// Memory that is reckoned with, in kB: of a hollow proxy beside each other one, of a process, of a real proxy.
+/// Memory estimates in kB: a lightweight proxy, a worker process, a real proxy, and a real proxy with `--full`.
 const LIGHT_PROXY_KB: u64 = 900;
 const PROCESS_KB: u64 = 8_000;
 const REAL_KB: u64 = 40_000;
 const FULL_KB: u64 = 90_000;
 
+/// The command-line options of a run.
 struct Options {
     sizes: Vec<u32>,
     phases: Vec<String>,
     seed: u64,
+    /// Number of real proxy processes, at most a third of the fleet.
     real: u32,
+    /// Whether real proxies load a configuration of the target deployment's size.
     full: bool,
+    /// Maximum number of lightweight proxies in a worker process.
     proxies_per_worker: u32,
+    /// Seconds that a region stays partitioned.
     partition_s: u64,
-    /// Hollow proxies of each worker that start at a time, twice a second, and seconds until all are to know all.
-    wave: u32,
+    /// Number of lightweight proxies that each worker starts at a time, twice a second.
+    batch_size: u32,
+    /// Seconds to wait until every proxy knows all others.
     join_timeout_s: u64,
-    /// Seconds after which the run ends whatever it does.
+    /// Seconds after which the run is aborted.
     deadline_s: u64,
+    /// The file to which the JSON lines are appended.
     json: Option<String>,
-    /// Without sockets, on a clock of our own.
-    clockwork: bool,
+    /// Whether to run the discrete-event simulation instead of processes and sockets.
+    simulate: bool,
 }
 
 fn parse_options(args: &[String]) -> Result<Options, String> {
@@ -88,11 +98,11 @@
         full: false,
         proxies_per_worker: 60,
         partition_s: 60,
-        wave: 4,
+        batch_size: 4,
         join_timeout_s: 30,
         deadline_s: 3600,
         json: None,
-        clockwork: false,
+        simulate: false,
     };
     let mut rest = args.iter();
     while let Some(arg) = rest.next() {
@@ -100,10 +110,10 @@
             options.sizes.push(size);
             continue;
         }
-        let mut value = || rest.next().ok_or(format!("{arg}: a value is missing"));
+        let mut value = || rest.next().ok_or(format!("{arg}: missing value"));
         let number = |text: &String| text.parse::<u32>().map_err(|e| format!("{arg}: {e}"));
         match arg.as_str() {
-            "--bench" => {} // cargo's own
+            "--bench" => {} // passed by cargo
             "--phases" => options.phases = value()?.split(',').map(String::from).collect(),
             "--seed" => options.seed = u64::from(number(value()?)?),
             "--real" => options.real = number(value()?)?,
@@ -111,11 +121,11 @@
             "--deadline" => options.deadline_s = u64::from(number(value()?)?),
             "--each" => options.proxies_per_worker = number(value()?)?.max(1),
             "--cut" => options.partition_s = u64::from(number(value()?)?),
-            "--wave" => options.wave = number(value()?)?.max(1),
+            "--wave" => options.batch_size = number(value()?)?.max(1),
             "--patience" => options.join_timeout_s = u64::from(number(value()?)?),
-            "--clockwork" => options.clockwork = true,
+            "--clockwork" => options.simulate = true,
             "--json" => options.json = Some(value()?.clone()),
-            other => return Err(format!("{other}: not known")),
+            other => return Err(format!("{other}: unknown argument")),
         }
     }
     if options.sizes.is_empty() {
@@ -124,14 +134,16 @@
     Ok(options)
 }
 
-/// Whether a run of that size is within what may be taken of the machine.
+/// Checks that a run of this size needs at most [`MAX_PROCESSES`] processes and half of the available memory.
 fn check_resources(size: u32, options: &Options) -> Result<(), String> {
     let workers = size
         .saturating_sub(options.real)
         .div_ceil(options.proxies_per_worker);
     let processes = workers + options.real + 1;
     if processes > MAX_PROCESSES {
-        return Err(format!("{processes} processes, over {MAX_PROCESSES}"));
+        return Err(format!(
+            "{size} proxies need {processes} processes, more than the limit of {MAX_PROCESSES}"
+        ));
     }
     let light = u64::from(size) * LIGHT_PROXY_KB;
     let needed = light
@@ -140,13 +152,13 @@
     let available = report::available_kb();
     if needed > available / 2 {
         return Err(format!(
-            "{needed} kB needed, over half of the {available} kB that can be had"
+            "{size} proxies need {needed} kB, more than half of the {available} kB available"
         ));
     }
     Ok(())
 }
 
-/// Plays all phases, or those before one that fails; whether all were played.
+/// Runs the phases at one size until one fails. Returns whether all of them passed.
 fn run_size(size: u32, options: &Options, rows: &mut Vec<Row>) -> Result<bool, String> {
     check_resources(size, options)?;
     let open = |path| {
@@ -161,7 +173,7 @@
         .map(open)
         .transpose()
         .map_err(|e| e.to_string())?;
-    if options.clockwork {
+    if options.simulate {
         let plan = plan::Plan {
             size,
             port: 1,
@@ -169,8 +181,12 @@
         };
         for row in simulation::Simulation::new(plan).run(&options.phases) {
             if let Some(file) = &mut output {
-                writeln!(file, "{}", serde_json::to_string(&row).expect("plain data"))
-                    .map_err(|e| e.to_string())?;
+                writeln!(
+                    file,
+                    "{}",
+                    serde_json::to_string(&row).expect("serializable data")
+                )
+                .map_err(|e| e.to_string())?;
             }
             rows.push(row);
         }
@@ -188,52 +204,56 @@
     let begun = Instant::now();
     let mut fleet = Fleet::new(fleet_options);
     eprintln!(
-        "{} real ones started: {:.1?}",
+        "{} real proxies started after {:.1?}",
         fleet.real.len(),
         begun.elapsed()
     );
-    let joined = fleet.join(
-        options.wave,
+    let convergence = fleet.join(
+        options.batch_size,
         Duration::from_millis(500),
         Duration::from_secs(options.join_timeout_s),
     );
-    eprintln!("{size} started: {:.1?}, {joined:?}", begun.elapsed());
+    eprintln!(
+        "{size} proxies started after {:.1?}, {convergence:?}",
+        begun.elapsed()
+    );
     let seconds = Duration::from_secs;
     let spans = Spans {
         quiet: seconds(20),
         churn: seconds(40),
-        facts: seconds(10),
+        dead_backends: seconds(10),
         changes: seconds(40),
-        loss: seconds(20),
-        gone: seconds(30),
-        back: seconds(15),
-        cut: seconds(options.partition_s),
-        heal: seconds(15),
+        packet_loss: seconds(20),
+        after_failure: seconds(30),
+        after_return: seconds(15),
+        partition: seconds(options.partition_s),
+        convergence_timeout: seconds(15),
         settle: seconds(10),
     };
-    let mut play = PhaseRunner::new(fleet, spans, output);
+    let mut runner = PhaseRunner::new(fleet, spans, output);
     std::thread::sleep(spans.settle);
     let all_passed = options.phases.iter().all(|phase| {
-        let result = catch_unwind(AssertUnwindSafe(|| play.run_phase(phase)));
+        let result = catch_unwind(AssertUnwindSafe(|| runner.run_phase(phase)));
         eprintln!(
-            "{phase}: {} at {:.0?}",
-            if result.is_ok() { "played" } else { "FAILED" },
+            "phase {phase}: {} after {:.0?}",
+            if result.is_ok() { "passed" } else { "FAILED" },
             begun.elapsed()
         );
         result.is_ok()
     });
-    rows.extend(play.rows());
+    rows.extend(runner.rows());
     Ok(all_passed)
 }
 
-/// Ends this process, and with it the workers, and the real ones, if the run takes longer.
+/// Kills the real proxies and exits with status 3 once the deadline has passed. Workers exit when their standard input
+/// closes.
 fn spawn_watchdog(deadline: Duration) {
     std::thread::spawn(move || {
         std::thread::sleep(deadline);
-        eprintln!("scale: over its {deadline:?}");
+        eprintln!("scale: the run exceeded its deadline of {deadline:?}");
         for process in real::LIVE_PROCESSES
             .lock()
-            .expect("no panic under it")
+            .expect("the lock is not poisoned")
             .iter()
         {
             let _ = std::process::Command::new("kill")
@@ -244,6 +264,7 @@
     });
 }
 
+/// Reads the rows that earlier runs wrote as JSON lines.
 fn read_rows(files: &[String]) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for file in files {
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -1,4 +1,4 @@
-//! What befalls the fleet, and what is counted meanwhile.
+//! The phases of a run: each injects load, failures or network faults into a [`Fleet`] and measures the result as [`Row`]s.
 
 use super::fleet::{AcceptedChange, Convergence, Fleet, FAILING_BACKENDS, PEAK_LOAD};
 use super::holder::{HeardBy, HolderFailure};
@@ -13,18 +13,19 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// The plan's day over 1,800 proxies: restarts and replacements, and failures.
+/// Restarts and replacements, and failures, per day in the target deployment of 1,800 proxies.
 const RESTARTS_PER_DAY: f64 = 2200.0;
 const FAILURES_PER_DAY: f64 = 120.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const PLANNED_PROXIES: f64 = 1800.0;
-/// Out of so many events one is a failure.
+/// One of this many churn events is a failure, the others are restarts.
 const EVENTS_PER_FAILURE: u32 = 20;
-/// A restarted proxy is away so long, a failed one's replacement comes so late.
+/// How long a restarted proxy is absent.
 pub const RESTART_TIME: Duration = Duration::from_secs(2);
+/// How long it takes until a failed proxy is replaced.
 const REPLACEMENT_TIME: Duration = Duration::from_secs(20);
 
-/// A tenth of the datagrams lost, as many doubled, as many late.
+/// A tenth of the datagrams lost, a tenth duplicated and a tenth delayed.
 pub const HEAVY_FAULTS: Faults = Faults {
     lost: 0.1,
     duplicated: 0.1,
@@ -32,6 +33,7 @@
     cut: None,
 };
 
+/// The names of all phases, as `--phases` takes them, in the order in which they run.
 pub const ALL: [&str; 16] = [
     "quiet",
     "churn",
@@ -51,47 +53,50 @@
     "region",
 ];
 
-/// How long the phases last.
+/// Durations of the phases and of the waits between them.
 #[derive(Clone, Copy)]
 pub struct Spans {
     pub quiet: Duration,
     pub churn: Duration,
-    pub facts: Duration,
+    pub dead_backends: Duration,
     pub changes: Duration,
-    pub loss: Duration,
-    /// After proxies went, until the others must know.
-    pub gone: Duration,
-    pub back: Duration,
-    pub cut: Duration,
-    /// Until all know all again, at most.
-    pub heal: Duration,
-    /// Until the news of a change has died down.
+    pub packet_loss: Duration,
+    /// How long the fleet is measured after proxies failed, after they returned, and while a region is partitioned.
+    pub after_failure: Duration,
+    pub after_return: Duration,
+    pub partition: Duration,
+    /// The longest wait until every proxy knows all others again.
+    pub convergence_timeout: Duration,
+    /// The pause after a phase, until its updates no longer circulate.
     pub settle: Duration,
 }
 
-/// What happened in a phase.
+/// What happened in a phase, as far as the measurement needs it.
 #[derive(Default)]
 pub struct PhaseEvents {
     pub absences: Vec<Absence>,
+    /// The number of each probe or change, and when it was sent, in microseconds of the monotonic clock.
     pub probes: Vec<(u32, u64)>,
     pub cut: Option<Cut>,
     pub convergence: Convergence,
-    /// Changes that were taken.
+    /// Accepted configuration changes.
     pub changes: Vec<AcceptedChange>,
+    /// The number of injected events.
     pub events: u32,
-    /// What became of it, in words, and whether that is not as it must be.
+    /// A summary of the result, and whether it differs from what is required.
     pub outcome: Option<String>,
-    pub wrong: bool,
+    pub unexpected: bool,
 }
 
+/// Runs phases against a fleet and collects their rows.
 pub struct PhaseRunner {
     pub fleet: Fleet,
     pub spans: Spans,
     random: Pcg32,
     rows: Vec<Row>,
-    /// Each row goes there as soon as it is known.
+    /// The file to which each row is appended as soon as it is measured.
     output: Option<File>,
-    /// Percent of a core that each role took in the quiet phase.
+    /// Percent of a core that each role used in the quiet phase.
     quiet_cpu: BTreeMap<String, f64>,
 }
 
@@ -112,6 +117,7 @@
         self.rows
     }
 
+    /// Runs the phase with this name. Panics if there is none, or if one of its steps fails.
     pub fn run_phase(&mut self, name: &str) {
         match name {
             "quiet" => self.measure("quiet", self.spans.quiet, |_| PhaseEvents::default()),
@@ -154,11 +160,11 @@
             "rack" => self.group_failure("rack", 40),
             "zone" => self.group_failure("zone", self.fleet.plan.size.div_ceil(super::plan::ZONES)),
             "region" => self.region_partition(),
-            other => panic!("no phase {other}: expected some of {ALL:?}"),
+            other => panic!("unknown phase {other}: expected one of {ALL:?}"),
         }
     }
 
-    /// Counts over a span what comes of it.
+    /// Runs `during`, waits until `span` has passed since the start, and records a row of measurements for each role.
     pub fn measure(
         &mut self,
         phase: &str,
@@ -179,7 +185,7 @@
             .fleet
             .slowest_real_activations(&done.changes, |r| connected(r.number));
         for row in &mut rows {
-            row.in_force = match row.role.as_str() {
+            row.propagation = match row.role.as_str() {
                 LIGHT if done.cut.is_none() && !done.changes.is_empty() => {
                     PropagationTimes::of(observations.slowest.values().copied())
                 }
@@ -190,16 +196,16 @@
                 self.quiet_cpu.insert(row.role.clone(), row.cpu_percent);
             }
             row.quiet_cpu_percent = self.quiet_cpu.get(&row.role).copied();
-            let line = serde_json::to_string(row).expect("plain data");
+            let line = serde_json::to_string(row).expect("serializable data");
             println!("{line}");
-            if let Some(Err(why)) = self.output.as_mut().map(|file| writeln!(file, "{line}")) {
-                eprintln!("a row is not output: {why}");
+            if let Some(Err(error)) = self.output.as_mut().map(|file| writeln!(file, "{line}")) {
+                eprintln!("cannot write a row to the output file: {error}");
             }
         }
         self.rows.extend(rows);
     }
 
-    /// A hollow proxy that is none of these, and no seed.
+    /// A random lightweight proxy that is neither a seed nor among the excluded ones.
     pub fn random_proxy(&mut self, excluded: &[Absence]) -> u32 {
         let first = if self.fleet.real.is_empty() { 3 } else { 0 };
         loop {
@@ -214,16 +220,19 @@
         self.fleet.real.iter().any(|r| r.number == number)
     }
 
+    /// Waits until every proxy knows all others, then pauses until updates no longer circulate.
     pub fn settle(&mut self) {
-        self.fleet.wait_converged(Instant::now(), self.spans.heal);
+        self.fleet
+            .wait_converged(Instant::now(), self.spans.convergence_timeout);
         std::thread::sleep(self.spans.settle);
     }
 
-    /// Restarts and failures at so many times the plan's rate a proxy, drawn by the seed, all back by the end.
+    /// Restarts and fails random proxies at `times` the rate of the target deployment. Proxies whose replacement is due
+    /// before the end of the span have returned by then.
     fn churn(&mut self, name: &str, times: f64) {
         let span = self.spans.churn;
         let events = self.events_in(span, times);
-        self.measure(name, span, |play| {
+        self.measure(name, span, |runner| {
             let begun = Instant::now();
             let mut done = PhaseEvents {
                 events,
@@ -232,32 +241,33 @@
             let mut returns: Vec<(Instant, usize)> = Vec::new();
             for n in 0..events {
                 let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(events));
-                play.back_until(at, &mut returns, &mut done.absences);
-                let (proxy, fails) = (
-                    play.random_proxy(&done.absences),
+                runner.back_until(at, &mut returns, &mut done.absences);
+                let (proxy, is_failure) = (
+                    runner.random_proxy(&done.absences),
                     n % EVENTS_PER_FAILURE == EVENTS_PER_FAILURE / 2,
                 );
                 let from = mono_us();
-                play.fleet.stop(&[proxy], !fails);
+                runner.fleet.stop(&[proxy], !is_failure);
                 done.absences.push(Absence {
                     proxy,
                     from,
                     to: None,
                 });
-                let absent_for = if fails {
+                let absent_for = if is_failure {
                     REPLACEMENT_TIME
                 } else {
                     RESTART_TIME
                 };
                 returns.push((Instant::now() + absent_for, done.absences.len() - 1));
             }
-            play.back_until(begun + span, &mut returns, &mut done.absences);
+            runner.back_until(begun + span, &mut returns, &mut done.absences);
             done
         });
         self.settle();
     }
 
-    /// Waits until then, and meanwhile brings back whoever is due.
+    /// Waits until `end`, and meanwhile restarts each proxy whose return is due. `returns` holds the time of each return and
+    /// an index into `absences`.
     pub fn back_until(
         &mut self,
         end: Instant,
@@ -269,14 +279,14 @@
             let due = returns.first().copied().filter(|r| r.0 <= end);
             let at = due.map_or(end, |r| r.0);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
-            let Some((_, which)) = due else { return };
+            let Some((_, index)) = due else { return };
             returns.remove(0);
-            absences[which].to = Some(mono_us());
-            self.fleet.start(&[absences[which].proxy]);
+            absences[index].to = Some(mono_us());
+            self.fleet.start(&[absences[index].proxy]);
         }
     }
 
-    /// Verdicts that spread, one after the other, from proxies drawn by the seed.
+    /// Broadcasts 20 probe verdicts, one after the other, from random proxies.
     fn send_probes(&mut self) -> PhaseEvents {
         let (begun, count) = (Instant::now(), 20);
         let mut probes = Vec::new();
@@ -297,13 +307,15 @@
         }
     }
 
-    /// Backends are dead of a sudden: first every proxy finds out by itself or hears of it, then some try again at times.
+    /// Starts load while some backends refuse connections. In the first span each proxy ejects them by its own verdict or by
+    /// one from a peer; in the second, proxies occasionally try them again.
     fn dead_backends(&mut self, name: &str, load: Load) {
-        let span = self.spans.facts;
-        self.measure(&format!("{name}, first"), span, |play| {
-            play.fleet
+        let span = self.spans.dead_backends;
+        self.measure(&format!("{name}, first"), span, |runner| {
+            runner
+                .fleet
                 .load_real_proxies(load, Instant::now() + 2 * span);
-            play.fleet.set_load(Some(load));
+            runner.fleet.set_load(Some(load));
             PhaseEvents {
                 events: load.dead,
                 ..PhaseEvents::default()
@@ -317,7 +329,7 @@
         self.settle();
     }
 
-    /// Restarts and failures in a span at so many times the plan's rate a proxy.
+    /// The number of restarts and failures in a span at `times` the target deployment's rate per proxy.
     pub fn events_in(&self, span: Duration, times: f64) -> u32 {
         let rate = (RESTARTS_PER_DAY + FAILURES_PER_DAY) / SECONDS_PER_DAY / PLANNED_PROXIES
             * f64::from(self.fleet.plan.size)
@@ -325,60 +337,67 @@
         (rate * span.as_secs_f64()).round() as u32
     }
 
-    fn packet_loss(&mut self, name: &str, part: f64) {
+    /// Loses, duplicates and delays this fraction of the datagrams each.
+    fn packet_loss(&mut self, name: &str, fraction: f64) {
         self.fleet.set_faults(Faults {
-            lost: part,
-            duplicated: part,
-            delayed: part,
+            lost: fraction,
+            duplicated: fraction,
+            delayed: fraction,
             cut: None,
         });
-        self.measure(name, self.spans.loss, |_| PhaseEvents::default());
+        self.measure(name, self.spans.packet_loss, |_| PhaseEvents::default());
         self.fleet.set_faults(Faults::default());
         self.settle();
     }
 
-    /// So many at one place gone at once without a word, a third of the fleet at most, and back cold.
+    /// Kills `count` neighboring proxies at once, at most a third of the fleet, and later restarts them without state.
     fn group_failure(&mut self, name: &str, count: u32) {
-        let who = self.neighbors(count);
-        let mut gone_at = 0;
-        self.measure(&format!("{name} gone"), self.spans.gone, |play| {
-            gone_at = mono_us();
-            play.fleet.stop(&who, false);
-            let absences = who
-                .iter()
-                .map(|n| Absence {
-                    proxy: *n,
-                    from: gone_at,
-                    to: None,
-                })
-                .collect();
-            PhaseEvents {
-                absences,
-                events: who.len() as u32,
-                ..PhaseEvents::default()
-            }
-        });
-        self.measure(&format!("{name} back"), self.spans.back, |play| {
+        let proxies = self.neighbors(count);
+        let mut failed_at = 0;
+        self.measure(
+            &format!("{name} gone"),
+            self.spans.after_failure,
+            |runner| {
+                failed_at = mono_us();
+                runner.fleet.stop(&proxies, false);
+                let absences = proxies
+                    .iter()
+                    .map(|n| Absence {
+                        proxy: *n,
+                        from: failed_at,
+                        to: None,
+                    })
+                    .collect();
+                PhaseEvents {
+                    absences,
+                    events: proxies.len() as u32,
+                    ..PhaseEvents::default()
+                }
+            },
+        );
+        self.measure(&format!("{name} back"), self.spans.after_return, |runner| {
             let (at, begun) = (mono_us(), Instant::now());
-            play.fleet.start(&who);
-            let convergence = play.fleet.wait_converged(begun, play.spans.heal);
-            let back = |n: &u32| Absence {
+            runner.fleet.start(&proxies);
+            let convergence = runner
+                .fleet
+                .wait_converged(begun, runner.spans.convergence_timeout);
+            let absence = |n: &u32| Absence {
                 proxy: *n,
-                from: gone_at,
+                from: failed_at,
                 to: Some(at),
             };
-            let absences = who.iter().map(back).collect();
+            let absences = proxies.iter().map(absence).collect();
             PhaseEvents {
                 absences,
                 convergence,
-                events: who.len() as u32,
+                events: proxies.len() as u32,
                 ..PhaseEvents::default()
             }
         });
         self.settle();
     }
 
-    /// So many hollow ones of one place, a third of the fleet at most.
+    /// `count` lightweight proxies with consecutive numbers, at most a third of the fleet.
     pub fn neighbors(&self, count: u32) -> Vec<u32> {
         let size = self.fleet.plan.size;
         let from = self.fleet.plan.in_zone(super::plan::ZONES / 2).start;
@@ -388,7 +407,7 @@
             .collect()
     }
 
-    /// The last region hears nobody else, and nobody hears it, until it heals.
+    /// Partitions the last region from all others, then heals the partition.
     fn region_partition(&mut self) {
         let region = super::plan::REGIONS - 1;
         let events = (0..self.fleet.plan.size)
@@ -404,14 +423,16 @@
             from,
             to: u64::MAX / 2,
         });
-        self.measure("region cut", self.spans.cut, |_| PhaseEvents {
+        self.measure("region cut", self.spans.partition, |_| PhaseEvents {
             cut,
             events,
             ..PhaseEvents::default()
         });
-        self.measure("region healed", self.spans.back, |play| {
-            let (to, begun) = (play.fleet.set_faults(Faults::default()), Instant::now());
-            let convergence = play.fleet.wait_converged(begun, play.spans.heal);
+        self.measure("region healed", self.spans.after_return, |runner| {
+            let (to, begun) = (runner.fleet.set_faults(Faults::default()), Instant::now());
+            let convergence = runner
+                .fleet
+                .wait_converged(begun, runner.spans.convergence_timeout);
             PhaseEvents {
                 cut: Some(Cut { region, from, to }),
                 convergence,
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -32,7 +32,7 @@
 fn register(proxy: Proxy) -> Proxy {
     LIVE_PROCESSES
         .lock()
-        .expect("no panic under it")
+        .expect("the lock is not poisoned")
         .insert(proxy.child.id());
     proxy
 }
@@ -175,7 +175,7 @@
 fn unregister(proxy: &Proxy) {
     LIVE_PROCESSES
         .lock()
-        .expect("no panic under it")
+        .expect("the lock is not poisoned")
         .remove(&proxy.child.id());
     let _ = std::fs::remove_file(&proxy.config_path); // may be gone
 }
@@ -331,8 +331,8 @@
             role,
             sent: count("sent"),
             bytes: count("sent_bytes"),
-            told: count("facts_told"),
-            heard: count("facts_heard"),
+            verdicts_sent: count("facts_told"),
+            verdicts_received: count("facts_heard"),
             members: status["members"].as_array().map_or(0, |m| m.len() as u32),
             cpu_ns: threads.values().sum(),
             threads,
@@ -361,8 +361,8 @@
     pub role: &'static str,
     pub sent: u64,
     pub bytes: u64,
-    pub told: u64,
-    pub heard: u64,
+    pub verdicts_sent: u64,
+    pub verdicts_received: u64,
     pub members: u32,
     pub cpu_ns: u64,
     /// The same by the names of its threads.
--- a/benches/scale/relay.rs
+++ b/benches/scale/relay.rs
@@ -1,5 +1,5 @@
-//! A real proxy's place in the plan: what others send there comes through here, so that the same befalls it as befalls
-//! what hollow ones send.
+//! A UDP relay at a real proxy's address in the plan. It forwards what other proxies send there to the process, and applies
+//! the same network conditions that lightweight proxies apply when they send.
 
 use super::plan::Plan;
 use super::protocol::{Conditions, MAX_DELAY_US};
@@ -11,26 +11,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often it looks whether it is to end.
+/// How often the relay's thread checks whether to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is wrong now, for all relays of a fleet.
+/// The current network conditions, shared by all relays of a fleet.
 pub type SharedConditions = Arc<Mutex<Conditions>>;
 
+/// What a relay shares with its thread.
 struct RelayState {
     plan: Plan,
     number: u32,
     socket: UdpSocket,
     conditions: SharedConditions,
-    /// Where the process in that place listens, while there is one.
+    /// The address at which the proxy process listens, once one is running.
     target: Mutex<Option<SocketAddr>>,
     ended: AtomicBool,
 }
 
-/// Ends when it is dropped.
+/// A running relay; its thread stops after the relay is dropped.
 pub struct Relay(Arc<RelayState>);
 
 impl Relay {
+    /// Binds the proxy's address in the plan and starts the relay's thread.
     pub fn start(plan: Plan, number: u32, conditions: SharedConditions) -> io::Result<Relay> {
         let socket = UdpSocket::bind(plan.address(number))?;
         socket.set_read_timeout(Some(POLL_INTERVAL))?;
@@ -48,9 +50,9 @@
         Ok(Relay(state))
     }
 
-    /// From now on there is a process at that address.
+    /// Sets the address to which datagrams are forwarded.
     pub fn set_target(&self, address: SocketAddr) {
-        *self.0.target.lock().expect("no panic under it") = Some(address);
+        *self.0.target.lock().expect("the lock is not poisoned") = Some(address);
     }
 }
 
@@ -70,15 +72,15 @@
             let Ok((length, from)) = self.socket.recv_from(&mut bytes) else {
                 continue;
             };
-            let Some(target) = *self.target.lock().expect("no panic under it") else {
+            let Some(target) = *self.target.lock().expect("the lock is not poisoned") else {
                 continue;
             };
-            let conditions = *self.conditions.lock().expect("no panic under it");
+            let conditions = *self.conditions.lock().expect("the lock is not poisoned");
             let passes = |from| conditions.passes(&self.plan, from, self.number);
             if !self.plan.proxy(from).is_none_or(passes) {
                 continue;
             }
-            // What comes from the plan's own port is a hollow one's, which lost its part already.
+            // Datagrams from the plan's port come from lightweight proxies, which have injected their faults already.
             let faults = if from.port() == self.plan.port {
                 Default::default()
             } else {
@@ -94,13 +96,13 @@
             };
             for _ in 0..copies {
                 if random_fraction() >= faults.delayed {
-                    let _ = self.socket.send_to(&bytes[..length], target); // UDP is not sure to arrive
+                    let _ = self.socket.send_to(&bytes[..length], target); // UDP does not guarantee delivery
                     continue;
                 }
                 let (state, data) = (self.clone(), bytes[..length].to_vec());
-                let wait = Duration::from_micros((random_fraction() * MAX_DELAY_US as f64) as u64);
+                let delay = Duration::from_micros((random_fraction() * MAX_DELAY_US as f64) as u64);
                 std::thread::spawn(move || {
-                    std::thread::sleep(wait);
+                    std::thread::sleep(delay);
                     let _ = state.socket.send_to(&data, target);
                 });
             }
--- a/benches/scale/report.rs
+++ b/benches/scale/report.rs
@@ -1,10 +1,10 @@
-//! What is made of the counts: quantiles, lines through the sizes, and the tables.
+//! The results of a run: the measured [`Row`]s, their quantiles, linear fits over the fleet sizes, and the printed tables.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The machine's time so far, in ticks of all its cores.
+/// The processor time of the machine since its boot, in ticks summed over all cores.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Machine {
     busy: u64,
@@ -22,20 +22,20 @@
             .flat_map(str::parse)
             .collect();
         let all = ticks.iter().sum();
-        let idle: u64 = ticks.iter().skip(3).take(2).sum(); // and waiting for a disk
+        let idle: u64 = ticks.iter().skip(3).take(2).sum(); // idle and iowait
         Machine {
             busy: all - idle,
             all,
         }
     }
 
-    /// The part of the machine that was busy since then, in percent.
+    /// The share of processor time that was busy since `earlier`, in percent.
     pub fn busy_since(self, earlier: Machine) -> f64 {
         100.0 * (self.busy - earlier.busy) as f64 / (self.all - earlier.all).max(1) as f64
     }
 }
 
-/// Memory that can still be had, in kB.
+/// Available memory in kB.
 pub fn available_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("MemAvailable:"));
@@ -43,7 +43,8 @@
         .unwrap_or(0)
 }
 
-/// Milliseconds until half, 99 in 100 and the last of the pairs knew, of pairs counted by milliseconds.
+/// The median, the 99th percentile and the maximum, in milliseconds, of a histogram of `(milliseconds, count)` sorted by
+/// time; `None` if it is empty.
 pub fn quantiles(hist: &[(u32, u32)]) -> Option<[u32; 3]> {
     let all: u64 = hist.iter().map(|(_, n)| u64::from(*n)).sum();
     let at = |part: f64| {
@@ -57,24 +58,26 @@
     Some([at(0.5)?.0, at(0.99)?.0, at(1.0)?.0])
 }
 
-/// A machine that is busier says nothing of the program.
+/// If the machine is busier than this, its measurements say nothing about the program.
 pub const MAX_BUSY_PERCENT: f64 = 90.0;
 
-/// How long changes took until they were in force at the last proxy.
+/// How long configuration changes took until they were active at the last proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Spread")]
 pub struct PropagationTimes {
     pub changes: u32,
-    /// Milliseconds of half, 99 in 100 and the last of those that completed.
+    /// Median, 99th percentile and maximum in milliseconds, of the changes that became active.
     pub ms: Option<[u32; 3]>,
-    /// So many came within the aim and the bound.
+    /// The number of changes that became active within 2 s, the target, and within 5 s, the limit.
     pub within_2s: u32,
     pub within_5s: u32,
-    /// So many did not come in the phase.
+    /// The number of changes that did not become active within the phase.
     pub never: u32,
 }
 
 impl PropagationTimes {
-    /// Of each change the milliseconds, `None` where it is not in force at some.
+    /// Summarizes the milliseconds of each change; `None` stands for a change that is not active everywhere. Returns `None`
+    /// if there are no changes.
     pub fn of(slowest: impl Iterator<Item = Option<u32>>) -> Option<PropagationTimes> {
         let all: Vec<Option<u32>> = slowest.collect();
         let mut completed: Vec<u32> = all.iter().copied().flatten().collect();
@@ -93,84 +96,104 @@
     }
 }
 
-/// The role of hollow proxies.
+/// The role of the rows of lightweight proxies.
 pub const LIGHT: &str = "hollow";
 
-/// One phase at one size, for one role.
+/// The measurements of one phase at one fleet size, for one role. The `rename` attributes keep the names of the JSON lines
+/// that earlier runs wrote.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Row {
     pub size: u32,
     pub phase: String,
     pub role: String,
+    /// The number of proxies of the role.
     pub proxies: u32,
     pub seconds: f64,
-    /// Sent by a proxy in a second, in the mean; bytes are those of datagrams, without headers of UDP and IP.
+    /// Datagrams and bytes sent per second, averaged over the proxies. Bytes exclude UDP and IP headers.
     pub datagrams: f64,
     pub bytes: f64,
-    /// Of the proxy that sent most.
+    /// Bytes per second of the proxy that sent most.
     pub most_bytes: f64,
-    /// Of a core, by a proxy, in the mean, and the part of it that the module took.
+    /// Percent of a core that a proxy used on average, and the part of it spent in the decision module.
     pub cpu_percent: f64,
     pub module_percent: f64,
-    /// Of a proxy; for hollow ones what the processes had before their first proxy is taken out.
+    /// Resident memory per proxy in kB; for lightweight proxies without what the process used before its first proxy.
     pub resident_kb: f64,
-    /// By all proxies of the role.
-    pub told: u64,
-    /// By a proxy in a second.
-    pub heard: f64,
+    /// Verdicts sent by all proxies of the role.
+    #[serde(rename = "told")]
+    pub verdicts_sent: u64,
+    /// Verdicts received per proxy and second.
+    #[serde(rename = "heard")]
+    pub verdicts_received: f64,
+    /// How often a live proxy was taken for down.
     pub false_downs: u32,
+    /// How often a proxy rejoined the cluster.
     pub rejoined: u64,
-    /// What befell the fleet in the phase: proxies stopped, probes told.
+    /// The number of injected events, such as stopped proxies or sent probes.
     pub events: u32,
-    /// Milliseconds until half, 99 in 100 and the last of the pairs knew.
-    pub gone_ms: Option<[u32; 3]>,
-    pub back_ms: Option<[u32; 3]>,
-    pub heard_ms: Option<[u32; 3]>,
-    /// Pairs that never did within the phase.
+    /// Median, 99th percentile and maximum in milliseconds, over pairs of an observer and an event: until a stopped proxy
+    /// was seen as down, until a restarted one was seen as up, and until a probe or change arrived.
+    #[serde(rename = "gone_ms")]
+    pub down_ms: Option<[u32; 3]>,
+    #[serde(rename = "back_ms")]
+    pub up_ms: Option<[u32; 3]>,
+    #[serde(rename = "heard_ms")]
+    pub received_ms: Option<[u32; 3]>,
+    /// The number of pairs of each of these three kinds that did not detect the event within the phase.
     pub missing: [u32; 3],
-    /// Seconds until all knew all again, and until they lacked one pair in a thousand; `None` where that was not asked
-    /// or did not come in time.
-    pub whole_s: Option<f64>,
-    pub nearly_s: Option<f64>,
+    /// Seconds until every proxy knew all others, and until all but one pair in a thousand did; `None` if that was not
+    /// measured or did not happen in time.
+    #[serde(rename = "whole_s")]
+    pub full_convergence_s: Option<f64>,
+    #[serde(rename = "nearly_s")]
+    pub near_convergence_s: Option<f64>,
+    /// The lowest number of live members that a proxy knew at the end.
     pub least_known: u32,
-    /// At the end: pairs of a proxy and a place of the plan of which it knows no live member, and proxies that lack some.
-    pub lacking: u64,
-    pub lack: u32,
-    /// Of the whole machine, and of it by this run.
+    /// At the end: the number of pairs of a proxy and a member that it doesn't know as live, and of proxies in such a pair.
+    #[serde(rename = "lacking")]
+    pub unknown_members: u64,
+    #[serde(rename = "lack")]
+    pub incomplete_proxies: u32,
+    /// Percent of the machine's processor time that was busy, and that this run used.
     pub busy_percent: f64,
     pub own_percent: f64,
-    /// The machine was too busy for the row to say anything of the program.
-    pub void: bool,
-    /// From the call at a door until a change was in force at the last proxy of the role.
-    pub in_force: Option<PropagationTimes>,
-    /// Of the proxy of the role that has most; the mean of the role in the quiet phase; resident memory of the smallest
-    /// program.
+    /// Whether the machine was too busy for the row to say anything about the program.
+    #[serde(rename = "void")]
+    pub machine_overloaded: bool,
+    /// From a call at a control address until the change was active at the last proxy of the role.
+    #[serde(rename = "in_force")]
+    pub propagation: Option<PropagationTimes>,
+    /// Percent of a core of the proxy that used most.
     pub most_cpu_percent: f64,
-    /// Its mean by the names of a real one's threads.
+    /// Percent of a core that a real proxy used on average, by thread name.
     pub threads: BTreeMap<String, f64>,
+    /// The role's `cpu_percent` in the quiet phase.
     pub quiet_cpu_percent: Option<f64>,
+    /// Resident memory of the proxy that used most.
     pub most_resident_kb: f64,
+    /// Resident memory of a proxy process with a minimal configuration and no peers.
     pub smallest_kb: f64,
-    /// What became of what was tried, in words, and whether that is as it must be.
+    /// A summary of the phase's result, and whether it differs from what is required.
     pub outcome: Option<String>,
-    pub wrong: bool,
+    #[serde(rename = "wrong")]
+    pub unexpected: bool,
 }
 
-/// A straight line through points by least squares.
+/// A least-squares fit of a straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
     pub at_zero: f64,
     pub slope: f64,
-    /// Root of the mean square of what is left, with two degrees of freedom taken out.
+    /// The residual standard error, with two degrees of freedom less than points.
     pub residual: f64,
 }
 
 impl LinearFit {
-    /// `None` with fewer than three points or all at one place.
+    /// Fits a line; `None` if there are fewer than three points or all have the same x.
     pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let n = points.len() as f64;
-        let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
+        let mean = |value: fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
         let xx: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
         let xy: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
@@ -190,11 +213,13 @@
         })
     }
 
+    /// The value of the line at x.
     pub fn at(&self, x: f64) -> f64 {
         self.at_zero + self.slope * x
     }
 }
 
+/// Prints the header of a Markdown table.
 fn print_header(columns: &[&str]) {
     println!(
         "| {} |\n|{}",
@@ -203,7 +228,7 @@
     );
 }
 
-/// Prints as Markdown tables what the rows cost, and when the last one knew.
+/// Prints Markdown tables of the resources that each role used, and of the detection delays.
 pub fn print_cost_table(rows: &[Row]) {
     print_header(&[
         "proxies",
@@ -234,8 +259,8 @@
             r.cpu_percent,
             r.module_percent,
             r.resident_kb,
-            r.told,
-            r.heard,
+            r.verdicts_sent,
+            r.verdicts_received,
             machine_load(r),
         );
     }
@@ -266,22 +291,24 @@
             r.size,
             r.phase,
             r.events,
-            ms(r.gone_ms, gone),
-            ms(r.back_ms, back),
-            ms(r.heard_ms, heard),
-            s(r.nearly_s),
-            s(r.whole_s),
-            r.lack,
+            ms(r.down_ms, gone),
+            ms(r.up_ms, back),
+            ms(r.received_ms, heard),
+            s(r.near_convergence_s),
+            s(r.full_convergence_s),
+            r.incomplete_proxies,
             r.false_downs,
             r.rejoined,
         );
     }
 }
 
-/// What control may spend on a proxy: percent of a core, kB over the smallest program, bytes a second.
+/// The resources that the control plane may use per proxy: percent of a core, kB more than the smallest process, and bytes
+/// per second.
 const BUDGET: [f64; 3] = [1.4, 32_000.0, 6_000.0];
 
-/// Prints when changes were in force at the last proxy, what control spent, and what became of faults.
+/// Prints Markdown tables of the propagation times of changes, of the control plane's resources compared with
+/// [`BUDGET`], and of the outcomes of the fault phases.
 pub fn print_control_table(rows: &[Row]) {
     print_header(&[
         "proxies",
@@ -294,7 +321,10 @@
         "never",
         "machine busy % (own)",
     ]);
-    for (r, s) in rows.iter().filter_map(|r| Some((r, r.in_force.as_ref()?))) {
+    for (r, s) in rows
+        .iter()
+        .filter_map(|r| Some((r, r.propagation.as_ref()?)))
+    {
         let ms = s.ms.map_or("-".into(), |[half, most, last]| {
             format!("{half} / {most} / {last}")
         });
@@ -371,22 +401,23 @@
             "| {} | {} | {outcome} | {} | {} |",
             r.size,
             r.phase,
-            if r.wrong { "**no**" } else { "yes" },
+            if r.unexpected { "**no**" } else { "yes" },
             machine_load(r)
         );
     }
 }
 
-/// How busy the machine was, and whether that makes the row void.
+/// Formats how busy the machine was, and whether that makes the row void.
 fn machine_load(r: &Row) -> String {
     format!(
         "{:.0} ({:.1}){}",
         r.busy_percent,
         r.own_percent,
-        if r.void { " void" } else { "" }
+        if r.machine_overloaded { " void" } else { "" }
     )
 }
 
+/// A metric's name in the table, and its value in a row.
 type Metric = (&'static str, fn(&Row) -> Option<f64>);
 
 const METRICS: [Metric; 8] = [
@@ -394,15 +425,19 @@
     ("bytes/s", |r| Some(r.bytes)),
     ("% of a core", |r| Some(r.cpu_percent)),
     ("kB resident", |r| Some(r.resident_kb)),
-    ("gone, last ms", |r| r.gone_ms.map(|q| f64::from(q[2]))),
-    ("back, last ms", |r| r.back_ms.map(|q| f64::from(q[2]))),
-    ("probe, last ms", |r| r.heard_ms.map(|q| f64::from(q[2]))),
-    ("99.9% whole after s", |r| r.nearly_s),
+    ("gone, last ms", |r| r.down_ms.map(|q| f64::from(q[2]))),
+    ("back, last ms", |r| r.up_ms.map(|q| f64::from(q[2]))),
+    ("probe, last ms", |r| r.received_ms.map(|q| f64::from(q[2]))),
+    ("99.9% whole after s", |r| r.near_convergence_s),
 ];
 
-/// Prints the line of each figure over the sizes, and what it gives at the plan's size beside what was measured there.
-pub fn print_fits(rows: &[Row], plan: u32) {
-    let (line_at, measured_at) = (format!("line at {plan}"), format!("measured at {plan}"));
+/// Prints a linear fit of each metric over the fleet sizes, and its value at the target size beside the measured one. A
+/// second value comes from a fit through the smaller sizes only.
+pub fn print_fits(rows: &[Row], target_size: u32) {
+    let (line_at, measured_at) = (
+        format!("line at {target_size}"),
+        format!("measured at {target_size}"),
+    );
     print_header(&[
         "phase",
         "role",
@@ -420,25 +455,28 @@
         .map(|r| (r.phase.as_str(), r.role.as_str()))
         .collect();
     for (phase, role) in kinds {
-        let of: Vec<&Row> = rows
+        let selected: Vec<&Row> = rows
             .iter()
             .filter(|r| (r.phase.as_str(), r.role.as_str()) == (phase, role))
             .collect();
         for (name, metric) in METRICS {
-            let points: Vec<(f64, f64)> = of
+            let points: Vec<(f64, f64)> = selected
                 .iter()
                 .filter_map(|r| Some((f64::from(r.size), metric(r)?)))
                 .collect();
             let below: Vec<(f64, f64)> = points
                 .iter()
                 .copied()
-                .filter(|p| p.0 < f64::from(plan))
+                .filter(|p| p.0 < f64::from(target_size))
                 .collect();
             let Some(fit) = LinearFit::through(&points) else {
                 continue;
             };
             let show = |x: Option<f64>| x.map_or("-".into(), |x| format!("{x:.3}"));
-            let measured = points.iter().find(|p| p.0 == f64::from(plan)).map(|p| p.1);
+            let measured = points
+                .iter()
+                .find(|p| p.0 == f64::from(target_size))
+                .map(|p| p.1);
             let sizes: Vec<String> = points.iter().map(|p| p.0.to_string()).collect();
             println!(
                 "| {phase} | {role} | {name} | {} | {:.3} | {:.4} | {:.3} | {:.3} | {} | {} |",
@@ -446,8 +484,8 @@
                 fit.at_zero,
                 fit.slope * 100.0,
                 fit.residual,
-                fit.at(f64::from(plan)),
-                show(LinearFit::through(&below).map(|l| l.at(f64::from(plan)))),
+                fit.at(f64::from(target_size)),
+                show(LinearFit::through(&below).map(|l| l.at(f64::from(target_size)))),
                 show(measured),
             );
         }
--- a/benches/scale/simulation.rs
+++ b/benches/scale/simulation.rs
@@ -1,5 +1,5 @@
-//! The same membership on one clock of our own, without sockets: every datagram is on its way for 0.3 to 0.5 ms, and no
-//! proxy ever waits for a processor. What a size costs and how quick it is there does not depend on the machine.
+//! A discrete-event simulation of the fleet's membership and balancers, without sockets. Each datagram takes 0.3 to 0.5 ms,
+//! and no proxy waits for a processor, so that datagram counts and delays don't depend on the machine.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use super::balancer_driver::BalancerDriver;
@@ -7,7 +7,7 @@
 use super::light_proxy::{Change, Observation};
 use super::observations::observe;
 use super::plan::{Plan, REGIONS, ZONES};
-use super::protocol::{Absence, Cut, Faults, Learned, Load, MAX_DELAY_US};
+use super::protocol::{Absence, Cut, Faults, Load, Observations, MAX_DELAY_US};
 use super::report::{quantiles, Row};
 use meadowproxy::fleet::membership::wire::{self, Body, DatagramSealer};
 use meadowproxy::fleet::membership::{
@@ -20,15 +20,18 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
+/// A second in microseconds.
 const SECOND: u64 = 1_000_000;
-/// Wall time at the beginning.
+/// The wall clock at the start of the simulation, in microseconds.
 const START_WALL_US: u64 = 1_700_000_000 * SECOND;
+/// The shortest transit time of a datagram, and the range of the random time added to it, in microseconds.
 const TRANSIT_US: (u64, u64) = (300, 200);
-/// Proxies join so long apart.
+/// The time between the starts of two proxies, in microseconds.
 const JOIN_INTERVAL_US: u64 = 8_000;
-/// The role of these rows.
+/// The role of the simulation's rows.
 const ROLE: &str = "clockwork";
 
+/// What is due at a proxy with this number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     RunTimers(u32),
@@ -36,24 +39,28 @@
     Deliver(u32, Vec<u8>),
 }
 
+/// A simulated proxy and its counters; it is stopped while `membership` is `None`.
 struct SimProxy {
     membership: Option<Membership>,
-    balance: Option<BalancerDriver>,
+    balancer: Option<BalancerDriver>,
     sealer: DatagramSealer,
-    /// The earliest time at which it is to pass.
+    /// The time of the earliest scheduled [`SimEvent::RunTimers`], in microseconds.
     timers_due: u64,
     sent: u64,
     bytes: u64,
     rejoined: u64,
-    told: u64,
-    heard: u64,
+    verdicts_sent: u64,
+    verdicts_received: u64,
     observations: Vec<Observation>,
 }
 
+/// A simulated fleet.
 pub struct Simulation {
     plan: Plan,
+    /// Simulated time in microseconds.
     now: u64,
     proxies: Vec<SimProxy>,
+    /// Scheduled events by time, then in the order in which they were scheduled.
     events: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     next_sequence: u64,
     faults: Faults,
@@ -63,22 +70,22 @@
 impl Simulation {
     pub fn new(plan: Plan) -> Simulation {
         let cluster = wire::cluster_id("scale");
-        let one = |n: u32| SimProxy {
+        let proxy = |n: u32| SimProxy {
             membership: None,
-            balance: None,
+            balancer: None,
             sealer: DatagramSealer::new(cluster, plan.address(n)),
             timers_due: u64::MAX,
             sent: 0,
             bytes: 0,
             rejoined: 0,
-            told: 0,
-            heard: 0,
+            verdicts_sent: 0,
+            verdicts_received: 0,
             observations: Vec::new(),
         };
         Simulation {
             plan,
             now: 0,
-            proxies: (0..plan.size).map(one).collect(),
+            proxies: (0..plan.size).map(proxy).collect(),
             events: BinaryHeap::new(),
             next_sequence: 0,
             faults: Faults::default(),
@@ -122,21 +129,24 @@
         self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
+    /// Schedules the membership's next timers, unless an earlier run is scheduled already.
     fn schedule_timers(&mut self, n: u32) {
-        let one = &mut self.proxies[n as usize];
-        let Some(at) = one.membership.as_ref().map(|m| m.next_due().0) else {
+        let proxy = &mut self.proxies[n as usize];
+        let Some(at) = proxy.membership.as_ref().map(|m| m.next_due().0) else {
             return;
         };
-        if at < one.timers_due {
-            one.timers_due = at;
+        if at < proxy.timers_due {
+            proxy.timers_due = at;
             self.push_event(at.max(self.now), SimEvent::RunTimers(n));
         }
     }
 
+    /// A random number from 0 to below 1.
     fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
+    /// Runs one step of a proxy's membership and handles its output.
     fn step(&mut self, n: u32, step: impl FnOnce(&mut Membership, ClockReading, &mut Vec<Output>)) {
         let (now, mut out) = (self.clock_reading(), Vec::new());
         let Some(membership) = self.proxies[n as usize].membership.as_mut() else {
@@ -152,15 +162,15 @@
         self.schedule_timers(n);
     }
 
-    /// The module's turn: the verdicts that it tells go out.
+    /// Runs what is due in a proxy's balancer and broadcasts the resulting verdicts.
     fn run_balancer(&mut self, n: u32) {
-        let Some(balance) = self.proxies[n as usize].balance.as_mut() else {
+        let Some(balancer) = self.proxies[n as usize].balancer.as_mut() else {
             return;
         };
-        let verdicts = balance.run_due(Time(self.now));
-        let next = balance.next_due();
+        let verdicts = balancer.run_due(Time(self.now));
+        let next = balancer.next_due();
         for (backend, verdict) in verdicts {
-            self.proxies[n as usize].told += 1;
+            self.proxies[n as usize].verdicts_sent += 1;
             self.step(n, |m, now, out| {
                 m.broadcast_verdict(backend, verdict, now, out);
             });
@@ -173,7 +183,7 @@
         for n in 0..self.plan.size {
             let new =
                 |load| BalancerDriver::new(load, n, self.plan.size, self.plan.seed, Time(self.now));
-            self.proxies[n as usize].balance = load.map(new);
+            self.proxies[n as usize].balancer = load.map(new);
             self.run_balancer(n);
         }
     }
@@ -184,11 +194,12 @@
             verdict: received,
         } = event
         {
-            let (one, now) = (&mut self.proxies[n as usize], Time(self.now));
-            one.heard += u64::from(received.origin.is_some());
-            one.balance
+            let (proxy, now) = (&mut self.proxies[n as usize], Time(self.now));
+            proxy.verdicts_received += u64::from(received.origin.is_some());
+            proxy
+                .balancer
                 .iter_mut()
-                .for_each(|balance| balance.receive_verdict(&backend, received.clone(), now));
+                .for_each(|balancer| balancer.receive_verdict(&backend, received.clone(), now));
             return;
         }
         let (peer, change) = match event {
@@ -205,20 +216,21 @@
         }
     }
 
+    /// Sends a datagram, subject to the injected faults.
     fn send(&mut self, n: u32, to: SocketAddr, body: Body) {
-        let one = &mut self.proxies[n as usize];
+        let proxy = &mut self.proxies[n as usize];
         let (Ok(bytes), Some(to)) = (
-            one.sealer.seal(body, START_WALL_US + self.now),
+            proxy.sealer.seal(body, START_WALL_US + self.now),
             self.plan.proxy(to),
         ) else {
             return;
         };
-        one.sent += 1;
-        one.bytes += bytes.len() as u64;
+        proxy.sent += 1;
+        proxy.bytes += bytes.len() as u64;
         let region = |n: u32| Some(self.plan.region(n));
-        let cut = self.faults.cut.is_some()
+        let partitioned = self.faults.cut.is_some()
             && (region(n) == self.faults.cut) != (region(to) == self.faults.cut);
-        if cut || self.random_fraction() < self.faults.lost {
+        if partitioned || self.random_fraction() < self.faults.lost {
             return;
         }
         let copies = if self.random_fraction() < self.faults.duplicated {
@@ -227,16 +239,17 @@
             1
         };
         for _ in 0..copies {
-            let late = if self.random_fraction() < self.faults.delayed {
+            let range = if self.random_fraction() < self.faults.delayed {
                 MAX_DELAY_US as f64
             } else {
                 TRANSIT_US.1 as f64
             };
-            let transit = TRANSIT_US.0 + (self.random_fraction() * late) as u64;
+            let transit = TRANSIT_US.0 + (self.random_fraction() * range) as u64;
             self.push_event(self.now + transit, SimEvent::Deliver(to, bytes.clone()));
         }
     }
 
+    /// Runs the simulation for a span in microseconds.
     fn run_for(&mut self, span: u64) {
         let end = self.now + span;
         while self.events.peek().is_some_and(|d| d.0 .0 < end) {
@@ -259,21 +272,23 @@
         self.now = end;
     }
 
-    fn lacking(&self) -> Vec<u32> {
+    /// For each running proxy, the number of members that it doesn't know as live.
+    fn unknown_members(&self) -> Vec<u32> {
         let live = self
             .proxies
             .iter()
-            .filter_map(|one| one.membership.as_ref());
+            .filter_map(|proxy| proxy.membership.as_ref());
         live.map(|m| self.plan.size - 1 - (m.member_count() as u32).min(self.plan.size - 1))
             .collect()
     }
 
-    /// Plays so long, and counts; with `whole` it looks each tenth of a second whether all know all.
+    /// Runs the simulation for a span and returns its measurements. With `track_convergence` it checks every tenth of a
+    /// second whether every proxy knows all others.
     fn measure(
         &mut self,
         phase: &str,
         span: u64,
-        whole: bool,
+        track_convergence: bool,
         absences: &[Absence],
         cut: Option<Cut>,
     ) -> Row {
@@ -281,20 +296,28 @@
         let counts = |c: &Simulation| {
             c.proxies
                 .iter()
-                .map(|o| [o.sent, o.bytes, o.rejoined, o.told, o.heard])
+                .map(|o| {
+                    [
+                        o.sent,
+                        o.bytes,
+                        o.rejoined,
+                        o.verdicts_sent,
+                        o.verdicts_received,
+                    ]
+                })
                 .collect::<Vec<_>>()
         };
         let before = counts(self);
-        let (mut nearly_s, mut whole_s) = (None, None);
+        let (mut near_convergence_s, mut full_convergence_s) = (None, None);
         while self.now < since + span {
             self.run_for((SECOND / 10).min(since + span - self.now));
-            let lacking: u64 = self.lacking().into_iter().map(u64::from).sum();
+            let unknown: u64 = self.unknown_members().into_iter().map(u64::from).sum();
             let seconds = (self.now - since) as f64 / SECOND as f64;
-            if whole && lacking * 1000 <= u64::from(self.plan.size).pow(2) {
-                nearly_s = nearly_s.or(Some(seconds));
+            if track_convergence && unknown * 1000 <= u64::from(self.plan.size).pow(2) {
+                near_convergence_s = near_convergence_s.or(Some(seconds));
             }
-            if whole && lacking == 0 {
-                whole_s = whole_s.or(Some(seconds));
+            if track_convergence && unknown == 0 {
+                full_convergence_s = full_convergence_s.or(Some(seconds));
             }
         }
         let increases: Vec<[u64; 5]> = counts(self)
@@ -306,13 +329,13 @@
             self.proxies
                 .iter()
                 .enumerate()
-                .filter(|(_, one)| one.membership.is_some())
+                .filter(|(_, proxy)| proxy.membership.is_some())
         };
-        let observers = live().map(|(n, one)| (n as u32, one.observations.as_slice()));
-        let observations: Learned = observe(&self.plan, observers, since, absences, &[], cut);
+        let observers = live().map(|(n, proxy)| (n as u32, proxy.observations.as_slice()));
+        let observations: Observations = observe(&self.plan, observers, since, absences, &[], cut);
         let (proxies, seconds) = (live().count() as f64, span as f64 / SECOND as f64);
-        let sum = |which: usize| increases.iter().map(|g| g[which]).sum::<u64>();
-        let lacking = self.lacking();
+        let sum = |counter: usize| increases.iter().map(|g| g[counter]).sum::<u64>();
+        let unknown = self.unknown_members();
         let row = Row {
             size: self.plan.size,
             phase: phase.into(),
@@ -323,20 +346,23 @@
             bytes: sum(1) as f64 / seconds / proxies,
             most_bytes: increases.iter().map(|g| g[1]).max().unwrap_or(0) as f64 / seconds,
             rejoined: sum(2),
-            told: sum(3),
-            heard: sum(4) as f64 / seconds / proxies,
+            verdicts_sent: sum(3),
+            verdicts_received: sum(4) as f64 / seconds / proxies,
             events: absences.len() as u32,
             false_downs: observations.false_downs,
-            gone_ms: quantiles(&observations.gone),
-            back_ms: quantiles(&observations.back),
-            missing: [observations.gone_missing, observations.back_missing, 0],
-            nearly_s,
-            whole_s,
-            lack: lacking.iter().filter(|l| **l > 0).count() as u32,
-            lacking: lacking.iter().map(|l| u64::from(*l)).sum(),
+            down_ms: quantiles(&observations.down),
+            up_ms: quantiles(&observations.up),
+            missing: [observations.down_missing, observations.up_missing, 0],
+            near_convergence_s,
+            full_convergence_s,
+            incomplete_proxies: unknown.iter().filter(|l| **l > 0).count() as u32,
+            unknown_members: unknown.iter().map(|l| u64::from(*l)).sum(),
             ..Row::default()
         };
-        println!("{}", serde_json::to_string(&row).expect("plain data"));
+        println!(
+            "{}",
+            serde_json::to_string(&row).expect("serializable data")
+        );
         eprintln!(
             "{} {phase}: {seconds} s in {:.1?}",
             self.plan.size,
@@ -345,19 +371,22 @@
         row
     }
 
+    /// Kills `count` neighboring proxies at once, at most a third of the fleet, and later restarts them without state.
     fn group_failure(&mut self, name: &str, count: u32, rows: &mut Vec<Row>) {
         let from = self.plan.in_zone(ZONES / 2).start;
-        let who: Vec<u32> = (from..self.plan.size)
+        let proxies: Vec<u32> = (from..self.plan.size)
             .take(count.min(self.plan.size / 3) as usize)
             .collect();
-        let gone_at = self.now;
-        who.iter()
+        let failed_at = self.now;
+        proxies
+            .iter()
             .for_each(|n| self.proxies[*n as usize].membership = None);
-        let gone = |to| {
-            who.iter()
+        let absences = |to| {
+            proxies
+                .iter()
                 .map(|n| Absence {
                     proxy: *n,
-                    from: gone_at,
+                    from: failed_at,
                     to,
                 })
                 .collect::<Vec<_>>()
@@ -366,21 +395,22 @@
             &format!("{name} gone"),
             30 * SECOND,
             false,
-            &gone(None),
+            &absences(None),
             None,
         ));
-        let back_at = self.now;
-        who.iter().for_each(|n| self.start(*n));
+        let returned_at = self.now;
+        proxies.iter().for_each(|n| self.start(*n));
         rows.push(self.measure(
             &format!("{name} back"),
             15 * SECOND,
             true,
-            &gone(Some(back_at)),
+            &absences(Some(returned_at)),
             None,
         ));
         self.run_for(10 * SECOND);
     }
 
+    /// Starts load while some backends refuse connections, and measures the first and the next ten seconds.
     fn dead_backends(&mut self, name: &str, load: Load, rows: &mut Vec<Row>) {
         self.set_load(Some(load));
         rows.push(self.measure(&format!("{name}, first"), 10 * SECOND, false, &[], None));
@@ -391,7 +421,7 @@
         self.run_for(10 * SECOND);
     }
 
-    /// These phases, one after the other.
+    /// Starts the fleet and runs the named phases one after the other. Returns their rows.
     pub fn run(mut self, phases: &[String]) -> Vec<Row> {
         let selected = |name: &str| phases.iter().any(|phase| phase == name);
         let mut rows = Vec::new();
@@ -407,14 +437,14 @@
         if selected("storm") {
             self.dead_backends("3 of 43 dead at 117/s", PEAK_LOAD, &mut rows);
         }
-        for (name, part) in [("1% lost", 0.01), ("10% lost", 0.1)]
+        for (name, fraction) in [("1% lost", 0.01), ("10% lost", 0.1)]
             .into_iter()
             .filter(|_| selected("loss"))
         {
             self.faults = Faults {
-                lost: part,
-                duplicated: part,
-                delayed: part,
+                lost: fraction,
+                duplicated: fraction,
+                delayed: fraction,
                 cut: None,
             };
             rows.push(self.measure(name, 20 * SECOND, true, &[], None));
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -1,10 +1,11 @@
-//! Holds some of the hollow proxies on one thread, and does what the conductor says.
+//! A worker runs a part of the fleet's lightweight proxies on one thread and executes the coordinator's commands. It is a
+//! thread of the coordinator's process or a process of its own.
 
 use super::activation::slowest_activations;
 use super::light_proxy::{probe_name, LightProxy, Tally};
 use super::observations::observe;
 use super::plan::Plan;
-use super::protocol::{Absence, Command, Conditions, Cut, Learned, Load, Reply, Sample};
+use super::protocol::{Absence, Command, Conditions, Cut, Load, Observations, Reply, Sample};
 use meadowproxy::fleet::membership::{wire, MembershipConfig};
 use meadowproxy::{Micros, Verdict};
 use std::cell::Cell;
@@ -13,22 +14,24 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// One place of the plan, with the proxy that is there now.
+/// A member of the plan: the proxy while it runs, and its counters over all restarts.
 #[derive(Default)]
-struct Place {
-    light_proxy: Option<Rc<LightProxy>>,
+struct Member {
+    proxy: Option<Rc<LightProxy>>,
     tally: Rc<Tally>,
 }
 
+/// The lightweight proxies of a worker and their settings.
 pub struct Worker {
     plan: Option<(Plan, MembershipConfig, Vec<SocketAddr>)>,
-    places: BTreeMap<u32, Place>,
+    members: BTreeMap<u32, Member>,
     conditions: Rc<Cell<Conditions>>,
     load: Option<Load>,
+    /// Resident memory of the process before it started its first proxy.
     base_kb: u64,
 }
 
-/// Works on this thread until nobody commands any more.
+/// Executes commands on this thread until the command channel is closed, and passes each reply to `reply`.
 pub fn run(mut commands: UnboundedReceiver<Command>, reply: impl Fn(Reply)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -37,10 +40,10 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
         let base_kb = resident_kb();
-        let (conditions, places) = (Rc::default(), BTreeMap::new());
+        let (conditions, members) = (Rc::default(), BTreeMap::new());
         let mut worker = Worker {
             plan: None,
-            places,
+            members,
             conditions,
             load: None,
             base_kb,
@@ -74,38 +77,38 @@
                     voters,
                 ));
             }
-            Command::Start(who) => who.into_iter().try_for_each(|number| self.start(number))?,
-            Command::Stop { who, leave } => {
-                for number in who {
-                    let light_proxy = self
-                        .places
-                        .get_mut(&number)
-                        .and_then(|p| p.light_proxy.take());
-                    light_proxy
-                        .ok_or(format!("proxy {number} is not there"))?
+            Command::Start(proxies) => proxies
+                .into_iter()
+                .try_for_each(|number| self.start(number))?,
+            Command::Stop { proxies, leave } => {
+                for number in proxies {
+                    let proxy = self.members.get_mut(&number).and_then(|m| m.proxy.take());
+                    proxy
+                        .ok_or(format!("cannot stop proxy {number}: it is not running"))?
                         .stop(leave);
                 }
             }
             Command::Conditions(conditions) => self.conditions.set(conditions),
             Command::Load(load) => {
                 self.load = load;
-                self.light_proxies()
-                    .for_each(|light_proxy| light_proxy.set_load(load));
+                self.light_proxies().for_each(|proxy| proxy.set_load(load));
             }
             Command::Probe { proxy, number } => {
-                let light_proxy = self.places.get(&proxy).and_then(|p| p.light_proxy.as_ref());
+                let light_proxy = self.members.get(&proxy).and_then(|m| m.proxy.as_ref());
                 light_proxy
-                    .ok_or(format!("proxy {proxy} is not there"))?
+                    .ok_or(format!(
+                        "cannot send probe {number} from proxy {proxy}: it is not running"
+                    ))?
                     .broadcast_verdict(probe_name(number), Verdict::Readmitted);
             }
             Command::Sample => return Ok(Reply::Sample(self.sample())),
-            Command::Learned {
+            Command::Observations {
                 since,
                 absences,
                 probes,
                 cut,
             } => {
-                return Ok(Reply::Learned(
+                return Ok(Reply::Observed(
                     self.observations(since, &absences, &probes, cut),
                 ));
             }
@@ -114,26 +117,29 @@
     }
 
     fn start(&mut self, number: u32) -> Result<(), String> {
-        let (plan, config, voters) = self.plan.clone().ok_or("no plan yet")?;
-        let place = self.places.entry(number).or_default();
-        let light_proxy = LightProxy::start(
+        let (plan, config, voters) = self
+            .plan
+            .clone()
+            .ok_or("cannot start a proxy before the plan is set")?;
+        let member = self.members.entry(number).or_default();
+        let proxy = LightProxy::start(
             plan,
             number,
             config,
             voters,
             self.conditions.clone(),
-            place.tally.clone(),
+            member.tally.clone(),
         )
         .map_err(|e| format!("proxy {number} at {}: {e}", plan.address(number)))?;
         if self.load.is_some() {
-            light_proxy.set_load(self.load);
+            proxy.set_load(self.load);
         }
-        place.light_proxy = Some(light_proxy);
+        member.proxy = Some(proxy);
         Ok(())
     }
 
     fn light_proxies(&self) -> impl Iterator<Item = &Rc<LightProxy>> {
-        self.places.values().filter_map(|p| p.light_proxy.as_ref())
+        self.members.values().filter_map(|m| m.proxy.as_ref())
     }
 
     fn sample(&self) -> Sample {
@@ -142,37 +148,38 @@
             cpu_ns: thread_cpu_ns(),
             resident_kb: resident_kb(),
             base_kb: self.base_kb,
-            least: u32::MAX,
+            fewest_members: u32::MAX,
             versions: (u64::MAX, 0),
             ..Sample::default()
         };
-        for (number, place) in &self.places {
-            let tally = &place.tally;
+        for (number, member) in &self.members {
+            let tally = &member.tally;
             s.sent += tally.sent.get();
             s.rejoined += tally.rejoined.get();
             s.balancers_ns += tally.balancer.get().as_nanos() as u64;
             s.bytes.insert(*number, tally.bytes.get());
             let mut counters = vec![tally.previous.borrow().clone()];
-            if let Some((live, waiting, counts)) = place.light_proxy.as_ref().map(|h| h.status()) {
-                (s.least, s.most) = (s.least.min(live), s.most.max(live));
-                let lacking = self
+            if let Some((live, backlog, counts)) = member.proxy.as_ref().map(|h| h.status()) {
+                (s.fewest_members, s.most_members) =
+                    (s.fewest_members.min(live), s.most_members.max(live));
+                let unknown = self
                     .plan
                     .as_ref()
                     .map_or(0, |(plan, ..)| plan.size - 1)
                     .saturating_sub(live);
-                s.lacking += u64::from(lacking);
-                s.lack += u32::from(lacking > 0);
-                let version = place.light_proxy.as_ref().map_or(0, |h| h.version());
+                s.unknown_members += u64::from(unknown);
+                s.incomplete_proxies += u32::from(unknown > 0);
+                let version = member.proxy.as_ref().map_or(0, |h| h.version());
                 s.versions = (s.versions.0.min(version), s.versions.1.max(version));
-                s.waiting = s.waiting.max(waiting);
+                s.verdict_backlog = s.verdict_backlog.max(backlog);
                 counters.push(counts);
             }
             for counts in counters {
                 s.received += counts.received;
-                s.told += counts.verdicts_sent;
-                s.heard += counts.verdicts_received;
+                s.verdicts_sent += counts.verdicts_sent;
+                s.verdicts_received += counts.verdicts_received;
                 for (cause, n) in counts.rejected {
-                    *s.refused.entry(cause.into()).or_default() += n;
+                    *s.rejected.entry(cause.into()).or_default() += n;
                 }
             }
         }
@@ -185,22 +192,22 @@
         absences: &[Absence],
         probes: &[(u32, u64)],
         cut: Option<Cut>,
-    ) -> Learned {
+    ) -> Observations {
         let Some((plan, ..)) = &self.plan else {
-            return Learned::default();
+            return Observations::default();
         };
-        let there = self
-            .places
+        let running = self
+            .members
             .iter()
-            .filter(|(_, place)| place.light_proxy.is_some());
-        let recorded: Vec<_> = there
-            .map(|(number, place)| (*number, place.tally.observations.borrow()))
+            .filter(|(_, member)| member.proxy.is_some());
+        let recorded: Vec<_> = running
+            .map(|(number, member)| (*number, member.tally.observations.borrow()))
             .collect();
         let observers = recorded
             .iter()
             .map(|(number, observations)| (*number, observations.as_slice()));
         let slowest = slowest_activations(observers.clone(), absences, probes);
-        Learned {
+        Observations {
             slowest,
             ..observe(plan, observers, since, absences, probes, cut)
         }
@@ -221,11 +228,12 @@
         .unwrap_or(0)
 }
 
+/// Resident memory of this process in kB.
 fn resident_kb() -> u64 {
     resident_of("self")
 }
 
-/// Resident memory of a process in kB.
+/// Resident memory of a process in kB, or 0 if it cannot be read.
 pub fn resident_of(process: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -233,16 +241,16 @@
         .unwrap_or(0)
 }
 
-/// The hidden half of the bench: commands come in over standard input, a JSON line each. Ends with its input, so
-/// that none outlives the conductor.
+/// Runs this process as a worker: reads commands from standard input and writes replies to standard output, one JSON line
+/// each. It returns at the end of the input, so that no worker outlives the coordinator.
 pub fn process() {
-    let (tell, commands) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, commands) = tokio::sync::mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lines().map_while(Result::ok) {
             let Ok(command) = serde_json::from_str(&line) else {
                 return;
             };
-            if tell.send(command).is_err() {
+            if sender.send(command).is_err() {
                 return;
             }
         }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -55,7 +55,7 @@
 use fleet::{AcceptedChange, Convergence, Fleet, FleetOptions, FAILING_BACKENDS};
 use light_proxy::mono_us;
 use plan::Plan;
-use protocol::{Absence, Faults, Isolation, Learned};
+use protocol::{Absence, Faults, Isolation, Observations};
 use real::{wait_until, RealProxy};
 use report::{quantiles, LinearFit, PropagationTimes};
 use std::time::{Duration, Instant};
@@ -81,16 +81,16 @@
     fleet
 }
 
-fn lacking(fleet: &mut Fleet) -> u64 {
-    fleet.samples().iter().map(|s| s.lacking).sum()
+fn unknown_members(fleet: &mut Fleet) -> u64 {
+    fleet.samples().iter().map(|s| s.unknown_members).sum()
 }
 
 /// Waits for what must come; how it was then.
 fn wait_for(
     fleet: &mut Fleet,
-    mut observe: impl FnMut(&mut Fleet) -> Learned,
-    done: fn(&Learned) -> bool,
-) -> Learned {
+    mut observe: impl FnMut(&mut Fleet) -> Observations,
+    done: fn(&Observations) -> bool,
+) -> Observations {
     let begun = Instant::now();
     loop {
         let now = observe(fleet);
@@ -110,7 +110,7 @@
     let begun = mono_us();
     std::thread::sleep(Duration::from_secs(3));
     let quiet = fleet.observations(begun, &[], &[], None);
-    assert_eq!((quiet.false_downs, lacking(&mut fleet)), (0, 0));
+    assert_eq!((quiet.false_downs, unknown_members(&mut fleet)), (0, 0));
     let moment = fleet.measure();
     assert!(
         moment.real.iter().all(|r| r.members == SIZE - 1),
@@ -131,10 +131,10 @@
     let missed = wait_for(
         &mut fleet,
         |f| f.observations(from, &gone, &[], None),
-        |l| l.gone_missing == 0,
+        |l| l.down_missing == 0,
     );
     assert_eq!(
-        missed.gone.iter().map(|(_, n)| n).sum::<u32>(),
+        missed.down.iter().map(|(_, n)| n).sum::<u32>(),
         SIZE - 4,
         "each other hollow one, once"
     );
@@ -149,7 +149,7 @@
     let known = wait_for(
         &mut fleet,
         |f| f.observations(from, &back, &[], None),
-        |l| l.back_missing == 0,
+        |l| l.up_missing == 0,
     );
     assert_eq!(known.false_downs, 0);
     assert!(fleet
@@ -171,7 +171,7 @@
     });
     let begun = Instant::now();
     // Who is outside misses all inside after some seconds, who is inside all others only much later.
-    while lacking(&mut fleet) < inside * (u64::from(size) - inside) {
+    while unknown_members(&mut fleet) < inside * (u64::from(size) - inside) {
         assert!(begun.elapsed() < PATIENCE, "the cut lets something pass");
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -188,15 +188,15 @@
     let heard = wait_for(
         &mut fleet,
         |f| f.observations(0, &[], &[probe], None),
-        |l| l.heard_missing <= SIZE / 4,
+        |l| l.received_missing <= SIZE / 4,
     );
-    assert!(quantiles(&heard.heard).is_some());
+    assert!(quantiles(&heard.received).is_some());
     fleet.set_load(Some(FAILING_BACKENDS));
     let begun = Instant::now();
     loop {
         let samples = fleet.samples();
         let of = |count: fn(&protocol::Sample) -> u64| samples.iter().map(count).sum::<u64>();
-        if of(|s| s.told) > 3 && of(|s| s.heard) > 3 * u64::from(SIZE) / 2 {
+        if of(|s| s.verdicts_sent) > 3 && of(|s| s.verdicts_received) > 3 * u64::from(SIZE) / 2 {
             break;
         }
         assert!(begun.elapsed() < PATIENCE, "{samples:?}");
@@ -251,7 +251,7 @@
         let others = SIZE - 4 - u32::from(deaf == 20);
         let number = changes.last().unwrap().number;
         let came = wait_until(PATIENCE, || {
-            let heard = fleet.observations(0, &[], &[(number, 0)], None).heard;
+            let heard = fleet.observations(0, &[], &[(number, 0)], None).received;
             let light: u32 = heard.iter().map(|(_, n)| n).sum();
             light == others
                 && fleet
