--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The program as a whole, on loopback sockets: what it must keep whatever backends, clients and discovery do.
+//! End-to-end tests of the proxy process: forwarding, retries, connection reuse, discovery, limits, shutdown and reloads.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -9,11 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn one(backend: &BackendServer) -> Proxy {
+/// Starts a proxy with one endpoint.
+fn start_with_one(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
 
-fn two(a: &BackendServer, b: &BackendServer) -> Proxy {
+/// Starts a proxy with two endpoints.
+fn start_with_two(a: &BackendServer, b: &BackendServer) -> Proxy {
     Proxy::start(&[
         entry("b0", a.address, "SERVING"),
         entry("b1", b.address, "SERVING"),
@@ -21,10 +23,10 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let backend =
         BackendServer::start(|_| Reply::Response(200, "Content-Type: text/x", "the body".into()));
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let answer = proxy.request(
         "POST /vote/k%201?q=%2F HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 00aa\r\nIdempotency-Key: 77\r\n\
          X-Time-Left: 2.5\r\nConnection: x-private\r\nX-Private: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -50,7 +52,7 @@
     assert_eq!(backend.request_count(), 1);
 }
 
-/// The module saves up its further attempts from the requests that come: so many pay for several.
+/// Sends enough requests to fill the retry budget, to which each request adds a fraction of an attempt.
 fn warm_up(proxy: &Proxy) {
     let mut client = proxy.client();
     for _ in 0..25 {
@@ -58,84 +60,93 @@
     }
 }
 
-/// Serves until the switch is thrown, and does something else from then on.
-fn turning(to: impl Fn() -> Reply + Send + Sync + 'static) -> (BackendServer, Arc<AtomicBool>) {
+/// Starts a backend that responds with 200 until the returned switch is set, and with `to` from then on.
+fn switchable_backend(
+    to: impl Fn() -> Reply + Send + Sync + 'static,
+) -> (BackendServer, Arc<AtomicBool>) {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.load(SeqCst) { to() } else { ok("x") };
+    let switched = switch.clone();
+    let reply = move |_| if switched.load(SeqCst) { to() } else { ok("x") };
     (BackendServer::start(reply), switch)
 }
 
-/// Each outcome that may have run: an unsafe request is not sent again and is not called harmless.
+/// After any outcome in which it may have run, a request that must not run twice is not retried and fails with 502 or 504.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
+fn a_single_shot_request_that_may_have_run_fails_and_is_never_retried() {
     type Make = fn() -> Reply;
     let cases: [(&str, Make, f64); 6] = [
         ("500", || Reply::Response(500, "", "oops".into()), 3.0),
         ("reset", || Reply::CloseWithoutResponse, 3.0),
         ("silence", || Reply::NoResponse, 0.3),
-        ("unlisted", || Reply::Response(404, "", String::new()), 3.0),
         (
-            "503 without a word on it",
+            "an unexpected status",
+            || Reply::Response(404, "", String::new()),
+            3.0,
+        ),
+        (
+            "503 without X-Unprocessed",
             || Reply::Response(503, "", String::new()),
             3.0,
         ),
         (
-            "the word on another status",
+            "X-Unprocessed on another status",
             || Reply::Response(500, "X-Unprocessed: 1", String::new()),
             3.0,
         ),
     ];
-    for (what, reply, left) in cases {
-        let ((a, first), (b, second)) = (turning(reply), turning(reply));
-        let proxy = two(&a, &b);
+    for (case, reply, left) in cases {
+        let ((a, first), (b, second)) = (switchable_backend(reply), switchable_backend(reply));
+        let proxy = start_with_two(&a, &b);
         warm_up(&proxy);
         let before = a.request_count() + b.request_count();
         first.store(true, SeqCst);
         second.store(true, SeqCst);
         let status = proxy.request(&pay_request(left)).status();
-        assert!(status == 502 || status == 504, "{what}: {status}");
-        assert_eq!(a.request_count() + b.request_count(), before + 1, "{what}");
+        assert!(status == 502 || status == 504, "{case}: {status}");
+        assert_eq!(a.request_count() + b.request_count(), before + 1, "{case}");
     }
 }
 
-/// Each outcome that proves that it never ran: even an unsafe request goes on to another backend.
+/// After a response that proves that it did not run, even a request that must not run twice is retried at another backend.
 #[test]
-fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
+fn a_single_shot_request_that_did_not_run_is_retried_elsewhere() {
     for status in [503, 504] {
-        let away = move || Reply::Response(status, "X-Unprocessed: 1", String::new());
-        let ((away, switch), good) = (turning(away), BackendServer::start(|_| ok("paid")));
-        let proxy = two(&away, &good);
+        let rejecting = move || Reply::Response(status, "X-Unprocessed: 1", String::new());
+        let ((rejecting, switch), good) = (
+            switchable_backend(rejecting),
+            BackendServer::start(|_| ok("paid")),
+        );
+        let proxy = start_with_two(&rejecting, &good);
         warm_up(&proxy);
         switch.store(true, SeqCst);
-        let (away_before, good_before) = (away.request_count(), good.request_count());
+        let (rejected_before, good_before) = (rejecting.request_count(), good.request_count());
         let mut sent = 0;
-        while away.request_count() == away_before {
-            assert!(sent < 100, "the draw never met it");
+        while rejecting.request_count() == rejected_before {
+            assert!(sent < 100, "no request was assigned to the backend");
             assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
             sent += 1;
         }
         assert_eq!(
             good.request_count() - good_before,
             sent,
-            "every one was served once"
+            "each request must be served exactly once"
         );
     }
 }
 
-/// A refused connection never ran either. Nobody sees it, so the draw gets many chances to meet it.
+/// A refused connection also proves that a request did not run. It is not observable, so the test sends many requests.
 #[test]
-fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
-    let (nobody, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
-    let proxy = one(&good);
+fn a_single_shot_request_is_retried_elsewhere_when_the_connection_is_refused() {
+    let (refusing, good) = (RefusingPort::new(), BackendServer::start(|_| ok("paid")));
+    let proxy = start_with_one(&good);
     warm_up(&proxy);
     let (_, answer) = proxy.discovery.call();
     let both = [
         entry("b0", good.address, "SERVING"),
-        entry("b1", nobody.address(), "SERVING"),
+        entry("b1", refusing.address(), "SERVING"),
     ];
     answer.send((200, list(9, true, &both))).unwrap();
-    let _hold = proxy.discovery.call(); // by now the list is taken in
+    let _hold = proxy.discovery.call(); // by now the list is applied
     let before = good.request_count();
     for _ in 0..30 {
         assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
@@ -143,46 +154,47 @@
     assert_eq!(good.request_count() - before, 30);
 }
 
-/// A request that is given up is answered then, not at its deadline, and the client is told when to come back.
+/// A rejected request gets its response at once instead of at its deadline, with a `Retry-After` header.
 #[test]
-fn a_refusal_comes_at_once_and_with_advice() {
-    let away = BackendServer::start(|_| Reply::Response(503, "X-Unprocessed: 1", String::new()));
-    let proxy = one(&away);
+fn a_rejection_is_immediate_and_has_a_retry_after() {
+    let rejecting =
+        BackendServer::start(|_| Reply::Response(503, "X-Unprocessed: 1", String::new()));
+    let proxy = start_with_one(&rejecting);
     for request in [pay_request(3.0), read_request(3.0)] {
         let answer = proxy.request(&request);
         assert_eq!(answer.status(), 503);
-        let advice: f64 = answer
+        let retry_after: f64 = answer
             .header("retry-after")
-            .expect("advice")
+            .expect("no Retry-After")
             .parse()
             .expect("a number");
-        assert!(advice > 0.0 && advice <= 2.0, "{advice}");
+        assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
     }
 }
 
 #[test]
-fn silence_is_answered_before_the_client_gives_up() {
+fn a_silent_backend_leads_to_an_error_before_the_client_gives_up() {
     let backend = BackendServer::start(|_| Reply::NoResponse);
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let begun = std::time::Instant::now();
     let status = proxy.request(&pay_request(0.6)).status();
     assert!(status == 502 || status == 504, "{status}");
     assert!(
         begun.elapsed() < Duration::from_secs(3),
-        "the client's time counts, not the class's"
+        "the client's time must apply, not the deadline of the class"
     );
-    backend.wait_for_close(); // the attempt was given up with it
+    backend.wait_for_close(); // the attempt was cancelled at the same time
     assert_eq!(
         proxy.request(&read_request(0.3)).status(),
         503,
-        "a safe one is harmless to repeat"
+        "a request that may be repeated must be rejected with 503"
     );
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let backend = BackendServer::start(|_| Reply::NoResponse);
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let mut client = proxy.client();
     client.send(&read_request(3.0));
     backend.next_request();
@@ -192,9 +204,9 @@
 }
 
 #[test]
-fn requests_in_turn_share_a_warm_connection() {
+fn successive_requests_reuse_a_warm_connection() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let mut client = proxy.client();
     for _ in 0..10 {
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
@@ -202,11 +214,11 @@
     assert_eq!(backend.connections.load(SeqCst), 1);
 }
 
-/// A backend may end a kept connection at any time: a request written to it then would count as a reset.
+/// A backend may close an idle connection at any time. A request written to it afterwards would count as reset.
 #[test]
 fn a_connection_that_the_backend_closed_is_not_used_again() {
     let backend = BackendServer::start(|_| Reply::ResponseAndClose(200, "x".into()));
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     for round in 1..=5 {
         assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
         assert_eq!(backend.request_count(), round);
@@ -226,21 +238,25 @@
 }
 
 #[test]
-fn the_watch_follows_changes_failures_and_gaps() {
+fn the_watch_continues_after_changes_failures_and_gaps() {
     let (old, new) = (
         BackendServer::start(|_| ok("old")),
         BackendServer::start(|_| ok("new")),
     );
-    let proxy = one(&old);
+    let proxy = start_with_one(&old);
     assert_eq!(proxy.request(&read_request(3.0)).body, b"old");
     let (target, answer) = proxy.discovery.call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     let bad = r#"{"name":7},{"name":"x","address":"nowhere","status":"SERVING"}"#.to_string();
-    let odd = entry("b9", old.address, "RESTING");
+    let unknown_status = entry("b9", old.address, "RESTING");
     answer
         .send((
             200,
-            list(9, true, &[bad, odd, entry("b0", old.address, "SERVING")]),
+            list(
+                9,
+                true,
+                &[bad, unknown_status, entry("b0", old.address, "SERVING")],
+            ),
         ))
         .unwrap();
     let (target, answer) = proxy.discovery.call();
@@ -253,31 +269,34 @@
         entry("b1", new.address, "SERVING"),
     ];
     answer.send((200, list(10, false, &change))).unwrap();
-    let (target, answer) = proxy.discovery.call(); // by now the change is taken in
+    let (target, answer) = proxy.discovery.call(); // by now the change is applied
     assert!(target.contains("after=10&"), "{target}");
     for _ in 0..8 {
         assert_eq!(
             proxy.request(&pay_request(3.0)).body,
             b"new",
-            "nothing new for one that drains"
+            "a draining backend got a new request"
         );
     }
     answer.send((503, String::new())).unwrap();
     let (target, answer) = proxy.discovery.call();
     assert!(
         target.contains("after=10&"),
-        "a failure is asked again: {target}"
+        "the call must be repeated after a failure: {target}"
     );
     answer.send((200, "no list".into())).unwrap();
     let (target, answer) = proxy.discovery.call();
-    assert!(target.contains("after=10&"), "so is nonsense: {target}");
+    assert!(
+        target.contains("after=10&"),
+        "the call must be repeated after an invalid list: {target}"
+    );
     drop(answer); // the connection breaks
     let (_, answer) = proxy.discovery.call();
     answer.send((200, list(3, false, &[]))).unwrap();
     let (target, answer) = proxy.discovery.call();
     assert_eq!(
         target, "GET /api/targets HTTP/1.1",
-        "a gap means the whole list"
+        "a gap in the versions must lead to a call for the whole list"
     );
     answer
         .send((200, list(3, true, &[entry("b0", old.address, "SERVING")])))
@@ -287,15 +306,15 @@
     assert_eq!(
         proxy.request(&pay_request(3.0)).body,
         b"old",
-        "what is absent from the whole list is gone"
+        "an endpoint that is missing in the whole list must no longer be used"
     );
     assert_eq!(old.request_count(), 2);
 }
 
 #[test]
-fn odd_requests_get_their_own_answers_and_harm_nothing() {
+fn invalid_requests_are_rejected_and_not_forwarded() {
     let backend = BackendServer::start(|_| ok("x"));
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let cases = [
         (
             404,
@@ -321,11 +340,11 @@
     ];
     for (status, request) in cases {
         let mut client = proxy.client();
-        // The proxy may answer and close before it has read all of it.
+        // The proxy may respond and close the connection before it has read the whole request.
         let _ = client.0.get_mut().write_all(request.as_bytes());
         let answer = client
             .response()
-            .unwrap_or_else(|| panic!("no answer to {request:.80}"));
+            .unwrap_or_else(|| panic!("no response to {request:.80}"));
         assert_eq!(answer.status(), status, "{request:.80}");
     }
     assert_eq!(backend.request_count(), 0);
@@ -339,24 +358,27 @@
         let request =
             format!("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\n{left}\r\n");
         assert_eq!(proxy.request(&request).status(), 200, "{left}");
-        let told: f64 = backend
+        let time_left: f64 = backend
             .next_request()
             .header("x-time-left")
             .unwrap()
             .parse()
             .unwrap();
-        assert!(told > 1.0 && told <= 3.0, "the class's deadline: {told}");
+        assert!(
+            time_left > 1.0 && time_left <= 3.0,
+            "not the deadline of the class: {time_left}"
+        );
     }
 }
 
 #[test]
-fn a_missing_or_malformed_configuration_ends_the_program_with_a_plain_message() {
-    let sound = r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"zz","settings":{}}"#;
+fn a_missing_or_malformed_configuration_ends_the_start_with_an_error() {
+    let invalid = r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"zz","settings":{}}"#;
     for (config, expected) in [
         (None, "NODE_CONFIG is not set"),
         (Some("{"), "line 1"),
         (Some("{}"), "name"),
-        (Some(sound), "settings"),
+        (Some(invalid), "settings"),
     ] {
         let out = proxy_command(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
@@ -368,9 +390,9 @@
     }
 }
 
-/// More clients than descriptors allow: the idle make way, and nobody is turned away or crashes it.
+/// More clients than the connection limit: idle connections are closed, so that every new client is served.
 #[test]
-fn at_the_bound_idle_connections_make_way() {
+fn at_the_limit_idle_connections_are_closed() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
@@ -387,11 +409,12 @@
     }
     assert!(
         idle[0].is_closed(),
-        "the one that was idle longest went first"
+        "the connection that was idle longest must be closed first"
     );
 }
 
-/// A machine that was cut off leaves its connections open: none that was idle meanwhile is trusted again.
+/// A machine that lost its network leaves its connections open. After a request to it got no response, connections that were
+/// idle meanwhile are not used again.
 #[test]
 fn idle_connections_to_a_silent_backend_are_dropped() {
     let gate = Arc::new(Gate::default());
@@ -401,7 +424,7 @@
         2 => Reply::NoResponse,
         _ => ok("x"),
     });
-    let proxy = one(&backend);
+    let proxy = start_with_one(&backend);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     for client in [&mut first, &mut second] {
         client.send(&read_request(3.0));
@@ -409,21 +432,25 @@
     }
     gate.open();
     for client in [&mut first, &mut second] {
-        assert_eq!(client.response().expect("an answer").status(), 200);
+        assert_eq!(client.response().expect("no response").status(), 200);
     }
-    assert_eq!(backend.connections.load(SeqCst), 2, "both are idle now");
+    assert_eq!(
+        backend.connections.load(SeqCst),
+        2,
+        "two connections must be open"
+    );
     assert_eq!(proxy.request(&read_request(0.3)).status(), 503);
     assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
     assert_eq!(
         backend.connections.load(SeqCst),
         3,
-        "a new one, though one was left"
+        "the remaining idle connection was used"
     );
 }
 
-/// The kernel may run out of descriptors before the bound is reached: then too the idle make way.
+/// The process may run out of descriptors below the connection limit: idle connections are closed then, too.
 #[test]
-fn running_out_of_descriptors_ends_nothing() {
+fn running_out_of_descriptors_does_not_stop_the_proxy() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_descriptor_limit(
         &[entry("b0", backend.address, "SERVING")],
@@ -440,9 +467,9 @@
     assert!(idle[0].is_closed());
 }
 
-/// Where every connection holds half of a head, none is idle: after a while they make way all the same.
+/// Connections with a partial request head are not idle, but after a timeout they are closed for new clients, too.
 #[test]
-fn heads_that_never_end_do_not_shut_others_out() {
+fn incomplete_heads_do_not_block_other_clients() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
@@ -456,19 +483,19 @@
     assert!(slow[0].is_closed());
 }
 
-/// Those that stopped half way make way one by one as room is needed, and not all at the end of their wait.
+/// Connections with a stalled request head are closed one by one as capacity is needed, not all when the timeout expires.
 #[test]
-fn a_head_that_stopped_makes_way_before_its_time_is_over() {
+fn a_stalled_head_is_closed_for_capacity_before_its_timeout() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
-    let (half, rest) = (
+    let (partial, rest) = (
         "GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr",
         "elation-Id: 1\r\n\r\n",
     );
     let mut slow: Vec<Client> = (0..32)
         .map(|_| {
             let mut client = proxy.client();
-            client.send(half);
+            client.send(partial);
             client
         })
         .collect();
@@ -476,15 +503,18 @@
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     slow[31].send(rest);
     assert_eq!(
-        slow[31].response().expect("it was left alone").status(),
+        slow[31]
+            .response()
+            .expect("the connection was closed")
+            .status(),
         200
     );
     assert!(slow[0].is_closed());
 }
 
-/// A connection that has just come is not the one to make way, though all others are in use.
+/// A connection that was just opened is not closed for capacity, even if all others are in use.
 #[test]
-fn one_that_has_just_connected_is_left_time_to_ask() {
+fn a_new_connection_is_not_closed_for_capacity() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| {
@@ -500,16 +530,19 @@
         client.send(&read_request(3.0));
         backend.next_request();
     }
-    let mut just_come = proxy.client();
+    let mut new_client = proxy.client();
     assert_eq!(
         proxy
             .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
             .status(),
         200
     );
-    just_come.send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
+    new_client.send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
     assert_eq!(
-        just_come.response().expect("it was left alone").status(),
+        new_client
+            .response()
+            .expect("the connection was closed")
+            .status(),
         200
     );
     gate.open();
@@ -518,9 +551,9 @@
         .all(|client| client.response().is_some_and(|a| a.status() == 200)));
 }
 
-/// On SIGTERM what is under way is answered, and so is what comes while clients do not know of it yet.
+/// After SIGTERM open requests are completed, and so are those that arrive before the clients know of the shutdown.
 #[test]
-fn a_graceful_shutdown_answers_everything_and_ends() {
+fn a_graceful_shutdown_serves_all_requests_and_exits() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| {
@@ -530,7 +563,7 @@
             ok("late")
         }
     });
-    let mut proxy = one(&backend);
+    let mut proxy = start_with_one(&backend);
     let (mut busy, mut kept, mut idle) = (proxy.client(), proxy.client(), proxy.client());
     for client in [&mut kept, &mut idle] {
         assert_eq!(
@@ -543,10 +576,10 @@
     busy.send(&pay_request(3.0));
     backend.next_request();
     proxy.terminate();
-    // Until the signal has arrived there is nothing to see of it: the first answer that says so shows it.
+    // The first response with `Connection: close` shows that the signal was handled.
     loop {
         let answer = proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
-        assert_eq!(answer.status(), 200, "connections are still accepted");
+        assert_eq!(answer.status(), 200, "connections must still be accepted");
         if answer.header("connection") == Some("close") {
             break;
         }
@@ -558,29 +591,26 @@
             (200, Some("close"))
         );
     }
-    assert!(idle.is_closed(), "an idle connection is closed");
+    assert!(idle.is_closed(), "an idle connection was not closed");
     gate.open();
-    assert_eq!(
-        busy.response().expect("the answer that was owed").body,
-        b"gated"
-    );
+    assert_eq!(busy.response().expect("no response").body, b"gated");
     assert!(busy.is_closed());
     assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
-fn keyed_requests_are_repeated_under_the_same_key() {
+fn guarded_requests_are_retried_with_the_same_key() {
     let ((bad, switch), good) = (
-        turning(|| Reply::CloseWithoutResponse),
+        switchable_backend(|| Reply::CloseWithoutResponse),
         BackendServer::start(|_| ok("counted")),
     );
-    let proxy = two(&bad, &good);
+    let proxy = start_with_two(&bad, &good);
     warm_up(&proxy);
     while bad.events.try_recv().is_ok() || good.events.try_recv().is_ok() {}
     switch.store(true, SeqCst);
     let before = bad.request_count();
     for sent in 0.. {
-        assert!(sent < 100, "the draw never met it");
+        assert!(sent < 100, "no request was assigned to the backend");
         assert_eq!(proxy.request(&vote_request(3.0)).status(), 200);
         let served = good.next_request();
         if bad.request_count() > before {
@@ -598,23 +628,23 @@
     }
 }
 
-/// The platform moves discovery: the file names the new address, and SIGHUP says so.
+/// The configuration file names a new discovery address, and SIGHUP makes the proxy use it.
 #[test]
-fn on_a_reload_the_list_is_taken_whole_from_where_discovery_is_now() {
+fn a_reload_fetches_the_whole_list_from_the_new_discovery_address() {
     let (old, new) = (
         BackendServer::start(|_| ok("old")),
         BackendServer::start(|_| ok("new")),
     );
-    let proxy = one(&old);
+    let proxy = start_with_one(&old);
     let (_, answer) = proxy.discovery.call();
     answer
         .send((200, list(7, true, &[entry("b0", old.address, "SERVING")])))
         .unwrap();
-    let (_, _unanswered) = proxy.discovery.call(); // the watch waits there when the signal comes
+    let (_, _unanswered) = proxy.discovery.call(); // the watch at the old address is open when the signal arrives
     let moved = DiscoveryServer::start();
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     std::fs::write(&proxy.config_path, "{").unwrap();
-    proxy.signal("-HUP"); // a file that cannot be read changes nothing
+    proxy.signal("-HUP"); // an invalid file changes nothing
     assert_eq!(proxy.request(&read_request(3.0)).body, b"old");
     let text = text.replace(
         &proxy.discovery.address.to_string(),
@@ -635,21 +665,25 @@
     assert_eq!(proxy.request(&read_request(3.0)).body, b"new");
 }
 
-/// Anyone may connect. Who sends nothing, or never ends what it began, is let go; who waits between requests
-/// is not.
+/// Connections that send nothing or never complete a request head or body are closed after a timeout. Connections that are
+/// idle between requests are not.
 #[test]
-fn peers_that_never_finish_a_request_are_not_waited_for() {
+fn clients_that_never_complete_a_request_are_disconnected() {
     let backend = BackendServer::start(|_| ok("x"));
-    let patient = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":90000000");
-    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &patient);
-    let (mut kept, mut mute, mut half) = (proxy.client(), proxy.client(), proxy.client());
+    let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":90000000");
+    let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
+    let (mut kept, mut silent, mut partial) = (proxy.client(), proxy.client(), proxy.client());
     assert_eq!(kept.request(&read_request(3.0)).status(), 200);
-    half.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
-    let mut bodiless = proxy.client();
+    partial.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
+    let mut without_body = proxy.client();
     let head = pay_request(80.0);
-    bodiless.send(head.strip_suffix("cash").unwrap());
-    assert_eq!(bodiless.response().expect("an error").status(), 408);
-    assert!(mute.closed_in_time() && half.closed_in_time());
+    without_body.send(head.strip_suffix("cash").unwrap());
+    assert_eq!(without_body.response().expect("an error").status(), 408);
+    assert!(silent.closed_in_time() && partial.closed_in_time());
     assert_eq!(kept.request(&read_request(3.0)).status(), 200);
-    assert_eq!(backend.request_count(), 2, "nothing of theirs went on");
+    assert_eq!(
+        backend.request_count(),
+        2,
+        "an incomplete request was forwarded"
+    );
 }
