--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,6 +8,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
+/// Starts a proxy with one endpoint.
 fn start_with_backend(backend: &ScriptedBackend) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
@@ -79,8 +80,9 @@
     }
 }
 
-/// A surplus response that arrives after the next request was sent would be taken for the response to that request. So the
-/// proxy keeps a connection idle for a few milliseconds before it reuses it, even if requests follow each other at once.
+/// A surplus response that arrives after the next request was sent would be taken for the response to that request. So
+/// the proxy keeps a connection idle for a few milliseconds before it reuses it, even if requests follow each other at
+/// once.
 #[test]
 fn a_connection_is_idle_briefly_between_a_response_and_the_next_request() {
     let backend = ScriptedBackend::start();
@@ -125,16 +127,17 @@
     assert_eq!(
         client.response().expect("no response").status(),
         503,
-        "it never ran"
+        "a request that did not run must get 503"
     );
     assert!(
         connection.read_until_closed().len() < LENGTH / 2,
-        "the rest did not go out"
+        "the rest of the request was sent"
     );
 }
 
-/// A response body without a length is complete if the backend closes the connection, and truncated if it resets it. The
-/// proxy must not present a truncated one as complete, however long it is and whatever HTTP version the client uses.
+/// A response body without a length is complete if the backend closes the connection, and truncated if it resets it.
+/// The proxy must not present a truncated one as complete, however long it is and whatever HTTP version the client
+/// uses.
 #[test]
 fn a_reset_does_not_complete_a_response_without_a_length() {
     let (small, large) = ("z".repeat(3_000), "z".repeat(300_000));
@@ -149,16 +152,16 @@
         let backend = ScriptedBackend::start();
         let proxy = start_with_backend(&backend);
         let mut client = proxy.client();
-        let ask = pay_request(3.0).replace("Host: s", "Host: s\r\nConnection: close");
-        client.send(&ask.replace("HTTP/1.1", if http_1_0 { "HTTP/1.0" } else { "HTTP/1.1" }));
+        let request = pay_request(3.0).replace("Host: s", "Host: s\r\nConnection: close");
+        client.send(&request.replace("HTTP/1.1", if http_1_0 { "HTTP/1.0" } else { "HTTP/1.1" }));
         let mut connection = backend.accept();
         connection.next_request();
-        let (received, streamed) = (body.clone(), body.len() > 65_536);
+        let (payload, streamed) = (body.clone(), body.len() > 65_536);
         let (sent, all_sent) = std::sync::mpsc::channel();
         let (finish, finish_signal) = std::sync::mpsc::channel::<()>();
         let sending = std::thread::spawn(move || {
             connection.send("HTTP/1.1 200 OK\r\n\r\n");
-            connection.send(&received);
+            connection.send(&payload);
             sent.send(()).unwrap();
             finish_signal.recv().unwrap();
             if reset {
@@ -255,8 +258,8 @@
     }
 }
 
-/// Each kind of broken response: a request that may have run and must not be repeated fails with 502, one log line gives
-/// the reason, and the next request is served on another connection.
+/// Each kind of broken response: a request that may have run and must not be repeated fails with 502, one log line
+/// gives the reason, and the next request is served on another connection.
 #[test]
 fn each_broken_response_fails_its_request_alone_and_is_logged() {
     let oversized = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "g".repeat(200_000));
@@ -330,12 +333,12 @@
     connection.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
     connection.send("HTTP/1.1 102 Processing\r\n\r\n");
     connection.send_response("own");
-    let answer = client.response().expect("no response");
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"own"[..]));
+    let response = client.response().expect("no response");
+    assert_eq!((response.status(), &response.body[..]), (200, &b"own"[..]));
 }
 
-/// A response that arrives in small pieces without end and of which nothing was passed on: the client gets an error when
-/// its time is over, and the proxy closes the backend connection.
+/// A response that arrives in small pieces without end and of which nothing was passed on: the client gets an error
+/// when its time is over, and the proxy closes the backend connection.
 #[test]
 fn a_response_that_never_ends_fails_within_the_clients_time() {
     let heads = [
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -86,7 +86,8 @@
             .iter()
             .for_each(|words| assert!(text.contains(words), "{to}: {words:?} not in {text}"));
     }
-    // Each mistake is reported once, whatever precedes it, and errors that merely follow from another one are not reported.
+    // Each mistake is reported once, whatever precedes it, and errors that merely follow from another one are not
+    // reported.
     let mut bad = valid.replace("name = \"write\"", "name = \"read\"");
     for (from, to) in [
         ("aim_us = 400000", "aim_us = \"soon\""),
@@ -367,8 +368,8 @@
     assert!(keys > 50, "only {keys} keys found in the example");
 }
 
-/// A JSON file is checked to be UTF-8 while it is read in chunks: a character that crosses a chunk boundary is valid, and
-/// invalid bytes or a truncated character at the end are refused.
+/// A JSON file is checked to be UTF-8 while it is read in chunks: a character that crosses a chunk boundary is valid,
+/// and invalid bytes or a truncated character at the end are refused.
 #[test]
 fn a_long_file_is_checked_to_be_utf8_to_its_end() {
     let config = config_json(
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect before their response: from then on nothing is sent to a backend for them, whatever the state of
-//! their request and however they close the connection.
+//! Clients that disconnect before their response: from then on nothing is sent to a backend for them, whatever the
+//! state of their request and however they close the connection.
 
 mod rig;
 
@@ -10,7 +10,8 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-/// How a client disconnects: with a reset or a FIN, and with or without a pipelined request that the proxy has not read.
+/// How a client disconnects: with a reset or a FIN, and with or without a pipelined request that the proxy has not
+/// read.
 #[derive(Clone, Copy, Debug)]
 struct Disconnect {
     reset: bool,
@@ -78,8 +79,9 @@
     backend.events.try_iter().filter(count).count()
 }
 
-/// States of a TCP socket in /proc/net/tcp.
+/// State of a TCP socket in /proc/net/tcp.
 const ESTABLISHED: &str = "01";
+/// State of a TCP socket in /proc/net/tcp whose connect is under way.
 const SYN_SENT: &str = "02";
 
 /// Number of this machine's sockets in a state, from the address `from` (any if `None`) to the address `to`.
@@ -134,7 +136,8 @@
         .replace("cash", &"x".repeat(length))
 }
 
-/// Requests wait for a backend. The endpoint list with the first one and the disconnects arrive together, in either order.
+/// Requests wait for a backend. The endpoint list with the first one and the disconnects arrive together, in either
+/// order.
 #[test]
 fn a_request_that_waits_for_a_backend_is_dropped_with_its_client() {
     for list_first in [false, true] {
@@ -146,16 +149,16 @@
         let bodies = DISCONNECTS.map(|kind| (kind, kind.request(&proxy, &upload(100_000))));
         wait_for_proxy(&proxy);
         proxy.suspend();
-        let news = list(5, true, &[entry("b0", backend.address, "SERVING")]);
+        let update = list(5, true, &[entry("b0", backend.address, "SERVING")]);
         if list_first {
-            answer.send((200, news.clone())).unwrap();
+            answer.send((200, update.clone())).unwrap();
         }
         leaving
             .into_iter()
             .chain(bodies)
             .for_each(|(kind, client)| kind.close_and_wait(client));
         if !list_first {
-            answer.send((200, news)).unwrap();
+            answer.send((200, update)).unwrap();
         }
         proxy.resume();
         check_served(&proxy);
@@ -163,7 +166,8 @@
     }
 }
 
-/// Requests wait because the only backend is at its concurrency limit. It becomes free just as their clients disconnect.
+/// Requests wait because the only backend is at its concurrency limit. It becomes free just as their clients
+/// disconnect.
 #[test]
 fn a_request_that_waits_for_capacity_is_dropped_with_its_client() {
     let gate = Arc::new(Gate::default());
@@ -199,40 +203,41 @@
     assert_eq!(forwarded_requests(&backend), 0);
 }
 
-/// A listener with a full backlog: connections to it are established only after [`FullBacklog::open`].
-struct FullBacklog {
+/// A listener with a full backlog: connections to it are established only after [`Late::open`].
+struct Late {
     listener: TcpListener,
     _backlog: Vec<socket2::Socket>,
 }
 
-impl FullBacklog {
+impl Late {
     const BACKLOG: usize = 8;
 
-    fn new() -> FullBacklog {
+    fn new() -> Late {
         let new =
             || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = new();
         socket
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
             .unwrap();
-        socket.listen(FullBacklog::BACKLOG as i32 - 1).unwrap();
+        socket.listen(Late::BACKLOG as i32 - 1).unwrap();
         let to = socket.local_addr().unwrap();
         let connected = |_| {
             let client = new();
             client.connect(&to).unwrap();
             client
         };
-        FullBacklog {
-            _backlog: (0..FullBacklog::BACKLOG).map(connected).collect(),
+        Late {
+            _backlog: (0..Late::BACKLOG).map(connected).collect(),
             listener: socket.into(),
         }
     }
 
     /// Accepts the connections that fill the backlog, so that new ones are established.
     fn open(&self) {
-        (0..FullBacklog::BACKLOG).for_each(|_| drop(self.accept()));
+        (0..Late::BACKLOG).for_each(|_| drop(self.accept()));
     }
 
+    /// Waits for the next connection.
     fn accept(&self) -> TcpStream {
         let end = Instant::now() + TEST_TIMEOUT;
         self.listener.set_nonblocking(true).unwrap();
@@ -252,7 +257,7 @@
 /// Connections to the backend are established just as the clients disconnect.
 #[test]
 fn a_connection_established_after_the_client_left_is_sent_nothing() {
-    let backlog = FullBacklog::new();
+    let backlog = Late::new();
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
     let known = [entry(
         "b0",
@@ -378,7 +383,8 @@
     assert_eq!(forwarded_requests(&backend), 0);
 }
 
-/// The response to the first of two pipelined requests arrives just as the client disconnects: the second is not sent on.
+/// The response to the first of two pipelined requests arrives just as the client disconnects: the second is not sent
+/// on.
 #[test]
 fn a_pipelined_request_is_not_sent_on_once_its_client_left() {
     let gate = Arc::new(Gate::default());
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -22,14 +22,15 @@
 /// Limit on backend connections, which equals the limit on client connections.
 const UPSTREAMS: usize = (SOCKETS as usize - 64) / 2;
 /// Number of client connections that are kept open, more than the proxy can hold.
-const OPEN_CLIENTS: usize = 400;
+const CROWD: usize = 400;
 /// A change is assumed to be known to the proxy this long after discovery can be reached again.
 const KNOWN_AFTER: Duration = Duration::from_secs(6);
-/// Length of an outage. Calls that were given up stay open for up to 10 s each, so their number no longer grows after this.
+/// Length of an outage. Calls that were given up stay open for up to 10 s each, so their number no longer grows after
+/// this.
 const OUTAGE: Duration = Duration::from_secs(13);
 
-/// Clients that keep their connections open: some send nothing, some stop halfway through a head or a body, some are idle
-/// after a response. Those whose connection is closed reconnect at once.
+/// Clients that keep their connections open: some send nothing, some stop halfway through a head or a body, some are
+/// idle after a response. Those whose connection is closed reconnect at once.
 struct OpenClients {
     running: Arc<AtomicBool>,
     reconnects: Arc<AtomicUsize>,
@@ -44,7 +45,7 @@
         );
         let (keep_running, count) = (running.clone(), reconnects.clone());
         let thread = std::thread::spawn(move || {
-            let mut all: Vec<Option<TcpStream>> = (0..OPEN_CLIENTS).map(|_| None).collect();
+            let mut all: Vec<Option<TcpStream>> = (0..CROWD).map(|_| None).collect();
             while keep_running.load(Ordering::SeqCst) {
                 for (n, slot) in all.iter_mut().enumerate() {
                     if !slot.as_mut().is_some_and(open) {
@@ -277,7 +278,7 @@
         "{mode}: {requests} requests, {reconnects} connects, {open_now} descriptors open after the outage, {other} of them reserved, {max} at most, list applied after {took:?}"
     );
     assert!(
-        reconnects > 2 * OPEN_CLIENTS,
+        reconnects > 2 * CROWD,
         "too few reconnects for a proxy at its client limit: {reconnects}"
     );
     assert_eq!(
@@ -318,9 +319,9 @@
     }
 }
 
-/// A thousand silent connections that are never closed, more than there are descriptors, and clients with requests among
-/// them, most in the listener's backlog at once: the proxy closes silent connections fast enough to serve each request
-/// within its client's time.
+/// A thousand silent connections that are never closed, more than there are descriptors, and clients with requests
+/// among them, most in the listener's backlog at once: the proxy closes silent connections fast enough to serve each
+/// request within its client's time.
 #[test]
 fn clients_among_silent_connections_are_served_in_time() {
     const SILENT: usize = 1000;
@@ -367,8 +368,8 @@
     assert_eq!(proxy.log_count("accept:"), 0);
 }
 
-/// Fewer descriptors than the configuration says, all used by clients that are still sending: neither listener floods the
-/// log or spins, and an operator's call is served when a descriptor is free again.
+/// Fewer descriptors than the configuration says, all used by clients that are still sending: neither listener floods
+/// the log or spins, and an operator's call is served when a descriptor is free again.
 #[test]
 fn listeners_that_are_out_of_descriptors_neither_spin_nor_flood_the_log() {
     let proxy = Proxy::with_control_and_descriptor_limit(64);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Checks that discovery is called again within the bound after `silent`, when it stopped responding, and that its response
-/// applies at once: the draining backend gets no new requests and the new one is used.
+/// Checks that discovery is called again within the bound after `silent_since`, when it stopped responding, and that
+/// its response applies at once: the draining backend gets no new requests and the new one is used.
 fn check_recovery(
     proxy: &Proxy,
     at: &DiscoveryServer,
@@ -119,8 +119,8 @@
     });
 }
 
-/// A late response to a call that the proxy gave up is applied while the next call is still open, because discovery assumes
-/// that what it wrote is known. The watch continues from that version.
+/// A late response to a call that the proxy gave up is applied while the next call is still open, because discovery
+/// assumes that what it wrote is known. The watch continues from that version.
 #[test]
 fn a_late_response_to_a_call_that_was_given_up_is_applied() {
     in_each_mode(|proxy, old, new| {
@@ -155,8 +155,8 @@
     });
 }
 
-/// An overloaded discovery server rejects some calls and queues others for up to 3 s. A second call of a proxy whose call is
-/// queued would end both, so the proxy waits for the response to the queued one.
+/// An overloaded discovery server rejects some calls and queues others for up to 3 s. A second call of a proxy whose
+/// call is queued would end both, so the proxy waits for the response to the queued one.
 #[test]
 fn a_queued_call_after_a_rejection_is_not_repeated() {
     let settings = SETTINGS
--- a/tests/discovery_order.rs
+++ b/tests/discovery_order.rs
@@ -1,5 +1,5 @@
-//! Responses of discovery that arrive out of order: late ones, ones from before discovery restarted with lower versions or
-//! changed its address, and ones that cross a failure. The test decides when each call gets its response.
+//! Responses of discovery that arrive out of order: late ones, ones from before discovery restarted with lower versions
+//! or changed its address, and ones that cross a failure. The test decides when each call gets its response.
 
 mod rig;
 
@@ -16,7 +16,8 @@
     new: &'a BackendServer,
 }
 
-/// Runs a case with pushed and with polled endpoint lists, on a proxy that knows the old backend but not yet the new one.
+/// Runs a case with pushed and with polled endpoint lists, on a proxy that knows the old backend but not yet the new
+/// one.
 fn in_each_mode(case: impl Fn(Case)) {
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("\"automatic\"", &format!("{mode:?}"));
@@ -177,7 +178,8 @@
     });
 }
 
-/// Discovery restarts, and its whole list is applied despite its lower version, even after a late response with a higher one.
+/// Discovery restarts, and its whole list is applied despite its lower version, even after a late response with a
+/// higher one.
 #[test]
 fn a_restarted_discoverys_list_is_applied_after_a_late_response() {
     in_each_mode(|case| {
@@ -301,7 +303,8 @@
     drop(last);
 }
 
-/// The balancer asks again while a call is open. That request must not shorten the delay after the call's later failure.
+/// The balancer asks again while a call is open. That request must not shorten the delay after the call's later
+/// failure.
 #[test]
 fn a_repeated_request_for_a_call_before_a_failure_does_not_shorten_the_delay_after_it() {
     let settings = SETTINGS
@@ -344,7 +347,8 @@
     });
 }
 
-/// Discovery sends only changes, even to calls for the whole list: that counts as a failure, so the calls are spaced out.
+/// Discovery sends only changes, even to calls for the whole list: that counts as a failure, so the calls are spaced
+/// out.
 #[test]
 fn changes_in_response_to_a_call_for_the_whole_list_count_as_a_failure() {
     in_each_mode(|case| {
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -21,16 +21,18 @@
 /// Configuration members that tests override by appending the same key: of two equal keys the last one applies.
 const OVERRIDABLE: &str = r#","discovery":"127.0.0.1:9""#;
 
-/// Starts a proxy that writes snapshots to `dir` and has its own `TMPDIR`. `who` overrides members of its configuration.
-fn start_with_snapshots(dir: &Path, known: &[String], settings: &str, who: &str) -> Proxy {
+/// Starts a proxy that writes snapshots to `dir` and has its own `TMPDIR`. `overrides` replaces members of its
+/// configuration.
+fn start_with_snapshots(dir: &Path, known: &[String], settings: &str, overrides: &str) -> Proxy {
     let members = format!(
-        r#"{OVERRIDABLE}{who},"snapshot":{{"dir":"{}","every_ms":100}}"#,
+        r#"{OVERRIDABLE}{overrides},"snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
     Proxy::with_extra_config(known, settings, &members, &[tmp])
 }
 
+/// Two backends and their endpoint entries, b0 and b1.
 fn backends() -> (BackendServer, BackendServer, Vec<String>) {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
@@ -43,6 +45,7 @@
     (a, b, known)
 }
 
+/// Waits until `done` returns true. `what` is the message if that takes too long.
 fn until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
@@ -51,13 +54,13 @@
     }
 }
 
-/// Whether the proxy sends any of 30 requests to `banned`, a backend that was disabled at one of the proxies.
-fn uses(proxy: &Proxy, banned: &BackendServer) -> bool {
-    let before = banned.request_count();
+/// Whether the proxy sends any of 30 requests to `disabled`, a backend that was disabled at one of the proxies.
+fn uses(proxy: &Proxy, disabled: &BackendServer) -> bool {
+    let before = disabled.request_count();
     for _ in 0..30 {
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
-    banned.request_count() > before
+    disabled.request_count() > before
 }
 
 /// An operator disables a backend at one proxy, which stores that in its snapshot. A proxy with another name, listen
@@ -81,32 +84,32 @@
         r#","listen":"127.0.0.2:0""#,
         r#","discovery":"127.0.0.1:10""#,
     ];
-    for (n, who) in others.into_iter().enumerate() {
-        let other = start_with_snapshots(&dir, &known, &settings, who);
+    for (n, overrides) in others.into_iter().enumerate() {
+        let other = start_with_snapshots(&dir, &known, &settings, overrides);
         assert!(
             other.startup_log.contains("no snapshot: cold start"),
-            "{who}: {}",
+            "{overrides}: {}",
             other.startup_log
         );
         assert!(
             uses(&other, &a),
-            "{who}: it applies another proxy's disabled backend"
+            "{overrides}: it applies another proxy's disabled backend"
         );
         until("it wrote no snapshot of its own in time", || {
             files(&dir).len() == n + 2
         });
     }
-    let own_file = start_with_snapshots(&dir, &known, &settings, "");
+    let own_proxy = start_with_snapshots(&dir, &known, &settings, "");
     assert!(
-        own_file.startup_log.contains("snapshot taken"),
+        own_proxy.startup_log.contains("snapshot taken"),
         "{}",
-        own_file.startup_log
+        own_proxy.startup_log
     );
-    assert!(!uses(&own_file, &a), "it lost its own disabled backend");
+    assert!(!uses(&own_proxy, &a), "it lost its own disabled backend");
 }
 
-/// A snapshot is refused if the proxy's position, zone or a quota has changed since, or if another proxy wrote the file.
-/// The log names the cause.
+/// A snapshot is refused if the proxy's position, zone or a quota has changed since, or if another proxy wrote the
+/// file. The log names the cause.
 #[test]
 fn a_snapshot_from_other_settings_or_another_proxy_is_refused_with_its_cause() {
     let (a, _b, known) = backends();
@@ -183,11 +186,11 @@
             .success());
     };
     let oversized_file = |at: &Path| std::fs::File::create(at).unwrap().set_len(1 << 40).unwrap();
-    let folder = |at: &Path| std::fs::create_dir(at).unwrap();
+    let directory = |at: &Path| std::fs::create_dir(at).unwrap();
     let cases = [
         ("unreadable", &named_pipe as &dyn Fn(&Path)),
         ("too_large", &oversized_file),
-        ("unreadable", &folder),
+        ("unreadable", &directory),
     ];
     for (cause, create) in cases {
         let _ = std::fs::remove_file(&own_file);
@@ -251,17 +254,18 @@
     );
 }
 
-/// Proxies with another name or listen address and the same `TMPDIR` do not count as another process of this proxy and do
-/// not apply its disabled backends. The next process of the same proxy applies them, even with another discovery address.
+/// Proxies with another name or listen address and the same `TMPDIR` do not count as another process of this proxy and
+/// do not apply its disabled backends. The next process of the same proxy applies them, even with another discovery
+/// address.
 #[test]
 fn disabled_backends_and_processes_in_one_tmpdir_are_kept_apart() {
     let (a, _b, known) = backends();
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
-    let start = |who: &str| {
+    let start = |overrides: &str| {
         let proxy = Proxy::with_extra_config(
             &known,
             &settings(),
-            &format!("{OVERRIDABLE}{who}"),
+            &format!("{OVERRIDABLE}{overrides}"),
             std::slice::from_ref(&tmp),
         );
         proxy.wait_until_serving();
@@ -274,11 +278,11 @@
             .status(),
         200
     );
-    for who in [r#","name":"n1""#, r#","listen":"127.0.0.2:0""#] {
-        let mut other = start(who);
+    for overrides in [r#","name":"n1""#, r#","listen":"127.0.0.2:0""#] {
+        let mut other = start(overrides);
         assert!(
             uses(&other, &a),
-            "{who}: it applies another proxy's disabled backend"
+            "{overrides}: it applies another proxy's disabled backend"
         );
         other.terminate();
         assert!(other.child.wait().unwrap().success());
@@ -288,7 +292,7 @@
         assert_eq!(
             other.log_count("another process"),
             0,
-            "{who}: it took a different proxy for its own newer process"
+            "{overrides}: it took a different proxy for its own newer process"
         );
     }
     assert_eq!(
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Memory that a proxy process uses for each backend and each tenant, measured as anonymous resident memory (`RssAnon`).
+//! Memory that a proxy process uses for each backend and each tenant, measured as anonymous resident memory
+//! (`RssAnon`).
 
 mod rig;
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -87,8 +87,8 @@
     assert!(idle.iter_mut().all(Client::closed_in_time));
 }
 
-/// Hot restart: the old process completes its open requests, closes its client connections and leaves new ones to the new
-/// process.
+/// Hot restart: the old process completes its open requests, closes its client connections and leaves new ones to the
+/// new process.
 #[test]
 fn a_new_version_takes_over_without_a_lost_request() {
     let gate = Arc::new(Gate::default());
@@ -108,10 +108,10 @@
     let mut old = start(&[entry("b0", first.address, "SERVING")]);
     assert_eq!(old.address, at);
     old.wait_until_serving();
-    let (mut busy, mut kept) = (Client::connect(at), Client::connect(at));
+    let (mut busy, mut keep_alive) = (Client::connect(at), Client::connect(at));
     busy.send(&pay_request(3.0));
     first.next_request();
-    assert_eq!(kept.request(&read_request(3.0)).body, b"old");
+    assert_eq!(keep_alive.request(&read_request(3.0)).body, b"old");
     let new = start(&[entry("b1", second.address, "SERVING")]);
     let (_, answer) = new.discovery.call();
     assert_ne!(
@@ -133,9 +133,9 @@
     for _ in 0..20 {
         assert_eq!(Client::connect(at).request(&read_request(3.0)).body, b"new");
     }
-    let answer = kept.request(&read_request(3.0));
+    let response = keep_alive.request(&read_request(3.0));
     assert_eq!(
-        (&answer.body[..], answer.header("connection")),
+        (&response.body[..], response.header("connection")),
         (&b"old"[..], Some("close"))
     );
     gate.open();
@@ -248,12 +248,12 @@
     let known = entries(&[&a, &b]);
     let start = || Proxy::with_control(&known, SETTINGS, &[passed.clone(), tmp.clone()]);
     let old = start();
-    let kept = std::fs::read_dir(std::path::Path::new(&tmp.1).join("shaletide"))
+    let state_dirs = std::fs::read_dir(std::path::Path::new(&tmp.1).join("shaletide"))
         .unwrap()
         .flatten();
-    let kept: Vec<_> = kept.map(|e| e.path()).collect();
-    assert_eq!(kept.len(), 1, "one proxy, one folder");
-    std::fs::write(kept[0].join("out-6x"), "").unwrap(); // not a backend's file: skipped
+    let state_dirs: Vec<_> = state_dirs.map(|e| e.path()).collect();
+    assert_eq!(state_dirs.len(), 1, "one proxy must have one directory");
+    std::fs::write(state_dirs[0].join("out-6x"), "").unwrap(); // not a backend's file: skipped
     old.wait_until_serving();
     assert_eq!(
         old.control_request("PUT /maintenance/enter?who=b0")
@@ -419,13 +419,13 @@
         assert!(new.contains(from), "{from}");
         new.replacen(from, to, 1)
     };
-    let half = new.len() / 2;
+    let middle = new.len() / 2;
     let deadline = r#""deadline_us":3000000"#;
     let attempts = r#""max_attempts":4"#;
     for invalid in [
         String::new(),
         "{}".into(),
-        new[..half].into(),
+        new[..middle].into(),
         swap(r#""seed":"8c1f30d27a5be964","#, ""),
         swap(
             r#""limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"#,
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -1,5 +1,5 @@
-//! Discovery outages of different kinds and lengths: a change must be applied at most 6 s after discovery can be reached
-//! again, however it failed and for however long.
+//! Discovery outages of different kinds and lengths: a change must be applied at most 6 s after discovery can be
+//! reached again, however it failed and for however long.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -37,9 +37,11 @@
 #[derive(Default)]
 struct ServerState {
     fault: Option<Fault>,
+    /// Version of the endpoint list.
     index: u64,
     /// Each entry with the version that introduced it.
     entries: Vec<(u64, String)>,
+    /// Number of calls received.
     calls: u32,
 }
 
@@ -76,6 +78,7 @@
         discovery
     }
 
+    /// Changes the state and wakes the calls that wait for a change.
     fn change(&self, change: impl FnOnce(&mut ServerState)) {
         change(&mut self.state.0.lock().unwrap());
         self.state.1.notify_all();
@@ -83,23 +86,24 @@
 
     /// Publishes a new version with these entries.
     fn publish(&self, entries: &[String]) {
-        self.change(|w| {
-            w.index += 1;
-            let index = w.index;
-            w.entries.extend(entries.iter().map(|e| (index, e.clone())));
+        self.change(|s| {
+            s.index += 1;
+            let index = s.index;
+            s.entries.extend(entries.iter().map(|e| (index, e.clone())));
         });
     }
 
     /// Waits until `count` calls have arrived.
     fn wait_for_calls(&self, count: u32) {
         let (state, changed) = &*self.state;
-        let too_few = |w: &mut ServerState| w.calls < count;
-        let (_world, late) = changed
+        let too_few = |s: &mut ServerState| s.calls < count;
+        let (_state, timeout) = changed
             .wait_timeout_while(state.lock().unwrap(), TEST_TIMEOUT, too_few)
             .unwrap();
-        assert!(!late.timed_out(), "fewer than {count} calls in time");
+        assert!(!timeout.timed_out(), "fewer than {count} calls in time");
     }
 
+    /// Accepts connections except during a fault that prevents that.
     fn accept(self, socket: socket2::Socket) {
         let (mut listener, mut reserved) = (Some(TcpListener::from(socket)), None::<ReservedPort>);
         loop {
@@ -127,10 +131,11 @@
         }
     }
 
+    /// Responds to the calls on a connection, or fails as the current fault says.
     fn serve(&self, mut tcp: TcpStream) {
         let mut reader = BufReader::new(tcp.try_clone().unwrap());
         while let Some(call) = Message::read(&mut reader) {
-            self.change(|w| w.calls += 1);
+            self.change(|s| s.calls += 1);
             let number = |name: &str| {
                 call.start_line
                     .split(name)
@@ -141,7 +146,7 @@
                     .ok()
             };
             let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0));
-            let go_on = match self.answer(after, wait) {
+            let keep_open = match self.respond(after, wait) {
                 Ok(list) => send(&mut tcp, 200, &list),
                 Err(Unavailable) => send(&mut tcp, 503, ""),
                 Err(NotAList) => send(&mut tcp, 200, r#"{"index":"x","snapshot":true}"#),
@@ -165,17 +170,18 @@
                     false
                 }
             };
-            if !go_on {
+            if !keep_open {
                 return;
             }
         }
     }
 
-    /// The response to a call: the whole list, or the changes after a version, for which it waits up to `wait` ms; or a fault.
-    fn answer(&self, after: Option<u64>, wait: u64) -> Result<String, Fault> {
+    /// The response to a call: the whole list, or the changes after a version, for which it waits up to `wait` ms; or a
+    /// fault.
+    fn respond(&self, after: Option<u64>, wait: u64) -> Result<String, Fault> {
         let (state, changed) = &*self.state;
         let unchanged =
-            |w: &mut ServerState| w.fault.is_none() && after.is_some_and(|after| w.index <= after);
+            |s: &mut ServerState| s.fault.is_none() && after.is_some_and(|after| s.index <= after);
         let wait = Duration::from_millis(wait);
         let (state, _) = changed
             .wait_timeout_while(state.lock().unwrap(), wait, unchanged)
@@ -207,6 +213,7 @@
         ReservedPort(socket, backlog)
     }
 
+    /// Ends the outage: accepts connections again, without those that filled the backlog.
     fn listen(self) -> TcpListener {
         self.0.listen(128).unwrap();
         let listener = TcpListener::from(self.0);
@@ -323,9 +330,9 @@
     }
 }
 
-/// Runs one case with backends that drain during the outage and one that drains right after it. Returns a summary: how long
-/// after the outage, and after the second drain, the draining backends still got requests, and how many connections to
-/// discovery were open at most. The summary is an error if a bound is exceeded.
+/// Runs one case with backends that drain during the outage and one that drains right after it. Returns a summary: how
+/// long after the outage, and after the second drain, the draining backends still got requests, and how many
+/// connections to discovery were open at most. The summary is an error if a bound is exceeded.
 fn run_case(case: &Case) -> Result<String, String> {
     let backends: Vec<(BackendServer, LastRequest)> = (0..5)
         .map(|_| {
@@ -353,7 +360,7 @@
     });
     std::thread::sleep(Duration::from_millis(400));
     let last = |n: usize| *backends[n].1.lock().unwrap();
-    discovery.change(|w| w.fault = Some(case.fault));
+    discovery.change(|s| s.fault = Some(case.fault));
     std::thread::sleep(case.down / 2);
     // All known backends drain, because the proxy may use only a subset of them.
     discovery.publish(&[
@@ -364,7 +371,7 @@
     ]);
     std::thread::sleep(case.down / 2);
     let outage_end = Instant::now();
-    discovery.change(|w| w.fault = None);
+    discovery.change(|s| s.fault = None);
     std::thread::sleep(Duration::from_millis(200));
     let drained = Instant::now();
     discovery.publish(&[endpoint(3, "DRAINING"), endpoint(4, "SERVING")]);
@@ -416,7 +423,8 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// With polled lists the bound holds regardless of the fleet's size and of the longest polling interval, here 10 minutes.
+/// With polled lists the bound holds regardless of the fleet's size and of the longest polling interval, here 10
+/// minutes.
 #[test]
 fn polled_lists_are_applied_within_six_seconds_after_an_outage() {
     let faults = [Refused, Unreachable, Unavailable, Reset, Silent, Truncated];
@@ -434,8 +442,8 @@
     run_cases(cases.chain(more).chain(small_fleets).collect());
 }
 
-/// With pushed lists a change counts at once, and one that a silent connection lost counts 6 s after the silence began. A
-/// call that fails at once is repeated within 0.1 s; the bound of 1 s leaves the rest of the time to busy machines.
+/// With pushed lists a change counts at once, and one that a silent connection lost counts 6 s after the silence began.
+/// A call that fails at once is repeated within 0.1 s; the bound of 1 s leaves the rest of the time to busy machines.
 #[test]
 fn pushed_lists_are_applied_at_once_after_an_outage() {
     let failing_at_once = [Refused, Unavailable, Reset, NotAList];
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -43,7 +43,8 @@
     (proxy, watch)
 }
 
-/// The backend changes its address, drains or is deleted while a connection to it is being established: no byte is sent.
+/// The backend changes its address, drains or is deleted while a connection to it is being established: no byte is
+/// sent.
 #[test]
 fn a_connection_is_not_used_if_its_backend_moved_or_drains_before_it_is_established() {
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
@@ -65,7 +66,7 @@
         assert_eq!(
             client.response().expect("no response").status(),
             503,
-            "{change}: the request did not run"
+            "{change}: a request that did not run must get 503"
         );
         drop(proxy); // an unused connection may stay open until the proxy exits
         assert_eq!(connection.read_until_closed(), b"", "{change}");
@@ -92,8 +93,8 @@
     }
 }
 
-/// The backend drains before the first byte of a request was sent to it: another backend serves the request, even if the
-/// process has just started and its retry budget is empty.
+/// The backend drains before the first byte of a request was sent to it: another backend serves the request, even if
+/// the process has just started and its retry budget is empty.
 #[test]
 fn a_request_whose_backend_drains_before_its_first_byte_is_served_by_another() {
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":9000000");
@@ -220,8 +221,8 @@
     assert_eq!(connection.read_until_closed(), b"");
 }
 
-/// A backend closes an idle connection or sends part of a line. If that crosses a request, the request may have run: it is
-/// not repeated and fails with 502. If it happens before the next request, that one is sent on another connection.
+/// A backend closes an idle connection or sends part of a line. If that crosses a request, the request may have run: it
+/// is not repeated and fails with 502. If it happens before the next request, that one is sent on another connection.
 #[test]
 fn a_request_is_not_repeated_after_its_warm_connection_fails() {
     for (crossing, partial_line, reset) in [
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,5 @@
-//! End-to-end tests of the proxy process: forwarding, retries, connection reuse, discovery, limits, shutdown and reloads.
+//! End-to-end tests of the proxy process: forwarding, retries, connection reuse, discovery, limits, shutdown and
+//! reloads.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -27,27 +28,30 @@
     let backend =
         BackendServer::start(|_| Reply::Response(200, "Content-Type: text/x", "the body".into()));
     let proxy = start_with_one(&backend);
-    let answer = proxy.request(
+    let response = proxy.request(
         "POST /vote/k%201?q=%2F HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 00aa\r\nIdempotency-Key: 77\r\n\
          X-Time-Left: 2.5\r\nConnection: x-private\r\nX-Private: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
          3\r\nabc\r\n0\r\n\r\n",
     );
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"the body"[..]));
-    assert_eq!(answer.header("content-type"), Some("text/x"));
-    let got = backend.next_request();
-    assert_eq!(got.start_line, "POST /vote/k%201?q=%2F HTTP/1.1");
+    assert_eq!(
+        (response.status(), &response.body[..]),
+        (200, &b"the body"[..])
+    );
+    assert_eq!(response.header("content-type"), Some("text/x"));
+    let forwarded = backend.next_request();
+    assert_eq!(forwarded.start_line, "POST /vote/k%201?q=%2F HTTP/1.1");
     assert_eq!(
         (
-            got.header("x-correlation-id"),
-            got.header("idempotency-key")
+            forwarded.header("x-correlation-id"),
+            forwarded.header("idempotency-key")
         ),
         (Some("00aa"), Some("77"))
     );
     assert_eq!(
-        (&got.body[..], got.header("x-private")),
+        (&forwarded.body[..], forwarded.header("x-private")),
         (&b"abc"[..], None)
     );
-    let left: f64 = got.header("x-time-left").unwrap().parse().unwrap();
+    let left: f64 = forwarded.header("x-time-left").unwrap().parse().unwrap();
     assert!(left > 0.0 && left < 2.5, "{left}");
     assert_eq!(backend.request_count(), 1);
 }
@@ -70,7 +74,8 @@
     (BackendServer::start(reply), switch)
 }
 
-/// After any outcome in which it may have run, a request that must not run twice is not retried and fails with 502 or 504.
+/// After any outcome in which it may have run, a request that must not run twice is not retried and fails with 502 or
+/// 504.
 #[test]
 fn a_single_shot_request_that_may_have_run_fails_and_is_never_retried() {
     type Make = fn() -> Reply;
@@ -107,7 +112,8 @@
     }
 }
 
-/// After a response that proves that it did not run, even a request that must not run twice is retried at another backend.
+/// After a response that proves that it did not run, even a request that must not run twice is retried at another
+/// backend.
 #[test]
 fn a_single_shot_request_that_did_not_run_is_retried_elsewhere() {
     for status in [503, 504] {
@@ -161,9 +167,9 @@
         BackendServer::start(|_| Reply::Response(503, "X-Unprocessed: 1", String::new()));
     let proxy = start_with_one(&rejecting);
     for request in [pay_request(3.0), read_request(3.0)] {
-        let answer = proxy.request(&request);
-        assert_eq!(answer.status(), 503);
-        let retry_after: f64 = answer
+        let response = proxy.request(&request);
+        assert_eq!(response.status(), 503);
+        let retry_after: f64 = response
             .header("retry-after")
             .expect("no Retry-After")
             .parse()
@@ -342,10 +348,10 @@
         let mut client = proxy.client();
         // The proxy may respond and close the connection before it has read the whole request.
         let _ = client.0.get_mut().write_all(request.as_bytes());
-        let answer = client
+        let response = client
             .response()
             .unwrap_or_else(|| panic!("no response to {request:.80}"));
-        assert_eq!(answer.status(), status, "{request:.80}");
+        assert_eq!(response.status(), status, "{request:.80}");
     }
     assert_eq!(backend.request_count(), 0);
     for left in [
@@ -413,8 +419,8 @@
     );
 }
 
-/// A machine that lost its network leaves its connections open. After a request to it got no response, connections that were
-/// idle meanwhile are not used again.
+/// A machine that lost its network leaves its connections open. After a request to it got no response, connections that
+/// were idle meanwhile are not used again.
 #[test]
 fn idle_connections_to_a_silent_backend_are_dropped() {
     let gate = Arc::new(Gate::default());
@@ -483,7 +489,8 @@
     assert!(slow[0].is_closed());
 }
 
-/// Connections with a stalled request head are closed one by one as capacity is needed, not all when the timeout expires.
+/// Connections with a stalled request head are closed one by one as capacity is needed, not all when the timeout
+/// expires.
 #[test]
 fn a_stalled_head_is_closed_for_capacity_before_its_timeout() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -564,8 +571,8 @@
         }
     });
     let mut proxy = start_with_one(&backend);
-    let (mut busy, mut kept, mut idle) = (proxy.client(), proxy.client(), proxy.client());
-    for client in [&mut kept, &mut idle] {
+    let (mut busy, mut keep_alive, mut idle) = (proxy.client(), proxy.client(), proxy.client());
+    for client in [&mut keep_alive, &mut idle] {
         assert_eq!(
             client
                 .request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n")
@@ -578,16 +585,16 @@
     proxy.terminate();
     // The first response with `Connection: close` shows that the signal was handled.
     loop {
-        let answer = proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
-        assert_eq!(answer.status(), 200, "connections must still be accepted");
-        if answer.header("connection") == Some("close") {
+        let response = proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
+        assert_eq!(response.status(), 200, "connections must still be accepted");
+        if response.header("connection") == Some("close") {
             break;
         }
     }
-    for client in [&mut kept, &mut proxy.client()] {
-        let answer = client.request(&pay_request(2.0));
+    for client in [&mut keep_alive, &mut proxy.client()] {
+        let response = client.request(&pay_request(2.0));
         assert_eq!(
-            (answer.status(), answer.header("connection")),
+            (response.status(), response.header("connection")),
             (200, Some("close"))
         );
     }
@@ -665,22 +672,23 @@
     assert_eq!(proxy.request(&read_request(3.0)).body, b"new");
 }
 
-/// Connections that send nothing or never complete a request head or body are closed after a timeout. Connections that are
-/// idle between requests are not.
+/// Connections that send nothing or never complete a request head or body are closed after a timeout. Connections that
+/// are idle between requests are not.
 #[test]
 fn clients_that_never_complete_a_request_are_disconnected() {
     let backend = BackendServer::start(|_| ok("x"));
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":90000000");
     let proxy = Proxy::with_settings(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
-    let (mut kept, mut silent, mut partial) = (proxy.client(), proxy.client(), proxy.client());
-    assert_eq!(kept.request(&read_request(3.0)).status(), 200);
+    let (mut keep_alive, mut silent, mut partial) =
+        (proxy.client(), proxy.client(), proxy.client());
+    assert_eq!(keep_alive.request(&read_request(3.0)).status(), 200);
     partial.send("GET /read/k HTTP/1.1\r\nHost: s\r\nX-Corr");
     let mut without_body = proxy.client();
     let head = pay_request(80.0);
     without_body.send(head.strip_suffix("cash").unwrap());
     assert_eq!(without_body.response().expect("an error").status(), 408);
     assert!(silent.closed_in_time() && partial.closed_in_time());
-    assert_eq!(kept.request(&read_request(3.0)).status(), 200);
+    assert_eq!(keep_alive.request(&read_request(3.0)).status(), 200);
     assert_eq!(
         backend.request_count(),
         2,
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -1,5 +1,5 @@
-//! SIGHUP and SIGTERM that coincide with the start, with unusable configuration files, with open requests, with a shutdown
-//! or with discovery's responses.
+//! SIGHUP and SIGTERM that coincide with the start, with unusable configuration files, with open requests, with a
+//! shutdown or with discovery's responses.
 
 mod rig;
 
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Waits until `done` returns true. `what` is the message if that takes too long.
 fn until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !done() {
@@ -44,8 +45,8 @@
     )
 }
 
-/// SIGHUP arrives while the proxy reads its configuration, from a pipe without data: the proxy starts, handles the signal
-/// once it runs, and on that reload rejects the pipe instead of waiting for it.
+/// SIGHUP arrives while the proxy reads its configuration, from a pipe without data: the proxy starts, handles the
+/// signal once it runs, and on that reload rejects the pipe instead of waiting for it.
 #[test]
 fn a_signal_before_the_configuration_is_read_does_not_end_the_process() {
     let at = create_temp_dir().join("config.json");
@@ -110,7 +111,7 @@
         std::fs::write(at, &valid).unwrap();
         std::fs::set_permissions(at, std::os::unix::fs::PermissionsExt::from_mode(0o000)).unwrap();
     };
-    // Root can read the file despite its mode; then a truncated file stands in for it.
+    // Root can read the file despite its mode; then a truncated file is used instead.
     let unreadable = |at: &Path| {
         remove_permissions(at);
         if std::fs::read(at).is_ok() {
@@ -163,8 +164,8 @@
     assert_eq!(proxy.log_count("configuration not taken"), cases.len());
 }
 
-/// The file is overwritten several times in a row, each time with a signal: a signal may find it half written, but the last
-/// version is applied, and requests that were open keep the class that they arrived with.
+/// The file is overwritten several times in a row, each time with a signal: a signal may find it half written, but the
+/// last version is applied, and requests that were open keep the class that they arrived with.
 #[test]
 fn after_many_reloads_in_a_row_the_last_one_applies() {
     let gate = Arc::new(Gate::default());
@@ -204,8 +205,8 @@
     );
 }
 
-/// A configuration that takes long to read does not block requests: a client gets many responses between the signal and the
-/// log line of the reload.
+/// A configuration that takes long to read does not block requests: a client gets many responses between the signal and
+/// the log line of the reload.
 #[test]
 fn requests_are_served_while_a_long_configuration_is_read() {
     let tenants: Vec<String> = (0..60_000)
@@ -255,8 +256,8 @@
     );
 }
 
-/// Signals during a shutdown: neither a second SIGTERM, nor SIGINT, nor a reload of a valid or invalid configuration loses
-/// the response to an open request.
+/// Signals during a shutdown: neither a second SIGTERM, nor SIGINT, nor a reload of a valid or invalid configuration
+/// loses the response to an open request.
 #[test]
 fn signals_during_the_shutdown_change_nothing() {
     let gate = Arc::new(Gate::default());
@@ -347,8 +348,9 @@
     assert_eq!(drained.request_count(), 0);
 }
 
-/// A reload changes discovery's address while a response from the old address is in transit. If that response arrives after
-/// the new address's list, it is ignored if it is older and applied if it is newer. The address then changes back.
+/// A reload changes discovery's address while a response from the old address is in transit. If that response arrives
+/// after the new address's list, it is ignored if it is older and applied if it is newer. The address then changes
+/// back.
 #[test]
 fn a_response_that_crosses_a_move_of_discovery_is_applied_if_newer() {
     let (old, new) = (
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,5 +1,5 @@
-//! Retries that coincide with what forbids them: a reload that makes a class stricter, the end of an idempotency window,
-//! and the client's deadline.
+//! Retries that coincide with what forbids them: a reload that makes a class stricter, the end of an idempotency
+//! window, and the client's deadline.
 
 mod rig;
 
@@ -61,8 +61,8 @@
     }
 }
 
-/// A reload during a request's first attempt makes its class one that must not run twice, or one that needs an idempotency
-/// key that the request lacks: the request is not retried. If the class stays free, it is.
+/// A reload during a request's first attempt makes its class one that must not run twice, or one that needs an
+/// idempotency key that the request lacks: the request is not retried. If the class stays free, it is.
 #[test]
 fn a_request_follows_the_stricter_of_the_settings_before_and_after_a_reload() {
     let guarded = r#""effect":"guarded","key_scope":"all","window_us":500000"#;
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness for the proxy binary on loopback: starts the proxy as a child process with a generated configuration, and
-//! provides backends, a discovery server and HTTP clients on blocking sockets and ports that the kernel picks.
+//! Test harness for the proxy binary on loopback: starts the proxy as a child process with a generated configuration,
+//! and provides backends, a discovery server and HTTP clients on blocking sockets and ports that the kernel picks.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -196,6 +196,7 @@
     }
 }
 
+/// Replies to the requests on a connection until it is closed.
 fn serve(
     tcp: TcpStream,
     sender: &mpsc::Sender<Event>,
@@ -288,11 +289,12 @@
         DiscoveryServer::start_on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
+    /// Starts a discovery server on a bound listener.
     pub fn start_on(listener: TcpListener) -> DiscoveryServer {
         let address = listener.local_addr().unwrap();
         let (sender, calls) = mpsc::channel();
-        let ended = Arc::new(AtomicU32::new(0));
-        let count = ended.clone();
+        let closed_connections = Arc::new(AtomicU32::new(0));
+        let count = closed_connections.clone();
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
                 let (sender, count): (mpsc::Sender<_>, _) = (sender.clone(), count.clone());
@@ -319,7 +321,7 @@
         });
         DiscoveryServer {
             address,
-            closed_connections: ended,
+            closed_connections,
             calls,
         }
     }
@@ -413,7 +415,8 @@
         Proxy::run(command, discovery)
     }
 
-    /// Starts a proxy that listens at `listen` and calls discovery at `at`; the discovery server in [`Proxy`] stays unused.
+    /// Starts a proxy that listens at `listen` and calls discovery at `at`; the discovery server in [`Proxy`] stays
+    /// unused.
     pub fn with_addresses(
         listen: &str,
         at: SocketAddr,
@@ -435,7 +438,8 @@
         Proxy::with_extra_config(known, settings, "", variables)
     }
 
-    /// Like [`Proxy::with_control`], with `more` appended to its configuration: JSON members, each with a leading comma.
+    /// Like [`Proxy::with_control`], with `more` appended to its configuration: JSON members, each with a leading
+    /// comma.
     pub fn with_extra_config(
         known: &[String],
         settings: &str,
@@ -465,15 +469,16 @@
         Proxy::run(command, discovery)
     }
 
+    /// Runs the command and waits until the proxy logs that it listens.
     fn run(mut command: Command, discovery: DiscoveryServer) -> Proxy {
         let path = command
             .get_envs()
             .find(|e| e.0 == "NODE_CONFIG")
             .and_then(|e| e.1);
-        let config = PathBuf::from(path.unwrap());
+        let config_path = PathBuf::from(path.unwrap());
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (mut control, mut startup_log) = (None, String::new());
+        let (mut control_address, mut startup_log) = (None, String::new());
         let address = loop {
             let mut line = String::new();
             assert!(
@@ -483,7 +488,7 @@
             startup_log += &line;
             *STARTUP_LOGS.lock().unwrap() += &line;
             if let Some(at) = line.split("control on ").nth(1) {
-                control = Some(at.trim().parse().unwrap());
+                control_address = Some(at.trim().parse().unwrap());
             }
             if let Some(at) = line.split("listens on ").nth(1) {
                 break at.split(',').next().unwrap().parse().unwrap();
@@ -501,8 +506,8 @@
             child,
             address,
             discovery,
-            config_path: config,
-            control_address: control,
+            config_path,
+            control_address,
             startup_log,
             log: log_text,
         }
@@ -560,8 +565,8 @@
         self.signal("-TERM");
     }
 
-    /// Stops the process and waits until it has stopped, so that everything the test does before [`Proxy::resume`] reaches
-    /// the proxy in one turn of its event loop.
+    /// Stops the process and waits until it has stopped, so that everything the test does before [`Proxy::resume`]
+    /// reaches the proxy in one turn of its event loop.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -684,6 +689,7 @@
     }
 }
 
+/// A correlation id that is unique within this process.
 fn correlation_id() -> String {
     format!("{:016x}", NUMBER.fetch_add(1, Ordering::SeqCst))
 }
--- a/tests/rig/scripted.rs
+++ b/tests/rig/scripted.rs
@@ -1,5 +1,5 @@
-//! A backend whose connections the test accepts, reads and writes itself, so that it controls the order of events between
-//! the proxy and the backend.
+//! A backend whose connections the test accepts, reads and writes itself, so that it controls the order of events
+//! between the proxy and the backend.
 
 use super::{Message, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,6 @@
 //! Settings of different sizes: one request class or many, with and without tenants, zones and hardware kinds, and
-//! endpoints with and without a zone and a kind. Proxies start with each variant, reload from one to the next, and serve.
+//! endpoints with and without a zone and a kind. Proxies start with each variant, reload from one to the next, and
+//! serve.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -15,7 +16,8 @@
     )
 }
 
-/// Settings with these classes. The other parameters are the JSON of the tenants, kinds, zones and the proxy's own zone.
+/// Settings with these classes. The other parameters are the JSON of the tenants, kinds, zones and the proxy's own
+/// zone.
 fn settings(
     classes: &[(&str, &str)],
     tenants: &str,
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -9,10 +9,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// A request that the proxy answers itself, without a backend.
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 /// After SIGTERM the proxy closes idle connections when this time is over.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 
+/// Starts a proxy with one endpoint.
 fn start_with_backend(backend: &BackendServer) -> Proxy {
     Proxy::start(&[entry("b0", backend.address, "SERVING")])
 }
@@ -28,12 +30,12 @@
 
 /// Opens `count` client connections that are idle after a first request.
 fn idle_clients(proxy: &Proxy, count: usize) -> Vec<Client> {
-    let start_with_backend = |_| {
+    let connect = |_| {
         let mut client = proxy.client();
         assert_eq!(client.request(READY).status(), 200);
         client
     };
-    (0..count).map(start_with_backend).collect()
+    (0..count).map(connect).collect()
 }
 
 /// Waits until the proxy has handled SIGTERM, which the first response with `Connection: close` shows.
@@ -48,7 +50,8 @@
     assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
 }
 
-/// SIGTERM and requests arrive in one turn of the event loop: on idle connections, on new ones and on one with a partial head.
+/// SIGTERM and requests arrive in one turn of the event loop: on idle connections, on new ones and on one with a
+/// partial head.
 #[test]
 fn requests_that_coincide_with_the_signal_are_served() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -103,7 +106,8 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// When the listener is closed, its backlog contains more connections than there are descriptors: none of them is dropped.
+/// When the listener is closed, its backlog contains more connections than there are descriptors: none of them is
+/// dropped.
 #[test]
 fn connections_in_the_backlog_are_served_at_shutdown_even_without_free_descriptors() {
     let mut proxy = Proxy::with_descriptor_limit(&[], 1024, SETTINGS, 40);
@@ -164,8 +168,8 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// An idle connection or one with a partial head delays the exit by no more than the longest deadline; a streamed response
-/// delays it until its end.
+/// An idle connection or one with a partial head delays the exit by no more than the longest deadline; a streamed
+/// response delays it until its end.
 #[test]
 fn a_shutdown_waits_for_streams_and_not_for_partial_heads() {
     const LONG: usize = 300_000;
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -1,5 +1,5 @@
-//! Requests and responses that are too long to buffer, and slow ones: they are streamed, bounded in memory, and a break in
-//! one is visible to the client.
+//! Requests and responses that are too long to buffer, and slow ones: they are streamed, bounded in memory, and a break
+//! in one is visible to the client.
 
 mod rig;
 
@@ -51,6 +51,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n")
 }
 
+/// Starts a proxy with one endpoint.
 fn start_with_backend(address: SocketAddr) -> Proxy {
     Proxy::start(&[entry("b0", address, "SERVING")])
 }
@@ -153,7 +154,8 @@
     );
 }
 
-/// A request body is forwarded while it arrives. If the backend closes the connection, the rest goes to no other backend.
+/// A request body is forwarded while it arrives. If the backend closes the connection, the rest goes to no other
+/// backend.
 #[test]
 fn a_long_body_goes_to_one_backend_only() {
     let (sender, forwarded) = mpsc::channel();
@@ -175,7 +177,7 @@
     assert_eq!(
         client.response().expect("no response").status(),
         503,
-        "the request did not run"
+        "a request that did not run must get 503"
     );
     assert_eq!(first.1.load(SeqCst), 1);
 }
@@ -210,7 +212,8 @@
     );
 }
 
-/// A body that takes 4 s, longer than the stall timeout and the deadline of its class, is accepted while it makes progress.
+/// A body that takes 4 s, longer than the stall timeout and the deadline of its class, is accepted while it makes
+/// progress.
 #[test]
 fn a_slow_body_is_accepted_while_it_makes_progress() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -311,8 +314,8 @@
 #[test]
 fn the_rest_of_a_rejected_body_is_read_and_discarded() {
     const HUGE: usize = 48_000_000;
-    let nobody = RefusingPort::new();
-    let proxy = start_with_backend(nobody.address());
+    let refusing = RefusingPort::new();
+    let proxy = start_with_backend(refusing.address());
     let peak_memory = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
         let peak = status
