--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -1,5 +1,5 @@
-//! The fleet's configuration in real processes: changes at any proxy, in force at all of them, while datagrams are lost and
-//! leaders are killed, paused and partitioned in the middle of a change (`rig::faults`).
+//! Tests of the fleet's configuration with several real processes: a change made at any proxy comes into force at all of them,
+//! also while datagrams are lost and leaders are killed, suspended or partitioned during a change (`rig::faults`).
 
 mod rig;
 
@@ -11,7 +11,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Waits until one proxy is the leader under a token above that one, and may propose.
+/// Waits until a proxy is the leader under a token greater than `above`, and returns its number and its token.
 fn leader(fleet: &Fleet, above: &Token) -> (usize, Token) {
     fleet.wait_for("a leader", |fleet| {
         let all = duty_holdings("config", &fleet.incarnations());
@@ -20,6 +20,7 @@
     })
 }
 
+/// A change at any proxy comes into force at all proxies, or is rejected with the field or the reason.
 #[test]
 fn changes_at_any_proxy_come_into_force_at_all_or_are_rejected_with_the_reason() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -40,8 +41,8 @@
     let now = check_several_edits(&fleet);
     check_invalid_calls(&fleet, now);
     assert_eq!(wait_for_equal_copies(&fleet, &ALL, 0), now);
-    // The metrics have the same version.
-    fleet.wait_for("the metrics", |fleet| {
+    // The metrics report the same version.
+    fleet.wait_for("the version in the metrics", |fleet| {
         let text =
             String::from_utf8(fleet.proxies[3].control_request("GET /metrics").body).unwrap();
         text.contains(&format!("meadowproxy_config_version {now}\n"))
@@ -50,7 +51,7 @@
     check_consistency(&fleet);
 }
 
-/// A change made from an older version is rejected where the entry changed since, and only there.
+/// A change based on an older version is rejected only if its entry was changed since. Setting the same value again is accepted.
 fn check_conflicts(fleet: &Fleet, last: u64) {
     let (code, answer) = put_quota_until_available(fleet, 3, "t4", last - 1, 99);
     assert_eq!(
@@ -63,10 +64,13 @@
         200
     );
     let (code, answer) = put_quota_until_available(fleet, 2, "t0", last, 99);
-    assert_eq!(code, 200, "the same again: {answer}");
+    assert_eq!(
+        code, 200,
+        "setting the same value again was rejected: {answer}"
+    );
 }
 
-/// A change of several entries, and one that removes an entry; returns the version after them.
+/// Changes several entries at once, then removes one entry. Returns the version after both changes.
 fn check_several_edits(fleet: &Fleet) -> u64 {
     let now = config_version(fleet, 1);
     let several = json!({ "version": now, "entries": [
@@ -99,15 +103,15 @@
     wait_for_equal_copies(fleet, &ALL, answer["version"].as_u64().unwrap())
 }
 
-/// The answer to an invalid call names all errors by key, and nothing is changed.
+/// The response to an invalid call lists all errors by key, and nothing is changed.
 fn check_invalid_calls(fleet: &Fleet, now: u64) {
-    let wrong = json!({ "version": now, "entries": [
+    let invalid = json!({ "version": now, "entries": [
         { "kind": "tenants", "name": "not-set", "value": { "name": "not-set", "quota_rps": 1.0 } },
         { "kind": "cells", "name": "a", "value": {} }, { "kind": "tenants", "name": "", "value": {} },
         { "kind": "tenants", "name": "b", "value": 5 }, { "kind": "tenants", "name": "b", "value": { "name": "c" } },
         { "kind": "tenants", "name": "c", "value": { "name": "c", "x": "y".repeat(600) } },
     ]});
-    let (code, answer) = call_until_available(fleet, 1, "PUT /config", &wrong.to_string());
+    let (code, answer) = call_until_available(fleet, 1, "PUT /config", &invalid.to_string());
     let fields: Vec<&str> = answer["errors"]
         .as_array()
         .unwrap()
@@ -125,9 +129,9 @@
     check_invalid_fields(fleet);
 }
 
-/// The answer to a call with one error names its field.
+/// The response to a call with one error names its field.
 fn check_invalid_fields(fleet: &Fleet) {
-    let bad = [
+    let cases = [
         (
             "PUT /config/tenants/a",
             r#"{"version":"x","value":{}}"#,
@@ -153,7 +157,7 @@
             422,
             "entries",
         ),
-        // Errors of the settings have the keys of the settings.
+        // Errors found by the settings check are reported under the keys of the settings.
         (
             "PUT /config/tenants/a",
             r#"{"version":1,"value":{"name":"a","quota_rps":"x"}}"#,
@@ -168,7 +172,7 @@
         ),
         ("GET /config/tenants/never", "", 404, "path"),
     ];
-    for (line, body, code, key) in bad {
+    for (line, body, code, key) in cases {
         let (status, answer) = call_until_available(fleet, 0, line, body);
         assert_eq!(
             (status, answer["field"].as_str()),
@@ -183,8 +187,8 @@
     assert_eq!(fleet.control_call(0, "POST /config", "").status(), 405);
 }
 
-/// A route that operators set serves at every proxy, one that they removed is rejected at every proxy, and both outlive a file
-/// that differs, there and at a proxy that restarts.
+/// Every proxy serves a route that operators added and rejects requests of one that they removed. Both remain so although the
+/// configuration file differs, after the file is reloaded and after a proxy restarts.
 #[test]
 fn routes_changed_for_the_fleet_are_in_force_for_requests_and_win_over_the_file() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -238,15 +242,16 @@
     check_consistency(&fleet);
 }
 
-/// A region without a majority goes on serving, rejects changes with the reason, and catches up soon after the partition heals.
+/// A partition without a majority still serves requests, rejects changes with the reason, and has the current version within
+/// 5 s after the partition heals.
 #[test]
-fn a_partitioned_region_rejects_changes_and_catches_up_after_the_heal() {
+fn a_minority_partition_rejects_changes_and_catches_up_after_the_heal() {
     let backend = BackendServer::start(|_| ok("x"));
     let fleet = start_fleet(2, &backend);
     fleet.wait_for_members(&ALL, 4);
     wait_for_equal_copies(&fleet, &ALL, put_quota_until_accepted(&fleet, 4, "a", 1));
     fleet.faults.partition(&[&[0, 3], &[1, 2, 4]]);
-    let reason = fleet.wait_for("a reason", |fleet| {
+    let reason = fleet.wait_for("the rejection for lack of a majority", |fleet| {
         let (code, answer) = put_quota(fleet, 3, "b", config_version(fleet, 3), 2);
         assert_eq!(code, 503, "{answer}");
         answer["why"]
@@ -263,14 +268,14 @@
     assert_eq!(
         tenant_quota(&fleet, 3, "a"),
         Some(1),
-        "it goes on with what it has"
+        "the minority no longer has its previous value"
     );
     let response = Client::connect(fleet.proxies[3].address).request(&read_request(3.0));
     assert_eq!(response.status(), 200);
     fleet.faults.heal();
     let healed = Instant::now();
     last = wait_for_equal_copies(&fleet, &ALL, last);
-    eprintln!("equal {:?} after the heal", healed.elapsed());
+    eprintln!("equal copies {:?} after the heal", healed.elapsed());
     assert!(
         healed.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -280,25 +285,26 @@
     check_consistency(&fleet);
 }
 
-/// Which of the leader's datagrams arrive while it proposes a change.
+/// Which datagrams are delivered while the leader proposes a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Delivered {
-    /// None of those that it sends.
+    /// Those to the leader, but none from it.
     None,
-    /// All that it sends, and none of the replies.
+    /// Those from the leader, but no replies to it.
     Requests,
 }
 
-/// What happens to the leader then.
+/// Failure of a leader that has proposed a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
     Killed,
-    Paused,
+    /// Suspended past its lease.
+    Suspended,
     Partitioned,
 }
 
-/// The leader is killed, paused past its lease or partitioned with a proposed change that nobody else has, or that the
-/// voters accepted without its knowledge: in the end that change is in force everywhere or nowhere, and never twice.
+/// The leader is killed, suspended past its lease or partitioned after it proposed a change that no other proxy received, or
+/// that the voters accepted without its knowledge. In the end, all proxies have the change in force or none has.
 #[test]
 fn a_change_whose_leader_fails_is_in_force_everywhere_or_nowhere() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -307,8 +313,8 @@
     let cases = [
         (Delivered::None, Failure::Killed),
         (Delivered::Requests, Failure::Killed),
-        (Delivered::None, Failure::Paused),
-        (Delivered::Requests, Failure::Paused),
+        (Delivered::None, Failure::Suspended),
+        (Delivered::Requests, Failure::Suspended),
         (Delivered::None, Failure::Partitioned),
         (Delivered::Requests, Failure::Partitioned),
     ];
@@ -337,7 +343,7 @@
         leader(&fleet, &token);
         match failure {
             Failure::Killed => fleet.restart(at),
-            Failure::Paused => fleet.proxies[at].signal("-CONT"),
+            Failure::Suspended => fleet.proxies[at].signal("-CONT"),
             Failure::Partitioned => {}
         }
         fleet.faults.heal();
@@ -348,7 +354,8 @@
     check_consistency(&fleet);
 }
 
-/// Sends a change to the leader, and waits until it is proposed.
+/// Sends a change to the leader, waits until the leader has proposed it, and returns the connection without reading the
+/// response.
 fn begin_change(fleet: &Fleet, leader: usize, name: &str) -> Client {
     let base = config_version(fleet, leader);
     let body = json!({ "version": base, "value": { "name": name, "quota_rps": 7.0 } }).to_string();
@@ -367,10 +374,10 @@
     caller
 }
 
-/// Waits until all voters among these have accepted the change, or have it in force, where a new leader was quick.
+/// Waits until all voters among these proxies have accepted the change, or have it in force already through a new leader.
 fn wait_until_accepted(fleet: &Fleet, others: &[usize], name: &str) {
     let voters: Vec<usize> = others.iter().copied().filter(|n| *n < 3).collect();
-    fleet.wait_for("the voters to accept it", |f| {
+    fleet.wait_for("the voters to accept the change", |f| {
         let accepted = |n: usize| {
             !config_status(f, n)["keeps"].is_null() || tenant_quota(f, n, name).is_some()
         };
@@ -379,6 +386,7 @@
     });
 }
 
+/// Lets the leader fail. A partitioned leader answers the call with 503.
 fn fail_leader(
     fleet: &mut Fleet,
     leader: usize,
@@ -388,7 +396,7 @@
 ) {
     match failure {
         Failure::Killed => fleet.kill(&[leader]),
-        Failure::Paused => fleet.proxies[leader].signal("-STOP"),
+        Failure::Suspended => fleet.proxies[leader].signal("-STOP"),
         Failure::Partitioned => {
             fleet.faults.partition(&[&[leader], others]);
             let (code, answer) = status_and_json(&caller.response().expect("an answer"));
@@ -396,31 +404,35 @@
         }
     }
     if failure != Failure::Partitioned {
-        fleet.faults.partition(&[&[leader], others]); // datagrams in flight do not arrive
+        fleet.faults.partition(&[&[leader], others]); // so that datagrams of the failed leader in transit are dropped
     }
 }
 
-/// Checks that the change is in force everywhere or nowhere, and where it must be.
+/// Checks that all proxies or none have the change, that all have it if the voters accepted it, and that none has it if only a
+/// killed leader did.
 fn check_outcome(fleet: &Fleet, name: &str, delivered: Delivered, failure: Failure) {
-    let has: Vec<Option<u64>> = ALL.iter().map(|n| tenant_quota(fleet, *n, name)).collect();
-    eprintln!("{delivered:?}, {failure:?}: {has:?}");
+    let quotas: Vec<Option<u64>> = ALL.iter().map(|n| tenant_quota(fleet, *n, name)).collect();
+    eprintln!("{delivered:?}, {failure:?}: {quotas:?}");
     assert!(
-        has.iter().all(|q| *q == has[0]),
-        "{delivered:?}, {failure:?}: {has:?}"
+        quotas.iter().all(|q| *q == quotas[0]),
+        "{delivered:?}, {failure:?}: the proxies differ: {quotas:?}"
     );
     if delivered == Delivered::Requests {
         assert_eq!(
-            has[0],
+            quotas[0],
             Some(7),
-            "a majority of the voters accepted it: {failure:?}"
+            "a change that a majority of the voters accepted was lost: {failure:?}"
         );
     } else if failure == Failure::Killed {
-        assert_eq!(has[0], None, "nobody else had it");
+        assert_eq!(
+            quotas[0], None,
+            "a change that only the killed leader had is in force"
+        );
     }
 }
 
-/// With lost, duplicated, delayed, corrupted and replayed datagrams changes at all proxies come into force, and what was
-/// acknowledged is there after voters, one by one and then all at once, restarted.
+/// While datagrams are lost, duplicated, delayed, corrupted and replayed, changes at all proxies come into force.
+/// Acknowledged changes are kept when the voters are killed and restarted, first one by one and then all at once.
 #[test]
 fn acknowledged_changes_survive_network_faults_and_restarts_of_voters() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -431,15 +443,15 @@
         (rules.drop, rules.duplicate, rules.corrupt, rules.replay) = (0.1, 0.1, 0.05, 0.05);
         rules.max_delay = Duration::from_millis(50);
     }
-    let mut took = Vec::new();
-    let mut made = 1;
+    let mut delays = Vec::new();
+    let mut quota = 1;
     let mut changes = |fleet: &Fleet, of: &[usize]| {
         for n in of {
-            let version = put_quota_until_accepted(fleet, *n, &format!("t{}", made % 7), made);
+            let version = put_quota_until_accepted(fleet, *n, &format!("t{}", quota % 7), quota);
             let begun = Instant::now();
             wait_for_equal_copies(fleet, of, version);
-            took.push(begun.elapsed());
-            made += 1;
+            delays.push(begun.elapsed());
+            quota += 1;
         }
         config_version(fleet, of[0])
     };
@@ -454,7 +466,7 @@
         });
     }
     let before = changes(&fleet, &ALL);
-    let had: Vec<_> = (0..7)
+    let acknowledged: Vec<_> = (0..7)
         .map(|n| tenant_quota(&fleet, 4, &format!("t{n}")))
         .collect();
     fleet.kill(&[0, 1, 2]);
@@ -463,21 +475,21 @@
     let has: Vec<_> = (0..7)
         .map(|n| tenant_quota(&fleet, 1, &format!("t{n}")))
         .collect();
-    assert_eq!(has, had, "the other proxies had it");
+    assert_eq!(has, acknowledged, "acknowledged changes were lost");
     assert!(changes(&fleet, &ALL) > before);
-    took.sort();
+    delays.sort();
     eprintln!(
-        "{} changes, in force at all {:?} (median) to {:?} later",
-        took.len(),
-        took[took.len() / 2],
-        took[took.len() - 1]
+        "{} changes, in force at all proxies after {:?} (median) to {:?} (maximum)",
+        delays.len(),
+        delays[delays.len() / 2],
+        delays[delays.len() - 1]
     );
     check_consistency(&fleet);
 }
 
-/// The check that the tests above rest on counts the holdings of one lease without the other's.
+/// `duty_holdings` and `lease_violations`, on which the tests above rely, treat the leases of different duties separately.
 #[test]
-fn the_holdings_of_each_lease_are_counted_apart() {
+fn the_holdings_of_each_duty_are_counted_separately() {
     let held = |duty: &str| format!(" event=\"duty_held\" duty={duty} token=10-7 mono_us=5\n");
     let incarnation = lease_history::Incarnation {
         proxy: 0,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip between several real proxies, with network faults between them: see `rig::faults`.
+//! Tests of the gossip between several real proxies, with network faults between them (`rig::faults`).
 
 mod rig;
 
@@ -6,7 +6,7 @@
 use rig::*;
 use std::time::{Duration, Instant};
 
-/// Sends each proxy four requests a second for so long; how many responses were not 200.
+/// Sends each proxy four requests per second for `seconds` seconds, and returns the number of responses other than 200.
 fn send_requests(proxies: &[Proxy], seconds: u32) -> std::thread::JoinHandle<usize> {
     let addresses: Vec<_> = proxies.iter().map(|proxy| proxy.address).collect();
     let send = move |address| {
@@ -29,12 +29,14 @@
     })
 }
 
+/// Returns a `TMPDIR` of its own for a process.
 fn tmp() -> (&'static str, String) {
     ("TMPDIR", create_temp_dir().to_str().unwrap().into())
 }
 
-/// A backend refuses connections. With gossip the failed connects to it over the whole fleet fall to a fifth or less, with a
-/// tenth of the datagrams lost, some duplicated and all out of order; no request fails.
+/// One backend refuses connections. With gossip, the whole fleet has at most a fifth of the failed connects that proxies
+/// without gossip have, although a tenth of the datagrams is lost, a tenth duplicated and all are reordered. All proxies stay
+/// members.
 #[test]
 fn gossip_reduces_the_failed_connects_to_a_dead_backend_to_a_fifth() {
     const SIZE: usize = 12;
@@ -67,7 +69,7 @@
         rules.drop = 0.1;
         rules.duplicate = 0.1;
         rules.max_delay = Duration::from_millis(50);
-        rules.blocked.insert((0, 1)); // indirect probes reach a member whose datagrams get lost one way
+        rules.blocked.insert((0, 1)); // proxy 1 must stay a member through indirect probes
     }
     let failed = [&fleet.proxies, &separate]
         .map(|side| send_requests(side, 20))
@@ -83,10 +85,10 @@
         "failed connects with gossip {with}, without {without}; responses not 200: {failed:?}"
     );
     fleet.wait_for_members(&(0..SIZE).collect::<Vec<_>>(), SIZE - 1);
-    assert!(with >= 2, "some proxy has to detect it");
+    assert!(with >= 2, "no proxy tried the dead backend: {with}");
     assert!(
         without >= 5 * with,
-        "{without} without gossip, {with} with it"
+        "failed connects: {without} without gossip, {with} with it"
     );
     assert!(
         fleet
@@ -97,8 +99,8 @@
     );
 }
 
-/// Everything but complete, fresh datagrams of the cluster is rejected and counted by its cause; members, verdicts and
-/// service stay as they were.
+/// Corrupted, truncated, oversized and replayed datagrams are rejected and counted by cause. They change neither members nor
+/// verdicts, and requests are still served.
 #[test]
 fn invalid_and_replayed_datagrams_change_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -124,7 +126,7 @@
         for bytes in invalid.iter().chain([&valid, &valid]) {
             let _ = socket.send_to(bytes, target);
         }
-        std::thread::sleep(Duration::from_millis(20)); // the buffer of its socket is small
+        std::thread::sleep(Duration::from_millis(20)); // the proxy's receive buffer is small
     }
     let begin = Instant::now();
     let status = loop {
@@ -146,13 +148,13 @@
     );
     assert!(
         fleet.proxies[0].log_count("datagram_refused") > 0,
-        "logged with its cause"
+        "no datagram_refused was logged"
     );
     assert_eq!(fleet.proxies[0].request(&read_request(3.0)).status(), 200);
 }
 
-/// Datagrams between two halves are 7 s late, past the maximum age of 5 s: each declares the other down, and no verdict of
-/// one is used in the other. After the heal all are members of one fleet again.
+/// Datagrams between two halves of a fleet are delayed by 7 s, longer than the maximum age of 5 s: each half declares the
+/// other down and uses none of its verdicts. After the delay ends, all proxies are members of one fleet again.
 #[test]
 fn no_verdict_is_used_past_its_maximum_age_and_a_partition_heals() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -167,20 +169,20 @@
     fleet
         .faults
         .delay_between(&[0, 1, 2], &[3, 4, 5], Duration::from_secs(7));
-    // Only one half gets requests and so detects the dead backend; its verdicts are still sent to the other half.
+    // Only one half receives requests and so detects the dead backend. Its verdicts are still sent to the other half.
     send_requests(&fleet.proxies[..3], 10).join().unwrap();
     let partitioned = fleet.wait_for_members(&all, 2);
     assert!(
         fleet.proxies[..3]
             .iter()
             .any(|p| PeersStatus::of(p).count("facts_heard") > 0),
-        "no verdict within a half"
+        "no verdict was used within the half that detected the dead backend"
     );
     for proxy in &fleet.proxies[3..] {
         let status = PeersStatus::of(proxy);
         assert!(
             status.refused("stale") > 0,
-            "no datagram was stale: {}",
+            "no datagram was rejected as stale: {}",
             status.0
         );
         assert_eq!(
@@ -193,14 +195,15 @@
     fleet.faults.heal();
     let healed = fleet.wait_for_members(&all, 5);
     eprintln!(
-        "two halves {partitioned:.1?} after the requests, one fleet {healed:.1?} after the heal"
+        "two halves {partitioned:.1?} after the requests, one fleet {healed:.1?} after the delay ended"
     );
 }
 
-/// A third of the proxies are killed: the others detect it, and each of their clients is served meanwhile. A new process
-/// under the address of a killed one joins, and restores a peer's snapshot, but not which backends operators disabled there.
+/// A third of the proxies is killed: the others detect it, and all of their clients' requests are served meanwhile. A new
+/// process at the address of a killed proxy joins and restores a peer's snapshot, but not which backends operators disabled
+/// at that peer.
 #[test]
-fn a_fleet_survives_the_loss_of_a_third_and_a_restarted_proxy_gets_a_snapshot() {
+fn a_fleet_survives_the_loss_of_a_third_and_a_restarted_proxy_restores_a_peers_snapshot() {
     let backend = BackendServer::start(|_| ok("x"));
     let other = BackendServer::start(|_| ok("y"));
     let endpoints = [
@@ -215,7 +218,7 @@
     assert_eq!(
         requests.join().unwrap(),
         0,
-        "a client of a live proxy was not served"
+        "responses of live proxies other than 200"
     );
     eprintln!("two of six declared down after {detected:.1?}");
     assert_eq!(
@@ -227,7 +230,10 @@
     fleet.restart(4);
     let begin = Instant::now();
     while fleet.proxies[4].log_count("peer_snapshot_taken") == 0 {
-        assert!(begin.elapsed() < TEST_TIMEOUT, "no snapshot was restored");
+        assert!(
+            begin.elapsed() < TEST_TIMEOUT,
+            "proxy 4 restored no peer's snapshot"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     fleet.wait_for_members(&[0, 1, 2, 3, 4], 4);
@@ -237,6 +243,6 @@
     }
     assert!(
         backend.request_count() > before,
-        "a backend disabled at another proxy is disabled here"
+        "b0, disabled at proxy 0, is disabled at proxy 4 as well"
     );
 }
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -1,6 +1,7 @@
-//! Maintenance windows of a fleet whose lease holder is killed, stopped or partitioned: several real processes,
-//! faults between them (`rig::faults`), steady clients, and backends that record what reached them. Every test ends
-//! with `check`: no client failed, nothing lost or duplicated, nothing to a drained backend, never two holders.
+//! Tests of maintenance windows in a fleet whose lease holder is killed, suspended or partitioned, with several real
+//! processes, network faults between them (`rig::faults`), steady clients and recording backends. Every test ends with
+//! [`check_fleet_run`]: no request failed, was lost, was repeated without permission or reached a drained backend, and there
+//! were never two holders.
 
 mod rig;
 
@@ -11,10 +12,12 @@
 use rig::lease_history;
 use std::time::Duration;
 
+/// Numbers of the fleet's proxies.
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-/// What the protocol grants between the decision that a backend drains and the last new request to it.
+/// Maximum time in microseconds from the decision to drain a backend to the last new request that is sent to it.
 const GRACE_US: u64 = 2_000_000;
-/// When a window begins, in seconds from now, how long it lasts and its drain lead.
+
+/// When a window begins, in seconds from now, how long it lasts, and how long before its begin its backends drain.
 #[derive(Clone, Copy)]
 struct Plan {
     begin_s: f64,
@@ -27,9 +30,10 @@
     lasts_s: 6.0,
     lead_s: 4,
 };
+/// Pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Five proxies, three of them voters, that know each other, and so many backends of one kind and zone.
+/// Starts five proxies, three of them voters, that know each other, and backends of one kind and zone.
 fn fleet(seed: u64, backends: usize, options: FleetOptions) -> (Vec<RecordingBackend>, Fleet) {
     let (recorders, endpoints) = RecordingBackend::start_many(backends);
     let fleet = Fleet::with_options(FleetOptions {
@@ -43,6 +47,7 @@
     (recorders, fleet)
 }
 
+/// Returns options with a short lease, a floor of half the backends and a short maximum age.
 fn options() -> FleetOptions {
     FleetOptions {
         lease_ms: 1500,
@@ -52,6 +57,7 @@
     }
 }
 
+/// Loses, duplicates, delays, corrupts and replays some datagrams.
 fn inject_noise(fleet: &Fleet) {
     let mut rules = fleet.faults.rules.lock().unwrap();
     (rules.drop, rules.duplicate, rules.max_delay) = (0.05, 0.05, Duration::from_millis(20));
@@ -62,49 +68,51 @@
     ALL.into_iter().filter(|other| *other != n).collect()
 }
 
-/// Shut from the grace after the decision to drain on, as long as everyone is connected.
-fn decided(fleet: &Fleet, windows: &[&Window]) -> Vec<DrainedPeriod> {
+/// Returns the drained periods of windows in a connected fleet: from [`GRACE_US`] after the decision to drain to the end.
+fn connected_drained_periods(fleet: &Fleet, windows: &[&Window]) -> Vec<DrainedPeriod> {
     let of =
         |w: &&Window| w.drained_periods(fleet.wait_for_transition(&w.id, "draining").at + GRACE_US);
     windows.iter().flat_map(of).collect()
 }
 
-/// Windows run while a twentieth of the datagrams is lost, duplicated, corrupted or delayed; the holder is killed while the first
-/// one drains. Its successor goes on: at every other proxy each backend enters and leaves maintenance once.
+/// The holder is killed while the first of two windows drains. The next holder continues both windows: at every other proxy,
+/// each backend enters and leaves maintenance once. A twentieth of the datagrams is lost and a twentieth duplicated, some are
+/// corrupted or replayed, and all are delayed.
 #[test]
-fn a_successor_goes_on_where_a_killed_holder_stopped() {
+fn the_next_holder_continues_the_windows_of_a_killed_one() {
     let (backends, mut fleet) = fleet(19, 6, options());
     inject_noise(&fleet);
     let load = Load::start(&fleet, PAUSE);
-    let (first, _) = fleet.wait_for_holder(&[]);
+    let (first_holder, _) = fleet.wait_for_holder(&[]);
     let windows = [
-        fleet.put_window((first + 1) % 5, "w0", &["b0"], 4.0, 9.0, 3),
-        fleet.put_window((first + 2) % 5, "w1", &["b1"], 4.5, 9.0, 3),
+        fleet.put_window((first_holder + 1) % 5, "w0", &["b0"], 4.0, 9.0, 3),
+        fleet.put_window((first_holder + 2) % 5, "w1", &["b1"], 4.5, 9.0, 3),
     ];
     fleet.wait_until_listed(&ALL, &[&windows[0], &windows[1]]);
     let Transition {
-        proxy: first,
+        proxy: first_holder,
         token,
         ..
     } = fleet.wait_for_transition("w0", "draining");
-    load.pause(&[first]);
-    fleet.kill(&[first]);
+    load.pause(&[first_holder]);
+    fleet.kill(&[first_holder]);
     for window in &windows {
         assert!(
             fleet.wait_for_transition(&window.id, "done").token > token,
-            "the successor's doing"
+            "the window was completed under the killed holder's token"
         );
-        fleet.check_single_maintenance(&all_but(first), window);
+        fleet.check_single_maintenance(&all_but(first_holder), window);
     }
-    let shut = decided(&fleet, &[&windows[0], &windows[1]]);
-    check_fleet_run("holder killed", &fleet, &backends, &load.stop(), &shut);
+    let drained = connected_drained_periods(&fleet, &[&windows[0], &windows[1]]);
+    check_fleet_run("holder killed", &fleet, &backends, &load.stop(), &drained);
 }
 
-/// The holder stops past its lease while its messages to some are still on their way. Another goes on, and what then comes
-/// late from the first is rejected by its token. Continued, it finds its lease over before it acts.
+/// The holder is suspended past its lease while its datagrams to two proxies are held back, and another proxy takes over. When
+/// the datagrams arrive, their effects are rejected because of their old token. When the process resumes, it notices the end
+/// of its lease before it acts.
 #[test]
-fn late_effects_of_a_stopped_holder_are_rejected_by_their_token() {
-    // A broadcast may be late for a minute before it is rejected for its age.
+fn late_effects_of_a_suspended_holder_are_rejected_by_their_token() {
+    // With a maximum age of 60 s, late effects are not rejected as stale before their token is checked.
     let (backends, fleet) = fleet(
         23,
         6,
@@ -115,44 +123,59 @@
         },
     );
     let load = Load::start(&fleet, PAUSE);
-    let (first, token) = fleet.wait_for_holder(&[]);
-    load.pause(&[first]);
-    let rest = all_but(first);
-    let late: Vec<usize> = rest.iter().copied().filter(|n| *n >= 3).collect(); // no voters: the lease goes on
-    fleet.faults.rules.lock().unwrap().held = late.iter().map(|n| (first, *n)).collect();
-    let window = fleet.put_window(rest[0], "w0", &["b0"], 4.0, 14.0, 4);
-    assert_eq!(fleet.wait_for_transition("w0", "draining").proxy, first);
-    fleet.proxies[first].signal("-STOP");
-    let (next, grown) = fleet.wait_for_holder(&[first]);
-    assert!(next != first && grown > token, "{grown:?} after {token:?}");
+    let (first_holder, token) = fleet.wait_for_holder(&[]);
+    load.pause(&[first_holder]);
+    let others = all_but(first_holder);
+    let delayed_proxies: Vec<usize> = others.iter().copied().filter(|n| *n >= 3).collect(); // not voters, so that the holder can renew its lease
+    fleet.faults.rules.lock().unwrap().held =
+        delayed_proxies.iter().map(|n| (first_holder, *n)).collect();
+    let window = fleet.put_window(others[0], "w0", &["b0"], 4.0, 14.0, 4);
+    assert_eq!(
+        fleet.wait_for_transition("w0", "draining").proxy,
+        first_holder
+    );
+    fleet.proxies[first_holder].signal("-STOP");
+    let (next, new_token) = fleet.wait_for_holder(&[first_holder]);
+    assert!(
+        next != first_holder && new_token > token,
+        "{new_token:?} after {token:?}"
+    );
     let knows = |f: &Fleet, n: usize| {
-        f.control_json(n, "/duties")["token"] == format!("{}-{}", grown.0, grown.1)
+        f.control_json(n, "/duties")["token"] == format!("{}-{}", new_token.0, new_token.1)
     };
-    fleet.wait_for("the others to know of it", |f| {
-        late.iter().all(|n| knows(f, *n)).then_some(())
-    });
+    fleet.wait_for(
+        "the proxies with held datagrams to learn the new token",
+        |f| delayed_proxies.iter().all(|n| knows(f, *n)).then_some(()),
+    );
     fleet.faults.release_held();
-    for n in &late {
+    for n in &delayed_proxies {
         let refused = |l: &str| lease_history::log_field(l, "cause") == Some("token");
         let late =
             |f: &Fleet| lease_history::event_lines(&f.log(*n), "effect_refused").any(refused);
         fleet.wait_for("a late effect to be rejected", |f| late(f).then_some(()));
     }
-    fleet.proxies[first].signal("-CONT");
-    let over = |f: &Fleet| lease_history::event_lines(&f.log(first), "duty_over").count() > 0;
-    fleet.wait_for("the stopped holder to find its lease over", |f| {
-        over(f).then_some(())
+    fleet.proxies[first_holder].signal("-CONT");
+    let noticed_end =
+        |f: &Fleet| lease_history::event_lines(&f.log(first_holder), "duty_over").count() > 0;
+    fleet.wait_for("the suspended holder to notice the end of its lease", |f| {
+        noticed_end(f).then_some(())
     });
-    load.resume(&fleet, &[first]);
-    assert!(fleet.wait_for_transition("w0", "done").token >= grown);
-    fleet.check_single_maintenance(&rest, &window);
-    let shut = decided(&fleet, &[&window]);
-    check_fleet_run("holder stopped", &fleet, &backends, &load.stop(), &shut);
+    load.resume(&fleet, &[first_holder]);
+    assert!(fleet.wait_for_transition("w0", "done").token >= new_token);
+    fleet.check_single_maintenance(&others, &window);
+    let drained = connected_drained_periods(&fleet, &[&window]);
+    check_fleet_run(
+        "holder suspended",
+        &fleet,
+        &backends,
+        &load.stop(),
+        &drained,
+    );
 }
 
-/// Two windows that do not fit together are known everywhere; then, at a step of the first, `cut` partitions the fleet at its
-/// holder for longer than a proxy goes by a holder's last decision. On every side the first opens on time and closes on
-/// time, and the second waits for it until its own time is over.
+/// Partitions a fleet that knows two windows, which the floor does not allow at the same time. When the first window has reached the
+/// state `step`, `cut` partitions the fleet for longer than a proxy acts on a holder's last decision. On every side, the first
+/// window opens and closes on time, and the second waits for it until its own time is over.
 fn partitioned(
     name: &str,
     seed: u64,
@@ -183,7 +206,7 @@
         assert_eq!(
             fleet.drain_times(n, "b2").0,
             [0; 0],
-            "proxy {n} went below the floor"
+            "proxy {n} went below the floor: b2 of the second window was taken out of use"
         );
     }
     check_fleet_run(
@@ -214,7 +237,8 @@
     );
 }
 
-/// Partitioned in an open window, the minority restores at its end by itself.
+/// The fleet is partitioned in an open window: the minority puts its backends back into use at the window's end without a
+/// holder.
 #[test]
 fn windows_are_on_time_with_the_holder_in_the_majority() {
     let fleet = partitioned(
@@ -241,15 +265,15 @@
         |n: &usize| lease_history::event_lines(&fleet.log(*n), "duty_no_majority").count() > 0;
     assert!(
         ALL.iter().any(logged),
-        "no proxy logged that there is no quorum"
+        "no proxy logged that it reaches no majority"
     );
-    fleet.wait_for_transition("w0", "refused"); // nobody held the duty in all its time
+    fleet.wait_for_transition("w0", "refused"); // nobody held the duty during the window
 }
 
-/// Every proxy drains by itself; then the partition heals in the open window, and the new holder adopts it, though less
-/// than the lead is left: its backends do not come back in between.
+/// Without a majority, every proxy drains without a holder. Then the partition heals in the open window, and the new holder
+/// takes the window over although less than the drain lead is left. The backends are not put back into use in between.
 #[test]
-fn a_holder_elected_in_an_open_window_adopts_it() {
+fn a_holder_elected_in_an_open_window_takes_it_over() {
     let fleet = partitioned(
         "no majority, healed in the window",
         53,
@@ -262,8 +286,10 @@
         |fleet, _, window| {
             fleet.faults.partition(&[&[3, 4]]);
             let out = |f: &Fleet| ALL.iter().all(|n| !f.drain_times(*n, "b0").0.is_empty());
-            fleet.wait_for("all to drain by themselves", |f| out(f).then_some(()));
-            fleet.wait_for("less than the lead to be left", |_| {
+            fleet.wait_for("all proxies to drain without a holder", |f| {
+                out(f).then_some(())
+            });
+            fleet.wait_for("less than the drain lead to be left", |_| {
                 (monotonic_us() > window.end - 7_000_000).then_some(())
             });
             fleet.faults.heal();
@@ -282,8 +308,8 @@
     fleet.wait_for_transition("w0", "done");
 }
 
-/// All voters are killed at once in an open window and start again with nothing in their memory; later the whole fleet
-/// does. Tokens grow both times, and nothing is restored before its window's end.
+/// All voters are killed at once in an open window and restart without state; later all proxies are. Tokens grow both times,
+/// and no backend is put back into use before its window's end.
 #[test]
 fn tokens_grow_over_a_restart_of_all_voters_and_nothing_is_restored_early() {
     let (backends, mut fleet) = fleet(43, 6, options());
@@ -297,7 +323,7 @@
     fleet.kill(&voters);
     voters.iter().for_each(|n| fleet.restart(*n));
     let knows = |f: &Fleet| voters.iter().all(|n| !f.drain_times(*n, "b0").0.is_empty());
-    fleet.wait_for("the new processes to learn of the window", |f| {
+    fleet.wait_for("the new processes to learn the window", |f| {
         knows(f).then_some(())
     });
     load.resume(&fleet, &voters);
@@ -321,11 +347,11 @@
     );
 }
 
-/// Three windows of two backends each want the same time, of eight of which three fifths have to stay ready: they run one
-/// after the other, in the order of their begins, while one more backend dies and the holder goes by SIGTERM. A fourth that
-/// would take three does not fit beside the dead one: it is refused when its time is over.
+/// Three windows of two backends each overlap in time, and three fifths of the eight backends have to stay ready: the windows
+/// run one after the other, ordered by their begin, while another backend dies and the holder is ended by SIGTERM. A fourth
+/// window with three backends does not fit beside the dead one, and is refused when its time is over.
 #[test]
-fn the_budget_lets_windows_run_one_after_the_other() {
+fn the_floor_makes_overlapping_windows_run_one_after_the_other() {
     let (backends, mut fleet) = fleet(
         47,
         8,
@@ -335,7 +361,7 @@
         },
     );
     let load = Load::start(&fleet, PAUSE);
-    let (first, _) = fleet.wait_for_holder(&[]);
+    let (first_holder, _) = fleet.wait_for_holder(&[]);
     let put =
         |at, id, ids: &[&str], begin, end| fleet.put_window(at, id, ids, begin, end - begin, 2);
     let windows = [
@@ -345,19 +371,21 @@
     ];
     put(3, "w3", &["b0", "b1", "b2"], 3.3, 29.0);
     fleet.wait_for_transition("w0", "open");
-    let waits = |id: &str| {
-        let list = fleet.control_json((first + 1) % 5, "/windows").to_string();
+    let check_waiting = |id: &str| {
+        let list = fleet
+            .control_json((first_holder + 1) % 5, "/windows")
+            .to_string();
         assert!(
             list.contains("waiting"),
-            "{id} does not say what it waits for: {list}"
+            "no window is listed as waiting, expected {id}: {list}"
         );
     };
-    waits("w1");
+    check_waiting("w1");
     backends[7].shut_down();
     fleet.wait_for_transition("w1", "open");
-    load.pause(&[first]);
-    fleet.terminate(first);
-    let rest = all_but(first);
+    load.pause(&[first_holder]);
+    fleet.terminate(first_holder);
+    let others = all_but(first_holder);
     fleet.wait_for_transition("w3", "refused");
     assert!(
         fleet.transitions("w3").iter().all(|d| d.to != "draining"),
@@ -365,21 +393,21 @@
         fleet.transitions("w3")
     );
     for pair in windows.windows(2) {
-        let (over, next) = (
+        let (restoring, draining) = (
             fleet.wait_for_transition(&pair[0].id, "restoring").at,
             fleet.wait_for_transition(&pair[1].id, "draining").at,
         );
         assert!(
-            over <= next,
-            "{} drained {} us before {} was back",
+            restoring <= draining,
+            "{} drained {} us before the backends of {} were put back into use",
             pair[1].id,
-            over - next,
+            restoring - draining,
             pair[0].id
         );
     }
     windows
         .iter()
-        .for_each(|w| fleet.check_single_maintenance(&rest, w));
-    let shut = decided(&fleet, &[&windows[0], &windows[1], &windows[2]]);
-    check_fleet_run("budget", &fleet, &backends, &load.stop(), &shut);
+        .for_each(|w| fleet.check_single_maintenance(&others, w));
+    let drained = connected_drained_periods(&fleet, &[&windows[0], &windows[1], &windows[2]]);
+    check_fleet_run("floor", &fleet, &backends, &load.stop(), &drained);
 }
