--- a/tests/locality.rs
+++ b/tests/locality.rs
@@ -1,4 +1,5 @@
-//! Zones with real processes: two proxies, backends in two zones on loopback, one zone half dead.
+//! Tests of zone-aware routing with real processes: a zone with failing backends is taken out of use by all proxies, and
+//! returned to use once it recovers.
 
 mod rig;
 
@@ -7,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The rig's settings with two zones, two proxies and zones that are left at half out.
+/// Returns the settings of one of two proxies, with two zones that are taken out of use when half of their endpoints are out.
 fn settings(position: u32) -> String {
     let zones = r#""zones":["east","west"],"locality":{"leave_share":0.5,"ramp_us":9000000},"#;
     SETTINGS
@@ -18,14 +19,15 @@
         .replace(r#""zones":["east"],"#, zones)
 }
 
+/// Returns an endpoint entry in the zone `west`.
 fn west(name: &str, address: std::net::SocketAddr) -> String {
     entry(name, address, "SERVING").replace(r#""zone":"east""#, r#""zone":"west""#)
 }
 
-/// A zone whose connections are refused at one of its two backends is left by both proxies: its other backend gets
-/// nothing more, and every client is served by the other zone.
+/// One of a zone's two backends refuses connections: both proxies take the zone out of use. Its other backend gets no more
+/// requests, and all requests are served by the other zone.
 #[test]
-fn both_proxies_leave_a_zone_that_is_half_dead_and_lose_no_request() {
+fn both_proxies_take_a_half_dead_zone_out_of_use_and_fail_no_request() {
     let (e0, e1) = (
         BackendServer::start(|_| ok("east")),
         BackendServer::start(|_| ok("east")),
@@ -43,14 +45,15 @@
     ];
     for proxy in &proxies {
         for _ in 0..60 {
-            // A retry is paid for by earlier requests: the first failed connects may be refused, never failed.
+            // Earlier requests earn the budget for retries: the first requests whose connect fails may be rejected with 503,
+            // but must not fail otherwise.
             assert!(
                 [200, 503].contains(&proxy.request(&read_request(3.0)).status()),
-                "an answer while the zone is found out"
+                "a status other than 200 and 503 before the zone is taken out of use"
             );
         }
     }
-    // Shares are solved again a tenth of a second on, at the next request.
+    // Routing shares are recomputed 100 ms later, at the next request.
     std::thread::sleep(Duration::from_millis(200));
     proxies
         .iter()
@@ -62,34 +65,36 @@
             assert_eq!(
                 (answer.status(), &answer.body[..]),
                 (200, &b"east"[..]),
-                "left zone in use"
+                "a request was not served by the zone in use"
             );
         }
     }
     assert_eq!(
         w1.request_count(),
         before,
-        "the half that lives in a left zone still got requests"
+        "the working backend of a zone out of use still got requests"
     );
 }
 
+/// Zones of the second test.
 const ZONES: [&str; 3] = ["east", "west", "south"];
 
-/// One proxy a zone, and two backends a zone.
+/// A fleet with one proxy and two backends in each zone.
 struct Fleet {
     proxies: Vec<Proxy>,
     backends: Vec<BackendServer>,
-    /// The backends of west hear, but answer one request in four.
-    cut: Arc<AtomicBool>,
+    /// While set, the backends of `west` receive requests but answer only one in four.
+    degraded: Arc<AtomicBool>,
 }
 
 impl Fleet {
+    /// Starts the fleet. `locality` is added to the settings after the zones.
     fn new(locality: &str) -> Fleet {
-        let cut = Arc::new(AtomicBool::new(false));
+        let degraded = Arc::new(AtomicBool::new(false));
         let backend = |n: usize| {
-            let cut = cut.clone();
+            let degraded = degraded.clone();
             BackendServer::start(move |request| {
-                let silent = n / 2 == 1 && cut.load(Ordering::SeqCst) && request % 4 != 0;
+                let silent = n / 2 == 1 && degraded.load(Ordering::SeqCst) && request % 4 != 0;
                 if silent {
                     Reply::NoResponse
                 } else {
@@ -98,11 +103,11 @@
             })
         };
         let backends: Vec<BackendServer> = (0..6).map(backend).collect();
-        let row = |(n, b): (usize, &BackendServer)| {
+        let endpoint = |(n, b): (usize, &BackendServer)| {
             let zone = format!(r#""zone":"{}""#, ZONES[n / 2]);
             entry(&format!("b{n}"), b.address, "SERVING").replace(r#""zone":"east""#, &zone)
         };
-        let known: Vec<String> = backends.iter().enumerate().map(row).collect();
+        let known: Vec<String> = backends.iter().enumerate().map(endpoint).collect();
         let proxy = |n: usize| {
             let own = format!(
                 r#""my_zone":"{}","zones":["east","west","south"]{locality},"#,
@@ -125,11 +130,12 @@
         Fleet {
             proxies: (0..3).map(proxy).collect(),
             backends,
-            cut,
+            degraded,
         }
     }
 
-    /// Six clients at every proxy for so long, one request every 20 ms each: how many each zone got, and the statuses.
+    /// Runs six clients at every proxy for `span`, each with a pause of 20 ms between requests. Returns the number of requests
+    /// that each zone's backends got, and the statuses of the responses.
     fn load(&self, span: Duration) -> ([u32; 3], Vec<u16>) {
         let before: Vec<u32> = self
             .backends
@@ -137,7 +143,7 @@
             .map(BackendServer::request_count)
             .collect();
         let end = Instant::now() + span;
-        let ask = |at| {
+        let run_client = |at| {
             std::thread::spawn(move || {
                 let (mut client, mut statuses) = (Client::connect(at), Vec::new());
                 while Instant::now() < end {
@@ -148,8 +154,11 @@
             })
         };
         let all = self.proxies.iter().flat_map(|p| [p.address; 6]);
-        let asking: Vec<_> = all.map(ask).collect();
-        let statuses = asking.into_iter().flat_map(|a| a.join().unwrap()).collect();
+        let clients: Vec<_> = all.map(run_client).collect();
+        let statuses = clients
+            .into_iter()
+            .flat_map(|a| a.join().unwrap())
+            .collect();
         let mut zones = [0; 3];
         self.backends
             .iter()
@@ -159,11 +168,15 @@
         (zones, statuses)
     }
 
-    /// Loads on until the proxy of west, the one that sends there, has said these words as often as those.
-    fn until(&self, words: &str, those: &str) -> Duration {
+    /// Runs clients until the proxy of `west`, which mainly uses that zone, has logged `words` at least as often as `reference`,
+    /// and at least once. Returns how long that took.
+    fn load_until(&self, words: &str, reference: &str) -> Duration {
         let (begun, west) = (Instant::now(), &self.proxies[1]);
-        while west.log_count(words) == 0 || west.log_count(words) < west.log_count(those) {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "it never said {words:?}");
+        while west.log_count(words) == 0 || west.log_count(words) < west.log_count(reference) {
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "the proxy of west never logged {words:?}"
+            );
             let (_, statuses) = self.load(Duration::from_millis(250));
             assert!(
                 statuses.iter().all(|s| [200, 503].contains(s)),
@@ -174,15 +187,15 @@
     }
 }
 
-/// A zone is cut off and still answers some: all leave it, nobody is failed, and it comes back on a ramp. In calm traffic
-/// stays in its zone, where without the setting it went everywhere.
+/// A zone answers only one request in four: all proxies take it out of use, no request fails, and once it recovers, its traffic
+/// returns on a ramp. Without faults, traffic stays in its own zone, while without the setting it is spread over all zones.
 #[test]
-fn a_zone_that_answers_one_in_four_is_left_and_comes_back_on_a_ramp() {
+fn a_zone_that_answers_one_in_four_is_taken_out_of_use_and_returns_on_a_ramp() {
     let (second, quarter) = (Duration::from_secs(1), Duration::from_millis(250));
     let fleet = Fleet::new(r#","locality":{"leave_share":0.5,"ramp_us":4000000}"#);
     let spread = Fleet::new("");
-    let near = |f: &Fleet| {
-        // Only east's proxy is asked, so what the other zones' backends get has crossed.
+    let count_in_own_zone = |f: &Fleet| {
+        // Only the proxy of `east` gets requests, so those at the backends of other zones have left their zone.
         let counts = || {
             f.backends
                 .iter()
@@ -195,36 +208,42 @@
         after[..2].iter().sum::<u32>() - before[..2].iter().sum::<u32>()
     };
     fleet.load(second);
-    let (kept, strayed) = (near(&fleet), near(&spread));
-    assert!(kept >= 57, "{kept} of 60 stayed in their zone");
-    assert!(strayed < 40, "{strayed} of 60 without the setting");
-    fleet.cut.store(true, Ordering::SeqCst);
-    let left = fleet.until("zone 1 taken out of use", "zone 1 taken out of use");
-    let (away, statuses) = fleet.load(2 * quarter);
-    let refused = statuses.iter().filter(|s| **s != 200).count();
+    let (with_locality, without_locality) = (count_in_own_zone(&fleet), count_in_own_zone(&spread));
+    assert!(
+        with_locality >= 57,
+        "{with_locality} of 60 stayed in their zone"
+    );
+    assert!(
+        without_locality < 40,
+        "{without_locality} of 60 stayed in their zone without the setting"
+    );
+    fleet.degraded.store(true, Ordering::SeqCst);
+    let out_of_use = fleet.load_until("zone 1 taken out of use", "zone 1 taken out of use");
+    let (by_zone, statuses) = fleet.load(2 * quarter);
+    let rejected = statuses.iter().filter(|s| **s != 200).count();
     assert!(
         statuses.iter().all(|s| [200, 503].contains(s)),
-        "failed while its zone was left"
+        "a request failed while the zone was out of use"
     );
     assert!(
-        refused * 20 < statuses.len(),
-        "left, and yet {refused} of {} refused",
+        rejected * 20 < statuses.len(),
+        "{rejected} of {} requests rejected although the zone was out of use",
         statuses.len()
     );
     assert!(
-        away[1] * 8 < away[0] + away[2],
-        "a left zone kept its traffic: {away:?}"
+        by_zone[1] * 8 < by_zone[0] + by_zone[2],
+        "a zone out of use kept its traffic, requests by zone: {by_zone:?}"
     );
-    fleet.cut.store(false, Ordering::SeqCst);
-    let returned = fleet.until("zone 1 returning", "zone 1 taken out of use");
+    fleet.degraded.store(false, Ordering::SeqCst);
+    let returning = fleet.load_until("zone 1 returning", "zone 1 taken out of use");
     let (early, _) = fleet.load(quarter);
-    let back = fleet.until("zone 1 recovered", "zone 1 recovered");
+    let recovered = fleet.load_until("zone 1 recovered", "zone 1 recovered");
     fleet.load(second);
     let (late, _) = fleet.load(second);
-    eprintln!("left after {left:.1?}, returning after {returned:.1?}, back after {back:.1?}; {early:?} early, {late:?} late");
+    eprintln!("out of use after {out_of_use:.1?}, returning after {returning:.1?}, recovered after {recovered:.1?}; requests by zone {early:?} early, {late:?} late");
     let share = |z: [u32; 3]| f64::from(z[1]) / f64::from(z.iter().sum::<u32>());
     assert!(
         share(early) < 0.8 * share(late),
-        "no ramp: {early:?} then {late:?}"
+        "no ramp: requests by zone {early:?}, later {late:?}"
     );
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery after a crash: the snapshot of what was learned, with real processes killed outright.
+//! Tests of recovery after a crash, with real processes killed by SIGKILL: a new process restores the state that the proxy
+//! learned, and which backends operators disabled, from a snapshot file.
 
 mod rig;
 
@@ -11,34 +12,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Starts the program with a snapshot folder and its own `TMPDIR`, as on the platform where nothing else lasts.
+/// Starts a proxy that writes snapshots to `dir` every 100 ms. Its `TMPDIR` is new, so that only the snapshots are kept.
+/// `extra` is added to the snapshot settings.
 fn start(known: &[String], settings: &str, dir: &Path, extra: &str) -> Proxy {
-    let kept = format!(
+    let snapshot_config = format!(
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100{extra}}}"#,
         dir.display()
     );
-    Proxy::with_extra_config(known, settings, &kept, &[tmp()])
+    Proxy::with_extra_config(known, settings, &snapshot_config, &[tmp()])
 }
 
-/// One discovery over all starts, as a snapshot is kept for one deployment; of two keys the last counts.
+/// Sets the same discovery address for all starts, as a snapshot is valid for one deployment only. Of duplicate keys the last
+/// one counts.
 const DEPLOYMENT: &str = r#","discovery":"127.0.0.1:9""#;
 
+/// Returns a new `TMPDIR`.
 fn tmp() -> (&'static str, String) {
     ("TMPDIR", create_temp_dir().to_str().unwrap().into())
 }
 
+/// Returns the status of a request.
 fn status(proxy: &Proxy) -> u16 {
     proxy.request(&read_request(3.0)).status()
 }
 
+/// Returns the path of a snapshot directory that does not exist yet.
 fn snapshots() -> PathBuf {
     create_temp_dir().join("kept")
 }
 
-/// A ban by hand outlives a crash and a `TMPDIR` that starts empty: the snapshot brings it back, in a folder
-/// named by the configuration or by `NODE_SNAPSHOT`.
+/// A backend that an operator disabled stays disabled after a crash and with a new `TMPDIR`: the snapshot restores it, from a
+/// directory set by the configuration or by `NODE_SNAPSHOT`.
 #[test]
-fn a_ban_outlives_a_crash_through_the_snapshot() {
+fn a_disabled_backend_stays_disabled_after_a_crash() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
@@ -62,8 +68,8 @@
     );
     wait_for_new(&dir);
     drop(first); // SIGKILL
-    let named = ("NODE_SNAPSHOT", dir.to_str().unwrap().into());
-    let second = Proxy::with_extra_config(&known, SETTINGS, DEPLOYMENT, &[tmp(), named]);
+    let snapshot_dir = ("NODE_SNAPSHOT", dir.to_str().unwrap().into());
+    let second = Proxy::with_extra_config(&known, SETTINGS, DEPLOYMENT, &[tmp(), snapshot_dir]);
     assert!(
         second.startup_log.contains("snapshot taken"),
         "{}",
@@ -76,13 +82,13 @@
     assert_eq!(
         a.request_count(),
         before,
-        "the banned backend got requests after the crash"
+        "the disabled backend got requests after the crash"
     );
 }
 
-/// Every kind of broken or unfit file is refused with its cause named, and the proxy serves from a cold start.
+/// Each kind of damaged or unsuitable snapshot is rejected with its cause, and the proxy serves requests after a cold start.
 #[test]
-fn each_unfit_snapshot_is_refused_by_name_and_the_start_is_cold() {
+fn each_unusable_snapshot_is_rejected_with_its_cause_and_the_start_is_cold() {
     let backend = BackendServer::start(|_| ok("x"));
     let known = [entry("b0", backend.address, "SERVING")];
     let dir = snapshots();
@@ -92,23 +98,26 @@
     }
     wait_for_new(&dir);
     drop(first); // SIGKILL
-    let whole = only_file(&dir);
-    let (name, good) = (whole.file_name().unwrap(), std::fs::read(&whole).unwrap());
+    let snapshot = only_file(&dir);
+    let (name, valid) = (
+        snapshot.file_name().unwrap(),
+        std::fs::read(&snapshot).unwrap(),
+    );
     let flipped = {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         let at = bytes.len() / 2;
         bytes[at] ^= 0x10;
         bytes
     };
-    let future = [&good[..4], &[9, 0], &good[6..]].concat();
-    let other = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
+    let future = [&valid[..4], &[9, 0], &valid[6..]].concat();
+    let other_settings = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
     let cases: [(&str, Vec<u8>, &str, &str); 6] = [
-        ("truncated", good[..good.len() - 3].to_vec(), SETTINGS, ""),
+        ("truncated", valid[..valid.len() - 3].to_vec(), SETTINGS, ""),
         ("checksum", flipped, SETTINGS, ""),
-        ("magic", vec![0; good.len()], SETTINGS, ""),
+        ("magic", vec![0; valid.len()], SETTINGS, ""),
         ("format", future, SETTINGS, ""),
-        ("settings", good.clone(), &other, ""),
-        ("stale", good.clone(), SETTINGS, r#","max_age_s":0.01"#),
+        ("settings", valid.clone(), &other_settings, ""),
+        ("stale", valid.clone(), SETTINGS, r#","max_age_s":0.01"#),
     ];
     for (cause, bytes, settings, extra) in cases {
         let dir = snapshots();
@@ -119,17 +128,22 @@
             .startup_log
             .lines()
             .find(|l| l.contains("snapshot refused, cold start"));
-        let line = line.unwrap_or_else(|| panic!("{cause}: no refusal in {}", proxy.startup_log));
+        let line = line
+            .unwrap_or_else(|| panic!("{cause}: no rejected snapshot in {}", proxy.startup_log));
         assert!(
             line.contains(&format!("cause=\"{cause}\"")),
             "{cause}: {line}"
         );
-        assert_eq!(status(&proxy), 200, "{cause}: serves cold");
+        assert_eq!(
+            status(&proxy),
+            200,
+            "{cause}: no response 200 after a cold start"
+        );
     }
 }
 
-/// Killed outright again and again while it writes under load, each new process finds a whole snapshot, and no request
-/// that may run only once reaches the backend twice.
+/// A proxy is killed again and again while it writes snapshots under load: each new process finds a complete snapshot, and no
+/// payment reaches the backend twice.
 #[test]
 fn kill_9_in_a_loop_under_load_never_leaves_a_torn_snapshot() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -153,7 +167,7 @@
             })
         };
         seed = seed.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-        wait_for_first(&dir); // on a busy machine the very first takes its time
+        wait_for_first(&dir); // on a busy machine the first snapshot may be late
         std::thread::sleep(Duration::from_millis(150 + u64::from(seed >> 24)));
         drop(proxy); // SIGKILL
         busy.store(false, Ordering::SeqCst);
@@ -164,18 +178,18 @@
             "round {round}: {}",
             proxy.startup_log
         );
-        let whole = only_file(&dir);
-        let parts = std::fs::read_dir(&dir).unwrap().flatten();
+        let snapshot = only_file(&dir);
+        let files = std::fs::read_dir(&dir).unwrap().flatten();
         assert!(
-            parts.filter(|e| e.path() != whole).count() <= 1,
-            "parts pile up"
+            files.filter(|e| e.path() != snapshot).count() <= 1,
+            "unfinished snapshot files accumulate"
         );
     }
     for _ in 0..20 {
         assert_eq!(
             status(&proxy),
             200,
-            "a warm start serves at once: {}",
+            "not served at once after a warm start: {}",
             proxy.startup_log
         );
     }
@@ -189,32 +203,36 @@
     ids.dedup();
     assert!(
         all > 100 && ids.len() == all,
-        "{} of {all} requests came again",
+        "{} of {all} requests were repeated",
         all - ids.len()
     );
 }
 
-/// Settings that changed while it ran are those that its snapshot stands under from then on.
+/// After a reload with other settings, snapshots are written for the new settings: a process that starts with these restores
+/// them.
 #[test]
-fn a_snapshot_after_a_reload_fits_the_settings_that_were_taken() {
+fn a_snapshot_after_a_reload_is_valid_for_the_new_settings() {
     let backend = BackendServer::start(|_| ok("x"));
     let known = [entry("b0", backend.address, "SERVING")];
     let dir = snapshots();
     let first = start(&known, SETTINGS, &dir, "");
-    let other = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
+    let other_settings = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0");
     let text = std::fs::read_to_string(&first.config_path)
         .unwrap()
-        .replace(SETTINGS, &other);
+        .replace(SETTINGS, &other_settings);
     std::fs::write(&first.config_path, text).unwrap();
     first.signal("-HUP");
     let begun = std::time::Instant::now();
     while first.log_count("configuration taken") == 0 {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "never taken");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "the new configuration was not applied"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     wait_for_new(&dir);
     drop(first); // SIGKILL
-    let second = start(&known, &other, &dir, "");
+    let second = start(&known, &other_settings, &dir, "");
     assert!(
         second.startup_log.contains("snapshot taken"),
         "{}",
@@ -222,10 +240,10 @@
     );
 }
 
-/// The operators' yes outlives a crash right after it, with nothing but the snapshot: it is written with each ban and
-/// each end of one, not only from time to time.
+/// A response that a backend was disabled or enabled is still true after a crash right after it, with nothing but the snapshot:
+/// one is written at each such change, not only at intervals.
 #[test]
-fn what_operators_were_told_outlives_a_crash_in_the_next_moment() {
+fn disabling_and_enabling_survive_a_crash_right_after_the_response() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
@@ -235,11 +253,11 @@
         entry("b1", b.address, "SERVING"),
     ];
     let dir = snapshots();
-    let seldom = format!(
+    let snapshot_config = format!(
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
         dir.display()
     );
-    let start = || Proxy::with_extra_config(&known, SETTINGS, &seldom, &[tmp()]);
+    let start = || Proxy::with_extra_config(&known, SETTINGS, &snapshot_config, &[tmp()]);
     let first = start();
     assert_eq!(
         first
@@ -252,7 +270,7 @@
     let before = a.request_count();
     assert!(
         (0..30).all(|_| status(&second) == 200) && a.request_count() == before,
-        "the ban was forgotten"
+        "the disabled backend was enabled by the crash"
     );
     assert_eq!(
         second
@@ -264,13 +282,13 @@
     let third = start();
     assert!(
         (0..60).all(|_| status(&third) == 200) && a.request_count() > before,
-        "the ban came back"
+        "the enabled backend was disabled by the crash"
     );
 }
 
-/// The folder in `TMPDIR` is newer than a snapshot that was written before a ban ended: the ban stays over.
+/// A backend stays enabled although a snapshot from before it was enabled is restored: the state in `TMPDIR` is newer.
 #[test]
-fn a_ban_that_is_over_does_not_come_back_with_an_older_snapshot() {
+fn an_enabled_backend_is_not_disabled_by_an_older_snapshot() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
@@ -280,11 +298,18 @@
         entry("b1", b.address, "SERVING"),
     ];
     let (dir, tmp) = (snapshots(), tmp());
-    let kept = format!(
+    let snapshot_config = format!(
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":3600000}}"#,
         dir.display()
     );
-    let start = || Proxy::with_extra_config(&known, SETTINGS, &kept, std::slice::from_ref(&tmp));
+    let start = || {
+        Proxy::with_extra_config(
+            &known,
+            SETTINGS,
+            &snapshot_config,
+            std::slice::from_ref(&tmp),
+        )
+    };
     let mut first = start();
     assert_eq!(
         first
@@ -292,7 +317,7 @@
             .status(),
         200
     );
-    first.terminate(); // which writes
+    first.terminate(); // writes a snapshot
     assert!(first.child.wait().unwrap().success());
     let before = std::fs::read(only_file(&dir)).unwrap();
     let second = start();
@@ -312,14 +337,14 @@
     );
     assert!(
         (0..60).all(|_| status(&third) == 200) && a.request_count() > 0,
-        "the ban came back"
+        "the older snapshot disabled the enabled backend"
     );
 }
 
-/// A ban that two processes of one proxy have from a snapshot, with a `TMPDIR` that knows nothing of it, is over at both
-/// once operators end it at one.
+/// Two processes of one proxy have a disabled backend from a snapshot, while their common `TMPDIR` does not list it. When
+/// operators enable it at one process, it is enabled at both.
 #[test]
-fn a_ban_from_a_snapshot_ends_at_both_processes() {
+fn a_backend_disabled_by_a_snapshot_is_enabled_at_both_processes() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
@@ -328,20 +353,24 @@
         entry("b0", a.address, "SERVING"),
         entry("b1", b.address, "SERVING"),
     ];
-    let (dir, late) = (snapshots(), tmp());
+    let (dir, shared_tmp) = (snapshots(), tmp());
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&socket).set_cloexec(false).unwrap();
-    let passed = (
+    let socket_fd = (
         "NODE_SOCKET_FD",
         std::os::fd::AsRawFd::as_raw_fd(&socket).to_string(),
     );
-    let kept = format!(
+    let snapshot_config = format!(
         r#"{DEPLOYMENT},"snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
     let start = |tmp: &(&'static str, String)| {
-        let proxy =
-            Proxy::with_extra_config(&known, SETTINGS, &kept, &[tmp.clone(), passed.clone()]);
+        let proxy = Proxy::with_extra_config(
+            &known,
+            SETTINGS,
+            &snapshot_config,
+            &[tmp.clone(), socket_fd.clone()],
+        );
         proxy.wait_until_serving();
         proxy
     };
@@ -354,7 +383,7 @@
     );
     first.terminate();
     assert!(first.child.wait().unwrap().success());
-    let (old, new) = (start(&late), start(&late));
+    let (old, new) = (start(&shared_tmp), start(&shared_tmp));
     for proxy in [&old, &new] {
         assert!(
             proxy.startup_log.contains("snapshot taken"),
@@ -371,7 +400,7 @@
     while a.request_count() == 0 {
         assert!(
             std::time::Instant::now() < end,
-            "the other process was not told"
+            "the backend was not enabled at the other process"
         );
         assert_eq!(status(&new), 200);
     }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Twenty real processes restarted at once, while discovery is down, slow or silent, snapshots are unfit and the old
-//! processes are still there: each is ready long before it has to be.
+//! Tests that restart twenty real processes at once while discovery is down, slow or silent, snapshots are unusable or the old
+//! processes still listen: each new process is ready within [`READY`].
 
 mod rig;
 
@@ -11,87 +11,96 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Number of proxies.
 const FLEET: usize = 20;
-/// Nine in ten have so long; here each has.
+/// Time within which a started process has to be ready. The requirement is for nine processes in ten, here each has to meet it.
 const READY: Duration = Duration::from_secs(10);
 
-/// What a process says that finds its address in use.
-const MET: &str = "is in use by another process, retrying";
+/// Log text of a process that finds its listen address in use.
+const ADDRESS_IN_USE: &str = "is in use by another process, retrying";
 
-/// One of the fleet: what is told to it at each start.
+/// Configuration with which a proxy is started and restarted.
 #[derive(Clone)]
-struct Seat {
+struct ProxyConfig {
     listen: String,
     discovery: SocketAddr,
     known: Vec<String>,
-    kept: PathBuf,
+    snapshot_dir: PathBuf,
     settings: String,
 }
 
-impl Seat {
+impl ProxyConfig {
     fn start(&self) -> Proxy {
         let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
-        let kept = ("NODE_SNAPSHOT", self.kept.to_str().unwrap().to_string());
+        let snapshot_variable = (
+            "NODE_SNAPSHOT",
+            self.snapshot_dir.to_str().unwrap().to_string(),
+        );
         Proxy::with_addresses(
             &self.listen,
             self.discovery,
             &self.known,
             1024,
             &self.settings,
-            &[tmp, kept],
+            &[tmp, snapshot_variable],
         )
     }
 }
 
-/// All at once, and how long each took from its start to its first answer to the platform's question.
-fn started(seats: &[Seat]) -> (Vec<Proxy>, Vec<Duration>) {
-    let start = |seat: Seat| {
+/// Starts all proxies at once. Returns them, and the times from each start to the first response to a readiness check.
+fn start_all(configs: &[ProxyConfig]) -> (Vec<Proxy>, Vec<Duration>) {
+    let start = |config: ProxyConfig| {
         move || {
             let begun = Instant::now();
-            let proxy = seat.start();
+            let proxy = config.start();
             let ready = proxy.request("GET /-/ready HTTP/1.1\r\nHost: f\r\n\r\n");
             assert_eq!(ready.status(), 200);
             (proxy, begun.elapsed())
         }
     };
-    let threads: Vec<_> = seats
+    let threads: Vec<_> = configs
         .iter()
         .cloned()
-        .map(|seat| std::thread::spawn(start(seat)))
+        .map(|config| std::thread::spawn(start(config)))
         .collect();
     threads.into_iter().map(|t| t.join().unwrap()).unzip()
 }
 
-/// Every second proxy knows no backend, as one that never had a list, beginning with the second.
-fn seats(discovery: SocketAddr, backend: &BackendServer) -> Vec<Seat> {
-    // Free ones, on an address of their own so that nobody else is given them meanwhile.
-    let held: Vec<TcpListener> = (0..FLEET)
+/// Returns the configurations of the fleet. Every second proxy, from the second on, knows no backend, like a proxy that never
+/// received an endpoint list.
+fn proxy_configs(discovery: SocketAddr, backend: &BackendServer) -> Vec<ProxyConfig> {
+    // Free ports on a separate address, so that no other program gets them before the proxies listen.
+    let reserved: Vec<TcpListener> = (0..FLEET)
         .map(|_| TcpListener::bind("127.0.77.1:0").unwrap())
         .collect();
-    let seat = |n: usize| Seat {
-        listen: held[n].local_addr().unwrap().to_string(),
+    let config = |n: usize| ProxyConfig {
+        listen: reserved[n].local_addr().unwrap().to_string(),
         discovery,
         known: (n % 2..1)
             .map(|_| entry("b0", backend.address, "SERVING"))
             .collect(),
-        kept: create_temp_dir().join("kept"),
+        snapshot_dir: create_temp_dir().join("kept"),
         settings: SETTINGS.into(),
     };
-    (0..FLEET).map(seat).collect()
+    (0..FLEET).map(config).collect()
 }
 
-fn told(case: &str, mut took: Vec<Duration>) {
+/// Prints the shortest and the longest time until ready, and checks the longest.
+fn check_ready(case: &str, mut took: Vec<Duration>) {
     took.sort();
     eprintln!("{case}: ready after {:?} to {:?}", took[0], took[FLEET - 1]);
     assert!(took[FLEET - 1] < READY, "{case}: {took:?}");
 }
 
-/// Until each one serves.
-fn serving(proxies: &[Proxy]) {
+/// Waits until each proxy serves requests.
+fn wait_until_serving(proxies: &[Proxy]) {
     let end = Instant::now() + TEST_TIMEOUT;
     for proxy in proxies {
         while proxy.request(&read_request(3.0)).status() != 200 {
-            assert!(Instant::now() < end, "a list that was told never counted");
+            assert!(
+                Instant::now() < end,
+                "a proxy does not use the endpoint list that discovery sent"
+            );
         }
     }
 }
@@ -100,31 +109,31 @@
     BackendServer::start(|_| ok("x"))
 }
 
-/// Killed outright while discovery refuses connections, with snapshots that are whole, cut, spoilt or from other
-/// settings: ready at once, and serving once discovery is back in the middle of it.
+/// All processes are killed while discovery refuses connections, and their snapshots are left as they are, truncated, corrupted
+/// or made for other settings. The new processes are ready in time, and all serve requests once discovery is available again.
 #[test]
-fn after_a_kill_with_discovery_down_and_unfit_snapshots_all_are_ready() {
+fn after_a_kill_with_discovery_down_and_unusable_snapshots_all_are_ready() {
     let (backend, down) = (backend(), RefusingPort::new());
-    let mut seats = seats(down.address(), &backend);
-    let (proxies, took) = started(&seats);
-    told("first start", took);
-    let files: Vec<PathBuf> = seats
+    let mut configs = proxy_configs(down.address(), &backend);
+    let (proxies, took) = start_all(&configs);
+    check_ready("first start", took);
+    let files: Vec<PathBuf> = configs
         .iter()
-        .map(|seat| wait_for_first(&seat.kept))
+        .map(|config| wait_for_first(&config.snapshot_dir))
         .collect();
     drop(proxies); // SIGKILL
-    for (n, (file, seat)) in files.iter().zip(&mut seats).enumerate() {
+    for (n, (file, config)) in files.iter().zip(&mut configs).enumerate() {
         let mut bytes = std::fs::read(file).unwrap();
         match n % 4 {
             0 => {}
             1 => bytes.truncate(bytes.len() / 2),
             2 => bytes.iter_mut().skip(14).for_each(|b| *b ^= 0x55),
-            _ => seat.settings = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0"),
+            _ => config.settings = SETTINGS.replace("\"quota_rps\":500.0", "\"quota_rps\":400.0"),
         }
         std::fs::write(file, bytes).unwrap();
     }
-    let (proxies, took) = started(&seats);
-    told("killed, discovery down", took);
+    let (proxies, took) = start_all(&configs);
+    check_ready("killed, discovery down", took);
     let causes = ["snapshot taken", "truncated", "checksum", "settings"];
     for (n, proxy) in proxies.iter().enumerate() {
         assert!(
@@ -138,35 +147,37 @@
     assert_eq!(
         proxies.iter().filter(served).count(),
         FLEET / 2,
-        "who knows a backend serves"
+        "proxies that serve requests: expected those that know a backend"
     );
-    Overbooked::on(down.listen(), &backend, Duration::ZERO);
-    serving(&proxies);
+    OverloadedDiscovery::serve(down.listen(), &backend, Duration::ZERO);
+    wait_until_serving(&proxies);
 }
 
-/// Discovery that takes calls in turn, each so long.
-struct Overbooked;
+/// A discovery server that handles one call at a time, each for `each`.
+struct OverloadedDiscovery;
 
-impl Overbooked {
-    fn on(listener: TcpListener, backend: &BackendServer, each: Duration) {
-        let told = list(9, true, &[entry("b0", backend.address, "SERVING")]);
-        let turn = Arc::new(Mutex::new(()));
+impl OverloadedDiscovery {
+    fn serve(listener: TcpListener, backend: &BackendServer, each: Duration) {
+        let endpoint_list = list(9, true, &[entry("b0", backend.address, "SERVING")]);
+        let lock = Arc::new(Mutex::new(()));
         std::thread::spawn(move || {
             for mut tcp in listener.incoming().flatten() {
-                let (told, turn) = (told.clone(), turn.clone());
+                let (endpoint_list, lock) = (endpoint_list.clone(), lock.clone());
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
                     while let Some(call) = Message::read(&mut reader) {
                         if call.start_line.contains("wait_ms=")
                             && !call.start_line.contains("wait_ms=0")
                         {
-                            std::thread::sleep(Duration::from_secs(1)); // no news
+                            std::thread::sleep(Duration::from_secs(1)); // a long poll without changes
                         }
-                        let _one = turn.lock().unwrap();
+                        let _guard = lock.lock().unwrap();
                         std::thread::sleep(each);
-                        let head =
-                            format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", told.len());
-                        if tcp.write_all((head + &told).as_bytes()).is_err() {
+                        let head = format!(
+                            "HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n",
+                            endpoint_list.len()
+                        );
+                        if tcp.write_all((head + &endpoint_list).as_bytes()).is_err() {
                             return;
                         }
                     }
@@ -176,82 +187,92 @@
     }
 }
 
-/// Killed outright while discovery has too many callers: ready at once, and told in the end.
+/// All processes are killed while discovery is overloaded: the new processes are ready in time, and receive the endpoint list
+/// in the end.
 #[test]
-fn after_a_kill_with_discovery_overbooked_all_are_ready_and_told() {
+fn after_a_kill_with_discovery_overloaded_all_are_ready_and_receive_the_list() {
     let backend = backend();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let seats = seats(listener.local_addr().unwrap(), &backend);
-    Overbooked::on(listener, &backend, Duration::from_millis(100));
-    let (proxies, _) = started(&seats);
+    let configs = proxy_configs(listener.local_addr().unwrap(), &backend);
+    OverloadedDiscovery::serve(listener, &backend, Duration::from_millis(100));
+    let (proxies, _) = start_all(&configs);
     drop(proxies); // SIGKILL
-    let (proxies, took) = started(&seats);
-    told("killed, discovery overbooked", took);
-    serving(&proxies);
+    let (proxies, took) = start_all(&configs);
+    check_ready("killed, discovery overloaded", took);
+    wait_until_serving(&proxies);
 }
 
-/// Told to end with a request open, while discovery says nothing: each new process starts while the old one still
-/// listens, is ready once that one does not, and the old one still answers.
+/// The old processes get SIGTERM with a request open, while discovery does not answer. Each new process starts while the old one
+/// still listens, is ready once the old one no longer does, and the old one still answers its request.
 #[test]
 fn beside_old_processes_that_still_listen_all_are_ready() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
     let silent = DiscoveryServer::start();
-    let mut seats = seats(silent.address, &backend);
-    // The requests stay open for as long as the new processes may take to be ready, however slow the machine is.
-    let long = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":30000000");
-    seats.iter_mut().for_each(|seat| {
-        (seat.known, seat.settings) = (vec![entry("b0", backend.address, "SERVING")], long.clone());
+    let mut configs = proxy_configs(silent.address, &backend);
+    // With this deadline the requests stay open until the new processes are ready, also on a slow machine.
+    let long_deadline = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":30000000");
+    configs.iter_mut().for_each(|config| {
+        (config.known, config.settings) = (
+            vec![entry("b0", backend.address, "SERVING")],
+            long_deadline.clone(),
+        );
     });
-    let listen: Vec<String> = seats
+    let listen: Vec<String> = configs
         .iter()
-        .map(|seat| format!("{} is", seat.listen))
+        .map(|config| format!("{} is", config.listen))
         .collect();
-    let (mut old, _) = started(&seats);
+    let (mut old, _) = start_all(&configs);
     let mut open: Vec<Client> = old.iter().map(Proxy::client).collect();
     open.iter_mut()
         .for_each(|client| client.send(&pay_request(30.0)));
     open.iter().for_each(|_| drop(backend.next_request()));
-    // Held, each listens until its new process has met it, whatever the machine does.
+    // A suspended process listens until its new process has found the address in use, however the machine schedules them.
     old.iter().for_each(Proxy::suspend);
     old.iter().for_each(Proxy::terminate);
-    let starting = std::thread::spawn(move || started(&seats));
-    let own =
-        |line: &&str| line.contains(MET) && listen.iter().any(|at| line.contains(at.as_str()));
+    let starting = std::thread::spawn(move || start_all(&configs));
+    let own = |line: &&str| {
+        line.contains(ADDRESS_IN_USE) && listen.iter().any(|at| line.contains(at.as_str()))
+    };
     let end = Instant::now() + TEST_TIMEOUT;
     while STARTUP_LOGS.lock().unwrap().lines().filter(own).count() < FLEET {
         assert!(
             Instant::now() < end,
-            "not every new process met its old one"
+            "not every new process found its address in use"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
     old.iter().for_each(Proxy::resume);
     let (new, took) = starting.join().unwrap();
-    told("told to end, discovery silent", took);
+    check_ready("SIGTERM, discovery silent", took);
     assert!(
-        new.iter().all(|p| p.startup_log.matches(MET).count() == 1),
-        "it says so once"
+        new.iter()
+            .all(|p| p.startup_log.matches(ADDRESS_IN_USE).count() == 1),
+        "a process logged other than once that its address is in use"
     );
     gate.open();
     for (client, old) in open.iter_mut().zip(&mut old) {
         assert_eq!(
-            client.response().expect("the answer that was owed").body,
+            client
+                .response()
+                .expect("the response to the open request")
+                .body,
             b"gated"
         );
         assert!(old.child.wait().unwrap().success());
     }
 }
 
-/// An address that another program keeps: one line at once, one when the start gives up, and its end told by the exit.
+/// Another program keeps the listen address in use: the proxy logs that once when it starts to retry and once when it gives up,
+/// and exits with a failure.
 #[test]
-fn an_address_that_stays_in_use_ends_the_start() {
-    let held = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = held.local_addr().unwrap().to_string();
-    let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
+fn an_address_that_stays_in_use_fails_the_start() {
+    let reserved = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = reserved.local_addr().unwrap().to_string();
+    let no_discovery: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let begun = Instant::now();
-    let out = proxy_command(Some(&told_to_listen(&at, nowhere)))
+    let out = proxy_command(Some(&config_listening_on(&at, no_discovery)))
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
@@ -263,6 +284,6 @@
     );
 }
 
-fn told_to_listen(at: &str, discovery: SocketAddr) -> String {
+fn config_listening_on(at: &str, discovery: SocketAddr) -> String {
     rig::config_json(at, discovery, 1024, &[], SETTINGS)
 }
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots on a disk that hangs: a pipe stands where the next one is to be written, so that whoever opens it waits
-//! until the test opens its other end.
+//! Tests of snapshots on a disk that hangs. The test puts a named pipe at the path of the next snapshot's unfinished file, so
+//! that the proxy's thread blocks in opening it until the test opens the other end.
 
 mod rig;
 
@@ -10,15 +10,16 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// A proxy that writes ten times a second, and is held as it opens the next file: its folder, and the pipe.
-fn held(known: &[String]) -> (Proxy, PathBuf, PathBuf) {
+/// Starts a proxy that writes a snapshot every 100 ms, and blocks it at opening the next one. Returns the proxy, the snapshot
+/// directory and the path of the pipe.
+fn start_blocked(known: &[String]) -> (Proxy, PathBuf, PathBuf) {
     let dir = create_temp_dir().join("kept");
-    let kept = format!(
+    let snapshot_config = format!(
         r#","snapshot":{{"dir":"{}","every_ms":100}}"#,
         dir.display()
     );
     let tmp = ("TMPDIR", create_temp_dir().to_str().unwrap().to_string());
-    let proxy = Proxy::with_extra_config(known, SETTINGS, &kept, &[tmp]);
+    let proxy = Proxy::with_extra_config(known, SETTINGS, &snapshot_config, &[tmp]);
     let name = wait_for_first(&dir)
         .file_name()
         .unwrap()
@@ -27,14 +28,17 @@
         .to_string();
     let pipe = dir.join(format!("{name}.{}.part", proxy.child.id()));
     let end = Instant::now() + TEST_TIMEOUT;
-    while !made(&pipe) {
-        assert!(Instant::now() < end, "one is being written all the time");
+    while !create_pipe(&pipe) {
+        assert!(
+            Instant::now() < end,
+            "an unfinished snapshot file always stood in the pipe's place"
+        );
     }
     (proxy, dir, pipe)
 }
 
-/// Fails while a file stands there.
-fn made(pipe: &Path) -> bool {
+/// Creates a named pipe, and returns whether that succeeded. It fails while a file exists at the path.
+fn create_pipe(pipe: &Path) -> bool {
     Command::new("mkfifo")
         .arg(pipe)
         .output()
@@ -43,19 +47,19 @@
         .success()
 }
 
-/// Waits until it has said that the disk took too long.
-fn told(proxy: &Proxy) {
+/// Waits until the proxy has logged that a snapshot is late.
+fn wait_until_late(proxy: &Proxy) {
     let end = Instant::now() + TEST_TIMEOUT;
     while proxy.log_count("snapshot_late") == 0 {
-        assert!(Instant::now() < end, "the disk did not hang");
+        assert!(Instant::now() < end, "no snapshot_late was logged");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// While the disk hangs, requests are served and the operators are answered, who hear in the log that it is late. Once
-/// it goes on, snapshots do.
+/// While the disk hangs, requests and control requests are answered, and the log says that the snapshot is late. Once the disk
+/// works again, snapshots are written again.
 #[test]
-fn a_disk_that_hangs_holds_up_no_request() {
+fn a_disk_that_hangs_delays_no_request() {
     let (a, b) = (
         BackendServer::start(|_| ok("a")),
         BackendServer::start(|_| ok("b")),
@@ -64,7 +68,7 @@
         entry("b0", a.address, "SERVING"),
         entry("b1", b.address, "SERVING"),
     ];
-    let (proxy, dir, pipe) = held(&known);
+    let (proxy, dir, pipe) = start_blocked(&known);
     let before = wait_for_first(&dir).metadata().unwrap().modified().unwrap();
     assert_eq!(
         proxy
@@ -72,7 +76,7 @@
             .status(),
         200
     );
-    told(&proxy);
+    wait_until_late(&proxy);
     let mut client = proxy.client();
     for _ in 0..20 {
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
@@ -80,12 +84,12 @@
     assert_eq!(
         wait_for_first(&dir).metadata().unwrap().modified().unwrap(),
         before,
-        "the disk did not hang"
+        "a snapshot was written while the disk hung"
     );
-    let other_end = File::open(&pipe).unwrap();
+    let reading_end = File::open(&pipe).unwrap();
     std::fs::remove_file(&pipe).unwrap();
     wait_for_new(&dir);
-    drop(other_end);
+    drop(reading_end);
     assert_eq!(
         proxy
             .control_request("PUT /maintenance/exit?who=b0")
@@ -94,11 +98,12 @@
     );
 }
 
-/// Told to end while the disk hangs, it ends all the same.
+/// A proxy that is ended by SIGTERM while the disk hangs exits successfully, without waiting until the disk works
+/// again.
 #[test]
-fn an_end_waits_for_a_disk_that_hangs_no_longer_than_stated() {
+fn shutdown_waits_only_briefly_for_a_disk_that_hangs() {
     let backend = BackendServer::start(|_| ok("x"));
-    let (mut proxy, _dir, _pipe) = held(&[entry("b0", backend.address, "SERVING")]);
+    let (mut proxy, _dir, _pipe) = start_blocked(&[entry("b0", backend.address, "SERVING")]);
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     proxy.terminate();
     let end = Instant::now() + TEST_TIMEOUT;
@@ -106,9 +111,12 @@
         if let Some(status) = proxy.child.try_wait().unwrap() {
             break status;
         }
-        assert!(Instant::now() < end, "it waits for the disk for ever");
+        assert!(
+            Instant::now() < end,
+            "the proxy did not exit while the disk hung"
+        );
         std::thread::sleep(Duration::from_millis(20));
     };
     assert!(status.success());
-    told(&proxy);
+    wait_until_late(&proxy);
 }
