--- a/src/fleet/calendar/phases.rs
+++ b/src/fleet/calendar/phases.rs
@@ -1,4 +1,19 @@
 //! The lease holder's transitions of windows through their phases.
+//!
+//! A window is maintenance of backends that an operator planned; it occurs once or repeatedly. Each occurrence goes
+//! through the phases [`Planned`](Phase::Planned), [`Draining`](Phase::Draining), [`Drained`](Phase::Drained),
+//! [`Open`](Phase::Open), [`Restoring`](Phase::Restoring) and [`Done`](Phase::Done), or ends in another final phase.
+//!
+//! - The lease holder is the one proxy that decides on transitions. Its fencing token is part of each decision.
+//! - An occurrence is identified by its planned begin. Its planned span is the one in the window's content; its actual
+//!   span also takes an early start and an extension into account.
+//! - The lead is the time before the actual begin at which the backends start to drain. A planned occurrence is due
+//!   when its lead has begun, and in progress from the phase `Draining` to `Restoring`.
+//! - The overrun is the maximum time that an open window waits after its end for its backends to serve again. If that
+//!   was not enough, the occurrence ends in the phase [`Overrun`](Phase::Overrun).
+//! - Listed backends are those in discovery's list. A backend's readiness is the usable share of its capacity: 0 when
+//!   ejected, below 1 in slow start.
+//! - A proxy that hears of no lease holder is isolated, and starts windows by its own decision.
 
 use super::disruption_budget::{ListedBackends, RemainingCapacity};
 use super::due_window::DueWindow;
@@ -10,25 +25,27 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum time until a live proxy has acted on the lease holder's decision. The open requests on a draining
-/// backend that it reports after this time can only become fewer.
+/// The maximum time until a live proxy has acted on the lease holder's decision. After this time it sends no new
+/// requests to a draining backend, so the number of open requests that it reports for it can only fall.
 pub const MAX_NOTIFICATION_DELAY: Micros = Micros(2_000_000);
-/// A new lease holder claims windows that start to drain within this time. The clocks of two proxies differ by less.
+/// A new lease holder claims windows that start to drain within this time. A former holder whose clock is ahead may
+/// have started these already; the clocks of two proxies differ by less than this.
 pub(super) const CLAIM_LOOKAHEAD: Micros = Micros(5_000_000);
-/// The minimum time between two updates of the reason why a window waits, which contains changing figures.
+/// The minimum time between two updates of the reason why a window waits. The reason contains figures that may change
+/// at every call, and each update is sent to all proxies.
 const REASON_REFRESH: Micros = Micros(5_000_000);
 
 /// A live proxy's report of its open requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenRequestReport {
-    /// The time since the report.
+    /// The time since the report; since its oldest number if they were reported at different times.
     pub age: Micros,
-    /// The number of open requests by backend; a backend that is missing has none. The caller inserts backends whose
-    /// number was not reported with 1.
+    /// The number of open requests by backend; a backend that is missing has none. For a backend whose number is
+    /// not known the caller inserts 1, so that it does not count as drained.
     pub open: BTreeMap<String, u32>,
 }
 
-/// The last report of each live proxy, including the lease holder itself, by a key that the caller chooses.
+/// The last report of each live proxy, including the lease holder itself, by a key of the caller's choice.
 pub type OpenRequestReports = BTreeMap<u64, OpenRequestReport>;
 
 /// A phase change of a window, for the log.
@@ -102,8 +119,8 @@
     }
 
     /// Continues windows that this proxy started while it was isolated, now under its token as the lease holder. They
-    /// last until their end, however little time is left and whatever the budget allows now, because they are in effect
-    /// already at this proxy and at every other isolated one.
+    /// are not ended before their time, however little is left and whatever the budget allows now, because they are in
+    /// effect already at this proxy, and probably at other isolated ones.
     fn adopt_isolated_decisions(
         &mut self,
         now: WallTime,
@@ -196,7 +213,8 @@
         }
     }
 
-    /// The new progress of windows that are due, by id: they start to drain, or wait for a new reason.
+    /// The new progress of windows that are due, by id. They start to drain if they fit the budget; otherwise they stay
+    /// planned, with the reason why they wait. Windows whose stored reason needs no update are left out.
     fn decide_due_windows(
         &self,
         token: Token,
@@ -223,14 +241,15 @@
                 Err(exceeded) => NextPhase::new(Phase::Planned, exceeded.to_string()),
             };
             let progress = Progress::new(due.occurrence, token, next.phase, now, &next.reason);
-            if next.phase == Phase::Draining || shows_new_reason(&due, token, &next.reason, now) {
+            if next.phase == Phase::Draining || needs_reason_update(&due, token, &next.reason, now)
+            {
                 decisions.push((window.id.clone(), progress));
             }
         }
         decisions
     }
 
-    /// The windows that are due to drain, in the order in which they take from the budget.
+    /// The planned windows whose lead has begun, in the order in which they take from the budget.
     fn due_windows(&self, now: WallTime) -> Vec<DueWindow<'_>> {
         let mut due = Vec::new();
         for window in self.windows.values() {
@@ -253,8 +272,9 @@
         due
     }
 
-    /// Sets a new lease holder's token on all windows that are in progress or due, without changing their phase. A
-    /// decision of an earlier holder that arrives late then has a lower token, and is discarded by every merge.
+    /// Sets a new lease holder's token on all windows that are in progress, or due within [`CLAIM_LOOKAHEAD`], without
+    /// changing their phase. A decision of a former holder that arrives late then has a lower token, and is discarded
+    /// by every merge. A claim without an earlier decision has an empty reason.
     fn claim_windows(&mut self, now: WallTime, token: Token) {
         for (id, window) in &mut self.windows {
             let Some(current) = window.current_occurrence(now) else {
@@ -276,18 +296,20 @@
     }
 }
 
-/// Whether an occurrence is in progress or due, and does not have the lease holder's token yet.
+/// Whether an occurrence is in progress, or due within [`CLAIM_LOOKAHEAD`], and does not have the lease holder's token
+/// yet.
 fn needs_claim(window: &Window, current: CurrentOccurrence, token: Token, now: WallTime) -> bool {
     let drains_at = window.actual_span(current.planned).begin - window.lead();
-    let is_due = window.cancelled.is_none() && drains_at <= now + CLAIM_LOOKAHEAD;
+    let is_due_soon = window.cancelled.is_none() && drains_at <= now + CLAIM_LOOKAHEAD;
     let is_claimed = window.progress.as_ref().is_some_and(|progress| {
         progress.token == token && progress.occurrence == current.planned.begin
     });
-    (current.phase != Phase::Planned || is_due) && !is_claimed
+    (current.phase != Phase::Planned || is_due_soon) && !is_claimed
 }
 
-/// Whether a window's backends count as unavailable: the window is in effect, or they have just returned and are in
-/// slow start. The list of backends may be too old to show the latter.
+/// Whether a window's backends count as unavailable: the window is in effect, or its backends get requests again and
+/// are in slow start, which the list of backends may be too old to show. After an overrun the slow start begins without
+/// the phase [`Phase::Restoring`].
 fn occupies_backends(window: &Window, now: WallTime, slow_start: Micros) -> bool {
     window
         .progress
@@ -299,14 +321,15 @@
         })
 }
 
-/// Whether the reason why a window waits has to be stored, for the first time or because the stored one is outdated.
-fn shows_new_reason(due: &DueWindow, token: Token, reason: &str, now: WallTime) -> bool {
-    let shown = due
+/// Whether the reason why a window waits has to be stored: if this lease holder stored no decision on the occurrence
+/// yet, or a different reason that is empty (a claim) or older than [`REASON_REFRESH`].
+fn needs_reason_update(due: &DueWindow, token: Token, reason: &str, now: WallTime) -> bool {
+    let stored = due
         .window
         .progress
         .as_ref()
         .filter(|progress| progress.occurrence == due.occurrence && progress.token == token);
-    shown.is_none_or(|progress| {
+    stored.is_none_or(|progress| {
         let is_stale = progress.reason.is_empty() || now >= progress.since + REASON_REFRESH;
         progress.reason != reason && is_stale
     })
@@ -346,8 +369,8 @@
     Some(NextPhase::new(Phase::Refused, reason))
 }
 
-/// A window that is in effect is restored when it is cancelled or no longer planned; otherwise it drains, opens and
-/// closes.
+/// A window that is in effect is restored at once when it is cancelled or its new content lacks the occurrence.
+/// Otherwise it is drained, opened at its begin, and restored after its end.
 fn after_in_effect(
     window: &Window,
     current: CurrentOccurrence,
@@ -377,10 +400,11 @@
     }
 }
 
-/// Backends are drained when every live proxy reports no open requests on them, or when the lead is over.
+/// Backends are drained when every live proxy reports no open requests on them, or when the lead is over, counted from
+/// the begin of the phase [`Phase::Draining`].
 fn after_draining(window: &Window, observations: &Observations) -> Option<NextPhase> {
     let Observations { now, reports, .. } = *observations;
-    let since = window.phase_since(now);
+    let draining_since = window.phase_since(now);
     let backends = window.targeted_backends(observations.listed);
     let open: u64 = reports
         .values()
@@ -390,21 +414,21 @@
     // An older report may date from before its proxy was notified, and the proxy may have sent requests after it.
     let all_notified = reports
         .values()
-        .all(|report| now - report.age >= since + MAX_NOTIFICATION_DELAY);
+        .all(|report| now - report.age >= draining_since + MAX_NOTIFICATION_DELAY);
     if open == 0 && all_notified && !reports.is_empty() {
         let reason = format!("no request open at {} proxies", reports.len());
         return Some(NextPhase::new(Phase::Drained, reason));
     }
-    if now < since + window.lead() {
+    if now < draining_since + window.lead() {
         return None;
     }
     let reason = format!("the lead is over, {open} requests open");
     Some(NextPhase::new(Phase::Drained, reason))
 }
 
-/// A window closes when its backends are listed as serving again, or after its overrun. Their readiness is not
-/// required: no requests are sent to them during the window, so a backend that was ejected before could not become
-/// ready.
+/// A window whose end has come is restored when its backends are listed as serving again. After the time allowed for
+/// its overrun it ends in the phase [`Phase::Overrun`]. Readiness of the backends is not required: no requests are sent
+/// to them during the window, so a backend that was ejected before could not become ready.
 fn after_open(window: &Window, span: Span, observations: &Observations) -> Option<NextPhase> {
     let listed = observations.listed;
     let not_serving: BTreeSet<&str> = window
--- a/src/fleet/lease/candidate.rs
+++ b/src/fleet/lease/candidate.rs
@@ -1,4 +1,14 @@
 //! The candidate: starts elections for a duty, renews the lease while it holds it, and releases it.
+//!
+//! - A duty is work that at most one proxy, the lease holder, may do at a time.
+//! - The host is the program that runs the candidate: it sends the candidate's messages and passes in the time.
+//! - A quorum is a majority of the voters, the proxies that grant the lease.
+//! - A term is how long the lease lasts unless a quorum renews it.
+//! - A ballot identifies an election. The ballot that wins is the fencing token of the lease; [`Token`] is the same
+//!   type.
+//! - A round is one request to all voters, with their responses. Round 0 is the pre-vote, which asks whether a voter
+//!   would grant the ballot and binds nobody; round 1 requests the lease, and each later one renews it.
+//! - A digest is a summary that proxies exchange regularly, with the highest tokens that they have seen.
 
 use super::ballot::{Ballot, Token};
 use super::message::Message;
@@ -12,7 +22,7 @@
 /// A renewal that got no quorum is retried after a term divided by this.
 const RETRIES_PER_TERM: u64 = 6;
 /// The shortest pause between two elections is a term divided by this; the longest pause is twice as long.
-const MIN_PAUSES_PER_TERM: u64 = 10;
+const MIN_PAUSE_DIVISOR: u64 = 10;
 /// The number of values of a random `u32`.
 const U32_VALUES: f64 = 4_294_967_296.0;
 
@@ -28,7 +38,7 @@
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LossReason {
-    /// The host released it.
+    /// The host released it or no longer wanted the duty.
     Released,
     /// No quorum renewed it within its term.
     Expired,
@@ -36,7 +46,7 @@
     Superseded(Token),
 }
 
-/// The voters that gave the same response, one bit each.
+/// The voters that gave the same response in a round, one bit each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct VoterSet(u8);
 
@@ -50,18 +60,20 @@
     }
 }
 
-/// An election under one ballot, from its pre-vote on, and the lease once the election is won.
+/// An election under one ballot, from its pre-vote on. Once won, it is also the lease, until that ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Election {
     ballot: Ballot,
     started_at: Time,
-    /// The number of the current round, 0 for the pre-vote.
+    /// The number of the current round: 0 for the pre-vote, 1 for the request of the lease, higher for renewals.
     round: u32,
     /// When the current round's request was sent.
     round_sent_at: Time,
+    /// The voters that granted the current round.
     granted: VoterSet,
+    /// The voters that denied the current round.
     denied: VoterSet,
-    /// The end of the lease, once the election is won.
+    /// The end of the lease's current term, once the election is won.
     lease_expires_at: Option<Time>,
 }
 
@@ -71,7 +83,7 @@
     }
 }
 
-/// The round that a voter's response names.
+/// The round that a voter's response belongs to. [`Message::PreVoteGranted`] names only the ballot; its round is 0.
 #[derive(Clone, Copy)]
 struct Round {
     ballot: Ballot,
@@ -83,10 +95,11 @@
 pub struct Candidate {
     rules: Rules,
     incarnation: u64,
-    /// The highest ballot number seen anywhere.
+    /// The highest ballot number that this candidate has used or seen.
     highest_number: u64,
     election: Option<Election>,
-    /// The earliest time of the next election; `None` while the duty is not wanted.
+    /// The earliest time of the next election; `None` before the first tick and after a release, so that the next tick
+    /// with `wanted` may start one at once.
     next_election_at: Option<Time>,
     events: Vec<LeaseEvent>,
 }
@@ -105,8 +118,8 @@
         }
     }
 
-    /// Returns the fencing token while the lease is valid at `now`. Call it with the current time right before each effect,
-    /// so that a holder whose process was stalled notices that its term is over.
+    /// Returns the fencing token while the lease is valid at `now`. Call it with the current time right before each
+    /// effect, so that a holder whose process was stalled notices that its term is over.
     pub fn held_token(&self, now: Time) -> Option<Token> {
         let election = self.election.as_ref()?;
         election
@@ -115,15 +128,17 @@
             .map(|_| election.ballot)
     }
 
-    /// Returns the end of the current term while the candidate holds the lease.
+    /// Returns the end of the lease's current term, if there is a lease. After that time it is still returned until the
+    /// next call of [`Candidate::tick`], [`Candidate::handle_response`], [`Candidate::observe_token`] or
+    /// [`Candidate::release`].
     pub fn lease_expires_at(&self) -> Option<Time> {
         self.election
             .as_ref()
             .and_then(|election| election.lease_expires_at)
     }
 
-    /// Starts elections, renews the lease, and ends both when they time out or the duty is no longer `wanted`. `wall_ms` is
-    /// the wall clock in milliseconds since 1970. The messages in `out` go to every voter. Call it at
+    /// Starts elections, renews the lease, and ends both when they time out or the duty is no longer `wanted`.
+    /// `wall_ms` is the wall clock in milliseconds since 1970. The messages in `out` go to every voter. Call it at
     /// [`Candidate::next_tick_at`] and when `wanted` changes.
     pub fn tick(&mut self, now: Time, wall_ms: u64, wanted: bool, out: &mut Vec<Message>) {
         if !wanted {
@@ -142,7 +157,8 @@
         }
     }
 
-    /// Returns the time of the next [`Candidate::tick`], always later than the last one; `None` if none is needed.
+    /// Returns the time of the next [`Candidate::tick`], always later than the last one; `None` before the first tick
+    /// and while the duty is not wanted.
     pub fn next_tick_at(&self) -> Option<Time> {
         let Some(election) = &self.election else {
             return self.next_election_at;
@@ -192,8 +208,8 @@
         }
     }
 
-    /// Records a token that was seen in an effect, in the rejection of one, or in a digest. Ends a lease or an election
-    /// with a lower token. The messages in `out` go to every voter.
+    /// Records a token that was seen in an effect, in the rejection of one, or in a digest. Ends this candidate's
+    /// lease or election if its ballot is lower. The messages in `out` go to every voter.
     pub fn observe_token(&mut self, now: Time, token: Token, out: &mut Vec<Message>) {
         self.expire(now, out);
         self.highest_number = self.highest_number.max(token.number);
@@ -206,22 +222,23 @@
         }
     }
 
-    /// Releases the lease or abandons the election, for a host that drains. The next tick with `wanted` may start a new
-    /// election. The messages in `out` go to every voter.
+    /// Releases the lease or abandons the election. The next tick with `wanted` may start a new election at once.
+    /// Called by [`Candidate::tick`] when the duty is not wanted; a host that drains may call it directly. The messages
+    /// in `out` go to every voter.
     pub fn release(&mut self, now: Time, out: &mut Vec<Message>) {
         self.expire(now, out);
         self.end_election(now, LossReason::Released, out);
         self.next_election_at = None;
     }
 
-    /// Returns the lease's events since the last call, in order. [`LossReason::Expired`] may come long after the end of the
-    /// term; [`Candidate::held_token`] returns `None` from the end of the term on.
+    /// Returns the lease's events since the last call, in order. [`LossReason::Expired`] may come long after the end of
+    /// the term; [`Candidate::held_token`] returns `None` from the end of the term on.
     pub fn take_events(&mut self) -> Vec<LeaseEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns when the next request is due: [`RENEWALS_PER_TERM`] applies if the last round got a quorum, else
-    /// [`RETRIES_PER_TERM`].
+    /// Returns when the lease's next renewal is due: [`RENEWALS_PER_TERM`] applies if a quorum granted the last round,
+    /// else [`RETRIES_PER_TERM`].
     fn renew_at(&self, election: &Election) -> Time {
         let attempts_per_term = if election.granted.has_quorum(&self.rules) {
             RENEWALS_PER_TERM
@@ -231,7 +248,8 @@
         election.round_sent_at + self.rules.term_divided_by(attempts_per_term)
     }
 
-    /// Ends a lease whose term is over, or an election that timed out.
+    /// Ends a lease whose term is over, or an election that timed out. A lease is over at the end of its term already,
+    /// an election only after its timeout.
     fn expire(&mut self, now: Time, out: &mut Vec<Message>) {
         let expired =
             self.election
@@ -245,6 +263,8 @@
         }
     }
 
+    /// Starts an election with a pre-vote. The ballot's number is at least the wall clock, so that fencing tokens grow
+    /// even if voters lost their memory in a restart.
     fn send_pre_vote(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Message>) {
         self.highest_number = self.highest_number.saturating_add(1).max(wall_ms);
         let ballot = Ballot {
@@ -263,6 +283,7 @@
         out.push(Message::PreVote { ballot });
     }
 
+    /// Starts the next round, which requests the lease or its renewal.
     fn send_request(&mut self, now: Time, out: &mut Vec<Message>) {
         if let Some(election) = &mut self.election {
             election.round = election.round.saturating_add(1);
@@ -276,7 +297,8 @@
         }
     }
 
-    /// Handles a grant. Callers call [`Candidate::expire`] first, so the election has not timed out.
+    /// Handles a grant, also one of a pre-vote. Callers call [`Candidate::expire`] first, so the election has not timed
+    /// out. The term counts from the sending of the request, as a voter's grant starts later and has to outlast it.
     fn handle_granted(&mut self, now: Time, voter: usize, round: Round, out: &mut Vec<Message>) {
         let Some(election) = self
             .election
@@ -298,8 +320,8 @@
         election.lease_expires_at = Some(election.round_sent_at + self.rules.term());
     }
 
-    /// Handles a denial. An election ends when a quorum denied it or a voter has seen a higher ballot; a lease isn't
-    /// affected by denials.
+    /// Handles a denial. An election ends when a quorum denied the round, so that no quorum can grant it any more, or
+    /// when a voter has seen a higher ballot. A lease isn't affected by denials.
     fn handle_denied(
         &mut self,
         now: Time,
@@ -320,7 +342,9 @@
         }
     }
 
-    /// Ends the election and its lease, if it was won, and schedules the next election.
+    /// Ends the election, and the lease if it was won; only then is `loss` reported. Schedules the next election after
+    /// a pause. Once the lease was requested, a release is sent even if the election was not won, as some voters may
+    /// have granted it.
     fn end_election(&mut self, now: Time, loss: LossReason, out: &mut Vec<Message>) {
         let Some(election) = self.election.take() else {
             return;
@@ -336,12 +360,12 @@
         self.next_election_at = Some(now + self.pause_after(election.ballot));
     }
 
-    /// Returns the pause before the next election: random, seeded with the last ballot, so that competing candidates do not
-    /// keep colliding.
+    /// Returns the pause before the next election. It is pseudorandom with the last ballot as the seed: it differs
+    /// between competing candidates, so that they do not keep colliding, and is the same for the same ballot.
     fn pause_after(&self, ballot: Ballot) -> Micros {
         let drawn =
             Pcg32::seed_from_u64(ballot.number ^ ballot.incarnation.rotate_left(32)).next_u32();
-        let min_pause = self.rules.term_divided_by(MIN_PAUSES_PER_TERM);
+        let min_pause = self.rules.term_divided_by(MIN_PAUSE_DIVISOR);
         let jitter_us = min_pause.0 as f64 * f64::from(drawn) / U32_VALUES;
         Micros(min_pause.0.saturating_add(jitter_us as u64))
     }
--- a/src/net/cluster/coordination/duty_lease.rs
+++ b/src/net/cluster/coordination/duty_lease.rs
@@ -1,5 +1,18 @@
 //! The lease of one duty at this proxy: its voter, its candidate, the fence that rejects effects of former holders, and
 //! what this proxy knows of the current holder.
+//!
+//! - A [`Duty`] is a task that one proxy, the lease holder, performs for the fleet. The members are the fleet's live
+//!   proxies; a fixed few proxies are voters. A quorum, that is, a majority of the voters, grants the lease.
+//! - A candidate campaigns, that is, starts elections, while it wants the lease.
+//! - A lease lasts for a term unless it is renewed. A voter's grant lasts for the grant duration, a term plus a margin
+//!   for the drift of the clocks. A candidate that is not a voter campaigns after its campaign delay, two to three
+//!   terms.
+//! - Each lease has a fencing token, higher than those of earlier leases. The fence rejects effects with a lower token
+//!   than the highest one seen.
+//! - An effect is what a holder has the other proxies do under its token: an announcement, which is broadcast and
+//!   relayed. The holder's heartbeat is an announcement without changes, sent every second.
+//! - A digest is a summary that each proxy sends to a few members every second, with the highest token that it has seen
+//!   and the age of the holder's last heartbeat.
 
 use super::clocks::{monotonic_now, wall_now};
 use super::message::{Duty, DutyMessage, MessageError, TokenReport};
@@ -14,21 +27,22 @@
 /// Messages to send, each with the address of its receiver.
 pub type DutyMessages = Vec<(SocketAddr, DutyMessage)>;
 
-/// Longest time between two digests from one member: each second a member sends digests to two others in turn, so with
-/// at most six other members each of them gets one within 3 s.
+/// Longest time between two digests from one proxy, in a fleet of at most seven: each second a proxy sends digests to
+/// two members in turn, so each of at most six others gets one within 3 s. In a larger fleet it takes longer.
 const DIGEST_INTERVAL_BOUND: Micros = Micros(3_000_000);
 
 /// What this proxy knows of the lease holder.
 #[derive(Clone, Copy)]
 struct Holder {
     token: Token,
-    /// Its address; `None` until one of its heartbeats arrived here.
+    /// Its address; `None` while it is known from digests only, as none of its effects arrived here.
     address: Option<SocketAddr>,
-    /// When it sent its last heartbeat, on this proxy's monotonic clock.
+    /// The time of its last heartbeat, on this proxy's monotonic clock: when its newest effect arrived here, or a later
+    /// time according to a digest. While this proxy is the holder, the time of its last call.
     last_heartbeat_at: Time,
 }
 
-/// A period in which this proxy's candidate wants the lease and no quorum of the voters responds.
+/// A period in which this proxy's candidate wants the lease and no quorum of the voters responds to it.
 #[derive(Clone, Copy)]
 struct QuorumLoss {
     since: Time,
@@ -44,21 +58,26 @@
     /// `None` if this proxy is not one of the voters.
     voter: Option<Voter>,
     candidate: Candidate,
+    /// The fence for this duty only.
     fence: Fence<Duty>,
     holder: Option<Holder>,
+    /// The current period without a quorum. One begins at the start, as no voter has responded yet.
     quorum_loss: Option<QuorumLoss>,
-    /// How long a candidate that is not a voter waits for a heartbeat of the holder before it campaigns.
+    /// Time without a heartbeat of a holder after which a candidate that is not a voter campaigns.
     campaign_delay: Micros,
     /// End of the term while this proxy holds the lease.
     expires_at: Option<Time>,
+    /// Random number of this run of the process, part of its ballots.
     incarnation: u64,
     started_at: Time,
-    /// This proxy has caught up with the state that the duty changes.
+    /// Whether this proxy has caught up with the state that the duty changes.
     is_eligible: bool,
+    /// Whether this proxy is shutting down and no longer campaigns.
     is_leaving: bool,
 }
 
 impl DutyLease {
+    /// Creates the state before any message arrived. `incarnation` is drawn at random at each start of the process.
     pub fn new(
         duty: Duty,
         rules: Rules,
@@ -67,7 +86,8 @@
         incarnation: u64,
     ) -> DutyLease {
         let now = monotonic_now();
-        // Random from two to three terms, so that the proxies of a large fleet do not all campaign at once.
+        // From two to three terms, random as the incarnation is, so that the proxies of a large fleet do not all
+        // campaign at once.
         let campaign_delay = Micros(rules.term().0 * 2 + incarnation % rules.term().0.max(1));
         let is_voter = voters.contains(&own_address);
         DutyLease {
@@ -97,7 +117,7 @@
         self.candidate.held_token(monotonic_now())
     }
 
-    /// Returns the holder's address, if known and its last heartbeat is recent.
+    /// Returns the holder's address, if it is known and its last heartbeat is more recent than the grant duration.
     pub fn holder(&self) -> Option<SocketAddr> {
         if self.held_token().is_some() {
             return Some(self.own_address);
@@ -110,7 +130,7 @@
         holder.address
     }
 
-    /// Returns the time since the holder sent its last heartbeat: zero while this proxy is the holder, `u64::MAX` if no
+    /// Returns the time since the holder's last known heartbeat: zero while this proxy is the holder, `u64::MAX` if no
     /// holder is known.
     pub fn since_heartbeat(&self) -> Micros {
         match (self.held_token(), &self.holder) {
@@ -120,7 +140,8 @@
         }
     }
 
-    /// Runs the timers that are due. Returns the latest time at which to call this again, if any.
+    /// Runs the timers that are due. Returns when the candidate's next timer is due, if it has one. Call this by then,
+    /// and regularly in any case: the delays before a campaign have no timer of their own.
     pub fn tick(&mut self, outgoing: &mut DutyMessages) -> Option<Time> {
         let now = monotonic_now();
         let wants_lease = self.wants_lease(now);
@@ -134,9 +155,9 @@
         self.candidate.next_tick_at()
     }
 
-    /// Whether this proxy's candidate wants the lease. A voter campaigns as soon as its own vote is free; any other
-    /// proxy only after `campaign_delay` without a heartbeat, so that in a large fleet only the voters campaign when a
-    /// holder fails.
+    /// Whether this proxy's candidate wants the lease. A voter campaigns as soon as it is no longer silent after its
+    /// start and has no live grant to another proxy. Any other proxy campaigns only after `campaign_delay` without a
+    /// heartbeat, so that in a large fleet usually only the voters campaign when a holder fails.
     fn wants_lease(&self, now: Time) -> bool {
         if !self.is_eligible || self.is_leaving {
             return false;
@@ -156,7 +177,10 @@
         is_free && !voter.is_silent(now)
     }
 
-    /// Handles a lease message from another proxy.
+    /// Handles a lease message from the proxy at `from`: a candidate's request, or a voter's response.
+    ///
+    /// # Errors
+    /// Returns [`MessageError::NotAVoter`] for a response from a proxy that is not a voter.
     pub fn handle_message(
         &mut self,
         from: SocketAddr,
@@ -184,14 +208,14 @@
         Ok(())
     }
 
-    /// Admits an effect of the holder at `from`, whichever proxy relayed it. It counts as the holder's heartbeat, too,
-    /// unless a newer one has arrived.
+    /// Admits an effect of the holder at `origin`, whichever proxy relayed it. It counts as the holder's heartbeat,
+    /// too, if `is_newest`: no later broadcast of `origin` has arrived before it.
     ///
     /// # Errors
-    /// Returns [`MessageError::StaleToken`] if a higher token was seen.
+    /// Returns [`MessageError::StaleToken`] if a higher token was seen; `origin` is notified of that token.
     pub fn admit_effect(
         &mut self,
-        from: SocketAddr,
+        origin: SocketAddr,
         token: Token,
         is_newest: bool,
         outgoing: &mut DutyMessages,
@@ -201,7 +225,7 @@
                 duty: self.duty,
                 highest: stale.highest,
             };
-            outgoing.push((from, fenced));
+            outgoing.push((origin, fenced));
             return Err(MessageError::StaleToken);
         }
         let now = monotonic_now();
@@ -209,14 +233,15 @@
         if is_newest {
             self.holder = Some(Holder {
                 token,
-                address: Some(from),
+                address: Some(origin),
                 last_heartbeat_at: now,
             });
         }
         Ok(())
     }
 
-    /// Learns from another proxy's report on the duty. The latest heartbeat under the highest token counts.
+    /// Applies another proxy's report on the duty: its token is observed, and its heartbeat counts if that token is the
+    /// highest and no later heartbeat is known.
     pub fn handle_token_report(&mut self, report: &TokenReport, outgoing: &mut DutyMessages) {
         self.observe_token(report.token, outgoing);
         let Some(age_ms) = report.heartbeat_age_ms else {
@@ -241,17 +266,18 @@
         }
     }
 
-    /// Records a token that was seen: from now on, effects and ballots with a lower one are rejected here.
+    /// Records a token that was seen: from now on, effects and ballots with a lower one are rejected here, and a lease
+    /// or election of this proxy with a lower one ends.
     pub fn observe_token(&mut self, token: Token, outgoing: &mut DutyMessages) {
         let now = monotonic_now();
-        self.raise_token(token);
+        self.reject_lower_tokens(token);
         let mut requests = Vec::new();
         self.candidate.observe_token(now, token, &mut requests);
         self.send_to_voters(now, requests, outgoing);
         self.apply_lease_events(now);
     }
 
-    /// Returns what this proxy knows of the duty, for its digests.
+    /// Returns what this proxy knows of the duty, for its digests: one report, or none if no token was seen.
     pub fn token_reports(&self) -> Vec<TokenReport> {
         let now = monotonic_now();
         let held = self.candidate.held_token(now);
@@ -292,8 +318,8 @@
         }
     }
 
-    /// Has the fence and the voter reject lower tokens.
-    fn raise_token(&mut self, token: Token) {
+    /// Has the fence and the voter reject lower tokens from now on.
+    fn reject_lower_tokens(&mut self, token: Token) {
         self.fence.observe(self.duty, token);
         if let Some(voter) = &mut self.voter {
             voter.observe_token(token);
@@ -329,7 +355,7 @@
         for event in self.candidate.take_events() {
             match event {
                 LeaseEvent::Acquired(token) => {
-                    self.raise_token(token);
+                    self.reject_lower_tokens(token);
                     info!(event = "duty_held", duty = self.duty.name(), token = %format_token(token), mono_us = now.0,
                         "acquired the lease of a duty");
                 }
@@ -361,7 +387,8 @@
             seen_us = now.0, reason, "lost the lease of a duty");
     }
 
-    /// Warns once per period in which no quorum of the voters responds for as long as a grant lasts.
+    /// Warns once in each period in which this proxy wants the lease and no quorum of the voters responded to its
+    /// candidate within the last term, when the period has lasted longer than a grant.
     fn check_quorum(&mut self, now: Time, wants_lease: bool) {
         let answering = self.voters.responding_count(now, self.rules.term());
         if !wants_lease || answering > self.voters.count() / 2 {
@@ -379,17 +406,18 @@
                 duty = self.duty.name(),
                 voters = self.voters.count(),
                 answering,
-                "no quorum of the voters responds: no proxy can hold the duty's lease"
+                "no quorum of the voters responds to this proxy, so it cannot hold the duty's lease"
             );
         }
     }
 
-    /// Records a message from another proxy, which may be a voter.
+    /// Records that a message of any kind arrived from another proxy; only voters matter.
     pub fn record_contact(&mut self, from: SocketAddr) {
         self.voters.record_message(from, monotonic_now());
     }
 
-    /// Returns the reason why no holder of the duty is known, for operators.
+    /// Returns the reason why no holder of the duty is known, for operators. A voter answers if
+    /// [`DutyLease::reachable_voters`] contains it.
     pub fn no_holder_reason(&self) -> String {
         let reachable = self
             .reachable_voters(monotonic_now(), DIGEST_INTERVAL_BOUND)
@@ -402,7 +430,8 @@
         }
     }
 
-    /// Returns the voters of which a message arrived within the last term, or within `at_least` if that is longer.
+    /// Returns the voters of which a message of any kind arrived within the last term, or within `at_least` if that is
+    /// longer. This proxy, if it is a voter, is always included.
     fn reachable_voters(&self, now: Time, at_least: Micros) -> Vec<String> {
         let within = self.rules.term().max(at_least);
         self.voters.reachable(now, within, self.own_address)
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,6 +1,8 @@
 //! Pool of connections to backends.
 //!
-//! [`ConnectionPool`] keeps idle HTTP/1 connections for reuse and limits the total number of open connections.
+//! [`ConnectionPool`] keeps idle HTTP/1 connections for reuse and limits the total number of open connections. An
+//! attempt checks a connection out and checks it in again when no request is in progress on it. Dropping a
+//! [`PooledConnection`] closes its socket, and the number of open connections falls at once.
 
 use super::connection::{ConnectionSlot, PooledConnection};
 use crate::net::observed_stream::ObservedStream;
@@ -16,8 +18,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Fraction of the backends' idle timeout after which a connection is no longer reused. Well below 1, as a backend may
-/// have started its timer before the proxy did.
+/// Fraction of the backends' idle timeout ([`NetworkSettings::conn_idle`]) after which a connection is no longer
+/// reused. Well below 1, as a backend may have started its timer before the proxy did.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Minimum time between a response and the next request on the same connection. Stray bytes of a faulty backend, such
 /// as a second response, arrive in this time and are not taken for the response to the next request.
@@ -27,23 +29,25 @@
 /// `ENFILE` and `EMFILE`: the machine or the process is out of descriptors.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
 
-/// Idle connections by backend, the most recently used last, with a limit on all open connections.
+/// Idle connections by backend, in the order in which they were checked in, with a limit on all open connections.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<BackendId, Vec<PooledConnection>>>,
-    /// Backends for which no idle connections are kept.
+    /// Backends that get no new requests: no idle connections to them are kept.
     closed_backends: RefCell<HashSet<BackendId>>,
     /// When each backend last responded.
     last_response_at: RefCell<HashMap<BackendId, Instant>>,
+    /// Number of open and opening connections, in use or idle.
     pub(super) open_count: Rc<Cell<usize>>,
     max_open: Cell<usize>,
-    idle_timeout: Cell<Duration>,
+    /// Time after which an idle connection is no longer reused, see [`IDLE_TIMEOUT_FRACTION`].
+    max_idle_time: Cell<Duration>,
     connect_timeout: Cell<Duration>,
     /// Connection attempts since the last [`ConnectionPool::take_connect_count`].
     connect_count: Cell<u64>,
 }
 
 impl ConnectionPool {
-    /// Creates a pool of at most `max_open` connections, in use or idle.
+    /// Creates a pool with at most `max_open` open connections, in use or idle.
     pub fn new(network: &NetworkSettings, max_open: usize) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
@@ -51,13 +55,13 @@
             last_response_at: RefCell::default(),
             open_count: Rc::default(),
             max_open: Cell::new(max_open),
-            idle_timeout: Cell::new(idle_timeout(network)),
+            max_idle_time: Cell::new(max_idle_time(network)),
             connect_timeout: Cell::new(to_duration(network.connect_timeout)),
             connect_count: Cell::new(0),
         }
     }
 
-    /// Returns the number of open connections, in use or idle.
+    /// Returns the number of open and opening connections, in use or idle.
     pub fn open_connections(&self) -> usize {
         self.open_count.get()
     }
@@ -69,7 +73,7 @@
 
     /// Applies changed timeouts.
     pub fn apply_settings(&self, network: &NetworkSettings) {
-        self.idle_timeout.set(idle_timeout(network));
+        self.max_idle_time.set(max_idle_time(network));
         self.connect_timeout
             .set(to_duration(network.connect_timeout));
     }
@@ -92,13 +96,16 @@
         }
     }
 
+    /// Returns whether an idle connection may be reused, apart from [`MIN_REUSE_DELAY`]: it was not idle too long, is
+    /// open, and nothing arrived on it.
     fn is_usable(&self, connection: &PooledConnection) -> bool {
-        connection.idle_since.elapsed() < self.idle_timeout.get()
+        connection.idle_since.elapsed() < self.max_idle_time.get()
             && !connection.sender.is_closed()
             && !connection.stream.has_activity()
     }
 
-    /// Returns a usable idle connection whose reuse delay is over, waiting for that if necessary.
+    /// Returns a usable idle connection after its [`MIN_REUSE_DELAY`], which is waited for if no connection is past it.
+    /// Connections that are found unusable are closed.
     async fn take_idle(&self, id: BackendId, address: SocketAddr) -> Option<PooledConnection> {
         loop {
             let connection = self.pick_idle(id)?;
@@ -106,8 +113,8 @@
                 continue; // the backend has another address now
             }
             if connection.last_response_at.elapsed() < MIN_REUSE_DELAY {
-                let reusable_at = connection.last_response_at + MIN_REUSE_DELAY;
-                tokio::time::sleep_until(reusable_at).await;
+                let delay_ends_at = connection.last_response_at + MIN_REUSE_DELAY;
+                tokio::time::sleep_until(delay_ends_at).await;
             }
             if self.is_usable(&connection) {
                 return Some(connection);
@@ -115,17 +122,18 @@
         }
     }
 
-    /// Removes the most recently used connection whose reuse delay is over, or else the one whose delay ends first.
+    /// Takes the connection that was checked in last among those past their [`MIN_REUSE_DELAY`], or else the one that
+    /// was checked in first, whose delay ends first.
     fn pick_idle(&self, id: BackendId) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&id).filter(|list| !list.is_empty())?;
-        let reusable = connections
+        let past_delay = connections
             .iter()
             .rposition(|connection| connection.last_response_at.elapsed() >= MIN_REUSE_DELAY);
-        Some(connections.remove(reusable.unwrap_or(0)))
+        Some(connections.remove(past_delay.unwrap_or(0)))
     }
 
-    /// Returns a connection without a request in progress to the pool.
+    /// Puts a connection on which no request is in progress into the pool; closes it if its backend is closed.
     pub(super) fn check_in(&self, id: BackendId, connection: PooledConnection) {
         if self.closed_backends.borrow().contains(&id) {
             return;
@@ -135,8 +143,8 @@
         idle.entry(id).or_default().push(connection);
     }
 
-    /// Returns a connection to the pool after its response, idle since `idle_since`. If it is not ready for another
-    /// request it is closed instead: the response must not wait for it.
+    /// Checks a connection in after its response, idle since `idle_since`. If it is not ready for another request now,
+    /// it is closed instead, as waiting for it would delay the end of the response to the client.
     pub(super) fn check_in_if_ready(
         &self,
         id: BackendId,
@@ -157,7 +165,7 @@
             .insert(id, Instant::now());
     }
 
-    /// Closes the backend's idle connections and keeps none until it is reopened, as it gets no new requests.
+    /// Closes the idle connections to a backend that gets no new requests, and keeps none until it is reopened.
     pub fn close_backend(&self, id: BackendId) {
         self.closed_backends.borrow_mut().insert(id);
         self.idle.borrow_mut().remove(&id);
@@ -169,16 +177,16 @@
         self.closed_backends.borrow_mut().remove(&id);
     }
 
-    /// Removes all state of a backend that gets no more requests and has none in flight.
+    /// Removes all state of a backend that gets no more requests and has none in flight, including its mark as closed.
     pub fn remove_backend(&self, id: BackendId) {
         self.close_backend(id);
         self.reopen_backend(id);
     }
 
     /// Records that an attempt sent at `sent_at` was given up without a response. If the backend has not responded to
-    /// anything since, its machine may be unreachable and its idle connections dead without notice, so they are closed.
-    /// A request written to a dead connection may have been executed as far as the proxy can tell, while a failure to
-    /// connect proves that it was not.
+    /// anything since, its machine may be unreachable and its idle connections dead without notice, so they are closed
+    /// and the next attempt has to connect. A failure to connect proves that the request was not executed, so that a
+    /// retry is safe; a request written to a dead connection may have been executed as far as the proxy can tell.
     pub fn record_unanswered_attempt(&self, id: BackendId, sent_at: Instant) {
         let responses = self.last_response_at.borrow();
         if responses.get(&id).is_none_or(|at| *at < sent_at) {
@@ -202,7 +210,8 @@
         }
     }
 
-    /// Closes connections that were idle too long or were closed by the backend. Runs until the process ends.
+    /// Closes idle connections that are no longer usable: idle too long, closed by the backend, or with unexpected
+    /// input. Runs until the process ends.
     pub async fn close_idle_connections(self: Rc<ConnectionPool>) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
@@ -214,7 +223,7 @@
     }
 
     /// Opens a connection. At the limit the longest-idle connection is closed first; if none is idle the outcome is
-    /// [`Outcome::NotSent`], which does not count against the backend.
+    /// [`Outcome::NotSent`], which outlier detection does not count as a failure of the backend.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, Outcome> {
         if self.open_connections() >= self.max_open.get() && !self.close_longest_idle() {
             return Err(Outcome::NotSent);
@@ -225,7 +234,7 @@
         let connected = tokio::time::timeout(self.connect_timeout.get(), connecting).await;
         let tcp = match connected {
             Ok(Ok(tcp)) => tcp,
-            // The proxy has run out of descriptors, which does not count against the backend.
+            // The proxy has run out of descriptors, which is no failure of the backend either.
             Ok(Err(error)) if is_out_of_descriptors(&error) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
@@ -235,7 +244,7 @@
     }
 }
 
-fn idle_timeout(network: &NetworkSettings) -> Duration {
+fn max_idle_time(network: &NetworkSettings) -> Duration {
     to_duration(network.conn_idle.mul_f64(IDLE_TIMEOUT_FRACTION))
 }
 
