--- a/benches/scale/changes.rs
+++ b/benches/scale/changes.rs
@@ -28,15 +28,15 @@
         let span = self.spans.changes;
         self.measure(name, span + LAST_CHANGE_TIME, |runner| {
             let restarts = runner.events_in(span, churn);
-            let mut done = PhaseEvents::default();
-            runner.make_changes(name, span, restarts, &mut done);
-            done
+            let mut events = PhaseEvents::default();
+            runner.make_changes(name, span, restarts, &mut events);
+            events
         });
         self.end_of_changes(name);
     }
 
     /// Requests changes while a tenth of the datagrams is lost and after a whole rack failed.
-    pub fn changes_without_rack(&mut self) {
+    pub fn changes_with_failed_rack(&mut self) {
         let name = "changes, 10% lost, rack gone";
         let (proxies, span) = (self.neighbors(40), self.spans.changes);
         self.fleet
@@ -53,13 +53,13 @@
                     to: None,
                 })
                 .collect();
-            let mut done = PhaseEvents {
+            let mut events = PhaseEvents {
                 absences,
                 ..PhaseEvents::default()
             };
-            runner.make_changes(name, span, 0, &mut done);
-            done.unexpected = false; // this phase only measures the propagation times
-            done
+            runner.make_changes(name, span, 0, &mut events);
+            events.unexpected = false; // this phase only measures the propagation times
+            events
         });
         self.fleet.start(&proxies);
         self.end_of_changes(name);
@@ -78,49 +78,55 @@
     }
 
     /// Requests changes over a span, with `restarts` restarts of random proxies spread over them.
-    fn make_changes(&mut self, name: &str, span: Duration, restarts: u32, done: &mut PhaseEvents) {
+    fn make_changes(
+        &mut self,
+        name: &str,
+        span: Duration,
+        restarts: u32,
+        events: &mut PhaseEvents,
+    ) {
         let (begun, mut from) = (Instant::now(), self.fleet.newest_version());
         let count = (span.as_secs_f64() * PER_SECOND) as u32;
         let mut returns = Vec::new();
         for n in 0..count {
             let at = begun + span.mul_f64(f64::from(n) / f64::from(count));
-            self.back_until(at, &mut returns, &mut done.absences);
+            self.restart_due_until(at, &mut returns, &mut events.absences);
             if restarts > 0 && n % (count / restarts).max(1) == 0 {
-                let proxy = self.random_proxy(&done.absences);
-                done.absences.push(Absence {
+                let proxy = self.random_proxy(&events.absences);
+                events.absences.push(Absence {
                     proxy,
                     from: mono_us(),
                     to: None,
                 });
                 self.fleet.stop(&[proxy], true);
-                returns.push((Instant::now() + RESTART_TIME, done.absences.len() - 1));
+                returns.push((Instant::now() + RESTART_TIME, events.absences.len() - 1));
             }
             match self.fleet.change(n as usize, &mut from) {
-                Ok(changed) => done.record(changed),
+                Ok(changed) => events.record(changed),
                 Err(why) => {
                     eprintln!("{name}: change {n} was not accepted: {why}");
                     from = self.fleet.newest_version();
                 }
             }
         }
-        self.back_until(begun + span, &mut returns, &mut done.absences);
-        done.events = done.changes.len() as u32;
-        let slowest_ms = done
+        self.restart_due_until(begun + span, &mut returns, &mut events.absences);
+        events.event_count = events.changes.len() as u32;
+        let slowest_ms = events
             .changes
             .iter()
             .map(|c| c.answered_us.saturating_sub(c.requested_us) / 1000)
             .max()
             .unwrap_or(0);
-        done.outcome = Some(format!(
+        events.outcome = Some(format!(
             "{} of {count} changes accepted, the slowest answer after {slowest_ms} ms",
-            done.events
+            events.event_count
         ));
-        done.unexpected = done.events < count;
+        events.unexpected = events.event_count < count;
     }
 
     /// Partitions the region of the last real proxy. Proxies inside must refuse changes with 503, those outside accept them,
     /// and all replicas must be equal soon after the partition heals.
-    pub fn changes_while_cut(&mut self) {
+    pub fn changes_during_partition(&mut self) {
         let plan = self.fleet.plan;
         let Some(region) = self.fleet.real.last().map(|r| plan.region(r.number)) else {
             return eprintln!("changes-region: skipped, the fleet has no real proxies");
@@ -145,7 +151,7 @@
                 from,
                 to: u64::MAX / 2,
             });
-            let mut done = PhaseEvents {
+            let mut events = PhaseEvents {
                 cut,
                 ..PhaseEvents::default()
             };
@@ -159,7 +165,7 @@
                     .fleet
                     .change(outside_proxies[attempts % outside_proxies.len()], &mut base)
                 {
-                    Ok(changed) => done.record(changed),
+                    Ok(changed) => events.record(changed),
                     Err(why) => eprintln!("changes, region cut: not accepted outside: {why}"),
                 }
                 let mut from = base;
@@ -176,22 +182,22 @@
                 attempts += 1;
             }
             newest = base;
-            done.events = done.changes.len() as u32;
+            events.event_count = events.changes.len() as u32;
             let last = last_accepted.as_secs_f64();
-            done.outcome = Some(format!(
+            events.outcome = Some(format!(
                 "outside {} of {attempts} changes accepted; inside {accepted} accepted (the last after {last:.1} s), \
                  {refused} refused with 503, the last reason: {reason}",
-                done.events
+                events.event_count
             ));
-            done.unexpected = accepted > 0 || refused as usize != attempts;
-            done
+            events.unexpected = accepted > 0 || refused as usize != attempts;
+            events
         });
         self.measure(
             "changes, region healed",
             self.spans.after_return,
             |runner| {
                 let (to, begun) = (runner.fleet.set_faults(Faults::default()), Instant::now());
-                let mut done = PhaseEvents {
+                let mut events = PhaseEvents {
                     cut: Some(Cut { region, from, to }),
                     ..PhaseEvents::default()
                 };
@@ -205,19 +211,19 @@
                     std::thread::sleep(Duration::from_millis(50));
                 };
                 let violations = runner.fleet.consistency_violations();
-                done.unexpected =
+                events.unexpected =
                     !violations.is_empty() || equal.is_none_or(|after| after > MAX_CONVERGENCE);
                 let equal = equal.map_or("not equal after 30 s".into(), |after| {
                     format!("equal after {:.1} s", after.as_secs_f64())
                 });
-                done.outcome = Some(format!(
+                events.outcome = Some(format!(
                     "replicas {equal}, consistency violations: {}",
                     violations.len()
                 ));
                 violations
                     .iter()
                     .for_each(|violation| eprintln!("changes, region healed: {violation}"));
-                done
+                events
             },
         );
         self.settle();
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -24,7 +24,7 @@
 /// The timeout for a worker's reply, and until the real proxies know each other. It is longer than either takes on a
 /// busy machine.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
-/// A small load with dead backends.
+/// A low load, with dead backends.
 pub const FAILING_BACKENDS: Load = Load {
     backends: 9,
     dead: 3,
@@ -54,23 +54,23 @@
 impl WorkerLink {
     /// Starts this executable again as a worker process.
     fn process(proxies: Vec<u32>) -> WorkerLink {
-        let own = std::env::current_exe().expect("this executable");
+        let own = std::env::current_exe().expect("the path of this executable");
         let mut command = std::process::Command::new(own);
         let piped = command
             .arg(super::WORKER_ARG)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped());
-        let mut child = piped.spawn().expect("a worker");
+        let mut child = piped.spawn().expect("the worker process starts");
         let (input, output) = (
-            child.stdin.take().expect("piped"),
-            child.stdout.take().expect("piped"),
+            child.stdin.take().expect("a piped stream"),
+            child.stdout.take().expect("a piped stream"),
         );
-        let (tell, replies) = channel();
+        let (reply_sender, replies) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 let reply =
                     serde_json::from_str(&line).unwrap_or_else(|e| Reply::Failed(e.to_string()));
-                if tell.send(reply).is_err() {
+                if reply_sender.send(reply).is_err() {
                     return;
                 }
             }
@@ -84,11 +84,11 @@
 
     /// Starts a worker on a thread of this process.
     fn thread(proxies: Vec<u32>) -> WorkerLink {
-        let (tell, replies) = channel();
+        let (reply_sender, replies) = channel();
         let (sender, commands) = tokio::sync::mpsc::unbounded_channel();
         std::thread::spawn(move || {
             worker::run(commands, |reply| {
-                let _ = tell.send(reply); // the coordinator may have gone
+                let _ = reply_sender.send(reply); // the coordinator may have gone
             });
         });
         WorkerLink {
@@ -111,7 +111,11 @@
 
     /// Waits for the next reply. Panics if the worker failed or does not reply in time.
     fn reply(&self) -> Reply {
-        match self.replies.recv_timeout(REPLY_TIMEOUT).expect("an answer") {
+        match self
+            .replies
+            .recv_timeout(REPLY_TIMEOUT)
+            .expect("a reply from the worker in time")
+        {
             Reply::Failed(why) => panic!("a worker failed: {why}"),
             reply => reply,
         }
@@ -191,7 +195,7 @@
 
 impl Fleet {
     /// Starts the real proxies, one after the other, and the workers. [`Fleet::join`] starts the lightweight proxies.
-    pub fn new(shape: FleetOptions) -> Fleet {
+    pub fn new(options: FleetOptions) -> Fleet {
         let FleetOptions {
             size,
             seed,
@@ -199,7 +203,7 @@
             full,
             proxies_per_worker,
             threads,
-        } = shape;
+        } = options;
         let plan = Plan {
             size,
             port: free_port(),
@@ -234,7 +238,7 @@
                 shared.clone(),
             )
         };
-        let started: Vec<RealProxy> = (0..).zip(&numbers).map(start).collect();
+        let real_proxies: Vec<RealProxy> = (0..).zip(&numbers).map(start).collect();
         let light: Vec<u32> = (0..size).filter(|n| !numbers.contains(n)).collect();
         let parts = light
             .chunks(proxies_per_worker as usize)
@@ -260,7 +264,7 @@
         let (conditions, clients_running) = (Conditions::default(), Arc::default());
         let fleet = Fleet {
             plan,
-            real: started,
+            real: real_proxies,
             launch,
             smallest_kb,
             links,
@@ -339,7 +343,7 @@
         self.send_to_owners(proxies, |proxies| Command::Stop { proxies, leave })
     }
 
-    /// Sends the commands for these proxies to their workers. Returns the time at which the last worker had executed its own.
+    /// Sends a command about these proxies to their workers. Returns the time at which the last worker had executed its own.
     fn send_to_owners(&mut self, proxies: &[u32], command: impl Fn(Vec<u32>) -> Command) -> u64 {
         self.send_each(|link| {
             command(
@@ -369,6 +373,7 @@
         })
     }
 
+    /// Sets the network conditions at the workers and the relays; returns the time in microseconds.
     fn set_conditions(&mut self, conditions: Conditions) -> u64 {
         self.conditions = conditions;
         *self.shared.lock().expect("the lock is not poisoned") = conditions;
@@ -392,22 +397,22 @@
         (number, at)
     }
 
-    /// Prepares a change of a new entry that is based on version `from`. Returns the change's number, and the request line
+    /// Prepares a change of a new entry that is based on version `base`. Returns the change's number, and the request line
     /// and body that set the entry.
-    pub fn prepare_change(&mut self, from: u64) -> (u32, String, String) {
+    pub fn prepare_change(&mut self, base: u64) -> (u32, String, String) {
         self.probes += 1;
         let (number, name) = (self.probes, light_proxy::change_name(self.probes));
         let body =
-            format!(r#"{{"version":{from},"value":{{"name":"{name}","quota_rps":{number}.5}}}}"#);
+            format!(r#"{{"version":{base},"value":{{"name":"{name}","quota_rps":{number}.5}}}}"#);
         (number, format!("PUT /config/tenants/{name}"), body)
     }
 
-    /// Requests a change of one entry at a real proxy's control address, based on version `from`, which is then set to the new
+    /// Requests a change of one entry at a real proxy's control address, based on version `base`, which is then set to the new
     /// version. Returns the reason if the change was not accepted.
-    pub fn change(&mut self, at: usize, from: &mut u64) -> Result<AcceptedChange, String> {
-        let (number, line, body) = self.prepare_change(*from);
+    pub fn change(&mut self, index: usize, base: &mut u64) -> Result<AcceptedChange, String> {
+        let (number, line, body) = self.prepare_change(*base);
         let requested_us = mono_us();
-        let answer = self.real[at % self.real.len()]
+        let answer = self.real[index % self.real.len()]
             .call(&line, &body)
             .ok_or("no response")?;
         let response: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
@@ -422,7 +427,7 @@
             .as_u64()
             .filter(|_| answer.status() == 200);
         let version = accepted.ok_or_else(rejection)?;
-        *from = version;
+        *base = version;
         Ok(AcceptedChange {
             number,
             version,
@@ -442,17 +447,19 @@
     pub fn slowest_real_activations(
         &self,
         changes: &[AcceptedChange],
-        of: impl Fn(&RealProxy) -> bool,
+        selected: impl Fn(&RealProxy) -> bool,
     ) -> BTreeMap<u32, Option<u32>> {
         let mut slowest = BTreeMap::new();
-        for came in self
+        for activations in self
             .real
             .iter()
-            .filter(|r| of(r))
+            .filter(|r| selected(r))
             .map(RealProxy::activations)
         {
             for change in changes {
-                let at = came.iter().find(|(version, _)| *version >= change.version);
+                let at = activations
+                    .iter()
+                    .find(|(version, _)| *version >= change.version);
                 let ms = at.map(|(_, at)| (at.saturating_sub(change.requested_us) / 1000) as u32);
                 activation::merge_slowest(&mut slowest, change.number, ms);
             }
@@ -467,14 +474,14 @@
     ) -> Option<(usize, lease_history::Token)> {
         let incarnations: Vec<_> = self.real.iter().flat_map(RealProxy::incarnations).collect();
         let all = lease_history::duty_holdings("config", &incarnations);
-        let now = all
+        let current = all
             .iter()
             .rfind(|h| h.to == u64::MAX && above.is_none_or(|above| h.token > *above))?;
-        let at = self
+        let index = self
             .real
             .iter()
-            .position(|r| r.number as usize == now.proxy)?;
-        Some((at, now.token.clone()))
+            .position(|r| r.number as usize == current.proxy)?;
+        Some((index, current.token.clone()))
     }
 
     /// Checks the logs of all real proxies: each version has one content, no replica returns to an older version, and only one
@@ -517,10 +524,10 @@
     }
 
     /// Whether all lightweight and the selected real proxies have this version active or a newer one.
-    pub fn all_reached(&mut self, version: u64, of: impl Fn(&RealProxy) -> bool) -> bool {
+    pub fn all_reached(&mut self, version: u64, selected: impl Fn(&RealProxy) -> bool) -> bool {
         self.real
             .iter()
-            .filter(|r| of(r))
+            .filter(|r| selected(r))
             .all(|r| r.active_version() >= version)
             && self.light_versions().0 >= version
     }
@@ -655,6 +662,6 @@
 
 /// A currently free UDP port; all proxies of a run use it on their own addresses.
 fn free_port() -> u16 {
-    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.local_addr().expect("an address").port()
+    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free UDP port");
+    socket.local_addr().expect("a local address").port()
 }
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -44,14 +44,14 @@
             }
         );
         self.measure(&name, Duration::ZERO, |runner| {
-            let mut done = PhaseEvents {
-                events: 1,
+            let mut events = PhaseEvents {
+                event_count: 1,
                 ..PhaseEvents::default()
             };
-            let outcome = runner.fail_holder(heard_by, failure, &mut done);
-            done.unexpected = outcome.is_err();
-            done.outcome = Some(outcome.unwrap_or_else(|why| why));
-            done
+            let outcome = runner.fail_holder(heard_by, failure, &mut events);
+            events.unexpected = outcome.is_err();
+            events.outcome = Some(outcome.unwrap_or_else(|why| why));
+            events
         });
         self.fleet.isolate(Isolation::default());
         self.settle();
@@ -62,7 +62,7 @@
         &mut self,
         heard_by: HeardBy,
         failure: HolderFailure,
-        done: &mut PhaseEvents,
+        events: &mut PhaseEvents,
     ) -> Result<String, String> {
         let (at, token) = self
             .fleet
@@ -100,7 +100,7 @@
             ));
         }
         self.inject_failure(at, failure, &token)?;
-        done.absences.push(Absence {
+        events.absences.push(Absence {
             proxy: holder,
             from: requested_us,
             to: None,
--- a/benches/scale/light_proxy.rs
+++ b/benches/scale/light_proxy.rs
@@ -67,15 +67,17 @@
 
 /// The counters of a member of the plan, over all its restarts.
 #[derive(Default)]
-pub struct Tally {
+pub struct ProxyCounters {
     /// Datagrams and bytes sent.
     pub sent: Cell<u64>,
     pub bytes: Cell<u64>,
+    /// How often the proxy rejoined the cluster.
     pub rejoined: Cell<u64>,
     /// Processor time spent in the balancer.
     pub balancer: Cell<Duration>,
     /// The membership counters before the last restart.
     pub previous: RefCell<Counters>,
+    /// At most [`MAX_OBSERVATIONS`] observations, oldest first.
     pub observations: RefCell<Vec<Observation>>,
 }
 
@@ -92,7 +94,7 @@
     replica: RefCell<Option<LightReplica>>,
     conditions: Rc<Cell<Conditions>>,
     random: RefCell<Pcg32>,
-    pub tally: Rc<Tally>,
+    pub counters: Rc<ProxyCounters>,
     /// Wakes the proxy's task after its load changed or it was stopped.
     wake: Notify,
     stopped: Cell<bool>,
@@ -106,13 +108,13 @@
         config: MembershipConfig,
         voters: Vec<SocketAddr>,
         conditions: Rc<Cell<Conditions>>,
-        tally: Rc<Tally>,
+        counters: Rc<ProxyCounters>,
     ) -> io::Result<Rc<LightProxy>> {
         let address = plan.address(number);
         let socket = std::net::UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let seed = plan.seed ^ (u64::from(number) << 32);
-        let light_proxy = Rc::new(LightProxy {
+        let proxy = Rc::new(LightProxy {
             number,
             plan,
             socket: UdpSocket::from_std(socket.try_clone()?)?,
@@ -128,14 +130,15 @@
             )),
             conditions,
             random: RefCell::new(Pcg32::seed_from_u64(seed)),
-            tally,
+            counters,
             wake: Notify::new(),
             stopped: Cell::new(false),
         });
-        tokio::task::spawn_local(light_proxy.clone().run());
-        Ok(light_proxy)
+        tokio::task::spawn_local(proxy.clone().run());
+        Ok(proxy)
     }
 
+    /// Receives datagrams and runs what is due until the proxy is stopped.
     async fn run(self: Rc<Self>) {
         let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         while !self.stopped.get() {
@@ -172,7 +175,7 @@
             self.step(Membership::leave);
         }
         let (mut previous, counts) = (
-            self.tally.previous.borrow_mut(),
+            self.counters.previous.borrow_mut(),
             self.membership.borrow().counters(),
         );
         previous.received += counts.received;
@@ -201,6 +204,7 @@
         self.wake.notify_one();
     }
 
+    /// Broadcasts a verdict on a backend to the other proxies.
     pub fn broadcast_verdict(&self, backend: String, verdict: Verdict) {
         self.step(|m, now, out| m.broadcast_verdict(backend, verdict, now, out));
     }
@@ -231,7 +235,9 @@
             spent = std::mem::take(&mut balancer.spent);
             verdicts
         });
-        self.tally.balancer.set(self.tally.balancer.get() + spent);
+        self.counters
+            .balancer
+            .set(self.counters.balancer.get() + spent);
         verdicts
             .into_iter()
             .flatten()
@@ -246,10 +252,11 @@
             .borrow_mut()
             .as_mut()
             .map(|replica| (step(replica, now()), replica.changed_entries()));
-        let Some((mail, changed_names)) = done else {
+        let Some((messages, changed_names)) = done else {
             return false;
         };
-        mail.into_iter()
+        messages
+            .into_iter()
             .for_each(|(to, bytes)| self.send(to, wire::Body::Coordination(bytes)));
         let numbers = changed_names
             .iter()
@@ -276,7 +283,7 @@
             MembershipEvent::MemberDown { peer, .. } => self.observe(peer, Change::Down),
             MembershipEvent::MemberReplaced { peer } => self.observe(peer, Change::Replaced),
             MembershipEvent::Rejoined { .. } => {
-                self.tally.rejoined.set(self.tally.rejoined.get() + 1);
+                self.counters.rejoined.set(self.counters.rejoined.get() + 1);
             }
             MembershipEvent::VerdictReceived {
                 backend,
@@ -310,8 +317,9 @@
             .for_each(|peer| self.record(peer, change));
     }
 
+    /// Records an observation, unless there are [`MAX_OBSERVATIONS`] already.
     fn record(&self, number: u32, change: Change) {
-        let mut observations = self.tally.observations.borrow_mut();
+        let mut observations = self.counters.observations.borrow_mut();
         if observations.len() < MAX_OBSERVATIONS {
             observations.push((mono_us(), number, change));
         }
@@ -334,10 +342,10 @@
         let Ok(bytes) = self.sealer.seal(body, now().wall_us) else {
             return;
         };
-        self.tally.sent.set(self.tally.sent.get() + 1);
-        self.tally
+        self.counters.sent.set(self.counters.sent.get() + 1);
+        self.counters
             .bytes
-            .set(self.tally.bytes.get() + bytes.len() as u64);
+            .set(self.counters.bytes.get() + bytes.len() as u64);
         let conditions = self.conditions.get();
         let faults = conditions.faults;
         let passes = self
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -17,7 +17,7 @@
 const RESTARTS_PER_DAY: f64 = 2200.0;
 const FAILURES_PER_DAY: f64 = 120.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-const PLANNED_PROXIES: f64 = 1800.0;
+const TARGET_PROXIES: f64 = 1800.0;
 /// One of this many churn events is a failure, the others are restarts.
 const EVENTS_PER_FAILURE: u32 = 20;
 /// How long a restarted proxy is absent.
@@ -82,7 +82,7 @@
     /// Accepted configuration changes.
     pub changes: Vec<AcceptedChange>,
     /// The number of injected events.
-    pub events: u32,
+    pub event_count: u32,
     /// A summary of the result, and whether it differs from what is required.
     pub outcome: Option<String>,
     pub unexpected: bool,
@@ -141,8 +141,8 @@
             "changes-worst" => {
                 self.changes("changes, 10% lost", HEAVY_FAULTS, 0.0);
             }
-            "changes-lost10-rack" => self.changes_without_rack(),
-            "changes-region" => self.changes_while_cut(),
+            "changes-lost10-rack" => self.changes_with_failed_rack(),
+            "changes-region" => self.changes_during_partition(),
             "changes-holder" => {
                 for failure in [
                     HolderFailure::Killed,
@@ -172,21 +172,25 @@
         during: impl FnOnce(&mut PhaseRunner) -> PhaseEvents,
     ) {
         let (since, before) = (mono_us(), self.fleet.measure());
-        let done = during(self);
+        let events = during(self);
         std::thread::sleep(span.saturating_sub(before.at.elapsed()));
         let after = self.fleet.measure();
-        let observations = self
-            .fleet
-            .observations(since, &done.absences, &done.probes, done.cut);
-        let mut rows = rows::rows(&self.fleet, phase, &before, &after, &done, &observations);
+        let observations =
+            self.fleet
+                .observations(since, &events.absences, &events.probes, events.cut);
+        let mut rows = rows::rows(&self.fleet, phase, &before, &after, &events, &observations);
         let plan = self.fleet.plan;
-        let connected = |number: u32| done.cut.is_none_or(|cut| plan.region(number) != cut.region);
+        let connected = |number: u32| {
+            events
+                .cut
+                .is_none_or(|cut| plan.region(number) != cut.region)
+        };
         let real_slowest = self
             .fleet
-            .slowest_real_activations(&done.changes, |r| connected(r.number));
+            .slowest_real_activations(&events.changes, |r| connected(r.number));
         for row in &mut rows {
             row.propagation = match row.role.as_str() {
-                LIGHT if done.cut.is_none() && !done.changes.is_empty() => {
+                LIGHT if events.cut.is_none() && !events.changes.is_empty() => {
                     PropagationTimes::of(observations.slowest.values().copied())
                 }
                 ALL_REAL => PropagationTimes::of(real_slowest.values().copied()),
@@ -231,24 +235,24 @@
     /// before the end of the span have returned by then.
     fn churn(&mut self, name: &str, times: f64) {
         let span = self.spans.churn;
-        let events = self.events_in(span, times);
+        let event_count = self.events_in(span, times);
         self.measure(name, span, |runner| {
             let begun = Instant::now();
-            let mut done = PhaseEvents {
-                events,
+            let mut events = PhaseEvents {
+                event_count,
                 ..PhaseEvents::default()
             };
             let mut returns: Vec<(Instant, usize)> = Vec::new();
-            for n in 0..events {
-                let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(events));
-                runner.back_until(at, &mut returns, &mut done.absences);
+            for n in 0..event_count {
+                let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(event_count));
+                runner.restart_due_until(at, &mut returns, &mut events.absences);
                 let (proxy, is_failure) = (
-                    runner.random_proxy(&done.absences),
+                    runner.random_proxy(&events.absences),
                     n % EVENTS_PER_FAILURE == EVENTS_PER_FAILURE / 2,
                 );
                 let from = mono_us();
                 runner.fleet.stop(&[proxy], !is_failure);
-                done.absences.push(Absence {
+                events.absences.push(Absence {
                     proxy,
                     from,
                     to: None,
@@ -258,17 +262,17 @@
                 } else {
                     RESTART_TIME
                 };
-                returns.push((Instant::now() + absent_for, done.absences.len() - 1));
+                returns.push((Instant::now() + absent_for, events.absences.len() - 1));
             }
-            runner.back_until(begun + span, &mut returns, &mut done.absences);
-            done
+            runner.restart_due_until(begun + span, &mut returns, &mut events.absences);
+            events
         });
         self.settle();
     }
 
     /// Waits until `end`, and meanwhile restarts each proxy whose return is due. `returns` holds the time of each return and
     /// an index into `absences`.
-    pub fn back_until(
+    pub fn restart_due_until(
         &mut self,
         end: Instant,
         returns: &mut Vec<(Instant, usize)>,
@@ -301,7 +305,7 @@
             probes.push(self.fleet.probe(proxy));
         }
         PhaseEvents {
-            events: count,
+            event_count: count,
             probes,
             ..PhaseEvents::default()
         }
@@ -317,12 +321,12 @@
                 .load_real_proxies(load, Instant::now() + 2 * span);
             runner.fleet.set_load(Some(load));
             PhaseEvents {
-                events: load.dead,
+                event_count: load.dead,
                 ..PhaseEvents::default()
             }
         });
         self.measure(&format!("{name}, then"), span, |_| PhaseEvents {
-            events: load.dead,
+            event_count: load.dead,
             ..PhaseEvents::default()
         });
         self.fleet.set_load(None);
@@ -331,7 +335,7 @@
 
     /// The number of restarts and failures in a span at `times` the target deployment's rate per proxy.
     pub fn events_in(&self, span: Duration, times: f64) -> u32 {
-        let rate = (RESTARTS_PER_DAY + FAILURES_PER_DAY) / SECONDS_PER_DAY / PLANNED_PROXIES
+        let rate = (RESTARTS_PER_DAY + FAILURES_PER_DAY) / SECONDS_PER_DAY / TARGET_PROXIES
             * f64::from(self.fleet.plan.size)
             * times;
         (rate * span.as_secs_f64()).round() as u32
@@ -370,7 +374,7 @@
                     .collect();
                 PhaseEvents {
                     absences,
-                    events: proxies.len() as u32,
+                    event_count: proxies.len() as u32,
                     ..PhaseEvents::default()
                 }
             },
@@ -390,7 +394,7 @@
             PhaseEvents {
                 absences,
                 convergence,
-                events: proxies.len() as u32,
+                event_count: proxies.len() as u32,
                 ..PhaseEvents::default()
             }
         });
@@ -410,7 +414,7 @@
     /// Partitions the last region from all others, then heals the partition.
     fn region_partition(&mut self) {
         let region = super::plan::REGIONS - 1;
-        let events = (0..self.fleet.plan.size)
+        let event_count = (0..self.fleet.plan.size)
             .filter(|n| self.fleet.plan.region(*n) == region)
             .count() as u32;
         let from = mono_us();
@@ -425,7 +429,7 @@
         });
         self.measure("region cut", self.spans.partition, |_| PhaseEvents {
             cut,
-            events,
+            event_count,
             ..PhaseEvents::default()
         });
         self.measure("region healed", self.spans.after_return, |runner| {
@@ -436,7 +440,7 @@
             PhaseEvents {
                 cut: Some(Cut { region, from, to }),
                 convergence,
-                events,
+                event_count,
                 ..PhaseEvents::default()
             }
         });
--- a/benches/scale/rows.rs
+++ b/benches/scale/rows.rs
@@ -22,7 +22,7 @@
     phase: &str,
     before: &Measurement,
     after: &Measurement,
-    done: &PhaseEvents,
+    events: &PhaseEvents,
     observations: &Observations,
 ) -> Vec<Row> {
     let seconds = (after.at - before.at).as_secs_f64();
@@ -42,17 +42,17 @@
         size: fleet.plan.size,
         phase: phase.into(),
         seconds,
-        events: done.events,
-        full_convergence_s: done.convergence.full_s,
-        near_convergence_s: done.convergence.near_s,
+        events: events.event_count,
+        full_convergence_s: events.convergence.full_s,
+        near_convergence_s: events.convergence.near_s,
         busy_percent,
         own_percent: percent(light_ns + real_ns, seconds) / cores,
         machine_overloaded: busy_percent > MAX_BUSY_PERCENT,
         ..Row::default()
     };
     let outcome = Row {
-        outcome: done.outcome.clone(),
-        unexpected: done.unexpected,
+        outcome: events.outcome.clone(),
+        unexpected: events.unexpected,
         ..common.clone()
     };
     let mut rows = vec![light_row(outcome, &light, light_ns, observations)];
--- a/benches/scale/worker.rs
+++ b/benches/scale/worker.rs
@@ -2,7 +2,7 @@
 //! thread of the coordinator's process or a process of its own.
 
 use super::activation::slowest_activations;
-use super::light_proxy::{probe_name, LightProxy, Tally};
+use super::light_proxy::{probe_name, LightProxy, ProxyCounters};
 use super::observations::observe;
 use super::plan::Plan;
 use super::protocol::{Absence, Command, Conditions, Cut, Load, Observations, Reply, Sample};
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct Member {
     proxy: Option<Rc<LightProxy>>,
-    tally: Rc<Tally>,
+    counters: Rc<ProxyCounters>,
 }
 
 /// The lightweight proxies of a worker and their settings.
@@ -128,7 +128,7 @@
             config,
             voters,
             self.conditions.clone(),
-            member.tally.clone(),
+            member.counters.clone(),
         )
         .map_err(|e| format!("proxy {number} at {}: {e}", plan.address(number)))?;
         if self.load.is_some() {
@@ -153,12 +153,12 @@
             ..Sample::default()
         };
         for (number, member) in &self.members {
-            let tally = &member.tally;
-            s.sent += tally.sent.get();
-            s.rejoined += tally.rejoined.get();
-            s.balancers_ns += tally.balancer.get().as_nanos() as u64;
-            s.bytes.insert(*number, tally.bytes.get());
-            let mut counters = vec![tally.previous.borrow().clone()];
+            let counters = &member.counters;
+            s.sent += counters.sent.get();
+            s.rejoined += counters.rejoined.get();
+            s.balancers_ns += counters.balancer.get().as_nanos() as u64;
+            s.bytes.insert(*number, counters.bytes.get());
+            let mut membership_counters = vec![counters.previous.borrow().clone()];
             if let Some((live, backlog, counts)) = member.proxy.as_ref().map(|h| h.status()) {
                 (s.fewest_members, s.most_members) =
                     (s.fewest_members.min(live), s.most_members.max(live));
@@ -172,9 +172,9 @@
                 let version = member.proxy.as_ref().map_or(0, |h| h.version());
                 s.versions = (s.versions.0.min(version), s.versions.1.max(version));
                 s.verdict_backlog = s.verdict_backlog.max(backlog);
-                counters.push(counts);
+                membership_counters.push(counts);
             }
-            for counts in counters {
+            for counts in membership_counters {
                 s.received += counts.received;
                 s.verdicts_sent += counts.verdicts_sent;
                 s.verdicts_received += counts.verdicts_received;
@@ -201,7 +201,7 @@
             .iter()
             .filter(|(_, member)| member.proxy.is_some());
         let recorded: Vec<_> = running
-            .map(|(number, member)| (*number, member.tally.observations.borrow()))
+            .map(|(number, member)| (*number, member.counters.observations.borrow()))
             .collect();
         let observers = recorded
             .iter()
