--- a/benches/duties.rs
+++ b/benches/duties.rs
@@ -1,5 +1,5 @@
 //! Measures the cost and latency of duties and the maintenance calendar with proxy processes on loopback: the takeover after
-//! a holder's death, the time from a drain decision until the last proxy stops, datagrams, processor time with many
+//! the holder is killed, the time from a drain decision until the last proxy stops, datagrams, processor time with many
 //! backends, and client latency with a busy calendar. Run it with
 //! `cargo bench --bench duties [deaths|stop|cost|backends|times|soak]`; the tests don't run it.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
@@ -18,6 +18,7 @@
 const DEATHS: usize = 20;
 const BACKENDS: usize = 8;
 
+/// Options of a fleet with three voters and servers behind its backends.
 fn options(size: usize, lease_ms: u64) -> FleetOptions {
     let (_, endpoints) = RecordingBackend::start_many(BACKENDS);
     FleetOptions {
@@ -68,13 +69,13 @@
         let (holder, token) = fleet.wait_for_holder(&[]);
         // A restarted voter does not vote for the length of a grant, and must vote again before the next kill. The kills are
         // spread over the time between two renewals.
-        let phase = lease_ms * n as u64 / (3 * DEATHS as u64);
-        std::thread::sleep(Duration::from_millis(lease_ms * 5 / 4 + 500 + phase));
+        let offset_ms = lease_ms * n as u64 / (3 * DEATHS as u64);
+        std::thread::sleep(Duration::from_millis(lease_ms * 5 / 4 + 500 + offset_ms));
         let killed_us = monotonic_us();
         fleet.kill(&[holder]);
-        let at = (holder + 1) % 5;
+        let next = (holder + 1) % 5;
         let id = format!("d{n}");
-        fleet.put_window(at, &id, &[&format!("b{}", n % BACKENDS)], 1.0, 30.0, 1);
+        fleet.put_window(next, &id, &[&format!("b{}", n % BACKENDS)], 1.0, 30.0, 1);
         let holdings = |f: &Fleet| lease_history::calendar_holdings(&f.incarnations());
         takeovers.push(
             fleet.wait_for("a successor of the killed holder", |f| {
@@ -82,7 +83,7 @@
             }) - killed_us,
         );
         first_steps.push(fleet.wait_for_transition(&id, "draining").at - killed_us);
-        fleet.control_call(at, &format!("DELETE /windows/{id}"), "");
+        fleet.control_call(next, &format!("DELETE /windows/{id}"), "");
         fleet.restart(holder);
     }
     let violations = lease_history::lease_violations(&fleet.incarnations());
@@ -103,8 +104,9 @@
         fleet.put_window(n % size, &id, &[&backend], 1.0, 1.5, 1);
         let decided = fleet.wait_for_transition(&id, "draining").at;
         let drained_at =
-            |f: &Fleet, of: usize| f.drain_times(of, &backend).0.get(n / BACKENDS).copied();
-        let stopped = (0..size).map(|of| fleet.wait_for("all to stop", |f| drained_at(f, of)));
+            |f: &Fleet, proxy: usize| f.drain_times(proxy, &backend).0.get(n / BACKENDS).copied();
+        let stopped =
+            (0..size).map(|proxy| fleet.wait_for("all to stop", |f| drained_at(f, proxy)));
         let last = stopped.max().unwrap_or(decided).saturating_sub(decided);
         fleet.wait_for_transition(&id, "done");
         last
@@ -121,14 +123,14 @@
     };
     let (begun, before) = (Instant::now(), sum());
     std::thread::sleep(span);
-    let (after, share) = (
+    let (after, proxy_seconds) = (
         sum(),
         begun.elapsed().as_secs_f64() * fleet.proxies.len() as f64,
     );
     format!(
         "{:.1} | {:.0}",
-        (after[0] - before[0]) / share,
-        (after[1] - before[1]) / share
+        (after[0] - before[0]) / proxy_seconds,
+        (after[1] - before[1]) / proxy_seconds
     )
 }
 
@@ -177,14 +179,14 @@
         .into_iter()
         .flatten()
         .flatten();
-    let of = |task: std::fs::DirEntry| {
+    let cpu_ns = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).unwrap_or_default();
         text.split(' ')
             .next()
             .and_then(|ns| ns.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    tasks.map(of).sum::<f64>() / 1e9
+    tasks.map(cpu_ns).sum::<f64>() / 1e9
 }
 
 /// Measures the processor time, in percent of a core, of the holder and the average of the other three proxies, without
@@ -208,8 +210,8 @@
         let (begun, before) = (Instant::now(), sum());
         std::thread::sleep(Duration::from_secs(15));
         let (after, span) = (sum(), begun.elapsed().as_secs_f64());
-        let of = |n: usize| (after[n] - before[n]) / span * 100.0;
-        let others: f64 = (0..4).filter(|n| *n != holder).map(of).sum();
+        let percent = |n: usize| (after[n] - before[n]) / span * 100.0;
+        let others: f64 = (0..4).filter(|n| *n != holder).map(percent).sum();
         let note = if fleet.wait_for_holder(&[]).0 == holder {
             ""
         } else {
@@ -217,7 +219,7 @@
         };
         println!(
             "| {count} | {what}{note} | {:.2} | {:.2} |",
-            of(holder),
+            percent(holder),
             others / 3.0
         );
     };
@@ -276,13 +278,14 @@
             .filter(|a| a.started_us > begun)
             .collect();
         let failed = requests.iter().filter(|a| a.status != 200).count();
-        let mut took: Vec<u64> = requests.iter().map(|a| a.took_us).collect();
-        took.sort();
-        let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize] as f64 / 1e3;
-        let (median, p99, p999) = (at(0.5), at(0.99), at(0.999));
+        let mut took_us: Vec<u64> = requests.iter().map(|a| a.took_us).collect();
+        took_us.sort();
+        let quantile_ms =
+            |fraction: f64| took_us[((took_us.len() - 1) as f64 * fraction) as usize] as f64 / 1e3;
+        let (median, p99, p999) = (quantile_ms(0.5), quantile_ms(0.99), quantile_ms(0.999));
         println!(
             "| {name} | {} | {failed} | {median:.2} | {p99:.2} | {p999:.2} |",
-            took.len()
+            took_us.len()
         );
     }
 }
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,6 +1,6 @@
 //! Measures the time that the decision module takes for each event, by the size of the fleet. It simulates one proxy of
 //! 1,800 at 117 requests per second over synthetic backend lists. `cargo bench --bench module -- 100 25000` runs only these
-//! numbers of backends. Two further runs have 21,000 routes and 130,000 tenants, the sizes of the target deployment.
+//! numbers of backends. Two further runs have 100 backends and the target deployment's 21,000 routes or 130,000 tenants.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use meadowproxy::{
@@ -33,14 +33,14 @@
             return;
         };
         all.sort_by(f64::total_cmp);
-        let at = |part: f64| all[((all.len() - 1) as f64 * part) as usize];
+        let quantile = |fraction: f64| all[((all.len() - 1) as f64 * fraction) as usize];
         let mean = all.iter().sum::<f64>() / all.len() as f64;
         println!(
             "| {size} | {what} | {} | {mean:.1} | {:.1} | {:.1} | {:.1} |",
             all.len(),
-            at(0.5),
-            at(0.99),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0)
         );
     }
 }
@@ -111,10 +111,10 @@
     /// Passes an event to the balancer, records the time that this takes, and executes the actions.
     fn handle(&mut self, what: &'static str, event: Event) {
         let mut actions = Vec::new();
-        let from = Instant::now();
+        let begun = Instant::now();
         self.balancer.handle(Time(self.now), event, &mut actions);
-        let took = from.elapsed().as_secs_f64() * 1e6;
-        self.times.0.entry(what).or_default().push(took);
+        let took_us = begun.elapsed().as_secs_f64() * 1e6;
+        self.times.0.entry(what).or_default().push(took_us);
         for action in actions {
             match action {
                 Action::Dispatch { request, backend } => {
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -19,24 +19,24 @@
 /// A backend's time for a request. Sixty clients then need eight concurrent requests at each backend, twice the initial
 /// concurrency limit.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// How long each restarted process is measured.
+/// How long each measured process runs. The process that writes the snapshot runs twice as long.
 const SPAN: Duration = Duration::from_secs(5);
 const ROUNDS: u64 = 5;
 
-/// Starts clients that send requests at a steady rate while `busy` is set, and count the responses and those whose status
-/// is not 200.
-fn load(
-    at: SocketAddr,
+/// Starts clients that send requests at a steady rate while `running` is set. They count the responses, and those whose
+/// status is not 200.
+fn start_clients(
+    address: SocketAddr,
     requests: &Arc<AtomicU32>,
     refused: &Arc<AtomicU32>,
-    busy: &Arc<AtomicBool>,
+    running: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
     let client = |n: u64| {
-        let (requests, refused, busy) = (requests.clone(), refused.clone(), busy.clone());
+        let (requests, refused, running) = (requests.clone(), refused.clone(), running.clone());
         std::thread::spawn(move || {
-            let mut client = Client::connect(at);
+            let mut client = Client::connect(address);
             let mut next = Instant::now() + REQUEST_INTERVAL.mul_f64(n as f64 / CLIENTS as f64);
-            while busy.load(Ordering::SeqCst) {
+            while running.load(Ordering::SeqCst) {
                 std::thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += REQUEST_INTERVAL;
                 client.send(&read_request(0.2));
@@ -94,18 +94,18 @@
         &snapshot_settings.unwrap_or_default(),
         &variables,
     );
-    let (requests, refused, busy) = (
+    let (requests, refused, running) = (
         Arc::default(),
         Arc::default(),
         Arc::new(AtomicBool::new(true)),
     );
-    let clients = load(proxy.address, &requests, &refused, &busy);
+    let clients = start_clients(proxy.address, &requests, &refused, &running);
     std::thread::sleep(span);
     let counts = (
         requests.load(Ordering::SeqCst),
         refused.load(Ordering::SeqCst),
     );
-    busy.store(false, Ordering::SeqCst);
+    running.store(false, Ordering::SeqCst);
     clients.into_iter().for_each(|c| drop(c.join()));
     (counts.0, counts.1, concurrency_limits(&proxy))
 }
--- a/benches/scale/changes.rs
+++ b/benches/scale/changes.rs
@@ -85,7 +85,7 @@
         restarts: u32,
         events: &mut PhaseEvents,
     ) {
-        let (begun, mut from) = (Instant::now(), self.fleet.newest_version());
+        let (begun, mut base) = (Instant::now(), self.fleet.newest_version());
         let count = (span.as_secs_f64() * PER_SECOND) as u32;
         let mut returns = Vec::new();
         for n in 0..count {
@@ -101,11 +101,11 @@
                 self.fleet.stop(&[proxy], true);
                 returns.push((Instant::now() + RESTART_TIME, events.absences.len() - 1));
             }
-            match self.fleet.change(n as usize, &mut from) {
+            match self.fleet.change(n as usize, &mut base) {
                 Ok(changed) => events.record(changed),
                 Err(why) => {
                     eprintln!("{name}: change {n} was not accepted: {why}");
-                    from = self.fleet.newest_version();
+                    base = self.fleet.newest_version();
                 }
             }
         }
@@ -168,10 +168,10 @@
                     Ok(changed) => events.record(changed),
                     Err(why) => eprintln!("changes, region cut: not accepted outside: {why}"),
                 }
-                let mut from = base;
+                let mut inside_base = base;
                 match runner
                     .fleet
-                    .change(inside_proxies[attempts % inside_proxies.len()], &mut from)
+                    .change(inside_proxies[attempts % inside_proxies.len()], &mut inside_base)
                 {
                     Ok(_) => (accepted, last_accepted) = (accepted + 1, begun.elapsed()),
                     Err(why) => {
@@ -183,9 +183,9 @@
             }
             newest = base;
             events.event_count = events.changes.len() as u32;
-            let last = last_accepted.as_secs_f64();
+            let last_accepted_s = last_accepted.as_secs_f64();
             events.outcome = Some(format!(
-                "outside {} of {attempts} changes accepted; inside {accepted} accepted (the last after {last:.1} s), \
+                "outside {} of {attempts} changes accepted; inside {accepted} accepted (the last after {last_accepted_s:.1} s), \
                  {refused} refused with 503, the last reason: {reason}",
                 events.event_count
             ));
@@ -231,6 +231,7 @@
 }
 
 impl PhaseEvents {
+    /// Adds an accepted change.
     fn record(&mut self, changed: AcceptedChange) {
         self.probes.push((changed.number, changed.requested_us));
         self.changes.push(changed);
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -21,6 +21,7 @@
 /// How the holder then fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HolderFailure {
+    /// Killed with SIGKILL, and later restarted without state.
     Killed,
     /// Suspended with SIGSTOP until after its lease expired.
     Stopped,
@@ -28,11 +29,11 @@
     Partitioned,
 }
 
-/// The timeout for each step; a step that succeeds is faster.
+/// The timeout for each step, longer than a step that succeeds ever takes.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl PhaseRunner {
-    /// Runs and measures one such phase, and records its outcome.
+    /// Runs the phase for one way of failing and one reach of the holder's datagrams, and records its outcome.
     pub fn holder_failure(&mut self, heard_by: HeardBy, failure: HolderFailure) {
         let name = format!(
             "holder {}, heard by {}",
@@ -57,20 +58,21 @@
         self.settle();
     }
 
-    /// Runs one such phase and returns a summary of the outcome, or of what went wrong.
+    /// Starts a change at the holder, makes the holder fail, and checks the result once a later change is active everywhere.
+    /// Returns a summary of the outcome, or of what went wrong.
     fn fail_holder(
         &mut self,
         heard_by: HeardBy,
         failure: HolderFailure,
         events: &mut PhaseEvents,
     ) -> Result<String, String> {
-        let (at, token) = self
+        let (index, token) = self
             .fleet
             .holder(None)
             .ok_or("no proxy holds the configuration's duty")?;
-        let base = self.change_until_accepted(at + 1)?.version;
+        let base = self.change_until_accepted(index + 1)?.version;
         self.wait_all_active(base, "the change before the failure")?;
-        let holder = self.fleet.real[at].number;
+        let holder = self.fleet.real[index].number;
         self.fleet.isolate(match heard_by {
             HeardBy::Nobody => Isolation {
                 outbound_blocked: Some(holder),
@@ -84,29 +86,31 @@
         let (number, line, body) = self.fleet.prepare_change(base);
         let requested_us = mono_us();
         let mut client = Client::connect(
-            self.fleet.real[at]
+            self.fleet.real[index]
                 .proxy
                 .control_address
                 .ok_or("the holder has no control address")?,
         );
         client.send(&format_call(&line, &body));
-        let proposed = || self.fleet.real[at].json("/config")["proposed"].is_u64();
+        let proposed = || self.fleet.real[index].json("/config")["proposed"].is_u64();
         let proposed = wait_until(Duration::from_secs(2), proposed);
         let stored = heard_by == HeardBy::All
-            && wait_until(Duration::from_secs(2), || self.stored_by_voters(at, &line));
+            && wait_until(Duration::from_secs(2), || {
+                self.stored_by_voters(index, &line)
+            });
         if !proposed || (heard_by == HeardBy::All && !stored) {
             return Err(format!(
-                "no change is in progress: proposed {proposed}, stored by the voters {stored}"
+                "the change is not in progress: proposed {proposed}, stored by the voters {stored}"
             ));
         }
-        self.inject_failure(at, failure, &token)?;
+        self.inject_failure(index, failure, &token)?;
         events.absences.push(Absence {
             proxy: holder,
             from: requested_us,
             to: None,
         });
         self.fleet.isolate(Isolation::default());
-        let after = self.change_until_accepted(at + 1)?;
+        let after = self.change_until_accepted(index + 1)?;
         self.wait_all_active(after.version, "the change after the failure")?;
         std::thread::sleep(Duration::from_secs(1)); // for delayed datagrams
         self.check_all_or_nothing(number, requested_us, &line, heard_by, failure)
@@ -115,14 +119,14 @@
     /// Makes the holder fail until another proxy holds the duty, and then restarts or resumes it.
     fn inject_failure(
         &mut self,
-        at: usize,
+        index: usize,
         failure: HolderFailure,
         token: &Token,
     ) -> Result<(), String> {
-        let holder = self.fleet.real[at].number;
+        let holder = self.fleet.real[index].number;
         match failure {
-            HolderFailure::Killed => self.fleet.real[at].kill(),
-            HolderFailure::Stopped => self.fleet.real[at].proxy.suspend(),
+            HolderFailure::Killed => self.fleet.real[index].kill(),
+            HolderFailure::Stopped => self.fleet.real[index].proxy.suspend(),
             HolderFailure::Partitioned => {}
         }
         // Blocks the holder's datagrams that are still in transit.
@@ -134,9 +138,9 @@
         match failure {
             HolderFailure::Killed => {
                 let launch = &self.fleet.launch;
-                self.fleet.real[at].restart(launch);
+                self.fleet.real[index].restart(launch);
             }
-            HolderFailure::Stopped => self.fleet.real[at].proxy.resume(),
+            HolderFailure::Stopped => self.fleet.real[index].proxy.resume(),
             HolderFailure::Partitioned => {}
         }
         taken_over
@@ -160,11 +164,11 @@
     }
 
     /// Requests a change at a control address until one is accepted.
-    fn change_until_accepted(&mut self, at: usize) -> Result<AcceptedChange, String> {
+    fn change_until_accepted(&mut self, index: usize) -> Result<AcceptedChange, String> {
         let (mut last_error, mut accepted) = (String::new(), None);
         wait_until(STEP_TIMEOUT, || {
             let mut base = self.fleet.newest_version();
-            match self.fleet.change(at, &mut base) {
+            match self.fleet.change(index, &mut base) {
                 Ok(changed) => accepted = Some(changed),
                 Err(why) => last_error = why,
             }
@@ -191,7 +195,7 @@
     fn check_all_or_nothing(
         &mut self,
         number: u32,
-        from: u64,
+        requested_us: u64,
         line: &str,
         heard_by: HeardBy,
         failure: HolderFailure,
@@ -206,7 +210,9 @@
             matching.count()
         };
         let (real_with, real_without) = (count_with_status(200), count_with_status(404));
-        let observed = self.fleet.observations(from, &[], &[(number, from)], None);
+        let observed = self
+            .fleet
+            .observations(requested_us, &[], &[(number, requested_us)], None);
         let light_with: u32 = observed.received.iter().map(|(_, n)| n).sum();
         let light_without = observed.received_missing;
         let violations = self.fleet.consistency_violations();
@@ -222,7 +228,7 @@
         let nowhere = real_without == self.fleet.real.len() && light_with == 0;
         let expected = match (heard_by, failure) {
             (HeardBy::All, _) => everywhere, // a majority of the voters stored it
-            (HeardBy::Nobody, HolderFailure::Killed) => nowhere,
+            (HeardBy::Nobody, HolderFailure::Killed) => nowhere, // only the killed holder had it
             (HeardBy::Nobody, _) => everywhere || nowhere,
         };
         if expected && violations.is_empty() {
@@ -233,6 +239,7 @@
     }
 }
 
+/// The failure's name in the phase's name.
 fn failure_name(failure: HolderFailure) -> &'static str {
     match failure {
         HolderFailure::Killed => "killed",
--- a/benches/scale/idle_discovery.rs
+++ b/benches/scale/idle_discovery.rs
@@ -26,8 +26,8 @@
 impl IdleDiscovery {
     /// Answers the server's calls on a thread.
     pub fn start(server: DiscoveryServer, endpoints: Arc<Vec<String>>) -> IdleDiscovery {
-        let ended = Arc::new(AtomicBool::new(false));
-        let end = ended.clone();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let end = stopped.clone();
         std::thread::spawn(move || {
             let mut waiting: Vec<PendingAnswer> = Vec::new();
             while !end.load(Relaxed) {
@@ -49,7 +49,7 @@
                 std::thread::sleep(POLL_INTERVAL);
             }
         });
-        IdleDiscovery(ended)
+        IdleDiscovery(stopped)
     }
 }
 
--- a/benches/scale/light_replica.rs
+++ b/benches/scale/light_replica.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Handles a broadcast and passes it on, unless it is rejected.
+    /// Handles a broadcast and forwards it to other proxies, unless it is rejected.
     fn forward_broadcast(
         &mut self,
         header: &BroadcastHeader,
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -113,6 +113,7 @@
         }
     }
 
+    /// The rows of all phases that were measured.
     pub fn rows(self) -> Vec<Row> {
         self.rows
     }
@@ -220,6 +221,7 @@
         }
     }
 
+    /// Whether this proxy of the plan is a real process.
     fn is_real(&self, number: u32) -> bool {
         self.fleet.real.iter().any(|r| r.number == number)
     }
@@ -235,24 +237,24 @@
     /// before the end of the span have returned by then.
     fn churn(&mut self, name: &str, times: f64) {
         let span = self.spans.churn;
-        let event_count = self.events_in(span, times);
+        let events = self.events_in(span, times);
         self.measure(name, span, |runner| {
             let begun = Instant::now();
-            let mut events = PhaseEvents {
-                event_count,
+            let mut phase_events = PhaseEvents {
+                event_count: events,
                 ..PhaseEvents::default()
             };
             let mut returns: Vec<(Instant, usize)> = Vec::new();
-            for n in 0..event_count {
-                let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(event_count));
-                runner.restart_due_until(at, &mut returns, &mut events.absences);
+            for n in 0..events {
+                let at = begun + span.mul_f64(0.75 * f64::from(n) / f64::from(events));
+                runner.restart_due_until(at, &mut returns, &mut phase_events.absences);
                 let (proxy, is_failure) = (
-                    runner.random_proxy(&events.absences),
+                    runner.random_proxy(&phase_events.absences),
                     n % EVENTS_PER_FAILURE == EVENTS_PER_FAILURE / 2,
                 );
                 let from = mono_us();
                 runner.fleet.stop(&[proxy], !is_failure);
-                events.absences.push(Absence {
+                phase_events.absences.push(Absence {
                     proxy,
                     from,
                     to: None,
@@ -262,10 +264,10 @@
                 } else {
                     RESTART_TIME
                 };
-                returns.push((Instant::now() + absent_for, events.absences.len() - 1));
+                returns.push((Instant::now() + absent_for, phase_events.absences.len() - 1));
             }
-            runner.restart_due_until(begun + span, &mut returns, &mut events.absences);
-            events
+            runner.restart_due_until(begun + span, &mut returns, &mut phase_events.absences);
+            phase_events
         });
         self.settle();
     }
--- a/benches/scale/relay.rs
+++ b/benches/scale/relay.rs
@@ -63,6 +63,7 @@
 }
 
 impl RelayState {
+    /// Forwards datagrams, subject to the network conditions, until the relay is dropped.
     fn run(self: Arc<Self>) {
         let mut random = Pcg32::seed_from_u64(self.plan.seed ^ (u64::from(self.number) << 32));
         let mut random_fraction =
--- a/benches/scale/report.rs
+++ b/benches/scale/report.rs
@@ -12,6 +12,7 @@
 }
 
 impl Machine {
+    /// Reads the times from `/proc/stat`.
     pub fn now() -> Machine {
         let text = std::fs::read_to_string("/proc/stat").unwrap_or_default();
         let first = text.lines().next().unwrap_or_default();
@@ -47,8 +48,8 @@
 /// time; `None` if it is empty.
 pub fn quantiles(hist: &[(u32, u32)]) -> Option<[u32; 3]> {
     let all: u64 = hist.iter().map(|(_, n)| u64::from(*n)).sum();
-    let at = |part: f64| {
-        let rank = ((all as f64 * part).ceil() as u64).max(1);
+    let at = |fraction: f64| {
+        let rank = ((all as f64 * fraction).ceil() as u64).max(1);
         let mut seen = 0;
         hist.iter().find(|(_, n)| {
             seen += u64::from(*n);
@@ -360,7 +361,7 @@
         let threads: Vec<String> = r
             .threads
             .iter()
-            .map(|(name, part)| format!("{name} {part:.2}"))
+            .map(|(name, percent)| format!("{name} {percent:.2}"))
             .collect();
         let over = [r.cpu_percent, mean_kb, r.bytes]
             .into_iter()
--- a/benches/tables.rs
+++ b/benches/tables.rs
@@ -108,37 +108,38 @@
         / 1e6
 }
 
-/// Sends requests at an interval of `every`, one at a time, while `busy` is set. Returns the milliseconds that each took.
+/// Sends one request every `interval`, or later if the previous one takes longer, while `running` is set. Returns the
+/// milliseconds that each took.
 fn start_client(
     proxy: &Proxy,
     size: Size,
-    every: Duration,
-    busy: &Arc<AtomicBool>,
+    interval: Duration,
+    running: &Arc<AtomicBool>,
 ) -> std::thread::JoinHandle<Vec<f64>> {
-    let (mut client, busy) = (proxy.client(), busy.clone());
+    let (mut client, running) = (proxy.client(), running.clone());
     client.0.get_ref().set_read_timeout(Some(TIMEOUT)).unwrap();
     std::thread::spawn(move || {
-        let (mut took, mut next) = (Vec::new(), Instant::now());
-        while busy.load(SeqCst) {
+        let (mut latencies_ms, mut next) = (Vec::new(), Instant::now());
+        while running.load(SeqCst) {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
             let begun = Instant::now();
-            next = begun + every;
-            let answer = client.request(&request(size, took.len()));
+            next = begun + interval;
+            let answer = client.request(&request(size, latencies_ms.len()));
             assert!(
                 [200, 503, 504].contains(&answer.status()),
-                "{}",
+                "unexpected response: {}",
                 answer.start_line
             ); // requests may time out after a long reload
-            took.push(begun.elapsed().as_secs_f64() * 1e3);
+            latencies_ms.push(begun.elapsed().as_secs_f64() * 1e3);
         }
-        took
+        latencies_ms
     })
 }
 
 /// The value at the given fraction of the sorted values.
-fn percentile(sorted: &[f64], part: f64) -> f64 {
+fn percentile(sorted: &[f64], fraction: f64) -> f64 {
     sorted
-        .get((sorted.len() as f64 * part) as usize)
+        .get((sorted.len() as f64 * fraction) as usize)
         .copied()
         .unwrap_or(f64::NAN)
 }
@@ -147,22 +148,22 @@
 fn reload(proxy: &Proxy, size: Size, text: &str) -> Reloaded {
     let before = proxy.log_count("configuration taken");
     std::fs::write(&proxy.config_path, text).unwrap();
-    let busy = Arc::new(AtomicBool::new(true));
-    let client = start_client(proxy, size, RELOAD_REQUEST_INTERVAL, &busy);
+    let running = Arc::new(AtomicBool::new(true));
+    let client = start_client(proxy, size, RELOAD_REQUEST_INTERVAL, &running);
     std::thread::sleep(RELOAD_MARGIN);
     let begun = Instant::now();
     proxy.signal("-HUP");
     while proxy.log_count("configuration taken") == before {
         assert!(
             begun.elapsed() < TIMEOUT,
-            "{:?}",
+            "the configuration was not reloaded within {TIMEOUT:?}: {:?}",
             proxy.log_lines("configuration")
         );
         std::thread::sleep(Duration::from_millis(1));
     }
     let taken_ms = begun.elapsed().as_secs_f64() * 1e3;
     std::thread::sleep(RELOAD_MARGIN);
-    busy.store(false, SeqCst);
+    running.store(false, SeqCst);
     let slowest_ms = client.join().unwrap().into_iter().fold(0.0, f64::max);
     let line = proxy
         .log_lines("configuration taken")
@@ -204,7 +205,7 @@
     let mut tables =
         ActiveSettings::initial(&Settings::from_value(&text, ReadOptions::default())).unwrap();
     let mut balancer = Balancer::from_validated(tables.config.clone(), 1);
-    let mut took = Vec::new();
+    let mut latencies_ms = Vec::new();
     for n in 0..AMENDMENTS {
         let change = match size.tenants {
             0 => {
@@ -239,22 +240,25 @@
             &mut Vec::new(),
         );
         tables = to;
-        took.push(begun.elapsed().as_secs_f64() * 1e3);
+        latencies_ms.push(begun.elapsed().as_secs_f64() * 1e3);
     }
-    took.sort_by(f64::total_cmp);
-    let (median, p99) = (percentile(&took, 0.5), percentile(&took, 0.99));
+    latencies_ms.sort_by(f64::total_cmp);
+    let (median, p99) = (
+        percentile(&latencies_ms, 0.5),
+        percentile(&latencies_ms, 0.99),
+    );
     println!(
         "| {name} | {median:.4} | {p99:.4} | {:.4} |",
-        percentile(&took, 1.0 - 0.5 / AMENDMENTS as f64)
+        percentile(&latencies_ms, 1.0 - 0.5 / AMENDMENTS as f64)
     );
 }
 
 /// The slowest request, in milliseconds, in the same time without a reload: the machine's own influence.
 fn slowest_without_reload(proxy: &Proxy, size: Size) -> f64 {
-    let busy = Arc::new(AtomicBool::new(true));
-    let client = start_client(proxy, size, RELOAD_REQUEST_INTERVAL, &busy);
+    let running = Arc::new(AtomicBool::new(true));
+    let client = start_client(proxy, size, RELOAD_REQUEST_INTERVAL, &running);
     std::thread::sleep(2 * RELOAD_MARGIN);
-    busy.store(false, SeqCst);
+    running.store(false, SeqCst);
     client.join().unwrap().into_iter().fold(0.0, f64::max)
 }
 
@@ -279,15 +283,15 @@
     let ready_s = begun.elapsed().as_secs_f64();
     std::thread::sleep(RELOAD_MARGIN);
     let at_start = resident_mb(&proxy);
-    let busy = Arc::new(AtomicBool::new(true));
+    let running = Arc::new(AtomicBool::new(true));
     let (cpu_before, clock) = (cpu_ms(&proxy), Instant::now());
-    let client = start_client(&proxy, size, Duration::from_secs_f64(1.0 / RATE), &busy);
+    let client = start_client(&proxy, size, Duration::from_secs_f64(1.0 / RATE), &running);
     std::thread::sleep(SPAN);
-    busy.store(false, SeqCst);
-    let mut took = client.join().unwrap();
-    let cpu_per_request = (cpu_ms(&proxy) - cpu_before) / took.len() as f64;
-    let rate = took.len() as f64 / clock.elapsed().as_secs_f64();
-    took.sort_by(f64::total_cmp);
+    running.store(false, SeqCst);
+    let mut latencies_ms = client.join().unwrap();
+    let cpu_per_request = (cpu_ms(&proxy) - cpu_before) / latencies_ms.len() as f64;
+    let rate = latencies_ms.len() as f64 / clock.elapsed().as_secs_f64();
+    latencies_ms.sort_by(f64::total_cmp);
     let loaded = resident_mb(&proxy);
     let baseline = slowest_without_reload(&proxy, size);
     let same = std::fs::read_to_string(&proxy.config_path).unwrap();
@@ -303,8 +307,8 @@
         "| {name} | {ready_s:.2} | {at_start:.1} | {loaded:.1} | {:.1} | {baseline:.1} | {with_same} | {with_other} | {rate:.0} | \
          {:.2} / {:.2} | {cpu_per_request:.3} |",
         resident_mb(&proxy),
-        percentile(&took, 0.5),
-        percentile(&took, 0.99),
+        percentile(&latencies_ms, 0.5),
+        percentile(&latencies_ms, 0.99),
     );
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -100,7 +100,7 @@
         if done(&now) {
             return now;
         }
-        assert!(begun.elapsed() < TIMEOUT, "{now:?}");
+        assert!(begun.elapsed() < TIMEOUT, "after {TIMEOUT:?}: {now:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
@@ -168,7 +168,7 @@
     let size = 27;
     let mut fleet = start_fleet(size, 0);
     let inside = (0..size).filter(|n| fleet.plan.region(*n) == 6).count() as u64;
-    assert!(inside > 2, "{inside}");
+    assert!(inside > 2, "only {inside} proxies are in the region");
     fleet.set_faults(Faults {
         cut: Some(6),
         ..Faults::default()
@@ -210,7 +210,7 @@
         if of(|s| s.verdicts_sent) > 3 && of(|s| s.verdicts_received) > 3 * u64::from(SIZE) / 2 {
             break;
         }
-        assert!(begun.elapsed() < TIMEOUT, "{samples:?}");
+        assert!(begun.elapsed() < TIMEOUT, "after {TIMEOUT:?}: {samples:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
