--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -32,7 +32,7 @@
     let acted = |token: &str, at: u64| {
         format!(" event=\"window\" window=w from=planned to=draining token={token} mono_us={at}\n")
     };
-    let first = held("10-7", 100) + &acted("10-7", 150) + &over("10-7", 300, 900); // the process was suspended from 200 to 900 and noticed the end of its lease at 900
+    let first = held("10-7", 100) + &acted("10-7", 150) + &over("10-7", 300, 900); // suspended from 200 to 900, when it noticed the end of its lease
     let second = held("11-3", 400) + &acted("11-3", 500);
     let valid = [
         incarnation(0, None, &first),
@@ -41,9 +41,9 @@
     ];
     assert_eq!(lease_violations(&valid), [""; 0]);
     let expect_violation = |n: usize, text: &str, what: &str| {
-        let mut violations = valid.clone();
-        violations[n].log = text.into();
-        let violations = lease_violations(&violations);
+        let mut history = valid.clone();
+        history[n].log = text.into();
+        let violations = lease_violations(&history);
         assert!(
             violations.iter().any(|w| w.contains(what)),
             "{what} not found: {violations:?}"
@@ -71,12 +71,12 @@
     ]
     .concat();
     assert_eq!(lease_violations(&both), [""; 0]);
-    let two = [
+    let two_holders = [
         both,
         vec![incarnation(4, None, &config_duty(held("11-7", 460)))],
     ]
     .concat();
-    assert!(lease_violations(&two)
+    assert!(lease_violations(&two_holders)
         .iter()
         .any(|w| w.contains("two holders at once")));
 }
--- a/tests/fleet_config.rs
+++ b/tests/fleet_config.rs
@@ -1,5 +1,5 @@
-//! Tests of the fleet's configuration with several real processes: a change made at any proxy comes into force at all of them,
-//! also while datagrams are lost and leaders are killed, suspended or partitioned during a change (`rig::faults`).
+//! Tests of the fleet's configuration with several real processes: a change made at any proxy comes into force at all of
+//! them, also while datagrams are lost and leaders are killed, suspended or partitioned during a change (`rig::faults`).
 
 mod rig;
 
@@ -51,7 +51,8 @@
     check_consistency(&fleet);
 }
 
-/// A change based on an older version is rejected only if its entry was changed since. Setting the same value again is accepted.
+/// A change based on an older version is rejected only if its entry was changed since. Setting the same value again is
+/// accepted.
 fn check_conflicts(fleet: &Fleet, last: u64) {
     let (code, answer) = put_quota_until_available(fleet, 3, "t4", last - 1, 99);
     assert_eq!(
@@ -187,8 +188,8 @@
     assert_eq!(fleet.control_call(0, "POST /config", "").status(), 405);
 }
 
-/// Every proxy serves a route that operators added and rejects requests of one that they removed. Both remain so although the
-/// configuration file differs, after the file is reloaded and after a proxy restarts.
+/// Every proxy serves a route that operators added and rejects requests of one that they removed. Both remain so although
+/// the configuration file differs, after the file is reloaded and after a proxy restarts.
 #[test]
 fn routes_changed_for_the_fleet_are_in_force_for_requests_and_win_over_the_file() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -408,8 +409,8 @@
     }
 }
 
-/// Checks that all proxies or none have the change, that all have it if the voters accepted it, and that none has it if only a
-/// killed leader did.
+/// Checks that all proxies or none have the change, that all have it if the voters accepted it, and that none has it if
+/// only a killed leader did.
 fn check_outcome(fleet: &Fleet, name: &str, delivered: Delivered, failure: Failure) {
     let quotas: Vec<Option<u64>> = ALL.iter().map(|n| tenant_quota(fleet, *n, name)).collect();
     eprintln!("{delivered:?}, {failure:?}: {quotas:?}");
--- a/tests/fleet_files.rs
+++ b/tests/fleet_files.rs
@@ -1,6 +1,6 @@
 //! Tests of configuration files with a version beside the changes that operators make for the fleet, with several real
-//! processes: files that contain some of the changes, are rolled out to some proxies only, are rolled back, are newer than any
-//! version of the fleet or too old for it.
+//! processes: files that contain some of the changes, are rolled out to some proxies only, are rolled back, are newer
+//! than any version of the fleet or too old for it.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 mod rig;
@@ -32,7 +32,8 @@
     }
 }
 
-/// Writes a proxy's configuration file and reloads it by SIGHUP. Returns whether it was accepted, and the log line that says so.
+/// Writes a proxy's configuration file and reloads it by SIGHUP. Returns whether it was accepted, and the log line that
+/// says so.
 fn reload(fleet: &Fleet, n: usize, text: &str) -> (bool, String) {
     let lines = || {
         let lines_with = |words| fleet.proxies[n].log_lines(words);
@@ -88,9 +89,9 @@
     wait_for_equal_copies(fleet, &ALL, version)
 }
 
-/// A file's version states up to which version it contains the fleet's changes. At the proxies that have the file, it takes
-/// precedence over these changes and over no later one. The other proxies use the changes. A file with a version that the fleet
-/// has not reached is rejected.
+/// A file's version states up to which version it contains the fleet's changes. At the proxies that have the file, it
+/// takes precedence over these changes and over no later one. The other proxies use the changes. A file with a version
+/// that the fleet has not reached is rejected.
 #[test]
 fn a_file_takes_precedence_over_the_changes_that_it_contains_and_over_no_later_one() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -146,9 +147,9 @@
     check_consistency(&fleet);
 }
 
-/// Entries that all files contain are dropped by a change of the fleet's configuration, so that all proxies drop the same ones. A
-/// running proxy loses nothing by it, also one with an older file. A starting proxy receives only the later entries. One that
-/// starts with an older file uses that file alone, and logs so, until it gets a newer file.
+/// Entries that all files contain are dropped by a change of the fleet's configuration, so that all proxies drop the same
+/// ones. A running proxy loses nothing by it, also one with an older file. A starting proxy receives only the later
+/// entries. One that starts with an older file uses that file alone, and logs so, until it gets a newer file.
 #[test]
 fn entries_that_the_files_contain_are_dropped_and_lost_at_no_proxy() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -218,7 +219,8 @@
     fleet.restart(4);
     wait_for_equal_copies(&fleet, &ALL, dropped);
     assert_eq!(config_status(&fleet, 4)["entries"], 1);
-    // A proxy that starts with an older file uses that alone: with the entries dropped since, the fleet's state cannot be built.
+    // A proxy that starts with an older file uses that alone: with the entries dropped since, the fleet's state cannot be
+    // built.
     fleet.set_extra_config(String::new());
     fleet.kill(&[4]);
     fleet.restart(4);
@@ -251,9 +253,9 @@
     check_consistency(&fleet);
 }
 
-/// A restarted proxy begins with its own stored copy of the fleet's configuration, even if no other proxy can be reached, and
-/// then receives only the differences. A voter with a stored copy does not vote any sooner. A truncated or corrupted copy is
-/// rejected with its cause, and the proxy requests the whole configuration.
+/// A restarted proxy begins with its own stored copy of the fleet's configuration, even if no other proxy can be reached,
+/// and then receives only the differences. A voter with a stored copy does not vote any sooner. A truncated or corrupted
+/// copy is rejected with its cause, and the proxy requests the whole configuration.
 #[test]
 fn a_restarted_proxy_begins_with_its_own_stored_copy() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -347,8 +349,8 @@
     check_consistency(&fleet);
 }
 
-/// When a change is reverted, each proxy uses its own file again. Several entries are reverted in one step. A call that reverts
-/// an entry without a change is rejected.
+/// When a change is reverted, each proxy uses its own file again. Several entries are reverted in one step. A call that
+/// reverts an entry without a change is rejected.
 #[test]
 fn a_reverted_change_leaves_the_content_of_the_file() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/tests/locality.rs
+++ b/tests/locality.rs
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Returns the settings of one of two proxies, with two zones that are taken out of use when half of their endpoints are out.
+/// Returns the settings of one of two proxies, with two zones that are taken out of use when half of their endpoints are
+/// out.
 fn settings(position: u32) -> String {
     let zones = r#""zones":["east","west"],"locality":{"leave_share":0.5,"ramp_us":9000000},"#;
     SETTINGS
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Runs six clients at every proxy for `span`, each with a pause of 20 ms between requests. Returns the number of requests
-    /// that each zone's backends got, and the statuses of the responses.
+    /// Runs six clients at every proxy for `span`, each with a pause of 20 ms between requests. Returns the number of
+    /// requests that each zone's backends got, and the statuses of the responses.
     fn load(&self, span: Duration) -> ([u32; 3], Vec<u16>) {
         let before: Vec<u32> = self
             .backends
@@ -168,8 +169,8 @@
         (zones, statuses)
     }
 
-    /// Runs clients until the proxy of `west`, which mainly uses that zone, has logged `words` at least as often as `reference`,
-    /// and at least once. Returns how long that took.
+    /// Runs clients until the proxy of `west`, which mainly uses that zone, has logged `words` at least as often as
+    /// `reference`, and at least once. Returns how long that took.
     fn load_until(&self, words: &str, reference: &str) -> Duration {
         let (begun, west) = (Instant::now(), &self.proxies[1]);
         while west.log_count(words) == 0 || west.log_count(words) < west.log_count(reference) {
@@ -187,8 +188,9 @@
     }
 }
 
-/// A zone answers only one request in four: all proxies take it out of use, no request fails, and once it recovers, its traffic
-/// returns on a ramp. Without faults, traffic stays in its own zone, while without the setting it is spread over all zones.
+/// A zone answers only one request in four: all proxies take it out of use, no request fails, and once it recovers, its
+/// traffic returns on a ramp. Without faults, traffic stays in its own zone, while without the setting it is spread over
+/// all zones.
 #[test]
 fn a_zone_that_answers_one_in_four_is_taken_out_of_use_and_returns_on_a_ramp() {
     let (second, quarter) = (Duration::from_secs(1), Duration::from_millis(250));
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -35,8 +35,8 @@
 }
 
 /// One backend refuses connections. With gossip, the whole fleet has at most a fifth of the failed connects that proxies
-/// without gossip have, although a tenth of the datagrams is lost, a tenth duplicated and all are reordered. All proxies stay
-/// members.
+/// without gossip have, although a tenth of the datagrams is lost, a tenth duplicated and all are reordered. All proxies
+/// stay members.
 #[test]
 fn gossip_reduces_the_failed_connects_to_a_dead_backend_to_a_fifth() {
     const SIZE: usize = 12;
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -22,8 +22,8 @@
     Proxy::with_extra_config(known, settings, &snapshot_config, &[tmp()])
 }
 
-/// Sets the same discovery address for all starts, as a snapshot is valid for one deployment only. Of duplicate keys the last
-/// one counts.
+/// Sets the same discovery address for all starts, as a snapshot is valid for one deployment only. Of duplicate keys the
+/// last one counts.
 const DEPLOYMENT: &str = r#","discovery":"127.0.0.1:9""#;
 
 /// Returns a new `TMPDIR`.
@@ -41,8 +41,8 @@
     create_temp_dir().join("kept")
 }
 
-/// A backend that an operator disabled stays disabled after a crash and with a new `TMPDIR`: the snapshot restores it, from a
-/// directory set by the configuration or by `NODE_SNAPSHOT`.
+/// A backend that an operator disabled stays disabled after a crash and with a new `TMPDIR`: the snapshot restores it,
+/// from a directory set by the configuration or by `NODE_SNAPSHOT`.
 #[test]
 fn a_disabled_backend_stays_disabled_after_a_crash() {
     let (a, b) = (
@@ -142,8 +142,8 @@
     }
 }
 
-/// A proxy is killed again and again while it writes snapshots under load: each new process finds a complete snapshot, and no
-/// payment reaches the backend twice.
+/// A proxy is killed again and again while it writes snapshots under load: each new process finds a complete snapshot,
+/// and no payment reaches the backend twice.
 #[test]
 fn kill_9_in_a_loop_under_load_never_leaves_a_torn_snapshot() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -240,8 +240,8 @@
     );
 }
 
-/// A response that a backend was disabled or enabled is still true after a crash right after it, with nothing but the snapshot:
-/// one is written at each such change, not only at intervals.
+/// A response that a backend was disabled or enabled is still true after a crash right after it, with nothing but the
+/// snapshot: one is written at each such change, not only at intervals.
 #[test]
 fn disabling_and_enabling_survive_a_crash_right_after_the_response() {
     let (a, b) = (
--- a/tests/restart_soak.rs
+++ b/tests/restart_soak.rs
@@ -1,7 +1,7 @@
-//! Seeded soak test of restarts on real sockets. Clients use every connection that stays open until the old process has to have
-//! ended, while the process gets several signals and the next one starts beside it. Each request is checked at its client and
-//! at the backends. `SOAK_SEEDS=1..50 cargo test --locked --test restart_soak -- --nocapture` runs these seeds, without the
-//! variable [`FIXED_SEEDS`].
+//! Seeded soak test of restarts on real sockets. Clients use every connection that stays open until the old process has
+//! to have ended, while the process gets several signals and the next one starts beside it. Each request is checked at
+//! its client and at the backends. `SOAK_SEEDS=1..50 cargo test --locked --test restart_soak -- --nocapture` runs these
+//! seeds, without the variable [`FIXED_SEEDS`].
 
 mod rig;
 
@@ -207,7 +207,8 @@
     }
 }
 
-/// Sends a response whose body is the id repeated `pieces` times, with 15 ms between two pieces. Returns whether all were sent.
+/// Sends a response whose body is the id repeated `pieces` times, with 15 ms between two pieces. Returns whether all were
+/// sent.
 fn respond(tcp: &mut TcpStream, status: &str, header: &str, id: &str, pieces: usize) -> bool {
     let length = id.len() * pieces;
     let head = format!("HTTP/1.1 {status}\r\n{header}Content-Length: {length}\r\n\r\n{id}");
@@ -337,8 +338,8 @@
     value.split("\r\n").next().unwrap_or("")
 }
 
-/// Checks a request without a response. This is allowed if the request crossed the close of an idle connection, and no backend
-/// received it.
+/// Checks a request without a response. This is allowed if the request crossed the close of an idle connection, and no
+/// backend received it.
 fn check_unanswered(run: &Run, connection: &Connection, id: &str, begun: Instant) {
     let waited = begun.elapsed();
     if connection.responses > 0 && !run.was_received(id) && waited < DEADLINE {
@@ -455,8 +456,8 @@
     proxy.terminate();
 }
 
-/// Restarts the proxy: sends several signals, usually starts the next process beside the old one, and checks that the old one
-/// ends before it would be killed. Returns the next process.
+/// Restarts the proxy: sends several signals, usually starts the next process beside the old one, and checks that the old
+/// one ends before it would be killed. Returns the next process.
 fn restart(run: &Run, mut old: Proxy, config: &ProxyConfig, draws: &mut Draws) -> Proxy {
     reload_and_terminate(run, &old, draws);
     let begun = Instant::now();
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Tests that restart twenty real processes at once while discovery is down, slow or silent, snapshots are unusable or the old
-//! processes still listen: each new process is ready within [`READY`].
+//! Tests that restart twenty real processes at once while discovery is down, slow or silent, snapshots are unusable or
+//! the old processes still listen: each new process is ready within [`READY`].
 
 mod rig;
 
@@ -13,7 +13,8 @@
 
 /// Number of proxies.
 const FLEET: usize = 20;
-/// Time within which a started process has to be ready. The requirement is for nine processes in ten, here each has to meet it.
+/// Time within which a started process has to be ready. The requirement is for nine processes in ten, here each has to
+/// meet it.
 const READY: Duration = Duration::from_secs(10);
 
 /// Log text of a process that finds its listen address in use.
@@ -66,8 +67,8 @@
     threads.into_iter().map(|t| t.join().unwrap()).unzip()
 }
 
-/// Returns the configurations of the fleet. Every second proxy, from the second on, knows no backend, like a proxy that never
-/// received an endpoint list.
+/// Returns the configurations of the fleet. Every second proxy, from the second on, knows no backend, like a proxy that
+/// never received an endpoint list.
 fn proxy_configs(discovery: SocketAddr, backend: &BackendServer) -> Vec<ProxyConfig> {
     // Free ports on a separate address, so that no other program gets them before the proxies listen.
     let reserved: Vec<TcpListener> = (0..FLEET)
@@ -109,8 +110,9 @@
     BackendServer::start(|_| ok("x"))
 }
 
-/// All processes are killed while discovery refuses connections, and their snapshots are left as they are, truncated, corrupted
-/// or made for other settings. The new processes are ready in time, and all serve requests once discovery is available again.
+/// All processes are killed while discovery refuses connections, and their snapshots are left as they are, truncated,
+/// corrupted or made for other settings. The new processes are ready in time, and all serve requests once discovery is
+/// available again.
 #[test]
 fn after_a_kill_with_discovery_down_and_unusable_snapshots_all_are_ready() {
     let (backend, down) = (backend(), RefusingPort::new());
@@ -187,8 +189,8 @@
     }
 }
 
-/// All processes are killed while discovery is overloaded: the new processes are ready in time, and receive the endpoint list
-/// in the end.
+/// All processes are killed while discovery is overloaded: the new processes are ready in time, and receive the endpoint
+/// list in the end.
 #[test]
 fn after_a_kill_with_discovery_overloaded_all_are_ready_and_receive_the_list() {
     let backend = backend();
@@ -202,8 +204,8 @@
     wait_until_serving(&proxies);
 }
 
-/// The old processes get SIGTERM with a request open, while discovery does not answer. Each new process starts while the old one
-/// still listens, is ready once the old one no longer does, and the old one still answers its request.
+/// The old processes get SIGTERM with a request open, while discovery does not answer. Each new process starts while the
+/// old one still listens, is ready once the old one no longer does, and the old one still answers its request.
 #[test]
 fn beside_old_processes_that_still_listen_all_are_ready() {
     let gate = Arc::new(Gate::default());
@@ -232,11 +234,11 @@
     old.iter().for_each(Proxy::suspend);
     old.iter().for_each(Proxy::terminate);
     let starting = std::thread::spawn(move || start_all(&configs));
-    let own = |line: &&str| {
+    let in_use = |line: &&str| {
         line.contains(ADDRESS_IN_USE) && listen.iter().any(|at| line.contains(at.as_str()))
     };
     let end = Instant::now() + TEST_TIMEOUT;
-    while STARTUP_LOGS.lock().unwrap().lines().filter(own).count() < FLEET {
+    while STARTUP_LOGS.lock().unwrap().lines().filter(in_use).count() < FLEET {
         assert!(
             Instant::now() < end,
             "not every new process found its address in use"
@@ -264,8 +266,8 @@
     }
 }
 
-/// Another program keeps the listen address in use: the proxy logs that once when it starts to retry and once when it gives up,
-/// and exits with a failure.
+/// Another program keeps the listen address in use: the proxy logs that once when it starts to retry and once when it
+/// gives up, and exits with a failure.
 #[test]
 fn an_address_that_stays_in_use_fails_the_start() {
     let reserved = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/rig/config_changes.rs
+++ b/tests/rig/config_changes.rs
@@ -21,7 +21,8 @@
         .expect("a version")
 }
 
-/// Sets a tenant's quota at a proxy, in requests per second, as a change based on the version `base`. Returns status and body.
+/// Sets a tenant's quota at a proxy, in requests per second, as a change based on the version `base`. Returns status and
+/// body.
 pub fn put_quota(fleet: &Fleet, n: usize, name: &str, base: u64, quota: u64) -> (u16, Value) {
     let body = json!({ "version": base, "value": { "name": name, "quota_rps": quota as f64 } });
     status_and_json(&fleet.control_call(
@@ -39,8 +40,8 @@
     )
 }
 
-/// Repeats a call until its status is not 503: on a busy machine the leader's lease may end meanwhile, and calls are rejected
-/// until there is a leader again.
+/// Repeats a call until its status is not 503: on a busy machine the leader's lease may end meanwhile, and calls are
+/// rejected until there is a leader again.
 pub fn call_until_available(fleet: &Fleet, n: usize, line: &str, body: &str) -> (u16, Value) {
     fleet.wait_for("an answer", |fleet| {
         let answer = status_and_json(&fleet.control_call(n, line, body));
--- a/tests/rig/faults.rs
+++ b/tests/rig/faults.rs
@@ -1,5 +1,6 @@
 //! Injects network faults between the proxies of a fleet. Datagrams to each proxy pass through a relay of the test on
-//! loopback, which drops, delays, reorders, duplicates, corrupts, replays or blocks them in one direction, drawn from a seed.
+//! loopback, which drops, delays, reorders, duplicates, corrupts, replays or blocks them in one direction, drawn from a
+//! seed.
 #![expect(clippy::too_many_lines, reason = "scenarios read from start to end")]
 
 use super::{Arc, Duration, Mutex, SocketAddr};
@@ -94,7 +95,8 @@
         self.rules.lock().unwrap().delays = both.map(|pair| (pair, delay)).collect();
     }
 
-    /// Blocks all datagrams between these groups of proxies. A proxy in none of them is isolated. Other rules stay as they are.
+    /// Blocks all datagrams between these groups of proxies. A proxy in none of them is isolated. Other rules stay as
+    /// they are.
     pub fn partition(&self, groups: &[&[usize]]) {
         let group = |n: usize| groups.iter().position(|g| g.contains(&n)).ok_or(n);
         let all = 0..self.sockets.len();
--- a/tests/rig/fleet.rs
+++ b/tests/rig/fleet.rs
@@ -104,6 +104,7 @@
 pub struct FleetOptions {
     /// Number of proxies.
     pub size: usize,
+    /// Seed of the network faults.
     pub seed: u64,
     /// Entries of the endpoint list that each proxy is configured with.
     pub endpoints: Vec<String>,
@@ -112,8 +113,10 @@
     /// Number of voters, which are the first proxies. With 0, the proxies have no duties.
     pub voters: usize,
     pub lease_ms: u64,
+    /// Share of the capacity of a group of backends that maintenance windows must leave in use, from 0 to 1.
     pub floor: f64,
-    /// Maximum age of shared facts, in seconds. A proxy that hears from no lease holder acts on its last decision for as long.
+    /// Maximum age of shared facts, in seconds. A proxy that hears from no lease holder acts on its last decision for as
+    /// long.
     pub max_age_s: f64,
     /// Additional keys of the configuration file, each after a comma.
     pub extra_config: String,
@@ -124,18 +127,25 @@
     fn start(&self, faults: &Faults, n: usize) -> Proxy {
         let group = format!(r#""position":{n},"group_size":{},"#, self.size);
         let mut settings = SETTINGS.replace(r#""position":0,"group_size":1,"#, &group);
-        let of = |count: usize| {
+        let relay_addresses = |count: usize| {
             (0..count)
                 .map(|n| format!(r#""{}""#, faults.address(n)))
                 .collect::<Vec<_>>()
         };
-        let (own, seeds) = (faults.address(n), of(self.voters.max(1)).join(","));
+        let (own, seeds) = (
+            faults.address(n),
+            relay_addresses(self.voters.max(1)).join(","),
+        );
         let (mut age, mut duties) = (String::new(), String::new());
         if self.voters > 0 {
             // A shorter slow start of readmitted backends keeps the tests short.
             settings = settings.replace(r#""ramp_time_us":9000000"#, r#""ramp_time_us":1500000"#);
             age = format!(r#","max_age_s":{:?}"#, self.max_age_s);
-            let (voters, lease, floor) = (of(self.voters).join(","), self.lease_ms, self.floor);
+            let (voters, lease, floor) = (
+                relay_addresses(self.voters).join(","),
+                self.lease_ms,
+                self.floor,
+            );
             duties = format!(
                 r#","duties":{{"voters":[{voters}],"lease_ms":{lease},"drift":0.01,"floor":{floor}}}"#
             );
@@ -193,15 +203,15 @@
     }
 
     /// Waits until each of these proxies knows exactly `others` other members. Returns how long that took.
-    pub fn wait_for_members(&self, of: &[usize], others: usize) -> Duration {
+    pub fn wait_for_members(&self, proxies: &[usize], others: usize) -> Duration {
         let begun = Instant::now();
-        while of
+        while proxies
             .iter()
             .any(|n| PeersStatus::of(&self.proxies[*n]).members() != others)
         {
             assert!(
                 begun.elapsed() < 3 * TEST_TIMEOUT,
-                "not each of the proxies {of:?} knows {others} other members"
+                "not each of the proxies {proxies:?} knows {others} other members"
             );
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -227,11 +237,15 @@
     }
 
     /// Kills all of these proxies at once by SIGKILL. Their logs stay available.
-    pub fn kill(&mut self, of: &[usize]) {
-        of.iter().for_each(|n| drop(self.proxies[*n].child.kill()));
-        of.iter().for_each(|n| drop(self.proxies[*n].child.wait()));
+    pub fn kill(&mut self, proxies: &[usize]) {
+        proxies
+            .iter()
+            .for_each(|n| drop(self.proxies[*n].child.kill()));
+        proxies
+            .iter()
+            .for_each(|n| drop(self.proxies[*n].child.wait()));
         self.ended_us
-            .extend(of.iter().map(|n| (*n, monotonic_us())));
+            .extend(proxies.iter().map(|n| (*n, monotonic_us())));
     }
 
     /// Sends SIGTERM to proxy `n`, waits until its process has ended, and returns that time in monotonic microseconds.
@@ -297,10 +311,11 @@
         })
     }
 
-    /// Creates a maintenance window of the backends `ids` at a proxy. It begins in `begin_in` seconds and lasts `lasts` seconds.
+    /// Creates a maintenance window of the backends `ids` at a proxy. It begins in `begin_in` seconds and lasts `lasts`
+    /// seconds.
     pub fn put_window(
         &self,
-        at: usize,
+        proxy: usize,
         id: &str,
         ids: &[&str],
         begin_in: f64,
@@ -322,7 +337,7 @@
         let body = format!(
             r#"{{"ids":{ids:?},"begin":"{from}","end":"{to}","lead_s":{lead_s},"overrun_s":5,"by":"ops"}}"#
         );
-        let answer = self.control_call(at, &format!("PUT /windows/{id}"), &body);
+        let answer = self.control_call(proxy, &format!("PUT /windows/{id}"), &body);
         assert!(answer.status() / 100 == 2, "{answer:?}");
         let ids = ids.iter().map(ToString::to_string).collect();
         Window {
@@ -337,10 +352,10 @@
     pub fn transitions(&self, window: &str) -> Vec<Transition> {
         let mut all = Vec::new();
         for incarnation in self.incarnations() {
-            let own = |l: &&str| lease_history::log_field(l, "window") == Some(window);
+            let is_of_window = |l: &&str| lease_history::log_field(l, "window") == Some(window);
             all.extend(
                 lease_history::event_lines(&incarnation.log, "window")
-                    .filter(own)
+                    .filter(is_of_window)
                     .map(|line| Transition {
                         proxy: incarnation.proxy,
                         to: lease_history::log_field(line, "to")
@@ -364,7 +379,7 @@
     }
 
     /// Waits until each of these proxies lists these windows.
-    pub fn wait_until_listed(&self, of: &[usize], windows: &[&Window]) {
+    pub fn wait_until_listed(&self, proxies: &[usize], windows: &[&Window]) {
         self.wait_for("all proxies to list the windows", |fleet| {
             let lists = |n: &usize, w: &Window| {
                 fleet
@@ -372,7 +387,8 @@
                     .to_string()
                     .contains(&w.id)
             };
-            of.iter()
+            proxies
+                .iter()
                 .all(|n| windows.iter().all(|w| lists(n, w)))
                 .then_some(())
         });
@@ -382,21 +398,20 @@
     /// back into use, in monotonic microseconds.
     pub fn drain_times(&self, n: usize, backend: &str) -> (Vec<u64>, Vec<u64>) {
         let log = self.log(n);
-        let of = |event: &str| {
-            let own = |l: &&str| lease_history::log_field(l, "backend") == Some(backend);
-            let lines = lease_history::event_lines(&log, event).filter(own);
+        let times_of = |event: &str| {
+            let is_of_backend = |l: &&str| lease_history::log_field(l, "backend") == Some(backend);
+            let lines = lease_history::event_lines(&log, event).filter(is_of_backend);
             lines
                 .map(|l| lease_history::number_field(l, "mono_us").expect("a time"))
                 .collect()
         };
-        (of("window_out"), of("window_back"))
+        (times_of("window_out"), times_of("window_back"))
     }
 
     /// Waits until each of these proxies has put each of the window's backends back into use. Checks that each was taken out
-    /// of use and put back once, and was not put back before the window's end. 20 ms earlier is allowed, as wall times are
-    /// converted to the monotonic clock.
-    pub fn check_single_maintenance(&self, of: &[usize], window: &Window) {
-        for (n, backend) in of
+    /// of use and put back once, and was put back at most 20 ms before the window's end.
+    pub fn check_single_maintenance(&self, proxies: &[usize], window: &Window) {
+        for (n, backend) in proxies
             .iter()
             .flat_map(|n| window.ids.iter().map(move |b| (*n, b)))
         {
@@ -473,7 +488,8 @@
     proxy.startup_log.clone() + &proxy.log_lines("").join("\n")
 }
 
-/// A backend that records every request with its time. The body of its response is its name and the request's correlation id.
+/// A backend that records every request with its time. The body of its response is its name and the request's correlation
+/// id.
 pub struct RecordingBackend {
     pub name: String,
     pub address: SocketAddr,
@@ -495,7 +511,7 @@
             Arc<Mutex<Vec<_>>>,
             Arc<AtomicBool>,
         ) = Default::default();
-        let (requests, answers, stops, own) = (
+        let (requests, answers, stops, backend_name) = (
             received.clone(),
             answered.clone(),
             stopping.clone(),
@@ -506,11 +522,11 @@
                 if stops.load(Ordering::SeqCst) {
                     return;
                 }
-                let (requests, answers, stops, own) = (
+                let (requests, answers, stops, name) = (
                     requests.clone(),
                     answers.clone(),
                     stops.clone(),
-                    own.clone(),
+                    backend_name.clone(),
                 );
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(tcp.try_clone().unwrap());
@@ -519,7 +535,7 @@
                             .header("x-correlation-id")
                             .unwrap_or_default()
                             .to_string();
-                        let body = format!("{own} {id}");
+                        let body = format!("{name} {id}");
                         requests.lock().unwrap().push((id.clone(), monotonic_us()));
                         let last = stops.load(Ordering::SeqCst);
                         let close = if last { "Connection: close\r\n" } else { "" };
@@ -649,11 +665,11 @@
                 .and_then(|r| r.split('\r').next())
                 .unwrap();
             let started_us = monotonic_us();
-            let mut at = client
+            let mut connection = client
                 .take()
                 .unwrap_or_else(|| Client::connect(*state.address.lock().unwrap()));
-            let sent = at.0.get_mut().write_all(request.as_bytes()).is_ok();
-            let answer = sent.then(|| at.response()).flatten();
+            let sent = connection.0.get_mut().write_all(request.as_bytes()).is_ok();
+            let answer = sent.then(|| connection.response()).flatten();
             let took_us = monotonic_us() - started_us;
             let (status, body) = answer
                 .as_ref()
@@ -668,33 +684,34 @@
                 status,
                 valid,
             });
-            client = (status != 0).then_some(at);
+            client = (status != 0).then_some(connection);
             std::thread::sleep(pause);
         }
         requests
     }
 
-    /// Pauses the clients of these proxies, as the layer in front of the proxies does before one is stopped. Returns once none
-    /// of them waits for a response.
-    pub fn pause(&self, of: &[usize]) {
-        of.iter()
+    /// Pauses the clients of these proxies, as the layer in front of the proxies does before one is stopped. Returns once
+    /// none of them waits for a response.
+    pub fn pause(&self, proxies: &[usize]) {
+        proxies
+            .iter()
             .for_each(|n| self.states[*n].paused.store(true, Ordering::SeqCst));
         let begun = Instant::now();
-        while of
+        while proxies
             .iter()
             .any(|n| !self.states[*n].idle.load(Ordering::SeqCst))
         {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
-                "a client of the proxies {of:?} still waits for a response"
+                "a client of the proxies {proxies:?} still waits for a response"
             );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
     /// Resumes the clients of these proxies, at the addresses on which the proxies listen now.
-    pub fn resume(&self, fleet: &Fleet, of: &[usize]) {
-        for n in of {
+    pub fn resume(&self, fleet: &Fleet, proxies: &[usize]) {
+        for n in proxies {
             fleet.proxies[*n].wait_until_serving();
             *self.states[*n].address.lock().unwrap() = fleet.proxies[*n].address;
             self.states[*n].paused.store(false, Ordering::SeqCst);
@@ -728,7 +745,7 @@
 ) -> String {
     let mut lines = vec![format!("{request:?}")];
     for backend in backends {
-        let of = |times: &Mutex<Vec<(String, u64)>>| {
+        let times_of_request = |times: &Mutex<Vec<(String, u64)>>| {
             let times = times.lock().unwrap();
             times
                 .iter()
@@ -736,7 +753,10 @@
                 .map(|(_, at)| *at)
                 .collect::<Vec<_>>()
         };
-        let (reached, answered) = (of(&backend.received), of(&backend.answered));
+        let (reached, answered) = (
+            times_of_request(&backend.received),
+            times_of_request(&backend.answered),
+        );
         if !reached.is_empty() {
             lines.push(format!(
                 "reached {} at {reached:?}, answered at {answered:?}",
--- a/tests/rig/snapshot_files.rs
+++ b/tests/rig/snapshot_files.rs
@@ -5,7 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Returns the completed snapshot files in a directory, sorted by path. Unfinished files, which have an extension, are left out.
+/// Returns the completed snapshot files in a directory, sorted by path. Unfinished files, which have an extension, are
+/// left out.
 pub fn files(dir: &Path) -> Vec<PathBuf> {
     let paths = std::fs::read_dir(dir)
         .into_iter()
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -1,5 +1,5 @@
-//! Tests of snapshots on a disk that hangs. The test puts a named pipe at the path of the next snapshot's unfinished file, so
-//! that the proxy's thread blocks in opening it until the test opens the other end.
+//! Tests of snapshots on a disk that hangs. The test puts a named pipe at the path of the next snapshot's unfinished
+//! file, so that the proxy's thread blocks in opening it until the test opens the other end.
 
 mod rig;
 
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Starts a proxy that writes a snapshot every 100 ms, and blocks it at opening the next one. Returns the proxy, the snapshot
-/// directory and the path of the pipe.
+/// Starts a proxy that writes a snapshot every 100 ms, and blocks it at opening the next one. Returns the proxy, the
+/// snapshot directory and the path of the pipe.
 fn start_blocked(known: &[String]) -> (Proxy, PathBuf, PathBuf) {
     let dir = create_temp_dir().join("kept");
     let snapshot_config = format!(
@@ -56,8 +56,8 @@
     }
 }
 
-/// While the disk hangs, requests and control requests are answered, and the log says that the snapshot is late. Once the disk
-/// works again, snapshots are written again.
+/// While the disk hangs, requests and control requests are answered, and the log says that the snapshot is late. Once the
+/// disk works again, snapshots are written again.
 #[test]
 fn a_disk_that_hangs_delays_no_request() {
     let (a, b) = (
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -25,6 +25,7 @@
     lead_s: u32,
 }
 
+/// Plan of most tests.
 const PLAN: Plan = Plan {
     begin_s: 11.0,
     lasts_s: 6.0,
@@ -64,6 +65,7 @@
     (rules.corrupt, rules.replay) = (0.01, 0.02);
 }
 
+/// Returns the numbers of all proxies but `n`.
 fn all_but(n: usize) -> Vec<usize> {
     ALL.into_iter().filter(|other| *other != n).collect()
 }
@@ -75,9 +77,9 @@
     windows.iter().flat_map(of).collect()
 }
 
-/// The holder is killed while the first of two windows drains. The next holder continues both windows: at every other proxy,
-/// each backend enters and leaves maintenance once. A twentieth of the datagrams is lost and a twentieth duplicated, some are
-/// corrupted or replayed, and all are delayed.
+/// The holder is killed while the first of two windows drains. The next holder continues both windows: at every other
+/// proxy, each backend enters and leaves maintenance once. A twentieth of the datagrams is lost and a twentieth
+/// duplicated, some are corrupted or replayed, and all are delayed.
 #[test]
 fn the_next_holder_continues_the_windows_of_a_killed_one() {
     let (backends, mut fleet) = fleet(19, 6, options());
@@ -107,9 +109,9 @@
     check_fleet_run("holder killed", &fleet, &backends, &load.stop(), &drained);
 }
 
-/// The holder is suspended past its lease while its datagrams to two proxies are held back, and another proxy takes over. When
-/// the datagrams arrive, their effects are rejected because of their old token. When the process resumes, it notices the end
-/// of its lease before it acts.
+/// The holder is suspended past its lease while its datagrams to two proxies are held back, and another proxy takes over.
+/// When the datagrams arrive, their effects are rejected because of their old token. When the process resumes, it notices
+/// the end of its lease before it acts.
 #[test]
 fn late_effects_of_a_suspended_holder_are_rejected_by_their_token() {
     // With a maximum age of 60 s, late effects are not rejected as stale before their token is checked.
@@ -150,9 +152,11 @@
     fleet.faults.release_held();
     for n in &delayed_proxies {
         let refused = |l: &str| lease_history::log_field(l, "cause") == Some("token");
-        let late =
+        let has_rejected =
             |f: &Fleet| lease_history::event_lines(&f.log(*n), "effect_refused").any(refused);
-        fleet.wait_for("a late effect to be rejected", |f| late(f).then_some(()));
+        fleet.wait_for("a late effect to be rejected", |f| {
+            has_rejected(f).then_some(())
+        });
     }
     fleet.proxies[first_holder].signal("-CONT");
     let noticed_end =
@@ -173,9 +177,9 @@
     );
 }
 
-/// Partitions a fleet that knows two windows, which the floor does not allow at the same time. When the first window has reached the
-/// state `step`, `cut` partitions the fleet for longer than a proxy acts on a holder's last decision. On every side, the first
-/// window opens and closes on time, and the second waits for it until its own time is over.
+/// Partitions a fleet that knows two windows, which the floor does not allow at the same time. When the first window has
+/// reached the state `step`, `cut` partitions the fleet for longer than a proxy acts on a holder's last decision. On
+/// every side, the first window opens and closes on time, and the second waits for it until its own time is over.
 fn partitioned(
     name: &str,
     seed: u64,
@@ -219,6 +223,8 @@
     fleet
 }
 
+/// The fleet is partitioned before the window: the majority elects another holder, and the minority acts on the window
+/// that it knows.
 #[test]
 fn windows_are_on_time_with_the_holder_in_the_minority() {
     let fleet = partitioned(
@@ -256,6 +262,8 @@
     fleet.wait_for_transition("w0", "done");
 }
 
+/// The fleet is partitioned before the window so that no part has a majority of the voters: every proxy acts on the
+/// window that it knows.
 #[test]
 fn windows_are_on_time_without_any_majority() {
     let fleet = partitioned("no majority", 37, PLAN, "planned", |fleet, _, _| {
@@ -298,6 +306,7 @@
     fleet.wait_for_transition("w0", "done");
 }
 
+/// The datagrams of the holder are lost before the window, but those to it arrive: another proxy becomes the holder.
 #[test]
 fn windows_are_on_time_while_the_holder_reaches_nobody() {
     let fleet = partitioned("one way cut", 41, PLAN, "planned", |fleet, holder, _| {
@@ -347,9 +356,9 @@
     );
 }
 
-/// Three windows of two backends each overlap in time, and three fifths of the eight backends have to stay ready: the windows
-/// run one after the other, ordered by their begin, while another backend dies and the holder is ended by SIGTERM. A fourth
-/// window with three backends does not fit beside the dead one, and is refused when its time is over.
+/// Three windows of two backends each overlap in time, and three fifths of the eight backends have to stay ready: the
+/// windows run one after the other, ordered by their begin, while another backend dies and the holder is ended by
+/// SIGTERM. A fourth window with three backends does not fit beside the dead one, and is refused when its time is over.
 #[test]
 fn the_floor_makes_overlapping_windows_run_one_after_the_other() {
     let (backends, mut fleet) = fleet(
