--- a/benches/module.rs
+++ b/benches/module.rs
@@ -28,15 +28,15 @@
 
 impl Times {
     /// Prints the table row of a kind of event.
-    fn row(&mut self, size: &str, what: &str) {
-        let Some(all) = self.0.get_mut(what) else {
+    fn row(&mut self, size: &str, kind: &str) {
+        let Some(all) = self.0.get_mut(kind) else {
             return;
         };
         all.sort_by(f64::total_cmp);
         let quantile = |fraction: f64| all[((all.len() - 1) as f64 * fraction) as usize];
         let mean = all.iter().sum::<f64>() / all.len() as f64;
         println!(
-            "| {size} | {what} | {} | {mean:.1} | {:.1} | {:.1} | {:.1} |",
+            "| {size} | {kind} | {} | {mean:.1} | {:.1} | {:.1} | {:.1} |",
             all.len(),
             quantile(0.5),
             quantile(0.99),
@@ -109,12 +109,12 @@
     }
 
     /// Passes an event to the balancer, records the time that this takes, and executes the actions.
-    fn handle(&mut self, what: &'static str, event: Event) {
+    fn handle(&mut self, kind: &'static str, event: Event) {
         let mut actions = Vec::new();
         let begun = Instant::now();
         self.balancer.handle(Time(self.now), event, &mut actions);
         let took_us = begun.elapsed().as_secs_f64() * 1e6;
-        self.times.0.entry(what).or_default().push(took_us);
+        self.times.0.entry(kind).or_default().push(took_us);
         for action in actions {
             match action {
                 Action::Dispatch { request, backend } => {
@@ -173,10 +173,10 @@
         }
     }
 
-    /// Sends `count` requests with ids from `first` on, recorded under `what`.
+    /// Sends `count` requests with ids from `first` on, recorded as events of this kind.
     fn requests(
         &mut self,
-        what: &'static str,
+        kind: &'static str,
         first: u64,
         count: u64,
         classes: usize,
@@ -189,7 +189,7 @@
             let class = self.random() as usize % classes;
             let tenant = (tenants > 0).then(|| TenantId(self.random() as usize % tenants));
             self.handle(
-                what,
+                kind,
                 Event::RequestArrived(RequestArrival {
                     request: RequestId(first + n),
                     class: ClassId(class),
@@ -245,12 +245,15 @@
     }
     // All backends of a zone restart.
     let (now, zone) = (bench.now, ZoneId(3));
-    let cold = list.iter().filter(|b| b.zone == zone).map(|b| Backend {
+    let restarted = list.iter().filter(|b| b.zone == zone).map(|b| Backend {
         started_at: Some(Time(now)),
         ..b.clone()
     });
-    let cold: Vec<Backend> = cold.collect();
-    bench.handle("a zone starts", members(EndpointUpdate::Incremental, &cold));
+    let restarted: Vec<Backend> = restarted.collect();
+    bench.handle(
+        "a zone starts",
+        members(EndpointUpdate::Incremental, &restarted),
+    );
     bench.requests("request, zone cold", 40_000, 117 * 5, classes, tenants);
     let order = [
         "request",
@@ -265,7 +268,7 @@
     ];
     order
         .into_iter()
-        .for_each(|what| bench.times.row(&size, what));
+        .for_each(|kind| bench.times.row(&size, kind));
     println!(
         "| {size} | **all of a request** | {requests} | {:.1} | | | |",
         spent / requests as f64
--- a/benches/scale/holder.rs
+++ b/benches/scale/holder.rs
@@ -11,11 +11,11 @@
 
 /// Which proxies receive the holder's datagrams while its change is in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HeardBy {
+pub enum ReceivedBy {
     /// No proxy, so that only the holder has the change.
-    Nobody,
+    NoProxy,
     /// All proxies, but the holder receives none of theirs: the voters store the change, and the holder doesn't know it.
-    All,
+    AllProxies,
 }
 
 /// How the holder then fails.
@@ -34,11 +34,11 @@
 
 impl PhaseRunner {
     /// Runs the phase for one way of failing and one reach of the holder's datagrams, and records its outcome.
-    pub fn holder_failure(&mut self, heard_by: HeardBy, failure: HolderFailure) {
+    pub fn holder_failure(&mut self, received_by: ReceivedBy, failure: HolderFailure) {
         let name = format!(
             "holder {}, heard by {}",
             failure_name(failure),
-            if heard_by == HeardBy::All {
+            if received_by == ReceivedBy::AllProxies {
                 "all"
             } else {
                 "nobody"
@@ -49,7 +49,7 @@
                 event_count: 1,
                 ..PhaseEvents::default()
             };
-            let outcome = runner.fail_holder(heard_by, failure, &mut events);
+            let outcome = runner.fail_holder(received_by, failure, &mut events);
             events.unexpected = outcome.is_err();
             events.outcome = Some(outcome.unwrap_or_else(|why| why));
             events
@@ -62,7 +62,7 @@
     /// Returns a summary of the outcome, or of what went wrong.
     fn fail_holder(
         &mut self,
-        heard_by: HeardBy,
+        received_by: ReceivedBy,
         failure: HolderFailure,
         events: &mut PhaseEvents,
     ) -> Result<String, String> {
@@ -73,12 +73,12 @@
         let base = self.change_until_accepted(index + 1)?.version;
         self.wait_all_active(base, "the change before the failure")?;
         let holder = self.fleet.real[index].number;
-        self.fleet.isolate(match heard_by {
-            HeardBy::Nobody => Isolation {
+        self.fleet.isolate(match received_by {
+            ReceivedBy::NoProxy => Isolation {
                 outbound_blocked: Some(holder),
                 inbound_blocked: None,
             },
-            HeardBy::All => Isolation {
+            ReceivedBy::AllProxies => Isolation {
                 outbound_blocked: None,
                 inbound_blocked: Some(holder),
             },
@@ -94,11 +94,11 @@
         client.send(&format_call(&line, &body));
         let proposed = || self.fleet.real[index].json("/config")["proposed"].is_u64();
         let proposed = wait_until(Duration::from_secs(2), proposed);
-        let stored = heard_by == HeardBy::All
+        let stored = received_by == ReceivedBy::AllProxies
             && wait_until(Duration::from_secs(2), || {
                 self.stored_by_voters(index, &line)
             });
-        if !proposed || (heard_by == HeardBy::All && !stored) {
+        if !proposed || (received_by == ReceivedBy::AllProxies && !stored) {
             return Err(format!(
                 "the change is not in progress: proposed {proposed}, stored by the voters {stored}"
             ));
@@ -113,7 +113,7 @@
         let after = self.change_until_accepted(index + 1)?;
         self.wait_all_active(after.version, "the change after the failure")?;
         std::thread::sleep(Duration::from_secs(1)); // for delayed datagrams
-        self.check_all_or_nothing(number, requested_us, &line, heard_by, failure)
+        self.check_all_or_nothing(number, requested_us, &line, received_by, failure)
     }
 
     /// Makes the holder fail until another proxy holds the duty, and then restarts or resumes it.
@@ -197,7 +197,7 @@
         number: u32,
         requested_us: u64,
         line: &str,
-        heard_by: HeardBy,
+        received_by: ReceivedBy,
         failure: HolderFailure,
     ) -> Result<String, String> {
         let get = line.replace("PUT", "GET");
@@ -226,10 +226,10 @@
         );
         let everywhere = real_with == self.fleet.real.len() && light_without == 0;
         let nowhere = real_without == self.fleet.real.len() && light_with == 0;
-        let expected = match (heard_by, failure) {
-            (HeardBy::All, _) => everywhere, // a majority of the voters stored it
-            (HeardBy::Nobody, HolderFailure::Killed) => nowhere, // only the killed holder had it
-            (HeardBy::Nobody, _) => everywhere || nowhere,
+        let expected = match (received_by, failure) {
+            (ReceivedBy::AllProxies, _) => everywhere, // a majority of the voters stored it
+            (ReceivedBy::NoProxy, HolderFailure::Killed) => nowhere, // only the killed holder had it
+            (ReceivedBy::NoProxy, _) => everywhere || nowhere,
         };
         if expected && violations.is_empty() {
             Ok(summary)
--- a/benches/scale/light_proxy.rs
+++ b/benches/scale/light_proxy.rs
@@ -2,7 +2,7 @@
 //! its own but without HTTP. It lets one machine run fleets that are too large for real proxy processes.
 
 use super::balancer_driver::BalancerDriver;
-use super::light_replica::{LightReplica, Mail};
+use super::light_replica::{LightReplica, Messages};
 use super::plan::Plan;
 use super::protocol::{Conditions, Load, MAX_DELAY_US};
 use meadowproxy::fleet::membership::wire::{self, DatagramError, DatagramSealer};
@@ -246,7 +246,7 @@
 
     /// Runs one step of the configuration replica, sends its messages and records active changes. Returns whether there is a
     /// replica.
-    fn step_replica(&self, step: impl FnOnce(&mut LightReplica, ClockReading) -> Mail) -> bool {
+    fn step_replica(&self, step: impl FnOnce(&mut LightReplica, ClockReading) -> Messages) -> bool {
         let done = self
             .replica
             .borrow_mut()
--- a/benches/scale/light_replica.rs
+++ b/benches/scale/light_replica.rs
@@ -30,7 +30,7 @@
 }
 
 /// Encoded coordination messages to send, with their destinations.
-pub type Mail = Vec<(SocketAddr, Vec<u8>)>;
+pub type Messages = Vec<(SocketAddr, Vec<u8>)>;
 
 impl LightReplica {
     /// A replica with an empty table; `None` for an invalid number of voters.
@@ -59,9 +59,9 @@
     }
 
     /// Runs a tick if one is due.
-    pub fn tick(&mut self, now: ClockReading, membership: &Membership) -> Mail {
+    pub fn tick(&mut self, now: ClockReading, membership: &Membership) -> Messages {
         if now.monotonic < self.tick_due {
-            return Mail::new();
+            return Messages::new();
         }
         self.tick_due = now.monotonic + TICK_INTERVAL;
         if now.monotonic >= self.members_due {
@@ -74,7 +74,7 @@
     }
 
     /// Handles another proxy's message. Returns no messages if it was rejected or does not concern the configuration.
-    pub fn handle(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Mail {
+    pub fn handle(&mut self, from: SocketAddr, bytes: &[u8], now: ClockReading) -> Messages {
         match message::decode(bytes) {
             Ok(DutyMessage::Broadcast(header, announcement)) => {
                 self.forward_broadcast(&header, &announcement, now)
@@ -83,7 +83,7 @@
                 let _ = replica.handle(now.monotonic, context, from, message, out);
                 // a rejected message changes nothing
             }),
-            _ => Mail::new(),
+            _ => Messages::new(),
         }
     }
 
@@ -93,9 +93,9 @@
         header: &BroadcastHeader,
         announcement: &Announcement,
         now: ClockReading,
-    ) -> Mail {
+    ) -> Messages {
         if self.relay.accept(header, now.wall_us).is_err() {
-            return Mail::new();
+            return Messages::new();
         }
         if announcement
             .held
@@ -118,7 +118,7 @@
         &mut self,
         now: ClockReading,
         step: impl FnOnce(&mut Replica, &Context, &mut Outbox),
-    ) -> Mail {
+    ) -> Messages {
         let context = Context {
             wall_ms: now.wall_us / 1000,
             members: &self.members,
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -219,7 +219,7 @@
     );
     let seconds = Duration::from_secs;
     let spans = Spans {
-        quiet: seconds(20),
+        idle: seconds(20),
         churn: seconds(40),
         dead_backends: seconds(10),
         changes: seconds(40),
--- a/benches/scale/phases.rs
+++ b/benches/scale/phases.rs
@@ -1,7 +1,7 @@
 //! The phases of a run: each injects load, failures or network faults into a [`Fleet`] and measures the result as [`Row`]s.
 
 use super::fleet::{AcceptedChange, Convergence, Fleet, FAILING_BACKENDS, PEAK_LOAD};
-use super::holder::{HeardBy, HolderFailure};
+use super::holder::{HolderFailure, ReceivedBy};
 use super::light_proxy::mono_us;
 use super::protocol::{Absence, Cut, Faults, Load};
 use super::report::{PropagationTimes, Row, LIGHT};
@@ -56,7 +56,7 @@
 /// Durations of the phases and of the waits between them.
 #[derive(Clone, Copy)]
 pub struct Spans {
-    pub quiet: Duration,
+    pub idle: Duration,
     pub churn: Duration,
     pub dead_backends: Duration,
     pub changes: Duration,
@@ -121,12 +121,12 @@
     /// Runs the phase with this name. Panics if there is none, or if one of its steps fails.
     pub fn run_phase(&mut self, name: &str) {
         match name {
-            "quiet" => self.measure("quiet", self.spans.quiet, |_| PhaseEvents::default()),
+            "quiet" => self.measure("quiet", self.spans.idle, |_| PhaseEvents::default()),
             "churn" => {
                 self.churn("churn", 1.0);
                 self.churn("churn x10", 10.0);
             }
-            "probes" => self.measure("probes", self.spans.quiet, PhaseRunner::send_probes),
+            "probes" => self.measure("probes", self.spans.idle, PhaseRunner::send_probes),
             "facts" => self.dead_backends("3 of 9 dead", FAILING_BACKENDS),
             "storm" => self.dead_backends("3 of 43 dead at 117/s", PEAK_LOAD),
             "changes" => self.changes("changes", Faults::default(), 0.0),
@@ -150,8 +150,8 @@
                     HolderFailure::Stopped,
                     HolderFailure::Partitioned,
                 ] {
-                    self.holder_failure(HeardBy::Nobody, failure);
-                    self.holder_failure(HeardBy::All, failure);
+                    self.holder_failure(ReceivedBy::NoProxy, failure);
+                    self.holder_failure(ReceivedBy::AllProxies, failure);
                 }
             }
             "loss" => {
@@ -300,7 +300,7 @@
             let at = begun
                 + self
                     .spans
-                    .quiet
+                    .idle
                     .mul_f64(0.7 * f64::from(n) / f64::from(count));
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let proxy = self.random_proxy(&[]);
--- a/benches/scale/protocol.rs
+++ b/benches/scale/protocol.rs
@@ -106,7 +106,7 @@
     Probe { proxy: u32, number: u32 },
     /// Asks for the worker's counters.
     Sample,
-    /// Asks when the proxies detected these absences, probes and changes, and how many live proxies they took for down.
+    /// Asks when the proxies detected these absences, probes and changes, and how often they considered a live proxy down.
     #[serde(rename = "Learned")]
     Observations {
         /// Microseconds of the monotonic clock.
@@ -195,7 +195,7 @@
     pub up_missing: u32,
     #[serde(rename = "heard_missing")]
     pub received_missing: u32,
-    /// How often a live proxy was taken for down.
+    /// How often a live proxy was wrongly considered down.
     pub false_downs: u32,
     /// By the number of a change: milliseconds until it was active at the last proxy; `None` if it is still missing at some.
     pub slowest: BTreeMap<u32, Option<u32>>,
--- a/benches/scale/report.rs
+++ b/benches/scale/report.rs
@@ -127,7 +127,7 @@
     /// Verdicts received per proxy and second.
     #[serde(rename = "heard")]
     pub verdicts_received: f64,
-    /// How often a live proxy was taken for down.
+    /// How often a live proxy was wrongly considered down.
     pub false_downs: u32,
     /// How often a proxy rejoined the cluster.
     pub rejoined: u64,
@@ -286,15 +286,15 @@
             })
         };
         let s = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.1}"));
-        let [gone, back, heard] = r.missing;
+        let [down, up, received] = r.missing;
         println!(
             "| {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
             r.size,
             r.phase,
             r.events,
-            ms(r.down_ms, gone),
-            ms(r.up_ms, back),
-            ms(r.received_ms, heard),
+            ms(r.down_ms, down),
+            ms(r.up_ms, up),
+            ms(r.received_ms, received),
             s(r.near_convergence_s),
             s(r.full_convergence_s),
             r.incomplete_proxies,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Lightweight and real proxies know each other, and no proxy is taken for down while all run. All others detect that a
+/// Lightweight and real proxies know each other, and no proxy is considered down while all run. All others detect that a
 /// killed proxy is down, and that it is up again after its restart.
 #[test]
 fn only_the_killed_proxy_is_detected_as_down() {
@@ -161,7 +161,7 @@
         .is_some());
 }
 
-/// A partitioned region and the rest of the fleet take each other for down, and know each other again after the partition
+/// A partitioned region and the rest of the fleet consider each other down, and know each other again after the partition
 /// heals.
 #[test]
 fn a_partitioned_region_rejoins_the_fleet_after_the_heal() {
@@ -178,7 +178,7 @@
     while unknown_members(&mut fleet) < inside * (u64::from(size) - inside) {
         assert!(
             begun.elapsed() < TIMEOUT,
-            "not all outside proxies took the partitioned ones for down in time"
+            "not all outside proxies consider the partitioned ones down after {TIMEOUT:?}"
         );
         std::thread::sleep(Duration::from_millis(100));
     }
